--- a/internal/gossip/accumulator.go
+++ b/internal/gossip/accumulator.go
@@ -8,37 +8,37 @@
 // The sum is kept up to date by what each source adds, so that reading it costs nothing for
 // each source.
 type accumulator struct {
-	sources map[string]*accumulated
+	sources map[string]*sourceTotals
 	sum     map[ident.ClientAccount]Spending
 }
 
-// accumulated are the newest totals of a source's present life.
-type accumulated struct {
-	life string
+// sourceTotals are the newest totals of a source's present life.
+type sourceTotals struct {
+	incarnationID string
 	last map[ident.ClientAccount]Spending
 }
 
 func newAccumulator() accumulator {
-	return accumulator{sources: make(map[string]*accumulated), sum: make(map[ident.ClientAccount]Spending)}
+	return accumulator{sources: make(map[string]*sourceTotals), sum: make(map[ident.ClientAccount]Spending)}
 }
 
-// take takes in a source's totals; life tells its totals from those of an earlier life.
-func (a *accumulator) take(source, life string, totals map[ident.ClientAccount]Spending) {
+// update takes in a source's totals; life tells its totals from those of an earlier life.
+func (a *accumulator) update(source, life string, totals map[ident.ClientAccount]Spending) {
 	s := a.sources[source]
 	if s == nil {
-		s = &accumulated{}
+		s = &sourceTotals{}
 		a.sources[source] = s
 	}
-	if s.life == life {
+	if s.incarnationID == life {
 		for account, total := range totals {
-			a.sum[account] = a.sum[account].plus(total.grownFrom(s.last[account]))
+			a.sum[account] = a.sum[account].plus(total.increaseSince(s.last[account]))
 		}
 	}
-	s.life, s.last = life, totals
+	s.incarnationID, s.last = life, totals
 }
 
-// forget forgets a source; what it added stays, so that the sum never shrinks.
-func (a *accumulator) forget(source string) { delete(a.sources, source) }
+// remove forgets a source; what it added stays, so that the sum never shrinks.
+func (a *accumulator) remove(source string) { delete(a.sources, source) }
 
 func (s Spending) plus(o Spending) Spending {
 	return Spending{s.Spent + o.Spent, s.Refused + o.Refused}
@@ -49,8 +49,8 @@
 	return Spending{s.Spent - o.Spent, s.Refused - o.Refused}
 }
 
-// grownFrom is how much more a total is than an earlier one; a total that fell is one that
+// increaseSince is how much more a total is than an earlier one; a total that fell is one that
 // begins anew.
-func (s Spending) grownFrom(o Spending) Spending {
+func (s Spending) increaseSince(o Spending) Spending {
 	return Spending{max(0, s.Spent-o.Spent), max(0, s.Refused-o.Refused)}
 }
--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -17,7 +17,7 @@
 		r := report("edge-hall-a-1", 1, 1)
 		r.Loads = make(map[UpstreamKey]placement.Load)
 		r.Accounts = make(map[ident.ClientAccount]Spending)
-		r.Began = make(Windows)
+		r.Began = make(WindowCounts)
 		for i := range n.upstreams {
 			r.Loads[KeyOf(ident.Instance(fmt.Sprintf("i-%010x", i)))] = placement.Load{Running: 3, Unread: 12000}
 		}
@@ -61,12 +61,12 @@
 func BenchmarkCollectorAnswer(b *testing.B) {
 	for _, n := range []struct{ gateways, upstreams, accounts int }{{8, 300, 40}, {75, 3000, 333}, {164, 3000, 333}, {328, 6000, 333}} {
 		b.Run(fmt.Sprint(n.gateways, " gateways ", n.upstreams, " upstreams"), func(b *testing.B) {
-			d := newDomain()
+			d := newTestDomain()
 			for domain := range 5 {
-				d.collector.Hear(domainSumOf(domain, n.upstreams, n.accounts), d.now, d.now)
+				d.collector.AddDomainSum(domainSumOf(domain, n.upstreams, n.accounts), d.now, d.now)
 			}
 			for i := range n.gateways {
-				d.collector.Collect(d.reportOf(i, 10, 40), d.now, d.now)
+				d.collector.AddReport(d.reportOf(i, 10, 40), d.now, d.now)
 			}
 			b.ReportAllocs()
 			size := 0
@@ -74,14 +74,14 @@
 				gateway := i % n.gateways
 				d.now = d.now.Add(Interval / time.Duration(n.gateways))
 				for domain := range 5 {
-					d.collector.domains[ident.FailureDomain(fmt.Sprint("hall-", domain))].sums["c/1"].at = d.now
+					d.collector.domains[ident.FailureDomain(fmt.Sprint("hall-", domain))].sums["c/1"].receivedAt = d.now
 				}
-				d.collector.Collect(d.reportOf(gateway, 10, 40), d.now, d.now)
-				sum, part, err := d.collector.othersParts(nodeOf(gateway), d.now, d.now)
+				d.collector.AddReport(d.reportOf(gateway, 10, 40), d.now, d.now)
+				sum, part, err := d.collector.encodedOthers(nodeOf(gateway), d.now, d.now)
 				if err != nil {
 					b.Fatal(err)
 				}
-				m := message{From: report("gw-0", 1, 1), Others: &sum, OthersPart: part}
+				m := message{From: report("gw-0", 1, 1), Others: &sum, OthersEncoded: part}
 				data, err := m.encode()
 				if err != nil {
 					b.Fatal(err)
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -24,28 +24,28 @@
 // no number) is added to sums that go on to all gateways, and placement, limits and the
 // number of upstreams follow it everywhere.
 const (
-	// mostItems bounds each list of a message: some thousands of upstreams, hundreds of
+	// maxItems bounds each list of a message: some thousands of upstreams, hundreds of
 	// accounts and gateways are the largest deployments known.
-	mostItems = 20_000
-	// mostRunning and mostUnread bound the load at one upstream.
-	mostRunning = 1 << 20
-	mostUnread  = 1 << 30
-	// mostAge bounds how old something may be said to be. What was never confirmed
+	maxItems = 20_000
+	// maxRunning and mostUnread bound the load at one upstream.
+	maxRunning = 1 << 20
+	maxUnreadTokens  = 1 << 30
+	// maxAge bounds how old something may be said to be. What was never confirmed
 	// counts as an hour old.
-	mostAge = 24 * time.Hour
+	maxAge = 24 * time.Hour
 	milli   = 1000
 )
 
 // encode writes a message.
 func (m *message) encode() ([]byte, error) {
 	out := &exchangev1.Message{
-		From: m.From.toProto(), Knows: m.Knows, Contacts: contactsToProto(m.Contacts), Wants: m.Wants, TakesPatches: m.TakesPatches, Upstreams: newsToProto(m.Upstreams),
-		Collect: m.Collect, TakesWhole: m.TakesWhole, Others: m.Others.toProto(), Domain: m.DomainSum.toProto(), WantsCounts: m.WantsCounts,
+		From: m.From.toProto(), Knows: m.KnownDigest, Contacts: contactsToProto(m.Contacts), Wants: m.WantsLarge, TakesPatches: m.AcceptsPatches, Upstreams: newsToProto(m.Upstreams),
+		Collect: m.Collect, TakesWhole: m.SubtractsOwn, Others: m.Others.toProto(), Domain: m.DomainSum.toProto(), WantsCounts: m.WantsCounts,
 	}
 	if c := m.Config; c != nil {
 		out.Configuration = &exchangev1.Configuration{Revision: uint64(c.Revision), Offset: uint64(c.Offset), Gzip: c.Gzip, BaseRevision: uint64(c.Base), Patch: c.Patch}
 	}
-	for domain, digest := range m.KnowsRosters {
+	for domain, digest := range m.RosterDigests {
 		out.KnowsRosters = append(out.KnowsRosters, &exchangev1.RosterDigest{FailureDomain: string(domain), Digest: digest})
 	}
 	for _, r := range m.Rosters {
@@ -59,8 +59,8 @@
 		return nil, errors.Wrap(err, "encode a message")
 	}
 	// A field that stands twice in a message is merged by its receiver.
-	data = appendPart(data, othersField, m.OthersPart)
-	return appendPart(data, domainField, m.DomainPart), nil
+	data = appendEncoded(data, othersField, m.OthersEncoded)
+	return appendEncoded(data, domainField, m.DomainSumEncoded), nil
 }
 
 // The fields of a message that may be made of parts that were encoded before.
@@ -69,7 +69,7 @@
 	domainField protowire.Number = 9
 )
 
-func appendPart(data []byte, field protowire.Number, part []byte) []byte {
+func appendEncoded(data []byte, field protowire.Number, part []byte) []byte {
 	if len(part) == 0 {
 		return data
 	}
@@ -77,9 +77,9 @@
 	return protowire.AppendBytes(data, part)
 }
 
-// encodeParts writes what of a sum grows with the upstreams, the accounts and the services.
-func (s *Sum) encodeParts() ([]byte, error) {
-	parts := exchangev1.Sum{Loads: loadsToProto(s.Loads), Accounts: accountsToProto(s.Accounts), Work: workToProto(s.Work, s.Engines)}
+// encodeTotals writes what of a sum grows with the upstreams, the accounts and the services.
+func (s *Sum) encodeTotals() ([]byte, error) {
+	parts := exchangev1.Sum{Loads: loadsToProto(s.Loads), Accounts: accountsToProto(s.Accounts), Work: workToProto(s.Demand, s.Engines)}
 	data, err := proto.Marshal(&parts)
 	return data, errors.Wrap(err, "encode a sum")
 }
@@ -91,7 +91,7 @@
 		return nil, errors.Wrap(err, "not a message")
 	}
 	c := &checker{}
-	m := &message{Knows: in.Knows, Wants: in.Wants, TakesPatches: in.TakesPatches, Collect: in.Collect, TakesWhole: in.TakesWhole, WantsCounts: in.WantsCounts}
+	m := &message{KnownDigest: in.Knows, WantsLarge: in.Wants, AcceptsPatches: in.TakesPatches, Collect: in.Collect, SubtractsOwn: in.TakesWhole, WantsCounts: in.WantsCounts}
 	if in.From == nil {
 		return nil, errors.New("a message without its sender's report")
 	}
@@ -100,13 +100,13 @@
 	m.Upstreams = c.news(in.Upstreams)
 	m.Others, m.DomainSum = c.sum(in.Others), c.sum(in.Domain)
 	if p := in.Configuration; p != nil {
-		m.Config = &packedConfig{Revision: ident.Revision(p.Revision), Offset: ident.Offset(p.Offset), Gzip: p.Gzip, Base: ident.Revision(p.BaseRevision), Patch: p.Patch}
+		m.Config = &encodedConfig{Revision: ident.Revision(p.Revision), Offset: ident.Offset(p.Offset), Gzip: p.Gzip, Base: ident.Revision(p.BaseRevision), Patch: p.Patch}
 	}
 	if len(in.KnowsRosters) > 0 {
-		m.KnowsRosters = make(map[ident.FailureDomain]uint64, len(in.KnowsRosters))
+		m.RosterDigests = make(map[ident.FailureDomain]uint64, len(in.KnowsRosters))
 	}
 	for _, d := range in.KnowsRosters {
-		m.KnowsRosters[ident.FailureDomain(d.FailureDomain)] = d.Digest
+		m.RosterDigests[ident.FailureDomain(d.FailureDomain)] = d.Digest
 	}
 	for _, r := range in.Rosters {
 		m.Rosters = append(m.Rosters, Roster{Domain: ident.FailureDomain(r.FailureDomain), Gateways: c.contacts(r.Gateways)})
@@ -126,16 +126,16 @@
 	}
 }
 
-func (c *checker) items(what string, n int) {
-	if n > mostItems {
-		c.fail("%d %s, at most %d", n, what, mostItems)
+func (c *checker) checkCount(what string, n int) {
+	if n > maxItems {
+		c.fail("%d %s, at most %d", n, what, maxItems)
 	}
 }
 
 func (c *checker) age(millis uint64) time.Duration {
-	if millis > uint64(mostAge.Milliseconds()) {
+	if millis > uint64(maxAge.Milliseconds()) {
 		c.fail("an age of %d ms", millis)
-		return mostAge
+		return maxAge
 	}
 	return time.Duration(millis) * time.Millisecond
 }
@@ -182,12 +182,12 @@
 	}
 	out := &exchangev1.Sum{
 		Source: s.Source, Seq: s.Seq, FailureDomain: string(s.Domain), Heard: uint32(s.Heard), Known: uint32(s.Known), AgeMs: millis(s.Age),
-		Loads: loadsToProto(s.Loads), Accounts: accountsToProto(s.Accounts), Work: workToProto(s.Work, s.Engines),
-		LeaseHeld: s.Holders > 0, LeaseHolders: uint32(s.Holders), GivenUpFence: uint64(s.GivenUp), TrueWallMs: s.TrueWallMillis, Rollouts: rolloutsToProto(s.Rollouts), Poison: poisonToProto(s.Poison),
+		Loads: loadsToProto(s.Loads), Accounts: accountsToProto(s.Accounts), Work: workToProto(s.Demand, s.Engines),
+		LeaseHeld: s.LeaseHolders > 0, LeaseHolders: uint32(s.LeaseHolders), GivenUpFence: uint64(s.GivenUpFence), TrueWallMs: s.TrueWallMillis, Rollouts: rolloutsToProto(s.Rollouts), Poison: poisonToProto(s.Poison),
 		LimitUses:          usesToProto(s.LimitUses, s.LimitColumns),
-		CountedIncarnation: uint64(s.Counted.Incarnation), CountedSeq: s.Counted.Seq,
+		CountedIncarnation: uint64(s.CountedReport.Incarnation), CountedSeq: s.CountedReport.Seq,
 	}
-	for _, domain := range s.Silent {
+	for _, domain := range s.SilentDomains {
 		out.Silent = append(out.Silent, string(domain))
 	}
 	return out
@@ -197,25 +197,25 @@
 	if in == nil {
 		return nil
 	}
-	if in.Source == "" || in.Heard > mostItems || in.Known > mostItems || in.LeaseHolders > in.Heard {
+	if in.Source == "" || in.Heard > maxItems || in.Known > maxItems || in.LeaseHolders > in.Heard {
 		c.fail("a sum of %d of %d gateways by %q, of which %d hold the lease", in.Heard, in.Known, in.Source, in.LeaseHolders)
 	}
 	s := &Sum{
 		Source: in.Source, Seq: in.Seq, Domain: ident.FailureDomain(in.FailureDomain), Heard: int(in.Heard), Known: int(in.Known), Age: c.age(in.AgeMs),
-		Loads: c.loads(in.Loads), Accounts: c.accounts(in.Accounts), Holders: holders(in), GivenUp: ident.Fence(in.GivenUpFence),
+		Loads: c.loads(in.Loads), Accounts: c.accounts(in.Accounts), LeaseHolders: leaseHolders(in), GivenUpFence: ident.Fence(in.GivenUpFence),
 		TrueWallMillis: in.TrueWallMs, Rollouts: c.rollouts(in.Rollouts), Poison: c.poison(in.Poison),
 		LimitUses: c.limitUses(in.LimitUses), LimitColumns: c.limitColumns(in.LimitUses),
-		Counted: reportID{ident.Incarnation(in.CountedIncarnation), in.CountedSeq},
+		CountedReport: reportID{ident.Incarnation(in.CountedIncarnation), in.CountedSeq},
 	}
-	s.Work, s.Engines = c.work(in.Work)
+	s.Demand, s.Engines = c.work(in.Work)
 	for _, domain := range in.Silent {
-		s.Silent = append(s.Silent, ident.FailureDomain(domain))
+		s.SilentDomains = append(s.SilentDomains, ident.FailureDomain(domain))
 	}
 	return s
 }
 
-// holders is how many hold the lease; an older build says only that one does.
-func holders(in *exchangev1.Sum) int {
+// leaseHolders is how many hold the lease; an older build says only that one does.
+func leaseHolders(in *exchangev1.Sum) int {
 	if in.LeaseHeld {
 		return max(1, int(in.LeaseHolders))
 	}
@@ -240,14 +240,14 @@
 		return nil
 	}
 	n := len(in.Upstreams)
-	c.items("loads", n)
+	c.checkCount("loads", n)
 	if len(in.Running) != n || len(in.UnreadTokens) != n {
 		c.fail("loads of %d upstreams with %d and %d figures", n, len(in.Running), len(in.UnreadTokens))
 		return nil
 	}
 	out := make(map[UpstreamKey]placement.Load, n)
 	for i, key := range in.Upstreams {
-		if in.Running[i] > mostRunning || in.UnreadTokens[i] > mostUnread {
+		if in.Running[i] > maxRunning || in.UnreadTokens[i] > maxUnreadTokens {
 			c.fail("a load of %d requests and %d tokens", in.Running[i], in.UnreadTokens[i])
 		}
 		out[UpstreamKey(key)] = placement.Load{Running: int(in.Running[i]), Unread: int(in.UnreadTokens[i])}
@@ -258,16 +258,16 @@
 func accountsToProto(accounts map[ident.ClientAccount]Spending) []*exchangev1.Account {
 	out := make([]*exchangev1.Account, 0, len(accounts))
 	for name, s := range accounts {
-		out = append(out, &exchangev1.Account{Name: string(name), Spent: total(s.Spent), Refused: total(s.Refused)})
+		out = append(out, &exchangev1.Account{Name: string(name), Spent: roundTotal(s.Spent), Refused: roundTotal(s.Refused)})
 	}
 	return out
 }
 
-// total rounds a total to whole units; what is rounded off shows in a later total.
-func total(v float64) uint64 { return uint64(max(0, math.Round(v))) }
+// roundTotal rounds a total to whole units; what is rounded off shows in a later total.
+func roundTotal(v float64) uint64 { return uint64(max(0, math.Round(v))) }
 
 func (c *checker) accounts(in []*exchangev1.Account) map[ident.ClientAccount]Spending {
-	c.items("accounts", len(in))
+	c.checkCount("accounts", len(in))
 	out := make(map[ident.ClientAccount]Spending, len(in))
 	for _, a := range in {
 		out[ident.ClientAccount(a.Name)] = Spending{Spent: float64(a.Spent), Refused: float64(a.Refused)}
@@ -295,7 +295,7 @@
 }
 
 func (c *checker) work(in []*exchangev1.ServiceWork) (map[ident.Service]placement.Demand, map[ident.Service]enginemodel.Sums) {
-	c.items("services", len(in))
+	c.checkCount("services", len(in))
 	work, engines := make(map[ident.Service]placement.Demand, len(in)), make(map[ident.Service]enginemodel.Sums)
 	for _, w := range in {
 		service := ident.Service(w.Service)
@@ -314,7 +314,7 @@
 
 // countsToProto names each account once, not once a window: that makes a report of
 // sixteen accounts a third shorter.
-func countsToProto(w Windows) *exchangev1.Counts {
+func countsToProto(w WindowCounts) *exchangev1.Counts {
 	if len(w) == 0 {
 		return nil
 	}
@@ -334,13 +334,13 @@
 	return out
 }
 
-func (c *checker) counts(in *exchangev1.Counts) Windows {
+func (c *checker) counts(in *exchangev1.Counts) WindowCounts {
 	if in == nil {
 		return nil
 	}
-	c.items("windows", len(in.Windows))
-	c.items("accounts", len(in.Accounts))
-	out := make(Windows, len(in.Windows))
+	c.checkCount("windows", len(in.Windows))
+	c.checkCount("accounts", len(in.Accounts))
+	out := make(WindowCounts, len(in.Windows))
 	for _, number := range in.Windows {
 		out[number] = make(map[ident.ClientAccount]int64)
 	}
@@ -370,7 +370,7 @@
 }
 
 func (c *checker) contacts(in []*exchangev1.Contact) []Contact {
-	c.items("gateways", len(in))
+	c.checkCount("gateways", len(in))
 	var out []Contact
 	for _, each := range in {
 		if each.Node == "" || each.Address == "" {
@@ -418,7 +418,7 @@
 	if in == nil {
 		return nil
 	}
-	c.items("entries", len(in.Records))
+	c.checkCount("entries", len(in.Records))
 	news := &directory.News{UpTo: ident.Offset(in.UpTo), Complete: in.Complete}
 	for _, r := range in.Records {
 		record := directory.Record{ID: ident.Instance(r.Name), Offset: ident.Offset(r.Offset), Usable: c.age(r.UsableMs)}
@@ -434,7 +434,7 @@
 }
 
 func (c *checker) upstream(u *exchangev1.Upstream) *directory.Upstream {
-	if u.Id == "" || u.Address == "" || u.Service == "" || u.Slots > mostRunning {
+	if u.Id == "" || u.Address == "" || u.Service == "" || u.Slots > maxRunning {
 		c.fail("an entry of upstream %q at %q of service %q with %d slots", u.Id, u.Address, u.Service, u.Slots)
 	}
 	state := directory.Ready
--- a/internal/gossip/codec_limits.go
+++ b/internal/gossip/codec_limits.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// usesUnit is the unit in which uses are told, a part of a request.
-	usesUnit = 1.0 / 8
-	// wholeUnit is that of what was asked of all upstreams in order: sums of many gateways
+	// fineUnit is the unit in which uses are told, a part of a request.
+	fineUnit = 1.0 / 8
+	// coarseUnit is that of what was asked of all upstreams in order: sums of many gateways
 	// need no more, and then take a byte each.
-	wholeUnit = 1.0 / 2
-	// mostUses bounds a use: more requests than all gateways choose an upstream for in
+	coarseUnit = 1.0 / 2
+	// maxUses bounds a use: more requests than all gateways choose an upstream for in
 	// some seconds.
-	mostUses = 1 << 24
-	// lifted stands for a rate where there is no limit.
-	lifted = -1
+	maxUses = 1 << 24
+	// noLimit stands for a rate where there is no limit.
+	noLimit = -1
 )
 
 func limitsToProto(limits []upstreamlimit.Said) *exchangev1.Limits {
@@ -28,11 +28,11 @@
 	for _, s := range limits {
 		rate := float32(s.Rate)
 		if !s.Limited {
-			rate = lifted
+			rate = noLimit
 		}
 		out.Upstreams = append(out.Upstreams, s.Upstream)
 		out.PerSecond = append(out.PerSecond, rate)
-		out.AgeMs = append(out.AgeMs, uint32(millis(min(s.Age, mostAge))))
+		out.AgeMs = append(out.AgeMs, uint32(millis(min(s.Age, maxAge))))
 	}
 	return out
 }
@@ -42,7 +42,7 @@
 		return nil
 	}
 	n := len(in.Upstreams)
-	c.items("limits", n)
+	c.checkCount("limits", n)
 	if len(in.PerSecond) != n || len(in.AgeMs) != n {
 		c.fail("limits of %d upstreams with %d rates and %d ages", n, len(in.PerSecond), len(in.AgeMs))
 		return nil
@@ -50,7 +50,7 @@
 	out := make([]upstreamlimit.Said, n)
 	for i, upstream := range in.Upstreams {
 		s := upstreamlimit.Said{Upstream: upstream, Age: c.age(uint64(in.AgeMs[i]))}
-		if in.PerSecond[i] != lifted {
+		if in.PerSecond[i] != noLimit {
 			s.Limited, s.Rate = true, c.rate(in.PerSecond[i])
 		}
 		out[i] = s
@@ -69,29 +69,29 @@
 	out := &exchangev1.LimitUses{}
 	for upstream, use := range uses {
 		out.Upstreams = append(out.Upstreams, upstream)
-		out.Asked = append(out.Asked, inUnits(use.Asked, usesUnit))
-		out.Sent = append(out.Sent, inUnits(use.Sent, usesUnit))
+		out.Asked = append(out.Asked, inUnits(use.Asked, fineUnit))
+		out.Sent = append(out.Sent, inUnits(use.Sent, fineUnit))
 	}
 	return out
 }
 
 func inUnits(x, unit float64) uint32 {
-	return uint32(math.Round(min(max(x, 0), mostUses) / unit))
+	return uint32(math.Round(min(max(x, 0), maxUses) / unit))
 }
 
 // askedUnit is the unit of what was asked, of upstreams in order.
 func askedUnit(positions []uint32) float64 {
 	if len(positions) == 0 {
-		return wholeUnit
+		return coarseUnit
 	}
-	return usesUnit
+	return fineUnit
 }
 
 func limitColumnsToProto(columns upstreamlimit.Columns) *exchangev1.LimitUses {
 	out := &exchangev1.LimitUses{LimitSet: columns.Set, Positions: columns.Positions}
 	for i := range columns.Asked {
 		out.Asked = append(out.Asked, inUnits(columns.Asked[i], askedUnit(columns.Positions)))
-		out.Sent = append(out.Sent, inUnits(columns.Sent[i], usesUnit))
+		out.Sent = append(out.Sent, inUnits(columns.Sent[i], fineUnit))
 	}
 	return out
 }
@@ -101,7 +101,7 @@
 		return upstreamlimit.Columns{}
 	}
 	n := len(in.Asked)
-	c.items("uses of limits", n)
+	c.checkCount("uses of limits", n)
 	if len(in.Sent) != n || len(in.Upstreams) != 0 || len(in.Positions) != 0 && len(in.Positions) != n {
 		c.fail("uses of %d limits in order with %d and %d figures", n, len(in.Sent), len(in.Upstreams))
 		return upstreamlimit.Columns{}
@@ -116,10 +116,10 @@
 }
 
 func (c *checker) limitUse(asked uint32, unit float64, sent uint32) upstreamlimit.Use {
-	if asked > mostUses/usesUnit || sent > mostUses/usesUnit {
+	if asked > maxUses/fineUnit || sent > maxUses/fineUnit {
 		c.fail("uses of a limit of %d and %d", asked, sent)
 	}
-	return upstreamlimit.Use{Asked: float64(asked) * unit, Sent: float64(sent) * usesUnit}
+	return upstreamlimit.Use{Asked: float64(asked) * unit, Sent: float64(sent) * fineUnit}
 }
 
 func (c *checker) limitUses(in *exchangev1.LimitUses) upstreamlimit.Uses {
@@ -127,14 +127,14 @@
 		return nil
 	}
 	n := len(in.Upstreams)
-	c.items("uses of limits", n)
+	c.checkCount("uses of limits", n)
 	if len(in.Asked) != n || len(in.Sent) != n {
 		c.fail("uses of %d limits with %d and %d figures", n, len(in.Asked), len(in.Sent))
 		return nil
 	}
 	out := make(upstreamlimit.Uses, n)
 	for i, upstream := range in.Upstreams {
-		out[upstream] = c.limitUse(in.Asked[i], usesUnit, in.Sent[i])
+		out[upstream] = c.limitUse(in.Asked[i], fineUnit, in.Sent[i])
 	}
 	return out
 }
--- a/internal/gossip/codec_poison.go
+++ b/internal/gossip/codec_poison.go
@@ -14,12 +14,12 @@
 	for i := range words.Crashes {
 		c := &words.Crashes[i]
 		out.Crashes = append(out.Crashes, &exchangev1.Crash{
-			Upstream: c.Upstream, AgeMs: millis(min(c.Age, mostAge)), Marks: marksToProto(c.Marks),
+			Upstream: c.Upstream, AgeMs: millis(min(c.Age, maxAge)), Marks: marksToProto(c.Marks),
 		})
 	}
 	for _, v := range words.Verdicts {
 		out.Verdicts = append(out.Verdicts, &exchangev1.Verdict{
-			Content: uint64(v.Content), AgeMs: millis(min(v.Age, mostAge)), IdleMs: millis(min(v.Idle, mostAge)), Cleared: v.Cleared,
+			Content: uint64(v.Content), AgeMs: millis(min(v.Age, maxAge)), IdleMs: millis(min(v.Idle, maxAge)), Cleared: v.Cleared,
 		})
 	}
 	return out
@@ -37,8 +37,8 @@
 	if in == nil {
 		return poison.Words{}
 	}
-	c.items("ends of upstreams", len(in.Crashes))
-	c.items("verdicts", len(in.Verdicts))
+	c.checkCount("ends of upstreams", len(in.Crashes))
+	c.checkCount("verdicts", len(in.Verdicts))
 	var out poison.Words
 	for _, each := range in.Crashes {
 		out.Crashes = append(out.Crashes, poison.Crash{
@@ -57,7 +57,7 @@
 }
 
 func (c *checker) marks(in []uint64) []ident.Mark {
-	c.items("marks", len(in))
+	c.checkCount("marks", len(in))
 	var out []ident.Mark
 	for _, each := range in {
 		mark := ident.Mark(each)
--- a/internal/gossip/codec_rollout.go
+++ b/internal/gossip/codec_rollout.go
@@ -16,7 +16,7 @@
 		w := &words[i]
 		each := &exchangev1.Rollout{
 			Service: string(w.Order.Service), Order: uint64(w.Order.Offset), To: string(w.Order.To), LengthMs: millis(w.Order.Length),
-			AgeMs: millis(min(w.Age, mostAge)), Phase: uint32(w.Phase), ConfirmedMs: millis(min(w.Confirmed, mostAge)), Stopped: w.Stopped,
+			AgeMs: millis(min(w.Age, maxAge)), Phase: uint32(w.Phase), ConfirmedMs: millis(min(w.Confirmed, maxAge)), Stopped: w.Stopped,
 			Settled: uint32(max(0, w.Settled)),
 		}
 		for _, route := range slices.Sorted(maps.Keys(w.Seen)) {
@@ -39,11 +39,11 @@
 }
 
 func (c *checker) rollouts(in []*exchangev1.Rollout) rollout.Words {
-	c.items("rollouts", len(in))
+	c.checkCount("rollouts", len(in))
 	var out rollout.Words
 	for _, each := range in {
 		phase := rollout.Phase(each.Phase)
-		if each.Service == "" || each.To == "" || phase < rollout.Waiting || phase > rollout.Completed || each.Settled > mostItems {
+		if each.Service == "" || each.To == "" || phase < rollout.Waiting || phase > rollout.Completed || each.Settled > maxItems {
 			c.fail("a rollout of %q to %q in phase %d at %d gateways", each.Service, each.To, each.Phase, each.Settled)
 		}
 		out = append(out, rollout.Word{
@@ -66,7 +66,7 @@
 }
 
 func (c *checker) seen(routes []uint32, figures []int32) rollout.Seen {
-	c.items("routes of a rollout", len(routes))
+	c.checkCount("routes of a rollout", len(routes))
 	out := make(rollout.Seen, len(routes))
 	for _, route := range routes {
 		evidence := new(rollout.Evidence)
@@ -81,17 +81,17 @@
 	return out
 }
 
-// fixedFigures come before a tally's classes of times.
-const fixedFigures = 4
+// tallyHeaderFigures come before a tally's classes of times.
+const tallyHeaderFigures = 4
 
 // tally reads one tally and returns the figures that follow it.
 func (c *checker) tally(figures []int32) (rollout.Tally, []int32) {
-	if len(figures) < fixedFigures {
+	if len(figures) < tallyHeaderFigures {
 		c.fail("%d figures of a rollout's tally", len(figures))
 		return rollout.Tally{}, nil
 	}
 	out := rollout.Tally{Sent: int(figures[0]), Answers: int(figures[1]), Failures: int(figures[2])}
-	classes, rest := int(figures[3]), figures[fixedFigures:]
+	classes, rest := int(figures[3]), figures[tallyHeaderFigures:]
 	if out.Sent < 0 || out.Answers < 0 || out.Answers > out.Sent || out.Failures < 0 || out.Failures > out.Answers || classes < 0 || 2*classes > len(rest) {
 		c.fail("%d failures of %d answers to %d requests, and %d classes of times", out.Failures, out.Answers, out.Sent, classes)
 		return rollout.Tally{}, nil
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -34,10 +34,10 @@
 		Upstreams: 77, UpstreamsAge: 20 * time.Millisecond,
 		Loads:    map[UpstreamKey]placement.Load{KeyOf("u1"): {Running: 3, Unread: 12_000}, KeyOf("u2"): {}},
 		Accounts: map[ident.ClientAccount]Spending{"a": {Spent: 123_456_789, Refused: 4}},
-		Began:    Windows{7: {"a": 1}},
+		Began:    WindowCounts{7: {"a": 1}},
 		Work:     map[ident.Service]placement.Demand{"llm": {Prompt: 1000, Generating: 2.5}},
 		Engines:  map[ident.Service]enginemodel.Sums{"llm": exact},
-		Rollouts: fullWords(),
+		Rollouts: fullRollouts(),
 		Poison:   fullPoison(),
 		Limits: []upstreamlimit.Said{
 			{Upstream: 7, Limited: true, Rate: 0.5, Age: 40 * time.Millisecond}, {Upstream: 8, Limited: true}, {Upstream: 1 << 31, Age: time.Second},
@@ -55,8 +55,8 @@
 	}
 }
 
-// fullWords use all fields.
-func fullWords() rollout.Words {
+// fullRollouts use all fields.
+func fullRollouts() rollout.Words {
 	seen := make(rollout.Seen)
 	for side := range rollout.Side(len(rollout.Evidence{})) {
 		seen.Send(rollout.KeyOf("r"), side)
@@ -70,11 +70,11 @@
 
 func TestMessagesTravelUnchanged(t *testing.T) {
 	sum := &Sum{
-		Source: "gw-1/5", Seq: 8, Domain: "hall-a", Heard: 3, Known: 4, Age: 130 * time.Millisecond, Holders: 1, GivenUp: 2, Counted: reportID{1 << 60, 9},
+		Source: "gw-1/5", Seq: 8, Domain: "hall-a", Heard: 3, Known: 4, Age: 130 * time.Millisecond, LeaseHolders: 1, GivenUpFence: 2, CountedReport: reportID{1 << 60, 9},
 		Loads: map[UpstreamKey]placement.Load{4: {Running: 1, Unread: 2}}, Accounts: map[ident.ClientAccount]Spending{"a": {Spent: 1}},
-		Work: map[ident.Service]placement.Demand{"llm": {Prompt: 1}}, Engines: map[ident.Service]enginemodel.Sums{},
+		Demand: map[ident.Service]placement.Demand{"llm": {Prompt: 1}}, Engines: map[ident.Service]enginemodel.Sums{},
 		LimitUses: upstreamlimit.Uses{9: {Asked: 100, Sent: 20}},
-		Rollouts:  fullWords(), Poison: fullPoison(), Silent: []ident.FailureDomain{"hall-b"}, TrueWallMillis: 1_800_000_000_000,
+		Rollouts:  fullRollouts(), Poison: fullPoison(), SilentDomains: []ident.FailureDomain{"hall-b"}, TrueWallMillis: 1_800_000_000_000,
 	}
 	inOrder := *sum
 	inOrder.LimitUses, inOrder.LimitColumns = nil, upstreamlimit.Columns{Set: 5, Asked: []float64{1, 0}, Sent: []float64{0.5, 0}}
@@ -84,12 +84,12 @@
 	}
 	contacts := []Contact{{Node: "b", Address: "b:1", Domain: "hall-b", Cores: 0.8}}
 	for name, m := range map[string]message{
-		"between two":                  {From: fullReport(), Knows: 5, Contacts: contacts, Wants: true, Config: &packedConfig{Revision: 5, Offset: 6, Gzip: []byte("x")}},
-		"a patch":                      {From: fullReport(), TakesPatches: true, Config: &packedConfig{Revision: 5, Offset: 6, Base: 4, Patch: []byte("x")}},
+		"between two":                  {From: fullReport(), KnownDigest: 5, Contacts: contacts, WantsLarge: true, Config: &encodedConfig{Revision: 5, Offset: 6, Gzip: []byte("x")}},
+		"a patch":                      {From: fullReport(), AcceptsPatches: true, Config: &encodedConfig{Revision: 5, Offset: 6, Base: 4, Patch: []byte("x")}},
 		"news":                         {From: fullReport(), Upstreams: &directory.News{UpTo: 9, Complete: true, Records: []directory.Record{{ID: "u", Offset: 3, Upstream: &up}, {ID: "v", Offset: 4, Usable: time.Second}}}},
-		"to a collector":               {From: fullReport(), Collect: true, TakesWhole: true, KnowsRosters: map[ident.FailureDomain]uint64{"hall-a": 1}, WantsCounts: true},
+		"to a collector":               {From: fullReport(), Collect: true, SubtractsOwn: true, RosterDigests: map[ident.FailureDomain]uint64{"hall-a": 1}, WantsCounts: true},
 		"to one that knows the limits": {From: fullReport(), Others: &inOrder},
-		"from a collector":             {From: fullReport(), Others: sum, DomainSum: sum, Rosters: []Roster{{Domain: "hall-b", Gateways: contacts}}, Counts: []LifeCounts{{Life: "a/1", Began: Windows{1: {"a": 2}}}}},
+		"from a collector":             {From: fullReport(), Others: sum, DomainSum: sum, Rosters: []Roster{{Domain: "hall-b", Gateways: contacts}}, Counts: []LifeCounts{{Life: "a/1", Began: WindowCounts{1: {"a": 2}}}}},
 	} {
 		data, err := m.encode()
 		if err != nil {
@@ -106,7 +106,7 @@
 }
 
 func TestWindowsTravelUnchanged(t *testing.T) {
-	for _, w := range []Windows{
+	for _, w := range []WindowCounts{
 		nil,
 		{7: {"a": 1}},
 		// Windows are far apart after a clock was set.
@@ -280,7 +280,7 @@
 			seen.Add(key, side, rollout.Answer{Timed: true, Time: 0.5 + float64(i%5)/5})
 		}
 	}
-	words := fullWords()
+	words := fullRollouts()
 	words[0].Seen = seen
 	with := message{From: fullReport()}
 	with.From.Rollouts = words
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -26,17 +26,17 @@
 	// fetchTimeout ends the transfer of a configuration: several hundred KB
 	// compressed on a slow link that is shared with requests.
 	fetchTimeout = 2 * time.Second
-	// mostHanding is how many gateways are handed the configuration at a time.
-	mostHanding = 2
-	// smallConfig is up to how many bytes, compressed, a configuration counts as small:
+	// maxTransfers is how many gateways are handed the configuration at a time.
+	maxTransfers = 2
+	// smallConfigBytes is up to how many bytes, compressed, a configuration counts as small:
 	// four packets, about as much as the sums of loads beside it.
-	smallConfig = 6 << 10
-	// mostConfig bounds a configuration, bytes.
-	mostConfig = 16 << 20
+	smallConfigBytes = 6 << 10
+	// maxConfigBytes bounds a configuration, bytes.
+	maxConfigBytes = 16 << 20
 )
 
-// packedConfig is a ConfigRecord as it travels.
-type packedConfig struct {
+// encodedConfig is a ConfigRecord as it travels.
+type encodedConfig struct {
 	Revision ident.Revision
 	Offset   ident.Offset
 	// Gzip is the record's data, compressed; empty where Patch makes it of the data of an
@@ -46,24 +46,24 @@
 	Patch []byte
 }
 
-// pack compresses a configuration. The last one is kept, because others ask for it.
-func (g *Gossip) pack(record *ConfigRecord) (*packedConfig, error) {
+// compress compresses a configuration. The last one is kept, because others ask for it.
+func (g *Gossip) compress(record *ConfigRecord) (*encodedConfig, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.packed; p != nil && p.Revision == record.Revision && p.Offset == record.Offset {
+	if p := g.compressed; p != nil && p.Revision == record.Revision && p.Offset == record.Offset {
 		return p, nil
 	}
 	data, err := gzipped.Pack(record.Data, gzip.BestSpeed)
 	if err != nil {
 		return nil, errors.Wrap(err, "the configuration")
 	}
-	g.packed = &packedConfig{Revision: record.Revision, Offset: record.Offset, Gzip: data}
-	return g.packed, nil
+	g.compressed = &encodedConfig{Revision: record.Revision, Offset: record.Offset, Gzip: data}
+	return g.compressed, nil
 }
 
-// unpack is the inverse of pack.
-func (p *packedConfig) unpack() (*ConfigRecord, error) {
-	data, err := gzipped.Unpack(p.Gzip, mostConfig)
+// decompress is the inverse of pack.
+func (p *encodedConfig) decompress() (*ConfigRecord, error) {
+	data, err := gzipped.Unpack(p.Gzip, maxConfigBytes)
 	if err != nil {
 		return nil, errors.Wrap(err, "the configuration")
 	}
@@ -94,40 +94,40 @@
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	sent := g.cfg.Now()
-	answer, err := g.call(ctx, address, g.request(true))
+	answer, err := g.call(ctx, address, g.encodeReport(true))
 	if err != nil {
 		g.cfg.Log.Info("nothing fetched from another gateway", "address", address, "error", err)
 		return
 	}
-	g.take(answer, sent)
+	g.handleAnswer(answer, sent)
 }
 
-// hand adds to an answer what the asker lacks. What is large it gets only if it wants
+// addMissing adds to an answer what the asker lacks. What is large it gets only if it wants
 // it and its turn has come; otherwise it asks again, or another gateway. Call done when
 // the answer is sent.
-func (g *Gossip) hand(asked, reply *message) (done func()) {
-	large := asked.Wants && g.handing.Add(1) <= mostHanding
+func (g *Gossip) addMissing(asked, reply *message) (done func()) {
+	large := asked.WantsLarge && g.activeTransfers.Add(1) <= maxTransfers
 	done = func() {
-		if asked.Wants {
-			g.handing.Add(-1)
+		if asked.WantsLarge {
+			g.activeTransfers.Add(-1)
 		}
 	}
 	if reply.From.Upstreams > asked.From.Upstreams {
 		reply.Upstreams = g.cfg.Knowledge.Upstreams(asked.From.Upstreams, large)
 	}
 	if record := g.cfg.Knowledge.Config(asked.From.Revision); record != nil {
-		if asked.TakesPatches {
+		if asked.AcceptsPatches {
 			reply.Config = g.patchFor(asked.From.Revision)
 		}
 		if reply.Config != nil {
 			return done
 		}
-		packed, err := g.pack(record)
+		packed, err := g.compress(record)
 		if err != nil {
 			g.cfg.Log.Error("configuration not handed on", "revision", record.Revision, "error", err)
 			return done
 		}
-		if large || len(packed.Gzip) <= smallConfig {
+		if large || len(packed.Gzip) <= smallConfigBytes {
 			reply.Config = packed
 		}
 	}
@@ -139,7 +139,7 @@
 func (t *Table) newestConfig(now time.Time) (ident.Revision, []string) {
 	newest := ident.Revision(0)
 	var addresses []string
-	for _, m := range t.Direct(now).Fresh {
+	for _, m := range t.DirectPeers(now).Fresh {
 		switch r := m.Report.Revision; {
 		case r == 0 || r < newest:
 		case r > newest:
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -42,9 +42,9 @@
 	// limits is how many upstreams have limits, and differ whether gateways know different
 	// ones.
 	limits int
-	differ bool
-	// cut reports whether two gateways cannot reach each other.
-	cut func(a, b *node) bool
+	limitsDiffer bool
+	// disconnected reports whether two gateways cannot reach each other.
+	disconnected func(a, b *node) bool
 }
 
 // node is one gateway of a fleet.
@@ -52,27 +52,27 @@
 	fleet   *fleet
 	contact Contact
 	number  int
-	life    ident.Incarnation
+	incarnation    ident.Incarnation
 	gossip  *Gossip
 	stop    context.CancelFunc
-	began   time.Time
+	startedAt   time.Time
 	dead    bool
 	// frozenUntil: it does nothing before.
 	frozenUntil time.Time
 	seq         uint64
-	// sent and received are bytes, as caller and as callee.
-	sent, received int
-	counted        map[string]Windows
-	// confirmed is when the newest revision was confirmed, by this gateway's knowledge.
-	confirmed time.Time
+	// sentBytes and received are bytes, as caller and as callee.
+	sentBytes, receivedBytes int
+	receivedCounts        map[string]WindowCounts
+	// confirmedAt is when the newest revision was confirmed, by this gateway's knowledge.
+	confirmedAt time.Time
 }
 
-// spends is what each gateway of a fleet admits a second.
-const spends = 1000
+// spentPerSecond is what each gateway of a fleet admits a second.
+const spentPerSecond = 1000
 
 func newFleet(t *testing.T, gateways, domains int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, delay: wireDelay, gateways: make(map[string]*node), cut: func(_, _ *node) bool { return false }}
+	f := &fleet{t: t, delay: wireDelay, gateways: make(map[string]*node), disconnected: func(_, _ *node) bool { return false }}
 	for i := range gateways {
 		domain := ident.FailureDomain(fmt.Sprintf("hall-%c", 'a'+i%domains))
 		cores := 0.192
@@ -104,11 +104,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n.life++
-	n.seq, n.dead, n.stop, n.began, n.counted = 0, false, stop, time.Now(), make(map[string]Windows)
-	n.confirmed = n.began
+	n.incarnation++
+	n.seq, n.dead, n.stop, n.startedAt, n.receivedCounts = 0, false, stop, time.Now(), make(map[string]WindowCounts)
+	n.confirmedAt = n.startedAt
 	n.gossip = New(Config{
-		Self: n.contact, Incarnation: n.life, Table: NewTable(n.contact, seeds), Knowledge: n, Network: n, Now: time.Now, Log: hclog.NewNullLogger(),
+		Self: n.contact, Incarnation: n.incarnation, Table: NewTable(n.contact, seeds), Knowledge: n, Network: n, Now: time.Now, Log: hclog.NewNullLogger(),
 	})
 	gossip := n.gossip
 	go func() {
@@ -129,13 +129,13 @@
 // Send implements Network.
 func (n *node) Send(ctx context.Context, address string, request []byte) ([]byte, error) {
 	f := n.fleet
-	if err := sleep(ctx, n.thawIn()+f.oneWay()); err != nil {
+	if err := sleep(ctx, n.untilThaw()+f.oneWay()); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
 	to := f.gateways[address]
 	gone := to == nil || to.dead || n.dead
-	unreachable := !gone && f.cut(n, to)
+	unreachable := !gone && f.disconnected(n, to)
 	f.mu.Unlock()
 	if gone {
 		return nil, errors.New("connection refused")
@@ -144,23 +144,23 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := sleep(ctx, to.thawIn()); err != nil {
+	if err := sleep(ctx, to.untilThaw()); err != nil {
 		return nil, err
 	}
-	answer, done, err := to.gossip.answerBytes(string(n.contact.Node), request)
+	answer, done, err := to.gossip.handleRequest(string(n.contact.Node), request)
 	if err != nil {
 		return nil, err
 	}
 	defer done()
 	f.mu.Lock()
-	n.sent, n.received = n.sent+len(request), n.received+len(answer)
-	to.sent, to.received = to.sent+len(answer), to.received+len(request)
+	n.sentBytes, n.receivedBytes = n.sentBytes+len(request), n.receivedBytes+len(answer)
+	to.sentBytes, to.receivedBytes = to.sentBytes+len(answer), to.receivedBytes+len(request)
 	f.mu.Unlock()
 	return answer, sleep(ctx, f.oneWay())
 }
 
-// slow makes all ways as long as where machines are busy.
-func (f *fleet) slow() {
+// slowDown makes all ways as long as where machines are busy.
+func (f *fleet) slowDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = slowDelay
@@ -172,7 +172,7 @@
 	return f.delay
 }
 
-func (n *node) thawIn() time.Duration {
+func (n *node) untilThaw() time.Duration {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	return max(0, time.Until(n.frozenUntil))
@@ -193,7 +193,7 @@
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	n.seq++
-	r := Report{Contact: n.contact, Incarnation: n.life, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmed), LimitSet: order.Set}
+	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: order.Set}
 	for _, key := range order.Keys[:min(4, len(order.Keys))] {
 		r.Limits = append(r.Limits, upstreamlimit.Said{Upstream: key, Limited: true, Rate: 1.5, Age: time.Second})
 	}
@@ -204,20 +204,20 @@
 // number and one at an upstream that all share, and spends evenly.
 func (n *node) Report(now time.Time) Report {
 	r := n.Brief(now)
-	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, Unread: 100}, shared: {Running: 1, Unread: 10}}
-	r.Accounts = map[ident.ClientAccount]Spending{"acct": {Spent: spends * now.Sub(n.began).Seconds()}}
+	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, Unread: 100}, sharedUpstream: {Running: 1, Unread: 10}}
+	r.Accounts = map[ident.ClientAccount]Spending{"acct": {Spent: spentPerSecond * now.Sub(n.startedAt).Seconds()}}
 	r.Work = map[ident.Service]placement.Demand{"llm": {Prompt: 10, Generating: 1}}
 	if order := n.LimitOrder(); order.Set != 0 {
 		r.LimitUses = upstreamlimit.Uses{}
-		for i := range limitsUsed {
+		for i := range usedLimits {
 			r.LimitUses[limitedKey((n.number+i)%len(order.Keys))] = upstreamlimit.Use{Asked: 1, Sent: 0.25}
 		}
 	}
-	r.Began = Windows{1: {"acct": int64(n.number + 1)}}
+	r.Began = WindowCounts{1: {"acct": int64(n.number + 1)}}
 	return r
 }
 
-const shared = UpstreamKey(1 << 30)
+const sharedUpstream = UpstreamKey(1 << 30)
 
 func (n *node) Config(ident.Revision) *ConfigRecord                   { return nil }
 func (n *node) Upstreams(ident.Offset, bool) *directory.News          { return nil }
@@ -228,8 +228,8 @@
 func (n *node) Heard(r *Report, asOf time.Time) {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
-	if at := asOf.Add(-r.RevisionAge); at.After(n.confirmed) {
-		n.confirmed = at
+	if at := asOf.Add(-r.RevisionAge); at.After(n.confirmedAt) {
+		n.confirmedAt = at
 	}
 }
 
@@ -242,7 +242,7 @@
 		return upstreamlimit.Order{}
 	}
 	o := upstreamlimit.Order{Set: 1}
-	if n.fleet.differ {
+	if n.fleet.limitsDiffer {
 		o.Set += uint32(n.number % 2)
 	}
 	for i := range n.fleet.limits {
@@ -251,9 +251,9 @@
 	return o
 }
 
-// limitsUsed is at how many upstreams with limits a gateway asks within some seconds, where
+// usedLimits is at how many upstreams with limits a gateway asks within some seconds, where
 // 330 gateways send 4,200 requests a second to 690 upstreams of which 50 have limits.
-const limitsUsed = 8
+const usedLimits = 8
 
 // limitedKey is that of the i-th upstream with a limit.
 func limitedKey(i int) uint32 { return uint32(1000 + i) }
@@ -263,12 +263,12 @@
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	for _, c := range counts {
-		n.counted[c.Life] = c.Began
+		n.receivedCounts[c.Life] = c.Began
 	}
 }
 
-// alive returns the gateways that run.
-func (f *fleet) alive() []*node {
+// running returns the gateways that run.
+func (f *fleet) running() []*node {
 	var out []*node
 	for _, n := range f.order {
 		if !n.dead {
@@ -278,9 +278,9 @@
 	return out
 }
 
-// expect checks that each of some gateways hears all the others of them, once each and
+// expectAllHeard checks that each of some gateways hears all the others of them, once each and
 // nobody else, by reports that are young enough on average.
-func (f *fleet) expect(among []*node, mostAge time.Duration) {
+func (f *fleet) expectAllHeard(among []*node, mostAge time.Duration) {
 	f.t.Helper()
 	wrong := 0
 	for _, n := range among {
@@ -296,7 +296,7 @@
 		}
 		others := len(among) - 1
 		age /= time.Duration(max(1, others))
-		ok := v.Heard == others && int(work+0.5) == others && loads[shared] == placement.Load{Running: others, Unread: 10 * others} && age <= mostAge && age >= 0
+		ok := v.Heard == others && int(work+0.5) == others && loads[sharedUpstream] == placement.Load{Running: others, Unread: 10 * others} && age <= mostAge && age >= 0
 		for _, other := range among {
 			if running := loads[UpstreamKey(other.number)].Running; other != n && running != 1 || other == n && running != 0 {
 				ok = false
@@ -305,7 +305,7 @@
 		if !ok {
 			wrong++
 			if wrong < 4 {
-				f.t.Errorf("%s hears %d of %d, known %d, work %.1f, load %v, age %v", n.contact.Node, v.Heard, others, v.Known, work, loads[shared], age)
+				f.t.Errorf("%s hears %d of %d, known %d, work %.1f, load %v, age %v", n.contact.Node, v.Heard, others, v.Known, work, loads[sharedUpstream], age)
 			}
 		}
 	}
@@ -314,8 +314,8 @@
 	}
 }
 
-// usualStep is the time between two looks.
-const usualStep = 37 * time.Millisecond
+// sampleStep is the time between two looks.
+const sampleStep = 37 * time.Millisecond
 
 // meanAge is how old the reports of the others are at a gateway.
 func (n *node) meanAge() time.Duration {
@@ -330,7 +330,7 @@
 // collectorOf is the first collector of a domain.
 func (f *fleet) collectorOf(domain ident.FailureDomain) *node {
 	for _, n := range f.order {
-		if n.contact.Domain == domain && !n.dead && n.gossip.first(time.Now()) {
+		if n.contact.Domain == domain && !n.dead && n.gossip.isFirstCollector(time.Now()) {
 			return n
 		}
 	}
@@ -345,45 +345,45 @@
 	synctest.Test(t, play)
 }
 
-// settle is how long a fleet that was just started takes until all know all.
-const settle = 3 * time.Second
+// settleTime is how long a fleet that was just started takes until all know all.
+const settleTime = 3 * time.Second
 
-// mostMeanAge is how old the reports of all others may be on average at any instant: a
+// maxMeanAge is how old the reports of all others may be on average at any instant: a
 // report waits up to a round for the collector and the sum up to half of one for the
 // exchange, half of these on average; right before the next answer a gateway's view is a
 // round older. usualMeanAge is the same over some seconds.
 const (
-	mostMeanAge  = 450 * time.Millisecond
-	usualMeanAge = 350 * time.Millisecond
+	maxMeanAge  = 450 * time.Millisecond
+	maxAverageAge = 350 * time.Millisecond
 )
 
-// bytesPerSecond bounds what a gateway in the middle sends and receives.
-const bytesPerSecond = 24_000
+// maxBytesPerSecond bounds what a gateway in the middle sends and receives.
+const maxBytesPerSecond = 24_000
 
-// large plays fleets of a thousand and two thousand gateways too: some minutes, by hand.
-var large = flag.Bool("gossip.large", false, "play fleets of 984 and 1,968 gateways too")
+// playLarge plays fleets of a thousand and two thousand gateways too: some minutes, by hand.
+var playLarge = flag.Bool("gossip.large", false, "play fleets of 984 and 1,968 gateways too")
 
 func TestAllHearAllAtEverySize(t *testing.T) {
 	sizes := []struct{ gateways, domains int }{{8, 4}, {18, 3}, {78, 3}, {195, 6}, {330, 10}}
-	if *large {
+	if *playLarge {
 		sizes = append(sizes, struct{ gateways, domains int }{984, 6}, struct{ gateways, domains int }{1968, 6})
 	}
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.gateways), func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				f := newFleet(t, size.gateways, size.domains)
-				time.Sleep(settle)
-				f.expect(f.order, mostMeanAge)
+				time.Sleep(settleTime)
+				f.expectAllHeard(f.order, maxMeanAge)
 				before := f.bytes()
 				const watched = time.Second
 				age, steps := time.Duration(0), 0
-				for range watched / usualStep {
-					time.Sleep(usualStep)
+				for range watched / sampleStep {
+					time.Sleep(sampleStep)
 					age += f.order[len(f.order)-1].meanAge()
 					steps++
 				}
-				f.expect(f.order, mostMeanAge)
-				if age /= time.Duration(steps); age > usualMeanAge {
+				f.expectAllHeard(f.order, maxMeanAge)
+				if age /= time.Duration(steps); age > maxAverageAge {
 					t.Errorf("reports are %v old", age)
 				}
 				rates := f.bytes()
@@ -393,7 +393,7 @@
 				slices.Sort(rates)
 				middle, most := rates[len(rates)/2], rates[len(rates)-1]
 				t.Logf("%d gateways: %d bytes a second in the middle, %d at most, reports %v old", size.gateways, middle, most, age)
-				if middle > bytesPerSecond && size.gateways > 2*fanout {
+				if middle > maxBytesPerSecond && size.gateways > 2*fanout {
 					t.Errorf("%d bytes a second", middle)
 				}
 			})
@@ -407,7 +407,7 @@
 	defer f.mu.Unlock()
 	var out []int
 	for _, n := range f.order {
-		out = append(out, n.sent+n.received)
+		out = append(out, n.sentBytes+n.receivedBytes)
 	}
 	return out
 }
@@ -434,13 +434,13 @@
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				f := newFleet(t, 78, 3)
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 				lost := f.collectorOf("hall-b")
 				lose(f, lost)
 				// Its own report counts for a second after its last word, and the rest
 				// of the domain is heard of again within two rounds.
-				time.Sleep(collectedFor + 3*Interval)
-				f.expect(f.alive(), mostMeanAge)
+				time.Sleep(freshFor + 3*Interval)
+				f.expectAllHeard(f.running(), maxMeanAge)
 			})
 		})
 	}
@@ -452,7 +452,7 @@
 func TestACollectorThatStartsAgainIsNotBelievedTooEarly(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		lost := f.collectorOf("hall-b")
 		lost.kill()
 		time.Sleep(2 * time.Second)
@@ -470,7 +470,7 @@
 				t.Errorf("somebody hears only %d of %d", least, len(f.order)-1)
 			}
 		}
-		f.expect(f.order, mostMeanAge)
+		f.expectAllHeard(f.order, maxMeanAge)
 		if again := f.collectorOf("hall-b"); again != lost {
 			t.Errorf("%s collects, not %s again", again.contact.Node, lost.contact.Node)
 		}
@@ -482,9 +482,9 @@
 func TestADomainThatIsCutOffGoesOnByItself(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		f.mu.Lock()
-		f.cut = func(a, b *node) bool { return (a.contact.Domain == "hall-a") != (b.contact.Domain == "hall-a") }
+		f.disconnected = func(a, b *node) bool { return (a.contact.Domain == "hall-a") != (b.contact.Domain == "hall-a") }
 		f.mu.Unlock()
 		var inside, outside []*node
 		for _, n := range f.order {
@@ -494,9 +494,9 @@
 				outside = append(outside, n)
 			}
 		}
-		time.Sleep(collectedFor + 4*Interval)
-		f.expect(inside, mostMeanAge)
-		f.expect(outside, mostMeanAge)
+		time.Sleep(freshFor + 4*Interval)
+		f.expectAllHeard(inside, maxMeanAge)
+		f.expectAllHeard(outside, maxMeanAge)
 		for _, n := range f.order {
 			v := n.gossip.View(time.Now())
 			if v.Known < len(f.order)-1 {
@@ -507,10 +507,10 @@
 			}
 		}
 		f.mu.Lock()
-		f.cut = func(_, _ *node) bool { return false }
+		f.disconnected = func(_, _ *node) bool { return false }
 		f.mu.Unlock()
-		time.Sleep(downFor + 4*Interval)
-		f.expect(f.order, mostMeanAge)
+		time.Sleep(unreachableFor + 4*Interval)
+		f.expectAllHeard(f.order, maxMeanAge)
 	})
 }
 
@@ -519,7 +519,7 @@
 func TestAFleetThatWasKilledFindsItself(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		for _, n := range f.order {
 			n.kill()
 		}
@@ -527,8 +527,8 @@
 		for _, n := range f.order {
 			n.start()
 		}
-		time.Sleep(settle)
-		f.expect(f.order, mostMeanAge)
+		time.Sleep(settleTime)
+		f.expectAllHeard(f.order, maxMeanAge)
 	})
 }
 
@@ -538,7 +538,7 @@
 	bubble(t, func(t *testing.T) {
 		const gateways = 78
 		f := newFleet(t, gateways, 4)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		var survivors []*node
 		for i, n := range f.order {
 			if i%8 == 7 {
@@ -548,7 +548,7 @@
 			n.kill()
 		}
 		for range 20 {
-			time.Sleep(KnownFor / 2 / 20)
+			time.Sleep(KnownTimeout / 2 / 20)
 			for _, n := range survivors {
 				if got := n.gossip.View(time.Now()).Known; got < gateways-1 {
 					t.Fatalf("%s knows %d others, there were %d", n.contact.Node, got, gateways-1)
@@ -563,7 +563,7 @@
 func TestANewMachineIsHeard(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		f.order[0].kill()
 		f.order[40].kill()
 		n := &node{fleet: f, number: 900, contact: Contact{Node: "gw-900", Address: "gw-900:1", Domain: "hall-b", Cores: 0.192}}
@@ -572,8 +572,8 @@
 		f.gateways[n.contact.Address] = n
 		f.mu.Unlock()
 		n.start()
-		time.Sleep(settle)
-		f.expect(f.alive(), mostMeanAge)
+		time.Sleep(settleTime)
+		f.expectAllHeard(f.running(), maxMeanAge)
 	})
 }
 
@@ -583,7 +583,7 @@
 func TestTotalsOfAnAccountGrowAsItSpends(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		watched := f.order[70]
 		source, last, at := "", 0.0, time.Time{}
 		changes := 0
@@ -603,7 +603,7 @@
 			}
 			// A second's reports may come at once, and one gateway is counted by another
 			// way for a while.
-			if allowed := float64(len(f.order)) * spends * (now.Sub(at).Seconds() + 1); g.Source == source && spent-last > allowed {
+			if allowed := float64(len(f.order)) * spentPerSecond * (now.Sub(at).Seconds() + 1); g.Source == source && spent-last > allowed {
 				t.Errorf("the total of %s grew by %.0f in %v", source, spent-last, now.Sub(at))
 			}
 			if g.Source != source {
@@ -622,19 +622,19 @@
 func TestStartsOfSmallGatewaysAreNotToldToAll(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 195, 6)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		watched := f.order[40]
 		const length = 8 * time.Second
 		during := func(play func()) int {
 			f.mu.Lock()
-			before := watched.received
+			before := watched.receivedBytes
 			f.mu.Unlock()
 			end := time.Now().Add(length)
 			play()
 			time.Sleep(time.Until(end))
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return watched.received - before
+			return watched.receivedBytes - before
 		}
 		quiet := during(func() {})
 		restarts := during(func() {
@@ -643,7 +643,7 @@
 				f.order[len(f.order)-1-i].kill()
 				time.Sleep(Interval)
 			}
-			time.Sleep(listedFor)
+			time.Sleep(rosterFor)
 			for i := range 8 {
 				f.order[len(f.order)-1-i].start()
 				time.Sleep(Interval)
@@ -653,8 +653,8 @@
 		if restarts > quiet*11/10 {
 			t.Errorf("eight restarts cost a gateway %d bytes more than %d", restarts-quiet, quiet)
 		}
-		time.Sleep(settle)
-		f.expect(f.order, mostMeanAge)
+		time.Sleep(settleTime)
+		f.expectAllHeard(f.order, maxMeanAge)
 	})
 }
 
@@ -664,16 +664,16 @@
 	now := time.Unix(1000, 0)
 	table := NewTable(Contact{Node: "self", Address: "self:1", Domain: "hall-a"}, nil)
 	for i := range 984 {
-		table.Hear(Report{Contact: Contact{
+		table.RecordReport(Report{Contact: Contact{
 			Node: ident.Instance(fmt.Sprint("gw-", i)), Address: fmt.Sprint("gw-", i, ":1"), Domain: ident.FailureDomain(fmt.Sprintf("hall-%c", 'a'+i%6)), Cores: float64(i),
 		}, Incarnation: 1, Seq: 1}, now, now)
 	}
 	got := table.Contacts(now)
-	if len(got) > contactsMost {
+	if len(got) > maxContactsSent {
 		t.Errorf("%d contacts", len(got))
 	}
 	// Those with most cores collect.
-	for i := 984 - 6*tries; i < 984; i++ {
+	for i := 984 - 6*maxCollectorTries; i < 984; i++ {
 		if !slices.ContainsFunc(got, func(c Contact) bool { return c.Node == ident.Instance(fmt.Sprint("gw-", i)) }) {
 			t.Errorf("gw-%d, which collects, is not among the contacts", i)
 		}
@@ -686,7 +686,7 @@
 func TestAllCountsAreGathered(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		f.order[60].kill()
 		time.Sleep(2 * time.Second)
 		holder := f.collectorOf("hall-a")
@@ -697,8 +697,8 @@
 			time.Sleep(Interval)
 		}
 		sum := int64(0)
-		for life, began := range holder.counted {
-			if life != LifeOf(holder.contact.Node, holder.life) {
+		for life, began := range holder.receivedCounts {
+			if life != LifeOf(holder.contact.Node, holder.incarnation) {
 				sum += began[1]["acct"]
 			}
 		}
@@ -722,18 +722,18 @@
 	for _, size := range []struct{ gateways, domains int }{{8, 4}, {78, 3}} {
 		bubble(t, func(t *testing.T) {
 			f := newFleet(t, size.gateways, size.domains)
-			f.slow()
-			time.Sleep(settle)
+			f.slowDown()
+			time.Sleep(settleTime)
 			f.mu.Lock()
 			last := time.Now()
-			f.order[0].confirmed = last
+			f.order[0].confirmedAt = last
 			f.mu.Unlock()
 			time.Sleep(3 * time.Second)
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for _, n := range f.order {
-				if n.confirmed.After(last) {
-					t.Errorf("%d gateways: %s believes a view %v younger than it is", size.gateways, n.contact.Node, n.confirmed.Sub(last))
+				if n.confirmedAt.After(last) {
+					t.Errorf("%d gateways: %s believes a view %v younger than it is", size.gateways, n.contact.Node, n.confirmedAt.Sub(last))
 				}
 			}
 		})
@@ -745,7 +745,7 @@
 func TestPlacesInLine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		at := make(map[int]int)
 		for _, n := range f.order {
 			at[n.gossip.View(time.Now()).Place]++
@@ -755,8 +755,8 @@
 				t.Errorf("%d gateways at place %d", at[place], place)
 			}
 		}
-		if at[behindAll] != len(f.order)-6 {
-			t.Errorf("%d behind all", at[behindAll])
+		if at[lastRank] != len(f.order)-6 {
+			t.Errorf("%d behind all", at[lastRank])
 		}
 	})
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -34,11 +34,11 @@
 	// farthest gateways are 1 ms apart, and a slowed one answers within some
 	// tenths of a second.
 	exchangeTimeout = 600 * time.Millisecond
-	// mostMessage bounds a message: a report, the contacts and entries of hundreds
+	// maxMessageBytes bounds a message: a report, the contacts and entries of hundreds
 	// of gateways and upstreams, and a large configuration.
-	mostMessage = 8 << 20
-	// path of the exchange, on the gateways' own address.
-	path = "/exchange"
+	maxMessageBytes = 8 << 20
+	// exchangePath of the exchange, on the gateways' own address.
+	exchangePath = "/exchange"
 )
 
 // Knowledge is what a gateway holds and gives to others.
@@ -85,57 +85,57 @@
 	cfg       Config
 	server    *http.Server
 	collector *Collector
-	began     time.Time
+	startedAt     time.Time
 
 	// fetching: another gateway is being asked for what this one lacks.
 	fetching atomic.Bool
-	// handing counts the gateways that are being handed what they lack.
-	handing atomic.Int32
+	// activeTransfers counts the gateways that are being handed what they lack.
+	activeTransfers atomic.Int32
 	leaving atomic.Bool
-	// uncounted are the collectors' answers that were refused, because they hold a report
+	// rejectedAnswers are the collectors' answers that were refused, because they hold a report
 	// which is not known any more.
-	uncounted atomic.Int64
+	rejectedAnswers atomic.Int64
 
 	mu sync.Mutex
-	// packed is the newest configuration that was handed on whole, and configs those that
+	// compressed is the newest configuration that was handed on whole, and configs those that
 	// were in force lately.
-	packed  *packedConfig
+	compressed  *encodedConfig
 	configs configHistory
-	// silent are the addresses that did not answer last, and refused those whose last
+	// unresponsive are the addresses that did not answer last, and refused those whose last
 	// message was not valid, for the log.
-	silent, refused map[string]bool
-	busy            map[string]bool
+	unresponsive, invalidSenders map[string]bool
+	inFlight            map[string]bool
 	bytes           int64
-	// answer is a collector's sum of all others, of answeredAt, and answerOff the
+	// collectorSum is a collector's sum of all others, of answeredAt, and answerOff the
 	// correction of this machine's time of day by it.
-	answer     *Sum
-	answeredAt time.Time
-	answerOff  time.Duration
-	// reported are the newest reports that were sent to collectors, the newest last.
-	reported []Report
-	// knownBy is how many gateways the collectors that were heard lately knew.
-	knownBy map[string]knownCount
-	// answerLimits is the digest of the limits that the collector which answered last knew.
-	answerLimits uint32
-	// countedAt is when a domain's counts came.
-	countedAt map[ident.FailureDomain]time.Time
+	collectorSum     *Sum
+	collectorSumAt time.Time
+	collectorClockCorrection  time.Duration
+	// sentReports are the newest reports that were sent to collectors, the newest last.
+	sentReports []Report
+	// knownBySource is how many gateways the collectors that were heard lately knew.
+	knownBySource map[string]knownCount
+	// collectorLimitSet is the digest of the limits that the collector which answered last knew.
+	collectorLimitSet uint32
+	// countsReceivedAt is when a domain's counts came.
+	countsReceivedAt map[ident.FailureDomain]time.Time
 }
 
 // New returns a Gossip; call Serve and Run.
 func New(cfg Config) *Gossip {
 	g := &Gossip{
-		cfg: cfg, collector: NewCollector(cfg.Self, cfg.Incarnation), began: cfg.Now(), silent: make(map[string]bool), refused: make(map[string]bool),
-		busy: make(map[string]bool), knownBy: make(map[string]knownCount), countedAt: make(map[ident.FailureDomain]time.Time),
+		cfg: cfg, collector: NewCollector(cfg.Self, cfg.Incarnation), startedAt: cfg.Now(), unresponsive: make(map[string]bool), invalidSenders: make(map[string]bool),
+		inFlight: make(map[string]bool), knownBySource: make(map[string]knownCount), countsReceivedAt: make(map[ident.FailureDomain]time.Time),
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+path, g.serveExchange)
-	g.server = &http.Server{Handler: mux, ReadHeaderTimeout: exchangeTimeout, IdleTimeout: keepIdle,
+	mux.HandleFunc("POST "+exchangePath, g.serveExchange)
+	g.server = &http.Server{Handler: mux, ReadHeaderTimeout: exchangeTimeout, IdleTimeout: connectionIdleTimeout,
 		ErrorLog: cfg.Log.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})}
 	return g
 }
 
-// keepIdle is for how long a connection between gateways is kept.
-const keepIdle = 10 * time.Second
+// connectionIdleTimeout is for how long a connection between gateways is kept.
+const connectionIdleTimeout = 10 * time.Second
 
 // keepAliveHeader tells it to the other side.
 const keepAliveHeader = "timeout=10"
@@ -168,10 +168,10 @@
 // directly with up to fanout others where there are few or no collector is heard.
 func (g *Gossip) round(ctx context.Context) {
 	now := g.cfg.Now()
-	g.noteConfig()
-	if collects(g.cfg.Table.Count(now)) {
-		g.collect(ctx, now)
-		if g.settled(now) {
+	g.recordConfig()
+	if usesCollectors(g.cfg.Table.CountOthers(now)) {
+		g.runCollection(ctx, now)
+		if g.collectionWorks(now) {
 			g.fetch(ctx, nil)
 			return
 		}
@@ -182,18 +182,18 @@
 		addresses = addresses[:fanout]
 	}
 	g.fetch(ctx, addresses)
-	g.ask(ctx, addresses)
+	g.exchangeWithAll(ctx, addresses)
 }
 
-// ask exchanges reports with other gateways, but for those that are being asked. It
+// exchangeWithAll exchanges reports with other gateways, but for those that are being asked. It
 // does not wait for the answers.
-func (g *Gossip) ask(ctx context.Context, addresses []string) {
+func (g *Gossip) exchangeWithAll(ctx context.Context, addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
-	body := g.request(false)
+	body := g.encodeReport(false)
 	for _, address := range addresses {
-		if g.begin(address) {
+		if g.tryBegin(address) {
 			go g.exchange(ctx, address, body)
 		}
 	}
@@ -204,10 +204,10 @@
 func (g *Gossip) Say(ctx context.Context) {
 	var all sync.WaitGroup
 	now := g.cfg.Now()
-	if collects(g.cfg.Table.Count(now)) {
-		g.sayCollectors(ctx, &all, now)
+	if usesCollectors(g.cfg.Table.CountOthers(now)) {
+		g.announceToCollectors(ctx, &all, now)
 	} else {
-		body := g.request(false)
+		body := g.encodeReport(false)
 		for _, address := range g.cfg.Table.Addresses(g.cfg.Self.Address, now) {
 			all.Go(func() { g.exchange(ctx, address, body) })
 		}
@@ -219,62 +219,62 @@
 // and asks for those that did not.
 func (g *Gossip) Gather(ctx context.Context, within time.Duration) bool {
 	now := g.cfg.Now()
-	if collects(g.cfg.Table.Count(now)) {
-		return g.gatherCounts(ctx, within, now)
+	if usesCollectors(g.cfg.Table.CountOthers(now)) {
+		return g.requestDomainCounts(ctx, within, now)
 	}
 	var missing []string
-	for _, m := range g.cfg.Table.Direct(now).Fresh {
+	for _, m := range g.cfg.Table.DirectPeers(now).Fresh {
 		if now.Sub(m.HeardAt) > within {
 			missing = append(missing, m.Report.Address)
 		}
 	}
-	g.ask(ctx, missing)
+	g.exchangeWithAll(ctx, missing)
 	return len(missing) == 0
 }
 
 // Leave notes that this gateway leaves: it collects no more.
 func (g *Gossip) Leave() { g.leaving.Store(true) }
 
-func (g *Gossip) begin(address string) bool {
+func (g *Gossip) tryBegin(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.busy[address] {
+	if g.inFlight[address] {
 		return false
 	}
-	g.busy[address] = true
+	g.inFlight[address] = true
 	return true
 }
 
-func (g *Gossip) free(key string) {
+func (g *Gossip) end(key string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.busy, key)
+	delete(g.inFlight, key)
 }
 
-// note logs that a gateway stops to answer, or answers again.
-func (g *Gossip) note(address string, err error) {
+// logReachability logs that a gateway stops to answer, or answers again.
+func (g *Gossip) logReachability(address string, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.silent[address] == (err != nil) {
+	if g.unresponsive[address] == (err != nil) {
 		return
 	}
 	if err != nil {
-		g.silent[address] = true
+		g.unresponsive[address] = true
 		g.cfg.Log.Info("another gateway does not answer", "address", address, "error", err)
 	} else {
-		delete(g.silent, address)
+		delete(g.unresponsive, address)
 		g.cfg.Log.Info("another gateway answers", "address", address)
 	}
 }
 
-// request encodes this gateway's report, once for all that it is sent to.
-func (g *Gossip) request(wants bool) []byte {
+// encodeReport encodes this gateway's report, once for all that it is sent to.
+func (g *Gossip) encodeReport(wants bool) []byte {
 	now := g.cfg.Now()
-	return g.encode(&message{From: g.cfg.Knowledge.Report(now), Knows: g.cfg.Table.Digest(now), Wants: wants})
+	return g.encode(&message{From: g.cfg.Knowledge.Report(now), KnownDigest: g.cfg.Table.Digest(now), WantsLarge: wants})
 }
 
 func (g *Gossip) encode(m *message) []byte {
-	m.TakesPatches = true
+	m.AcceptsPatches = true
 	body, err := m.encode()
 	if err != nil {
 		// A name that is not text, for instance; the others then say that they got
@@ -287,15 +287,15 @@
 // exchange sends a request to another gateway and takes its answer in.
 func (g *Gossip) exchange(ctx context.Context, address string, request []byte) {
 	sent := g.cfg.Now()
-	answer, err := g.callWithin(ctx, exchangeTimeout, address, request)
-	g.free(address)
-	g.note(address, err)
+	answer, err := g.callWithTimeout(ctx, exchangeTimeout, address, request)
+	g.end(address)
+	g.logReachability(address, err)
 	if err == nil {
-		g.take(answer, sent)
+		g.handleAnswer(answer, sent)
 	}
 }
 
-func (g *Gossip) callWithin(ctx context.Context, timeout time.Duration, address string, request []byte) (*message, error) {
+func (g *Gossip) callWithTimeout(ctx context.Context, timeout time.Duration, address string, request []byte) (*message, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return g.call(ctx, address, request)
@@ -309,32 +309,32 @@
 	g.mu.Lock()
 	g.bytes += int64(len(request) + len(data))
 	g.mu.Unlock()
-	return g.accept(address, data)
+	return g.decodeFrom(address, data)
 }
 
-// accept decodes what another gateway sent. The first message of it that is not valid is
+// decodeFrom decodes what another gateway sent. The first message of it that is not valid is
 // logged, until a valid one comes: an older build would fill the log otherwise.
-func (g *Gossip) accept(from string, data []byte) (*message, error) {
+func (g *Gossip) decodeFrom(from string, data []byte) (*message, error) {
 	var m *message
-	err := pkgerrors.Errorf("more than %d bytes", mostMessage)
-	if len(data) <= mostMessage {
+	err := pkgerrors.Errorf("more than %d bytes", maxMessageBytes)
+	if len(data) <= maxMessageBytes {
 		m, err = decode(data)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err == nil {
-		delete(g.refused, from)
+		delete(g.invalidSenders, from)
 		return m, nil
 	}
-	if !g.refused[from] && len(g.refused) < mostRefused {
-		g.refused[from] = true
+	if !g.invalidSenders[from] && len(g.invalidSenders) < maxInvalidSenders {
+		g.invalidSenders[from] = true
 		g.cfg.Log.Warn("a gateway's message is not valid, it changes nothing", "from", from, "bytes", len(data), "error", err)
 	}
 	return nil, err
 }
 
-// mostRefused bounds the senders of invalid messages that are remembered.
-const mostRefused = 1000
+// maxInvalidSenders bounds the senders of invalid messages that are remembered.
+const maxInvalidSenders = 1000
 
 // Bytes returns how many bytes of messages were exchanged as a caller.
 func (g *Gossip) Bytes() int64 {
@@ -343,17 +343,17 @@
 	return g.bytes
 }
 
-// take takes in the answer to a request that was sent at an instant. How long the answer
+// handleAnswer takes in the answer to a request that was sent at an instant. How long the answer
 // was on its way is not known, so that its ages are as of the request's sending. What goes
 // wrong as of its coming: two collectors that tell each other eight times a second over
 // 0.1 s make a view younger with each exchange, and the store is not asked any more.
-func (g *Gossip) take(m *message, sent time.Time) {
+func (g *Gossip) handleAnswer(m *message, sent time.Time) {
 	now, wall := g.cfg.Now(), time.Now()
 	// What it confirms counts once what this gateway lacked is taken in.
 	defer g.cfg.Knowledge.Heard(&m.From, sent)
-	g.cfg.Table.Hear(m.From, now, wall)
-	g.cfg.Table.Learn(m.Contacts, now)
-	g.takeCollected(m, now, wall)
+	g.cfg.Table.RecordReport(m.From, now, wall)
+	g.cfg.Table.AddContacts(m.Contacts, now)
+	g.applyCollectorAnswer(m, now, wall)
 	if len(m.Counts) > 0 {
 		g.cfg.Knowledge.Count(m.Counts)
 	}
@@ -371,7 +371,7 @@
 
 // serveExchange answers another gateway.
 func (g *Gossip) serveExchange(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, mostMessage+1))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes+1))
 	if err != nil {
 		return // the connection broke; the other gateway asks again
 	}
@@ -380,7 +380,7 @@
 	if err != nil {
 		host = r.RemoteAddr
 	}
-	body, done, err := g.answerBytes(host, data)
+	body, done, err := g.handleRequest(host, data)
 	if err != nil {
 		http.Error(w, "not a valid message", http.StatusBadRequest)
 		return
@@ -392,39 +392,39 @@
 	_, _ = w.Write(body)
 }
 
-// answerBytes answers a request. Call done when the answer is sent.
-func (g *Gossip) answerBytes(from string, request []byte) (answer []byte, done func(), err error) {
-	asked, err := g.accept(from, request)
+// handleRequest answers a request. Call done when the answer is sent.
+func (g *Gossip) handleRequest(from string, request []byte) (answer []byte, done func(), err error) {
+	asked, err := g.decodeFrom(from, request)
 	if err != nil {
 		return nil, nil, err
 	}
-	reply, done := g.answerTo(asked)
+	reply, done := g.answerRequest(asked)
 	return g.encode(reply), done, nil
 }
 
-// from is what an answer says of this gateway: sums hold the rest.
-func (g *Gossip) from(asked *message, now time.Time) Report {
+// reportFor is what an answer says of this gateway: sums hold the rest.
+func (g *Gossip) reportFor(asked *message, now time.Time) Report {
 	if asked.Collect || asked.DomainSum != nil || asked.WantsCounts {
 		return g.cfg.Knowledge.Brief(now)
 	}
 	return g.cfg.Knowledge.Report(now)
 }
 
-// answerTo takes another gateway's report and gives it what it lacks. Call done when the
+// answerRequest takes another gateway's report and gives it what it lacks. Call done when the
 // answer is sent.
-func (g *Gossip) answerTo(asked *message) (reply *message, done func()) {
+func (g *Gossip) answerRequest(asked *message) (reply *message, done func()) {
 	now, wall := g.cfg.Now(), time.Now()
-	g.cfg.Table.Hear(asked.From, now, wall)
+	g.cfg.Table.RecordReport(asked.From, now, wall)
 	g.cfg.Knowledge.Heard(&asked.From, time.Time{})
-	reply = &message{From: g.from(asked, now)}
-	done = g.hand(asked, reply)
-	if asked.Knows != 0 && asked.Knows != g.cfg.Table.Digest(now) {
+	reply = &message{From: g.reportFor(asked, now)}
+	done = g.addMissing(asked, reply)
+	if asked.KnownDigest != 0 && asked.KnownDigest != g.cfg.Table.Digest(now) {
 		reply.Contacts = g.cfg.Table.Contacts(now)
 	}
-	g.answerCollected(asked, reply, now, wall)
-	if asked.From.Upstreams > reply.From.Upstreams && g.begin(asked.From.Address) {
+	g.addCollectorAnswer(asked, reply, now, wall)
+	if asked.From.Upstreams > reply.From.Upstreams && g.tryBegin(asked.From.Address) {
 		// Who tells has newer entries; the asker alone is handed what it lacks.
-		go g.exchange(context.Background(), asked.From.Address, g.request(false))
+		go g.exchange(context.Background(), asked.From.Address, g.encodeReport(false))
 	}
 	return reply, done
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -35,30 +35,30 @@
 		now          time.Duration
 		fresh, known int
 	}{
-		{"heard just now", func(t *Table) { t.Hear(report("b", 1, 1), at(0), start) }, time.Second, 1, 1},
-		{"silent for a while: it may still admit requests", func(t *Table) { t.Hear(report("b", 1, 1), at(0), start) }, 2 * time.Second, 0, 1},
-		{"silent for long", func(t *Table) { t.Hear(report("b", 1, 1), at(0), start) }, 16 * time.Second, 0, 0},
+		{"heard just now", func(t *Table) { t.RecordReport(report("b", 1, 1), at(0), start) }, time.Second, 1, 1},
+		{"silent for a while: it may still admit requests", func(t *Table) { t.RecordReport(report("b", 1, 1), at(0), start) }, 2 * time.Second, 0, 1},
+		{"silent for long", func(t *Table) { t.RecordReport(report("b", 1, 1), at(0), start) }, 16 * time.Second, 0, 0},
 		{"left", func(t *Table) {
 			r := report("b", 1, 1)
 			r.Leaving = true
-			t.Hear(r, at(0), start)
+			t.RecordReport(r, at(0), start)
 		}, 3 * time.Second, 0, 0},
 		{"an older report changes nothing", func(t *Table) {
-			t.Hear(report("b", 1, 5), at(0), start)
-			t.Hear(report("b", 1, 4), at(2*time.Second), start)
+			t.RecordReport(report("b", 1, 5), at(0), start)
+			t.RecordReport(report("b", 1, 4), at(2*time.Second), start)
 		}, 2500 * time.Millisecond, 0, 1},
 		// Symptom: a gateway that was restarted is not heard for as long as its
 		// clock was set back. Cause: lives are compared by their time of start.
 		{"restarted with its clock set back", func(t *Table) {
-			t.Hear(report("b", 9, 100), at(0), start)
-			t.Hear(report("b", 7, 1), at(2*time.Second), start)
+			t.RecordReport(report("b", 9, 100), at(0), start)
+			t.RecordReport(report("b", 7, 1), at(2*time.Second), start)
 		}, 2500 * time.Millisecond, 1, 1},
-		{"its own word, sent back", func(t *Table) { t.Hear(report("a", 1, 1), at(0), start) }, 0, 0, 0},
+		{"its own word, sent back", func(t *Table) { t.RecordReport(report("a", 1, 1), at(0), start) }, 0, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := NewTable(Contact{Node: "a", Address: "a:1"}, nil)
 			c.play(table)
-			if v := table.Direct(at(c.now)); len(v.Fresh) != c.fresh || v.Known != c.known {
+			if v := table.DirectPeers(at(c.now)); len(v.Fresh) != c.fresh || v.Known != c.known {
 				t.Errorf("%d fresh, %d known, want %d and %d", len(v.Fresh), v.Known, c.fresh, c.known)
 			}
 		})
@@ -78,9 +78,9 @@
 		{"this one is ahead", []time.Duration{-2 * time.Second, -2 * time.Second, -2 * time.Second, -2 * time.Second}, -2 * time.Second},
 		{"alone", nil, 0},
 	} {
-		var v Direct
+		var v DirectPeers
 		for _, off := range c.offs {
-			v.Fresh = append(v.Fresh, Member{WallOff: off})
+			v.Fresh = append(v.Fresh, Member{ClockOffset: off})
 		}
 		if got := v.WallCorrection(); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -88,8 +88,8 @@
 	}
 }
 
-// holder is what one gateway of a test knows.
-type holder struct {
+// fakeKnowledge is what one gateway of a test knows.
+type fakeKnowledge struct {
 	mu   sync.Mutex
 	self Report
 	// calls are those of Learn and Heard, in their order.
@@ -98,7 +98,7 @@
 	upstreams directory.News
 }
 
-func (h *holder) Report(time.Time) Report {
+func (h *fakeKnowledge) Report(time.Time) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.self.Seq++
@@ -109,13 +109,13 @@
 	return h.self
 }
 
-func (h *holder) Config(than ident.Revision) *ConfigRecord {
+func (h *fakeKnowledge) Config(than ident.Revision) *ConfigRecord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.config
 }
 
-func (h *holder) Upstreams(_ ident.Offset, all bool) *directory.News {
+func (h *fakeKnowledge) Upstreams(_ ident.Offset, all bool) *directory.News {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.upstreams.Complete && !all {
@@ -125,20 +125,20 @@
 	return &news
 }
 
-func (h *holder) Brief(now time.Time) Report { return h.Report(now) }
+func (h *fakeKnowledge) Brief(now time.Time) Report { return h.Report(now) }
 
-func (h *holder) Heard(*Report, time.Time) {
+func (h *fakeKnowledge) Heard(*Report, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, "heard")
 }
 
-func (h *holder) Count([]LifeCounts) {}
+func (h *fakeKnowledge) Count([]LifeCounts) {}
 
-func (h *holder) LimitOrder() upstreamlimit.Order { return upstreamlimit.Order{} }
-func (h *holder) Lacks() bool                     { return false }
+func (h *fakeKnowledge) LimitOrder() upstreamlimit.Order { return upstreamlimit.Order{} }
+func (h *fakeKnowledge) Lacks() bool                     { return false }
 
-func (h *holder) Learn(config *ConfigRecord, upstreams *directory.News) {
+func (h *fakeKnowledge) Learn(config *ConfigRecord, upstreams *directory.News) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.calls = append(h.calls, "learned")
@@ -150,11 +150,11 @@
 	}
 }
 
-// mesh starts n gateways that know only the first one's address.
-func mesh(t *testing.T, n int) ([]*Gossip, []*holder) {
+// startMesh starts n gateways that know only the first one's address.
+func startMesh(t *testing.T, n int) ([]*Gossip, []*fakeKnowledge) {
 	t.Helper()
 	var gossips []*Gossip
-	var holders []*holder
+	var holders []*fakeKnowledge
 	seed := ""
 	for i := range n {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -167,7 +167,7 @@
 		}
 		name := ident.Instance(fmt.Sprintf("gw%02d", i))
 		self := Contact{Node: name, Address: address}
-		h := &holder{self: Report{Contact: self, Incarnation: 1, WallMillis: time.Now().UnixMilli()}}
+		h := &fakeKnowledge{self: Report{Contact: self, Incarnation: 1, WallMillis: time.Now().UnixMilli()}}
 		g := New(Config{
 			Self: self, Incarnation: 1, Table: NewTable(self, []string{seed}), Knowledge: h,
 			Network: OverHTTP{Pool: httpconn.NewPool(boottime.Now)}, Now: boottime.Now, Log: hclog.NewNullLogger(),
@@ -193,7 +193,7 @@
 // turns away. Sequence: one gateway of thirty learns of it; none but it hears from
 // the store. Cause: news that only travels by the store.
 func TestNewsReachesAllGatewaysInFewRounds(t *testing.T) {
-	gossips, holders := mesh(t, 30)
+	gossips, holders := startMesh(t, 30)
 	round := 0
 	rounds := func(n int) {
 		for range n {
@@ -201,7 +201,7 @@
 				var all sync.WaitGroup
 				addresses := g.cfg.Table.Addresses(g.cfg.Self.Address, boottime.Now())
 				for i := range min(len(addresses), fanout) {
-					all.Go(func() { g.exchange(t.Context(), addresses[(round*fanout+i)%len(addresses)], g.request(false)) })
+					all.Go(func() { g.exchange(t.Context(), addresses[(round*fanout+i)%len(addresses)], g.encodeReport(false)) })
 				}
 				all.Wait()
 				if heard, from := g.cfg.Table.newestConfig(boottime.Now()); g.cfg.Knowledge.Report(boottime.Now()).Revision < heard {
@@ -213,7 +213,7 @@
 	}
 	rounds(6)
 	for i, g := range gossips {
-		if v := g.cfg.Table.Direct(boottime.Now()); v.Known != len(gossips)-1 {
+		if v := g.cfg.Table.DirectPeers(boottime.Now()); v.Known != len(gossips)-1 {
 			t.Fatalf("gateway %d knows %d others", i, v.Known)
 		}
 	}
@@ -232,7 +232,7 @@
 // configuration of 300 KB changes. Cause: each exchange with a gateway that lacks
 // it carries it, from several gateways to several at once.
 func TestALargeConfigurationIsFetchedOnce(t *testing.T) {
-	gossips, holders := mesh(t, 2)
+	gossips, holders := startMesh(t, 2)
 	var lines strings.Builder
 	for i := range 10_000 {
 		fmt.Fprintf(&lines, `{"Prefix":"/%x/","Service":"b"},`, i*i*7919)
@@ -242,17 +242,17 @@
 	holders[0].upstreams = directory.News{Records: []directory.Record{{ID: "u", Offset: 7}}, UpTo: 8, Complete: true}
 	lacking, address := gossips[1], gossips[0].cfg.Self.Address
 	for range 10 {
-		lacking.exchange(t.Context(), address, lacking.request(false))
+		lacking.exchange(t.Context(), address, lacking.encodeReport(false))
 	}
 	if n := lacking.Bytes(); n > 10_000 || holders[1].config != nil || holders[1].upstreams.UpTo != 0 {
 		t.Errorf("ten exchanges took %d bytes, configuration %v, entries up to %d", n, holders[1].config != nil, holders[1].upstreams.UpTo)
 	}
-	gossips[0].handing.Store(mostHanding)
+	gossips[0].activeTransfers.Store(maxTransfers)
 	lacking.fetchFrom(t.Context(), address)
 	if holders[1].config != nil {
 		t.Error("handed to more than are served at a time")
 	}
-	gossips[0].handing.Store(0)
+	gossips[0].activeTransfers.Store(0)
 	lacking.fetchFrom(t.Context(), address)
 	if got := holders[1].config; got == nil || got.Revision != 5 || !bytes.Equal(got.Data, data) || holders[1].upstreams.UpTo != 8 {
 		t.Error("not fetched")
@@ -260,7 +260,7 @@
 	if n := lacking.Bytes(); n > int64(len(data))/4 {
 		t.Errorf("fetching took %d bytes", n)
 	}
-	if n := gossips[0].handing.Load(); n != 0 {
+	if n := gossips[0].activeTransfers.Load(); n != 0 {
 		t.Errorf("%d are counted as being handed it", n)
 	}
 }
@@ -269,9 +269,9 @@
 // what it read, and that it is the newest. Cause: what it confirms is looked at before
 // what it brings, or a round later.
 func TestWhatAnAnswerConfirmsCountsAfterWhatItBrings(t *testing.T) {
-	gossips, holders := mesh(t, 2)
+	gossips, holders := startMesh(t, 2)
 	holders[0].upstreams = directory.News{Records: []directory.Record{{ID: "u", Offset: 7}}, UpTo: 8}
-	gossips[1].exchange(t.Context(), gossips[0].cfg.Self.Address, gossips[1].request(false))
+	gossips[1].exchange(t.Context(), gossips[0].cfg.Self.Address, gossips[1].encodeReport(false))
 	if got := strings.Join(holders[1].calls, ", "); got != "learned, heard" {
 		t.Errorf("%s", got)
 	}
@@ -281,16 +281,16 @@
 // configuration. Sequence: one of them has a small change. Cause: whoever hears of it is
 // not told what it is.
 func TestASmallConfigurationComesWithTheAnswer(t *testing.T) {
-	gossips, holders := mesh(t, 2)
+	gossips, holders := startMesh(t, 2)
 	holders[0].config = &ConfigRecord{Revision: 5, Offset: 3, Data: []byte(strings.Repeat(`{"Prefix":"/a/","Service":"b"},`, 1000))}
-	gossips[1].exchange(t.Context(), gossips[0].cfg.Self.Address, gossips[1].request(false))
+	gossips[1].exchange(t.Context(), gossips[0].cfg.Self.Address, gossips[1].encodeReport(false))
 	if got := holders[1].config; got == nil || got.Revision != 5 {
 		t.Error("not handed on")
 	}
 }
 
 func TestADamagedConfigurationIsRefused(t *testing.T) {
-	if _, err := (&packedConfig{Gzip: []byte("no gzip")}).unpack(); err == nil {
+	if _, err := (&encodedConfig{Gzip: []byte("no gzip")}).decompress(); err == nil {
 		t.Error("accepted")
 	}
 }
@@ -298,7 +298,7 @@
 // Guards against a store that each of a thousand gateways reads for each change: a small
 // change of a large configuration comes with the answer of whoever has it.
 func TestASmallChangeOfALargeConfigurationComesWithTheAnswer(t *testing.T) {
-	gossips, holders := mesh(t, 2)
+	gossips, holders := startMesh(t, 2)
 	var lines strings.Builder
 	for i := range 3000 {
 		fmt.Fprintf(&lines, `{"Prefix":"/%x/","Service":"b","Key":"%x"},`, i*i*7919, i*104729)
@@ -308,26 +308,26 @@
 	for _, h := range holders {
 		h.config = &ConfigRecord{Revision: 5, Offset: 3, Data: before}
 	}
-	gossips[0].noteConfig()
+	gossips[0].recordConfig()
 	holders[0].config = &ConfigRecord{Revision: 9, Offset: 4, Data: after}
-	gossips[1].exchange(t.Context(), gossips[0].cfg.Self.Address, gossips[1].request(false))
+	gossips[1].exchange(t.Context(), gossips[0].cfg.Self.Address, gossips[1].encodeReport(false))
 	if got := holders[1].config; got.Revision != 9 || got.Offset != 4 || !bytes.Equal(got.Data, after) {
 		t.Errorf("revision %d", got.Revision)
 	}
-	if n := gossips[1].Bytes(); n > smallConfig {
+	if n := gossips[1].Bytes(); n > smallConfigBytes {
 		t.Errorf("%d bytes for a change of one letter of %d", n, len(after))
 	}
 }
 
 // Guards against a patch that is applied to another configuration than it was made from.
 func TestAPatchOfAnotherConfigurationChangesNothing(t *testing.T) {
-	gossips, holders := mesh(t, 1)
+	gossips, holders := startMesh(t, 1)
 	base := bytes.Repeat([]byte(`{"Prefix":"/a/","Service":"b"},`), 1000)
 	patch, err := makePatch(base, append(base, 'x'))
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed := &packedConfig{Revision: 9, Base: 5, Patch: patch}
+	packed := &encodedConfig{Revision: 9, Base: 5, Patch: patch}
 	holders[0].config = &ConfigRecord{Revision: 6, Data: base}
 	if got, err := gossips[0].unpackConfig(packed); got != nil || err != nil {
 		t.Errorf("revision 6 became %v, %v", got, err)
--- a/internal/gossip/limits.go
+++ b/internal/gossip/limits.go
@@ -5,9 +5,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// shortenLimits leaves out of a collector's answer what the asker knows: the limits
+// omitKnownLimits leaves out of a collector's answer what the asker knows: the limits
 // themselves, and of which upstreams the uses are.
-func (g *Gossip) shortenLimits(asked, reply *message) {
+func (g *Gossip) omitKnownLimits(asked, reply *message) {
 	order := g.cfg.Knowledge.LimitOrder()
 	if reply.Others == nil || order.Set == 0 || asked.From.LimitSet != order.Set {
 		return
@@ -17,16 +17,16 @@
 	reply.Others.LimitUses = nil
 }
 
-// takeLimits takes in what a collector's answer says of limits; g.mu is held. Where the
+// applyLimits takes in what a collector's answer says of limits; g.mu is held. Where the
 // limits have changed since it was asked, its uses are of others, and the last ones stay.
-func (g *Gossip) takeLimits(m *message) {
-	g.answerLimits = m.From.LimitSet
+func (g *Gossip) applyLimits(m *message) {
+	g.collectorLimitSet = m.From.LimitSet
 	if m.Others.LimitColumns.Set == 0 {
 		return
 	}
 	uses, known := m.Others.LimitColumns.Uses(g.cfg.Knowledge.LimitOrder())
-	if !known && g.answer != nil {
-		uses = g.answer.LimitUses
+	if !known && g.collectorSum != nil {
+		uses = g.collectorSum.LimitUses
 	}
 	m.Others.LimitUses = uses
 }
@@ -39,13 +39,13 @@
 	}
 	uses, known := r.LimitColumns.Uses(g.cfg.Knowledge.LimitOrder())
 	if !known {
-		uses = g.collector.usesOf(r.Node)
+		uses = g.collector.lastLimitUses(r.Node)
 	}
 	r.LimitUses, r.LimitColumns = uses, upstreamlimit.Columns{}
 }
 
-// usesOf returns what a gateway's newest report said of its uses.
-func (c *Collector) usesOf(node ident.Instance) upstreamlimit.Uses {
+// lastLimitUses returns what a gateway's newest report said of its uses.
+func (c *Collector) lastLimitUses(node ident.Instance) upstreamlimit.Uses {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known := c.members[node]; known != nil {
--- a/internal/gossip/limits_test.go
+++ b/internal/gossip/limits_test.go
@@ -8,9 +8,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// limitBytes bounds what limits add to what a gateway in the middle exchanges in a round, at
+// maxLimitBytes bounds what limits add to what a gateway in the middle exchanges in a round, at
 // 50 upstreams that have one.
-const limitBytes = 200
+const maxLimitBytes = 200
 
 // Guards against messages that grow by kilobytes with the limits that upstreams name, and
 // against uses that are lost, counted twice, or taken for those of other upstreams.
@@ -22,7 +22,7 @@
 			watched  = 2 * time.Second
 		)
 		f := newFleet(t, gateways, 6)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		rate := func() int {
 			before := f.bytes()
 			time.Sleep(watched)
@@ -37,18 +37,18 @@
 		set := func(limits int, differ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.limits, f.differ = limits, differ
+			f.limits, f.limitsDiffer = limits, differ
 		}
 		set(limits, false)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		more := rate() - none
 		t.Logf("%d bytes more a gateway and round for %d limits", more, limits)
-		if more > limitBytes {
-			t.Errorf("%d bytes more a gateway and round for %d limits, at most %d", more, limits, limitBytes)
+		if more > maxLimitBytes {
+			t.Errorf("%d bytes more a gateway and round for %d limits, at most %d", more, limits, maxLimitBytes)
 		}
 		f.expectUses(limits)
 		set(limits, true)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		f.expectUses(limits)
 	})
 }
@@ -64,7 +64,7 @@
 		for i := range limits {
 			want := 0.0
 			for _, other := range f.order {
-				if used := (i - other.number%limits + limits) % limits; other != n && used < limitsUsed {
+				if used := (i - other.number%limits + limits) % limits; other != n && used < usedLimits {
 					want++
 				}
 			}
--- a/internal/gossip/network.go
+++ b/internal/gossip/network.go
@@ -23,12 +23,12 @@
 // Send implements Network.
 func (n OverHTTP) Send(ctx context.Context, address string, request []byte) ([]byte, error) {
 	target := httpconn.Target{ID: ident.Instance(address), Address: address}
-	answer, failure := n.Pool.Send(ctx, target, &httpconn.Request{Method: http.MethodPost, URI: path, Host: address, Body: request})
+	answer, failure := n.Pool.Send(ctx, target, &httpconn.Request{Method: http.MethodPost, URI: exchangePath, Host: address, Body: request})
 	if failure != nil {
 		return nil, failure
 	}
 	defer answer.Close()
-	data, err := io.ReadAll(io.LimitReader(answer, mostMessage+1))
+	data, err := io.ReadAll(io.LimitReader(answer, maxMessageBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "read answer")
 	}
--- a/internal/gossip/patch.go
+++ b/internal/gossip/patch.go
@@ -14,18 +14,18 @@
 // grow with the gateways, for each change of which there are hundreds a day.
 
 const (
-	// configsKept is how many configurations a gateway keeps to make patches from: some
+	// maxRecentConfigs is how many configurations a gateway keeps to make patches from: some
 	// gateways are a few changes behind.
-	configsKept = 4
-	// dictionary numbers the earlier configuration in a patch.
-	dictionary = 1
-	// patchWindow is how far back in it a patch may refer, bytes.
-	patchWindow = 1 << 20
+	maxRecentConfigs = 4
+	// patchDictionaryID numbers the earlier configuration in a patch.
+	patchDictionaryID = 1
+	// patchWindowBytes is how far back in it a patch may refer, bytes.
+	patchWindowBytes = 1 << 20
 )
 
 // makePatch returns what makes next of base.
 func makePatch(base, next []byte) ([]byte, error) {
-	e, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(dictionary, base), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(patchWindow))
+	e, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(patchDictionaryID, base), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(patchWindowBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "make a patch")
 	}
@@ -35,7 +35,7 @@
 
 // applyPatch is the inverse of makePatch. A patch of another base is an error.
 func applyPatch(base, patch []byte) ([]byte, error) {
-	d, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(dictionary, base), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostConfig))
+	d, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(patchDictionaryID, base), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxConfigBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "apply a patch")
 	}
@@ -49,16 +49,16 @@
 type configHistory struct {
 	// records are in the order in which they came, the newest last.
 	records []ConfigRecord
-	patches map[ident.Revision]*packedConfig
+	patches map[ident.Revision]*encodedConfig
 }
 
-// note keeps a configuration that came into force.
-func (h *configHistory) note(record *ConfigRecord) {
+// add keeps a configuration that came into force.
+func (h *configHistory) add(record *ConfigRecord) {
 	if record == nil || h.newest() != nil && h.newest().Revision >= record.Revision {
 		return
 	}
-	h.records = appendNewest(h.records, *record, configsKept)
-	h.patches = make(map[ident.Revision]*packedConfig)
+	h.records = appendNewest(h.records, *record, maxRecentConfigs)
+	h.patches = make(map[ident.Revision]*encodedConfig)
 }
 
 // appendNewest adds an element at the end of a list and keeps the last most of it.
@@ -74,9 +74,9 @@
 	return &h.records[len(h.records)-1]
 }
 
-// patch returns the patch from an earlier configuration to the newest; nil where that one is
+// patchFrom returns the patch from an earlier configuration to the newest; nil where that one is
 // not known.
-func (h *configHistory) patch(from ident.Revision) (*packedConfig, error) {
+func (h *configHistory) patchFrom(from ident.Revision) (*encodedConfig, error) {
 	if p := h.patches[from]; p != nil {
 		return p, nil
 	}
@@ -90,31 +90,31 @@
 		if err != nil {
 			return nil, err
 		}
-		h.patches[from] = &packedConfig{Revision: next.Revision, Offset: next.Offset, Base: from, Patch: patch}
+		h.patches[from] = &encodedConfig{Revision: next.Revision, Offset: next.Offset, Base: from, Patch: patch}
 		return h.patches[from], nil
 	}
 	return nil, nil
 }
 
-// noteConfig keeps the configuration in force, for those that lack it.
-func (g *Gossip) noteConfig() {
+// recordConfig keeps the configuration in force, for those that lack it.
+func (g *Gossip) recordConfig() {
 	record := g.cfg.Knowledge.Config(0)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.configs.note(record)
+	g.configs.add(record)
 }
 
 // patchFor returns a patch for a gateway that has an earlier configuration; nil where there
 // is none that is small.
-func (g *Gossip) patchFor(revision ident.Revision) *packedConfig {
-	g.noteConfig()
+func (g *Gossip) patchFor(revision ident.Revision) *encodedConfig {
+	g.recordConfig()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p, err := g.configs.patch(revision)
+	p, err := g.configs.patchFrom(revision)
 	if err != nil {
 		g.cfg.Log.Error("no patch of the configuration", "from", revision, "error", err)
 	}
-	if p == nil || len(p.Patch) > smallConfig {
+	if p == nil || len(p.Patch) > smallConfigBytes {
 		return nil
 	}
 	return p
@@ -122,9 +122,9 @@
 
 // unpackConfig returns a configuration that another gateway handed on; nil where it is a
 // patch of one that this gateway does not have.
-func (g *Gossip) unpackConfig(p *packedConfig) (*ConfigRecord, error) {
+func (g *Gossip) unpackConfig(p *encodedConfig) (*ConfigRecord, error) {
 	if len(p.Patch) == 0 {
-		return p.unpack()
+		return p.decompress()
 	}
 	base := g.cfg.Knowledge.Config(0)
 	if base == nil || base.Revision != p.Base {
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -10,29 +10,29 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// downFor is for how long a collector that did not answer is passed over: as long as a
+// unreachableFor is for how long a collector that did not answer is passed over: as long as a
 // killed gateway takes to come back, and longer than its domain's next collector takes to
 // leave it out of the roster.
-const downFor = 2 * time.Second
+const unreachableFor = 2 * time.Second
 
 // roster is what is known of a failure domain's gateways.
 type roster struct {
 	// gateways are in the order in which they collect.
 	gateways []Contact
 	digest   uint64
-	// at is when it was last confirmed, and renewed when the gateways' contacts were.
-	at, renewed time.Time
+	// confirmedAt is when it was last confirmed, and renewed when the gateways' contacts were.
+	confirmedAt, contactsRenewedAt time.Time
 }
 
-// rosterMost is how many of a failure domain's gateways stand in its roster: those that
+// maxRosterGateways is how many of a failure domain's gateways stand in its roster: those that
 // collect if the ones before them are lost. What goes wrong with all of them: whenever one
 // of a thousand gateways starts or stops, the roster of its domain, which grows with the
 // fleet, is told to all.
-const rosterMost = 16
+const maxRosterGateways = 16
 
-// renewEvery is how often the contacts of a roster's gateways are renewed as long as the
+// contactRenewal is how often the contacts of a roster's gateways are renewed as long as the
 // roster stands: a part of the time after which they are given up.
-const renewEvery = contactFor / 4
+const contactRenewal = contactTTL / 4
 
 // compareCollectors orders gateways as they collect: those with most of a processor
 // first, because collecting takes some hundredths of one, and among equals by a hash, so
@@ -47,8 +47,8 @@
 
 func sortCollectors(gateways []Contact) { slices.SortFunc(gateways, compareCollectors) }
 
-// digestOf is equal for equal rosters.
-func digestOf(gateways []Contact) uint64 {
+// rosterDigest is equal for equal rosters.
+func rosterDigest(gateways []Contact) uint64 {
 	digest := uint64(len(gateways))
 	for _, c := range gateways {
 		digest = digest*1099511628211 + xxhash.Sum64String(string(c.Node)+"\x00"+c.Address)
@@ -56,18 +56,18 @@
 	return digest
 }
 
-// TakeRoster takes in a failure domain's gateways by the word of its collector.
-func (t *Table) TakeRoster(r Roster, now time.Time) {
+// SetRoster takes in a failure domain's gateways by the word of its collector.
+func (t *Table) SetRoster(r Roster, now time.Time) {
 	gateways := slices.Clone(r.Gateways)
 	sortCollectors(gateways)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	next := &roster{gateways: gateways, digest: digestOf(gateways), at: now}
+	next := &roster{gateways: gateways, digest: rosterDigest(gateways), confirmedAt: now}
 	if known := t.rosters[r.Domain]; known != nil && known.digest == next.digest {
-		next.renewed = known.renewed
+		next.contactsRenewedAt = known.contactsRenewedAt
 	}
 	t.rosters[r.Domain] = next
-	t.renew(next, now)
+	t.renewContacts(next, now)
 }
 
 // ConfirmRosters notes that another gateway holds the same rosters as this one, as far as
@@ -77,18 +77,18 @@
 	defer t.mu.Unlock()
 	for domain, digest := range digests {
 		if r := t.rosters[domain]; r != nil && r.digest == digest && believed(domain) {
-			r.at = now
-			t.renew(r, now)
+			r.confirmedAt = now
+			t.renewContacts(r, now)
 		}
 	}
 }
 
-// renew keeps the contacts of a roster's gateways.
-func (t *Table) renew(r *roster, now time.Time) {
-	if now.Sub(r.renewed) < renewEvery {
+// renewContacts keeps the contacts of a roster's gateways.
+func (t *Table) renewContacts(r *roster, now time.Time) {
+	if now.Sub(r.contactsRenewedAt) < contactRenewal {
 		return
 	}
-	r.renewed = now
+	r.contactsRenewedAt = now
 	for _, c := range r.gateways {
 		if c.Node != t.self.Node {
 			t.addContact(c, now)
@@ -103,7 +103,7 @@
 	var out []Roster
 	digests := make(map[ident.FailureDomain]uint64, len(t.rosters))
 	for domain, r := range t.rosters {
-		if now.Sub(r.at) <= KnownFor {
+		if now.Sub(r.confirmedAt) <= KnownTimeout {
 			out = append(out, Roster{Domain: domain, Gateways: r.gateways})
 			digests[domain] = r.digest
 		}
@@ -119,38 +119,38 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var order []Contact
-	if r := t.rosters[domain]; r != nil && now.Sub(r.at) <= KnownFor {
-		order = t.firstOf(r.gateways, now)
+	if r := t.rosters[domain]; r != nil && now.Sub(r.confirmedAt) <= KnownTimeout {
+		order = t.firstReachable(r.gateways, now)
 	} else {
 		all := t.contactsIn(domain, now)
 		sortCollectors(all)
-		order = t.firstOf(all, now)
+		order = t.firstReachable(all, now)
 	}
 	if domain == t.self.Domain && (len(order) == 0 || compareCollectors(t.self, order[0]) < 0) {
-		return t.firstBeside(order, now)
+		return t.firstOfAllContacts(order, now)
 	}
 	return order
 }
 
-// firstOf returns the first of gateways that are in order.
-func (t *Table) firstOf(gateways []Contact, now time.Time) []Contact {
-	order := make([]Contact, 0, tries)
+// firstReachable returns the first of gateways that are in order.
+func (t *Table) firstReachable(gateways []Contact, now time.Time) []Contact {
+	order := make([]Contact, 0, maxCollectorTries)
 	for _, c := range gateways {
-		if len(order) == tries {
+		if len(order) == maxCollectorTries {
 			break
 		}
-		if c.Node != t.self.Node && !now.Before(t.down[c.Address]) {
+		if c.Node != t.self.Node && !now.Before(t.unreachableUntil[c.Address]) {
 			order = append(order, c)
 		}
 	}
 	return order
 }
 
-// firstBeside adds the gateways that the roster lacks where this one would collect by it.
+// firstOfAllContacts adds the gateways that the roster lacks where this one would collect by it.
 // What goes wrong without it: of gateways that start together two each take themselves
 // for the collector, gather some of the domain each, and hear nothing of each other. So
 // the first of them tells the first of all others that it is there.
-func (t *Table) firstBeside(order []Contact, now time.Time) []Contact {
+func (t *Table) firstOfAllContacts(order []Contact, now time.Time) []Contact {
 	all := t.contactsIn(t.self.Domain, now)
 	for _, c := range order {
 		if !slices.ContainsFunc(all, func(other Contact) bool { return other.Node == c.Node }) {
@@ -158,28 +158,28 @@
 		}
 	}
 	sortCollectors(all)
-	return t.firstOf(all, now)
+	return t.firstReachable(all, now)
 }
 
 // contactsIn returns a failure domain's gateways by whatever word.
 func (t *Table) contactsIn(domain ident.FailureDomain, now time.Time) []Contact {
 	var all []Contact
 	for _, c := range t.contacts {
-		if c.Domain == domain && c.Node != "" && (c.until.IsZero() || now.Before(c.until)) {
+		if c.Domain == domain && c.Node != "" && (c.expiresAt.IsZero() || now.Before(c.expiresAt)) {
 			all = append(all, c.Contact)
 		}
 	}
 	return all
 }
 
-// Down notes that a gateway did not answer.
-func (t *Table) Down(address string, now time.Time) {
+// MarkUnreachable notes that a gateway did not answer.
+func (t *Table) MarkUnreachable(address string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.down[address] = now.Add(downFor)
-	for other, until := range t.down {
+	t.unreachableUntil[address] = now.Add(unreachableFor)
+	for other, until := range t.unreachableUntil {
 		if now.After(until) {
-			delete(t.down, other)
+			delete(t.unreachableUntil, other)
 		}
 	}
 }
--- a/internal/gossip/sum.go
+++ b/internal/gossip/sum.go
@@ -26,25 +26,25 @@
 	Age      time.Duration
 	Loads    map[UpstreamKey]placement.Load
 	Accounts map[ident.ClientAccount]Spending
-	Work     map[ident.Service]placement.Demand
+	Demand     map[ident.Service]placement.Demand
 	Engines  map[ident.Service]enginemodel.Sums
-	// Holders counts those that hold the lease of the duties: none or one, but for the
+	// LeaseHolders counts those that hold the lease of the duties: none or one, but for the
 	// moments in which it goes from one to the next. GivenUp is the highest fencing number
 	// under which its holder acts no more.
-	Holders  int
-	GivenUp  ident.Fence
+	LeaseHolders  int
+	GivenUpFence  ident.Fence
 	Rollouts rollout.Words
 	Poison   poison.Words
 	// LimitUses are what they do with upstreams that have a limit, and LimitColumns the same
 	// for a receiver that knows the same limits.
 	LimitUses    upstreamlimit.Uses
 	LimitColumns upstreamlimit.Columns
-	// Silent are failure domains that were heard lately and are not now.
-	Silent []ident.FailureDomain
+	// SilentDomains are failure domains that were heard lately and are not now.
+	SilentDomains []ident.FailureDomain
 	// TrueWallMillis is the source's time of day as most gateways have it.
 	TrueWallMillis int64
-	// Counted is the report of the gateway that gets the sum, where it is in it.
-	Counted reportID
+	// CountedReport is the report of the gateway that gets the sum, where it is in it.
+	CountedReport reportID
 }
 
 // reportID names one report of a gateway; zero for none.
@@ -55,13 +55,13 @@
 
 func (r *Report) id() reportID { return reportID{r.Incarnation, r.Seq} }
 
-// add adds a part of which so much is known: loads, demand and what was seen of engines.
-func (s *Sum) add(loads map[UpstreamKey]placement.Load, work map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) {
+// addTotals adds a part of which so much is known: loads, demand and what was seen of engines.
+func (s *Sum) addTotals(loads map[UpstreamKey]placement.Load, work map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) {
 	for key, load := range loads {
 		s.Loads[key] = s.Loads[key].Plus(load)
 	}
 	for service, w := range work {
-		s.Work[service] = s.Work[service].Plus(w)
+		s.Demand[service] = s.Demand[service].Plus(w)
 	}
 	for service, sums := range engines {
 		all := s.Engines[service]
@@ -77,13 +77,13 @@
 	}
 }
 
-// takeOut takes a gateway's report out of a sum that counts it. The totals of its accounts
+// subtractReport takes a gateway's report out of a sum that counts it. The totals of its accounts
 // are then those of the others but for what it had spent before its first report there: they
 // tell how much the others spend, not how much they have spent.
-func (s *Sum) takeOut(r *Report) {
+func (s *Sum) subtractReport(r *Report) {
 	s.Heard, s.Known = max(0, s.Heard-1), max(0, s.Known-1)
 	if r.Holds {
-		s.Holders = max(0, s.Holders-1)
+		s.LeaseHolders = max(0, s.LeaseHolders-1)
 	}
 	for key, load := range r.Loads {
 		if left := s.Loads[key].Minus(load); left.Running > 0 || left.Unread > 0 {
@@ -96,7 +96,7 @@
 		s.Accounts[account] = s.Accounts[account].minus(total.rounded())
 	}
 	for service, w := range r.Work {
-		s.Work[service] = s.Work[service].Minus(w)
+		s.Demand[service] = s.Demand[service].Minus(w)
 	}
 	for service, sums := range r.Engines {
 		left := s.Engines[service]
@@ -107,5 +107,5 @@
 
 // rounded is a total as it travels between gateways.
 func (s Spending) rounded() Spending {
-	return Spending{float64(total(s.Spent)), float64(total(s.Refused))}
+	return Spending{float64(roundTotal(s.Spent)), float64(roundTotal(s.Refused))}
 }
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -17,17 +17,17 @@
 	// freshRounds is for how many rounds a report counts as the present, so that
 	// two lost ones change nothing.
 	freshRounds = 4
-	// KnownFor is for how long a silent gateway still counts as one that may
+	// KnownTimeout is for how long a silent gateway still counts as one that may
 	// admit requests. Killed ones are back within some seconds; one that is cut
 	// off goes on admitting its part for as long as it lives, and the cuts that
 	// the users know last for less.
-	KnownFor = 15 * time.Second
-	// leavingFor is for how long one that said it leaves counts after its last
+	KnownTimeout = 15 * time.Second
+	// leavingTimeout is for how long one that said it leaves counts after its last
 	// word.
-	leavingFor = 2 * time.Second
-	// contactFor is for how long an address is tried after its gateway was last
+	leavingTimeout = 2 * time.Second
+	// contactTTL is for how long an address is tried after its gateway was last
 	// heard of.
-	contactFor = time.Minute
+	contactTTL = time.Minute
 )
 
 // Table holds what is known of the other gateways. It is safe for concurrent
@@ -40,22 +40,22 @@
 	contacts map[string]contact
 	// rosters are the failure domains' gateways by their collectors' word.
 	rosters map[ident.FailureDomain]*roster
-	// down are addresses that did not answer, with until when they are passed over.
-	down map[string]time.Time
+	// unreachableUntil are addresses that did not answer, with until when they are passed over.
+	unreachableUntil map[string]time.Time
 }
 
 // contact is an address at which a gateway may be reached.
 type contact struct {
 	Contact
-	// until is when the address is given up; zero for a seed, which never is.
-	until time.Time
+	// expiresAt is when the address is given up; zero for a seed, which never is.
+	expiresAt time.Time
 }
 
 // NewTable returns a table that knows only seeds' addresses.
 func NewTable(self Contact, seeds []string) *Table {
 	t := &Table{
 		self: self, members: make(map[ident.Instance]*Member), contacts: make(map[string]contact),
-		rosters: make(map[ident.FailureDomain]*roster), down: make(map[string]time.Time),
+		rosters: make(map[ident.FailureDomain]*roster), unreachableUntil: make(map[string]time.Time),
 	}
 	t.AddSeeds(seeds)
 	return t
@@ -72,31 +72,31 @@
 	}
 }
 
-// Hear takes in what a gateway said of itself. An older report than is known
+// RecordReport takes in what a gateway said of itself. An older report than is known
 // changes nothing.
-func (t *Table) Hear(r Report, now, wall time.Time) {
+func (t *Table) RecordReport(r Report, now, wall time.Time) {
 	if r.Node == t.self.Node || r.Node == "" {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.members[r.Node]
-	if known != nil && !newer(r, known.Report) {
+	if known != nil && !supersedes(r, known.Report) {
 		return
 	}
-	t.members[r.Node] = &Member{Report: r, HeardAt: now, WallOff: time.UnixMilli(r.WallMillis).Sub(wall)}
+	t.members[r.Node] = &Member{Report: r, HeardAt: now, ClockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
 	t.addContact(r.Contact, now)
 }
 
-// newer reports whether a replaces b. Incarnations are times of start, by a time
+// supersedes reports whether a replaces b. Incarnations are times of start, by a time
 // of day that may have been set back between two lives, so that they are not
 // compared: what a gateway says of itself is its present life.
-func newer(a, b Report) bool {
+func supersedes(a, b Report) bool {
 	return a.Incarnation != b.Incarnation || a.Seq > b.Seq
 }
 
-// Learn takes in where other gateways can be reached.
-func (t *Table) Learn(contacts []Contact, now time.Time) {
+// AddContacts takes in where other gateways can be reached.
+func (t *Table) AddContacts(contacts []Contact, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range contacts {
@@ -111,11 +111,11 @@
 
 func (t *Table) addContact(c Contact, now time.Time) {
 	old, known := t.contacts[c.Address]
-	if known && old.until.IsZero() {
+	if known && old.expiresAt.IsZero() {
 		t.contacts[c.Address] = contact{Contact: c}
 		return
 	}
-	t.contacts[c.Address] = contact{Contact: c, until: now.Add(contactFor)}
+	t.contacts[c.Address] = contact{Contact: c, expiresAt: now.Add(contactTTL)}
 }
 
 // Addresses returns where to try to reach other gateways, in a fixed order.
@@ -127,7 +127,7 @@
 		if address == own {
 			continue
 		}
-		if !c.until.IsZero() && now.After(c.until) {
+		if !c.expiresAt.IsZero() && now.After(c.expiresAt) {
 			delete(t.contacts, address)
 			continue
 		}
@@ -140,14 +140,14 @@
 	return out
 }
 
-// Count returns how many other gateways there may be.
-func (t *Table) Count(now time.Time) int {
+// CountOthers returns how many other gateways there may be.
+func (t *Table) CountOthers(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for address, c := range t.contacts {
 		switch {
-		case !c.until.IsZero() && !now.Before(c.until):
+		case !c.expiresAt.IsZero() && !now.Before(c.expiresAt):
 			delete(t.contacts, address)
 		case c.Address != t.self.Address:
 			n++
@@ -156,18 +156,18 @@
 	return n
 }
 
-// contactsMost is how many contacts are told to a gateway that knows others: enough to meet
+// maxContactsSent is how many contacts are told to a gateway that knows others: enough to meet
 // one that collects, and from it the rosters. What goes wrong with all of them: of a thousand
 // gateways that start together each is told of all by each that it meets.
-const contactsMost = 64
+const maxContactsSent = 64
 
 // Contacts returns gateways heard of lately, directly or by a collector's word: the first of
 // each failure domain, and of the rest any, contactsMost at the most.
 func (t *Table) Contacts(now time.Time) []Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.heardOf(now)
-	if len(all) <= contactsMost {
+	all := t.recentContacts(now)
+	if len(all) <= maxContactsSent {
 		return all
 	}
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -176,18 +176,18 @@
 	sortCollectors(inOrder)
 	var told []Contact
 	for _, c := range inOrder {
-		if first[c.Domain] < tries && len(told) < contactsMost {
+		if first[c.Domain] < maxCollectorTries && len(told) < maxContactsSent {
 			first[c.Domain]++
 			told = append(told, c)
 		}
 	}
-	return append(told, all[:contactsMost-len(told)]...)
+	return append(told, all[:maxContactsSent-len(told)]...)
 }
 
-func (t *Table) heardOf(now time.Time) []Contact {
+func (t *Table) recentContacts(now time.Time) []Contact {
 	all := make(map[ident.Instance]Contact)
 	for _, r := range t.rosters {
-		if now.Sub(r.at) > KnownFor {
+		if now.Sub(r.confirmedAt) > KnownTimeout {
 			continue
 		}
 		for _, c := range r.gateways {
@@ -195,7 +195,7 @@
 		}
 	}
 	for node, m := range t.members {
-		if now.Sub(m.HeardAt) < KnownFor {
+		if now.Sub(m.HeardAt) < KnownTimeout {
 			all[node] = m.Report.Contact
 		}
 	}
@@ -203,43 +203,43 @@
 	return slices.SortedFunc(maps.Values(all), func(a, b Contact) int { return cmp.Compare(a.Node, b.Node) })
 }
 
-// Direct is the other gateways that this one heard itself, at an instant.
-type Direct struct {
+// DirectPeers is the other gateways that this one heard itself, at an instant.
+type DirectPeers struct {
 	// Fresh are those heard lately, in the order of their names.
 	Fresh []Member
 	// Known counts those that may admit requests, heard lately or not.
 	Known int
 }
 
-// Direct returns the other gateways that this one heard itself.
-func (t *Table) Direct(now time.Time) Direct {
+// DirectPeers returns the other gateways that this one heard itself.
+func (t *Table) DirectPeers(now time.Time) DirectPeers {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var v Direct
+	var v DirectPeers
 	for node, m := range t.members {
 		age := now.Sub(m.HeardAt)
-		if age <= collectedFor {
+		if age <= freshFor {
 			v.Fresh = append(v.Fresh, *m)
 		}
 		switch {
-		case m.Report.Leaving && age > leavingFor:
-		case age <= KnownFor:
+		case m.Report.Leaving && age > leavingTimeout:
+		case age <= KnownTimeout:
 			v.Known++
-		case age > contactFor:
+		case age > contactTTL:
 			delete(t.members, node)
 		}
 	}
-	v.Known += t.unmet(now)
+	v.Known += t.countUnmet(now)
 	slices.SortFunc(v.Fresh, func(a, b Member) int { return cmp.Compare(a.Report.Node, b.Report.Node) })
 	return v
 }
 
-// unmet counts the gateways that others told of and that were not heard yet: among
+// countUnmet counts the gateways that others told of and that were not heard yet: among
 // many it takes some rounds to meet them all, and they admit requests meanwhile.
-func (t *Table) unmet(now time.Time) int {
+func (t *Table) countUnmet(now time.Time) int {
 	n := 0
 	for _, c := range t.contacts {
-		if !c.until.IsZero() && t.members[c.Node] == nil && now.Before(c.until.Add(KnownFor-contactFor)) {
+		if !c.expiresAt.IsZero() && t.members[c.Node] == nil && now.Before(c.expiresAt.Add(KnownTimeout-contactTTL)) {
 			n++
 		}
 	}
@@ -252,7 +252,7 @@
 	defer t.mu.Unlock()
 	// A sum does not depend on the order.
 	digest := xxhash.Sum64String(string(t.self.Node))
-	for _, c := range t.heardOf(now) {
+	for _, c := range t.recentContacts(now) {
 		digest += xxhash.Sum64String(string(c.Node))
 	}
 	return digest
@@ -273,10 +273,10 @@
 // WallCorrection returns what to add to this machine's time of day so that it is
 // the median of all fresh gateways': a clock that was set wrong moves the median
 // only if most are.
-func (v Direct) WallCorrection() time.Duration {
+func (v DirectPeers) WallCorrection() time.Duration {
 	offs := []time.Duration{0}
 	for _, m := range v.Fresh {
-		offs = append(offs, m.WallOff)
+		offs = append(offs, m.ClockOffset)
 	}
 	return median(offs)
 }
@@ -301,7 +301,7 @@
 	silent := make(map[ident.FailureDomain]bool)
 	for _, m := range members {
 		domain, age := m.Report.Domain, now.Sub(m.HeardAt)
-		if domain == own || age > KnownFor {
+		if domain == own || age > KnownTimeout {
 			continue
 		}
 		known, seen := silent[domain]
--- a/internal/gossip/types.go
+++ b/internal/gossip/types.go
@@ -39,8 +39,8 @@
 // in the account's unit. Totals grow.
 type Spending struct{ Spent, Refused float64 }
 
-// Windows counts requests by window of true time and by client account.
-type Windows map[int64]map[ident.ClientAccount]int64
+// WindowCounts counts requests by window of true time and by client account.
+type WindowCounts map[int64]map[ident.ClientAccount]int64
 
 // Report is what one gateway says of itself. A later one replaces it whole.
 type Report struct {
@@ -67,7 +67,7 @@
 	// Accounts are its totals since its start.
 	Accounts map[ident.ClientAccount]Spending
 	// Began counts requests that began to run, by window of true time.
-	Began Windows
+	Began WindowCounts
 	// Work is what it asked of each service in the last seconds.
 	Work map[ident.Service]placement.Demand
 	// Engines is what its requests saw of each service's engines.
@@ -106,7 +106,7 @@
 // LifeCounts are the requests that one life of a gateway counted.
 type LifeCounts struct {
 	Life  string
-	Began Windows
+	Began WindowCounts
 }
 
 // Roster is the first gateways of a failure domain, in the order in which they collect.
@@ -118,30 +118,30 @@
 // message is a request, and its answer.
 type message struct {
 	From Report
-	// Knows is a digest of the gateways that the sender knows, and Contacts all
+	// KnownDigest is a digest of the gateways that the sender knows, and Contacts all
 	// of them, where the receiver's digest differs.
-	Knows    uint64
+	KnownDigest    uint64
 	Contacts []Contact
 	// TakesPatches: the sender takes a configuration as a patch of the one that it has.
-	TakesPatches bool
+	AcceptsPatches bool
 	// Wants: the sender takes a configuration, or all entries of upstreams, with the
 	// answer.
-	Wants bool
+	WantsLarge bool
 	// Config and Upstreams are what the receiver lacks.
-	Config    *packedConfig
+	Config    *encodedConfig
 	Upstreams *directory.News
 	// Collect: the receiver collects the report and answers with Others. TakesWhole: the
 	// sender takes its own report out of the answer itself.
-	Collect, TakesWhole bool
+	Collect, SubtractsOwn bool
 	Others              *Sum
 	// DomainSum is that of the sender's failure domain, between collectors.
 	DomainSum *Sum
-	// OthersPart and DomainPart are parts of Others and DomainSum that were encoded before,
+	// OthersEncoded and DomainPart are parts of Others and DomainSum that were encoded before,
 	// for several messages; what stands in these themselves goes before.
-	OthersPart, DomainPart []byte
-	// KnowsRosters are the sender's rosters by digest, and Rosters those that the
+	OthersEncoded, DomainSumEncoded []byte
+	// RosterDigests are the sender's rosters by digest, and Rosters those that the
 	// receiver lacks.
-	KnowsRosters map[ident.FailureDomain]uint64
+	RosterDigests map[ident.FailureDomain]uint64
 	Rosters      []Roster
 	// WantsCounts: the receiver answers with the counts that it collected.
 	WantsCounts bool
@@ -153,6 +153,6 @@
 	Report Report
 	// HeardAt is when its newest report came, by this machine's boot time.
 	HeardAt time.Time
-	// WallOff is its time of day minus this machine's.
-	WallOff time.Duration
+	// ClockOffset is its time of day minus this machine's.
+	ClockOffset time.Duration
 }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -34,7 +34,7 @@
 // NoView is what a gateway knows before it has heard anything: it leaves what few of all do
 // to others. What goes wrong with a place of 0: of a thousand gateways that start together
 // each takes itself for the first in line, and writes a claim of the lease.
-func NoView() View { return View{Place: behindAll} }
+func NoView() View { return View{Place: lastRank} }
 
 // Group is one or more gateways that are reported together.
 type Group struct {
@@ -56,19 +56,19 @@
 // allOthers names the group of all gateways by a collector's word.
 const allOthers = "all others"
 
-// collects reports whether so many other gateways are too many to meet each of them in
+// usesCollectors reports whether so many other gateways are too many to meet each of them in
 // every round.
-func collects(others int) bool { return others > 2*fanout }
+func usesCollectors(others int) bool { return others > 2*fanout }
 
 // View returns the other gateways.
 func (g *Gossip) View(now time.Time) View {
-	direct := g.cfg.Table.Direct(now)
+	direct := g.cfg.Table.DirectPeers(now)
 	v := View{Silent: make(map[ident.FailureDomain]bool), WallCorrection: direct.WallCorrection()}
-	if !collects(g.cfg.Table.Count(now)) {
-		g.direct(&v, direct, now)
+	if !usesCollectors(g.cfg.Table.CountOthers(now)) {
+		g.fillDirect(&v, direct, now)
 		return v
 	}
-	g.collected(&v, now)
+	g.fillCollected(&v, now)
 	v.Known = max(v.Known, v.Heard)
 	if v.Heard == 0 {
 		v.Known = max(v.Known, direct.Known)
@@ -76,11 +76,11 @@
 	return v
 }
 
-// direct fills a view from the gateways that were heard directly.
-func (g *Gossip) direct(v *View, direct Direct, now time.Time) {
+// fillDirect fills a view from the gateways that were heard directly.
+func (g *Gossip) fillDirect(v *View, direct DirectPeers, now time.Time) {
 	v.Heard, v.Known = len(direct.Fresh), direct.Known
-	if v.Known == 0 && now.Sub(g.began) < lineAfter {
-		v.Place = behindAll
+	if v.Known == 0 && now.Sub(g.startedAt) < startupGrace {
+		v.Place = lastRank
 	}
 	for i := range direct.Fresh {
 		m := &direct.Fresh[i]
@@ -99,65 +99,65 @@
 	v.Silent = SilentDomains(g.cfg.Table.Members(), g.cfg.Self.Domain, now)
 }
 
-// collected fills a view from what a collector says of all others, or from what this one
+// fillCollected fills a view from what a collector says of all others, or from what this one
 // collected.
-func (g *Gossip) collected(v *View, now time.Time) {
-	v.Place = behindAll
-	sum, heardAt, collecting := g.sum(now)
+func (g *Gossip) fillCollected(v *View, now time.Time) {
+	v.Place = lastRank
+	sum, heardAt, collecting := g.bestSum(now)
 	if sum == nil {
 		return
 	}
 	age := now.Sub(heardAt)
 	if collecting {
 		g.mu.Lock()
-		g.noteKnown(sum, now)
+		g.recordKnown(sum, now)
 		g.mu.Unlock()
 	}
-	v.Known = g.known(now)
-	for _, domain := range sum.Silent {
+	v.Known = g.knownOthers(now)
+	for _, domain := range sum.SilentDomains {
 		v.Silent[domain] = true
 	}
 	if !collecting {
-		v.WallCorrection = g.correction()
+		v.WallCorrection = g.lastClockCorrection()
 	} else {
-		v.WallCorrection = g.collector.correction(now)
+		v.WallCorrection = g.collector.clockCorrection(now)
 	}
-	v.Place = g.place(now)
-	if age > collectedFor || sum.Heard == 0 {
+	v.Place = g.rank(now)
+	if age > freshFor || sum.Heard == 0 {
 		return
 	}
-	v.Heard, v.Holds, v.GivenUp = sum.Heard, sum.Holders > 0, sum.GivenUp
+	v.Heard, v.Holds, v.GivenUp = sum.Heard, sum.LeaseHolders > 0, sum.GivenUpFence
 	v.Groups = []Group{{
 		Name: allOthers, Source: sum.Source, Gateways: sum.Heard, ReportedAt: heardAt.Add(-sum.Age),
-		Loads: sum.Loads, Accounts: sum.Accounts, Work: sum.Work, Engines: sum.Engines, Rollouts: sum.Rollouts.Aged(age), Poison: sum.Poison.Aged(age),
+		Loads: sum.Loads, Accounts: sum.Accounts, Work: sum.Demand, Engines: sum.Engines, Rollouts: sum.Rollouts.Aged(age), Poison: sum.Poison.Aged(age),
 		LimitUses: sum.LimitUses,
 	}}
 }
 
-// sum returns what is known of all others, since when, and whether this gateway added
+// bestSum returns what is known of all others, since when, and whether this gateway added
 // it up itself: its own collector's sum, or a newer answer that holds more gateways.
-func (g *Gossip) sum(now time.Time) (sum *Sum, heardAt time.Time, collecting bool) {
+func (g *Gossip) bestSum(now time.Time) (sum *Sum, heardAt time.Time, collecting bool) {
 	g.mu.Lock()
-	answer, answeredAt := g.answer, g.answeredAt
+	answer, answeredAt := g.collectorSum, g.collectorSumAt
 	g.mu.Unlock()
-	if g.first(now) || g.collector.Acting(now) {
+	if g.isFirstCollector(now) || g.collector.ReceivesReports(now) {
 		own := g.collector.Others(g.cfg.Self.Node, now, time.Now())
-		if answer == nil || now.Sub(answeredAt) > collectedFor || own.Heard >= answer.Heard {
+		if answer == nil || now.Sub(answeredAt) > freshFor || own.Heard >= answer.Heard {
 			return &own, now, true
 		}
 	}
 	return answer, answeredAt, false
 }
 
-// correction is that of the collector that answered last.
-func (g *Gossip) correction() time.Duration {
+// lastClockCorrection is that of the collector that answered last.
+func (g *Gossip) lastClockCorrection() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.answerOff
+	return g.collectorClockCorrection
 }
 
-// first reports whether this gateway is the first of its domain that collects.
-func (g *Gossip) first(now time.Time) bool {
+// isFirstCollector reports whether this gateway is the first of its domain that collects.
+func (g *Gossip) isFirstCollector(now time.Time) bool {
 	if g.leaving.Load() {
 		return false
 	}
@@ -166,21 +166,21 @@
 }
 
 const (
-	// behindAll is the place of a gateway that no line waits for.
-	behindAll = 1 << 10
-	// lineAfter is for how long after its start a gateway that has heard nobody leaves
+	// lastRank is the place of a gateway that no line waits for.
+	lastRank = 1 << 10
+	// startupGrace is for how long after its start a gateway that has heard nobody leaves
 	// what few of all do to others: four rounds. What goes wrong without it: after all
 	// were killed, each reads the upstreams' entries and the lease for itself until it
 	// knows the others.
-	lineAfter = 4 * Interval
+	startupGrace = 4 * Interval
 )
 
-// place is this gateway's place in line: the first collectors of the domains that are
+// rank is this gateway's place in line: the first collectors of the domains that are
 // heard, in the order of the domains' names, and then nobody. They hear first what the
 // others know, and the others hear first what they know.
-func (g *Gossip) place(now time.Time) int {
-	if !g.first(now) {
-		return behindAll
+func (g *Gossip) rank(now time.Time) int {
+	if !g.isFirstCollector(now) {
+		return lastRank
 	}
 	place := 0
 	for _, domain := range g.collector.heardDomains(now) {
--- a/internal/gossip/whole.go
+++ b/internal/gossip/whole.go
@@ -20,12 +20,12 @@
 // gateways is added up and encoded once for all that ask within sumFor, and each takes its
 // own report out of it.
 
-// sumFor is for how long a sum is given to all that ask: it makes what gateways know of each
+// sumTTL is for how long a sum is given to all that ask: it makes what gateways know of each
 // other older by half of that on average.
-const sumFor = Interval / 16
+const sumTTL = Interval / 16
 
-// wholeSum is a sum for several that ask.
-type wholeSum struct {
+// sharedSum is a sum for several that ask.
+type sharedSum struct {
 	// sum lacks the words about versions and crashing requests, and the uses of limits:
 	// these are joined for each gateway that asks.
 	sum Sum
@@ -33,17 +33,17 @@
 	// cannot be encoded.
 	encoded []byte
 	err     error
-	at      time.Time
+	addedUpAt      time.Time
 	// counted are the reports in it, by gateway.
-	counted map[ident.Instance]*collected
-	words   wordsWithout
+	counted map[ident.Instance]*receivedReport
+	statements   leaveOneOut
 	uses    upstreamlimit.Uses
-	// wallOff is what to add to this machine's time of day.
-	wallOff time.Duration
+	// clockCorrection is what to add to this machine's time of day.
+	clockCorrection time.Duration
 }
 
-// CollectorWork counts what a collector has done since its start.
-type CollectorWork struct {
+// CollectorStats counts what a collector has done since its start.
+type CollectorStats struct {
 	// Reports were collected, and Sums added up from so many Parts: reports, and sums of
 	// other domains.
 	Reports, Sums, Parts int64
@@ -52,18 +52,18 @@
 }
 
 // Work returns what this gateway has done as a collector.
-func (g *Gossip) Work() CollectorWork {
+func (g *Gossip) Work() CollectorStats {
 	g.collector.mu.Lock()
 	defer g.collector.mu.Unlock()
-	work := g.collector.work
-	work.Refused = g.uncounted.Load()
+	work := g.collector.stats
+	work.Refused = g.rejectedAnswers.Load()
 	return work
 }
 
-// fresh reports whether a sum can be given to a gateway now; it counts that gateway's
+// usableFor reports whether a sum can be given to a gateway now; it counts that gateway's
 // present life.
-func (w *wholeSum) fresh(asker *collected, now time.Time) bool {
-	if w == nil || now.Sub(w.at) >= sumFor {
+func (w *sharedSum) usableFor(asker *receivedReport, now time.Time) bool {
+	if w == nil || now.Sub(w.addedUpAt) >= sumTTL {
 		return false
 	}
 	if asker == nil {
@@ -73,201 +73,201 @@
 	return counted != nil && counted.report.Incarnation == asker.report.Incarnation
 }
 
-// domainParts returns the sum of this domain's gateways in two parts, of which the second is
+// encodedDomainSum returns the sum of this domain's gateways in two parts, of which the second is
 // encoded.
-func (c *Collector) domainParts(now, wall time.Time) (s Sum, encoded []byte, err error) {
+func (c *Collector) encodedDomainSum(now, wall time.Time) (s Sum, encoded []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.domainSum(now)
-	return w.present("", now, wall), w.encoded, w.err
+	return w.forAsker("", now, wall), w.encoded, w.err
 }
 
 // Others returns the sum of all gateways but one, of all domains.
 func (c *Collector) Others(asker ident.Instance, now, wall time.Time) Sum {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.allSum(c.members[asker], now)
-	s := w.present(asker, now, wall)
-	s.add(w.sum.Loads, w.sum.Work, w.sum.Engines)
+	w := c.totalSum(c.members[asker], now)
+	s := w.forAsker(asker, now, wall)
+	s.addTotals(w.sum.Loads, w.sum.Demand, w.sum.Engines)
 	s.addAccounts(w.sum.Accounts)
 	if counted := w.counted[asker]; counted != nil {
-		s.takeOut(&counted.report)
+		s.subtractReport(&counted.report)
 	}
-	s.Counted = reportID{}
+	s.CountedReport = reportID{}
 	return s
 }
 
-// othersParts returns the sum of all gateways with which of the asker's reports is in it, in
+// encodedOthers returns the sum of all gateways with which of the asker's reports is in it, in
 // two parts, of which the second is encoded.
-func (c *Collector) othersParts(asker ident.Instance, now, wall time.Time) (s Sum, encoded []byte, err error) {
+func (c *Collector) encodedOthers(asker ident.Instance, now, wall time.Time) (s Sum, encoded []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.allSum(c.members[asker], now)
-	return w.present(asker, now, wall), w.encoded, w.err
+	w := c.totalSum(c.members[asker], now)
+	return w.forAsker(asker, now, wall), w.encoded, w.err
 }
 
-// present is what of a sum belongs to this instant and to the gateway that asks, and is not
+// forAsker is what of a sum belongs to this instant and to the gateway that asks, and is not
 // encoded before: without that one's words and uses. It has no name where nobody's are left
 // out.
-func (w *wholeSum) present(asker ident.Instance, now, wall time.Time) Sum {
+func (w *sharedSum) forAsker(asker ident.Instance, now, wall time.Time) Sum {
 	s := w.sum
 	s.Loads, s.Accounts = make(map[UpstreamKey]placement.Load), make(map[ident.ClientAccount]Spending)
-	s.Work, s.Engines = make(map[ident.Service]placement.Demand), make(map[ident.Service]enginemodel.Sums)
-	age := now.Sub(w.at)
+	s.Demand, s.Engines = make(map[ident.Service]placement.Demand), make(map[ident.Service]enginemodel.Sums)
+	age := now.Sub(w.addedUpAt)
 	s.Age += age
-	s.TrueWallMillis = wall.Add(w.wallOff).UnixMilli()
-	words := w.words.without(asker)
+	s.TrueWallMillis = wall.Add(w.clockCorrection).UnixMilli()
+	words := w.statements.excluding(asker)
 	s.Rollouts, s.Poison = words.rollouts.Aged(age), words.poison.Aged(age)
 	s.LimitUses = maps.Clone(w.uses)
 	if counted := w.counted[asker]; counted != nil {
-		s.Counted = counted.report.id()
+		s.CountedReport = counted.report.id()
 		s.LimitUses.Subtract(counted.report.LimitUses)
 	}
 	return s
 }
 
 // domainSum returns a sum of this domain's gateways that is young enough.
-func (c *Collector) domainSum(now time.Time) *wholeSum {
-	if c.domain.fresh(nil, now) {
-		return c.domain
+func (c *Collector) domainSum(now time.Time) *sharedSum {
+	if c.cachedDomainSum.usableFor(nil, now) {
+		return c.cachedDomainSum
 	}
 	w := c.newSum(now)
 	w.sum.Domain = c.self.Domain
 	age := c.addMembers(w, now)
-	w.sum.addAccounts(c.reported.sum)
+	w.sum.addAccounts(c.memberTotals.sum)
 	w.finish(age)
-	c.domain = w
+	c.cachedDomainSum = w
 	return w
 }
 
-// allSum returns a sum of all gateways that is young enough, and counts the one that asks.
-func (c *Collector) allSum(asker *collected, now time.Time) *wholeSum {
-	if c.all.fresh(asker, now) {
-		return c.all
+// totalSum returns a sum of all gateways that is young enough, and counts the one that asks.
+func (c *Collector) totalSum(asker *receivedReport, now time.Time) *sharedSum {
+	if c.cachedTotalSum.usableFor(asker, now) {
+		return c.cachedTotalSum
 	}
 	w := c.newSum(now)
 	age := c.addMembers(w, now)
-	w.sum.addAccounts(c.reported.sum)
-	w.sum.addAccounts(c.told.sum)
+	w.sum.addAccounts(c.memberTotals.sum)
+	w.sum.addAccounts(c.domainTotals.sum)
 	for _, domain := range slices.Sorted(maps.Keys(c.domains)) {
 		age += c.addDomain(w, domain, now)
 	}
 	w.finish(age)
-	c.all = w
+	c.cachedTotalSum = w
 	return w
 }
 
-func (c *Collector) newSum(now time.Time) *wholeSum {
+func (c *Collector) newSum(now time.Time) *sharedSum {
 	c.seq++
-	c.work.Sums++
-	return &wholeSum{
-		at: now, counted: make(map[ident.Instance]*collected), uses: make(upstreamlimit.Uses), wallOff: c.wallCorrection(now),
+	c.stats.Sums++
+	return &sharedSum{
+		addedUpAt: now, counted: make(map[ident.Instance]*receivedReport), uses: make(upstreamlimit.Uses), clockCorrection: c.clockCorrectionLocked(now),
 		sum: Sum{
-			Source: c.life, Seq: c.seq, Loads: make(map[UpstreamKey]placement.Load), Accounts: make(map[ident.ClientAccount]Spending),
-			Work: make(map[ident.Service]placement.Demand), Engines: make(map[ident.Service]enginemodel.Sums),
+			Source: c.incarnationID, Seq: c.seq, Loads: make(map[UpstreamKey]placement.Load), Accounts: make(map[ident.ClientAccount]Spending),
+			Demand: make(map[ident.Service]placement.Demand), Engines: make(map[ident.Service]enginemodel.Sums),
 		},
 	}
 }
 
 // addMembers adds this domain's gateways and returns the sum of their reports' ages.
-func (c *Collector) addMembers(w *wholeSum, now time.Time) time.Duration {
+func (c *Collector) addMembers(w *sharedSum, now time.Time) time.Duration {
 	sum := time.Duration(0)
 	for node, m := range c.members {
-		age := now.Sub(m.at)
-		if age <= KnownFor && (!m.report.Leaving || age <= leavingFor) {
+		age := now.Sub(m.receivedAt)
+		if age <= KnownTimeout && (!m.report.Leaving || age <= leavingTimeout) {
 			w.sum.Known++
 		}
-		if age > collectedFor {
+		if age > freshFor {
 			continue
 		}
-		c.work.Parts++
+		c.stats.Parts++
 		w.counted[node] = m
 		w.sum.Heard++
 		sum += age
-		w.sum.add(m.report.Loads, m.report.Work, m.report.Engines)
+		w.sum.addTotals(m.report.Loads, m.report.Work, m.report.Engines)
 		w.uses.Add(m.report.LimitUses)
-		w.words.add(node, m.report.Rollouts.Aged(age), m.report.Poison.Aged(age))
+		w.statements.add(node, m.report.Rollouts.Aged(age), m.report.Poison.Aged(age))
 		if m.report.Holds {
-			w.sum.Holders++
+			w.sum.LeaseHolders++
 		}
-		w.sum.GivenUp = max(w.sum.GivenUp, m.report.GivenUp)
+		w.sum.GivenUpFence = max(w.sum.GivenUpFence, m.report.GivenUp)
 	}
 	return sum
 }
 
 // addDomain adds the sum that counts of another domain, and returns how old its gateways'
 // reports are together.
-func (c *Collector) addDomain(w *wholeSum, domain ident.FailureDomain, now time.Time) time.Duration {
+func (c *Collector) addDomain(w *sharedSum, domain ident.FailureDomain, now time.Time) time.Duration {
 	d := c.domains[domain]
 	w.sum.Known += d.known(now)
 	if d.silent(now) {
-		w.sum.Silent = append(w.sum.Silent, domain)
+		w.sum.SilentDomains = append(w.sum.SilentDomains, domain)
 	}
 	chosen := d.choose(now)
 	if chosen == nil {
 		return 0
 	}
-	c.work.Parts++
-	age := now.Sub(chosen.at)
+	c.stats.Parts++
+	age := now.Sub(chosen.receivedAt)
 	w.sum.Heard += chosen.sum.Heard
-	w.sum.add(chosen.sum.Loads, chosen.sum.Work, chosen.sum.Engines)
+	w.sum.addTotals(chosen.sum.Loads, chosen.sum.Demand, chosen.sum.Engines)
 	w.uses.Add(chosen.sum.LimitUses)
-	w.words.add("", chosen.sum.Rollouts.Aged(age), chosen.sum.Poison.Aged(age))
-	w.sum.Holders += chosen.sum.Holders
-	w.sum.GivenUp = max(w.sum.GivenUp, chosen.sum.GivenUp)
+	w.statements.add("", chosen.sum.Rollouts.Aged(age), chosen.sum.Poison.Aged(age))
+	w.sum.LeaseHolders += chosen.sum.LeaseHolders
+	w.sum.GivenUpFence = max(w.sum.GivenUpFence, chosen.sum.GivenUpFence)
 	return time.Duration(chosen.sum.Heard) * (age + chosen.sum.Age)
 }
 
 // finish ends the adding up; age is that of all reports together.
-func (w *wholeSum) finish(age time.Duration) {
+func (w *sharedSum) finish(age time.Duration) {
 	w.sum.Age = age / time.Duration(max(1, w.sum.Heard))
-	w.words.finish()
-	w.encoded, w.err = w.sum.encodeParts()
+	w.statements.finish()
+	w.encoded, w.err = w.sum.encodeTotals()
 }
 
-// wordsWithout joins words about versions and crashing requests of all gateways but any one.
+// leaveOneOut joins words about versions and crashing requests of all gateways but any one.
 // They cannot be taken out of a sum again, so that the sums of those before and after each
 // gateway are kept.
-type wordsWithout struct {
+type leaveOneOut struct {
 	nodes []ident.Instance
-	words []joinedWords
+	parts []rolloutAndPoison
 	// before[i] joins all before i, and after[i] all from i on.
-	before, after []joinedWords
+	prefixes, suffixes []rolloutAndPoison
 }
 
-type joinedWords struct {
+type rolloutAndPoison struct {
 	rollouts rollout.Words
 	poison   poison.Words
 }
 
-func (w joinedWords) plus(o joinedWords) joinedWords {
-	return joinedWords{w.rollouts.Plus(o.rollouts), w.poison.Plus(o.poison)}
+func (w rolloutAndPoison) plus(o rolloutAndPoison) rolloutAndPoison {
+	return rolloutAndPoison{w.rollouts.Plus(o.rollouts), w.poison.Plus(o.poison)}
 }
 
 // add adds a gateway's words, if it has any; another domain's have no name.
-func (w *wordsWithout) add(node ident.Instance, r rollout.Words, p poison.Words) {
+func (w *leaveOneOut) add(node ident.Instance, r rollout.Words, p poison.Words) {
 	if len(r) == 0 && p.Empty() {
 		return
 	}
-	w.nodes, w.words = append(w.nodes, node), append(w.words, joinedWords{r, p})
+	w.nodes, w.parts = append(w.nodes, node), append(w.parts, rolloutAndPoison{r, p})
 }
 
-func (w *wordsWithout) finish() {
+func (w *leaveOneOut) finish() {
 	n := len(w.nodes)
-	w.before, w.after = make([]joinedWords, n+1), make([]joinedWords, n+1)
+	w.prefixes, w.suffixes = make([]rolloutAndPoison, n+1), make([]rolloutAndPoison, n+1)
 	for i := range n {
-		w.before[i+1] = w.before[i].plus(w.words[i])
+		w.prefixes[i+1] = w.prefixes[i].plus(w.parts[i])
 	}
 	for i := n - 1; i >= 0; i-- {
-		w.after[i] = w.words[i].plus(w.after[i+1])
+		w.suffixes[i] = w.parts[i].plus(w.suffixes[i+1])
 	}
 }
 
-// without returns the words of all but one; of all where it has no name or no words.
-func (w *wordsWithout) without(node ident.Instance) joinedWords {
+// excluding returns the words of all but one; of all where it has no name or no words.
+func (w *leaveOneOut) excluding(node ident.Instance) rolloutAndPoison {
 	i := slices.Index(w.nodes, node)
 	if node == "" || i < 0 {
-		return w.before[len(w.nodes)]
+		return w.prefixes[len(w.nodes)]
 	}
-	return w.before[i].plus(w.after[i+1])
+	return w.prefixes[i].plus(w.suffixes[i+1])
 }
--- a/internal/gossip/whole_test.go
+++ b/internal/gossip/whole_test.go
@@ -19,20 +19,20 @@
 
 func init() { testkit.FixSeed() }
 
-// domainOf is one failure domain's gateways with their collector, and the sums of others.
-type domainOf struct {
+// testDomain is one failure domain's gateways with their collector, and the sums of others.
+type testDomain struct {
 	collector *Collector
 	now       time.Time
 	seq       uint64
 }
 
-func newDomain() *domainOf {
+func newTestDomain() *testDomain {
 	self := Contact{Node: "gw-0", Address: "gw-0:1", Domain: "hall-a", Cores: 1}
-	return &domainOf{collector: NewCollector(self, 1), now: time.Unix(1000, 0)}
+	return &testDomain{collector: NewCollector(self, 1), now: time.Unix(1000, 0)}
 }
 
 // reportOf is a report of one gateway, with loads at some upstreams and totals of some accounts.
-func (d *domainOf) reportOf(gateway, upstreams, accounts int) Report {
+func (d *testDomain) reportOf(gateway, upstreams, accounts int) Report {
 	d.seq++
 	r := Report{
 		Contact: Contact{Node: nodeOf(gateway), Address: fmt.Sprint("gw-", gateway, ":1"), Domain: "hall-a"}, Incarnation: 1, Seq: d.seq,
@@ -50,10 +50,10 @@
 
 func nodeOf(gateway int) ident.Instance { return ident.Instance(fmt.Sprint("gw-", gateway)) }
 
-// travelled is a collector's answer as its asker decodes it.
-func travelled(t testing.TB, sum Sum, part []byte) *Sum {
+// encodeAndDecode is a collector's answer as its asker decodes it.
+func encodeAndDecode(t testing.TB, sum Sum, part []byte) *Sum {
 	t.Helper()
-	m := message{From: fullReport(), Others: &sum, OthersPart: part}
+	m := message{From: fullReport(), Others: &sum, OthersEncoded: part}
 	data, err := m.encode()
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 // at all, where it takes its own report out of a sum of all.
 func TestWhoTakesItselfOutKnowsTheOthers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := newDomain()
+		d := newTestDomain()
 		sent, first := make(map[int][]Report), make(map[int]float64)
 		tell := func(gateway, upstreams int) {
 			r := d.reportOf(gateway, upstreams, 0)
@@ -83,30 +83,30 @@
 				first[gateway] = total
 			}
 			sent[gateway] = append(sent[gateway], r)
-			d.collector.Collect(r, d.now, d.now)
+			d.collector.AddReport(r, d.now, d.now)
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "reports") {
 			d.now = d.now.Add(time.Duration(rapid.IntRange(0, 30).Draw(rt, "pause")) * time.Millisecond)
 			tell(rapid.IntRange(0, 5).Draw(rt, "gateway"), rapid.IntRange(0, 3).Draw(rt, "upstreams"))
 			// Somebody asks, so that later sums are of before.
-			d.collector.othersParts(nodeOf(rapid.IntRange(0, 5).Draw(rt, "other")), d.now, d.now)
+			d.collector.encodedOthers(nodeOf(rapid.IntRange(0, 5).Draw(rt, "other")), d.now, d.now)
 		}
 		asker := rapid.IntRange(0, 5).Draw(rt, "asker")
 		tell(asker, 1)
-		sum, part, err := d.collector.othersParts(nodeOf(asker), d.now, d.now)
+		sum, part, err := d.collector.encodedOthers(nodeOf(asker), d.now, d.now)
 		if err != nil {
 			rt.Fatal(err)
 		}
-		got := travelled(t, sum, part)
-		own := slices.IndexFunc(sent[asker], func(r Report) bool { return r.id() == got.Counted })
+		got := encodeAndDecode(t, sum, part)
+		own := slices.IndexFunc(sent[asker], func(r Report) bool { return r.id() == got.CountedReport })
 		if own < 0 {
-			rt.Fatalf("report %v is counted, which the asker has not sent", got.Counted)
+			rt.Fatalf("report %v is counted, which the asker has not sent", got.CountedReport)
 		}
-		got.takeOut(&sent[asker][own])
+		got.subtractReport(&sent[asker][own])
 
 		loads, holders, heard, spent := make(map[UpstreamKey]placement.Load), 0, 0, -first[asker]
 		for gateway := range 6 {
-			counted := d.collector.all.counted[nodeOf(gateway)]
+			counted := d.collector.cachedTotalSum.counted[nodeOf(gateway)]
 			if counted == nil || gateway == asker {
 				continue
 			}
@@ -122,10 +122,10 @@
 		if !maps.Equal(loads, got.Loads) {
 			rt.Error(cmp.Diff(loads, got.Loads))
 		}
-		if got.Heard != heard || got.Holders != holders || got.Accounts["shared"].Spent != spent {
-			rt.Errorf("heard %d, want %d; %d hold the lease, want %d; spent %.0f, want %.0f", got.Heard, heard, got.Holders, holders, got.Accounts["shared"].Spent, spent)
+		if got.Heard != heard || got.LeaseHolders != holders || got.Accounts["shared"].Spent != spent {
+			rt.Errorf("heard %d, want %d; %d hold the lease, want %d; spent %.0f, want %.0f", got.Heard, heard, got.LeaseHolders, holders, got.Accounts["shared"].Spent, spent)
 		}
-		if work := got.Work["llm"].Generating; math.Abs(work-float64(heard)) > 1e-3 {
+		if work := got.Demand["llm"].Generating; math.Abs(work-float64(heard)) > 1e-3 {
 			rt.Errorf("%d others generate %.3f requests", heard, work)
 		}
 		for _, crash := range got.Poison.Crashes {
@@ -139,28 +139,28 @@
 // Guards against gateways of an older build, which do not take themselves out of a sum, and
 // would count their own requests twice.
 func TestAGatewayThatTakesNoWholeGetsTheOthers(t *testing.T) {
-	d := newDomain()
+	d := newTestDomain()
 	for gateway := range 3 {
-		d.collector.Collect(d.reportOf(gateway, 1, 1), d.now, d.now)
+		d.collector.AddReport(d.reportOf(gateway, 1, 1), d.now, d.now)
 	}
 	got := d.collector.Others(nodeOf(1), d.now, d.now)
-	if _, some := got.Loads[UpstreamKey(7)]; some || got.Heard != 2 || got.Counted != (reportID{}) {
-		t.Errorf("heard %d, loads %v, counted %v", got.Heard, got.Loads, got.Counted)
+	if _, some := got.Loads[UpstreamKey(7)]; some || got.Heard != 2 || got.CountedReport != (reportID{}) {
+		t.Errorf("heard %d, loads %v, counted %v", got.Heard, got.Loads, got.CountedReport)
 	}
 }
 
 // Guards against a gateway that starts again and finds its last life in the sum, which it
 // cannot take out.
 func TestANewLifeIsCountedInItsFirstAnswer(t *testing.T) {
-	d := newDomain()
-	d.collector.Collect(d.reportOf(1, 1, 1), d.now, d.now)
-	d.collector.othersParts(nodeOf(1), d.now, d.now)
+	d := newTestDomain()
+	d.collector.AddReport(d.reportOf(1, 1, 1), d.now, d.now)
+	d.collector.encodedOthers(nodeOf(1), d.now, d.now)
 	again := d.reportOf(1, 1, 1)
 	again.Incarnation = 2
-	d.collector.Collect(again, d.now, d.now)
-	sum, _, err := d.collector.othersParts(nodeOf(1), d.now, d.now)
-	if err != nil || sum.Counted != again.id() {
-		t.Errorf("counted %v, want %v (%v)", sum.Counted, again.id(), err)
+	d.collector.AddReport(again, d.now, d.now)
+	sum, _, err := d.collector.encodedOthers(nodeOf(1), d.now, d.now)
+	if err != nil || sum.CountedReport != again.id() {
+		t.Errorf("counted %v, want %v (%v)", sum.CountedReport, again.id(), err)
 	}
 }
 
@@ -170,29 +170,29 @@
 	const (
 		rounds = 4
 		// partsOfReport is how often a report may be added up: once in each sum.
-		partsOfReport = int64(Interval/sumFor) + 1
+		partsOfReport = int64(Interval/sumTTL) + 1
 	)
 	own := make(map[int]int)
 	for _, gateways := range []int{100, 300, 1000, 2000} {
-		d := newDomain()
+		d := newTestDomain()
 		for round := range rounds {
 			for i := range gateways {
 				d.now = time.Unix(1000, 0).Add(time.Duration(round)*Interval + Interval*time.Duration(i)/time.Duration(gateways))
-				d.collector.Collect(d.reportOf(i, 3, 3), d.now, d.now)
+				d.collector.AddReport(d.reportOf(i, 3, 3), d.now, d.now)
 				if round == 0 {
 					continue // all are new: each needs a sum that counts it
 				}
-				sum, part, err := d.collector.othersParts(nodeOf(i), d.now, d.now)
+				sum, part, err := d.collector.encodedOthers(nodeOf(i), d.now, d.now)
 				if err != nil {
 					t.Fatal(err)
 				}
-				own[gateways] = max(own[gateways], len(encodedAlone(t, sum, part))-len(part))
+				own[gateways] = max(own[gateways], len(encodeAnswer(t, sum, part))-len(part))
 			}
 			if round == 0 {
-				d.collector.work = CollectorWork{}
+				d.collector.stats = CollectorStats{}
 			}
 		}
-		w := d.collector.work
+		w := d.collector.stats
 		t.Logf("%d gateways: %+v, %d bytes of an answer for its asker alone", gateways, w, own[gateways])
 		if w.Parts > partsOfReport*w.Reports {
 			t.Errorf("%d gateways: %d parts were added up for %d reports", gateways, w.Parts, w.Reports)
@@ -203,9 +203,9 @@
 	}
 }
 
-func encodedAlone(t *testing.T, sum Sum, part []byte) []byte {
+func encodeAnswer(t *testing.T, sum Sum, part []byte) []byte {
 	t.Helper()
-	m := message{From: report("gw-0", 1, 1), Others: &sum, OthersPart: part}
+	m := message{From: report("gw-0", 1, 1), Others: &sum, OthersEncoded: part}
 	data, err := m.encode()
 	if err != nil {
 		t.Fatal(err)
