--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -18,25 +18,24 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 )
 
-// What another gateway says is checked before any of it is taken in. What goes wrong
-// otherwise: a message that was cut, comes from an older build or holds figures that
-// cannot be (a load of thousands of requests, an age of minus a second, a rate that is
-// no number) is added to sums that go on to all gateways, and placement, limits and the
-// number of upstreams follow it everywhere.
+// A message of another gateway is validated completely before any of it is applied. Otherwise
+// a message that is truncated, comes from an older build or contains impossible values (a load
+// of thousands of requests, an age of minus one second, a rate that is not a number) would be
+// added to sums that go to all gateways, and would mislead placement, limits and scaling
+// everywhere.
 const (
-	// maxItems bounds each list of a message: some thousands of upstreams, hundreds of
-	// accounts and gateways are the largest deployments known.
+	// maxItems bounds each list of a message. The largest known deployments have some thousands
+	// of upstreams and hundreds of accounts and gateways.
 	maxItems = 20_000
-	// maxRunning and mostUnread bound the load at one upstream.
-	maxRunning = 1 << 20
-	maxUnreadTokens  = 1 << 30
-	// maxAge bounds how old something may be said to be. What was never confirmed
-	// counts as an hour old.
+	// maxRunning and maxUnreadTokens bound the load of one upstream.
+	maxRunning      = 1 << 20
+	maxUnreadTokens = 1 << 30
+	// maxAge bounds the ages in a message. What was never confirmed is said to be an hour old.
 	maxAge = 24 * time.Hour
-	milli   = 1000
+	milli  = 1000
 )
 
-// encode writes a message.
+// encode encodes a message.
 func (m *message) encode() ([]byte, error) {
 	out := &exchangev1.Message{
 		From: m.From.toProto(), Knows: m.KnownDigest, Contacts: contactsToProto(m.Contacts), Wants: m.WantsLarge, TakesPatches: m.AcceptsPatches, Upstreams: newsToProto(m.Upstreams),
@@ -56,14 +55,14 @@
 	}
 	data, err := proto.Marshal(out)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode a message")
+		return nil, errors.Wrap(err, "encode the message")
 	}
-	// A field that stands twice in a message is merged by its receiver.
+	// A decoder merges a message field that occurs twice.
 	data = appendEncoded(data, othersField, m.OthersEncoded)
 	return appendEncoded(data, domainField, m.DomainSumEncoded), nil
 }
 
-// The fields of a message that may be made of parts that were encoded before.
+// Fields of exchangev1.Message of which a part may be encoded in advance.
 const (
 	othersField protowire.Number = 8
 	domainField protowire.Number = 9
@@ -77,23 +76,23 @@
 	return protowire.AppendBytes(data, part)
 }
 
-// encodeTotals writes what of a sum grows with the upstreams, the accounts and the services.
+// encodeTotals encodes the part of a sum that grows with the upstreams, accounts and services.
 func (s *Sum) encodeTotals() ([]byte, error) {
 	parts := exchangev1.Sum{Loads: loadsToProto(s.Loads), Accounts: accountsToProto(s.Accounts), Work: workToProto(s.Demand, s.Engines)}
 	data, err := proto.Marshal(&parts)
-	return data, errors.Wrap(err, "encode a sum")
+	return data, errors.Wrap(err, "encode the totals of a sum")
 }
 
-// decode reads a message and checks all of it.
+// decode decodes a message and validates all of it.
 func decode(data []byte) (*message, error) {
 	var in exchangev1.Message
 	if err := proto.Unmarshal(data, &in); err != nil {
-		return nil, errors.Wrap(err, "not a message")
+		return nil, errors.Wrap(err, "decode the message")
 	}
 	c := &checker{}
 	m := &message{KnownDigest: in.Knows, WantsLarge: in.Wants, AcceptsPatches: in.TakesPatches, Collect: in.Collect, SubtractsOwn: in.TakesWhole, WantsCounts: in.WantsCounts}
 	if in.From == nil {
-		return nil, errors.New("a message without its sender's report")
+		return nil, errors.New("message has no report of its sender")
 	}
 	m.From = c.report(in.From)
 	m.Contacts = c.contacts(in.Contacts)
@@ -117,7 +116,7 @@
 	return m, c.err
 }
 
-// checker reads parts of a message and keeps the first fault.
+// checker decodes and validates parts of a message and keeps the first error.
 type checker struct{ err error }
 
 func (c *checker) fail(format string, args ...any) {
@@ -126,26 +125,27 @@
 	}
 }
 
+// checkCount fails if a list is longer than maxItems.
 func (c *checker) checkCount(what string, n int) {
 	if n > maxItems {
-		c.fail("%d %s, at most %d", n, what, maxItems)
+		c.fail("message has %d %s, at most %d are allowed", n, what, maxItems)
 	}
 }
 
 func (c *checker) age(millis uint64) time.Duration {
 	if millis > uint64(maxAge.Milliseconds()) {
-		c.fail("an age of %d ms", millis)
+		c.fail("age of %d ms exceeds %v", millis, maxAge)
 		return maxAge
 	}
 	return time.Duration(millis) * time.Millisecond
 }
 
-// rate reads a number that is neither negative nor infinite.
+// rate converts a number that must be finite and not negative.
 func (c *checker) rate(v float32) float64 {
 	if f := float64(v); f >= 0 && !math.IsInf(f, 1) {
 		return f
 	}
-	c.fail("a rate of %v", v)
+	c.fail("rate %v is negative, infinite or not a number", v)
 	return 0
 }
 
@@ -170,7 +170,7 @@
 		Limits: c.limits(in.Limits), LimitUses: c.limitUses(in.LimitUses), LimitColumns: c.limitColumns(in.LimitUses), LimitSet: in.LimitSet,
 	}
 	if in.Node == "" || in.Address == "" {
-		c.fail("a report of a gateway without a name or an address")
+		c.fail("report of gateway %q at address %q lacks the name or the address", in.Node, in.Address)
 	}
 	r.Work, r.Engines = c.work(in.Work)
 	return r
@@ -198,7 +198,7 @@
 		return nil
 	}
 	if in.Source == "" || in.Heard > maxItems || in.Known > maxItems || in.LeaseHolders > in.Heard {
-		c.fail("a sum of %d of %d gateways by %q, of which %d hold the lease", in.Heard, in.Known, in.Source, in.LeaseHolders)
+		c.fail("sum of source %q is not valid: %d gateways heard, %d known, %d hold the lease", in.Source, in.Heard, in.Known, in.LeaseHolders)
 	}
 	s := &Sum{
 		Source: in.Source, Seq: in.Seq, Domain: ident.FailureDomain(in.FailureDomain), Heard: int(in.Heard), Known: int(in.Known), Age: c.age(in.AgeMs),
@@ -214,7 +214,8 @@
 	return s
 }
 
-// leaseHolders is how many hold the lease; an older build says only that one does.
+// leaseHolders returns how many gateways hold the lease. An older build only says whether one
+// does.
 func leaseHolders(in *exchangev1.Sum) int {
 	if in.LeaseHeld {
 		return max(1, int(in.LeaseHolders))
@@ -242,13 +243,13 @@
 	n := len(in.Upstreams)
 	c.checkCount("loads", n)
 	if len(in.Running) != n || len(in.UnreadTokens) != n {
-		c.fail("loads of %d upstreams with %d and %d figures", n, len(in.Running), len(in.UnreadTokens))
+		c.fail("loads of %d upstreams have %d running and %d unread_tokens values", n, len(in.Running), len(in.UnreadTokens))
 		return nil
 	}
 	out := make(map[UpstreamKey]placement.Load, n)
 	for i, key := range in.Upstreams {
 		if in.Running[i] > maxRunning || in.UnreadTokens[i] > maxUnreadTokens {
-			c.fail("a load of %d requests and %d tokens", in.Running[i], in.UnreadTokens[i])
+			c.fail("load of %d requests and %d unread tokens is too high, at most %d and %d", in.Running[i], in.UnreadTokens[i], maxRunning, maxUnreadTokens)
 		}
 		out[UpstreamKey(key)] = placement.Load{Running: int(in.Running[i]), Unread: int(in.UnreadTokens[i])}
 	}
@@ -263,7 +264,7 @@
 	return out
 }
 
-// roundTotal rounds a total to whole units; what is rounded off shows in a later total.
+// roundTotal rounds a total to whole units. The remainder shows up in a later total.
 func roundTotal(v float64) uint64 { return uint64(max(0, math.Round(v))) }
 
 func (c *checker) accounts(in []*exchangev1.Account) map[ident.ClientAccount]Spending {
@@ -286,7 +287,7 @@
 	for _, service := range services {
 		w := work[service]
 		each := &exchangev1.ServiceWork{Service: string(service), PromptTokensPerS: float32(w.Prompt), Generating: float32(w.Generating)}
-		if sums, some := engines[service]; some {
+		if sums, ok := engines[service]; ok {
 			each.Engines = sums.List()
 		}
 		out = append(out, each)
@@ -305,15 +306,15 @@
 		}
 		sums, err := enginemodel.SumsOf(w.Engines)
 		if err != nil {
-			c.fail("engines of %s: %v", service, err)
+			c.fail("engine sums of service %q: %v", service, err)
 		}
 		engines[service] = sums
 	}
 	return work, engines
 }
 
-// countsToProto names each account once, not once a window: that makes a report of
-// sixteen accounts a third shorter.
+// countsToProto encodes each account's name once instead of once a window. That makes a report
+// with sixteen accounts a third shorter.
 func countsToProto(w WindowCounts) *exchangev1.Counts {
 	if len(w) == 0 {
 		return nil
@@ -346,12 +347,12 @@
 	}
 	for _, a := range in.Accounts {
 		if len(a.Counts) != len(in.Windows) {
-			c.fail("counts of account %q are of %d windows, not %d", a.Name, len(a.Counts), len(in.Windows))
+			c.fail("account %q has counts of %d windows, not of %d", a.Name, len(a.Counts), len(in.Windows))
 			return nil
 		}
 		for i, count := range a.Counts {
 			if count > math.MaxInt32 {
-				c.fail("%d requests of account %q in a window", count, a.Name)
+				c.fail("count of %d requests of account %q in a window is too high, at most %d", count, a.Name, math.MaxInt32)
 			}
 			if count != 0 {
 				out[in.Windows[i]][ident.ClientAccount(a.Name)] = int64(count)
@@ -374,7 +375,7 @@
 	var out []Contact
 	for _, each := range in {
 		if each.Node == "" || each.Address == "" {
-			c.fail("a gateway without a name or an address")
+			c.fail("contact of gateway %q at address %q lacks the name or the address", each.Node, each.Address)
 		}
 		out = append(out, Contact{
 			Node: ident.Instance(each.Node), Address: each.Address, Domain: ident.FailureDomain(each.FailureDomain), Cores: c.cores(each.MilliCores),
@@ -385,10 +386,10 @@
 
 func milliCores(cores float64) uint32 { return uint32(max(0, math.Round(cores*milli))) }
 
-func (c *checker) cores(thousandths uint32) float64 {
-	cores := float64(thousandths) / milli
+func (c *checker) cores(milliCores uint32) float64 {
+	cores := float64(milliCores) / milli
 	if cores > settings.MostCores {
-		c.fail("a machine of %v cores", cores)
+		c.fail("machine with %v cores, at most %v", cores, settings.MostCores)
 	}
 	return cores
 }
@@ -426,7 +427,7 @@
 			record.Upstream = c.upstream(u)
 		}
 		if r.Name == "" {
-			c.fail("an entry without a name")
+			c.fail("upstream entry at offset %d has no name", r.Offset)
 		}
 		news.Records = append(news.Records, record)
 	}
@@ -435,7 +436,7 @@
 
 func (c *checker) upstream(u *exchangev1.Upstream) *directory.Upstream {
 	if u.Id == "" || u.Address == "" || u.Service == "" || u.Slots > maxRunning {
-		c.fail("an entry of upstream %q at %q of service %q with %d slots", u.Id, u.Address, u.Service, u.Slots)
+		c.fail("upstream entry is not valid: id %q, address %q, service %q, %d slots", u.Id, u.Address, u.Service, u.Slots)
 	}
 	state := directory.Ready
 	if u.Leaving {
--- a/internal/gossip/codec_limits.go
+++ b/internal/gossip/codec_limits.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// fineUnit is the unit in which uses are told, a part of a request.
+	// fineUnit is the unit of encoded uses, as a part of a request.
 	fineUnit = 1.0 / 8
-	// coarseUnit is that of what was asked of all upstreams in order: sums of many gateways
-	// need no more, and then take a byte each.
+	// coarseUnit is the unit of Asked where the columns contain all upstreams of the order.
+	// Sums of many gateways need no more precision, and then take one byte each.
 	coarseUnit = 1.0 / 2
-	// maxUses bounds a use: more requests than all gateways choose an upstream for in
-	// some seconds.
+	// maxUses bounds a use: it is more requests than all gateways together assign to an
+	// upstream in some seconds.
 	maxUses = 1 << 24
-	// noLimit stands for a rate where there is no limit.
+	// noLimit is the encoded rate of an upstream without a limit.
 	noLimit = -1
 )
 
@@ -44,7 +44,7 @@
 	n := len(in.Upstreams)
 	c.checkCount("limits", n)
 	if len(in.PerSecond) != n || len(in.AgeMs) != n {
-		c.fail("limits of %d upstreams with %d rates and %d ages", n, len(in.PerSecond), len(in.AgeMs))
+		c.fail("limits of %d upstreams have %d rates and %d ages", n, len(in.PerSecond), len(in.AgeMs))
 		return nil
 	}
 	out := make([]upstreamlimit.Said, n)
@@ -58,7 +58,7 @@
 	return out
 }
 
-// usesToProto writes uses by key, or in order where there are such.
+// usesToProto encodes the columns if they are set, else the uses by upstream key.
 func usesToProto(uses upstreamlimit.Uses, columns upstreamlimit.Columns) *exchangev1.LimitUses {
 	if columns.Set != 0 {
 		return limitColumnsToProto(columns)
@@ -79,7 +79,7 @@
 	return uint32(math.Round(min(max(x, 0), maxUses) / unit))
 }
 
-// askedUnit is the unit of what was asked, of upstreams in order.
+// askedUnit returns the unit of Asked in columns with the given positions.
 func askedUnit(positions []uint32) float64 {
 	if len(positions) == 0 {
 		return coarseUnit
@@ -103,7 +103,7 @@
 	n := len(in.Asked)
 	c.checkCount("uses of limits", n)
 	if len(in.Sent) != n || len(in.Upstreams) != 0 || len(in.Positions) != 0 && len(in.Positions) != n {
-		c.fail("uses of %d limits in order with %d and %d figures", n, len(in.Sent), len(in.Upstreams))
+		c.fail("columns of %d limit uses have %d sent values, %d positions and %d upstream keys", n, len(in.Sent), len(in.Positions), len(in.Upstreams))
 		return upstreamlimit.Columns{}
 	}
 	out := upstreamlimit.Columns{Set: in.LimitSet, Positions: in.Positions}
@@ -117,7 +117,7 @@
 
 func (c *checker) limitUse(asked uint32, unit float64, sent uint32) upstreamlimit.Use {
 	if asked > maxUses/fineUnit || sent > maxUses/fineUnit {
-		c.fail("uses of a limit of %d and %d", asked, sent)
+		c.fail("limit use is too high: asked %d, sent %d, at most %d", asked, sent, int(maxUses/fineUnit))
 	}
 	return upstreamlimit.Use{Asked: float64(asked) * unit, Sent: float64(sent) * fineUnit}
 }
@@ -129,7 +129,7 @@
 	n := len(in.Upstreams)
 	c.checkCount("uses of limits", n)
 	if len(in.Asked) != n || len(in.Sent) != n {
-		c.fail("uses of %d limits with %d and %d figures", n, len(in.Asked), len(in.Sent))
+		c.fail("uses of %d limits have %d asked and %d sent values", n, len(in.Asked), len(in.Sent))
 		return nil
 	}
 	out := make(upstreamlimit.Uses, n)
--- a/internal/gossip/codec_poison.go
+++ b/internal/gossip/codec_poison.go
@@ -6,18 +6,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/poison"
 )
 
-func poisonToProto(words poison.Words) *exchangev1.Poison {
-	if words.Empty() {
+func poisonToProto(statements poison.Words) *exchangev1.Poison {
+	if statements.Empty() {
 		return nil
 	}
 	out := &exchangev1.Poison{}
-	for i := range words.Crashes {
-		c := &words.Crashes[i]
+	for i := range statements.Crashes {
+		c := &statements.Crashes[i]
 		out.Crashes = append(out.Crashes, &exchangev1.Crash{
 			Upstream: c.Upstream, AgeMs: millis(min(c.Age, maxAge)), Marks: marksToProto(c.Marks),
 		})
 	}
-	for _, v := range words.Verdicts {
+	for _, v := range statements.Verdicts {
 		out.Verdicts = append(out.Verdicts, &exchangev1.Verdict{
 			Content: uint64(v.Content), AgeMs: millis(min(v.Age, maxAge)), IdleMs: millis(min(v.Idle, maxAge)), Cleared: v.Cleared,
 		})
@@ -37,7 +37,7 @@
 	if in == nil {
 		return poison.Words{}
 	}
-	c.checkCount("ends of upstreams", len(in.Crashes))
+	c.checkCount("crashes of upstreams", len(in.Crashes))
 	c.checkCount("verdicts", len(in.Verdicts))
 	var out poison.Words
 	for _, each := range in.Crashes {
@@ -47,7 +47,7 @@
 	}
 	for _, each := range in.Verdicts {
 		if ident.Mark(each.Content).Content() == 0 {
-			c.fail("a verdict of no content")
+			c.fail("verdict on content %d is not valid", each.Content)
 		}
 		out.Verdicts = append(out.Verdicts, poison.Verdict{
 			Content: ident.Content(each.Content), Age: c.age(each.AgeMs), Idle: c.age(each.IdleMs), Cleared: each.Cleared,
@@ -62,7 +62,7 @@
 	for _, each := range in {
 		mark := ident.Mark(each)
 		if mark.Content() == 0 {
-			c.fail("an end under no content")
+			c.fail("mark %d of a crash has no content", each)
 		}
 		out = append(out, mark)
 	}
--- a/internal/gossip/codec_rollout.go
+++ b/internal/gossip/codec_rollout.go
@@ -10,10 +10,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-func rolloutsToProto(words rollout.Words) []*exchangev1.Rollout {
+func rolloutsToProto(statements rollout.Words) []*exchangev1.Rollout {
 	var out []*exchangev1.Rollout
-	for i := range words {
-		w := &words[i]
+	for i := range statements {
+		w := &statements[i]
 		each := &exchangev1.Rollout{
 			Service: string(w.Order.Service), Order: uint64(w.Order.Offset), To: string(w.Order.To), LengthMs: millis(w.Order.Length),
 			AgeMs: millis(min(w.Age, maxAge)), Phase: uint32(w.Phase), ConfirmedMs: millis(min(w.Confirmed, maxAge)), Stopped: w.Stopped,
@@ -44,7 +44,7 @@
 	for _, each := range in {
 		phase := rollout.Phase(each.Phase)
 		if each.Service == "" || each.To == "" || phase < rollout.Waiting || phase > rollout.Completed || each.Settled > maxItems {
-			c.fail("a rollout of %q to %q in phase %d at %d gateways", each.Service, each.To, each.Phase, each.Settled)
+			c.fail("rollout is not valid: service %q, version %q, phase %d, settled at %d gateways", each.Service, each.To, each.Phase, each.Settled)
 		}
 		out = append(out, rollout.Word{
 			Order: rollout.Order{
@@ -57,10 +57,10 @@
 	return out
 }
 
-// length reads how long an order may take, which has the bound of an age.
+// length converts the time that a rollout may take. It has the same bound as an age.
 func (c *checker) length(millis uint64) time.Duration {
 	if millis == 0 {
-		c.fail("a rollout without a length")
+		c.fail("rollout has no length")
 	}
 	return c.age(millis)
 }
@@ -76,30 +76,30 @@
 		out[rollout.RouteKey(route)] = evidence
 	}
 	if len(figures) > 0 {
-		c.fail("%d figures too many of a rollout", len(figures))
+		c.fail("rollout has %d figures too many", len(figures))
 	}
 	return out
 }
 
-// tallyHeaderFigures come before a tally's classes of times.
+// tallyHeaderFigures is the number of figures that precede a tally's time classes.
 const tallyHeaderFigures = 4
 
-// tally reads one tally and returns the figures that follow it.
+// tally decodes one tally and returns the figures that follow it.
 func (c *checker) tally(figures []int32) (rollout.Tally, []int32) {
 	if len(figures) < tallyHeaderFigures {
-		c.fail("%d figures of a rollout's tally", len(figures))
+		c.fail("tally of a rollout has only %d figures, at least %d are needed", len(figures), tallyHeaderFigures)
 		return rollout.Tally{}, nil
 	}
 	out := rollout.Tally{Sent: int(figures[0]), Answers: int(figures[1]), Failures: int(figures[2])}
 	classes, rest := int(figures[3]), figures[tallyHeaderFigures:]
 	if out.Sent < 0 || out.Answers < 0 || out.Answers > out.Sent || out.Failures < 0 || out.Failures > out.Answers || classes < 0 || 2*classes > len(rest) {
-		c.fail("%d failures of %d answers to %d requests, and %d classes of times", out.Failures, out.Answers, out.Sent, classes)
+		c.fail("tally of a rollout is not valid: %d sent, %d answers, %d failures, %d time classes", out.Sent, out.Answers, out.Failures, classes)
 		return rollout.Tally{}, nil
 	}
 	for i := range classes {
 		class, n := rollout.Class(rest[2*i]), int(rest[2*i+1])
 		if !class.Valid() || n < 0 || n > out.Answers {
-			c.fail("%d answers of time class %d", n, class)
+			c.fail("tally of a rollout is not valid: %d answers in time class %d", n, class)
 			continue
 		}
 		if out.Times == nil {
--- a/internal/gossip/collect.go
+++ b/internal/gossip/collect.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// collectTimeout ends a report to a collector, or an exchange of sums: about a
-	// round, so that a collector that died, froze or was cut off costs one round before
-	// the next one of its domain is asked. A slowed one answers within it.
+	// collectTimeout ends a report to a collector or an exchange of sums. It is about a round,
+	// so that a collector that died, froze or was cut off costs one round before the next one
+	// of its domain is tried. A collector on a busy machine answers within it.
 	collectTimeout = 250 * time.Millisecond
-	// collectorWarmUp is for how long an answer that holds more gateways is kept beside those of
-	// a collector that has just begun: it hears of all within two rounds.
+	// collectorWarmUp is how long an answer with more gateways is preferred to those of a
+	// collector that has just started: within two rounds all gateways report to it.
 	collectorWarmUp = 2*Interval + collectTimeout/2
 	// maxCollectorTries is how many collectors of a domain are tried in a round.
 	maxCollectorTries = 2
 )
 
-// runCollection does a round's part in collecting: this gateway's report goes to its domain's
-// first collector, and a collector exchanges its domain's sum with those of the others.
+// runCollection does a round's exchanges with collectors: it reports to the first collector of
+// this gateway's domain and, if this gateway is a collector, exchanges its domain's sum with
+// the collectors of the other domains.
 func (g *Gossip) runCollection(ctx context.Context, now time.Time) {
 	report := g.cfg.Knowledge.Report(now)
 	if g.isFirstCollector(now) || g.collector.ReceivesReports(now) {
@@ -30,14 +31,14 @@
 	if g.isActiveCollector(now) {
 		g.cfg.Table.SetRoster(g.collector.Roster(now), now)
 	}
-	// A first collector reports to the next in line, which knows from it that this one
-	// is there.
+	// The first collector reports to the next one, which learns from it that the first
+	// one is there.
 	g.sendToCollector(ctx, g.cfg.Self.Domain, now, func() []byte { return g.encodeCollectRequest(report, now) })
 	g.exchangeSums(ctx, now)
 }
 
-// exchangeSums exchanges this domain's sum with the collectors of the others, if this
-// gateway collects.
+// exchangeSums exchanges this domain's sum with the collectors of the others if this gateway
+// is a collector.
 func (g *Gossip) exchangeSums(ctx context.Context, now time.Time) {
 	if !usesCollectors(g.cfg.Table.CountOthers(now)) || !g.isFirstCollector(now) && !g.collector.ReceivesReports(now) {
 		return
@@ -49,21 +50,23 @@
 	}
 }
 
-// sendToCollector sends a request to a domain's first collector, and to the next one if it does not
-// answer, unless one is on its way. It does not wait for the answer.
+// sendToCollector sends a request to the first collector of a domain, and to the next one if
+// that does not answer. It sends nothing while another request to that domain is in flight,
+// and does not wait for the answer.
 func (g *Gossip) sendToCollector(ctx context.Context, domain ident.FailureDomain, now time.Time, request func() []byte) {
 	order := g.cfg.Table.Collectors(domain, now)
 	key := "collector of " + string(domain)
-	if len(order) == 0 || !g.tryBegin(key) {
+	if len(order) == 0 || !g.tryBeginExchange(key) {
 		return
 	}
 	go func() {
-		defer g.end(key)
+		defer g.endExchange(key)
 		g.sendToFirst(ctx, order, request())
 	}()
 }
 
-// sendToFirst reports whether one of the collectors took a request.
+// sendToFirst sends a request to the collectors in order, maxCollectorTries at most, until one
+// answers. It applies the answer and reports whether there was one.
 func (g *Gossip) sendToFirst(ctx context.Context, order []Contact, request []byte) bool {
 	for _, c := range order[:min(maxCollectorTries, len(order))] {
 		sent := g.cfg.Now()
@@ -78,7 +81,8 @@
 	return false
 }
 
-// announceToCollectors tells the collectors of all domains at once.
+// announceToCollectors reports to this domain's collector at once. If this gateway is itself a
+// collector, it also sends its domain's sum to the collectors of all other domains.
 func (g *Gossip) announceToCollectors(ctx context.Context, all *sync.WaitGroup, now time.Time) {
 	own := g.cfg.Table.Collectors(g.cfg.Self.Domain, now)
 	report := g.cfg.Knowledge.Report(now)
@@ -96,12 +100,12 @@
 	}
 }
 
-// encodeCollectRequest is this gateway's report to a collector.
+// encodeCollectRequest encodes a report as a request to a collector.
 func (g *Gossip) encodeCollectRequest(report Report, now time.Time) []byte {
 	_, digests := g.cfg.Table.Rosters(now)
 	g.mu.Lock()
 	if report.LimitSet != 0 && report.LimitSet == g.collectorLimitSet {
-		// The collector knows them.
+		// The collector knows the same limits.
 		report.Limits = nil
 		report.LimitColumns, report.LimitUses = report.LimitUses.Columns(g.cfg.Knowledge.LimitOrder()), nil
 	}
@@ -110,19 +114,19 @@
 	return g.encode(&message{From: report, Collect: true, SubtractsOwn: true, RosterDigests: digests})
 }
 
-// maxSentReports is how many of its own reports a gateway remembers, to take the one that is
-// counted out of a collector's answer: those of two seconds, twice as long as one counts.
+// maxSentReports is how many of its own reports a gateway remembers to subtract the included
+// one from a collector's answer: those of two seconds, twice as long as a report counts.
 const maxSentReports = 2 * freshRounds
 
-// rememberReport keeps a report that is sent to a collector.
+// rememberReport remembers a report that is sent to a collector.
 func (g *Gossip) rememberReport(report Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sentReports = appendNewest(g.sentReports, report, maxSentReports)
 }
 
-// subtractOwnReport takes this gateway's report out of a collector's sum and reports whether it
-// could: g.mu is held.
+// subtractOwnReport subtracts this gateway's report from a collector's sum. It returns false
+// if the sum includes a report that this gateway no longer remembers; g.mu is held.
 func (g *Gossip) subtractOwnReport(s *Sum) bool {
 	if s.CountedReport == (reportID{}) {
 		return true
@@ -136,7 +140,7 @@
 	return false
 }
 
-// encodeDomainSumRequest is a collector's word to another domain's.
+// encodeDomainSumRequest encodes this domain's sum as a request to another domain's collector.
 func (g *Gossip) encodeDomainSumRequest(now time.Time) []byte {
 	_, digests := g.cfg.Table.Rosters(now)
 	m := &message{From: g.cfg.Knowledge.Brief(now), RosterDigests: digests}
@@ -148,7 +152,7 @@
 func (g *Gossip) addDomainSum(m *message, now, wall time.Time) {
 	sum, encoded, err := g.collector.encodedDomainSum(now, wall)
 	if err != nil {
-		g.cfg.Log.Error("the domain's sum is not told", "error", err)
+		g.cfg.Log.Error("cannot encode the sum of this failure domain", "error", err)
 		return
 	}
 	m.DomainSum, m.DomainSumEncoded = &sum, encoded
@@ -163,14 +167,14 @@
 	}
 	sum, encoded, err := g.collector.encodedOthers(asked.From.Node, now, wall)
 	if err != nil {
-		g.cfg.Log.Error("the sum of all gateways is not told", "asker", asked.From.Node, "error", err)
+		g.cfg.Log.Error("cannot encode the sum of all gateways", "asker", asked.From.Node, "error", err)
 		return
 	}
 	reply.Others, reply.OthersEncoded = &sum, encoded
 }
 
-// addCollectorAnswer adds to an answer what a gateway that reports here, or another domain's
-// collector, asks for.
+// addCollectorAnswer adds to an answer what a gateway that reports to this collector, or the
+// collector of another domain, asks for.
 func (g *Gossip) addCollectorAnswer(asked, reply *message, now, wall time.Time) {
 	if asked.WantsCounts {
 		reply.Counts = g.collector.Counts()
@@ -190,7 +194,7 @@
 	g.addMissingRosters(asked, reply, now)
 }
 
-// addMissingRosters adds the rosters that the asker lacks.
+// addMissingRosters adds the rosters that the asker lacks to an answer.
 func (g *Gossip) addMissingRosters(asked, reply *message, now time.Time) {
 	g.cfg.Table.ConfirmRosters(asked.RosterDigests, g.rosterFilter(asked.From.Domain, now), now)
 	rosters, digests := g.cfg.Table.Rosters(now)
@@ -202,12 +206,16 @@
 	}
 }
 
-// isActiveCollector reports whether this gateway is its domain's collector, and others report to it.
-func (g *Gossip) isActiveCollector(now time.Time) bool { return g.isFirstCollector(now) && g.collector.ReceivesReports(now) }
+// isActiveCollector reports whether this gateway is its domain's first collector and others
+// report to it.
+func (g *Gossip) isActiveCollector(now time.Time) bool {
+	return g.isFirstCollector(now) && g.collector.ReceivesReports(now)
+}
 
-// rosterFilter tells of which domains a gateway's rosters are taken: the collector of a
-// domain takes those of other domains from gateways there alone, and nobody's of its own
-// domain; the others take all.
+// rosterFilter returns a function that tells of which domains the rosters from a gateway in
+// the given domain are accepted. The active collector of a domain accepts another domain's
+// roster only from gateways of that domain, and its own domain's from nobody. All other
+// gateways accept all rosters.
 func (g *Gossip) rosterFilter(from ident.FailureDomain, now time.Time) func(ident.FailureDomain) bool {
 	leads := g.isActiveCollector(now)
 	return func(domain ident.FailureDomain) bool {
@@ -215,25 +223,25 @@
 	}
 }
 
-// applyDomainSum takes in another domain's sum.
+// applyDomainSum applies the sum of another domain, if a gateway of that domain sent it.
 func (g *Gossip) applyDomainSum(m *message, now, wall time.Time) {
 	if m.DomainSum.Domain == m.From.Domain {
 		g.collector.AddDomainSum(*m.DomainSum, now, wall)
 	}
 }
 
-// applyCollectorAnswer takes in what a collector answered.
+// applyCollectorAnswer applies the parts of an answer that a collector adds.
 func (g *Gossip) applyCollectorAnswer(m *message, now, wall time.Time) {
-	believes := g.rosterFilter(m.From.Domain, now)
+	trusted := g.rosterFilter(m.From.Domain, now)
 	for _, r := range m.Rosters {
-		if believes(r.Domain) {
+		if trusted(r.Domain) {
 			g.cfg.Table.SetRoster(r, now)
 		} else {
-			// Whom this gateway does not know may come before it.
+			// A gateway that is not known yet may come before this one as collector.
 			g.cfg.Table.AddContacts(r.Gateways, now)
 		}
 	}
-	g.cfg.Table.ConfirmRosters(m.RosterDigests, believes, now)
+	g.cfg.Table.ConfirmRosters(m.RosterDigests, trusted, now)
 	if m.DomainSum != nil {
 		g.applyDomainSum(m, now, wall)
 	}
@@ -244,12 +252,13 @@
 	defer g.mu.Unlock()
 	if !g.subtractOwnReport(m.Others) {
 		g.rejectedAnswers.Add(1)
-		g.cfg.Log.Warn("a collector's sum counts a report that is not known any more, it changes nothing", "node", m.From.Node, "seq", m.Others.CountedReport.Seq)
+		g.cfg.Log.Warn("ignored a collector's sum: it includes a report of this gateway that is no longer remembered", "node", m.From.Node, "seq", m.Others.CountedReport.Seq)
 		return
 	}
 	if g.collectorSum != nil && m.Others.Source != g.collectorSum.Source && m.Others.Heard < g.collectorSum.Heard && now.Sub(g.collectorSumAt) < collectorWarmUp {
-		// A collector that has just begun is still being told of the others. Where the same
-		// one hears fewer, some have gone: in a large fleet that is so every few rounds.
+		// A collector that has just started has not heard from all gateways yet. Fewer
+		// gateways in the same source's sum mean that some are gone: in a large fleet that
+		// happens every few rounds.
 		return
 	}
 	g.applyLimits(m)
@@ -258,13 +267,13 @@
 	g.collectorClockCorrection = time.UnixMilli(m.Others.TrueWallMillis).Sub(wall)
 }
 
-// knownCount is how many other gateways may admit requests, by a collector's word.
+// knownCount is how many other gateways may admit requests, according to a collector.
 type knownCount struct {
-	gateways int
-	receivedAt    time.Time
+	gateways   int
+	receivedAt time.Time
 }
 
-// recordKnown notes how many gateways a sum's source knows; g.mu is held.
+// recordKnown records how many gateways the source of a sum knows; g.mu is held.
 func (g *Gossip) recordKnown(s *Sum, now time.Time) {
 	g.knownBySource[s.Source] = knownCount{gateways: s.Known, receivedAt: now}
 	for source, k := range g.knownBySource {
@@ -274,10 +283,11 @@
 	}
 }
 
-// knownOthers is how many other gateways may admit requests: the most that any collector knew
-// lately. What goes wrong with the newest collector's word alone: it begins when the one
-// before it was killed, knows only those that report to it, and the survivors take each
-// other for all, though the killed ones have admitted until just now and are back soon.
+// knownOthers returns how many other gateways may admit requests: the highest number that any
+// collector knew within KnownTimeout. The newest collector alone does not suffice: it starts
+// when the one before it was killed and knows only the gateways that report to it. Survivors
+// would take these for all gateways, though the killed ones admitted requests until just now
+// and will soon be back.
 func (g *Gossip) knownOthers(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -290,9 +300,9 @@
 	return most
 }
 
-// collectionWorks reports whether collecting works for this gateway: it hears of the others by a
-// collector, or collects itself. Until then it meets others directly too, which tell it
-// who there is.
+// collectionWorks reports whether this gateway hears of the others from a collector, or is a
+// collector that others report to. Until then it also exchanges reports with others directly,
+// which tell it what gateways there are.
 func (g *Gossip) collectionWorks(now time.Time) bool {
 	g.mu.Lock()
 	answered := g.collectorSum != nil && g.collectorSum.Heard > 0 && now.Sub(g.collectorSumAt) <= freshFor
@@ -300,8 +310,9 @@
 	return answered || g.isFirstCollector(now) && (g.collector.ReceivesReports(now) || len(g.collector.heardDomains(now)) > 0)
 }
 
-// requestDomainCounts reports whether the counts of all domains that are heard came within a
-// time, and asks the collectors of those whose did not.
+// requestDomainCounts reports whether the counts of all domains that are heard arrived within
+// the given time before now, and asks the collectors of the other domains for theirs. It does
+// not wait for the answers.
 func (g *Gossip) requestDomainCounts(ctx context.Context, within time.Duration, now time.Time) bool {
 	silent := g.View(now).Silent
 	g.cfg.Knowledge.Count(g.collector.Counts())
@@ -319,11 +330,11 @@
 		}
 		all = false
 		key := "counts of " + string(domain)
-		if !g.tryBegin(key) {
+		if !g.tryBeginExchange(key) {
 			continue
 		}
 		go func() {
-			defer g.end(key)
+			defer g.endExchange(key)
 			request := g.encode(&message{From: g.cfg.Knowledge.Brief(now), WantsCounts: true})
 			if g.sendToFirst(ctx, order, request) {
 				g.mu.Lock()
--- a/internal/gossip/collector.go
+++ b/internal/gossip/collector.go
@@ -11,71 +11,71 @@
 )
 
 const (
-	// freshFor is for how long a collected report, or a domain's sum, counts as the
-	// present: four rounds, so that two lost ones change nothing.
+	// freshFor is how long a collected report, or the sum of a domain, counts as current: four
+	// rounds, so that losing two in a row changes nothing.
 	freshFor = freshRounds * Interval
-	// countsTTL is for how long the counts of a gateway that is gone are kept: the
-	// usage of a window is decided within 10 s of its end.
+	// countsTTL is how long the counts of a gateway that is gone are kept: the usage of a
+	// window is settled within 10 s after the window's end.
 	countsTTL = time.Minute
 )
 
-// Collector joins what the gateways of one failure domain report, and what the
-// collectors of the other domains say of theirs. Every gateway has one; it does
-// something where others choose it.
+// Collector adds up the reports of the gateways of one failure domain and the sums of the
+// other domains' collectors. Every gateway has a Collector; it does something once other
+// gateways report to it.
 //
-// Nothing is counted twice: each gateway is counted by its newest report, each domain by
-// the sum of one of its collectors, and a gateway that asks takes its own report out of the
-// answer. What a gateway
-// or a domain that fell silent had in progress is forgotten after collectedFor; its
-// totals stay, because totals only grow.
+// Nothing is counted twice: each gateway counts by its newest report, each domain by the sum
+// of one of its collectors, and a gateway that asks subtracts its own report from the answer.
+// What a silent gateway or domain had in progress is dropped after freshFor. Its totals stay,
+// because totals only grow.
 //
-// It does no I/O and is safe for concurrent use.
+// A Collector does no I/O and is safe for concurrent use.
 type Collector struct {
-	self Contact
+	self          Contact
 	incarnationID string
 
 	mu      sync.Mutex
 	seq     uint64
 	members map[ident.Instance]*receivedReport
 	domains map[ident.FailureDomain]*domainSums
-	// cachedDomainSum and all are the newest sums of this domain and of all gateways.
+	// cachedDomainSum and cachedTotalSum are the newest sums of this domain and of all
+	// gateways.
 	cachedDomainSum, cachedTotalSum *sharedSum
-	// expiredAt is when what is too old was last forgotten.
+	// expiredAt is when expire last dropped old data.
 	expiredAt time.Time
 	stats     CollectorStats
-	// memberTotals are the accounts' totals of own members, and told those of the other
-	// domains.
+	// memberTotals are the account totals of this domain's gateways, and domainTotals those of
+	// the other domains.
 	memberTotals, domainTotals accumulator
-	counts         map[string]*receivedCounts
+	counts                     map[string]*receivedCounts
 }
 
 // receivedReport is the newest report of a gateway.
 type receivedReport struct {
-	report Report
-	receivedAt     time.Time
-	// clockOffset is its time of day minus this machine's.
+	report     Report
+	receivedAt time.Time
+	// clockOffset is the gateway's wall clock minus this machine's.
 	clockOffset time.Duration
 }
 
-// domainSums are the newest sums of another domain, by their source.
+// domainSums are the newest sums of another domain, by source.
 type domainSums struct {
 	sums map[string]*receivedSum
-	// chosen is the source that counts.
+	// chosen is the source whose sum counts.
 	chosen string
 }
 
 type receivedSum struct {
-	sum     Sum
-	receivedAt      time.Time
+	sum         Sum
+	receivedAt  time.Time
 	clockOffset time.Duration
 }
 
 type receivedCounts struct {
-	began WindowCounts
-	receivedAt    time.Time
+	began      WindowCounts
+	receivedAt time.Time
 }
 
-// NewCollector returns a collector that has heard nothing.
+// NewCollector returns a collector that has received nothing.
 func NewCollector(self Contact, incarnation ident.Incarnation) *Collector {
 	return &Collector{
 		self: self, incarnationID: LifeOf(self.Node, incarnation), members: make(map[ident.Instance]*receivedReport),
@@ -84,12 +84,13 @@
 	}
 }
 
-// LifeOf names one life of a gateway.
+// LifeOf returns the name of one incarnation of a gateway.
 func LifeOf(node ident.Instance, incarnation ident.Incarnation) string {
 	return string(node) + "/" + strconv.FormatUint(uint64(incarnation), 10)
 }
 
-// AddReport takes in a gateway's report. An older one than is known changes nothing.
+// AddReport takes over a gateway's report. A report that is older than the known one is
+// ignored.
 func (c *Collector) AddReport(r Report, now, wall time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +106,7 @@
 	c.expire(now)
 }
 
-// expire drops what is too old to matter, once a round.
+// expire drops data that is too old to be used, once a round; c.mu is held.
 func (c *Collector) expire(now time.Time) {
 	if now.Sub(c.expiredAt) < Interval {
 		return
@@ -124,7 +125,8 @@
 	}
 }
 
-// AddDomainSum takes in the sum of another domain.
+// AddDomainSum takes over the sum of another domain. A sum that is older than the known one of
+// the same source is ignored.
 func (c *Collector) AddDomainSum(s Sum, now, wall time.Time) {
 	if s.Domain == c.self.Domain || s.Source == c.incarnationID {
 		return
@@ -150,9 +152,9 @@
 	}
 }
 
-// choose returns the sum that counts: that of the collector which counted last, as long
-// as no other one hears more gateways; nil where all are old. Two collectors of a domain
-// are at work while its gateways move from one to the other.
+// choose returns the sum that counts: that of the source chosen last, unless another source
+// hears more gateways; nil if all sums are old. A domain has two collectors at work while its
+// gateways move from one to the other.
 func (d *domainSums) choose(now time.Time) *receivedSum {
 	best := d.sums[d.chosen]
 	if best != nil && now.Sub(best.receivedAt) > freshFor {
@@ -170,8 +172,8 @@
 	return best
 }
 
-// known is how many gateways of a domain may admit requests: the most that any of its
-// collectors knew lately. One that has just begun knows few.
+// known returns how many gateways of a domain may admit requests: the highest number that any
+// of its collectors reported within KnownTimeout. A collector that has just started knows few.
 func (d *domainSums) known(now time.Time) int {
 	known := 0
 	for _, s := range d.sums {
@@ -182,7 +184,7 @@
 	return known
 }
 
-// silent reports whether a domain was heard lately and is not now.
+// silent reports whether a domain was heard within KnownTimeout but not within silentAfter.
 func (d *domainSums) silent(now time.Time) bool {
 	heard := false
 	for _, s := range d.sums {
@@ -195,8 +197,9 @@
 	return heard
 }
 
-// ReceivesReports reports whether other gateways report to this one. A collector's own reports to
-// the next in line do not make that one act.
+// ReceivesReports reports whether gateways that come after this one in the order of collectors
+// report to it. A report from one that comes before does not count: the first collector
+// reports to the next one.
 func (c *Collector) ReceivesReports(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,8 +211,9 @@
 	return false
 }
 
-// clockCorrectionLocked returns what to add to this machine's time of day so that it is the
-// median of the gateways that are heard; each other domain counts once.
+// clockCorrectionLocked returns what to add to this machine's wall clock to get the median of
+// the clocks of all gateways that are heard. Each other domain counts as one clock. c.mu is
+// held.
 func (c *Collector) clockCorrectionLocked(now time.Time) time.Duration {
 	offs := []time.Duration{0}
 	for node, m := range c.members {
@@ -225,14 +229,14 @@
 	return median(offs)
 }
 
-// clockCorrection is what to add to this machine's time of day.
+// clockCorrection returns what to add to this machine's wall clock.
 func (c *Collector) clockCorrection(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.clockCorrectionLocked(now)
 }
 
-// heardDomains are the other domains of which a sum counts.
+// heardDomains returns the other domains that have a current sum.
 func (c *Collector) heardDomains(now time.Time) []ident.FailureDomain {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,7 +249,8 @@
 	return out
 }
 
-// Roster returns the first of this domain's gateways that are heard and do not leave.
+// Roster returns the first collectors among this domain's gateways that have reported recently
+// and are not leaving.
 func (c *Collector) Roster(now time.Time) Roster {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -260,11 +265,11 @@
 	return r
 }
 
-// rosterFor is for how long after its last report a gateway is listed among those that
-// can collect.
+// rosterFor is how long after its last report a gateway stays in the roster.
 const rosterFor = 1500 * time.Millisecond
 
-// Counts returns what this domain's gateways counted, also those that are gone.
+// Counts returns the requests that this domain's gateways counted, including gateways that are
+// gone.
 func (c *Collector) Counts() []LifeCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -12,41 +12,42 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// A configuration can be large, and the entries of all upstreams too: 300 KB take a
-// quarter of a second on a link of 10 Mbit/s. What goes wrong if they are part of each
-// exchange with a gateway that lacks them: after a change, each of sixty gateways is
-// sent them by several others at once, the links stand still for seconds, exchanges run
-// into their timeout and begin again, and neither the configuration nor departures
-// arrive in time. So a gateway asks one other at a time, only if the store does not bring
-// it, and gets the configuration compressed. A small one, or a small change of a large one,
-// is part of the answer to whoever lacks it: otherwise each gateway would ask the store for
-// each change.
+// A configuration can be large, and so can the entries of all upstreams: 300 KB take a
+// quarter of a second on a link of 10 Mbit/s. If every exchange with a gateway that lacks
+// them carried them, then after a change each of sixty gateways would get them from several
+// others at once: the links would be blocked for seconds, exchanges would time out and start
+// again, and neither the configuration nor departures would arrive in time. So a gateway
+// fetches them from one other gateway at a time, only if the store does not provide them, and
+// gets the configuration compressed. A small configuration, or a small change of a large one,
+// is part of the answer to every gateway that lacks it: otherwise each gateway would ask the
+// store for each change.
 
 const (
-	// fetchTimeout ends the transfer of a configuration: several hundred KB
-	// compressed on a slow link that is shared with requests.
+	// fetchTimeout ends a fetch: several hundred KB compressed, on a slow link that is shared
+	// with requests.
 	fetchTimeout = 2 * time.Second
-	// maxTransfers is how many gateways are handed the configuration at a time.
+	// maxTransfers bounds how many gateways are sent large data at a time.
 	maxTransfers = 2
-	// smallConfigBytes is up to how many bytes, compressed, a configuration counts as small:
-	// four packets, about as much as the sums of loads beside it.
+	// smallConfigBytes is the compressed size up to which a configuration counts as small: four
+	// packets, about as much as the sums of loads in the same answer.
 	smallConfigBytes = 6 << 10
-	// maxConfigBytes bounds a configuration, bytes.
+	// maxConfigBytes bounds a configuration.
 	maxConfigBytes = 16 << 20
 )
 
-// encodedConfig is a ConfigRecord as it travels.
+// encodedConfig is a ConfigRecord as it is sent.
 type encodedConfig struct {
 	Revision ident.Revision
 	Offset   ident.Offset
-	// Gzip is the record's data, compressed; empty where Patch makes it of the data of an
-	// earlier revision, Base.
+	// Gzip is the record's compressed data. It is empty if Patch is set, which turns the data
+	// of the earlier revision Base into the record's.
 	Gzip  []byte
 	Base  ident.Revision
 	Patch []byte
 }
 
-// compress compresses a configuration. The last one is kept, because others ask for it.
+// compress compresses a configuration. It keeps the last result, because several gateways ask
+// for the same configuration.
 func (g *Gossip) compress(record *ConfigRecord) (*encodedConfig, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -55,23 +56,24 @@
 	}
 	data, err := gzipped.Pack(record.Data, gzip.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "the configuration")
+		return nil, errors.Wrapf(err, "compress the configuration of revision %d", record.Revision)
 	}
 	g.compressed = &encodedConfig{Revision: record.Revision, Offset: record.Offset, Gzip: data}
 	return g.compressed, nil
 }
 
-// decompress is the inverse of pack.
+// decompress is the inverse of compress.
 func (p *encodedConfig) decompress() (*ConfigRecord, error) {
 	data, err := gzipped.Unpack(p.Gzip, maxConfigBytes)
 	if err != nil {
-		return nil, errors.Wrap(err, "the configuration")
+		return nil, errors.Wrapf(err, "decompress the configuration of revision %d", p.Revision)
 	}
 	return &ConfigRecord{Revision: p.Revision, Offset: p.Offset, Data: data}, nil
 }
 
-// fetch asks one other gateway for the configuration, or for all upstreams' entries, if
-// this one lacks them, unless it is already asking. It does not wait for the answer.
+// fetch asks one other gateway for the configuration, or for all upstream entries, if this one
+// lacks them and is not already asking. It prefers gateways with the newest configuration and
+// falls back to the given addresses. It does not wait for the answer.
 func (g *Gossip) fetch(ctx context.Context, addresses []string) {
 	if !g.cfg.Knowledge.Lacks() {
 		return
@@ -96,15 +98,15 @@
 	sent := g.cfg.Now()
 	answer, err := g.call(ctx, address, g.encodeReport(true))
 	if err != nil {
-		g.cfg.Log.Info("nothing fetched from another gateway", "address", address, "error", err)
+		g.cfg.Log.Info("fetch from another gateway failed", "address", address, "error", err)
 		return
 	}
 	g.handleAnswer(answer, sent)
 }
 
-// addMissing adds to an answer what the asker lacks. What is large it gets only if it wants
-// it and its turn has come; otherwise it asks again, or another gateway. Call done when
-// the answer is sent.
+// addMissing adds to an answer what the asker lacks. Large data is added only if the asker
+// wants it and fewer than maxTransfers transfers are active; otherwise the asker tries again,
+// here or at another gateway. The caller calls done once the answer is sent.
 func (g *Gossip) addMissing(asked, reply *message) (done func()) {
 	large := asked.WantsLarge && g.activeTransfers.Add(1) <= maxTransfers
 	done = func() {
@@ -124,7 +126,7 @@
 		}
 		packed, err := g.compress(record)
 		if err != nil {
-			g.cfg.Log.Error("configuration not handed on", "revision", record.Revision, "error", err)
+			g.cfg.Log.Error("cannot send the configuration to another gateway", "revision", record.Revision, "error", err)
 			return done
 		}
 		if large || len(packed.Gzip) <= smallConfigBytes {
@@ -134,8 +136,8 @@
 	return done
 }
 
-// newestConfig returns the newest revision among the gateways that are heard, and the
-// addresses of those that have it.
+// newestConfig returns the newest revision that fresh gateways report, and the addresses of
+// the gateways that have it.
 func (t *Table) newestConfig(now time.Time) (ident.Revision, []string) {
 	newest := ident.Revision(0)
 	var addresses []string
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -41,7 +41,7 @@
 	delay time.Duration
 	// limits is how many upstreams have limits, and differ whether gateways know different
 	// ones.
-	limits int
+	limits       int
 	limitsDiffer bool
 	// disconnected reports whether two gateways cannot reach each other.
 	disconnected func(a, b *node) bool
@@ -49,20 +49,20 @@
 
 // node is one gateway of a fleet.
 type node struct {
-	fleet   *fleet
-	contact Contact
-	number  int
-	incarnation    ident.Incarnation
-	gossip  *Gossip
-	stop    context.CancelFunc
+	fleet       *fleet
+	contact     Contact
+	number      int
+	incarnation ident.Incarnation
+	gossip      *Gossip
+	stop        context.CancelFunc
 	startedAt   time.Time
-	dead    bool
+	dead        bool
 	// frozenUntil: it does nothing before.
 	frozenUntil time.Time
 	seq         uint64
 	// sentBytes and received are bytes, as caller and as callee.
 	sentBytes, receivedBytes int
-	receivedCounts        map[string]WindowCounts
+	receivedCounts           map[string]WindowCounts
 	// confirmedAt is when the newest revision was confirmed, by this gateway's knowledge.
 	confirmedAt time.Time
 }
@@ -353,7 +353,7 @@
 // exchange, half of these on average; right before the next answer a gateway's view is a
 // round older. usualMeanAge is the same over some seconds.
 const (
-	maxMeanAge  = 450 * time.Millisecond
+	maxMeanAge    = 450 * time.Millisecond
 	maxAverageAge = 350 * time.Millisecond
 )
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -22,54 +22,58 @@
 )
 
 const (
-	// Interval between two rounds. Others' loads and spending are older than
-	// this by one round at the most where a round reaches all gateways. Half of it would
-	// cost twice the bytes; twice of it would let an account that suddenly asks for
-	// several times its limit have more than it may.
+	// Interval is the time between two rounds. Where a round reaches all gateways, the others'
+	// loads and spending are at most one round old. Half of this interval would cost twice the
+	// bytes; with twice of it, an account that suddenly asks for several times its limit could
+	// get more than the limit.
 	Interval = 250 * time.Millisecond
-	// fanout bounds the direct meetings of a round. Up to twice as many others all meet
-	// in each round, as caller or as callee; among more, reports are collected.
+	// fanout bounds the gateways that a round exchanges reports with directly. Up to twice as
+	// many others all meet in each round, as caller or as callee; with more, collectors are
+	// used.
 	fanout = 8
-	// exchangeTimeout ends an exchange on a connection that went silent. The
-	// farthest gateways are 1 ms apart, and a slowed one answers within some
-	// tenths of a second.
+	// exchangeTimeout ends an exchange on a connection that went silent. The farthest gateways
+	// are 1 ms apart, and one on a busy machine answers within some tenths of a second.
 	exchangeTimeout = 600 * time.Millisecond
-	// maxMessageBytes bounds a message: a report, the contacts and entries of hundreds
-	// of gateways and upstreams, and a large configuration.
+	// maxMessageBytes bounds a message: a report, the contacts and entries of hundreds of
+	// gateways and upstreams, and a large configuration.
 	maxMessageBytes = 8 << 20
-	// exchangePath of the exchange, on the gateways' own address.
+	// exchangePath is the URL path of exchanges, on the gateways' own listener.
 	exchangePath = "/exchange"
 )
 
-// Knowledge is what a gateway holds and gives to others.
+// Knowledge gives access to what this gateway knows: it is read for messages to other gateways
+// and updated from theirs.
 type Knowledge interface {
-	// Report returns what to say of this gateway now, and Brief the same without what it
-	// has in progress, spent and counted.
+	// Report returns this gateway's report as of now. Brief returns the same without requests
+	// in progress, spending and counts.
 	Report(now time.Time) Report
 	Brief(now time.Time) Report
-	// Config returns the configuration if it is newer than a revision.
+	// Config returns the configuration if its revision is newer than the given one, else nil.
 	Config(than ident.Revision) *ConfigRecord
-	// Upstreams returns what a gateway lacks that knows the upstreams' entries up
-	// to an offset; nil where that is all of them and these are not asked for.
+	// Upstreams returns what a gateway lacks that knows the upstream entries up to an offset.
+	// It returns nil if that means all entries and all is not set.
 	Upstreams(from ident.Offset, all bool) *directory.News
-	// Lacks reports whether another gateway should be asked for the configuration, or
-	// for all entries.
+	// Lacks reports whether another gateway should be asked for the configuration or for all
+	// upstream entries.
 	Lacks() bool
-	// Learn takes in what another gateway gave; nil where it gave nothing.
+	// Learn applies what another gateway sent; an argument is nil if it sent none.
 	Learn(config *ConfigRecord, upstreams *directory.News)
-	// Heard takes in what a gateway said of itself just now: what it confirms, and what
-	// it counted. What goes wrong if that waits for the next look at all reports: what
-	// the first in line reads of the store grows older by up to 0.125 s at each gateway
-	// on its way, and gateways read the store for themselves the sooner. The ages in it are as of an
-	// instant, or of nobody knows when, where that is zero: they confirm nothing then.
+	// Heard applies a report that has just arrived: which revision and offset it confirms, and
+	// what its gateway counted. It is called for each report at once. If that waited for the
+	// next look at all reports, what the first gateway reads from the store would grow older by
+	// up to 0.125 s at each gateway that passes it on, and the others would read the store
+	// themselves sooner.
+	//
+	// The ages in the report count from asOf. A zero asOf means that the instant is unknown;
+	// the report then confirms nothing.
 	Heard(r *Report, asOf time.Time)
-	// LimitOrder returns the upstreams of which it knows limits.
+	// LimitOrder returns the upstreams whose limits this gateway knows.
 	LimitOrder() upstreamlimit.Order
-	// Count takes in what gateways counted, by a collector's word.
+	// Count applies the counts of other gateways that a collector sent.
 	Count(counts []LifeCounts)
 }
 
-// Config is what a Gossip works with.
+// Config is what New needs.
 type Config struct {
 	Self        Contact
 	Incarnation ident.Incarnation
@@ -80,48 +84,51 @@
 	Log         hclog.Logger
 }
 
-// Gossip exchanges reports with the other gateways.
+// Gossip exchanges reports with the other gateways. It is safe for concurrent use.
 type Gossip struct {
 	cfg       Config
 	server    *http.Server
 	collector *Collector
-	startedAt     time.Time
+	startedAt time.Time
 
-	// fetching: another gateway is being asked for what this one lacks.
+	// fetching is set while another gateway is being asked for the configuration or for all
+	// upstream entries.
 	fetching atomic.Bool
-	// activeTransfers counts the gateways that are being handed what they lack.
+	// activeTransfers counts the requests with WantsLarge that are being answered.
 	activeTransfers atomic.Int32
-	leaving atomic.Bool
-	// rejectedAnswers are the collectors' answers that were refused, because they hold a report
-	// which is not known any more.
+	leaving         atomic.Bool
+	// rejectedAnswers counts the collectors' answers that were rejected because they include a
+	// report that this gateway no longer remembers.
 	rejectedAnswers atomic.Int64
 
 	mu sync.Mutex
-	// compressed is the newest configuration that was handed on whole, and configs those that
-	// were in force lately.
-	compressed  *encodedConfig
-	configs configHistory
-	// unresponsive are the addresses that did not answer last, and refused those whose last
-	// message was not valid, for the log.
+	// compressed is the newest configuration that was compressed to be sent whole, and configs
+	// the recent configurations.
+	compressed *encodedConfig
+	configs    configHistory
+	// unresponsive holds the addresses that did not answer the last request, and invalidSenders
+	// those whose last message was not valid; each is logged once.
 	unresponsive, invalidSenders map[string]bool
-	inFlight            map[string]bool
-	bytes           int64
-	// collectorSum is a collector's sum of all others, of answeredAt, and answerOff the
-	// correction of this machine's time of day by it.
-	collectorSum     *Sum
-	collectorSumAt time.Time
-	collectorClockCorrection  time.Duration
-	// sentReports are the newest reports that were sent to collectors, the newest last.
+	inFlight                     map[string]bool
+	bytes                        int64
+	// collectorSum is the newest sum of all other gateways that a collector sent, received at
+	// collectorSumAt. collectorClockCorrection is the clock correction by that collector.
+	collectorSum             *Sum
+	collectorSumAt           time.Time
+	collectorClockCorrection time.Duration
+	// sentReports are the last reports that were sent to collectors, the newest last.
 	sentReports []Report
-	// knownBySource is how many gateways the collectors that were heard lately knew.
+	// knownBySource holds how many gateways each collector knew that was heard recently, by the
+	// source of its sum.
 	knownBySource map[string]knownCount
-	// collectorLimitSet is the digest of the limits that the collector which answered last knew.
+	// collectorLimitSet is the digest of the limits that the collector knew which answered
+	// last.
 	collectorLimitSet uint32
-	// countsReceivedAt is when a domain's counts came.
+	// countsReceivedAt is when a domain's counts were last requested successfully.
 	countsReceivedAt map[ident.FailureDomain]time.Time
 }
 
-// New returns a Gossip; call Serve and Run.
+// New returns a Gossip. It does nothing until Serve and Run are called.
 func New(cfg Config) *Gossip {
 	g := &Gossip{
 		cfg: cfg, collector: NewCollector(cfg.Self, cfg.Incarnation), startedAt: cfg.Now(), unresponsive: make(map[string]bool), invalidSenders: make(map[string]bool),
@@ -134,13 +141,13 @@
 	return g
 }
 
-// connectionIdleTimeout is for how long a connection between gateways is kept.
+// connectionIdleTimeout is how long an idle connection between gateways is kept open.
 const connectionIdleTimeout = 10 * time.Second
 
-// keepAliveHeader tells it to the other side.
+// keepAliveHeader announces connectionIdleTimeout to the other gateway, in seconds.
 const keepAliveHeader = "timeout=10"
 
-// Serve answers other gateways until Close.
+// Serve answers other gateways until Close is called.
 func (g *Gossip) Serve(listener net.Listener) error {
 	err := g.server.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -149,13 +156,14 @@
 	return err
 }
 
-// Close ends the answering.
+// Close stops answering other gateways.
 func (g *Gossip) Close() error { return g.server.Close() }
 
-// Run exchanges reports until ctx ends.
+// Run exchanges reports in every round until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
 	for pause.For(ctx, Interval/2) {
-		// Sums twice a round make what all others know younger, and few collect.
+		// Sums are exchanged twice a round: all gateways then get younger data, and only
+		// the few collectors do so.
 		g.exchangeSums(ctx, g.cfg.Now())
 		if !pause.For(ctx, Interval/2) {
 			return
@@ -164,8 +172,8 @@
 	}
 }
 
-// round exchanges reports, all at once: with a collector among many gateways, and
-// directly with up to fanout others where there are few or no collector is heard.
+// round exchanges reports. In a large fleet it reports to a collector; in a small one, or as
+// long as no collector answers, it exchanges reports with up to fanout others concurrently.
 func (g *Gossip) round(ctx context.Context) {
 	now := g.cfg.Now()
 	g.recordConfig()
@@ -185,22 +193,22 @@
 	g.exchangeWithAll(ctx, addresses)
 }
 
-// exchangeWithAll exchanges reports with other gateways, but for those that are being asked. It
-// does not wait for the answers.
+// exchangeWithAll exchanges reports with other gateways, except those with which an exchange
+// is in flight. It does not wait for the answers.
 func (g *Gossip) exchangeWithAll(ctx context.Context, addresses []string) {
 	if len(addresses) == 0 {
 		return
 	}
 	body := g.encodeReport(false)
 	for _, address := range addresses {
-		if g.tryBegin(address) {
+		if g.tryBeginExchange(address) {
 			go g.exchange(ctx, address, body)
 		}
 	}
 }
 
-// Say tells the others at once and waits for their answers: for news that must not wait
-// for the next round. Among many gateways the collectors are told.
+// Say reports to the other gateways at once and waits for their answers, for news that cannot
+// wait for the next round. In a large fleet it reports to the collectors.
 func (g *Gossip) Say(ctx context.Context) {
 	var all sync.WaitGroup
 	now := g.cfg.Now()
@@ -215,8 +223,8 @@
 	all.Wait()
 }
 
-// Gather reports whether the counts of all gateways that are heard came within a time,
-// and asks for those that did not.
+// Gather reports whether the counts of all gateways that are heard arrived within the given
+// time before now, and asks for those that did not. It does not wait for the answers.
 func (g *Gossip) Gather(ctx context.Context, within time.Duration) bool {
 	now := g.cfg.Now()
 	if usesCollectors(g.cfg.Table.CountOthers(now)) {
@@ -232,26 +240,28 @@
 	return len(missing) == 0
 }
 
-// Leave notes that this gateway leaves: it collects no more.
+// Leave records that this gateway is leaving: it no longer acts as a collector.
 func (g *Gossip) Leave() { g.leaving.Store(true) }
 
-func (g *Gossip) tryBegin(address string) bool {
+// tryBeginExchange marks the exchange with the given key as in flight and reports whether it was not.
+func (g *Gossip) tryBeginExchange(key string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.inFlight[address] {
+	if g.inFlight[key] {
 		return false
 	}
-	g.inFlight[address] = true
+	g.inFlight[key] = true
 	return true
 }
 
-func (g *Gossip) end(key string) {
+// endExchange marks the exchange with the given key as no longer in flight.
+func (g *Gossip) endExchange(key string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.inFlight, key)
 }
 
-// logReachability logs that a gateway stops to answer, or answers again.
+// logReachability logs when a gateway stops answering and when it answers again.
 func (g *Gossip) logReachability(address string, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -260,35 +270,35 @@
 	}
 	if err != nil {
 		g.unresponsive[address] = true
-		g.cfg.Log.Info("another gateway does not answer", "address", address, "error", err)
+		g.cfg.Log.Info("gateway stopped answering", "address", address, "error", err)
 	} else {
 		delete(g.unresponsive, address)
-		g.cfg.Log.Info("another gateway answers", "address", address)
+		g.cfg.Log.Info("gateway answers again", "address", address)
 	}
 }
 
-// encodeReport encodes this gateway's report, once for all that it is sent to.
-func (g *Gossip) encodeReport(wants bool) []byte {
+// encodeReport encodes this gateway's report as one request for several receivers.
+func (g *Gossip) encodeReport(wantsLarge bool) []byte {
 	now := g.cfg.Now()
-	return g.encode(&message{From: g.cfg.Knowledge.Report(now), KnownDigest: g.cfg.Table.Digest(now), WantsLarge: wants})
+	return g.encode(&message{From: g.cfg.Knowledge.Report(now), KnownDigest: g.cfg.Table.Digest(now), WantsLarge: wantsLarge})
 }
 
 func (g *Gossip) encode(m *message) []byte {
 	m.AcceptsPatches = true
 	body, err := m.encode()
 	if err != nil {
-		// A name that is not text, for instance; the others then say that they got
-		// no report.
-		g.cfg.Log.Error("report not encoded", "error", err)
+		// A name that is not valid UTF-8, for instance. The receivers then log a message
+		// without a report.
+		g.cfg.Log.Error("cannot encode a message to another gateway", "error", err)
 	}
 	return body
 }
 
-// exchange sends a request to another gateway and takes its answer in.
+// exchange sends a request to another gateway and applies its answer.
 func (g *Gossip) exchange(ctx context.Context, address string, request []byte) {
 	sent := g.cfg.Now()
 	answer, err := g.callWithTimeout(ctx, exchangeTimeout, address, request)
-	g.end(address)
+	g.endExchange(address)
 	g.logReachability(address, err)
 	if err == nil {
 		g.handleAnswer(answer, sent)
@@ -312,11 +322,11 @@
 	return g.decodeFrom(address, data)
 }
 
-// decodeFrom decodes what another gateway sent. The first message of it that is not valid is
-// logged, until a valid one comes: an older build would fill the log otherwise.
+// decodeFrom decodes a message of another gateway. It logs the first invalid one and no more
+// until a valid one comes: a gateway of an older build would fill the log otherwise.
 func (g *Gossip) decodeFrom(from string, data []byte) (*message, error) {
 	var m *message
-	err := pkgerrors.Errorf("more than %d bytes", maxMessageBytes)
+	err := pkgerrors.Errorf("message exceeds %d bytes", maxMessageBytes)
 	if len(data) <= maxMessageBytes {
 		m, err = decode(data)
 	}
@@ -328,7 +338,7 @@
 	}
 	if !g.invalidSenders[from] && len(g.invalidSenders) < maxInvalidSenders {
 		g.invalidSenders[from] = true
-		g.cfg.Log.Warn("a gateway's message is not valid, it changes nothing", "from", from, "bytes", len(data), "error", err)
+		g.cfg.Log.Warn("ignored an invalid message from another gateway", "from", from, "bytes", len(data), "error", err)
 	}
 	return nil, err
 }
@@ -336,20 +346,21 @@
 // maxInvalidSenders bounds the senders of invalid messages that are remembered.
 const maxInvalidSenders = 1000
 
-// Bytes returns how many bytes of messages were exchanged as a caller.
+// Bytes returns how many bytes of messages this gateway has sent and received as a caller.
 func (g *Gossip) Bytes() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.bytes
 }
 
-// handleAnswer takes in the answer to a request that was sent at an instant. How long the answer
-// was on its way is not known, so that its ages are as of the request's sending. What goes
-// wrong as of its coming: two collectors that tell each other eight times a second over
-// 0.1 s make a view younger with each exchange, and the store is not asked any more.
+// handleAnswer applies the answer to a request that was sent at the given instant. How long
+// the answer took is unknown, so its ages count from the sending of the request. If they
+// counted from the arrival, two collectors that exchange sums eight times a second over a
+// delay of 0.1 s would make a view younger with each exchange, and the store would no longer
+// be read.
 func (g *Gossip) handleAnswer(m *message, sent time.Time) {
 	now, wall := g.cfg.Now(), time.Now()
-	// What it confirms counts once what this gateway lacked is taken in.
+	// What the report confirms counts only once the data that this gateway lacked is applied.
 	defer g.cfg.Knowledge.Heard(&m.From, sent)
 	g.cfg.Table.RecordReport(m.From, now, wall)
 	g.cfg.Table.AddContacts(m.Contacts, now)
@@ -361,7 +372,7 @@
 	if m.Config != nil {
 		var err error
 		if config, err = g.unpackConfig(m.Config); err != nil {
-			g.cfg.Log.Error("a gateway's configuration is not usable", "node", m.From.Node, "revision", m.Config.Revision, "error", err)
+			g.cfg.Log.Error("cannot decode the configuration that a gateway sent", "node", m.From.Node, "revision", m.Config.Revision, "error", err)
 		}
 	}
 	if config != nil || m.Upstreams != nil {
@@ -369,13 +380,13 @@
 	}
 }
 
-// serveExchange answers another gateway.
+// serveExchange answers a request of another gateway.
 func (g *Gossip) serveExchange(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes+1))
 	if err != nil {
-		return // the connection broke; the other gateway asks again
+		return // the connection broke; the other gateway tries again
 	}
-	// Connections come from any port; the machine names the sender.
+	// The port changes with each connection, so that the sender is identified by its host.
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		host = r.RemoteAddr
@@ -388,11 +399,12 @@
 	defer done()
 	w.Header().Set("Keep-Alive", keepAliveHeader)
 	w.Header().Set("Content-Type", "application/x-protobuf")
-	// The other gateway may be gone; it asks again.
+	// A write error is ignored: the other gateway tries again.
 	_, _ = w.Write(body)
 }
 
-// handleRequest answers a request. Call done when the answer is sent.
+// handleRequest decodes a request and returns the encoded answer. The caller calls done once
+// the answer is sent.
 func (g *Gossip) handleRequest(from string, request []byte) (answer []byte, done func(), err error) {
 	asked, err := g.decodeFrom(from, request)
 	if err != nil {
@@ -402,7 +414,8 @@
 	return g.encode(reply), done, nil
 }
 
-// reportFor is what an answer says of this gateway: sums hold the rest.
+// reportFor returns this gateway's report for an answer. It is the brief one where the answer
+// is to a collector or from one: sums contain the rest.
 func (g *Gossip) reportFor(asked *message, now time.Time) Report {
 	if asked.Collect || asked.DomainSum != nil || asked.WantsCounts {
 		return g.cfg.Knowledge.Brief(now)
@@ -410,8 +423,8 @@
 	return g.cfg.Knowledge.Report(now)
 }
 
-// answerRequest takes another gateway's report and gives it what it lacks. Call done when the
-// answer is sent.
+// answerRequest applies another gateway's report and returns the answer with what that gateway
+// lacks. The caller calls done once the answer is sent.
 func (g *Gossip) answerRequest(asked *message) (reply *message, done func()) {
 	now, wall := g.cfg.Now(), time.Now()
 	g.cfg.Table.RecordReport(asked.From, now, wall)
@@ -422,8 +435,9 @@
 		reply.Contacts = g.cfg.Table.Contacts(now)
 	}
 	g.addCollectorAnswer(asked, reply, now, wall)
-	if asked.From.Upstreams > reply.From.Upstreams && g.tryBegin(asked.From.Address) {
-		// Who tells has newer entries; the asker alone is handed what it lacks.
+	if asked.From.Upstreams > reply.From.Upstreams && g.tryBeginExchange(asked.From.Address) {
+		// The asker has newer upstream entries. Only an asker gets what it lacks, so
+		// this gateway asks in turn.
 		go g.exchange(context.Background(), asked.From.Address, g.encodeReport(false))
 	}
 	return reply, done
--- a/internal/gossip/limits.go
+++ b/internal/gossip/limits.go
@@ -5,8 +5,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// omitKnownLimits leaves out of a collector's answer what the asker knows: the limits
-// themselves, and of which upstreams the uses are.
+// omitKnownLimits removes from a collector's answer what an asker with the same limits knows:
+// the limits, and the keys of the upstreams in LimitUses.
 func (g *Gossip) omitKnownLimits(asked, reply *message) {
 	order := g.cfg.Knowledge.LimitOrder()
 	if reply.Others == nil || order.Set == 0 || asked.From.LimitSet != order.Set {
@@ -17,8 +17,8 @@
 	reply.Others.LimitUses = nil
 }
 
-// applyLimits takes in what a collector's answer says of limits; g.mu is held. Where the
-// limits have changed since it was asked, its uses are of others, and the last ones stay.
+// applyLimits decodes the limit uses in a collector's answer; g.mu is held. If the limits have
+// changed since the request, the uses refer to other limits, and the last known uses stay.
 func (g *Gossip) applyLimits(m *message) {
 	g.collectorLimitSet = m.From.LimitSet
 	if m.Others.LimitColumns.Set == 0 {
@@ -31,8 +31,9 @@
 	m.Others.LimitUses = uses
 }
 
-// resolveUses finds out of which upstreams the uses in a report are. Where the limits have
-// changed since the last answer, they are of others, and the report before stands for them.
+// resolveUses turns the LimitColumns of a report into LimitUses. If the limits have changed
+// since the last answer, the columns refer to other limits, and the uses of the gateway's last
+// report stand in.
 func (g *Gossip) resolveUses(r *Report) {
 	if r.LimitColumns.Set == 0 {
 		return
@@ -44,7 +45,7 @@
 	r.LimitUses, r.LimitColumns = uses, upstreamlimit.Columns{}
 }
 
-// lastLimitUses returns what a gateway's newest report said of its uses.
+// lastLimitUses returns the limit uses of a gateway's newest report; nil if there is none.
 func (c *Collector) lastLimitUses(node ident.Instance) upstreamlimit.Uses {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gossip/network.go
+++ b/internal/gossip/network.go
@@ -13,11 +13,11 @@
 
 // Network carries requests to other gateways.
 type Network interface {
-	// Send sends a request and returns the answer. It ends with ctx.
+	// Send sends a request to an address and returns the answer. It returns when ctx ends.
 	Send(ctx context.Context, address string, request []byte) ([]byte, error)
 }
 
-// OverHTTP is a Network of HTTP/1.1 connections, each kept for several exchanges.
+// OverHTTP is a Network that uses HTTP/1.1 connections and reuses each for several exchanges.
 type OverHTTP struct{ Pool *httpconn.Pool }
 
 // Send implements Network.
@@ -30,10 +30,10 @@
 	defer answer.Close()
 	data, err := io.ReadAll(io.LimitReader(answer, maxMessageBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read the answer of another gateway")
 	}
 	if answer.Status != http.StatusOK {
-		return nil, errors.Errorf("status %d", answer.Status)
+		return nil, errors.Errorf("%s answered with status %d", address, answer.Status)
 	}
 	return data, nil
 }
--- a/internal/gossip/patch.go
+++ b/internal/gossip/patch.go
@@ -9,50 +9,52 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// A change of a large configuration is mostly a small one. What goes wrong without patches:
-// each gateway reads each change whole from the store, so that the store's calls and bytes
-// grow with the gateways, for each change of which there are hundreds a day.
+// Most changes of a large configuration are small, and there are hundreds a day. Without
+// patches each gateway would read the whole configuration from the store after each change, so
+// that the store's calls and bytes would grow with the number of gateways.
 
 const (
 	// maxRecentConfigs is how many configurations a gateway keeps to make patches from: some
 	// gateways are a few changes behind.
 	maxRecentConfigs = 4
-	// patchDictionaryID numbers the earlier configuration in a patch.
+	// patchDictionaryID is the zstd dictionary ID under which a patch refers to the earlier
+	// configuration.
 	patchDictionaryID = 1
-	// patchWindowBytes is how far back in it a patch may refer, bytes.
+	// patchWindowBytes is how far back in that configuration a patch may refer.
 	patchWindowBytes = 1 << 20
 )
 
-// makePatch returns what makes next of base.
+// makePatch returns a patch that turns base into next.
 func makePatch(base, next []byte) ([]byte, error) {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(patchDictionaryID, base), zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(patchWindowBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "make a patch")
+		return nil, errors.Wrap(err, "make a patch of the configuration")
 	}
 	defer e.Close()
 	return e.EncodeAll(next, nil), nil
 }
 
-// applyPatch is the inverse of makePatch. A patch of another base is an error.
+// applyPatch is the inverse of makePatch. It returns an error if the patch was made from
+// another base.
 func applyPatch(base, patch []byte) ([]byte, error) {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(patchDictionaryID, base), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxConfigBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "apply a patch")
+		return nil, errors.Wrap(err, "apply a patch of the configuration")
 	}
 	defer d.Close()
 	next, err := d.DecodeAll(patch, nil)
-	return next, errors.Wrap(err, "apply a patch")
+	return next, errors.Wrap(err, "apply a patch of the configuration")
 }
 
-// configHistory is the configurations that a gateway had lately, and the patches from them
-// to the newest.
+// configHistory holds the configurations that a gateway had recently, and the patches from
+// them to the newest.
 type configHistory struct {
-	// records are in the order in which they came, the newest last.
+	// records are sorted by revision, the newest last.
 	records []ConfigRecord
 	patches map[ident.Revision]*encodedConfig
 }
 
-// add keeps a configuration that came into force.
+// add adds a configuration if it is newer than all recorded ones.
 func (h *configHistory) add(record *ConfigRecord) {
 	if record == nil || h.newest() != nil && h.newest().Revision >= record.Revision {
 		return
@@ -61,10 +63,10 @@
 	h.patches = make(map[ident.Revision]*encodedConfig)
 }
 
-// appendNewest adds an element at the end of a list and keeps the last most of it.
-func appendNewest[T any](list []T, next T, most int) []T {
+// appendNewest appends an element to a list and keeps at most the last limit elements.
+func appendNewest[T any](list []T, next T, limit int) []T {
 	list = append(list, next)
-	return slices.Delete(list, 0, max(0, len(list)-most))
+	return slices.Delete(list, 0, max(0, len(list)-limit))
 }
 
 func (h *configHistory) newest() *ConfigRecord {
@@ -74,8 +76,8 @@
 	return &h.records[len(h.records)-1]
 }
 
-// patchFrom returns the patch from an earlier configuration to the newest; nil where that one is
-// not known.
+// patchFrom returns the patch from an earlier configuration to the newest; nil if the earlier
+// one is not recorded.
 func (h *configHistory) patchFrom(from ident.Revision) (*encodedConfig, error) {
 	if p := h.patches[from]; p != nil {
 		return p, nil
@@ -96,7 +98,7 @@
 	return nil, nil
 }
 
-// recordConfig keeps the configuration in force, for those that lack it.
+// recordConfig records the configuration in force, to make patches from it and to it.
 func (g *Gossip) recordConfig() {
 	record := g.cfg.Knowledge.Config(0)
 	g.mu.Lock()
@@ -104,15 +106,15 @@
 	g.configs.add(record)
 }
 
-// patchFor returns a patch for a gateway that has an earlier configuration; nil where there
-// is none that is small.
+// patchFor returns a patch for a gateway that has an earlier configuration; nil if there is no
+// patch of at most smallConfigBytes.
 func (g *Gossip) patchFor(revision ident.Revision) *encodedConfig {
 	g.recordConfig()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p, err := g.configs.patchFrom(revision)
 	if err != nil {
-		g.cfg.Log.Error("no patch of the configuration", "from", revision, "error", err)
+		g.cfg.Log.Error("cannot make a patch of the configuration", "from", revision, "error", err)
 	}
 	if p == nil || len(p.Patch) > smallConfigBytes {
 		return nil
@@ -120,8 +122,8 @@
 	return p
 }
 
-// unpackConfig returns a configuration that another gateway handed on; nil where it is a
-// patch of one that this gateway does not have.
+// unpackConfig returns a configuration that another gateway sent; nil if it is a patch of one
+// that this gateway does not have.
 func (g *Gossip) unpackConfig(p *encodedConfig) (*ConfigRecord, error) {
 	if len(p.Patch) == 0 {
 		return p.decompress()
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -10,33 +10,33 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// unreachableFor is for how long a collector that did not answer is passed over: as long as a
-// killed gateway takes to come back, and longer than its domain's next collector takes to
-// leave it out of the roster.
+// unreachableFor is how long a collector that did not answer is skipped: as long as a killed
+// gateway takes to come back, and longer than the next collector of its domain takes to leave
+// it out of the roster.
 const unreachableFor = 2 * time.Second
 
 // roster is what is known of a failure domain's gateways.
 type roster struct {
-	// gateways are in the order in which they collect.
+	// gateways are sorted by compareCollectors: the first acts as collector.
 	gateways []Contact
 	digest   uint64
-	// confirmedAt is when it was last confirmed, and renewed when the gateways' contacts were.
+	// confirmedAt is when a collector last sent or confirmed the roster; contactsRenewedAt is
+	// when the gateways' contacts were last renewed.
 	confirmedAt, contactsRenewedAt time.Time
 }
 
-// maxRosterGateways is how many of a failure domain's gateways stand in its roster: those that
-// collect if the ones before them are lost. What goes wrong with all of them: whenever one
-// of a thousand gateways starts or stops, the roster of its domain, which grows with the
-// fleet, is told to all.
+// maxRosterGateways bounds the gateways in a roster: the collector and those that replace it
+// if the ones before them are lost. Without the bound, whenever one of a thousand gateways
+// starts or stops, the roster of its domain is sent to all, and it grows with the fleet.
 const maxRosterGateways = 16
 
-// contactRenewal is how often the contacts of a roster's gateways are renewed as long as the
-// roster stands: a part of the time after which they are given up.
+// contactRenewal is how often the contacts of an unchanged roster are renewed: well within the
+// time after which they expire.
 const contactRenewal = contactTTL / 4
 
-// compareCollectors orders gateways as they collect: those with most of a processor
-// first, because collecting takes some hundredths of one, and among equals by a hash, so
-// that one machine's name does not decide.
+// compareCollectors orders gateways by their precedence as collectors. Those with the most
+// cores come first, because collecting takes some hundredths of a core. A hash decides among
+// equals, so that the order does not follow the machines' names.
 func compareCollectors(a, b Contact) int {
 	return cmp.Or(
 		cmp.Compare(b.Cores, a.Cores),
@@ -47,7 +47,7 @@
 
 func sortCollectors(gateways []Contact) { slices.SortFunc(gateways, compareCollectors) }
 
-// rosterDigest is equal for equal rosters.
+// rosterDigest returns a digest that is the same for equal rosters.
 func rosterDigest(gateways []Contact) uint64 {
 	digest := uint64(len(gateways))
 	for _, c := range gateways {
@@ -56,7 +56,7 @@
 	return digest
 }
 
-// SetRoster takes in a failure domain's gateways by the word of its collector.
+// SetRoster replaces the roster of a failure domain by the one that a collector sent.
 func (t *Table) SetRoster(r Roster, now time.Time) {
 	gateways := slices.Clone(r.Gateways)
 	sortCollectors(gateways)
@@ -70,20 +70,20 @@
 	t.renewContacts(next, now)
 }
 
-// ConfirmRosters notes that another gateway holds the same rosters as this one, as far as
-// it is believed.
-func (t *Table) ConfirmRosters(digests map[ident.FailureDomain]uint64, believed func(ident.FailureDomain) bool, now time.Time) {
+// ConfirmRosters records that another gateway holds the same rosters as this one. It ignores
+// domains for which trusted returns false.
+func (t *Table) ConfirmRosters(digests map[ident.FailureDomain]uint64, trusted func(ident.FailureDomain) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for domain, digest := range digests {
-		if r := t.rosters[domain]; r != nil && r.digest == digest && believed(domain) {
+		if r := t.rosters[domain]; r != nil && r.digest == digest && trusted(domain) {
 			r.confirmedAt = now
 			t.renewContacts(r, now)
 		}
 	}
 }
 
-// renewContacts keeps the contacts of a roster's gateways.
+// renewContacts extends the lifetime of the contacts of a roster's gateways; t.mu is held.
 func (t *Table) renewContacts(r *roster, now time.Time) {
 	if now.Sub(r.contactsRenewedAt) < contactRenewal {
 		return
@@ -96,7 +96,8 @@
 	}
 }
 
-// Rosters returns the rosters that are known by a collector's word, and their digests.
+// Rosters returns the rosters that a collector sent or confirmed within KnownTimeout, and
+// their digests.
 func (t *Table) Rosters(now time.Time) ([]Roster, map[ident.FailureDomain]uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,10 +112,10 @@
 	return out, digests
 }
 
-// Collectors returns the first of another failure domain's gateways, or of the others of
-// this gateway's own, in the order in which they collect, without those that did not answer
-// lately. They are tries at the most, because no more are asked: whoever looks several times
-// a round must not sort a domain of hundreds each time.
+// Collectors returns the gateways of a failure domain to try as collector, in order, without
+// this gateway and without those that did not answer recently. It returns maxCollectorTries at
+// most, because no more are tried: it is called several times a round, and must not sort a
+// domain of hundreds of gateways each time.
 func (t *Table) Collectors(domain ident.FailureDomain, now time.Time) []Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +133,8 @@
 	return order
 }
 
-// firstReachable returns the first of gateways that are in order.
+// firstReachable returns the first maxCollectorTries of the sorted gateways, without this one
+// and without those that did not answer recently.
 func (t *Table) firstReachable(gateways []Contact, now time.Time) []Contact {
 	order := make([]Contact, 0, maxCollectorTries)
 	for _, c := range gateways {
@@ -146,10 +148,11 @@
 	return order
 }
 
-// firstOfAllContacts adds the gateways that the roster lacks where this one would collect by it.
-// What goes wrong without it: of gateways that start together two each take themselves
-// for the collector, gather some of the domain each, and hear nothing of each other. So
-// the first of them tells the first of all others that it is there.
+// firstOfAllContacts returns the first collectors among the gateways in order and all known
+// contacts. It is used where this gateway comes first by the roster. Without it, of gateways
+// that start together two may each consider themselves the collector, collect from a part of
+// the domain each, and never hear of each other. So the first one reports to the first of all
+// others, which learns from it that it exists.
 func (t *Table) firstOfAllContacts(order []Contact, now time.Time) []Contact {
 	all := t.contactsIn(t.self.Domain, now)
 	for _, c := range order {
@@ -161,7 +164,7 @@
 	return t.firstReachable(all, now)
 }
 
-// contactsIn returns a failure domain's gateways by whatever word.
+// contactsIn returns all known gateways of a failure domain, whoever told of them.
 func (t *Table) contactsIn(domain ident.FailureDomain, now time.Time) []Contact {
 	var all []Contact
 	for _, c := range t.contacts {
@@ -172,7 +175,7 @@
 	return all
 }
 
-// MarkUnreachable notes that a gateway did not answer.
+// MarkUnreachable records that the gateway at an address did not answer.
 func (t *Table) MarkUnreachable(address string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,7 +187,8 @@
 	}
 }
 
-// Domains returns the failure domains in which gateways are known, sorted.
+// Domains returns the failure domains in which gateways are known, this one's included,
+// sorted.
 func (t *Table) Domains() []ident.FailureDomain {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gossip/whole.go
+++ b/internal/gossip/sharedsum.go
@@ -14,40 +14,41 @@
 )
 
 // Each gateway of a domain asks its collector for the sum of all others several times a
-// second. What goes wrong if the collector adds all reports up for each that asks: its work
-// grows as the square of the gateways, and beyond some hundred of them its answers come late,
-// the gateways turn to the next collector, and that one is late too. So the sum of all
-// gateways is added up and encoded once for all that ask within sumFor, and each takes its
-// own report out of it.
+// second. If the collector added all reports up for each request, its work would grow with the
+// square of the number of gateways: beyond some hundred of them its answers would be late, the
+// gateways would turn to the next collector, and that one would be late too. So the sum of all
+// gateways is added up and encoded once for all requests within sumTTL, and each asker
+// subtracts its own report from it.
 
-// sumTTL is for how long a sum is given to all that ask: it makes what gateways know of each
+// sumTTL is how long a sum is reused for all that ask. It makes what gateways know of each
 // other older by half of that on average.
 const sumTTL = Interval / 16
 
-// sharedSum is a sum for several that ask.
+// sharedSum is a sum that several gateways get.
 type sharedSum struct {
-	// sum lacks the words about versions and crashing requests, and the uses of limits:
-	// these are joined for each gateway that asks.
+	// sum lacks statements about rollouts and crashing requests, and the limit uses: these are
+	// joined for each asker.
 	sum Sum
-	// encoded is what of it grows with the upstreams and accounts; err is set where that
+	// encoded is the part of sum that grows with the upstreams and accounts. err is set if it
 	// cannot be encoded.
-	encoded []byte
-	err     error
-	addedUpAt      time.Time
-	// counted are the reports in it, by gateway.
-	counted map[ident.Instance]*receivedReport
-	statements   leaveOneOut
-	uses    upstreamlimit.Uses
-	// clockCorrection is what to add to this machine's time of day.
+	encoded   []byte
+	err       error
+	addedUpAt time.Time
+	// counted are the reports in the sum, by gateway.
+	counted    map[ident.Instance]*receivedReport
+	statements leaveOneOut
+	uses       upstreamlimit.Uses
+	// clockCorrection is what to add to this machine's wall clock.
 	clockCorrection time.Duration
 }
 
-// CollectorStats counts what a collector has done since its start.
+// CollectorStats counts what a gateway has done as a collector since its start.
 type CollectorStats struct {
-	// Reports were collected, and Sums added up from so many Parts: reports, and sums of
-	// other domains.
+	// Reports counts the reports that were collected, Sums the sums that were added up, and
+	// Parts what they were added up from: reports, and sums of other domains.
 	Reports, Sums, Parts int64
-	// Refused are answers of collectors that held a report which is not known any more.
+	// Refused counts the collectors' answers that this gateway rejected because they include a
+	// report that it no longer remembers.
 	Refused int64
 }
 
@@ -60,8 +61,8 @@
 	return work
 }
 
-// usableFor reports whether a sum can be given to a gateway now; it counts that gateway's
-// present life.
+// usableFor reports whether a sum is young enough for an asker and includes the asker's
+// present incarnation. A nil asker needs no own report in the sum.
 func (w *sharedSum) usableFor(asker *receivedReport, now time.Time) bool {
 	if w == nil || now.Sub(w.addedUpAt) >= sumTTL {
 		return false
@@ -73,8 +74,8 @@
 	return counted != nil && counted.report.Incarnation == asker.report.Incarnation
 }
 
-// encodedDomainSum returns the sum of this domain's gateways in two parts, of which the second is
-// encoded.
+// encodedDomainSum returns the sum of this domain's gateways in two parts: one to be encoded
+// in a message, and one that is encoded already.
 func (c *Collector) encodedDomainSum(now, wall time.Time) (s Sum, encoded []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +83,7 @@
 	return w.forAsker("", now, wall), w.encoded, w.err
 }
 
-// Others returns the sum of all gateways but one, of all domains.
+// Others returns the sum of all gateways of all domains except the asker.
 func (c *Collector) Others(asker ident.Instance, now, wall time.Time) Sum {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +98,9 @@
 	return s
 }
 
-// encodedOthers returns the sum of all gateways with which of the asker's reports is in it, in
-// two parts, of which the second is encoded.
+// encodedOthers returns the sum of all gateways, and in CountedReport which report of the
+// asker it includes. It returns two parts: one to be encoded in a message, and one that is
+// encoded already.
 func (c *Collector) encodedOthers(asker ident.Instance, now, wall time.Time) (s Sum, encoded []byte, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,9 +108,9 @@
 	return w.forAsker(asker, now, wall), w.encoded, w.err
 }
 
-// forAsker is what of a sum belongs to this instant and to the gateway that asks, and is not
-// encoded before: without that one's words and uses. It has no name where nobody's are left
-// out.
+// forAsker returns the part of a sum that depends on the instant and the asker, and is not
+// encoded in advance. It leaves out the asker's statements and limit uses; an empty asker
+// leaves out nobody's.
 func (w *sharedSum) forAsker(asker ident.Instance, now, wall time.Time) Sum {
 	s := w.sum
 	s.Loads, s.Accounts = make(map[UpstreamKey]placement.Load), make(map[ident.ClientAccount]Spending)
@@ -126,7 +128,7 @@
 	return s
 }
 
-// domainSum returns a sum of this domain's gateways that is young enough.
+// domainSum returns a sum of this domain's gateways that is young enough; c.mu is held.
 func (c *Collector) domainSum(now time.Time) *sharedSum {
 	if c.cachedDomainSum.usableFor(nil, now) {
 		return c.cachedDomainSum
@@ -140,7 +142,8 @@
 	return w
 }
 
-// totalSum returns a sum of all gateways that is young enough, and counts the one that asks.
+// totalSum returns a sum of all gateways that is young enough and includes the asker; c.mu is
+// held.
 func (c *Collector) totalSum(asker *receivedReport, now time.Time) *sharedSum {
 	if c.cachedTotalSum.usableFor(asker, now) {
 		return c.cachedTotalSum
@@ -169,7 +172,7 @@
 	}
 }
 
-// addMembers adds this domain's gateways and returns the sum of their reports' ages.
+// addMembers adds this domain's gateways and returns the total age of their reports.
 func (c *Collector) addMembers(w *sharedSum, now time.Time) time.Duration {
 	sum := time.Duration(0)
 	for node, m := range c.members {
@@ -195,8 +198,8 @@
 	return sum
 }
 
-// addDomain adds the sum that counts of another domain, and returns how old its gateways'
-// reports are together.
+// addDomain adds the chosen sum of another domain and returns the total age of its gateways'
+// reports.
 func (c *Collector) addDomain(w *sharedSum, domain ident.FailureDomain, now time.Time) time.Duration {
 	d := c.domains[domain]
 	w.sum.Known += d.known(now)
@@ -218,20 +221,20 @@
 	return time.Duration(chosen.sum.Heard) * (age + chosen.sum.Age)
 }
 
-// finish ends the adding up; age is that of all reports together.
+// finish completes a sum after everything is added; age is the total age of all reports.
 func (w *sharedSum) finish(age time.Duration) {
 	w.sum.Age = age / time.Duration(max(1, w.sum.Heard))
 	w.statements.finish()
 	w.encoded, w.err = w.sum.encodeTotals()
 }
 
-// leaveOneOut joins words about versions and crashing requests of all gateways but any one.
-// They cannot be taken out of a sum again, so that the sums of those before and after each
-// gateway are kept.
+// leaveOneOut joins the statements about rollouts and crashing requests of all gateways except
+// any one. A statement cannot be subtracted from a joined one, so the joins of all gateways
+// before and after each gateway are kept.
 type leaveOneOut struct {
 	nodes []ident.Instance
 	parts []rolloutAndPoison
-	// before[i] joins all before i, and after[i] all from i on.
+	// prefixes[i] joins parts[:i], and suffixes[i] joins parts[i:].
 	prefixes, suffixes []rolloutAndPoison
 }
 
@@ -244,7 +247,7 @@
 	return rolloutAndPoison{w.rollouts.Plus(o.rollouts), w.poison.Plus(o.poison)}
 }
 
-// add adds a gateway's words, if it has any; another domain's have no name.
+// add adds a gateway's statements, if it has any. Those of another domain have an empty node.
 func (w *leaveOneOut) add(node ident.Instance, r rollout.Words, p poison.Words) {
 	if len(r) == 0 && p.Empty() {
 		return
@@ -263,7 +266,8 @@
 	}
 }
 
-// excluding returns the words of all but one; of all where it has no name or no words.
+// excluding returns the statements of all gateways except one; of all if node is empty or has
+// no statements.
 func (w *leaveOneOut) excluding(node ident.Instance) rolloutAndPoison {
 	i := slices.Index(w.nodes, node)
 	if node == "" || i < 0 {
--- a/internal/gossip/sum.go
+++ b/internal/gossip/sum.go
@@ -13,41 +13,43 @@
 
 // Sum is what several gateways report together.
 type Sum struct {
-	// Source is the life of the gateway that added it up. Totals of two sources
-	// cannot be compared.
+	// Source is the incarnation of the gateway that added the sum up. Totals of different
+	// sources cannot be compared.
 	Source string
 	Seq    uint64
-	// Domain is that of the gateways, where they are those of one.
+	// Domain is set if all gateways in the sum belong to one failure domain.
 	Domain ident.FailureDomain
-	// Heard counts the gateways in it, and Known those that may admit requests, heard
-	// lately or not.
+	// Heard counts the gateways whose reports are in the sum. Known counts those that may admit
+	// requests, heard recently or not.
 	Heard, Known int
-	// Age is the mean age of the reports in it.
+	// Age is the mean age of the reports in the sum.
 	Age      time.Duration
 	Loads    map[UpstreamKey]placement.Load
 	Accounts map[ident.ClientAccount]Spending
-	Demand     map[ident.Service]placement.Demand
+	Demand   map[ident.Service]placement.Demand
 	Engines  map[ident.Service]enginemodel.Sums
-	// LeaseHolders counts those that hold the lease of the duties: none or one, but for the
-	// moments in which it goes from one to the next. GivenUp is the highest fencing number
-	// under which its holder acts no more.
-	LeaseHolders  int
-	GivenUpFence  ident.Fence
-	Rollouts rollout.Words
-	Poison   poison.Words
-	// LimitUses are what they do with upstreams that have a limit, and LimitColumns the same
-	// for a receiver that knows the same limits.
+	// LeaseHolders counts the gateways that hold the lease of the duties: none or one, except
+	// briefly while the lease moves from one to the next. GivenUpFence is the highest fencing
+	// number under which a holder no longer acts.
+	LeaseHolders int
+	GivenUpFence ident.Fence
+	Rollouts     rollout.Words
+	Poison       poison.Words
+	// LimitUses tells how much the gateways use upstreams that have a limit. LimitColumns is
+	// its short form for a receiver that knows the same limits.
 	LimitUses    upstreamlimit.Uses
 	LimitColumns upstreamlimit.Columns
-	// SilentDomains are failure domains that were heard lately and are not now.
+	// SilentDomains are failure domains that were heard recently and are not heard now.
 	SilentDomains []ident.FailureDomain
-	// TrueWallMillis is the source's time of day as most gateways have it.
+	// TrueWallMillis is the source's wall clock, corrected to the median of the gateways'
+	// clocks, in milliseconds since 1970.
 	TrueWallMillis int64
-	// CountedReport is the report of the gateway that gets the sum, where it is in it.
+	// CountedReport is the report of the receiving gateway that is part of the sum; zero if
+	// none is.
 	CountedReport reportID
 }
 
-// reportID names one report of a gateway; zero for none.
+// reportID identifies one report of a gateway; the zero value stands for none.
 type reportID struct {
 	Incarnation ident.Incarnation
 	Seq         uint64
@@ -55,7 +57,7 @@
 
 func (r *Report) id() reportID { return reportID{r.Incarnation, r.Seq} }
 
-// addTotals adds a part of which so much is known: loads, demand and what was seen of engines.
+// addTotals adds loads, demand and engine measurements.
 func (s *Sum) addTotals(loads map[UpstreamKey]placement.Load, work map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) {
 	for key, load := range loads {
 		s.Loads[key] = s.Loads[key].Plus(load)
@@ -70,16 +72,16 @@
 	}
 }
 
-// addAccounts adds accounts' totals.
+// addAccounts adds totals of accounts.
 func (s *Sum) addAccounts(totals map[ident.ClientAccount]Spending) {
 	for account, total := range totals {
 		s.Accounts[account] = s.Accounts[account].plus(total)
 	}
 }
 
-// subtractReport takes a gateway's report out of a sum that counts it. The totals of its accounts
-// are then those of the others but for what it had spent before its first report there: they
-// tell how much the others spend, not how much they have spent.
+// subtractReport subtracts a gateway's report from a sum that includes it. The account totals
+// then still lack what the gateway had spent before its first report to the source: they show
+// how fast the others spend, not how much they have spent.
 func (s *Sum) subtractReport(r *Report) {
 	s.Heard, s.Known = max(0, s.Heard-1), max(0, s.Known-1)
 	if r.Holds {
@@ -105,7 +107,7 @@
 	}
 }
 
-// rounded is a total as it travels between gateways.
+// rounded returns a total as it is encoded in messages, in whole units.
 func (s Spending) rounded() Spending {
 	return Spending{float64(roundTotal(s.Spent)), float64(roundTotal(s.Refused))}
 }
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -14,44 +14,42 @@
 )
 
 const (
-	// freshRounds is for how many rounds a report counts as the present, so that
-	// two lost ones change nothing.
+	// freshRounds is the number of rounds for which a report counts as current: losing two in a
+	// row changes nothing.
 	freshRounds = 4
-	// KnownTimeout is for how long a silent gateway still counts as one that may
-	// admit requests. Killed ones are back within some seconds; one that is cut
-	// off goes on admitting its part for as long as it lives, and the cuts that
-	// the users know last for less.
+	// KnownTimeout is how long a silent gateway still counts as one that may admit requests. A
+	// killed gateway is back within some seconds. One that is cut off goes on admitting its
+	// share for as long as it runs; the network partitions that the users have seen last for
+	// less.
 	KnownTimeout = 15 * time.Second
-	// leavingTimeout is for how long one that said it leaves counts after its last
-	// word.
+	// leavingTimeout is how long a gateway that announced that it leaves still counts after its
+	// last report.
 	leavingTimeout = 2 * time.Second
-	// contactTTL is for how long an address is tried after its gateway was last
-	// heard of.
+	// contactTTL is how long an address is tried after its gateway was last heard of.
 	contactTTL = time.Minute
 )
 
-// Table holds what is known of the other gateways. It is safe for concurrent
-// use.
+// Table holds what is known of the other gateways. It is safe for concurrent use.
 type Table struct {
 	self Contact
 
 	mu       sync.Mutex
 	members  map[ident.Instance]*Member
 	contacts map[string]contact
-	// rosters are the failure domains' gateways by their collectors' word.
+	// rosters are the rosters that collectors reported, by failure domain.
 	rosters map[ident.FailureDomain]*roster
-	// unreachableUntil are addresses that did not answer, with until when they are passed over.
+	// unreachableUntil holds the addresses that did not answer and until when each is skipped.
 	unreachableUntil map[string]time.Time
 }
 
 // contact is an address at which a gateway may be reached.
 type contact struct {
 	Contact
-	// expiresAt is when the address is given up; zero for a seed, which never is.
+	// expiresAt is when the address is dropped. It is zero for a seed, which is never dropped.
 	expiresAt time.Time
 }
 
-// NewTable returns a table that knows only seeds' addresses.
+// NewTable returns a table that knows only the seeds' addresses.
 func NewTable(self Contact, seeds []string) *Table {
 	t := &Table{
 		self: self, members: make(map[ident.Instance]*Member), contacts: make(map[string]contact),
@@ -61,7 +59,7 @@
 	return t
 }
 
-// AddSeeds adds addresses that are always tried.
+// AddSeeds adds addresses that never expire.
 func (t *Table) AddSeeds(seeds []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,8 +70,8 @@
 	}
 }
 
-// RecordReport takes in what a gateway said of itself. An older report than is known
-// changes nothing.
+// RecordReport records what another gateway reported about itself. It ignores a report that is
+// not newer than the recorded one, and this gateway's own.
 func (t *Table) RecordReport(r Report, now, wall time.Time) {
 	if r.Node == t.self.Node || r.Node == "" {
 		return
@@ -88,14 +86,15 @@
 	t.addContact(r.Contact, now)
 }
 
-// supersedes reports whether a replaces b. Incarnations are times of start, by a time
-// of day that may have been set back between two lives, so that they are not
-// compared: what a gateway says of itself is its present life.
+// supersedes reports whether report a replaces report b. Incarnations are not compared: they
+// are start times by a wall clock that may have been set back between two starts. What a
+// gateway says about itself comes from its present incarnation.
 func supersedes(a, b Report) bool {
 	return a.Incarnation != b.Incarnation || a.Seq > b.Seq
 }
 
-// AddContacts takes in where other gateways can be reached.
+// AddContacts adds addresses at which other gateways can be reached. It changes no address
+// whose gateway is known already.
 func (t *Table) AddContacts(contacts []Contact, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +102,7 @@
 		if c.Node == t.self.Node {
 			continue
 		}
-		if known, some := t.contacts[c.Address]; !some || known.Node == "" {
+		if known, ok := t.contacts[c.Address]; !ok || known.Node == "" {
 			t.addContact(c, now)
 		}
 	}
@@ -118,7 +117,7 @@
 	t.contacts[c.Address] = contact{Contact: c, expiresAt: now.Add(contactTTL)}
 }
 
-// Addresses returns where to try to reach other gateways, in a fixed order.
+// Addresses returns the addresses at which to try other gateways, sorted, without own.
 func (t *Table) Addresses(own string, now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +131,7 @@
 			continue
 		}
 		if m := t.members[c.Node]; m != nil && m.Report.Address != address {
-			continue // the gateway has moved
+			continue // the gateway has a new address
 		}
 		out = append(out, address)
 	}
@@ -156,13 +155,13 @@
 	return n
 }
 
-// maxContactsSent is how many contacts are told to a gateway that knows others: enough to meet
-// one that collects, and from it the rosters. What goes wrong with all of them: of a thousand
-// gateways that start together each is told of all by each that it meets.
+// maxContactsSent bounds the contacts in one answer. They suffice to reach a collector and to
+// get the rosters from it. Without the bound, when a thousand gateways start together, each is
+// sent all contacts by every gateway that it meets.
 const maxContactsSent = 64
 
-// Contacts returns gateways heard of lately, directly or by a collector's word: the first of
-// each failure domain, and of the rest any, contactsMost at the most.
+// Contacts returns gateways that were heard of recently, directly or from a collector: the
+// first collectors of each failure domain, then random others, maxContactsSent at most.
 func (t *Table) Contacts(now time.Time) []Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -174,14 +173,14 @@
 	first := make(map[ident.FailureDomain]int)
 	inOrder := slices.Clone(all)
 	sortCollectors(inOrder)
-	var told []Contact
+	var chosen []Contact
 	for _, c := range inOrder {
-		if first[c.Domain] < maxCollectorTries && len(told) < maxContactsSent {
+		if first[c.Domain] < maxCollectorTries && len(chosen) < maxContactsSent {
 			first[c.Domain]++
-			told = append(told, c)
+			chosen = append(chosen, c)
 		}
 	}
-	return append(told, all[:maxContactsSent-len(told)]...)
+	return append(chosen, all[:maxContactsSent-len(chosen)]...)
 }
 
 func (t *Table) recentContacts(now time.Time) []Contact {
@@ -203,15 +202,15 @@
 	return slices.SortedFunc(maps.Values(all), func(a, b Contact) int { return cmp.Compare(a.Node, b.Node) })
 }
 
-// DirectPeers is the other gateways that this one heard itself, at an instant.
+// DirectPeers are the other gateways that reported to this one directly, as of an instant.
 type DirectPeers struct {
-	// Fresh are those heard lately, in the order of their names.
+	// Fresh are the gateways with a current report, sorted by name.
 	Fresh []Member
-	// Known counts those that may admit requests, heard lately or not.
+	// Known counts the gateways that may admit requests, with a current report or without.
 	Known int
 }
 
-// DirectPeers returns the other gateways that this one heard itself.
+// DirectPeers returns the other gateways that reported to this one directly.
 func (t *Table) DirectPeers(now time.Time) DirectPeers {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -234,8 +233,8 @@
 	return v
 }
 
-// countUnmet counts the gateways that others told of and that were not heard yet: among
-// many it takes some rounds to meet them all, and they admit requests meanwhile.
+// countUnmet counts the gateways that others told of and that have not reported yet. In a
+// large fleet it takes some rounds to meet them all, and they admit requests meanwhile.
 func (t *Table) countUnmet(now time.Time) int {
 	n := 0
 	for _, c := range t.contacts {
@@ -246,11 +245,12 @@
 	return n
 }
 
-// Digest is equal where two gateways know the same others and themselves.
+// Digest returns a digest of the known gateways including this one. Two gateways that know the
+// same ones have the same digest.
 func (t *Table) Digest(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// A sum does not depend on the order.
+	// Adding the hashes up makes the digest independent of the order.
 	digest := xxhash.Sum64String(string(t.self.Node))
 	for _, c := range t.recentContacts(now) {
 		digest += xxhash.Sum64String(string(c.Node))
@@ -258,7 +258,7 @@
 	return digest
 }
 
-// Members returns all gateways heard of in the last minute.
+// Members returns all gateways that reported directly during the last minute, sorted by name.
 func (t *Table) Members() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -270,9 +270,8 @@
 	return out
 }
 
-// WallCorrection returns what to add to this machine's time of day so that it is
-// the median of all fresh gateways': a clock that was set wrong moves the median
-// only if most are.
+// WallCorrection returns what to add to this machine's wall clock to get the median of all
+// fresh gateways' clocks. A clock that is set wrong does not move the median unless most are.
 func (v DirectPeers) WallCorrection() time.Duration {
 	offs := []time.Duration{0}
 	for _, m := range v.Fresh {
@@ -289,15 +288,15 @@
 	return offs[len(offs)/2]
 }
 
-// silentAfter is after how long without a word a gateway counts as silent where a
-// round reaches all others: three rounds and the time of an exchange.
+// silentAfter is the time without a report after which a gateway counts as silent, where a
+// round reaches all others: three rounds and the time of one exchange.
 const silentAfter = 1100 * time.Millisecond
 
-// SilentDomains returns the failure domains but one's own whose gateways were
-// heard in the last while, and none of them is now.
+// SilentDomains returns the failure domains, except the given own one, of which at least one
+// gateway reported within KnownTimeout and none within silentAfter.
 func SilentDomains(members []Member, own ident.FailureDomain, now time.Time) map[ident.FailureDomain]bool {
-	// Among many, the time in which one of a domain's gateways is met is shorter
-	// than that in which each is; the same limit does.
+	// In a large fleet a round does not reach every gateway, but it takes less time to meet one
+	// gateway of a domain than each of them, so that the same limit suffices.
 	silent := make(map[ident.FailureDomain]bool)
 	for _, m := range members {
 		domain, age := m.Report.Domain, now.Sub(m.HeardAt)
--- a/internal/gossip/types.go
+++ b/internal/gossip/types.go
@@ -1,16 +1,17 @@
-// Package gossip keeps the gateways in step without the platform's store: each
-// tells the others several times a second what it holds and spends, and gives
-// them the configuration and the upstreams' entries that they lack.
+// Package gossip keeps gateways informed about each other without the platform's store.
+// Several times a second each gateway reports what it has in progress and what it has spent,
+// and sends other gateways the configuration and the upstream entries that they lack.
 //
-// A few gateways meet each other directly in every round. Many report to a collector
-// in their failure domain, which adds the reports up, exchanges the domain's sum with
-// the collectors of the other domains, and answers each report with the sum of all
-// others' (see Collector). So the work of a gateway does not grow with their number,
-// and what one does is known to all others after some 0.3 s, however many there are.
+// With few gateways, every gateway exchanges reports with every other one in each round. With
+// many, each gateway reports to a collector in its failure domain. The collector adds the
+// reports up, exchanges the domain's sum with the collectors of the other domains, and answers
+// each report with the sum of all other gateways (see Collector). This way the work of a
+// gateway does not grow with the number of gateways, and what one gateway does is known to all
+// others after about 0.3 s, whatever the size of the fleet.
 //
-// It speaks HTTP/1.1 with protobuf between gateways. gRPC is not used here because
-// it notices a silent connection after 10 s at the least (its keepalive's lower
-// bound), and the views are of no use after one.
+// Gateways exchange protobuf messages over HTTP/1.1. gRPC is not used because it notices a
+// silent connection after 10 s at the earliest (the lower bound of its keepalive), and a view
+// of the other gateways is useless after one second.
 package gossip
 
 import (
@@ -27,123 +28,128 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// UpstreamKey stands for an upstream's ID between gateways: four bytes instead of some
-// twenty. Of 690 upstreams two share a key once in 18,000 fleets, and then each is
-// taken to have the load of both.
+// UpstreamKey is a hash that identifies an upstream in messages: four bytes instead of the
+// roughly twenty of its ID. Among 690 upstreams two share a key in one fleet out of 18,000;
+// each of the two is then taken to have the load of both.
 type UpstreamKey uint32
 
-// KeyOf returns an upstream's key.
+// KeyOf returns the key of the upstream with the given ID.
 func KeyOf(id ident.Instance) UpstreamKey { return UpstreamKey(xxhash.Sum64String(string(id))) }
 
-// Spending is what was admitted for a client account, and refused beyond its limit,
-// in the account's unit. Totals grow.
+// Spending is how much was admitted for a client account and how much was refused because it
+// exceeded the account's limit, in the account's unit. Both are totals that only grow.
 type Spending struct{ Spent, Refused float64 }
 
-// WindowCounts counts requests by window of true time and by client account.
+// WindowCounts holds numbers of requests by window of true time and by client account.
 type WindowCounts map[int64]map[ident.ClientAccount]int64
 
-// Report is what one gateway says of itself. A later one replaces it whole.
+// Report is what one gateway says about itself. A later report replaces an earlier one
+// completely.
 type Report struct {
 	Contact
 	Incarnation ident.Incarnation
 	Seq         uint64
-	// WallMillis is the sender's time of day, milliseconds since 1970.
+	// WallMillis is the sender's wall clock in milliseconds since 1970.
 	WallMillis int64
-	// Leaving: it was told to stop.
+	// Leaving is set once the gateway was told to stop.
 	Leaving bool
-	// Holds: it holds the lease of the duties. GivenUp is the fencing number of its
-	// newest one that ran out, under which it acts no more.
+	// Holds is set while the gateway holds the lease of the duties. GivenUp is the fencing
+	// number of its newest lease that ran out: it no longer acts under that number or a lower
+	// one.
 	Holds   bool
 	GivenUp ident.Fence
-	// Revision of the configuration, and the offset up to which it knows the
-	// upstreams' entries.
+	// Revision is that of the gateway's configuration; Upstreams is the offset up to which it
+	// knows the upstream entries.
 	Revision  ident.Revision
 	Upstreams ident.Offset
-	// RevisionAge and UpstreamsAge are how long ago the store confirmed that these
-	// are the newest.
+	// RevisionAge and UpstreamsAge tell how long ago the store confirmed that Revision and
+	// Upstreams were the newest.
 	RevisionAge, UpstreamsAge time.Duration
-	// Loads are its requests in progress.
+	// Loads are the gateway's requests in progress.
 	Loads map[UpstreamKey]placement.Load
-	// Accounts are its totals since its start.
+	// Accounts are the gateway's totals since its start.
 	Accounts map[ident.ClientAccount]Spending
-	// Began counts requests that began to run, by window of true time.
+	// Began counts the requests that started to run, by window of true time.
 	Began WindowCounts
-	// Work is what it asked of each service in the last seconds.
+	// Work is the gateway's demand for each service during the last seconds.
 	Work map[ident.Service]placement.Demand
-	// Engines is what its requests saw of each service's engines.
+	// Engines are the gateway's measurements of each service's engines, taken from its
+	// requests.
 	Engines map[ident.Service]enginemodel.Sums
-	// Rollouts is what it knows and saw of orders to change a service's version.
+	// Rollouts is what the gateway knows and has observed of rollouts of new service versions.
 	Rollouts rollout.Words
-	// Poison is what it knows of requests that end upstreams.
+	// Poison is what the gateway knows about requests that crash upstreams.
 	Poison poison.Words
-	// Limits are what upstreams say of the rates that they take, and LimitUses what it
-	// does with those that have a limit.
+	// Limits are the request rates that upstreams say they accept. LimitUses tells how much the
+	// gateway uses the upstreams that have a limit.
 	Limits    []upstreamlimit.Said
 	LimitUses upstreamlimit.Uses
-	// LimitSet is a digest of the limits that it knows; 0 for none. LimitColumns are its
-	// uses for a receiver that knows the same.
+	// LimitSet is a digest of the limits that the gateway knows; 0 means none. LimitColumns is
+	// the short form of LimitUses, sent instead of it to a receiver that knows the same limits.
 	LimitSet     uint32
 	LimitColumns upstreamlimit.Columns
 }
 
-// Contact is where a gateway can be reached.
+// Contact tells where a gateway can be reached.
 type Contact struct {
 	Node    ident.Instance
 	Address string
 	Domain  ident.FailureDomain
-	// Cores is what it has of a processor. The gateways of a failure domain that have
-	// most of it collect.
+	// Cores is the gateway's share of processor cores. In each failure domain the gateways with
+	// the most cores act as collectors.
 	Cores float64
 }
 
-// ConfigRecord is the operators' configuration as it stands in the store.
+// ConfigRecord is the operators' configuration as it is recorded in the store.
 type ConfigRecord struct {
 	Revision ident.Revision
 	Offset   ident.Offset
 	Data     []byte
 }
 
-// LifeCounts are the requests that one life of a gateway counted.
+// LifeCounts holds the requests that one incarnation of a gateway counted. Life is named as by
+// LifeOf.
 type LifeCounts struct {
 	Life  string
 	Began WindowCounts
 }
 
-// Roster is the first gateways of a failure domain, in the order in which they collect.
+// Roster lists the gateways of a failure domain that come first as collectors, in that order.
 type Roster struct {
 	Domain   ident.FailureDomain
 	Gateways []Contact
 }
 
-// message is a request, and its answer.
+// message is a request to another gateway, or the answer to one.
 type message struct {
 	From Report
-	// KnownDigest is a digest of the gateways that the sender knows, and Contacts all
-	// of them, where the receiver's digest differs.
-	KnownDigest    uint64
-	Contacts []Contact
-	// TakesPatches: the sender takes a configuration as a patch of the one that it has.
+	// KnownDigest is a digest of the gateways that the sender knows. If the receiver's digest
+	// differs, its answer holds Contacts.
+	KnownDigest uint64
+	Contacts    []Contact
+	// AcceptsPatches is set if the sender accepts a configuration as a patch of the one it has.
 	AcceptsPatches bool
-	// Wants: the sender takes a configuration, or all entries of upstreams, with the
-	// answer.
+	// WantsLarge is set if the sender accepts a large configuration, or all upstream entries,
+	// in the answer.
 	WantsLarge bool
 	// Config and Upstreams are what the receiver lacks.
 	Config    *encodedConfig
 	Upstreams *directory.News
-	// Collect: the receiver collects the report and answers with Others. TakesWhole: the
-	// sender takes its own report out of the answer itself.
+	// Collect asks the receiver to add the report up as a collector and to answer with Others.
+	// SubtractsOwn is set if the sender subtracts its own report from the answer itself.
 	Collect, SubtractsOwn bool
-	Others              *Sum
-	// DomainSum is that of the sender's failure domain, between collectors.
+	Others                *Sum
+	// DomainSum is the sum of the sender's failure domain; collectors exchange it.
 	DomainSum *Sum
-	// OthersEncoded and DomainPart are parts of Others and DomainSum that were encoded before,
-	// for several messages; what stands in these themselves goes before.
+	// OthersEncoded and DomainSumEncoded are parts of Others and DomainSum that were encoded
+	// once for several messages. A message carries them after the encoded fields of Others and
+	// DomainSum.
 	OthersEncoded, DomainSumEncoded []byte
-	// RosterDigests are the sender's rosters by digest, and Rosters those that the
-	// receiver lacks.
+	// RosterDigests are digests of the rosters that the sender knows. Rosters are those that
+	// the receiver lacks.
 	RosterDigests map[ident.FailureDomain]uint64
-	Rosters      []Roster
-	// WantsCounts: the receiver answers with the counts that it collected.
+	Rosters       []Roster
+	// WantsCounts asks the receiver for the counts that it has collected.
 	WantsCounts bool
 	Counts      []LifeCounts
 }
@@ -151,8 +157,8 @@
 // Member is another gateway as this one knows it.
 type Member struct {
 	Report Report
-	// HeardAt is when its newest report came, by this machine's boot time.
+	// HeardAt is when the newest report arrived, by this machine's boot-time clock.
 	HeardAt time.Time
-	// ClockOffset is its time of day minus this machine's.
+	// ClockOffset is the gateway's wall clock minus this machine's.
 	ClockOffset time.Duration
 }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -11,38 +11,42 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// View is the other gateways at an instant, however they were heard.
+// View describes the other gateways at an instant, whether they reported directly or through
+// collectors.
 type View struct {
-	// Groups are who is heard: single gateways, or all of them by one collector's word.
+	// Groups are the gateways that are heard: one group for each, or one for all by a
+	// collector's sum.
 	Groups []Group
-	// Heard counts them, and Known those that may admit requests, heard lately or not.
+	// Heard counts the gateways in Groups. Known counts those that may admit requests, heard
+	// recently or not.
 	Heard, Known int
-	// Holds: another gateway says that it holds the lease of the duties. GivenUp is the
-	// highest fencing number under which its holder acts no more.
+	// Holds is set if another gateway says that it holds the lease of the duties. GivenUp is
+	// the highest fencing number under which a holder no longer acts.
 	Holds   bool
 	GivenUp ident.Fence
-	// Silent are the other failure domains in which gateways were heard lately, and
-	// none is now.
+	// Silent are the other failure domains in which gateways were heard recently and none is
+	// heard now.
 	Silent map[ident.FailureDomain]bool
-	// Place is this gateway's place in line for what few of all do, from 0.
+	// Place is this gateway's rank, from 0, among the gateways that do work which only a few of
+	// them do.
 	Place int
-	// WallCorrection is what to add to this machine's time of day so that it is that of
-	// most gateways.
+	// WallCorrection is what to add to this machine's wall clock to get the median of the
+	// gateways' clocks.
 	WallCorrection time.Duration
 }
 
-// NoView is what a gateway knows before it has heard anything: it leaves what few of all do
-// to others. What goes wrong with a place of 0: of a thousand gateways that start together
-// each takes itself for the first in line, and writes a claim of the lease.
+// NoView returns the view of a gateway that has heard nothing yet: it leaves work that only a
+// few gateways do to others. With a Place of 0, each of a thousand gateways that start
+// together would consider itself the first, and write a claim of the lease.
 func NoView() View { return View{Place: lastRank} }
 
 // Group is one or more gateways that are reported together.
 type Group struct {
-	// Name tells groups apart. Totals of the same group and another source cannot be
-	// compared.
+	// Name identifies the group. Totals of the same group cannot be compared if their sources
+	// differ.
 	Name, Source string
 	Gateways     int
-	// ReportedAt is as of when, on average, by this machine's boot time.
+	// ReportedAt is when the gateways reported, on average, by this machine's boot-time clock.
 	ReportedAt time.Time
 	Loads      map[UpstreamKey]placement.Load
 	Accounts   map[ident.ClientAccount]Spending
@@ -53,14 +57,14 @@
 	LimitUses  upstreamlimit.Uses
 }
 
-// allOthers names the group of all gateways by a collector's word.
+// allOthers is the name of the group that a collector's sum forms.
 const allOthers = "all others"
 
-// usesCollectors reports whether so many other gateways are too many to meet each of them in
-// every round.
+// usesCollectors reports whether there are too many other gateways to exchange reports with
+// each of them in every round.
 func usesCollectors(others int) bool { return others > 2*fanout }
 
-// View returns the other gateways.
+// View returns the other gateways as of now.
 func (g *Gossip) View(now time.Time) View {
 	direct := g.cfg.Table.DirectPeers(now)
 	v := View{Silent: make(map[ident.FailureDomain]bool), WallCorrection: direct.WallCorrection()}
@@ -76,7 +80,7 @@
 	return v
 }
 
-// fillDirect fills a view from the gateways that were heard directly.
+// fillDirect fills a view from the gateways that reported directly.
 func (g *Gossip) fillDirect(v *View, direct DirectPeers, now time.Time) {
 	v.Heard, v.Known = len(direct.Fresh), direct.Known
 	if v.Known == 0 && now.Sub(g.startedAt) < startupGrace {
@@ -99,8 +103,8 @@
 	v.Silent = SilentDomains(g.cfg.Table.Members(), g.cfg.Self.Domain, now)
 }
 
-// fillCollected fills a view from what a collector says of all others, or from what this one
-// collected.
+// fillCollected fills a view from a collector's sum of all others, or from what this gateway
+// collected itself.
 func (g *Gossip) fillCollected(v *View, now time.Time) {
 	v.Place = lastRank
 	sum, heardAt, collecting := g.bestSum(now)
@@ -134,8 +138,8 @@
 	}}
 }
 
-// bestSum returns what is known of all others, since when, and whether this gateway added
-// it up itself: its own collector's sum, or a newer answer that holds more gateways.
+// bestSum returns the sum of all others, as of when it is, and whether this gateway added it
+// up itself: the sum of its own collector, or a current answer that includes more gateways.
 func (g *Gossip) bestSum(now time.Time) (sum *Sum, heardAt time.Time, collecting bool) {
 	g.mu.Lock()
 	answer, answeredAt := g.collectorSum, g.collectorSumAt
@@ -149,14 +153,15 @@
 	return answer, answeredAt, false
 }
 
-// lastClockCorrection is that of the collector that answered last.
+// lastClockCorrection returns the clock correction by the collector that answered last.
 func (g *Gossip) lastClockCorrection() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.collectorClockCorrection
 }
 
-// isFirstCollector reports whether this gateway is the first of its domain that collects.
+// isFirstCollector reports whether this gateway comes first among the collectors of its
+// domain.
 func (g *Gossip) isFirstCollector(now time.Time) bool {
 	if g.leaving.Load() {
 		return false
@@ -166,18 +171,18 @@
 }
 
 const (
-	// lastRank is the place of a gateway that no line waits for.
+	// lastRank is the rank of a gateway that leaves the work of few gateways to others.
 	lastRank = 1 << 10
-	// startupGrace is for how long after its start a gateway that has heard nobody leaves
-	// what few of all do to others: four rounds. What goes wrong without it: after all
-	// were killed, each reads the upstreams' entries and the lease for itself until it
-	// knows the others.
+	// startupGrace is how long after its start a gateway that has heard nobody leaves the work
+	// of few gateways to others: four rounds. Without it, after all gateways were killed, each
+	// would read the upstream entries and the lease for itself until it knows the others.
 	startupGrace = 4 * Interval
 )
 
-// rank is this gateway's place in line: the first collectors of the domains that are
-// heard, in the order of the domains' names, and then nobody. They hear first what the
-// others know, and the others hear first what they know.
+// rank returns this gateway's rank among those that do work for all. The first collectors of
+// the domains that are heard have the ranks from 0 on, in the order of the domains' names; all
+// other gateways have lastRank. First collectors are the first to learn what the others know,
+// and the others learn first what they know.
 func (g *Gossip) rank(now time.Time) int {
 	if !g.isFirstCollector(now) {
 		return lastRank
