--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -10,11 +10,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routing/placement"
 )
 
-// BenchmarkReport gives the slopes of docs/CAPACITY.md: one report encoded and
-// decoded, and its bytes, with the loads at so many upstreams and so many accounts.
+// BenchmarkReport measures encoding and decoding one report, and its size, by the numbers of
+// upstreams and accounts in it. The slopes in docs/CAPACITY.md come from it.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []struct{ upstreams, accounts int }{{9, 5}, {64, 16}, {64, 100}, {3000, 333}} {
-		r := report("edge-hall-a-1", 1, 1)
+		r := newReport("edge-hall-a-1", 1, 1)
 		r.Loads = make(map[UpstreamKey]placement.Load)
 		r.Accounts = make(map[ident.ClientAccount]Spending)
 		r.Began = make(WindowCounts)
@@ -55,9 +55,9 @@
 	}
 }
 
-// BenchmarkCollectorAnswer gives what one answer of a collector costs, from the report's
-// taking in to the encoded answer, with so many gateways in its domain and the sums of five
-// other domains.
+// BenchmarkCollectorAnswer measures one answer of a collector, from adding the report to the
+// encoded answer, by the number of gateways in its domain, with the sums of five other
+// domains.
 func BenchmarkCollectorAnswer(b *testing.B) {
 	for _, n := range []struct{ gateways, upstreams, accounts int }{{8, 300, 40}, {75, 3000, 333}, {164, 3000, 333}, {328, 6000, 333}} {
 		b.Run(fmt.Sprint(n.gateways, " gateways ", n.upstreams, " upstreams"), func(b *testing.B) {
@@ -81,7 +81,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				m := message{From: report("gw-0", 1, 1), Others: &sum, OthersEncoded: part}
+				m := message{From: newReport("gw-0", 1, 1), Others: &sum, OthersEncoded: part}
 				data, err := m.encode()
 				if err != nil {
 					b.Fatal(err)
@@ -93,7 +93,7 @@
 	}
 }
 
-// domainSumOf is the sum of another domain, with loads at a part of all upstreams.
+// domainSumOf returns the sum of another domain, with loads of some of all upstreams.
 func domainSumOf(domain, upstreams, accounts int) Sum {
 	s := Sum{
 		Source: "c/1", Seq: 1, Domain: ident.FailureDomain(fmt.Sprint("hall-", domain)), Heard: 100, Known: 100,
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -20,7 +20,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// fullReport uses all fields.
+// fullReport returns a report in which all fields but LimitColumns are set.
 func fullReport() Report {
 	var sums enginemodel.Sums
 	sums.Learn(enginemodel.Sample{Own: 1000, Ahead: 500, Running: 3, First: 80 * time.Millisecond}, sums.Fit())
@@ -47,7 +47,7 @@
 	}
 }
 
-// fullPoison uses all fields.
+// fullPoison returns statements in which all fields are set.
 func fullPoison() poison.Words {
 	return poison.Words{
 		Crashes:  []poison.Crash{{Upstream: 7, Age: 300 * time.Millisecond, Marks: []ident.Mark{1 << 8, 1<<63 | 5}}},
@@ -55,7 +55,7 @@
 	}
 }
 
-// fullRollouts use all fields.
+// fullRollouts returns statements in which all fields are set.
 func fullRollouts() rollout.Words {
 	seen := make(rollout.Seen)
 	for side := range rollout.Side(len(rollout.Evidence{})) {
@@ -76,8 +76,8 @@
 		LimitUses: upstreamlimit.Uses{9: {Asked: 100, Sent: 20}},
 		Rollouts:  fullRollouts(), Poison: fullPoison(), SilentDomains: []ident.FailureDomain{"hall-b"}, TrueWallMillis: 1_800_000_000_000,
 	}
-	inOrder := *sum
-	inOrder.LimitUses, inOrder.LimitColumns = nil, upstreamlimit.Columns{Set: 5, Asked: []float64{1, 0}, Sent: []float64{0.5, 0}}
+	withColumns := *sum
+	withColumns.LimitUses, withColumns.LimitColumns = nil, upstreamlimit.Columns{Set: 5, Asked: []float64{1, 0}, Sent: []float64{0.5, 0}}
 	up := directory.Upstream{
 		ID: "u/1", Name: "u", Born: 36, Service: "llm", Address: "10.0.0.9:1", FailureDomain: "hall-b", Slots: 12, State: directory.Leaving,
 		Reclaimable: true, LeavesIn: 2 * time.Second, Version: "v2", ColdFor: time.Second,
@@ -88,7 +88,7 @@
 		"a patch":                      {From: fullReport(), AcceptsPatches: true, Config: &encodedConfig{Revision: 5, Offset: 6, Base: 4, Patch: []byte("x")}},
 		"news":                         {From: fullReport(), Upstreams: &directory.News{UpTo: 9, Complete: true, Records: []directory.Record{{ID: "u", Offset: 3, Upstream: &up}, {ID: "v", Offset: 4, Usable: time.Second}}}},
 		"to a collector":               {From: fullReport(), Collect: true, SubtractsOwn: true, RosterDigests: map[ident.FailureDomain]uint64{"hall-a": 1}, WantsCounts: true},
-		"to one that knows the limits": {From: fullReport(), Others: &inOrder},
+		"to one that knows the limits": {From: fullReport(), Others: &withColumns},
 		"from a collector":             {From: fullReport(), Others: sum, DomainSum: sum, Rosters: []Roster{{Domain: "hall-b", Gateways: contacts}}, Counts: []LifeCounts{{Life: "a/1", Began: WindowCounts{1: {"a": 2}}}}},
 	} {
 		data, err := m.encode()
@@ -109,7 +109,7 @@
 	for _, w := range []WindowCounts{
 		nil,
 		{7: {"a": 1}},
-		// Windows are far apart after a clock was set.
+		// Windows are far apart after a clock was changed.
 		{7: {"a": 1, "b": 2}, 8: {"b": 3}, 900_000: {"c": 1}},
 	} {
 		m := message{From: fullReport()}
@@ -128,9 +128,9 @@
 	}
 }
 
-// Symptom: a gateway ends, or all of them place by a load that nobody has. Sequence:
-// another one's message is cut, comes from an older build, or says what cannot be. Cause:
-// figures that are taken in unchecked.
+// Another gateway's message is truncated, comes from an older build or contains impossible
+// values. Guards against using such values unchecked: a gateway would crash, or all of them
+// would place requests by a load that no gateway has.
 func TestMessagesThatCannotBeAreRefused(t *testing.T) {
 	whole := message{From: fullReport()}
 	data, err := whole.encode()
@@ -208,7 +208,7 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// Whatever comes, it is refused or can be told on.
+		// Any input is either rejected or can be encoded again.
 		if m, err := decode(data); err == nil {
 			if _, err := m.encode(); err != nil {
 				t.Log(err)
@@ -217,10 +217,10 @@
 	})
 }
 
-// What one gateway says of requests that end upstreams in a round must stay below 200 bytes,
-// also while many different ones do, and is nothing while none does.
+// What a gateway reports per round about requests that crash upstreams must stay below 200
+// bytes, also while many different requests do, and take no bytes while none does.
 func TestEndsOfUpstreamsTakeFewBytesOfAReport(t *testing.T) {
-	const aim = 200
+	const maxBytes = 200
 	now := time.Unix(1_000_000, 0)
 	tracker := poison.New(poison.Config{
 		Now: func() time.Time { return now }, Log: hclog.NewNullLogger(), Key: func(id ident.Instance) uint32 { return uint32(KeyOf(id)) },
@@ -236,7 +236,7 @@
 	}
 	without := size(poison.Words{})
 	if extra := size(tracker.Words()) - without; extra != 0 {
-		t.Errorf("%d bytes while nothing ends", extra)
+		t.Errorf("%d bytes while no upstream crashes", extra)
 	}
 	most := 0
 	for i := range 200 {
@@ -255,18 +255,18 @@
 		most = max(most, size(tracker.Words())-without)
 	}
 	if tracker.Counters().Found < 100 {
-		t.Fatal("nothing was found")
+		t.Fatal("fewer than 100 crashing requests were found")
 	}
-	if most > aim {
-		t.Errorf("%d bytes, aim %d", most, aim)
+	if most > maxBytes {
+		t.Errorf("%d bytes, at most %d allowed", most, maxBytes)
 	}
-	t.Logf("%d bytes at most", most)
+	t.Logf("at most %d bytes were used", most)
 }
 
-// What one gateway of many says of an order in a round must stay below 200 bytes: it is
-// said four times a second by each.
+// What one of many gateways reports per round about a rollout must stay below 200 bytes,
+// because each gateway reports it four times a second.
 func TestAnOrderTakesFewBytesOfAReport(t *testing.T) {
-	const aim = 200
+	const maxBytes = 200
 	seen := make(rollout.Seen)
 	for route := range 5 {
 		key := rollout.KeyOf(string(rune('a' + route)))
@@ -296,7 +296,7 @@
 	}
 	got := sizes[0] - sizes[1]
 	t.Logf("%d bytes", got)
-	if got > aim {
-		t.Errorf("%d bytes, want at most %d", got, aim)
+	if got > maxBytes {
+		t.Errorf("%d bytes, at most %d allowed", got, maxBytes)
 	}
 }
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -20,26 +20,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// The load of a large fleet: hundreds of gateways of which each must know within some
-// tenths of a second what all others have in progress and spend, while collectors die,
-// freeze, leave and are cut off. Sizes are those of the users' deployments (8, 78, 195)
-// and of their target (330).
+// These tests run large fleets in virtual time: hundreds of gateways, each of which must know
+// within some tenths of a second what all others have in progress and spend, while collectors
+// die, freeze, leave and are cut off. The sizes are those of the users' deployments (8, 78,
+// 195) and of their target (330).
 
-// wireDelay is one way between two gateways.
+// wireDelay is the one-way delay between two gateways.
 const wireDelay = time.Millisecond
 
-// slowDelay is the same where machines are busy.
+// slowDelay is the one-way delay where machines are busy.
 const slowDelay = 60 * time.Millisecond
 
-// fleet is gateways in virtual time.
+// fleet is a group of gateways in virtual time.
 type fleet struct {
 	t        *testing.T
 	mu       sync.Mutex
 	gateways map[string]*node
 	order    []*node
-	// delay is one way.
+	// delay is the one-way delay.
 	delay time.Duration
-	// limits is how many upstreams have limits, and differ whether gateways know different
+	// limits is how many upstreams have limits. limitsDiffer is set if gateways know different
 	// ones.
 	limits       int
 	limitsDiffer bool
@@ -57,17 +57,17 @@
 	stop        context.CancelFunc
 	startedAt   time.Time
 	dead        bool
-	// frozenUntil: it does nothing before.
+	// frozenUntil is the instant before which the gateway does nothing.
 	frozenUntil time.Time
 	seq         uint64
-	// sentBytes and received are bytes, as caller and as callee.
+	// sentBytes and receivedBytes include requests and answers, as caller and as callee.
 	sentBytes, receivedBytes int
 	receivedCounts           map[string]WindowCounts
-	// confirmedAt is when the newest revision was confirmed, by this gateway's knowledge.
+	// confirmedAt is when the newest revision was confirmed, as far as this gateway knows.
 	confirmedAt time.Time
 }
 
-// spentPerSecond is what each gateway of a fleet admits a second.
+// spentPerSecond is what each gateway of a fleet admits per second.
 const spentPerSecond = 1000
 
 func newFleet(t *testing.T, gateways, domains int) *fleet {
@@ -159,7 +159,7 @@
 	return answer, sleep(ctx, f.oneWay())
 }
 
-// slowDown makes all ways as long as where machines are busy.
+// slowDown sets the one-way delay to that of busy machines.
 func (f *fleet) slowDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -200,8 +200,8 @@
 	return r
 }
 
-// Report implements Knowledge. Each gateway has one request at the upstream of its own
-// number and one at an upstream that all share, and spends evenly.
+// Report implements Knowledge. Each gateway has one request at the upstream of its own number
+// and one at an upstream that all gateways share, and spends at a constant rate.
 func (n *node) Report(now time.Time) Report {
 	r := n.Brief(now)
 	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, Unread: 100}, sharedUpstream: {Running: 1, Unread: 10}}
@@ -233,8 +233,8 @@
 	}
 }
 
-// LimitOrder implements Knowledge. Odd gateways know other limits than even ones where the
-// fleet differs.
+// LimitOrder implements Knowledge. If limitsDiffer is set, gateways with an odd number report
+// another digest of the limits than those with an even number.
 func (n *node) LimitOrder() upstreamlimit.Order {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
@@ -251,11 +251,11 @@
 	return o
 }
 
-// usedLimits is at how many upstreams with limits a gateway asks within some seconds, where
-// 330 gateways send 4,200 requests a second to 690 upstreams of which 50 have limits.
+// usedLimits is the number of limited upstreams that a gateway uses within some seconds if 330
+// gateways send 4,200 requests a second to 690 upstreams of which 50 have limits.
 const usedLimits = 8
 
-// limitedKey is that of the i-th upstream with a limit.
+// limitedKey returns the key of the i-th upstream with a limit.
 func limitedKey(i int) uint32 { return uint32(1000 + i) }
 
 // Count implements Knowledge.
@@ -267,7 +267,7 @@
 	}
 }
 
-// running returns the gateways that run.
+// running returns the gateways that are not dead.
 func (f *fleet) running() []*node {
 	var out []*node
 	for _, n := range f.order {
@@ -278,25 +278,25 @@
 	return out
 }
 
-// expectAllHeard checks that each of some gateways hears all the others of them, once each and
-// nobody else, by reports that are young enough on average.
-func (f *fleet) expectAllHeard(among []*node, mostAge time.Duration) {
+// expectAllHeard checks that each of the given gateways hears all the others of them, once
+// each, and no other gateway, and that their reports are at most maxAge old on average.
+func (f *fleet) expectAllHeard(among []*node, maxAge time.Duration) {
 	f.t.Helper()
 	wrong := 0
 	for _, n := range among {
 		v := n.gossip.View(time.Now())
 		loads := make(map[UpstreamKey]placement.Load)
-		work, age := 0.0, time.Duration(0)
+		demand, age := 0.0, time.Duration(0)
 		for _, g := range v.Groups {
 			for key, load := range g.Loads {
 				loads[key] = loads[key].Plus(load)
 			}
-			work += g.Work["llm"].Generating
+			demand += g.Work["llm"].Generating
 			age += time.Duration(g.Gateways) * time.Since(g.ReportedAt)
 		}
 		others := len(among) - 1
 		age /= time.Duration(max(1, others))
-		ok := v.Heard == others && int(work+0.5) == others && loads[sharedUpstream] == placement.Load{Running: others, Unread: 10 * others} && age <= mostAge && age >= 0
+		ok := v.Heard == others && int(demand+0.5) == others && loads[sharedUpstream] == placement.Load{Running: others, Unread: 10 * others} && age <= maxAge && age >= 0
 		for _, other := range among {
 			if running := loads[UpstreamKey(other.number)].Running; other != n && running != 1 || other == n && running != 0 {
 				ok = false
@@ -305,19 +305,19 @@
 		if !ok {
 			wrong++
 			if wrong < 4 {
-				f.t.Errorf("%s hears %d of %d, known %d, work %.1f, load %v, age %v", n.contact.Node, v.Heard, others, v.Known, work, loads[sharedUpstream], age)
+				f.t.Errorf("%s hears %d of %d others; known %d, demand %.1f, shared load %v, mean age %v", n.contact.Node, v.Heard, others, v.Known, demand, loads[sharedUpstream], age)
 			}
 		}
 	}
 	if wrong > 0 {
-		f.t.Errorf("%d of %d gateways hear the wrong ones", wrong, len(among))
+		f.t.Errorf("%d of %d gateways do not hear exactly the others", wrong, len(among))
 	}
 }
 
-// sampleStep is the time between two looks.
+// sampleStep is the time between two samples of the reports' age.
 const sampleStep = 37 * time.Millisecond
 
-// meanAge is how old the reports of the others are at a gateway.
+// meanAge returns the mean age of the others' reports at a gateway.
 func (n *node) meanAge() time.Duration {
 	age, gateways := time.Duration(0), 0
 	for _, g := range n.gossip.View(time.Now()).Groups {
@@ -327,40 +327,43 @@
 	return age / time.Duration(max(1, gateways))
 }
 
-// collectorOf is the first collector of a domain.
+// collectorOf returns the first collector of a domain.
 func (f *fleet) collectorOf(domain ident.FailureDomain) *node {
 	for _, n := range f.order {
 		if n.contact.Domain == domain && !n.dead && n.gossip.isFirstCollector(time.Now()) {
 			return n
 		}
 	}
-	f.t.Fatalf("nobody collects in %s", domain)
+	f.t.Fatalf("no gateway is first collector in domain %s", domain)
 	return nil
 }
 
 func init() { testkit.OneProcessor() }
 
-func bubble(t *testing.T, play func(t *testing.T)) {
+// runVirtualTime runs a test in virtual time.
+func runVirtualTime(t *testing.T, play func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, play)
 }
 
-// settleTime is how long a fleet that was just started takes until all know all.
+// settleTime is how long a fleet that was just started takes until all gateways know all
+// others.
 const settleTime = 3 * time.Second
 
-// maxMeanAge is how old the reports of all others may be on average at any instant: a
-// report waits up to a round for the collector and the sum up to half of one for the
-// exchange, half of these on average; right before the next answer a gateway's view is a
-// round older. usualMeanAge is the same over some seconds.
+// maxMeanAge bounds the mean age of all others' reports at any instant: a report waits up to a
+// round for the collector, and the sum up to half a round for the exchange, half of these on
+// average. Right before the next answer a gateway's view is a round older. maxSampledMeanAge
+// bounds the mean of many samples.
 const (
-	maxMeanAge    = 450 * time.Millisecond
-	maxAverageAge = 350 * time.Millisecond
+	maxMeanAge        = 450 * time.Millisecond
+	maxSampledMeanAge = 350 * time.Millisecond
 )
 
-// maxBytesPerSecond bounds what a gateway in the middle sends and receives.
+// maxBytesPerSecond bounds what the median gateway sends and receives per second.
 const maxBytesPerSecond = 24_000
 
-// playLarge plays fleets of a thousand and two thousand gateways too: some minutes, by hand.
+// playLarge also runs fleets of a thousand and two thousand gateways. They take some minutes
+// and are run by hand.
 var playLarge = flag.Bool("gossip.large", false, "play fleets of 984 and 1,968 gateways too")
 
 func TestAllHearAllAtEverySize(t *testing.T) {
@@ -370,7 +373,7 @@
 	}
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.gateways), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runVirtualTime(t, func(t *testing.T) {
 				f := newFleet(t, size.gateways, size.domains)
 				time.Sleep(settleTime)
 				f.expectAllHeard(f.order, maxMeanAge)
@@ -383,25 +386,25 @@
 					steps++
 				}
 				f.expectAllHeard(f.order, maxMeanAge)
-				if age /= time.Duration(steps); age > maxAverageAge {
-					t.Errorf("reports are %v old", age)
+				if age /= time.Duration(steps); age > maxSampledMeanAge {
+					t.Errorf("reports are %v old on average, at most %v allowed", age, maxSampledMeanAge)
 				}
 				rates := f.bytes()
 				for i := range rates {
 					rates[i] = int(float64(rates[i]-before[i]) / watched.Seconds())
 				}
 				slices.Sort(rates)
-				middle, most := rates[len(rates)/2], rates[len(rates)-1]
-				t.Logf("%d gateways: %d bytes a second in the middle, %d at most, reports %v old", size.gateways, middle, most, age)
-				if middle > maxBytesPerSecond && size.gateways > 2*fanout {
-					t.Errorf("%d bytes a second", middle)
+				median, highest := rates[len(rates)/2], rates[len(rates)-1]
+				t.Logf("%d gateways: median %d bytes per second, maximum %d, mean age of reports %v", size.gateways, median, highest, age)
+				if median > maxBytesPerSecond && size.gateways > 2*fanout {
+					t.Errorf("the median gateway exchanges %d bytes per second, at most %d allowed", median, maxBytesPerSecond)
 				}
 			})
 		})
 	}
 }
 
-// bytes is what each gateway sent and received.
+// bytes returns how much each gateway has sent and received.
 func (f *fleet) bytes() []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -412,9 +415,9 @@
 	return out
 }
 
-// Symptom: gateways count the load of one that is gone, or hear nobody, for seconds.
-// Sequence: a domain's collector dies, freezes, leaves or is cut off. Cause: reports go
-// on to a collector that passes nothing on.
+// A domain's collector dies, freezes or leaves. Guards against reports that still go to it:
+// the others would then count the load of a gateway that is gone, or hear nothing of the
+// domain, for seconds.
 func TestALostCollectorCostsLittle(t *testing.T) {
 	for name, lose := range map[string]func(*fleet, *node){
 		"killed": func(_ *fleet, n *node) { n.kill() },
@@ -432,13 +435,13 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runVirtualTime(t, func(t *testing.T) {
 				f := newFleet(t, 78, 3)
 				time.Sleep(settleTime)
 				lost := f.collectorOf("hall-b")
 				lose(f, lost)
-				// Its own report counts for a second after its last word, and the rest
-				// of the domain is heard of again within two rounds.
+				// The lost collector's own report counts for a second after it was sent. The
+				// rest of the domain is heard again within two rounds.
 				time.Sleep(freshFor + 3*Interval)
 				f.expectAllHeard(f.running(), maxMeanAge)
 			})
@@ -446,11 +449,11 @@
 	}
 }
 
-// Symptom: the others hear nothing of a domain for a second and more. Sequence: its
-// collector is killed, and starts again two seconds later. Cause: a collector that has
-// just started knows nobody, and is believed.
+// A domain's collector is killed and starts again two seconds later, when it knows no other
+// gateway. Guards against taking its first sums for the whole domain: the others would then
+// hear nothing of the domain for a second or more.
 func TestACollectorThatStartsAgainIsNotBelievedTooEarly(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
 		time.Sleep(settleTime)
 		lost := f.collectorOf("hall-b")
@@ -459,28 +462,28 @@
 		lost.start()
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
-			least := len(f.order)
+			minHeard := len(f.order)
 			for _, n := range f.order {
 				if n != lost {
-					least = min(least, n.gossip.View(time.Now()).Heard)
+					minHeard = min(minHeard, n.gossip.View(time.Now()).Heard)
 				}
 			}
-			// All but the one that starts, and nobody but those who lose a round.
-			if least < len(f.order)-2 {
-				t.Errorf("somebody hears only %d of %d", least, len(f.order)-1)
+			// The gateway that starts may be missing, and one that loses a round.
+			if minHeard < len(f.order)-2 {
+				t.Errorf("a gateway hears only %d of %d others", minHeard, len(f.order)-1)
 			}
 		}
 		f.expectAllHeard(f.order, maxMeanAge)
 		if again := f.collectorOf("hall-b"); again != lost {
-			t.Errorf("%s collects, not %s again", again.contact.Node, lost.contact.Node)
+			t.Errorf("first collector is %s, want %s again", again.contact.Node, lost.contact.Node)
 		}
 	})
 }
 
-// Symptom: the two sides of a cut count each other's load, or one side hears nobody.
-// Sequence: a domain is cut off, and comes back.
+// A domain is cut off and comes back. Guards against two sides that count each other's load
+// during the partition, and against a side that hears no gateway.
 func TestADomainThatIsCutOffGoesOnByItself(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
 		time.Sleep(settleTime)
 		f.mu.Lock()
@@ -500,10 +503,10 @@
 		for _, n := range f.order {
 			v := n.gossip.View(time.Now())
 			if v.Known < len(f.order)-1 {
-				t.Errorf("%s knows only %d that may admit requests", n.contact.Node, v.Known)
+				t.Errorf("%s knows only %d others that may admit requests", n.contact.Node, v.Known)
 			}
 			if n.contact.Domain != "hall-a" && !v.Silent["hall-a"] {
-				t.Errorf("%s does not notice the cut", n.contact.Node)
+				t.Errorf("%s does not report hall-a as silent", n.contact.Node)
 			}
 		}
 		f.mu.Lock()
@@ -514,10 +517,10 @@
 	})
 }
 
-// Symptom: after all gateways were killed at once they do not find each other. Sequence:
-// all start again, at the same addresses.
+// All gateways are killed at once and start again at the same addresses. Guards against
+// gateways that no longer find each other.
 func TestAFleetThatWasKilledFindsItself(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
 		time.Sleep(settleTime)
 		for _, n := range f.order {
@@ -532,10 +535,11 @@
 	})
 }
 
-// Guards against survivors that take each other for all: each would give an account the
-// whole of its limit, beside what the killed ones gave and give again once they are back.
+// Guards against survivors that take each other for all gateways: each would then give an
+// account its whole limit, in addition to what the killed gateways admitted and will admit
+// again once they are back.
 func TestSurvivorsStillCountThoseThatWereKilled(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		const gateways = 78
 		f := newFleet(t, gateways, 4)
 		time.Sleep(settleTime)
@@ -551,17 +555,17 @@
 			time.Sleep(KnownTimeout / 2 / 20)
 			for _, n := range survivors {
 				if got := n.gossip.View(time.Now()).Known; got < gateways-1 {
-					t.Fatalf("%s knows %d others, there were %d", n.contact.Node, got, gateways-1)
+					t.Fatalf("%s knows %d others, want %d", n.contact.Node, got, gateways-1)
 				}
 			}
 		}
 	})
 }
 
-// Symptom: a machine that replaces another one is not heard. Sequence: it starts at an
-// address that nobody knows, and knows only the seeds, one of which is gone.
+// A machine that replaces another one starts at an address that no gateway knows, and knows
+// only the seeds, one of which is gone. Guards against a new machine that is not heard.
 func TestANewMachineIsHeard(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
 		time.Sleep(settleTime)
 		f.order[0].kill()
@@ -577,11 +581,11 @@
 	})
 }
 
-// Symptom: an account gets more than its limit, or others' spending is taken out twice.
-// Sequence: gateways go from one collector to the next. Cause: totals of two collectors
-// are compared.
+// Gateways move from one collector to the next. Guards against comparing totals of two
+// collectors: an account could then exceed its limit, or the others' spending be subtracted
+// twice.
 func TestTotalsOfAnAccountGrowAsItSpends(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
 		time.Sleep(settleTime)
 		watched := f.order[70]
@@ -601,8 +605,8 @@
 			if g.Source == source && spent < last {
 				t.Errorf("the total of %s fell from %.0f to %.0f", source, last, spent)
 			}
-			// A second's reports may come at once, and one gateway is counted by another
-			// way for a while.
+			// The reports of a second may arrive at once, and while it moves a gateway is
+			// counted through another collector.
 			if allowed := float64(len(f.order)) * spentPerSecond * (now.Sub(at).Seconds() + 1); g.Source == source && spent-last > allowed {
 				t.Errorf("the total of %s grew by %.0f in %v", source, spent-last, now.Sub(at))
 			}
@@ -612,15 +616,15 @@
 			source, last, at = g.Source, spent, now
 		}
 		if changes == 0 || changes > 4 {
-			t.Errorf("%d sources", changes)
+			t.Errorf("the source changed %d times, want 1 to 4", changes)
 		}
 	})
 }
 
-// Guards against starts and stops of single gateways that are told to all of a fleet, each
-// with its whole domain: they grow with the fleet, and so does what is told.
+// Guards against announcing each start and stop of a small gateway to the whole fleet with its
+// domain's roster: starts and rosters both grow with the fleet.
 func TestStartsOfSmallGatewaysAreNotToldToAll(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 195, 6)
 		time.Sleep(settleTime)
 		watched := f.order[40]
@@ -638,7 +642,8 @@
 		}
 		quiet := during(func() {})
 		restarts := during(func() {
-			// The last of the domains' orders, one after the other, long enough to be missed.
+			// These come last as collectors. They are killed one after the other, and stay
+			// away long enough to leave the roster.
 			for i := range 8 {
 				f.order[len(f.order)-1-i].kill()
 				time.Sleep(Interval)
@@ -649,17 +654,17 @@
 				time.Sleep(Interval)
 			}
 		})
-		t.Logf("%d bytes in %v, %d with eight restarts", quiet, length, restarts)
+		t.Logf("%d bytes received in %v, %d with eight restarts", quiet, length, restarts)
 		if restarts > quiet*11/10 {
-			t.Errorf("eight restarts cost a gateway %d bytes more than %d", restarts-quiet, quiet)
+			t.Errorf("with eight restarts a gateway receives %d bytes more than %d", restarts-quiet, quiet)
 		}
 		time.Sleep(settleTime)
 		f.expectAllHeard(f.order, maxMeanAge)
 	})
 }
 
-// Guards against a start of a thousand gateways in which each is told of all by each that it
-// meets.
+// Guards against sending all contacts to each gateway of a thousand that start together, by
+// every gateway that it meets.
 func TestANewGatewayIsToldOfAFew(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(Contact{Node: "self", Address: "self:1", Domain: "hall-a"}, nil)
@@ -670,21 +675,21 @@
 	}
 	got := table.Contacts(now)
 	if len(got) > maxContactsSent {
-		t.Errorf("%d contacts", len(got))
+		t.Errorf("%d contacts, at most %d", len(got), maxContactsSent)
 	}
-	// Those with most cores collect.
+	// The gateways with the most cores come first as collectors.
 	for i := 984 - 6*maxCollectorTries; i < 984; i++ {
 		if !slices.ContainsFunc(got, func(c Contact) bool { return c.Node == ident.Instance(fmt.Sprint("gw-", i)) }) {
-			t.Errorf("gw-%d, which collects, is not among the contacts", i)
+			t.Errorf("gw-%d, a collector, is not among the contacts", i)
 		}
 	}
 }
 
-// Symptom: usage is off where gateways were killed, or among hundreds of them. Sequence:
-// one is killed after it counted; the holder of the lease gathers all counts. Cause:
-// counts that only their own gateway knows.
+// The lease holder requests all counts after a gateway was killed that had counted. Guards
+// against counts that only their own gateway has: usage would be wrong where gateways were
+// killed, or among hundreds of them.
 func TestAllCountsAreGathered(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
 		time.Sleep(settleTime)
 		f.order[60].kill()
@@ -709,18 +714,19 @@
 			}
 		}
 		if sum != want {
-			t.Errorf("%d counted, want %d", sum, want)
+			t.Errorf("counted %d requests, want %d", sum, want)
 		}
 	})
 }
 
-// Symptom: gateways do not ask the store, and a change of the configuration comes seconds
-// late (4.7 s at 300 gateways, of which this is the probable cause). Sequence: the first in line confirms nothing any more; collectors whose
-// machines are busy tell each other how old their views are. Cause: an age that is taken as
-// of an answer's coming grows by less than the time that passes.
+// The first gateway no longer confirms its view of the store, and collectors on busy machines
+// tell each other how old their views are. Guards against an age that counts from the arrival
+// of an answer: it grows by less than the time that passes, so that gateways do not read the
+// store and a configuration change arrives seconds late. That is the probable cause of a
+// change that arrived 4.7 s late at 300 gateways.
 func TestViewsGrowOldOverSlowLinks(t *testing.T) {
 	for _, size := range []struct{ gateways, domains int }{{8, 4}, {78, 3}} {
-		bubble(t, func(t *testing.T) {
+		runVirtualTime(t, func(t *testing.T) {
 			f := newFleet(t, size.gateways, size.domains)
 			f.slowDown()
 			time.Sleep(settleTime)
@@ -733,30 +739,30 @@
 			defer f.mu.Unlock()
 			for _, n := range f.order {
 				if n.confirmedAt.After(last) {
-					t.Errorf("%d gateways: %s believes a view %v younger than it is", size.gateways, n.contact.Node, n.confirmedAt.Sub(last))
+					t.Errorf("%d gateways: %s takes its view for %v younger than it is", size.gateways, n.contact.Node, n.confirmedAt.Sub(last))
 				}
 			}
 		})
 	}
 }
 
-// Two holders of a line must not act for long: the first collectors of the domains are in
-// line, each at its own place.
+// Guards against two gateways that do the work of the same rank for long: the first collectors
+// of the domains must have different ranks, and all others none.
 func TestPlacesInLine(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
 		time.Sleep(settleTime)
-		at := make(map[int]int)
+		ranks := make(map[int]int)
 		for _, n := range f.order {
-			at[n.gossip.View(time.Now()).Place]++
+			ranks[n.gossip.View(time.Now()).Place]++
 		}
-		for place := range 6 {
-			if at[place] != 1 {
-				t.Errorf("%d gateways at place %d", at[place], place)
+		for rank := range 6 {
+			if ranks[rank] != 1 {
+				t.Errorf("%d gateways have rank %d, want 1", ranks[rank], rank)
 			}
 		}
-		if at[lastRank] != len(f.order)-6 {
-			t.Errorf("%d behind all", at[lastRank])
+		if ranks[lastRank] != len(f.order)-6 {
+			t.Errorf("%d gateways have no rank, want %d", ranks[lastRank], len(f.order)-6)
 		}
 	})
 }
--- a/internal/gossip/limits_test.go
+++ b/internal/gossip/limits_test.go
@@ -8,14 +8,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// maxLimitBytes bounds what limits add to what a gateway in the middle exchanges in a round, at
-// 50 upstreams that have one.
+// maxLimitBytes bounds how many bytes per round limits add to what the median gateway
+// exchanges, with 50 upstreams that have a limit.
 const maxLimitBytes = 200
 
-// Guards against messages that grow by kilobytes with the limits that upstreams name, and
-// against uses that are lost, counted twice, or taken for those of other upstreams.
+// Guards against messages that grow by kilobytes with the limits of upstreams, and against
+// uses that are lost, counted twice or assigned to another upstream.
 func TestLimitsCostFewBytes(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		const (
 			gateways = 195
 			limits   = 50
@@ -23,7 +23,7 @@
 		)
 		f := newFleet(t, gateways, 6)
 		time.Sleep(settleTime)
-		rate := func() int {
+		bytesPerRound := func() int {
 			before := f.bytes()
 			time.Sleep(watched)
 			after := f.bytes()
@@ -33,7 +33,7 @@
 			slices.Sort(after)
 			return after[len(after)/2] / int(watched/Interval)
 		}
-		none := rate()
+		without := bytesPerRound()
 		set := func(limits int, differ bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -41,10 +41,10 @@
 		}
 		set(limits, false)
 		time.Sleep(settleTime)
-		more := rate() - none
-		t.Logf("%d bytes more a gateway and round for %d limits", more, limits)
-		if more > maxLimitBytes {
-			t.Errorf("%d bytes more a gateway and round for %d limits, at most %d", more, limits, maxLimitBytes)
+		extra := bytesPerRound() - without
+		t.Logf("%d limits add %d bytes per gateway and round", limits, extra)
+		if extra > maxLimitBytes {
+			t.Errorf("%d limits add %d bytes per gateway and round, at most %d allowed", limits, extra, maxLimitBytes)
 		}
 		f.expectUses(limits)
 		set(limits, true)
@@ -53,7 +53,7 @@
 	})
 }
 
-// expectUses checks that each gateway hears the uses of all others, once each.
+// expectUses checks that each gateway hears the limit uses of all others, once each.
 func (f *fleet) expectUses(limits int) {
 	f.t.Helper()
 	for _, n := range f.order {
@@ -69,7 +69,7 @@
 				}
 			}
 			if got := uses[limitedKey(i)]; got.Asked != want || got.Sent != want/4 {
-				f.t.Fatalf("%s hears %+v of limit %d, want %v", n.contact.Node, got, i, want)
+				f.t.Fatalf("%s hears uses %+v of limited upstream %d, want asked %v", n.contact.Node, got, i, want)
 			}
 		}
 	}
--- a/internal/gossip/sharedsum.go
+++ b/internal/gossip/sharedsum.go
@@ -118,8 +118,8 @@
 	age := now.Sub(w.addedUpAt)
 	s.Age += age
 	s.TrueWallMillis = wall.Add(w.clockCorrection).UnixMilli()
-	words := w.statements.excluding(asker)
-	s.Rollouts, s.Poison = words.rollouts.Aged(age), words.poison.Aged(age)
+	statements := w.statements.excluding(asker)
+	s.Rollouts, s.Poison = statements.rollouts.Aged(age), statements.poison.Aged(age)
 	s.LimitUses = maps.Clone(w.uses)
 	if counted := w.counted[asker]; counted != nil {
 		s.CountedReport = counted.report.id()
--- a/internal/gossip/sharedsum_test.go
+++ b/internal/gossip/sharedsum_test.go
@@ -19,7 +19,7 @@
 
 func init() { testkit.FixSeed() }
 
-// testDomain is one failure domain's gateways with their collector, and the sums of others.
+// testDomain is one failure domain's collector with a clock and a sequence of reports.
 type testDomain struct {
 	collector *Collector
 	now       time.Time
@@ -31,7 +31,8 @@
 	return &testDomain{collector: NewCollector(self, 1), now: time.Unix(1000, 0)}
 }
 
-// reportOf is a report of one gateway, with loads at some upstreams and totals of some accounts.
+// reportOf returns a report of one gateway with loads of some upstreams and totals of some
+// accounts.
 func (d *testDomain) reportOf(gateway, upstreams, accounts int) Report {
 	d.seq++
 	r := Report{
@@ -50,7 +51,7 @@
 
 func nodeOf(gateway int) ident.Instance { return ident.Instance(fmt.Sprint("gw-", gateway)) }
 
-// encodeAndDecode is a collector's answer as its asker decodes it.
+// encodeAndDecode returns a collector's answer as its asker decodes it.
 func encodeAndDecode(t testing.TB, sum Sum, part []byte) *Sum {
 	t.Helper()
 	m := message{From: fullReport(), Others: &sum, OthersEncoded: part}
@@ -65,13 +66,13 @@
 	return got.Others
 }
 
-// Guards against a gateway that counts itself among the others, or one of them twice or not
-// at all, where it takes its own report out of a sum of all.
+// A gateway subtracts its own report from a sum of all gateways. Guards against a gateway that
+// then counts itself among the others, or one of the others twice or not at all.
 func TestWhoTakesItselfOutKnowsTheOthers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := newTestDomain()
 		sent, first := make(map[int][]Report), make(map[int]float64)
-		tell := func(gateway, upstreams int) {
+		send := func(gateway, upstreams int) {
 			r := d.reportOf(gateway, upstreams, 0)
 			r.Holds = gateway == 2
 			total := float64(d.seq * 1000)
@@ -87,12 +88,12 @@
 		}
 		for range rapid.IntRange(1, 40).Draw(rt, "reports") {
 			d.now = d.now.Add(time.Duration(rapid.IntRange(0, 30).Draw(rt, "pause")) * time.Millisecond)
-			tell(rapid.IntRange(0, 5).Draw(rt, "gateway"), rapid.IntRange(0, 3).Draw(rt, "upstreams"))
-			// Somebody asks, so that later sums are of before.
+			send(rapid.IntRange(0, 5).Draw(rt, "gateway"), rapid.IntRange(0, 3).Draw(rt, "upstreams"))
+			// Some gateway asks, so that later answers may reuse this sum.
 			d.collector.encodedOthers(nodeOf(rapid.IntRange(0, 5).Draw(rt, "other")), d.now, d.now)
 		}
 		asker := rapid.IntRange(0, 5).Draw(rt, "asker")
-		tell(asker, 1)
+		send(asker, 1)
 		sum, part, err := d.collector.encodedOthers(nodeOf(asker), d.now, d.now)
 		if err != nil {
 			rt.Fatal(err)
@@ -100,7 +101,7 @@
 		got := encodeAndDecode(t, sum, part)
 		own := slices.IndexFunc(sent[asker], func(r Report) bool { return r.id() == got.CountedReport })
 		if own < 0 {
-			rt.Fatalf("report %v is counted, which the asker has not sent", got.CountedReport)
+			rt.Fatalf("the sum includes report %v, which the asker has not sent", got.CountedReport)
 		}
 		got.subtractReport(&sent[asker][own])
 
@@ -125,19 +126,19 @@
 		if got.Heard != heard || got.LeaseHolders != holders || got.Accounts["shared"].Spent != spent {
 			rt.Errorf("heard %d, want %d; %d hold the lease, want %d; spent %.0f, want %.0f", got.Heard, heard, got.LeaseHolders, holders, got.Accounts["shared"].Spent, spent)
 		}
-		if work := got.Demand["llm"].Generating; math.Abs(work-float64(heard)) > 1e-3 {
-			rt.Errorf("%d others generate %.3f requests", heard, work)
+		if generating := got.Demand["llm"].Generating; math.Abs(generating-float64(heard)) > 1e-3 {
+			rt.Errorf("demand of %d others is %.3f generating requests", heard, generating)
 		}
 		for _, crash := range got.Poison.Crashes {
 			if crash.Upstream == uint32(asker) {
-				rt.Error("the asker's own word comes back to it")
+				rt.Error("the answer contains the asker's own statement")
 			}
 		}
 	})
 }
 
-// Guards against gateways of an older build, which do not take themselves out of a sum, and
-// would count their own requests twice.
+// Gateways of an older build do not subtract their own report from a sum. Guards against
+// gateways that then count their own requests twice.
 func TestAGatewayThatTakesNoWholeGetsTheOthers(t *testing.T) {
 	d := newTestDomain()
 	for gateway := range 3 {
@@ -149,8 +150,8 @@
 	}
 }
 
-// Guards against a gateway that starts again and finds its last life in the sum, which it
-// cannot take out.
+// Guards against an answer to a restarted gateway that includes a report of its last
+// incarnation, which the gateway cannot subtract.
 func TestANewLifeIsCountedInItsFirstAnswer(t *testing.T) {
 	d := newTestDomain()
 	d.collector.AddReport(d.reportOf(1, 1, 1), d.now, d.now)
@@ -160,16 +161,16 @@
 	d.collector.AddReport(again, d.now, d.now)
 	sum, _, err := d.collector.encodedOthers(nodeOf(1), d.now, d.now)
 	if err != nil || sum.CountedReport != again.id() {
-		t.Errorf("counted %v, want %v (%v)", sum.CountedReport, again.id(), err)
+		t.Errorf("counted report %v, want %v (error %v)", sum.CountedReport, again.id(), err)
 	}
 }
 
-// Guards against a collector whose work for each report grows with the gateways that report
-// to it: beyond some hundred of them it answered late.
+// Guards against a collector whose work for each report grows with the number of gateways that
+// report to it. Beyond some hundred gateways its answers would be late.
 func TestACollectorsWorkForAReportDoesNotGrowWithTheFleet(t *testing.T) {
 	const (
 		rounds = 4
-		// partsOfReport is how often a report may be added up: once in each sum.
+		// partsOfReport is how often a report may be added up per round: once in each sum.
 		partsOfReport = int64(Interval/sumTTL) + 1
 	)
 	own := make(map[int]int)
@@ -180,7 +181,7 @@
 				d.now = time.Unix(1000, 0).Add(time.Duration(round)*Interval + Interval*time.Duration(i)/time.Duration(gateways))
 				d.collector.AddReport(d.reportOf(i, 3, 3), d.now, d.now)
 				if round == 0 {
-					continue // all are new: each needs a sum that counts it
+					continue // all gateways are new: each needs a sum that includes it
 				}
 				sum, part, err := d.collector.encodedOthers(nodeOf(i), d.now, d.now)
 				if err != nil {
@@ -193,19 +194,19 @@
 			}
 		}
 		w := d.collector.stats
-		t.Logf("%d gateways: %+v, %d bytes of an answer for its asker alone", gateways, w, own[gateways])
+		t.Logf("%d gateways: %+v, %d bytes of an answer depend on the asker", gateways, w, own[gateways])
 		if w.Parts > partsOfReport*w.Reports {
-			t.Errorf("%d gateways: %d parts were added up for %d reports", gateways, w.Parts, w.Reports)
+			t.Errorf("%d gateways: the collector added up %d parts for %d reports", gateways, w.Parts, w.Reports)
 		}
 	}
 	if own[2000] > own[100]+16 {
-		t.Errorf("bytes of an answer for its asker alone: %v", own)
+		t.Errorf("bytes of an answer that depend on the asker, by number of gateways: %v", own)
 	}
 }
 
 func encodeAnswer(t *testing.T, sum Sum, part []byte) []byte {
 	t.Helper()
-	m := message{From: report("gw-0", 1, 1), Others: &sum, OthersEncoded: part}
+	m := message{From: newReport("gw-0", 1, 1), Others: &sum, OthersEncoded: part}
 	data, err := m.encode()
 	if err != nil {
 		t.Fatal(err)
