--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -24,8 +24,8 @@
 const (
 	// Interval is the time between two rounds. Where a round reaches all gateways, the others'
 	// loads and spending are at most one round old. Half of this interval would cost twice the
-	// bytes; with twice of it, an account that suddenly asks for several times its limit could
-	// get more than the limit.
+	// bytes; at twice this interval, an account that suddenly asks for several times its limit
+	// could get more than the limit.
 	Interval = 250 * time.Millisecond
 	// fanout bounds the gateways that a round exchanges reports with directly. Up to twice as
 	// many others all meet in each round, as caller or as callee; with more, collectors are
@@ -44,9 +44,9 @@
 // Knowledge gives access to what this gateway knows: it is read for messages to other gateways
 // and updated from theirs.
 type Knowledge interface {
-	// Report returns this gateway's report as of now. Brief returns the same without requests
-	// in progress, spending and counts.
+	// Report returns this gateway's report as of now.
 	Report(now time.Time) Report
+	// Brief returns the report without requests in progress, spending and counts.
 	Brief(now time.Time) Report
 	// Config returns the configuration if its revision is newer than the given one, else nil.
 	Config(than ident.Revision) *ConfigRecord
@@ -60,9 +60,9 @@
 	Learn(config *ConfigRecord, upstreams *directory.News)
 	// Heard applies a report that has just arrived: which revision and offset it confirms, and
 	// what its gateway counted. It is called for each report at once. If that waited for the
-	// next look at all reports, what the first gateway reads from the store would grow older by
-	// up to 0.125 s at each gateway that passes it on, and the others would read the store
-	// themselves sooner.
+	// next look at all reports, what the gateway with the lowest rank reads from the store
+	// would grow older by up to 0.125 s at each gateway that passes it on, and the others would
+	// read the store themselves sooner.
 	//
 	// The ages in the report count from asOf. A zero asOf means that the instant is unknown;
 	// the report then confirms nothing.
@@ -118,11 +118,10 @@
 	collectorClockCorrection time.Duration
 	// sentReports are the last reports that were sent to collectors, the newest last.
 	sentReports []Report
-	// knownBySource holds how many gateways each collector knew that was heard recently, by the
-	// source of its sum.
+	// knownBySource holds how many gateways each recently heard collector knew, by the source
+	// of its sum.
 	knownBySource map[string]knownCount
-	// collectorLimitSet is the digest of the limits that the collector knew which answered
-	// last.
+	// collectorLimitSet is the LimitSet of the collector that answered last.
 	collectorLimitSet uint32
 	// countsReceivedAt is when a domain's counts were last requested successfully.
 	countsReceivedAt map[ident.FailureDomain]time.Time
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -92,7 +92,7 @@
 type fakeKnowledge struct {
 	mu   sync.Mutex
 	self Report
-	// calls lists the calls of Learn and Heard, in their order.
+	// calls lists applied updates and reports, in their order.
 	calls     []string
 	config    *ConfigRecord
 	upstreams directory.News
--- a/internal/gossip/sharedsum.go
+++ b/internal/gossip/sharedsum.go
@@ -56,9 +56,9 @@
 func (g *Gossip) Work() CollectorStats {
 	g.collector.mu.Lock()
 	defer g.collector.mu.Unlock()
-	work := g.collector.stats
-	work.Refused = g.rejectedAnswers.Load()
-	return work
+	stats := g.collector.stats
+	stats.Refused = g.rejectedAnswers.Load()
+	return stats
 }
 
 // usableFor reports whether a sum is young enough for an asker and includes the asker's
--- a/internal/gossip/types.go
+++ b/internal/gossip/types.go
@@ -53,17 +53,17 @@
 	WallMillis int64
 	// Leaving is set once the gateway was told to stop.
 	Leaving bool
-	// Holds is set while the gateway holds the lease of the duties. GivenUp is the fencing
-	// number of its newest lease that ran out: it no longer acts under that number or a lower
-	// one.
-	Holds   bool
+	// Holds is set while the gateway holds the lease of the duties.
+	Holds bool
+	// GivenUp is the fencing number of the newest of its leases that ran out. The gateway no
+	// longer acts under that number.
 	GivenUp ident.Fence
-	// Revision is that of the gateway's configuration; Upstreams is the offset up to which it
-	// knows the upstream entries.
-	Revision  ident.Revision
+	// Revision is the revision of the gateway's configuration.
+	Revision ident.Revision
+	// Upstreams is the offset up to which the gateway knows the upstream entries.
 	Upstreams ident.Offset
-	// RevisionAge and UpstreamsAge tell how long ago the store confirmed that Revision and
-	// Upstreams were the newest.
+	// RevisionAge and UpstreamsAge tell how long ago the store confirmed that the configuration
+	// and the upstream entries were the newest.
 	RevisionAge, UpstreamsAge time.Duration
 	// Loads are the gateway's requests in progress.
 	Loads map[UpstreamKey]placement.Load
@@ -107,8 +107,7 @@
 	Data     []byte
 }
 
-// LifeCounts holds the requests that one incarnation of a gateway counted. Life is named as by
-// LifeOf.
+// LifeCounts holds the requests that one incarnation of a gateway counted.
 type LifeCounts struct {
 	Life  string
 	Began WindowCounts
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -20,15 +20,15 @@
 	// Heard counts the gateways in Groups. Known counts those that may admit requests, heard
 	// recently or not.
 	Heard, Known int
-	// Holds is set if another gateway says that it holds the lease of the duties. GivenUp is
-	// the highest fencing number under which a holder no longer acts.
-	Holds   bool
+	// Holds is set if another gateway says that it holds the lease of the duties.
+	Holds bool
+	// GivenUp is the highest fencing number under which a holder no longer acts.
 	GivenUp ident.Fence
 	// Silent are the other failure domains in which gateways were heard recently and none is
 	// heard now.
 	Silent map[ident.FailureDomain]bool
-	// Place is this gateway's rank, from 0, among the gateways that do work which only a few of
-	// them do.
+	// Place is this gateway's rank, from 0, in work that only a few gateways do for all, such
+	// as reading the store.
 	Place int
 	// WallCorrection is what to add to this machine's wall clock to get the median of the
 	// gateways' clocks.
@@ -36,7 +36,7 @@
 }
 
 // NoView returns the view of a gateway that has heard nothing yet: it leaves work that only a
-// few gateways do to others. With a Place of 0, each of a thousand gateways that start
+// few gateways do to others. With rank 0, each of a thousand gateways that start
 // together would consider itself the first, and write a claim of the lease.
 func NoView() View { return View{Place: lastRank} }
 
@@ -182,16 +182,16 @@
 // rank returns this gateway's rank among those that do work for all. The first collectors of
 // the domains that are heard have the ranks from 0 on, in the order of the domains' names; all
 // other gateways have lastRank. First collectors are the first to learn what the others know,
-// and the others learn first what they know.
+// and what they know reaches the others first.
 func (g *Gossip) rank(now time.Time) int {
 	if !g.isFirstCollector(now) {
 		return lastRank
 	}
-	place := 0
+	rank := 0
 	for _, domain := range g.collector.heardDomains(now) {
 		if domain < g.cfg.Self.Domain {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
