--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -225,9 +225,9 @@
 	tracker := poison.New(poison.Config{
 		Now: func() time.Time { return now }, Log: hclog.NewNullLogger(), Key: func(id ident.Instance) uint32 { return uint32(KeyOf(id)) },
 	})
-	size := func(words poison.Words) int {
+	size := func(statements poison.Words) int {
 		m := message{From: fullReport()}
-		m.From.Poison = words
+		m.From.Poison = statements
 		data, err := m.encode()
 		if err != nil {
 			t.Fatal(err)
@@ -280,10 +280,10 @@
 			seen.Add(key, side, rollout.Answer{Timed: true, Time: 0.5 + float64(i%5)/5})
 		}
 	}
-	words := fullRollouts()
-	words[0].Seen = seen
+	statements := fullRollouts()
+	statements[0].Seen = seen
 	with := message{From: fullReport()}
-	with.From.Rollouts = words
+	with.From.Rollouts = statements
 	without := message{From: fullReport()}
 	without.From.Rollouts = nil
 	sizes := make([]int, 2)
--- a/internal/gossip/collector.go
+++ b/internal/gossip/collector.go
@@ -99,9 +99,9 @@
 		return
 	}
 	c.members[r.Node] = &receivedReport{report: r, receivedAt: now, clockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
-	life := LifeOf(r.Node, r.Incarnation)
-	c.memberTotals.update(string(r.Node), life, r.Accounts)
-	c.counts[life] = &receivedCounts{began: r.Began, receivedAt: now}
+	incarnationID := LifeOf(r.Node, r.Incarnation)
+	c.memberTotals.update(string(r.Node), incarnationID, r.Accounts)
+	c.counts[incarnationID] = &receivedCounts{began: r.Began, receivedAt: now}
 	c.stats.Reports++
 	c.expire(now)
 }
@@ -112,9 +112,9 @@
 		return
 	}
 	c.expiredAt = now
-	for life, counts := range c.counts {
+	for incarnationID, counts := range c.counts {
 		if now.Sub(counts.receivedAt) > countsTTL {
-			delete(c.counts, life)
+			delete(c.counts, incarnationID)
 		}
 	}
 	for node, m := range c.members {
@@ -274,8 +274,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]LifeCounts, 0, len(c.counts))
-	for life, counts := range c.counts {
-		out = append(out, LifeCounts{Life: life, Began: counts.began})
+	for incarnationID, counts := range c.counts {
+		out = append(out, LifeCounts{Life: incarnationID, Began: counts.began})
 	}
 	return out
 }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -89,9 +89,9 @@
 	for i := range direct.Fresh {
 		m := &direct.Fresh[i]
 		r := &m.Report
-		life := LifeOf(r.Node, r.Incarnation)
+		incarnationID := LifeOf(r.Node, r.Incarnation)
 		v.Groups = append(v.Groups, Group{
-			Name: life, Source: life, Gateways: 1, ReportedAt: m.HeardAt, Loads: r.Loads, Accounts: r.Accounts, Work: r.Work, Engines: r.Engines,
+			Name: incarnationID, Source: incarnationID, Gateways: 1, ReportedAt: m.HeardAt, Loads: r.Loads, Accounts: r.Accounts, Work: r.Work, Engines: r.Engines,
 			Rollouts: r.Rollouts.Aged(now.Sub(m.HeardAt)), Poison: r.Poison.Aged(now.Sub(m.HeardAt)), LimitUses: r.LimitUses,
 		})
 		v.Holds = v.Holds || r.Holds
