--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -20,59 +20,59 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// The load of a large fleet: hundreds of gateways of which each must know within some
-// tenths of a second what all others have in progress and spend, while collectors die,
-// freeze, leave and are cut off. Sizes are those of the users' deployments (8, 78, 195)
-// and of their target (330).
+// These tests run large fleets in virtual time: hundreds of gateways, each of which must know
+// within some tenths of a second what all others have in progress and spend, while collectors
+// die, freeze, leave and are cut off. The sizes are those of the users' deployments (8, 78,
+// 195) and of their target (330).
 
-// wireDelay is one way between two gateways.
+// wireDelay is the one-way delay between two gateways.
 const wireDelay = time.Millisecond
 
-// slowDelay is the same where machines are busy.
+// slowDelay is the one-way delay where machines are busy.
 const slowDelay = 60 * time.Millisecond
 
-// fleet is gateways in virtual time.
+// fleet is a group of gateways in virtual time.
 type fleet struct {
 	t        *testing.T
 	mu       sync.Mutex
 	gateways map[string]*node
 	order    []*node
-	// delay is one way.
+	// delay is the one-way delay.
 	delay time.Duration
-	// limits is how many upstreams have limits, and differ whether gateways know different
+	// limits is how many upstreams have limits. limitsDiffer is set if gateways know different
 	// ones.
-	limits int
-	differ bool
-	// cut reports whether two gateways cannot reach each other.
-	cut func(a, b *node) bool
+	limits       int
+	limitsDiffer bool
+	// disconnected reports whether two gateways cannot reach each other.
+	disconnected func(a, b *node) bool
 }
 
 // node is one gateway of a fleet.
 type node struct {
-	fleet   *fleet
-	contact Contact
-	number  int
-	life    ident.Incarnation
-	gossip  *Gossip
-	stop    context.CancelFunc
-	began   time.Time
-	dead    bool
-	// frozenUntil: it does nothing before.
+	fleet       *fleet
+	contact     Contact
+	number      int
+	incarnation ident.Incarnation
+	gossip      *Gossip
+	stop        context.CancelFunc
+	startedAt   time.Time
+	dead        bool
+	// frozenUntil is the instant before which the gateway does nothing.
 	frozenUntil time.Time
 	seq         uint64
-	// sent and received are bytes, as caller and as callee.
-	sent, received int
-	counted        map[string]Windows
-	// confirmed is when the newest revision was confirmed, by this gateway's knowledge.
-	confirmed time.Time
+	// sentBytes and receivedBytes include requests and answers, as caller and as callee.
+	sentBytes, receivedBytes int
+	receivedCounts           map[string]WindowCounts
+	// confirmedAt is when the newest revision was confirmed, as far as this gateway knows.
+	confirmedAt time.Time
 }
 
-// spends is what each gateway of a fleet admits a second.
-const spends = 1000
+// spentPerSecond is what each gateway of a fleet admits per second.
+const spentPerSecond = 1000
 
 func newFleet(t *testing.T, gateways, domains int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, delay: wireDelay, gateways: make(map[string]*node), cut: func(_, _ *node) bool { return false }}
+	f := &fleet{t: t, delay: wireDelay, gateways: make(map[string]*node), disconnected: func(_, _ *node) bool { return false }}
 	for i := range gateways {
 		domain := ident.FailureDomain(fmt.Sprintf("hall-%c", 'a'+i%domains))
 		cores := 0.192
@@ -104,11 +104,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n.life++
-	n.seq, n.dead, n.stop, n.began, n.counted = 0, false, stop, time.Now(), make(map[string]Windows)
-	n.confirmed = n.began
+	n.incarnation++
+	n.seq, n.dead, n.stop, n.startedAt, n.receivedCounts = 0, false, stop, time.Now(), make(map[string]WindowCounts)
+	n.confirmedAt = n.startedAt
 	n.gossip = New(Config{
-		Self: n.contact, Incarnation: n.life, Table: NewTable(n.contact, seeds), Knowledge: n, Network: n, Now: time.Now, Log: hclog.NewNullLogger(),
+		Self: n.contact, Incarnation: n.incarnation, Table: NewTable(n.contact, seeds), Knowledge: n, Network: n, Now: time.Now, Log: hclog.NewNullLogger(),
 	})
 	gossip := n.gossip
 	go func() {
@@ -129,13 +129,13 @@
 // Send implements Network.
 func (n *node) Send(ctx context.Context, address string, request []byte) ([]byte, error) {
 	f := n.fleet
-	if err := sleep(ctx, n.thawIn()+f.oneWay()); err != nil {
+	if err := sleep(ctx, n.untilThaw()+f.oneWay()); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
 	to := f.gateways[address]
 	gone := to == nil || to.dead || n.dead
-	unreachable := !gone && f.cut(n, to)
+	unreachable := !gone && f.disconnected(n, to)
 	f.mu.Unlock()
 	if gone {
 		return nil, errors.New("connection refused")
@@ -144,23 +144,23 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := sleep(ctx, to.thawIn()); err != nil {
+	if err := sleep(ctx, to.untilThaw()); err != nil {
 		return nil, err
 	}
-	answer, done, err := to.gossip.answerBytes(string(n.contact.Node), request)
+	answer, done, err := to.gossip.handleRequest(string(n.contact.Node), request)
 	if err != nil {
 		return nil, err
 	}
 	defer done()
 	f.mu.Lock()
-	n.sent, n.received = n.sent+len(request), n.received+len(answer)
-	to.sent, to.received = to.sent+len(answer), to.received+len(request)
+	n.sentBytes, n.receivedBytes = n.sentBytes+len(request), n.receivedBytes+len(answer)
+	to.sentBytes, to.receivedBytes = to.sentBytes+len(answer), to.receivedBytes+len(request)
 	f.mu.Unlock()
 	return answer, sleep(ctx, f.oneWay())
 }
 
-// slow makes all ways as long as where machines are busy.
-func (f *fleet) slow() {
+// slowDown sets the one-way delay to that of busy machines.
+func (f *fleet) slowDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = slowDelay
@@ -172,7 +172,7 @@
 	return f.delay
 }
 
-func (n *node) thawIn() time.Duration {
+func (n *node) untilThaw() time.Duration {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	return max(0, time.Until(n.frozenUntil))
@@ -193,31 +193,31 @@
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	n.seq++
-	r := Report{Contact: n.contact, Incarnation: n.life, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmed), LimitSet: order.Set}
+	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: order.Set}
 	for _, key := range order.Keys[:min(4, len(order.Keys))] {
 		r.Limits = append(r.Limits, upstreamlimit.Said{Upstream: key, Limited: true, Rate: 1.5, Age: time.Second})
 	}
 	return r
 }
 
-// Report implements Knowledge. Each gateway has one request at the upstream of its own
-// number and one at an upstream that all share, and spends evenly.
+// Report implements Knowledge. Each gateway has one request at the upstream of its own number
+// and one at an upstream that all gateways share, and spends at a constant rate.
 func (n *node) Report(now time.Time) Report {
 	r := n.Brief(now)
-	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, Unread: 100}, shared: {Running: 1, Unread: 10}}
-	r.Accounts = map[ident.ClientAccount]Spending{"acct": {Spent: spends * now.Sub(n.began).Seconds()}}
+	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, Unread: 100}, sharedUpstream: {Running: 1, Unread: 10}}
+	r.Accounts = map[ident.ClientAccount]Spending{"acct": {Spent: spentPerSecond * now.Sub(n.startedAt).Seconds()}}
 	r.Work = map[ident.Service]placement.Demand{"llm": {Prompt: 10, Generating: 1}}
 	if order := n.LimitOrder(); order.Set != 0 {
 		r.LimitUses = upstreamlimit.Uses{}
-		for i := range limitsUsed {
+		for i := range usedLimits {
 			r.LimitUses[limitedKey((n.number+i)%len(order.Keys))] = upstreamlimit.Use{Asked: 1, Sent: 0.25}
 		}
 	}
-	r.Began = Windows{1: {"acct": int64(n.number + 1)}}
+	r.Began = WindowCounts{1: {"acct": int64(n.number + 1)}}
 	return r
 }
 
-const shared = UpstreamKey(1 << 30)
+const sharedUpstream = UpstreamKey(1 << 30)
 
 func (n *node) Config(ident.Revision) *ConfigRecord                   { return nil }
 func (n *node) Upstreams(ident.Offset, bool) *directory.News          { return nil }
@@ -228,13 +228,13 @@
 func (n *node) Heard(r *Report, asOf time.Time) {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
-	if at := asOf.Add(-r.RevisionAge); at.After(n.confirmed) {
-		n.confirmed = at
+	if at := asOf.Add(-r.RevisionAge); at.After(n.confirmedAt) {
+		n.confirmedAt = at
 	}
 }
 
-// LimitOrder implements Knowledge. Odd gateways know other limits than even ones where the
-// fleet differs.
+// LimitOrder implements Knowledge. If limitsDiffer is set, gateways with an odd number report
+// another digest of the limits than those with an even number.
 func (n *node) LimitOrder() upstreamlimit.Order {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
@@ -242,7 +242,7 @@
 		return upstreamlimit.Order{}
 	}
 	o := upstreamlimit.Order{Set: 1}
-	if n.fleet.differ {
+	if n.fleet.limitsDiffer {
 		o.Set += uint32(n.number % 2)
 	}
 	for i := range n.fleet.limits {
@@ -251,11 +251,11 @@
 	return o
 }
 
-// limitsUsed is at how many upstreams with limits a gateway asks within some seconds, where
-// 330 gateways send 4,200 requests a second to 690 upstreams of which 50 have limits.
-const limitsUsed = 8
+// usedLimits is the number of limited upstreams that a gateway uses within some seconds if 330
+// gateways send 4,200 requests a second to 690 upstreams of which 50 have limits.
+const usedLimits = 8
 
-// limitedKey is that of the i-th upstream with a limit.
+// limitedKey returns the key of the i-th upstream with a limit.
 func limitedKey(i int) uint32 { return uint32(1000 + i) }
 
 // Count implements Knowledge.
@@ -263,12 +263,12 @@
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	for _, c := range counts {
-		n.counted[c.Life] = c.Began
+		n.receivedCounts[c.Life] = c.Began
 	}
 }
 
-// alive returns the gateways that run.
-func (f *fleet) alive() []*node {
+// running returns the gateways that are not dead.
+func (f *fleet) running() []*node {
 	var out []*node
 	for _, n := range f.order {
 		if !n.dead {
@@ -278,25 +278,25 @@
 	return out
 }
 
-// expect checks that each of some gateways hears all the others of them, once each and
-// nobody else, by reports that are young enough on average.
-func (f *fleet) expect(among []*node, mostAge time.Duration) {
+// expectAllHeard checks that each of the given gateways hears all the others of them, once
+// each, and no other gateway, and that their reports are at most maxAge old on average.
+func (f *fleet) expectAllHeard(among []*node, maxAge time.Duration) {
 	f.t.Helper()
 	wrong := 0
 	for _, n := range among {
 		v := n.gossip.View(time.Now())
 		loads := make(map[UpstreamKey]placement.Load)
-		work, age := 0.0, time.Duration(0)
+		demand, age := 0.0, time.Duration(0)
 		for _, g := range v.Groups {
 			for key, load := range g.Loads {
 				loads[key] = loads[key].Plus(load)
 			}
-			work += g.Work["llm"].Generating
+			demand += g.Work["llm"].Generating
 			age += time.Duration(g.Gateways) * time.Since(g.ReportedAt)
 		}
 		others := len(among) - 1
 		age /= time.Duration(max(1, others))
-		ok := v.Heard == others && int(work+0.5) == others && loads[shared] == placement.Load{Running: others, Unread: 10 * others} && age <= mostAge && age >= 0
+		ok := v.Heard == others && int(demand+0.5) == others && loads[sharedUpstream] == placement.Load{Running: others, Unread: 10 * others} && age <= maxAge && age >= 0
 		for _, other := range among {
 			if running := loads[UpstreamKey(other.number)].Running; other != n && running != 1 || other == n && running != 0 {
 				ok = false
@@ -305,19 +305,19 @@
 		if !ok {
 			wrong++
 			if wrong < 4 {
-				f.t.Errorf("%s hears %d of %d, known %d, work %.1f, load %v, age %v", n.contact.Node, v.Heard, others, v.Known, work, loads[shared], age)
+				f.t.Errorf("%s hears %d of %d others; known %d, demand %.1f, shared load %v, mean age %v", n.contact.Node, v.Heard, others, v.Known, demand, loads[sharedUpstream], age)
 			}
 		}
 	}
 	if wrong > 0 {
-		f.t.Errorf("%d of %d gateways hear the wrong ones", wrong, len(among))
+		f.t.Errorf("%d of %d gateways do not hear exactly the others", wrong, len(among))
 	}
 }
 
-// usualStep is the time between two looks.
-const usualStep = 37 * time.Millisecond
+// sampleStep is the time between two samples of the reports' age.
+const sampleStep = 37 * time.Millisecond
 
-// meanAge is how old the reports of the others are at a gateway.
+// meanAge returns the mean age of the others' reports at a gateway.
 func (n *node) meanAge() time.Duration {
 	age, gateways := time.Duration(0), 0
 	for _, g := range n.gossip.View(time.Now()).Groups {
@@ -327,94 +327,97 @@
 	return age / time.Duration(max(1, gateways))
 }
 
-// collectorOf is the first collector of a domain.
+// collectorOf returns the first collector of a domain.
 func (f *fleet) collectorOf(domain ident.FailureDomain) *node {
 	for _, n := range f.order {
-		if n.contact.Domain == domain && !n.dead && n.gossip.first(time.Now()) {
+		if n.contact.Domain == domain && !n.dead && n.gossip.isFirstCollector(time.Now()) {
 			return n
 		}
 	}
-	f.t.Fatalf("nobody collects in %s", domain)
+	f.t.Fatalf("no gateway is first collector in domain %s", domain)
 	return nil
 }
 
 func init() { testkit.OneProcessor() }
 
-func bubble(t *testing.T, play func(t *testing.T)) {
+// runVirtualTime runs a test in virtual time.
+func runVirtualTime(t *testing.T, play func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, play)
 }
 
-// settle is how long a fleet that was just started takes until all know all.
-const settle = 3 * time.Second
+// settleTime is how long a fleet that was just started takes until all gateways know all
+// others.
+const settleTime = 3 * time.Second
 
-// mostMeanAge is how old the reports of all others may be on average at any instant: a
-// report waits up to a round for the collector and the sum up to half of one for the
-// exchange, half of these on average; right before the next answer a gateway's view is a
-// round older. usualMeanAge is the same over some seconds.
+// maxMeanAge bounds the mean age of all others' reports at any instant: a report waits up to a
+// round for the collector, and the sum up to half a round for the exchange, half of these on
+// average. Right before the next answer a gateway's view is a round older. maxSampledMeanAge
+// bounds the mean of many samples.
 const (
-	mostMeanAge  = 450 * time.Millisecond
-	usualMeanAge = 350 * time.Millisecond
+	maxMeanAge        = 450 * time.Millisecond
+	maxSampledMeanAge = 350 * time.Millisecond
 )
 
-// bytesPerSecond bounds what a gateway in the middle sends and receives.
-const bytesPerSecond = 24_000
+// maxBytesPerSecond bounds what the median gateway sends and receives per second.
+const maxBytesPerSecond = 24_000
 
-// large plays fleets of a thousand and two thousand gateways too: some minutes, by hand.
-var large = flag.Bool("gossip.large", false, "play fleets of 984 and 1,968 gateways too")
+// playLarge also runs fleets of a thousand and two thousand gateways. They take some minutes
+// and are run by hand.
+var playLarge = flag.Bool("gossip.large", false, "play fleets of 984 and 1,968 gateways too")
 
 func TestAllHearAllAtEverySize(t *testing.T) {
 	sizes := []struct{ gateways, domains int }{{8, 4}, {18, 3}, {78, 3}, {195, 6}, {330, 10}}
-	if *large {
+	if *playLarge {
 		sizes = append(sizes, struct{ gateways, domains int }{984, 6}, struct{ gateways, domains int }{1968, 6})
 	}
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.gateways), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runVirtualTime(t, func(t *testing.T) {
 				f := newFleet(t, size.gateways, size.domains)
-				time.Sleep(settle)
-				f.expect(f.order, mostMeanAge)
+				time.Sleep(settleTime)
+				f.expectAllHeard(f.order, maxMeanAge)
 				before := f.bytes()
 				const watched = time.Second
 				age, steps := time.Duration(0), 0
-				for range watched / usualStep {
-					time.Sleep(usualStep)
+				for range watched / sampleStep {
+					time.Sleep(sampleStep)
 					age += f.order[len(f.order)-1].meanAge()
 					steps++
 				}
-				f.expect(f.order, mostMeanAge)
-				if age /= time.Duration(steps); age > usualMeanAge {
-					t.Errorf("reports are %v old", age)
+				f.expectAllHeard(f.order, maxMeanAge)
+				if age /= time.Duration(steps); age > maxSampledMeanAge {
+					t.Errorf("reports are %v old on average, at most %v allowed", age, maxSampledMeanAge)
 				}
 				rates := f.bytes()
 				for i := range rates {
 					rates[i] = int(float64(rates[i]-before[i]) / watched.Seconds())
 				}
 				slices.Sort(rates)
-				middle, most := rates[len(rates)/2], rates[len(rates)-1]
-				t.Logf("%d gateways: %d bytes a second in the middle, %d at most, reports %v old", size.gateways, middle, most, age)
-				if middle > bytesPerSecond && size.gateways > 2*fanout {
-					t.Errorf("%d bytes a second", middle)
+				median, highest := rates[len(rates)/2], rates[len(rates)-1]
+				t.Logf("%d gateways: median %d bytes per second, maximum %d, mean age of reports %v", size.gateways, median, highest, age)
+				if median > maxBytesPerSecond && size.gateways > 2*fanout {
+					t.Errorf("the median gateway exchanges %d bytes per second, at most %d allowed", median, maxBytesPerSecond)
 				}
 			})
 		})
 	}
 }
 
-// bytes is what each gateway sent and received.
+// bytes returns how much each gateway has sent and received.
 func (f *fleet) bytes() []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []int
 	for _, n := range f.order {
-		out = append(out, n.sent+n.received)
+		out = append(out, n.sentBytes+n.receivedBytes)
 	}
 	return out
 }
 
-// Symptom: gateways count the load of one that is gone, or hear nobody, for seconds.
-// Sequence: a domain's collector dies, freezes, leaves or is cut off. Cause: reports go
-// on to a collector that passes nothing on.
+// A domain's collector dies, freezes or leaves. Guards against reports that still go to it:
+// the others would then count the load of a gateway that is gone, or hear nothing of the
+// domain, for seconds.
 func TestALostCollectorCostsLittle(t *testing.T) {
 	for name, lose := range map[string]func(*fleet, *node){
 		"killed": func(_ *fleet, n *node) { n.kill() },
@@ -432,59 +435,59 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runVirtualTime(t, func(t *testing.T) {
 				f := newFleet(t, 78, 3)
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 				lost := f.collectorOf("hall-b")
 				lose(f, lost)
-				// Its own report counts for a second after its last word, and the rest
-				// of the domain is heard of again within two rounds.
-				time.Sleep(collectedFor + 3*Interval)
-				f.expect(f.alive(), mostMeanAge)
+				// The lost collector's own report counts for a second after it was sent. The
+				// rest of the domain is heard again within two rounds.
+				time.Sleep(freshFor + 3*Interval)
+				f.expectAllHeard(f.running(), maxMeanAge)
 			})
 		})
 	}
 }
 
-// Symptom: the others hear nothing of a domain for a second and more. Sequence: its
-// collector is killed, and starts again two seconds later. Cause: a collector that has
-// just started knows nobody, and is believed.
+// A domain's collector is killed and starts again two seconds later, when it knows no other
+// gateway. Guards against taking its first sums for the whole domain: the others would then
+// hear nothing of the domain for a second or more.
 func TestACollectorThatStartsAgainIsNotBelievedTooEarly(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		lost := f.collectorOf("hall-b")
 		lost.kill()
 		time.Sleep(2 * time.Second)
 		lost.start()
 		for range 40 {
 			time.Sleep(100 * time.Millisecond)
-			least := len(f.order)
+			minHeard := len(f.order)
 			for _, n := range f.order {
 				if n != lost {
-					least = min(least, n.gossip.View(time.Now()).Heard)
+					minHeard = min(minHeard, n.gossip.View(time.Now()).Heard)
 				}
 			}
-			// All but the one that starts, and nobody but those who lose a round.
-			if least < len(f.order)-2 {
-				t.Errorf("somebody hears only %d of %d", least, len(f.order)-1)
+			// The gateway that starts may be missing, and one that loses a round.
+			if minHeard < len(f.order)-2 {
+				t.Errorf("a gateway hears only %d of %d others", minHeard, len(f.order)-1)
 			}
 		}
-		f.expect(f.order, mostMeanAge)
+		f.expectAllHeard(f.order, maxMeanAge)
 		if again := f.collectorOf("hall-b"); again != lost {
-			t.Errorf("%s collects, not %s again", again.contact.Node, lost.contact.Node)
+			t.Errorf("first collector is %s, want %s again", again.contact.Node, lost.contact.Node)
 		}
 	})
 }
 
-// Symptom: the two sides of a cut count each other's load, or one side hears nobody.
-// Sequence: a domain is cut off, and comes back.
+// A domain is cut off and comes back. Guards against two sides that count each other's load
+// during the partition, and against a side that hears no gateway.
 func TestADomainThatIsCutOffGoesOnByItself(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		f.mu.Lock()
-		f.cut = func(a, b *node) bool { return (a.contact.Domain == "hall-a") != (b.contact.Domain == "hall-a") }
+		f.disconnected = func(a, b *node) bool { return (a.contact.Domain == "hall-a") != (b.contact.Domain == "hall-a") }
 		f.mu.Unlock()
 		var inside, outside []*node
 		for _, n := range f.order {
@@ -494,32 +497,32 @@
 				outside = append(outside, n)
 			}
 		}
-		time.Sleep(collectedFor + 4*Interval)
-		f.expect(inside, mostMeanAge)
-		f.expect(outside, mostMeanAge)
+		time.Sleep(freshFor + 4*Interval)
+		f.expectAllHeard(inside, maxMeanAge)
+		f.expectAllHeard(outside, maxMeanAge)
 		for _, n := range f.order {
 			v := n.gossip.View(time.Now())
 			if v.Known < len(f.order)-1 {
-				t.Errorf("%s knows only %d that may admit requests", n.contact.Node, v.Known)
+				t.Errorf("%s knows only %d others that may admit requests", n.contact.Node, v.Known)
 			}
 			if n.contact.Domain != "hall-a" && !v.Silent["hall-a"] {
-				t.Errorf("%s does not notice the cut", n.contact.Node)
+				t.Errorf("%s does not report hall-a as silent", n.contact.Node)
 			}
 		}
 		f.mu.Lock()
-		f.cut = func(_, _ *node) bool { return false }
+		f.disconnected = func(_, _ *node) bool { return false }
 		f.mu.Unlock()
-		time.Sleep(downFor + 4*Interval)
-		f.expect(f.order, mostMeanAge)
+		time.Sleep(unreachableFor + 4*Interval)
+		f.expectAllHeard(f.order, maxMeanAge)
 	})
 }
 
-// Symptom: after all gateways were killed at once they do not find each other. Sequence:
-// all start again, at the same addresses.
+// All gateways are killed at once and start again at the same addresses. Guards against
+// gateways that no longer find each other.
 func TestAFleetThatWasKilledFindsItself(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		for _, n := range f.order {
 			n.kill()
 		}
@@ -527,18 +530,19 @@
 		for _, n := range f.order {
 			n.start()
 		}
-		time.Sleep(settle)
-		f.expect(f.order, mostMeanAge)
+		time.Sleep(settleTime)
+		f.expectAllHeard(f.order, maxMeanAge)
 	})
 }
 
-// Guards against survivors that take each other for all: each would give an account the
-// whole of its limit, beside what the killed ones gave and give again once they are back.
+// Guards against survivors that take each other for all gateways: each would then give an
+// account its whole limit, in addition to what the killed gateways admitted and will admit
+// again once they are back.
 func TestSurvivorsStillCountThoseThatWereKilled(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		const gateways = 78
 		f := newFleet(t, gateways, 4)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		var survivors []*node
 		for i, n := range f.order {
 			if i%8 == 7 {
@@ -548,22 +552,22 @@
 			n.kill()
 		}
 		for range 20 {
-			time.Sleep(KnownFor / 2 / 20)
+			time.Sleep(KnownTimeout / 2 / 20)
 			for _, n := range survivors {
 				if got := n.gossip.View(time.Now()).Known; got < gateways-1 {
-					t.Fatalf("%s knows %d others, there were %d", n.contact.Node, got, gateways-1)
+					t.Fatalf("%s knows %d others, want %d", n.contact.Node, got, gateways-1)
 				}
 			}
 		}
 	})
 }
 
-// Symptom: a machine that replaces another one is not heard. Sequence: it starts at an
-// address that nobody knows, and knows only the seeds, one of which is gone.
+// A machine that replaces another one starts at an address that no gateway knows, and knows
+// only the seeds, one of which is gone. Guards against a new machine that is not heard.
 func TestANewMachineIsHeard(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		f.order[0].kill()
 		f.order[40].kill()
 		n := &node{fleet: f, number: 900, contact: Contact{Node: "gw-900", Address: "gw-900:1", Domain: "hall-b", Cores: 0.192}}
@@ -572,18 +576,18 @@
 		f.gateways[n.contact.Address] = n
 		f.mu.Unlock()
 		n.start()
-		time.Sleep(settle)
-		f.expect(f.alive(), mostMeanAge)
+		time.Sleep(settleTime)
+		f.expectAllHeard(f.running(), maxMeanAge)
 	})
 }
 
-// Symptom: an account gets more than its limit, or others' spending is taken out twice.
-// Sequence: gateways go from one collector to the next. Cause: totals of two collectors
-// are compared.
+// Gateways move from one collector to the next. Guards against comparing totals of two
+// collectors: an account could then exceed its limit, or the others' spending be subtracted
+// twice.
 func TestTotalsOfAnAccountGrowAsItSpends(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		watched := f.order[70]
 		source, last, at := "", 0.0, time.Time{}
 		changes := 0
@@ -601,9 +605,9 @@
 			if g.Source == source && spent < last {
 				t.Errorf("the total of %s fell from %.0f to %.0f", source, last, spent)
 			}
-			// A second's reports may come at once, and one gateway is counted by another
-			// way for a while.
-			if allowed := float64(len(f.order)) * spends * (now.Sub(at).Seconds() + 1); g.Source == source && spent-last > allowed {
+			// The reports of a second may arrive at once, and while it moves a gateway is
+			// counted through another collector.
+			if allowed := float64(len(f.order)) * spentPerSecond * (now.Sub(at).Seconds() + 1); g.Source == source && spent-last > allowed {
 				t.Errorf("the total of %s grew by %.0f in %v", source, spent-last, now.Sub(at))
 			}
 			if g.Source != source {
@@ -612,81 +616,82 @@
 			source, last, at = g.Source, spent, now
 		}
 		if changes == 0 || changes > 4 {
-			t.Errorf("%d sources", changes)
+			t.Errorf("the source changed %d times, want 1 to 4", changes)
 		}
 	})
 }
 
-// Guards against starts and stops of single gateways that are told to all of a fleet, each
-// with its whole domain: they grow with the fleet, and so does what is told.
+// Guards against announcing each start and stop of a small gateway to the whole fleet with its
+// domain's roster: starts and rosters both grow with the fleet.
 func TestStartsOfSmallGatewaysAreNotToldToAll(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 195, 6)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		watched := f.order[40]
 		const length = 8 * time.Second
 		during := func(play func()) int {
 			f.mu.Lock()
-			before := watched.received
+			before := watched.receivedBytes
 			f.mu.Unlock()
 			end := time.Now().Add(length)
 			play()
 			time.Sleep(time.Until(end))
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return watched.received - before
+			return watched.receivedBytes - before
 		}
 		quiet := during(func() {})
 		restarts := during(func() {
-			// The last of the domains' orders, one after the other, long enough to be missed.
+			// These come last as collectors. They are killed one after the other, and stay
+			// away long enough to leave the roster.
 			for i := range 8 {
 				f.order[len(f.order)-1-i].kill()
 				time.Sleep(Interval)
 			}
-			time.Sleep(listedFor)
+			time.Sleep(rosterFor)
 			for i := range 8 {
 				f.order[len(f.order)-1-i].start()
 				time.Sleep(Interval)
 			}
 		})
-		t.Logf("%d bytes in %v, %d with eight restarts", quiet, length, restarts)
+		t.Logf("%d bytes received in %v, %d with eight restarts", quiet, length, restarts)
 		if restarts > quiet*11/10 {
-			t.Errorf("eight restarts cost a gateway %d bytes more than %d", restarts-quiet, quiet)
+			t.Errorf("with eight restarts a gateway receives %d bytes more than %d", restarts-quiet, quiet)
 		}
-		time.Sleep(settle)
-		f.expect(f.order, mostMeanAge)
+		time.Sleep(settleTime)
+		f.expectAllHeard(f.order, maxMeanAge)
 	})
 }
 
-// Guards against a start of a thousand gateways in which each is told of all by each that it
-// meets.
+// Guards against sending all contacts to each gateway of a thousand that start together, by
+// every gateway that it meets.
 func TestANewGatewayIsToldOfAFew(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(Contact{Node: "self", Address: "self:1", Domain: "hall-a"}, nil)
 	for i := range 984 {
-		table.Hear(Report{Contact: Contact{
+		table.RecordReport(Report{Contact: Contact{
 			Node: ident.Instance(fmt.Sprint("gw-", i)), Address: fmt.Sprint("gw-", i, ":1"), Domain: ident.FailureDomain(fmt.Sprintf("hall-%c", 'a'+i%6)), Cores: float64(i),
 		}, Incarnation: 1, Seq: 1}, now, now)
 	}
 	got := table.Contacts(now)
-	if len(got) > contactsMost {
-		t.Errorf("%d contacts", len(got))
+	if len(got) > maxContactsSent {
+		t.Errorf("%d contacts, at most %d", len(got), maxContactsSent)
 	}
-	// Those with most cores collect.
-	for i := 984 - 6*tries; i < 984; i++ {
+	// The gateways with the most cores come first as collectors.
+	for i := 984 - 6*maxCollectorTries; i < 984; i++ {
 		if !slices.ContainsFunc(got, func(c Contact) bool { return c.Node == ident.Instance(fmt.Sprint("gw-", i)) }) {
-			t.Errorf("gw-%d, which collects, is not among the contacts", i)
+			t.Errorf("gw-%d, a collector, is not among the contacts", i)
 		}
 	}
 }
 
-// Symptom: usage is off where gateways were killed, or among hundreds of them. Sequence:
-// one is killed after it counted; the holder of the lease gathers all counts. Cause:
-// counts that only their own gateway knows.
+// The lease holder requests all counts after a gateway was killed that had counted. Guards
+// against counts that only their own gateway has: usage would be wrong where gateways were
+// killed, or among hundreds of them.
 func TestAllCountsAreGathered(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		f.order[60].kill()
 		time.Sleep(2 * time.Second)
 		holder := f.collectorOf("hall-a")
@@ -697,8 +702,8 @@
 			time.Sleep(Interval)
 		}
 		sum := int64(0)
-		for life, began := range holder.counted {
-			if life != LifeOf(holder.contact.Node, holder.life) {
+		for life, began := range holder.receivedCounts {
+			if life != LifeOf(holder.contact.Node, holder.incarnation) {
 				sum += began[1]["acct"]
 			}
 		}
@@ -709,54 +714,55 @@
 			}
 		}
 		if sum != want {
-			t.Errorf("%d counted, want %d", sum, want)
+			t.Errorf("counted %d requests, want %d", sum, want)
 		}
 	})
 }
 
-// Symptom: gateways do not ask the store, and a change of the configuration comes seconds
-// late (4.7 s at 300 gateways, of which this is the probable cause). Sequence: the first in line confirms nothing any more; collectors whose
-// machines are busy tell each other how old their views are. Cause: an age that is taken as
-// of an answer's coming grows by less than the time that passes.
+// The first gateway no longer confirms its view of the store, and collectors on busy machines
+// tell each other how old their views are. Guards against an age that counts from the arrival
+// of an answer: it grows by less than the time that passes, so that gateways do not read the
+// store and a configuration change arrives seconds late. That is the probable cause of a
+// change that arrived 4.7 s late at 300 gateways.
 func TestViewsGrowOldOverSlowLinks(t *testing.T) {
 	for _, size := range []struct{ gateways, domains int }{{8, 4}, {78, 3}} {
-		bubble(t, func(t *testing.T) {
+		runVirtualTime(t, func(t *testing.T) {
 			f := newFleet(t, size.gateways, size.domains)
-			f.slow()
-			time.Sleep(settle)
+			f.slowDown()
+			time.Sleep(settleTime)
 			f.mu.Lock()
 			last := time.Now()
-			f.order[0].confirmed = last
+			f.order[0].confirmedAt = last
 			f.mu.Unlock()
 			time.Sleep(3 * time.Second)
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			for _, n := range f.order {
-				if n.confirmed.After(last) {
-					t.Errorf("%d gateways: %s believes a view %v younger than it is", size.gateways, n.contact.Node, n.confirmed.Sub(last))
+				if n.confirmedAt.After(last) {
+					t.Errorf("%d gateways: %s takes its view for %v younger than it is", size.gateways, n.contact.Node, n.confirmedAt.Sub(last))
 				}
 			}
 		})
 	}
 }
 
-// Two holders of a line must not act for long: the first collectors of the domains are in
-// line, each at its own place.
+// Guards against two gateways that do the work of the same rank for long: the first collectors
+// of the domains must have different ranks, and all others none.
 func TestPlacesInLine(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
-		time.Sleep(settle)
-		at := make(map[int]int)
+		time.Sleep(settleTime)
+		ranks := make(map[int]int)
 		for _, n := range f.order {
-			at[n.gossip.View(time.Now()).Place]++
+			ranks[n.gossip.View(time.Now()).Place]++
 		}
-		for place := range 6 {
-			if at[place] != 1 {
-				t.Errorf("%d gateways at place %d", at[place], place)
+		for rank := range 6 {
+			if ranks[rank] != 1 {
+				t.Errorf("%d gateways have rank %d, want 1", ranks[rank], rank)
 			}
 		}
-		if at[behindAll] != len(f.order)-6 {
-			t.Errorf("%d behind all", at[behindAll])
+		if ranks[lastRank] != len(f.order)-6 {
+			t.Errorf("%d gateways have no rank, want %d", ranks[lastRank], len(f.order)-6)
 		}
 	})
 }
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -10,33 +10,33 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// downFor is for how long a collector that did not answer is passed over: as long as a
-// killed gateway takes to come back, and longer than its domain's next collector takes to
-// leave it out of the roster.
-const downFor = 2 * time.Second
+// unreachableFor is how long a collector that did not answer is skipped: as long as a killed
+// gateway takes to come back, and longer than the next collector of its domain takes to leave
+// it out of the roster.
+const unreachableFor = 2 * time.Second
 
 // roster is what is known of a failure domain's gateways.
 type roster struct {
-	// gateways are in the order in which they collect.
+	// gateways are sorted by compareCollectors: the first acts as collector.
 	gateways []Contact
 	digest   uint64
-	// at is when it was last confirmed, and renewed when the gateways' contacts were.
-	at, renewed time.Time
+	// confirmedAt is when a collector last sent or confirmed the roster; contactsRenewedAt is
+	// when the gateways' contacts were last renewed.
+	confirmedAt, contactsRenewedAt time.Time
 }
 
-// rosterMost is how many of a failure domain's gateways stand in its roster: those that
-// collect if the ones before them are lost. What goes wrong with all of them: whenever one
-// of a thousand gateways starts or stops, the roster of its domain, which grows with the
-// fleet, is told to all.
-const rosterMost = 16
+// maxRosterGateways bounds the gateways in a roster: the collector and those that replace it
+// if the ones before them are lost. Without the bound, whenever one of a thousand gateways
+// starts or stops, the roster of its domain is sent to all, and it grows with the fleet.
+const maxRosterGateways = 16
 
-// renewEvery is how often the contacts of a roster's gateways are renewed as long as the
-// roster stands: a part of the time after which they are given up.
-const renewEvery = contactFor / 4
+// contactRenewal is how often the contacts of an unchanged roster are renewed: well within the
+// time after which they expire.
+const contactRenewal = contactTTL / 4
 
-// compareCollectors orders gateways as they collect: those with most of a processor
-// first, because collecting takes some hundredths of one, and among equals by a hash, so
-// that one machine's name does not decide.
+// compareCollectors orders gateways by their precedence as collectors. Those with the most
+// cores come first, because collecting takes some hundredths of a core. A hash decides among
+// equals, so that the order does not follow the machines' names.
 func compareCollectors(a, b Contact) int {
 	return cmp.Or(
 		cmp.Compare(b.Cores, a.Cores),
@@ -47,8 +47,8 @@
 
 func sortCollectors(gateways []Contact) { slices.SortFunc(gateways, compareCollectors) }
 
-// digestOf is equal for equal rosters.
-func digestOf(gateways []Contact) uint64 {
+// rosterDigest returns a digest that is the same for equal rosters.
+func rosterDigest(gateways []Contact) uint64 {
 	digest := uint64(len(gateways))
 	for _, c := range gateways {
 		digest = digest*1099511628211 + xxhash.Sum64String(string(c.Node)+"\x00"+c.Address)
@@ -56,39 +56,39 @@
 	return digest
 }
 
-// TakeRoster takes in a failure domain's gateways by the word of its collector.
-func (t *Table) TakeRoster(r Roster, now time.Time) {
+// SetRoster replaces the roster of a failure domain by the one that a collector sent.
+func (t *Table) SetRoster(r Roster, now time.Time) {
 	gateways := slices.Clone(r.Gateways)
 	sortCollectors(gateways)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	next := &roster{gateways: gateways, digest: digestOf(gateways), at: now}
+	next := &roster{gateways: gateways, digest: rosterDigest(gateways), confirmedAt: now}
 	if known := t.rosters[r.Domain]; known != nil && known.digest == next.digest {
-		next.renewed = known.renewed
+		next.contactsRenewedAt = known.contactsRenewedAt
 	}
 	t.rosters[r.Domain] = next
-	t.renew(next, now)
+	t.renewContacts(next, now)
 }
 
-// ConfirmRosters notes that another gateway holds the same rosters as this one, as far as
-// it is believed.
-func (t *Table) ConfirmRosters(digests map[ident.FailureDomain]uint64, believed func(ident.FailureDomain) bool, now time.Time) {
+// ConfirmRosters records that another gateway holds the same rosters as this one. It ignores
+// domains for which trusted returns false.
+func (t *Table) ConfirmRosters(digests map[ident.FailureDomain]uint64, trusted func(ident.FailureDomain) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for domain, digest := range digests {
-		if r := t.rosters[domain]; r != nil && r.digest == digest && believed(domain) {
-			r.at = now
-			t.renew(r, now)
+		if r := t.rosters[domain]; r != nil && r.digest == digest && trusted(domain) {
+			r.confirmedAt = now
+			t.renewContacts(r, now)
 		}
 	}
 }
 
-// renew keeps the contacts of a roster's gateways.
-func (t *Table) renew(r *roster, now time.Time) {
-	if now.Sub(r.renewed) < renewEvery {
+// renewContacts extends the lifetime of the contacts of a roster's gateways; t.mu is held.
+func (t *Table) renewContacts(r *roster, now time.Time) {
+	if now.Sub(r.contactsRenewedAt) < contactRenewal {
 		return
 	}
-	r.renewed = now
+	r.contactsRenewedAt = now
 	for _, c := range r.gateways {
 		if c.Node != t.self.Node {
 			t.addContact(c, now)
@@ -96,14 +96,15 @@
 	}
 }
 
-// Rosters returns the rosters that are known by a collector's word, and their digests.
+// Rosters returns the rosters that a collector sent or confirmed within KnownTimeout, and
+// their digests.
 func (t *Table) Rosters(now time.Time) ([]Roster, map[ident.FailureDomain]uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Roster
 	digests := make(map[ident.FailureDomain]uint64, len(t.rosters))
 	for domain, r := range t.rosters {
-		if now.Sub(r.at) <= KnownFor {
+		if now.Sub(r.confirmedAt) <= KnownTimeout {
 			out = append(out, Roster{Domain: domain, Gateways: r.gateways})
 			digests[domain] = r.digest
 		}
@@ -111,46 +112,48 @@
 	return out, digests
 }
 
-// Collectors returns the first of another failure domain's gateways, or of the others of
-// this gateway's own, in the order in which they collect, without those that did not answer
-// lately. They are tries at the most, because no more are asked: whoever looks several times
-// a round must not sort a domain of hundreds each time.
+// Collectors returns the gateways of a failure domain to try as collector, in order, without
+// this gateway and without those that did not answer recently. It returns maxCollectorTries at
+// most, because no more are tried: it is called several times a round, and must not sort a
+// domain of hundreds of gateways each time.
 func (t *Table) Collectors(domain ident.FailureDomain, now time.Time) []Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var order []Contact
-	if r := t.rosters[domain]; r != nil && now.Sub(r.at) <= KnownFor {
-		order = t.firstOf(r.gateways, now)
+	if r := t.rosters[domain]; r != nil && now.Sub(r.confirmedAt) <= KnownTimeout {
+		order = t.firstReachable(r.gateways, now)
 	} else {
 		all := t.contactsIn(domain, now)
 		sortCollectors(all)
-		order = t.firstOf(all, now)
+		order = t.firstReachable(all, now)
 	}
 	if domain == t.self.Domain && (len(order) == 0 || compareCollectors(t.self, order[0]) < 0) {
-		return t.firstBeside(order, now)
+		return t.firstOfAllContacts(order, now)
 	}
 	return order
 }
 
-// firstOf returns the first of gateways that are in order.
-func (t *Table) firstOf(gateways []Contact, now time.Time) []Contact {
-	order := make([]Contact, 0, tries)
+// firstReachable returns the first maxCollectorTries of the sorted gateways, without this one
+// and without those that did not answer recently.
+func (t *Table) firstReachable(gateways []Contact, now time.Time) []Contact {
+	order := make([]Contact, 0, maxCollectorTries)
 	for _, c := range gateways {
-		if len(order) == tries {
+		if len(order) == maxCollectorTries {
 			break
 		}
-		if c.Node != t.self.Node && !now.Before(t.down[c.Address]) {
+		if c.Node != t.self.Node && !now.Before(t.unreachableUntil[c.Address]) {
 			order = append(order, c)
 		}
 	}
 	return order
 }
 
-// firstBeside adds the gateways that the roster lacks where this one would collect by it.
-// What goes wrong without it: of gateways that start together two each take themselves
-// for the collector, gather some of the domain each, and hear nothing of each other. So
-// the first of them tells the first of all others that it is there.
-func (t *Table) firstBeside(order []Contact, now time.Time) []Contact {
+// firstOfAllContacts returns the first collectors among the gateways in order and all known
+// contacts. It is used where this gateway comes first by the roster. Without it, of gateways
+// that start together two may each consider themselves the collector, collect from a part of
+// the domain each, and never hear of each other. So the first one reports to the first of all
+// others, which learns from it that it exists.
+func (t *Table) firstOfAllContacts(order []Contact, now time.Time) []Contact {
 	all := t.contactsIn(t.self.Domain, now)
 	for _, c := range order {
 		if !slices.ContainsFunc(all, func(other Contact) bool { return other.Node == c.Node }) {
@@ -158,33 +161,34 @@
 		}
 	}
 	sortCollectors(all)
-	return t.firstOf(all, now)
+	return t.firstReachable(all, now)
 }
 
-// contactsIn returns a failure domain's gateways by whatever word.
+// contactsIn returns all known gateways of a failure domain, whoever told of them.
 func (t *Table) contactsIn(domain ident.FailureDomain, now time.Time) []Contact {
 	var all []Contact
 	for _, c := range t.contacts {
-		if c.Domain == domain && c.Node != "" && (c.until.IsZero() || now.Before(c.until)) {
+		if c.Domain == domain && c.Node != "" && (c.expiresAt.IsZero() || now.Before(c.expiresAt)) {
 			all = append(all, c.Contact)
 		}
 	}
 	return all
 }
 
-// Down notes that a gateway did not answer.
-func (t *Table) Down(address string, now time.Time) {
+// MarkUnreachable records that the gateway at an address did not answer.
+func (t *Table) MarkUnreachable(address string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.down[address] = now.Add(downFor)
-	for other, until := range t.down {
+	t.unreachableUntil[address] = now.Add(unreachableFor)
+	for other, until := range t.unreachableUntil {
 		if now.After(until) {
-			delete(t.down, other)
+			delete(t.unreachableUntil, other)
 		}
 	}
 }
 
-// Domains returns the failure domains in which gateways are known, sorted.
+// Domains returns the failure domains in which gateways are known, this one's included,
+// sorted.
 func (t *Table) Domains() []ident.FailureDomain {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gossip/sum.go
+++ b/internal/gossip/sum.go
@@ -13,41 +13,43 @@
 
 // Sum is what several gateways report together.
 type Sum struct {
-	// Source is the life of the gateway that added it up. Totals of two sources
-	// cannot be compared.
+	// Source is the incarnation of the gateway that added the sum up. Totals of different
+	// sources cannot be compared.
 	Source string
 	Seq    uint64
-	// Domain is that of the gateways, where they are those of one.
+	// Domain is set if all gateways in the sum belong to one failure domain.
 	Domain ident.FailureDomain
-	// Heard counts the gateways in it, and Known those that may admit requests, heard
-	// lately or not.
+	// Heard counts the gateways whose reports are in the sum. Known counts those that may admit
+	// requests, heard recently or not.
 	Heard, Known int
-	// Age is the mean age of the reports in it.
+	// Age is the mean age of the reports in the sum.
 	Age      time.Duration
 	Loads    map[UpstreamKey]placement.Load
 	Accounts map[ident.ClientAccount]Spending
-	Work     map[ident.Service]placement.Demand
+	Demand   map[ident.Service]placement.Demand
 	Engines  map[ident.Service]enginemodel.Sums
-	// Holders counts those that hold the lease of the duties: none or one, but for the
-	// moments in which it goes from one to the next. GivenUp is the highest fencing number
-	// under which its holder acts no more.
-	Holders  int
-	GivenUp  ident.Fence
-	Rollouts rollout.Words
-	Poison   poison.Words
-	// LimitUses are what they do with upstreams that have a limit, and LimitColumns the same
-	// for a receiver that knows the same limits.
+	// LeaseHolders counts the gateways that hold the lease of the duties: none or one, except
+	// briefly while the lease moves from one to the next. GivenUpFence is the highest fencing
+	// number under which a holder no longer acts.
+	LeaseHolders int
+	GivenUpFence ident.Fence
+	Rollouts     rollout.Words
+	Poison       poison.Words
+	// LimitUses tells how much the gateways use upstreams that have a limit. LimitColumns is
+	// its short form for a receiver that knows the same limits.
 	LimitUses    upstreamlimit.Uses
 	LimitColumns upstreamlimit.Columns
-	// Silent are failure domains that were heard lately and are not now.
-	Silent []ident.FailureDomain
-	// TrueWallMillis is the source's time of day as most gateways have it.
+	// SilentDomains are failure domains that were heard recently and are not heard now.
+	SilentDomains []ident.FailureDomain
+	// TrueWallMillis is the source's wall clock, corrected to the median of the gateways'
+	// clocks, in milliseconds since 1970.
 	TrueWallMillis int64
-	// Counted is the report of the gateway that gets the sum, where it is in it.
-	Counted reportID
+	// CountedReport is the report of the receiving gateway that is part of the sum; zero if
+	// none is.
+	CountedReport reportID
 }
 
-// reportID names one report of a gateway; zero for none.
+// reportID identifies one report of a gateway; the zero value stands for none.
 type reportID struct {
 	Incarnation ident.Incarnation
 	Seq         uint64
@@ -55,13 +57,13 @@
 
 func (r *Report) id() reportID { return reportID{r.Incarnation, r.Seq} }
 
-// add adds a part of which so much is known: loads, demand and what was seen of engines.
-func (s *Sum) add(loads map[UpstreamKey]placement.Load, work map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) {
+// addTotals adds loads, demand and engine measurements.
+func (s *Sum) addTotals(loads map[UpstreamKey]placement.Load, work map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) {
 	for key, load := range loads {
 		s.Loads[key] = s.Loads[key].Plus(load)
 	}
 	for service, w := range work {
-		s.Work[service] = s.Work[service].Plus(w)
+		s.Demand[service] = s.Demand[service].Plus(w)
 	}
 	for service, sums := range engines {
 		all := s.Engines[service]
@@ -70,20 +72,20 @@
 	}
 }
 
-// addAccounts adds accounts' totals.
+// addAccounts adds totals of accounts.
 func (s *Sum) addAccounts(totals map[ident.ClientAccount]Spending) {
 	for account, total := range totals {
 		s.Accounts[account] = s.Accounts[account].plus(total)
 	}
 }
 
-// takeOut takes a gateway's report out of a sum that counts it. The totals of its accounts
-// are then those of the others but for what it had spent before its first report there: they
-// tell how much the others spend, not how much they have spent.
-func (s *Sum) takeOut(r *Report) {
+// subtractReport subtracts a gateway's report from a sum that includes it. The account totals
+// then still lack what the gateway had spent before its first report to the source: they show
+// how fast the others spend, not how much they have spent.
+func (s *Sum) subtractReport(r *Report) {
 	s.Heard, s.Known = max(0, s.Heard-1), max(0, s.Known-1)
 	if r.Holds {
-		s.Holders = max(0, s.Holders-1)
+		s.LeaseHolders = max(0, s.LeaseHolders-1)
 	}
 	for key, load := range r.Loads {
 		if left := s.Loads[key].Minus(load); left.Running > 0 || left.Unread > 0 {
@@ -96,7 +98,7 @@
 		s.Accounts[account] = s.Accounts[account].minus(total.rounded())
 	}
 	for service, w := range r.Work {
-		s.Work[service] = s.Work[service].Minus(w)
+		s.Demand[service] = s.Demand[service].Minus(w)
 	}
 	for service, sums := range r.Engines {
 		left := s.Engines[service]
@@ -105,7 +107,7 @@
 	}
 }
 
-// rounded is a total as it travels between gateways.
+// rounded returns a total as it is encoded in messages, in whole units.
 func (s Spending) rounded() Spending {
-	return Spending{float64(total(s.Spent)), float64(total(s.Refused))}
+	return Spending{float64(roundTotal(s.Spent)), float64(roundTotal(s.Refused))}
 }
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -14,54 +14,52 @@
 )
 
 const (
-	// freshRounds is for how many rounds a report counts as the present, so that
-	// two lost ones change nothing.
+	// freshRounds is the number of rounds for which a report counts as current: losing two in a
+	// row changes nothing.
 	freshRounds = 4
-	// KnownFor is for how long a silent gateway still counts as one that may
-	// admit requests. Killed ones are back within some seconds; one that is cut
-	// off goes on admitting its part for as long as it lives, and the cuts that
-	// the users know last for less.
-	KnownFor = 15 * time.Second
-	// leavingFor is for how long one that said it leaves counts after its last
-	// word.
-	leavingFor = 2 * time.Second
-	// contactFor is for how long an address is tried after its gateway was last
-	// heard of.
-	contactFor = time.Minute
+	// KnownTimeout is how long a silent gateway still counts as one that may admit requests. A
+	// killed gateway is back within some seconds. One that is cut off goes on admitting its
+	// share for as long as it runs; the network partitions that the users have seen last for
+	// less.
+	KnownTimeout = 15 * time.Second
+	// leavingTimeout is how long a gateway that announced that it leaves still counts after its
+	// last report.
+	leavingTimeout = 2 * time.Second
+	// contactTTL is how long an address is tried after its gateway was last heard of.
+	contactTTL = time.Minute
 )
 
-// Table holds what is known of the other gateways. It is safe for concurrent
-// use.
+// Table holds what is known of the other gateways. It is safe for concurrent use.
 type Table struct {
 	self Contact
 
 	mu       sync.Mutex
 	members  map[ident.Instance]*Member
 	contacts map[string]contact
-	// rosters are the failure domains' gateways by their collectors' word.
+	// rosters are the rosters that collectors reported, by failure domain.
 	rosters map[ident.FailureDomain]*roster
-	// down are addresses that did not answer, with until when they are passed over.
-	down map[string]time.Time
+	// unreachableUntil holds the addresses that did not answer and until when each is skipped.
+	unreachableUntil map[string]time.Time
 }
 
 // contact is an address at which a gateway may be reached.
 type contact struct {
 	Contact
-	// until is when the address is given up; zero for a seed, which never is.
-	until time.Time
+	// expiresAt is when the address is dropped. It is zero for a seed, which is never dropped.
+	expiresAt time.Time
 }
 
-// NewTable returns a table that knows only seeds' addresses.
+// NewTable returns a table that knows only the seeds' addresses.
 func NewTable(self Contact, seeds []string) *Table {
 	t := &Table{
 		self: self, members: make(map[ident.Instance]*Member), contacts: make(map[string]contact),
-		rosters: make(map[ident.FailureDomain]*roster), down: make(map[string]time.Time),
+		rosters: make(map[ident.FailureDomain]*roster), unreachableUntil: make(map[string]time.Time),
 	}
 	t.AddSeeds(seeds)
 	return t
 }
 
-// AddSeeds adds addresses that are always tried.
+// AddSeeds adds addresses that never expire.
 func (t *Table) AddSeeds(seeds []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,38 +70,39 @@
 	}
 }
 
-// Hear takes in what a gateway said of itself. An older report than is known
-// changes nothing.
-func (t *Table) Hear(r Report, now, wall time.Time) {
+// RecordReport records what another gateway reported about itself. It ignores a report that is
+// not newer than the recorded one, and this gateway's own.
+func (t *Table) RecordReport(r Report, now, wall time.Time) {
 	if r.Node == t.self.Node || r.Node == "" {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := t.members[r.Node]
-	if known != nil && !newer(r, known.Report) {
+	if known != nil && !supersedes(r, known.Report) {
 		return
 	}
-	t.members[r.Node] = &Member{Report: r, HeardAt: now, WallOff: time.UnixMilli(r.WallMillis).Sub(wall)}
+	t.members[r.Node] = &Member{Report: r, HeardAt: now, ClockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
 	t.addContact(r.Contact, now)
 }
 
-// newer reports whether a replaces b. Incarnations are times of start, by a time
-// of day that may have been set back between two lives, so that they are not
-// compared: what a gateway says of itself is its present life.
-func newer(a, b Report) bool {
+// supersedes reports whether report a replaces report b. Incarnations are not compared: they
+// are start times by a wall clock that may have been set back between two starts. What a
+// gateway says about itself comes from its present incarnation.
+func supersedes(a, b Report) bool {
 	return a.Incarnation != b.Incarnation || a.Seq > b.Seq
 }
 
-// Learn takes in where other gateways can be reached.
-func (t *Table) Learn(contacts []Contact, now time.Time) {
+// AddContacts adds addresses at which other gateways can be reached. It changes no address
+// whose gateway is known already.
+func (t *Table) AddContacts(contacts []Contact, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range contacts {
 		if c.Node == t.self.Node {
 			continue
 		}
-		if known, some := t.contacts[c.Address]; !some || known.Node == "" {
+		if known, ok := t.contacts[c.Address]; !ok || known.Node == "" {
 			t.addContact(c, now)
 		}
 	}
@@ -111,14 +110,14 @@
 
 func (t *Table) addContact(c Contact, now time.Time) {
 	old, known := t.contacts[c.Address]
-	if known && old.until.IsZero() {
+	if known && old.expiresAt.IsZero() {
 		t.contacts[c.Address] = contact{Contact: c}
 		return
 	}
-	t.contacts[c.Address] = contact{Contact: c, until: now.Add(contactFor)}
+	t.contacts[c.Address] = contact{Contact: c, expiresAt: now.Add(contactTTL)}
 }
 
-// Addresses returns where to try to reach other gateways, in a fixed order.
+// Addresses returns the addresses at which to try other gateways, sorted, without own.
 func (t *Table) Addresses(own string, now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,12 +126,12 @@
 		if address == own {
 			continue
 		}
-		if !c.until.IsZero() && now.After(c.until) {
+		if !c.expiresAt.IsZero() && now.After(c.expiresAt) {
 			delete(t.contacts, address)
 			continue
 		}
 		if m := t.members[c.Node]; m != nil && m.Report.Address != address {
-			continue // the gateway has moved
+			continue // the gateway has a new address
 		}
 		out = append(out, address)
 	}
@@ -140,14 +139,14 @@
 	return out
 }
 
-// Count returns how many other gateways there may be.
-func (t *Table) Count(now time.Time) int {
+// CountOthers returns how many other gateways there may be.
+func (t *Table) CountOthers(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
 	for address, c := range t.contacts {
 		switch {
-		case !c.until.IsZero() && !now.Before(c.until):
+		case !c.expiresAt.IsZero() && !now.Before(c.expiresAt):
 			delete(t.contacts, address)
 		case c.Address != t.self.Address:
 			n++
@@ -156,38 +155,38 @@
 	return n
 }
 
-// contactsMost is how many contacts are told to a gateway that knows others: enough to meet
-// one that collects, and from it the rosters. What goes wrong with all of them: of a thousand
-// gateways that start together each is told of all by each that it meets.
-const contactsMost = 64
+// maxContactsSent bounds the contacts in one answer. They suffice to reach a collector and to
+// get the rosters from it. Without the bound, when a thousand gateways start together, each is
+// sent all contacts by every gateway that it meets.
+const maxContactsSent = 64
 
-// Contacts returns gateways heard of lately, directly or by a collector's word: the first of
-// each failure domain, and of the rest any, contactsMost at the most.
+// Contacts returns gateways that were heard of recently, directly or from a collector: the
+// first collectors of each failure domain, then random others, maxContactsSent at most.
 func (t *Table) Contacts(now time.Time) []Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.heardOf(now)
-	if len(all) <= contactsMost {
+	all := t.recentContacts(now)
+	if len(all) <= maxContactsSent {
 		return all
 	}
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	first := make(map[ident.FailureDomain]int)
 	inOrder := slices.Clone(all)
 	sortCollectors(inOrder)
-	var told []Contact
+	var chosen []Contact
 	for _, c := range inOrder {
-		if first[c.Domain] < tries && len(told) < contactsMost {
+		if first[c.Domain] < maxCollectorTries && len(chosen) < maxContactsSent {
 			first[c.Domain]++
-			told = append(told, c)
+			chosen = append(chosen, c)
 		}
 	}
-	return append(told, all[:contactsMost-len(told)]...)
+	return append(chosen, all[:maxContactsSent-len(chosen)]...)
 }
 
-func (t *Table) heardOf(now time.Time) []Contact {
+func (t *Table) recentContacts(now time.Time) []Contact {
 	all := make(map[ident.Instance]Contact)
 	for _, r := range t.rosters {
-		if now.Sub(r.at) > KnownFor {
+		if now.Sub(r.confirmedAt) > KnownTimeout {
 			continue
 		}
 		for _, c := range r.gateways {
@@ -195,7 +194,7 @@
 		}
 	}
 	for node, m := range t.members {
-		if now.Sub(m.HeardAt) < KnownFor {
+		if now.Sub(m.HeardAt) < KnownTimeout {
 			all[node] = m.Report.Contact
 		}
 	}
@@ -203,62 +202,63 @@
 	return slices.SortedFunc(maps.Values(all), func(a, b Contact) int { return cmp.Compare(a.Node, b.Node) })
 }
 
-// Direct is the other gateways that this one heard itself, at an instant.
-type Direct struct {
-	// Fresh are those heard lately, in the order of their names.
+// DirectPeers are the other gateways that reported to this one directly, as of an instant.
+type DirectPeers struct {
+	// Fresh are the gateways with a current report, sorted by name.
 	Fresh []Member
-	// Known counts those that may admit requests, heard lately or not.
+	// Known counts the gateways that may admit requests, with a current report or without.
 	Known int
 }
 
-// Direct returns the other gateways that this one heard itself.
-func (t *Table) Direct(now time.Time) Direct {
+// DirectPeers returns the other gateways that reported to this one directly.
+func (t *Table) DirectPeers(now time.Time) DirectPeers {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var v Direct
+	var v DirectPeers
 	for node, m := range t.members {
 		age := now.Sub(m.HeardAt)
-		if age <= collectedFor {
+		if age <= freshFor {
 			v.Fresh = append(v.Fresh, *m)
 		}
 		switch {
-		case m.Report.Leaving && age > leavingFor:
-		case age <= KnownFor:
+		case m.Report.Leaving && age > leavingTimeout:
+		case age <= KnownTimeout:
 			v.Known++
-		case age > contactFor:
+		case age > contactTTL:
 			delete(t.members, node)
 		}
 	}
-	v.Known += t.unmet(now)
+	v.Known += t.countUnmet(now)
 	slices.SortFunc(v.Fresh, func(a, b Member) int { return cmp.Compare(a.Report.Node, b.Report.Node) })
 	return v
 }
 
-// unmet counts the gateways that others told of and that were not heard yet: among
-// many it takes some rounds to meet them all, and they admit requests meanwhile.
-func (t *Table) unmet(now time.Time) int {
+// countUnmet counts the gateways that others told of and that have not reported yet. In a
+// large fleet it takes some rounds to meet them all, and they admit requests meanwhile.
+func (t *Table) countUnmet(now time.Time) int {
 	n := 0
 	for _, c := range t.contacts {
-		if !c.until.IsZero() && t.members[c.Node] == nil && now.Before(c.until.Add(KnownFor-contactFor)) {
+		if !c.expiresAt.IsZero() && t.members[c.Node] == nil && now.Before(c.expiresAt.Add(KnownTimeout-contactTTL)) {
 			n++
 		}
 	}
 	return n
 }
 
-// Digest is equal where two gateways know the same others and themselves.
+// Digest returns a digest of the known gateways including this one. Two gateways that know the
+// same ones have the same digest.
 func (t *Table) Digest(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	// A sum does not depend on the order.
+	// Adding the hashes up makes the digest independent of the order.
 	digest := xxhash.Sum64String(string(t.self.Node))
-	for _, c := range t.heardOf(now) {
+	for _, c := range t.recentContacts(now) {
 		digest += xxhash.Sum64String(string(c.Node))
 	}
 	return digest
 }
 
-// Members returns all gateways heard of in the last minute.
+// Members returns all gateways that reported directly during the last minute, sorted by name.
 func (t *Table) Members() []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -270,13 +270,12 @@
 	return out
 }
 
-// WallCorrection returns what to add to this machine's time of day so that it is
-// the median of all fresh gateways': a clock that was set wrong moves the median
-// only if most are.
-func (v Direct) WallCorrection() time.Duration {
+// WallCorrection returns what to add to this machine's wall clock to get the median of all
+// fresh gateways' clocks. A clock that is set wrong does not move the median unless most are.
+func (v DirectPeers) WallCorrection() time.Duration {
 	offs := []time.Duration{0}
 	for _, m := range v.Fresh {
-		offs = append(offs, m.WallOff)
+		offs = append(offs, m.ClockOffset)
 	}
 	return median(offs)
 }
@@ -289,19 +288,19 @@
 	return offs[len(offs)/2]
 }
 
-// silentAfter is after how long without a word a gateway counts as silent where a
-// round reaches all others: three rounds and the time of an exchange.
+// silentAfter is the time without a report after which a gateway counts as silent, where a
+// round reaches all others: three rounds and the time of one exchange.
 const silentAfter = 1100 * time.Millisecond
 
-// SilentDomains returns the failure domains but one's own whose gateways were
-// heard in the last while, and none of them is now.
+// SilentDomains returns the failure domains, except the given own one, of which at least one
+// gateway reported within KnownTimeout and none within silentAfter.
 func SilentDomains(members []Member, own ident.FailureDomain, now time.Time) map[ident.FailureDomain]bool {
-	// Among many, the time in which one of a domain's gateways is met is shorter
-	// than that in which each is; the same limit does.
+	// In a large fleet a round does not reach every gateway, but it takes less time to meet one
+	// gateway of a domain than each of them, so that the same limit suffices.
 	silent := make(map[ident.FailureDomain]bool)
 	for _, m := range members {
 		domain, age := m.Report.Domain, now.Sub(m.HeardAt)
-		if domain == own || age > KnownFor {
+		if domain == own || age > KnownTimeout {
 			continue
 		}
 		known, seen := silent[domain]
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -11,38 +11,42 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// View is the other gateways at an instant, however they were heard.
+// View describes the other gateways at an instant, whether they reported directly or through
+// collectors.
 type View struct {
-	// Groups are who is heard: single gateways, or all of them by one collector's word.
+	// Groups are the gateways that are heard: one group for each, or one for all by a
+	// collector's sum.
 	Groups []Group
-	// Heard counts them, and Known those that may admit requests, heard lately or not.
+	// Heard counts the gateways in Groups. Known counts those that may admit requests, heard
+	// recently or not.
 	Heard, Known int
-	// Holds: another gateway says that it holds the lease of the duties. GivenUp is the
-	// highest fencing number under which its holder acts no more.
-	Holds   bool
+	// Holds is set if another gateway says that it holds the lease of the duties.
+	Holds bool
+	// GivenUp is the highest fencing number under which a holder no longer acts.
 	GivenUp ident.Fence
-	// Silent are the other failure domains in which gateways were heard lately, and
-	// none is now.
+	// Silent are the other failure domains in which gateways were heard recently and none is
+	// heard now.
 	Silent map[ident.FailureDomain]bool
-	// Place is this gateway's place in line for what few of all do, from 0.
+	// Place is this gateway's rank, from 0, in work that only a few gateways do for all, such
+	// as reading the store.
 	Place int
-	// WallCorrection is what to add to this machine's time of day so that it is that of
-	// most gateways.
+	// WallCorrection is what to add to this machine's wall clock to get the median of the
+	// gateways' clocks.
 	WallCorrection time.Duration
 }
 
-// NoView is what a gateway knows before it has heard anything: it leaves what few of all do
-// to others. What goes wrong with a place of 0: of a thousand gateways that start together
-// each takes itself for the first in line, and writes a claim of the lease.
-func NoView() View { return View{Place: behindAll} }
+// NoView returns the view of a gateway that has heard nothing yet: it leaves work that only a
+// few gateways do to others. With rank 0, each of a thousand gateways that start
+// together would consider itself the first, and write a claim of the lease.
+func NoView() View { return View{Place: lastRank} }
 
 // Group is one or more gateways that are reported together.
 type Group struct {
-	// Name tells groups apart. Totals of the same group and another source cannot be
-	// compared.
+	// Name identifies the group. Totals of the same group cannot be compared if their sources
+	// differ.
 	Name, Source string
 	Gateways     int
-	// ReportedAt is as of when, on average, by this machine's boot time.
+	// ReportedAt is when the gateways reported, on average, by this machine's boot-time clock.
 	ReportedAt time.Time
 	Loads      map[UpstreamKey]placement.Load
 	Accounts   map[ident.ClientAccount]Spending
@@ -53,22 +57,22 @@
 	LimitUses  upstreamlimit.Uses
 }
 
-// allOthers names the group of all gateways by a collector's word.
+// allOthers is the name of the group that a collector's sum forms.
 const allOthers = "all others"
 
-// collects reports whether so many other gateways are too many to meet each of them in
-// every round.
-func collects(others int) bool { return others > 2*fanout }
+// usesCollectors reports whether there are too many other gateways to exchange reports with
+// each of them in every round.
+func usesCollectors(others int) bool { return others > 2*fanout }
 
-// View returns the other gateways.
+// View returns the other gateways as of now.
 func (g *Gossip) View(now time.Time) View {
-	direct := g.cfg.Table.Direct(now)
+	direct := g.cfg.Table.DirectPeers(now)
 	v := View{Silent: make(map[ident.FailureDomain]bool), WallCorrection: direct.WallCorrection()}
-	if !collects(g.cfg.Table.Count(now)) {
-		g.direct(&v, direct, now)
+	if !usesCollectors(g.cfg.Table.CountOthers(now)) {
+		g.fillDirect(&v, direct, now)
 		return v
 	}
-	g.collected(&v, now)
+	g.fillCollected(&v, now)
 	v.Known = max(v.Known, v.Heard)
 	if v.Heard == 0 {
 		v.Known = max(v.Known, direct.Known)
@@ -76,18 +80,18 @@
 	return v
 }
 
-// direct fills a view from the gateways that were heard directly.
-func (g *Gossip) direct(v *View, direct Direct, now time.Time) {
+// fillDirect fills a view from the gateways that reported directly.
+func (g *Gossip) fillDirect(v *View, direct DirectPeers, now time.Time) {
 	v.Heard, v.Known = len(direct.Fresh), direct.Known
-	if v.Known == 0 && now.Sub(g.began) < lineAfter {
-		v.Place = behindAll
+	if v.Known == 0 && now.Sub(g.startedAt) < startupGrace {
+		v.Place = lastRank
 	}
 	for i := range direct.Fresh {
 		m := &direct.Fresh[i]
 		r := &m.Report
-		life := LifeOf(r.Node, r.Incarnation)
+		incarnationID := LifeOf(r.Node, r.Incarnation)
 		v.Groups = append(v.Groups, Group{
-			Name: life, Source: life, Gateways: 1, ReportedAt: m.HeardAt, Loads: r.Loads, Accounts: r.Accounts, Work: r.Work, Engines: r.Engines,
+			Name: incarnationID, Source: incarnationID, Gateways: 1, ReportedAt: m.HeardAt, Loads: r.Loads, Accounts: r.Accounts, Work: r.Work, Engines: r.Engines,
 			Rollouts: r.Rollouts.Aged(now.Sub(m.HeardAt)), Poison: r.Poison.Aged(now.Sub(m.HeardAt)), LimitUses: r.LimitUses,
 		})
 		v.Holds = v.Holds || r.Holds
@@ -99,65 +103,66 @@
 	v.Silent = SilentDomains(g.cfg.Table.Members(), g.cfg.Self.Domain, now)
 }
 
-// collected fills a view from what a collector says of all others, or from what this one
-// collected.
-func (g *Gossip) collected(v *View, now time.Time) {
-	v.Place = behindAll
-	sum, heardAt, collecting := g.sum(now)
+// fillCollected fills a view from a collector's sum of all others, or from what this gateway
+// collected itself.
+func (g *Gossip) fillCollected(v *View, now time.Time) {
+	v.Place = lastRank
+	sum, heardAt, collecting := g.bestSum(now)
 	if sum == nil {
 		return
 	}
 	age := now.Sub(heardAt)
 	if collecting {
 		g.mu.Lock()
-		g.noteKnown(sum, now)
+		g.recordKnown(sum, now)
 		g.mu.Unlock()
 	}
-	v.Known = g.known(now)
-	for _, domain := range sum.Silent {
+	v.Known = g.knownOthers(now)
+	for _, domain := range sum.SilentDomains {
 		v.Silent[domain] = true
 	}
 	if !collecting {
-		v.WallCorrection = g.correction()
+		v.WallCorrection = g.lastClockCorrection()
 	} else {
-		v.WallCorrection = g.collector.correction(now)
+		v.WallCorrection = g.collector.clockCorrection(now)
 	}
-	v.Place = g.place(now)
-	if age > collectedFor || sum.Heard == 0 {
+	v.Place = g.rank(now)
+	if age > freshFor || sum.Heard == 0 {
 		return
 	}
-	v.Heard, v.Holds, v.GivenUp = sum.Heard, sum.Holders > 0, sum.GivenUp
+	v.Heard, v.Holds, v.GivenUp = sum.Heard, sum.LeaseHolders > 0, sum.GivenUpFence
 	v.Groups = []Group{{
 		Name: allOthers, Source: sum.Source, Gateways: sum.Heard, ReportedAt: heardAt.Add(-sum.Age),
-		Loads: sum.Loads, Accounts: sum.Accounts, Work: sum.Work, Engines: sum.Engines, Rollouts: sum.Rollouts.Aged(age), Poison: sum.Poison.Aged(age),
+		Loads: sum.Loads, Accounts: sum.Accounts, Work: sum.Demand, Engines: sum.Engines, Rollouts: sum.Rollouts.Aged(age), Poison: sum.Poison.Aged(age),
 		LimitUses: sum.LimitUses,
 	}}
 }
 
-// sum returns what is known of all others, since when, and whether this gateway added
-// it up itself: its own collector's sum, or a newer answer that holds more gateways.
-func (g *Gossip) sum(now time.Time) (sum *Sum, heardAt time.Time, collecting bool) {
+// bestSum returns the sum of all others, as of when it is, and whether this gateway added it
+// up itself: the sum of its own collector, or a current answer that includes more gateways.
+func (g *Gossip) bestSum(now time.Time) (sum *Sum, heardAt time.Time, collecting bool) {
 	g.mu.Lock()
-	answer, answeredAt := g.answer, g.answeredAt
+	answer, answeredAt := g.collectorSum, g.collectorSumAt
 	g.mu.Unlock()
-	if g.first(now) || g.collector.Acting(now) {
+	if g.isFirstCollector(now) || g.collector.ReceivesReports(now) {
 		own := g.collector.Others(g.cfg.Self.Node, now, time.Now())
-		if answer == nil || now.Sub(answeredAt) > collectedFor || own.Heard >= answer.Heard {
+		if answer == nil || now.Sub(answeredAt) > freshFor || own.Heard >= answer.Heard {
 			return &own, now, true
 		}
 	}
 	return answer, answeredAt, false
 }
 
-// correction is that of the collector that answered last.
-func (g *Gossip) correction() time.Duration {
+// lastClockCorrection returns the clock correction by the collector that answered last.
+func (g *Gossip) lastClockCorrection() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.answerOff
+	return g.collectorClockCorrection
 }
 
-// first reports whether this gateway is the first of its domain that collects.
-func (g *Gossip) first(now time.Time) bool {
+// isFirstCollector reports whether this gateway comes first among the collectors of its
+// domain.
+func (g *Gossip) isFirstCollector(now time.Time) bool {
 	if g.leaving.Load() {
 		return false
 	}
@@ -166,27 +171,27 @@
 }
 
 const (
-	// behindAll is the place of a gateway that no line waits for.
-	behindAll = 1 << 10
-	// lineAfter is for how long after its start a gateway that has heard nobody leaves
-	// what few of all do to others: four rounds. What goes wrong without it: after all
-	// were killed, each reads the upstreams' entries and the lease for itself until it
-	// knows the others.
-	lineAfter = 4 * Interval
+	// lastRank is the rank of a gateway that leaves the work of few gateways to others.
+	lastRank = 1 << 10
+	// startupGrace is how long after its start a gateway that has heard nobody leaves the work
+	// of few gateways to others: four rounds. Without it, after all gateways were killed, each
+	// would read the upstream entries and the lease for itself until it knows the others.
+	startupGrace = 4 * Interval
 )
 
-// place is this gateway's place in line: the first collectors of the domains that are
-// heard, in the order of the domains' names, and then nobody. They hear first what the
-// others know, and the others hear first what they know.
-func (g *Gossip) place(now time.Time) int {
-	if !g.first(now) {
-		return behindAll
+// rank returns this gateway's rank among those that do work for all. The first collectors of
+// the domains that are heard have the ranks from 0 on, in the order of the domains' names; all
+// other gateways have lastRank. First collectors are the first to learn what the others know,
+// and what they know reaches the others first.
+func (g *Gossip) rank(now time.Time) int {
+	if !g.isFirstCollector(now) {
+		return lastRank
 	}
-	place := 0
+	rank := 0
 	for _, domain := range g.collector.heardDomains(now) {
 		if domain < g.cfg.Self.Domain {
-			place++
+			rank++
 		}
 	}
-	return place
+	return rank
 }
