--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -116,14 +116,14 @@
 // Sending tells that a granted request goes to an upstream, so that a probe
 // of an ejected one is counted.
 func (c *Controller) Sending(name ident.Service, id ident.Instance) {
-	c.service(name).sending(time.Now(), id)
+	c.service(name).recordAttemptStart(time.Now(), id)
 }
 
 // Observe learns from one attempt of a request that may take several. Unloaded
 // is the time to the first token on an idle upstream; 0 is unknown. The
 // request's own ticket then ends with a Result without an upstream.
 func (c *Controller) Observe(name ident.Service, r Result, unloaded time.Duration) {
-	c.service(name).observe(r, unloaded)
+	c.service(name).recordAttemptEnd(r, unloaded)
 }
 
 // Admit returns a ticket, or else the outcome that the caller has to hear. It
@@ -147,7 +147,7 @@
 		Attempt:     r.Attempt,
 	}
 	refusal := t.service.admit(ctx, t)
-	c.metrics.admitted(refusal)
+	c.metrics.countDecision(refusal)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -167,9 +167,9 @@
 	service  *service
 	unloaded time.Duration
 	entry    gate.Entry
-	// ended receives the verdict on a request that waits; nil if it never
+	// decided receives the verdict on a request that waits; nil if it never
 	// waited.
-	ended   chan struct{}
+	decided   chan struct{}
 	refusal *outcome.Outcome
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -111,13 +111,13 @@
 			ticket.FirstToken()
 			ticket.Done(Result{Upstream: "u1", Failed: true, Sent: time.Now()})
 		}
-		for range ejection.DefaultFailures {
+		for range ejection.DefaultConsecutiveFailures {
 			ctl.Observe("s", Result{Upstream: "u1", Failed: true, Sent: time.Now()}, 0)
 		}
 		if out := ctl.Ejected("s"); len(out) != 1 || out[0] != "u1" {
 			t.Fatalf("ejected %v, want u1", out)
 		}
-		time.Sleep(ejection.DefaultBase)
+		time.Sleep(ejection.DefaultBaseEjectionTime)
 		if out := ctl.Ejected("s"); len(out) != 0 {
 			t.Fatalf("ejected %v after its time", out)
 		}
--- a/internal/admission/concurrency/limit.go
+++ b/internal/admission/concurrency/limit.go
@@ -25,17 +25,17 @@
 const (
 	// smoothing is the weight of one sample in the limit.
 	smoothing = 0.1
-	// steepest bounds how much one sample can shrink the limit.
-	steepest = 0.5
+	// minGradient bounds how much one sample can shrink the limit.
+	minGradient = 0.5
 	// dropFactor shrinks the limit when a request was dropped.
 	dropFactor = 0.9
-	// easyShare of the goal is a latency at which the limit grows by at
+	// fastLatencyShare of the goal is a latency at which the limit grows by at
 	// least easyStep a sample, so that it recovers soon after a rush.
-	easyShare = 0.5
-	easyStep  = 0.5
-	// usedShare of the limit has to be in flight before it may grow: an
+	fastLatencyShare = 0.5
+	minFastStep  = 0.5
+	// minUsedShare of the limit has to be in flight before it may grow: an
 	// upstream that is not asked for much proves nothing about more.
-	usedShare = 0.5
+	minUsedShare = 0.5
 	// baselineDrift lets a measured baseline rise again per sample, so that
 	// one lucky answer, or a version that was faster, is forgotten.
 	baselineDrift = 0.001
@@ -84,7 +84,7 @@
 type Limit struct {
 	config   Config
 	value    float64
-	baseline float64
+	baselineSeconds float64
 }
 
 // New returns a limit at its initial value.
@@ -105,40 +105,40 @@
 	if s.Latency <= 0 {
 		return
 	}
-	room := l.goal(s) / s.Latency.Seconds()
-	next := l.value*min(max(room, steepest), 1) + math.Sqrt(l.value)
-	if next > l.value && float64(s.InFlight) < usedShare*l.value {
+	room := l.goalSeconds(s) / s.Latency.Seconds()
+	next := l.value*min(max(room, minGradient), 1) + math.Sqrt(l.value)
+	if next > l.value && float64(s.InFlight) < minUsedShare*l.value {
 		return
 	}
 	step := smoothing * (next - l.value)
-	if room > 1/easyShare {
-		step = max(step, easyStep)
+	if room > 1/fastLatencyShare {
+		step = max(step, minFastStep)
 	}
 	l.set(l.value + step)
 }
 
-// goal returns the latency that is still fine, in seconds.
-func (l *Limit) goal(s Sample) float64 {
+// goalSeconds returns the latency that is still fine, in seconds.
+func (l *Limit) goalSeconds(s Sample) float64 {
 	if s.Goal > 0 {
 		return s.Goal.Seconds()
 	}
-	return l.config.Tolerance * l.unloaded(s)
+	return l.config.Tolerance * l.unloadedSeconds(s)
 }
 
 func (l *Limit) set(value float64) {
 	l.value = min(max(value, l.config.Min), l.config.Max)
 }
 
-// unloaded returns the baseline in seconds.
-func (l *Limit) unloaded(s Sample) float64 {
+// unloadedSeconds returns the baseline in seconds.
+func (l *Limit) unloadedSeconds(s Sample) float64 {
 	if s.Unloaded > 0 {
 		return s.Unloaded.Seconds()
 	}
 	latency := s.Latency.Seconds()
-	if l.baseline == 0 || latency < l.baseline {
-		l.baseline = latency
+	if l.baselineSeconds == 0 || latency < l.baselineSeconds {
+		l.baselineSeconds = latency
 	} else {
-		l.baseline += baselineDrift * (latency - l.baseline)
+		l.baselineSeconds += baselineDrift * (latency - l.baselineSeconds)
 	}
-	return l.baseline
+	return l.baselineSeconds
 }
--- a/internal/admission/concurrency/limit_test.go
+++ b/internal/admission/concurrency/limit_test.go
@@ -13,8 +13,8 @@
 
 const unloaded = 100 * time.Millisecond
 
-// serve is an upstream that answers at once up to capacity and queues beyond.
-func serve(inFlight, capacity int) time.Duration {
+// upstreamLatency is an upstream that answers at once up to capacity and queues beyond.
+func upstreamLatency(inFlight, capacity int) time.Duration {
 	return unloaded * time.Duration(max(inFlight, capacity)) / time.Duration(capacity)
 }
 
@@ -28,7 +28,7 @@
 			total += l.Value()
 		}
 		for _, l := range limits {
-			s := Sample{Latency: serve(total, capacity), InFlight: l.Value()}
+			s := Sample{Latency: upstreamLatency(total, capacity), InFlight: l.Value()}
 			if known {
 				s.Unloaded = unloaded
 			}
--- a/internal/admission/ejection/ejection.go
+++ b/internal/admission/ejection/ejection.go
@@ -16,22 +16,22 @@
 
 // Defaults of Config.
 const (
-	DefaultFailures    = 5
+	DefaultConsecutiveFailures    = 5
 	DefaultSlowFactor  = 3.0
 	DefaultSlowSamples = 10
-	DefaultBase        = 5 * time.Second
-	DefaultLongest     = 60 * time.Second
+	DefaultBaseEjectionTime        = 5 * time.Second
+	DefaultMaxEjectionTime     = 60 * time.Second
 	DefaultProbes      = 3
-	DefaultProbeLimit  = 30 * time.Second
+	DefaultProbeTimeout  = 30 * time.Second
 )
 
 const (
-	// ejectedPart bounds the ejected: one in this many.
-	ejectedPart = 3
-	// latencyMemory is the weight of one sample in an upstream's latency.
-	latencyMemory = 0.2
-	// fewestPeers is how many others are needed to tell what is slow.
-	fewestPeers = 2
+	// upstreamsPerEjected bounds the ejected: one in this many.
+	upstreamsPerEjected = 3
+	// latencySmoothing is the weight of one sample in an upstream's latency.
+	latencySmoothing = 0.2
+	// minOthers is how many others are needed to tell what is slow.
+	minOthers = 2
 )
 
 // Config sets when an upstream is ejected and for how long.
@@ -52,12 +52,12 @@
 }
 
 func (c Config) withDefaults() Config {
-	c.Failures = positiveOr(c.Failures, DefaultFailures)
+	c.Failures = positiveOr(c.Failures, DefaultConsecutiveFailures)
 	c.SlowSamples = positiveOr(c.SlowSamples, DefaultSlowSamples)
 	c.Probes = positiveOr(c.Probes, DefaultProbes)
-	c.Base = positiveOr(c.Base, DefaultBase)
-	c.Longest = positiveOr(c.Longest, DefaultLongest)
-	c.ProbeLimit = positiveOr(c.ProbeLimit, DefaultProbeLimit)
+	c.Base = positiveOr(c.Base, DefaultBaseEjectionTime)
+	c.Longest = positiveOr(c.Longest, DefaultMaxEjectionTime)
+	c.ProbeLimit = positiveOr(c.ProbeLimit, DefaultProbeTimeout)
 	if c.SlowFactor <= 1 {
 		c.SlowFactor = DefaultSlowFactor
 	}
@@ -98,11 +98,11 @@
 	Started time.Time
 }
 
-// peer is what is known of one upstream.
-type peer struct {
+// upstream is what is known of one upstream.
+type upstream struct {
 	state    State
 	failures int
-	latency  float64
+	latencyAverage  float64
 	samples  int
 	// ejections in a row, with less than Config.Longest of health between.
 	ejections int
@@ -110,20 +110,20 @@
 	until time.Time
 	// probeStarted is zero when no probe is under way.
 	probeStarted time.Time
-	proved       int
+	goodProbes       int
 }
 
 // Set is the upstreams of one service. See New.
 type Set struct {
 	config Config
-	peers  map[ident.Instance]*peer
-	// medians is scratch space.
-	medians []float64
+	upstreams  map[ident.Instance]*upstream
+	// latencies is scratch space.
+	latencies []float64
 }
 
 // New returns a set without upstreams.
 func New(config Config) *Set {
-	return &Set{config: config.withDefaults(), peers: map[ident.Instance]*peer{}}
+	return &Set{config: config.withDefaults(), upstreams: map[ident.Instance]*upstream{}}
 }
 
 // SetUpstreams says which upstreams there are. New ones are healthy.
@@ -132,36 +132,36 @@
 	for _, id := range ids {
 		wanted[id] = true
 	}
-	for id := range s.peers {
+	for id := range s.upstreams {
 		if !wanted[id] {
-			delete(s.peers, id)
+			delete(s.upstreams, id)
 		}
 	}
 	for _, id := range ids {
-		if s.peers[id] == nil {
-			s.peers[id] = &peer{}
+		if s.upstreams[id] == nil {
+			s.upstreams[id] = &upstream{}
 		}
 	}
-	s.keepFloor()
+	s.enforceEjectionLimit()
 }
 
-// keepFloor readmits those whose ejection ends first until no more than a
+// enforceEjectionLimit readmits those whose ejection ends first until no more than a
 // third is out. Upstreams can leave while others are ejected; without this,
 // the ejected could come to outnumber the rest.
-func (s *Set) keepFloor() {
-	for s.out()*ejectedPart > len(s.peers) {
+func (s *Set) enforceEjectionLimit() {
+	for s.notHealthy()*upstreamsPerEjected > len(s.upstreams) {
 		var first ident.Instance
-		for id, p := range s.peers {
-			if p.state != Healthy && (first == "" || s.sooner(id, p, first)) {
+		for id, p := range s.upstreams {
+			if p.state != Healthy && (first == "" || s.endsSooner(id, p, first)) {
 				first = id
 			}
 		}
-		s.peers[first] = &peer{}
+		s.upstreams[first] = &upstream{}
 	}
 }
 
-func (s *Set) sooner(id ident.Instance, p *peer, than ident.Instance) bool {
-	other := s.peers[than]
+func (s *Set) endsSooner(id ident.Instance, p *upstream, than ident.Instance) bool {
+	other := s.upstreams[than]
 	if !p.until.Equal(other.until) {
 		return p.until.Before(other.until)
 	}
@@ -170,7 +170,7 @@
 
 // State returns the state of an upstream; unknown ones are healthy.
 func (s *Set) State(id ident.Instance) State {
-	if p := s.peers[id]; p != nil {
+	if p := s.upstreams[id]; p != nil {
 		return p.state
 	}
 	return Healthy
@@ -179,7 +179,7 @@
 // Excluded returns the upstreams that must get no request now, in order.
 func (s *Set) Excluded(now time.Time) []ident.Instance {
 	var ids []ident.Instance
-	for id, p := range s.peers {
+	for id, p := range s.upstreams {
 		if !s.allows(p, now) {
 			ids = append(ids, id)
 		}
@@ -189,7 +189,7 @@
 }
 
 // allows reports whether a request may go to an upstream.
-func (s *Set) allows(p *peer, now time.Time) bool {
+func (s *Set) allows(p *upstream, now time.Time) bool {
 	switch p.state {
 	case Ejected:
 		return !now.Before(p.until)
@@ -202,7 +202,7 @@
 // NextChange returns when Excluded changes by time alone; zero is never.
 func (s *Set) NextChange(now time.Time) time.Time {
 	var next time.Time
-	for _, p := range s.peers {
+	for _, p := range s.upstreams {
 		at := p.until
 		if p.state == Probing && !p.probeStarted.IsZero() {
 			at = p.probeStarted.Add(s.config.ProbeLimit)
@@ -217,7 +217,7 @@
 // Started says that a request goes to an upstream. At an upstream whose
 // ejection is over it is a probe.
 func (s *Set) Started(now time.Time, id ident.Instance) {
-	p := s.peers[id]
+	p := s.upstreams[id]
 	if p == nil || p.state == Healthy || !s.allows(p, now) {
 		return
 	}
@@ -227,22 +227,22 @@
 
 // Ended takes in an ended request.
 func (s *Set) Ended(now time.Time, id ident.Instance, sample Sample) {
-	p := s.peers[id]
+	p := s.upstreams[id]
 	if p == nil {
 		return
 	}
-	p.learn(sample)
+	p.record(sample)
 	switch p.state {
 	case Probing:
-		s.judgeProbe(now, p, sample)
+		s.recordProbe(now, p, sample)
 	case Healthy:
 		if p.failures >= s.config.Failures || s.slow(p) {
-			s.eject(now, p)
+			s.ejectWithinLimit(now, p)
 		}
 	}
 }
 
-func (p *peer) learn(sample Sample) {
+func (p *upstream) record(sample Sample) {
 	if sample.Failed {
 		p.failures++
 		return
@@ -253,45 +253,45 @@
 	}
 	p.samples++
 	if p.samples == 1 {
-		p.latency = sample.Latency
+		p.latencyAverage = sample.Latency
 		return
 	}
-	p.latency += latencyMemory * (sample.Latency - p.latency)
+	p.latencyAverage += latencySmoothing * (sample.Latency - p.latencyAverage)
 }
 
 // slow reports whether an upstream is far slower than its healthy peers.
-func (s *Set) slow(p *peer) bool {
+func (s *Set) slow(p *upstream) bool {
 	if p.samples < s.config.SlowSamples {
 		return false
 	}
-	median, known := s.peerMedian(p)
-	return known && p.latency > s.config.SlowFactor*median
+	median, known := s.medianOfOthers(p)
+	return known && p.latencyAverage > s.config.SlowFactor*median
 }
 
-// peerMedian returns the median latency of the other healthy upstreams.
-func (s *Set) peerMedian(except *peer) (float64, bool) {
-	s.medians = s.medians[:0]
-	for _, p := range s.peers {
+// medianOfOthers returns the median latency of the other healthy upstreams.
+func (s *Set) medianOfOthers(except *upstream) (float64, bool) {
+	s.latencies = s.latencies[:0]
+	for _, p := range s.upstreams {
 		if p != except && p.state == Healthy && p.samples > 0 {
-			s.medians = append(s.medians, p.latency)
+			s.latencies = append(s.latencies, p.latencyAverage)
 		}
 	}
-	if len(s.medians) < fewestPeers {
+	if len(s.latencies) < minOthers {
 		return 0, false
 	}
-	slices.Sort(s.medians)
-	return s.medians[len(s.medians)/2], true
+	slices.Sort(s.latencies)
+	return s.latencies[len(s.latencies)/2], true
 }
 
-// eject takes an upstream out unless a third already is.
-func (s *Set) eject(now time.Time, p *peer) {
-	if (s.out()+1)*ejectedPart > len(s.peers) {
+// ejectWithinLimit takes an upstream out unless a third already is.
+func (s *Set) ejectWithinLimit(now time.Time, p *upstream) {
+	if (s.notHealthy()+1)*upstreamsPerEjected > len(s.upstreams) {
 		return
 	}
-	s.ejectFor(now, p)
+	s.startEjection(now, p)
 }
 
-func (s *Set) ejectFor(now time.Time, p *peer) {
+func (s *Set) startEjection(now time.Time, p *upstream) {
 	if p.state == Healthy && now.Sub(p.until) >= s.config.Longest {
 		p.ejections = 0
 	}
@@ -299,13 +299,13 @@
 	if length <= 0 || length > s.config.Longest {
 		length = s.config.Longest
 	}
-	*p = peer{state: Ejected, ejections: p.ejections + 1, until: now.Add(length)}
+	*p = upstream{state: Ejected, ejections: p.ejections + 1, until: now.Add(length)}
 }
 
-// out counts the upstreams that are not healthy.
-func (s *Set) out() int {
+// notHealthy counts the upstreams that are not healthy.
+func (s *Set) notHealthy() int {
 	n := 0
-	for _, p := range s.peers {
+	for _, p := range s.upstreams {
 		if p.state != Healthy {
 			n++
 		}
@@ -313,21 +313,21 @@
 	return n
 }
 
-// judgeProbe returns an upstream to service after enough good probes, or
+// recordProbe returns an upstream to service after enough good probes, or
 // ejects it again after a bad one.
-func (s *Set) judgeProbe(now time.Time, p *peer, sample Sample) {
+func (s *Set) recordProbe(now time.Time, p *upstream, sample Sample) {
 	if !sample.Started.IsZero() && sample.Started.Before(p.probeStarted) {
 		return
 	}
 	p.probeStarted = time.Time{}
-	median, known := s.peerMedian(p)
+	median, known := s.medianOfOthers(p)
 	slow := known && sample.Latency > s.config.SlowFactor*median
 	if sample.Failed || slow {
-		s.ejectFor(now, p)
+		s.startEjection(now, p)
 		return
 	}
-	p.proved++
-	if p.proved >= s.config.Probes {
-		*p = peer{ejections: p.ejections, until: now}
+	p.goodProbes++
+	if p.goodProbes >= s.config.Probes {
+		*p = upstream{ejections: p.ejections, until: now}
 	}
 }
--- a/internal/admission/ejection/ejection_test.go
+++ b/internal/admission/ejection/ejection_test.go
@@ -50,14 +50,14 @@
 		case 3:
 			s.Ended(now, id, Sample{Latency: rapid.Float64Range(0.1, 10).Draw(t, "latency")})
 		default:
-			for range DefaultFailures {
+			for range DefaultConsecutiveFailures {
 				s.Ended(now, id, Sample{Failed: true})
 			}
 		}
-		if out := s.Excluded(now); len(out)*ejectedPart > len(ids) {
+		if out := s.Excluded(now); len(out)*upstreamsPerEjected > len(ids) {
 			t.Fatalf("%d of %d kept out", len(out), len(ids))
 		}
-		if late := now.Add(DefaultLongest + DefaultProbeLimit); len(s.Excluded(late)) > 0 {
+		if late := now.Add(DefaultMaxEjectionTime + DefaultProbeTimeout); len(s.Excluded(late)) > 0 {
 			t.Fatalf("%v still kept out after the longest ejection", s.Excluded(late))
 		}
 		checkNextChange(t, s, now)
@@ -84,7 +84,7 @@
 		bad   func(*Set)
 	}{
 		{"failures in a row", func(s *Set) {
-			for range DefaultFailures {
+			for range DefaultConsecutiveFailures {
 				s.Ended(now, "u0", Sample{Failed: true})
 			}
 		}},
@@ -104,7 +104,7 @@
 			if s.State("u0") != Ejected || !slices.Equal(s.Excluded(now), []ident.Instance{"u0"}) {
 				t.Fatal("not ejected")
 			}
-			now := now.Add(DefaultBase)
+			now := now.Add(DefaultBaseEjectionTime)
 			if len(s.Excluded(now)) != 0 {
 				t.Fatal("not probed when its time is over")
 			}
@@ -117,10 +117,10 @@
 				t.Fatal("an answer to an earlier request counts as the probe's")
 			}
 			s.Ended(now, "u0", Sample{Failed: true, Started: now})
-			if len(s.Excluded(now.Add(2*DefaultBase-1))) != 1 {
+			if len(s.Excluded(now.Add(2*DefaultBaseEjectionTime-1))) != 1 {
 				t.Fatal("a failed probe does not double the time")
 			}
-			now = now.Add(2 * DefaultBase)
+			now = now.Add(2 * DefaultBaseEjectionTime)
 			for range DefaultProbes {
 				s.Started(now, "u0")
 				s.Ended(now, "u0", Sample{Latency: 1, Started: now})
--- a/internal/admission/fairshare/account.go
+++ b/internal/admission/fairshare/account.go
@@ -8,22 +8,22 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// meanWeight is the weight of one grant in the moving average of costs.
-const meanWeight = 0.05
+// costSmoothing is the weight of one grant in the moving average of costs.
+const costSmoothing = 0.05
 
-func effective(weight float64) float64 {
+func effectiveWeight(weight float64) float64 {
 	if weight <= 0 {
 		return 1
 	}
 	return weight
 }
 
-// account finds or creates an account and updates its weight.
-func (q *Queue) account(name ident.ClientAccount, weight float64) *account {
-	weight = effective(weight)
+// accountFor finds or creates an account and updates its weight.
+func (q *Queue) accountFor(name ident.ClientAccount, weight float64) *account {
+	weight = effectiveWeight(weight)
 	a := q.accounts[name]
 	if a == nil {
-		a = &account{name: name, weight: weight, slot: -1}
+		a = &account{name: name, weight: weight, backlogIndex: -1}
 		q.accounts[name] = a
 		return a
 	}
@@ -31,54 +31,54 @@
 	return a
 }
 
-// oldestTag is how far an account can lag: the present less its credit.
-func (q *Queue) oldestTag() float64 { return q.clock - q.config.Credit*q.meanCost }
+// minTag is how far an account can lag: the present less its credit.
+func (q *Queue) minTag() float64 { return q.virtualTime - q.config.Credit*q.meanCost }
 
-// enter makes an account backlogged. What it did not use before counts up to
+// addBacklogged makes an account backlogged. What it did not use before counts up to
 // the credit; what it used while nobody else waited is not held against it,
 // since the present has moved on too.
-func (q *Queue) enter(a *account) {
-	a.tag = max(a.tag, q.oldestTag())
-	a.slot = len(q.backlogged)
+func (q *Queue) addBacklogged(a *account) {
+	a.startTag = max(a.startTag, q.minTag())
+	a.backlogIndex = len(q.backlogged)
 	q.backlogged = append(q.backlogged, a)
 }
 
-func (q *Queue) leave(a *account) {
+func (q *Queue) removeBacklogged(a *account) {
 	last := len(q.backlogged) - 1
 	moved := q.backlogged[last]
-	q.backlogged[a.slot] = moved
-	moved.slot = a.slot
+	q.backlogged[a.backlogIndex] = moved
+	moved.backlogIndex = a.backlogIndex
 	q.backlogged[last] = nil
 	q.backlogged = q.backlogged[:last]
-	a.slot = -1
+	a.backlogIndex = -1
 	for _, l := range a.lanes {
 		l.credit = 0
 	}
 }
 
-// take removes a queued item from its lane.
-func (q *Queue) take(item *Item) {
+// dequeue removes a queued item from its lane.
+func (q *Queue) dequeue(item *Item) {
 	l := item.lane
 	heap.Remove(&l.items, item.position-1)
-	q.count(item, -1)
+	q.updateTotals(item, -1)
 	if l.items.Len() == 0 {
-		l.queued, l.returning, l.credit = 0, 0, 0
+		l.queuedCost, l.retryCost, l.credit = 0, 0, 0
 	}
 	if a := l.account; a.length == 0 {
-		a.queued = 0
-		q.leave(a)
+		a.queuedCost = 0
+		q.removeBacklogged(a)
 	}
 }
 
-// count adds an item to the totals, or takes it from them.
-func (q *Queue) count(item *Item, sign int) {
+// updateTotals adds an item to the totals, or takes it from them.
+func (q *Queue) updateTotals(item *Item, sign int) {
 	l := item.lane
 	cost := float64(sign) * item.cost()
-	l.queued += cost
-	if item.Returning {
-		l.returning += cost
+	l.queuedCost += cost
+	if item.Retry {
+		l.retryCost += cost
 	}
-	l.account.queued += cost
+	l.account.queuedCost += cost
 	l.account.length += sign
 	q.length += sign
 }
@@ -87,11 +87,11 @@
 	if cost <= 0 {
 		cost = 1
 	}
-	a.tag += cost / a.weight
+	a.startTag += cost / a.weight
 	if q.meanCost == 0 {
 		q.meanCost = cost
 	}
-	q.meanCost += meanWeight * (cost - q.meanCost)
+	q.meanCost += costSmoothing * (cost - q.meanCost)
 }
 
 // chooseAccount returns the account to serve: of those within the lead, the
@@ -101,55 +101,55 @@
 func (q *Queue) chooseAccount(allowed func(int) bool) *account {
 	smallest := math.Inf(1)
 	for _, a := range q.backlogged {
-		if a.tag < smallest && a.urgent(allowed) != nil {
-			smallest = a.tag
+		if a.startTag < smallest && a.mostUrgentLane(allowed) != nil {
+			smallest = a.startTag
 		}
 	}
 	if math.IsInf(smallest, 1) {
 		return nil
 	}
-	q.clock = max(q.clock, smallest)
+	q.virtualTime = max(q.virtualTime, smallest)
 	limit := smallest + q.config.Lead*q.meanCost
 	var best *account
 	var first *Item
 	for _, a := range q.backlogged {
-		if a.tag > limit {
+		if a.startTag > limit {
 			continue
 		}
-		l := a.urgent(allowed)
+		l := a.mostUrgentLane(allowed)
 		if l == nil {
 			continue
 		}
-		if best == nil || goesFirst(a, l.items[0], best, first) {
+		if best == nil || servedBefore(a, l.items[0], best, first) {
 			best, first = a, l.items[0]
 		}
 	}
 	return best
 }
 
-// goesFirst reports whether account a, with its most urgent item, is served
+// servedBefore reports whether account a, with its most urgent item, is served
 // before account b. A returning item goes first within its priority: turns are
 // booked over all accounts, and each account's alone are too few to even out.
-func goesFirst(a *account, item *Item, b *account, other *Item) bool {
+func servedBefore(a *account, item *Item, b *account, other *Item) bool {
 	if item.Priority != other.Priority {
 		return item.Priority > other.Priority
 	}
-	if item.Returning != other.Returning {
-		return item.Returning
+	if item.Retry != other.Retry {
+		return item.Retry
 	}
-	return before(a, b)
+	return smallerTag(a, b)
 }
 
-// before breaks ties by name, so that a run gives the same order every time.
-func before(a, b *account) bool {
-	if a.tag != b.tag {
-		return a.tag < b.tag
+// smallerTag breaks ties by name, so that a run gives the same order every time.
+func smallerTag(a, b *account) bool {
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.name < b.name
 }
 
-// lane finds or creates the lane of a priority.
-func (a *account) lane(priority int) *lane {
+// laneFor finds or creates the lane of a priority.
+func (a *account) laneFor(priority int) *lane {
 	i, found := slices.BinarySearchFunc(a.lanes, priority, func(l *lane, p int) int { return p - l.priority })
 	if !found {
 		a.lanes = slices.Insert(a.lanes, i, &lane{account: a, priority: priority})
@@ -157,17 +157,17 @@
 	return a.lanes[i]
 }
 
-// urgent returns the most urgent lane that waits and is allowed, or nil.
-func (a *account) urgent(allowed func(int) bool) *lane {
+// mostUrgentLane returns the most urgent lane that waits and is allowed, or nil.
+func (a *account) mostUrgentLane(allowed func(int) bool) *lane {
 	for _, l := range a.lanes {
-		if l.ready(allowed) {
+		if l.mayServe(allowed) {
 			return l
 		}
 	}
 	return nil
 }
 
-func (l *lane) ready(allowed func(int) bool) bool {
+func (l *lane) mayServe(allowed func(int) bool) bool {
 	return len(l.items) > 0 && (allowed == nil || allowed(l.priority))
 }
 
@@ -182,13 +182,13 @@
 	var urgent, earned *lane
 	most := 0.0
 	for _, l := range a.lanes {
-		if !l.ready(allowed) {
+		if !l.mayServe(allowed) {
 			continue
 		}
 		if urgent == nil {
 			urgent = l
 		}
-		if surplus := l.credit - price(l.items[0], share); surplus >= most {
+		if surplus := l.credit - creditPrice(l.items[0], share); surplus >= most {
 			earned, most = l, surplus
 		}
 	}
@@ -209,8 +209,8 @@
 	return share / float64(max(waiting-1, 1))
 }
 
-// price is the cost of other lanes after which an item has earned its grant.
-func price(item *Item, share float64) float64 { return item.cost() * (1 - share) / share }
+// creditPrice is the cost of other lanes after which an item has earned its grant.
+func creditPrice(item *Item, share float64) float64 { return item.cost() * (1 - share) / share }
 
 // settleCredit gives the waiting lanes credit for the served cost, and takes
 // the price of an earned grant from the served lane.
@@ -220,12 +220,12 @@
 			l.credit += cost
 		}
 	}
-	served.credit = max(0, served.credit-price(served.items[0], a.laneShare(share)))
+	served.credit = max(0, served.credit-creditPrice(served.items[0], a.laneShare(share)))
 }
 
-// last returns the item that would be served last: the least urgent lane's
+// lastItem returns the item that would be served last: the least urgent lane's
 // latest.
-func (a *account) last() *Item {
+func (a *account) lastItem() *Item {
 	for i := len(a.lanes) - 1; i >= 0; i-- {
 		if items := a.lanes[i].items; len(items) > 0 {
 			return items.latest()
@@ -239,7 +239,7 @@
 type itemHeap []*Item
 
 func (h itemHeap) Len() int           { return len(h) }
-func (h itemHeap) Less(i, j int) bool { return earlier(h[i], h[j]) }
+func (h itemHeap) Less(i, j int) bool { return lessItem(h[i], h[j]) }
 
 func (h itemHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
@@ -267,16 +267,16 @@
 func (h itemHeap) latest() *Item {
 	latest := h[0]
 	for _, item := range h[1:] {
-		if earlier(latest, item) {
+		if lessItem(latest, item) {
 			latest = item
 		}
 	}
 	return latest
 }
 
-func earlier(a, b *Item) bool {
-	if a.Returning != b.Returning {
-		return a.Returning
+func lessItem(a, b *Item) bool {
+	if a.Retry != b.Retry {
+		return a.Retry
 	}
 	if !a.LatestStart.Equal(b.LatestStart) {
 		return a.LatestStart.Before(b.LatestStart)
--- a/internal/admission/fairshare/queue.go
+++ b/internal/admission/fairshare/queue.go
@@ -66,9 +66,9 @@
 	Cost float64
 	// LatestStart orders items of one account and class.
 	LatestStart time.Time
-	// Returning items were refused before and go ahead of first tries of
+	// Retry items were refused before and go ahead of first tries of
 	// the same account and class.
-	Returning bool
+	Retry bool
 
 	sequence uint64
 	// position in the lane's heap, from 1; 0 is not queued.
@@ -91,8 +91,8 @@
 	account  *account
 	priority int
 	items    itemHeap
-	// queued is the cost of all items; returning of those that return.
-	queued, returning float64
+	// queuedCost is the cost of all items; returning of those that return.
+	queuedCost, retryCost float64
 	// credit is the cost of other lanes served while this one waited.
 	credit float64
 }
@@ -101,15 +101,15 @@
 type account struct {
 	name   ident.ClientAccount
 	weight float64
-	// tag is the virtual time at which the account's next grant starts.
-	tag float64
+	// startTag is the virtual time at which the account's next grant starts.
+	startTag float64
 	// lanes by falling priority. Empty ones are kept: classes are few.
 	lanes []*lane
 	// length and queued count all lanes' items and their cost.
 	length int
-	queued float64
-	// slot is the index in Queue.backlogged; -1 when nothing waits.
-	slot int
+	queuedCost float64
+	// backlogIndex is the index in Queue.backlogged; -1 when nothing waits.
+	backlogIndex int
 }
 
 // Queue orders waiting items. The zero value is not usable; see New.
@@ -118,12 +118,12 @@
 	accounts map[ident.ClientAccount]*account
 	// backlogged are the accounts with waiting items, in no order.
 	backlogged []*account
-	// clock is the virtual time: the smallest tag served so far.
-	clock float64
+	// virtualTime is the virtual time: the smallest tag served so far.
+	virtualTime float64
 	// meanCost is a moving average of the costs granted.
 	meanCost float64
 	length   int
-	sequence uint64
+	lastSequence uint64
 }
 
 // New returns an empty queue.
@@ -139,16 +139,16 @@
 
 // Push adds an item. Its weight becomes its account's.
 func (q *Queue) Push(item *Item) {
-	a := q.account(item.Account, item.Weight)
-	if a.slot < 0 {
-		q.enter(a)
+	a := q.accountFor(item.Account, item.Weight)
+	if a.backlogIndex < 0 {
+		q.addBacklogged(a)
 	}
-	l := a.lane(item.Priority)
-	q.sequence++
-	item.sequence = q.sequence
+	l := a.laneFor(item.Priority)
+	q.lastSequence++
+	item.sequence = q.lastSequence
 	item.lane = l
 	heap.Push(&l.items, item)
-	q.count(item, 1)
+	q.updateTotals(item, 1)
 }
 
 // Pop removes the item to grant next and charges its account. Items of a
@@ -162,7 +162,7 @@
 	l := a.chooseLane(q.config.ClassShare, allowed)
 	item := l.items[0]
 	a.settleCredit(l, item.cost(), q.config.ClassShare)
-	q.take(item)
+	q.dequeue(item)
 	q.charge(a, item.cost())
 	return item
 }
@@ -172,16 +172,16 @@
 	if !item.Queued() {
 		return false
 	}
-	q.take(item)
+	q.dequeue(item)
 	return true
 }
 
 // Charge accounts for a grant that never waited.
 func (q *Queue) Charge(name ident.ClientAccount, weight, cost float64) {
-	a := q.account(name, weight)
-	a.tag = max(a.tag, q.oldestTag())
+	a := q.accountFor(name, weight)
+	a.startTag = max(a.startTag, q.minTag())
 	if q.length == 0 {
-		q.clock = max(q.clock, a.tag)
+		q.virtualTime = max(q.virtualTime, a.startTag)
 	}
 	q.charge(a, cost)
 }
@@ -190,55 +190,55 @@
 // be negative.
 func (q *Queue) Correct(name ident.ClientAccount, extra float64) {
 	if a := q.accounts[name]; a != nil {
-		a.tag += extra / a.weight
+		a.startTag += extra / a.weight
 	}
 }
 
-// Victim returns the item to push out so that incoming finds room: the last
+// EvictionCandidate returns the item to push out so that incoming finds room: the last
 // item of the account that waits with most cost for its weight. It returns
 // nil when that account is incoming's own, or no account waits with more.
-func (q *Queue) Victim(incoming *Item) *Item {
-	own := q.account(incoming.Account, incoming.Weight)
-	worst, most := own, (own.queued+incoming.cost())/own.weight
+func (q *Queue) EvictionCandidate(incoming *Item) *Item {
+	own := q.accountFor(incoming.Account, incoming.Weight)
+	worst, most := own, (own.queuedCost+incoming.cost())/own.weight
 	for _, a := range q.backlogged {
-		if load := a.queued / a.weight; load > most {
+		if load := a.queuedCost / a.weight; load > most {
 			worst, most = a, load
 		}
 	}
 	if worst == own {
 		return nil
 	}
-	return worst.last()
+	return worst.lastItem()
 }
 
-// Before reports whether anything waits that goes before an item: of its own
+// HasItemsAhead reports whether anything waits that goes before an item: of its own
 // or a more urgent priority.
-func (q *Queue) Before(item *Item) bool {
+func (q *Queue) HasItemsAhead(item *Item) bool {
 	for _, a := range q.backlogged {
-		if a.queuedFrom(item.Priority) > 0 {
+		if a.queuedCostFrom(item.Priority) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Ahead returns the cost of an item's priority that will be served before it,
+// CostAhead returns the cost of an item's priority that will be served before it,
 // if what waits now is all that comes: own is what its own account has ahead
 // of it beyond its credit; total adds all of the own, and from each other
 // account as much as is served meanwhile at that one's weight.
-func (q *Queue) Ahead(item *Item) (total, own float64) {
-	weight := effective(item.Weight)
+func (q *Queue) CostAhead(item *Item) (total, own float64) {
+	weight := effectiveWeight(item.Weight)
 	mine := q.accounts[item.Account]
 	credit := q.lag(item) * weight
 	if mine != nil {
-		own = mine.ahead(item)
+		own = mine.costAhead(item)
 	}
 	total = own
 	own = max(0, own-credit)
 	reach := max(0, total+item.cost()-credit) / weight
 	for _, a := range q.backlogged {
 		if a != mine {
-			total += min(a.ahead(item), reach*a.weight)
+			total += min(a.costAhead(item), reach*a.weight)
 		}
 	}
 	return total, own
@@ -262,29 +262,29 @@
 	if a == nil {
 		return q.config.Credit * q.meanCost
 	}
-	return max(0, q.clock-max(a.tag, q.oldestTag()))
+	return max(0, q.virtualTime-max(a.startTag, q.minTag()))
 }
 
-// ahead is the waiting cost of an item's priority that goes before it.
-func (a *account) ahead(item *Item) float64 {
+// costAhead is the waiting cost of an item's priority that goes before it.
+func (a *account) costAhead(item *Item) float64 {
 	for _, l := range a.lanes {
 		if l.priority != item.Priority {
 			continue
 		}
-		if item.Returning {
-			return l.returning
+		if item.Retry {
+			return l.retryCost
 		}
-		return l.queued
+		return l.queuedCost
 	}
 	return 0
 }
 
-// queuedFrom is the waiting cost of a priority and all more urgent ones.
-func (a *account) queuedFrom(priority int) float64 {
+// queuedCostFrom is the waiting cost of a priority and all more urgent ones.
+func (a *account) queuedCostFrom(priority int) float64 {
 	total := 0.0
 	for _, l := range a.lanes {
 		if l.priority >= priority {
-			total += l.queued
+			total += l.queuedCost
 		}
 	}
 	return total
--- a/internal/admission/fairshare/queue_test.go
+++ b/internal/admission/fairshare/queue_test.go
@@ -13,21 +13,21 @@
 
 func init() { testkit.FixSeed() }
 
-const dearest = 8
+const maxCost = 8
 
-// waiter is what the oracle knows of a waiting item.
-type waiter struct {
+// waitingItem is what the oracle knows of a waiting item.
+type waitingItem struct {
 	item *Item
-	// ahead is the cost that waited in its lane when it came.
-	ahead float64
-	// served of its account, and of each other account, when it came.
-	served map[ident.ClientAccount]float64
+	// costAhead is the cost that waited in its lane when it came.
+	costAhead float64
+	// servedAtPush of its account, and of each other account, when it came.
+	servedAtPush map[ident.ClientAccount]float64
 }
 
 // oracle counts what each account was served, in a plain list.
 type oracle struct {
 	queue   *Queue
-	waiting []*waiter
+	waiting []*waitingItem
 	served  map[ident.ClientAccount]float64
 	weights map[ident.ClientAccount]float64
 }
@@ -61,7 +61,7 @@
 		case 0, 1, 2:
 			o.push(t, drawAccount(t), rapid.IntRange(0, 2).Draw(t, "priority"))
 		case 3:
-			o.forget(t, rapid.IntRange(0, len(o.waiting)-1).Draw(t, "who"))
+			o.remove(t, rapid.IntRange(0, len(o.waiting)-1).Draw(t, "who"))
 		}
 		o.pop(t)
 	}
@@ -85,16 +85,16 @@
 		Account:  account,
 		Weight:   o.weights[account],
 		Priority: priority,
-		Cost:     rapid.Float64Range(1, dearest).Draw(t, "cost"),
+		Cost:     rapid.Float64Range(1, maxCost).Draw(t, "cost"),
 	}
-	w := &waiter{item: item, served: map[ident.ClientAccount]float64{}}
+	w := &waitingItem{item: item, servedAtPush: map[ident.ClientAccount]float64{}}
 	for _, other := range o.waiting {
 		if other.item.Account == account && other.item.Priority == item.Priority {
-			w.ahead += other.item.Cost
+			w.costAhead += other.item.Cost
 		}
 	}
 	for a, cost := range o.served {
-		w.served[a] = cost
+		w.servedAtPush[a] = cost
 	}
 	o.waiting = append(o.waiting, w)
 	o.queue.Push(item)
@@ -105,7 +105,7 @@
 		return
 	}
 	item := o.queue.Pop(nil)
-	i := slices.IndexFunc(o.waiting, func(w *waiter) bool { return w.item == item })
+	i := slices.IndexFunc(o.waiting, func(w *waitingItem) bool { return w.item == item })
 	if i < 0 {
 		t.Fatalf("granted %+v, which does not wait", item)
 	}
@@ -118,27 +118,27 @@
 
 // checkBounds holds what was served since an item came against what its own
 // account and the others may have had before it.
-func (o *oracle) checkBounds(t *rapid.T, w *waiter) {
+func (o *oracle) checkBounds(t *rapid.T, w *waitingItem) {
 	config := o.queue.config
 	account := w.item.Account
-	own := o.served[account] - w.served[account]
+	own := o.served[account] - w.servedAtPush[account]
 	// A lane gets its part of the account's cost; what other lanes have
 	// earned before, and the grants that begin and end the wait, come on top.
 	part := config.ClassShare / 2
-	most := (w.ahead+w.item.Cost+2*dearest)/part + 2*dearest
+	most := (w.costAhead+w.item.Cost+2*maxCost)/part + 2*maxCost
 	if own > most {
-		t.Fatalf("account was served %v before an item with %v ahead, at most %v", own, w.ahead, most)
+		t.Fatalf("account was served %v before an item with %v ahead, at most %v", own, w.costAhead, most)
 	}
 	for other, weight := range o.weights {
-		theirs := o.served[other] - w.served[other]
-		slack := (config.Lead+config.Credit)*dearest + 2*dearest/min(weight, o.weights[account])
+		theirs := o.served[other] - w.servedAtPush[other]
+		slack := (config.Lead+config.Credit)*maxCost + 2*maxCost/min(weight, o.weights[account])
 		if theirs/weight > own/o.weights[account]+slack {
 			t.Fatalf("account %s was served %v per weight while %s waits with %v", other, theirs/weight, account, own/o.weights[account])
 		}
 	}
 }
 
-func (o *oracle) forget(t *rapid.T, i int) {
+func (o *oracle) remove(t *rapid.T, i int) {
 	if !o.queue.Remove(o.waiting[i].item) || o.queue.Remove(o.waiting[i].item) {
 		t.Fatal("removal of a waiting item is not told once")
 	}
@@ -153,10 +153,10 @@
 		q.Push(&Item{Account: "heavy", Weight: 10})
 		q.Push(&Item{Account: "light"})
 	}
-	if v := q.Victim(&Item{Account: "new"}); v == nil || v.Account != "light" {
+	if v := q.EvictionCandidate(&Item{Account: "new"}); v == nil || v.Account != "light" {
 		t.Errorf("victim %+v, want the light account's", v)
 	}
-	if v := q.Victim(&Item{Account: "light"}); v != nil {
+	if v := q.EvictionCandidate(&Item{Account: "light"}); v != nil {
 		t.Errorf("victim %+v for the account that waits with most, want none", v)
 	}
 }
--- a/internal/admission/gate/client.go
+++ b/internal/admission/gate/client.go
@@ -14,29 +14,29 @@
 	// demand is how many slots the account asked for when the reserves were
 	// last worked out.
 	demand float64
-	// limited books turns of those refused for a limit.
-	limited returntime.Schedule
-	// uses are by priority; classes are few.
-	uses []*use
+	// limitTurns books turns of those refused for a limit.
+	limitTurns returntime.Schedule
+	// usages are by priority; classes are few.
+	usages []*priorityUsage
 }
 
-// use is one account's use of one priority.
-type use struct {
+// priorityUsage is one account's use of one priority.
+type priorityUsage struct {
 	priority int
 	inFlight int
-	// offered is the cost a second of first tries, returns of those that
+	// firstAttempts is the cost a second of first tries, returns of those that
 	// come back.
-	offered, returns meter
-	// overload books turns of those refused for load.
-	overload returntime.Schedule
+	firstAttempts, retries rateMeter
+	// overloadTurns books turns of those refused for load.
+	overloadTurns returntime.Schedule
 }
 
-func (g *Gate) client(r *Request, now time.Time) *client {
+func (g *Gate) clientFor(r *Request, now time.Time) *client {
 	c := g.clients[r.Account]
 	if c == nil {
 		c = &client{quota: quota.NewAccount(r.Limit, now)}
 		g.clients[r.Account] = c
-		g.order = append(g.order, c)
+		g.clientList = append(g.clientList, c)
 	}
 	c.quota.SetLimit(r.Limit, now)
 	c.weight = r.Limit.Share
@@ -46,24 +46,24 @@
 	return c
 }
 
-// use finds or creates the account's use of a priority.
-func (c *client) use(priority int) *use {
-	for _, u := range c.uses {
+// usageOf finds or creates the account's use of a priority.
+func (c *client) usageOf(priority int) *priorityUsage {
+	for _, u := range c.usages {
 		if u.priority == priority {
 			return u
 		}
 	}
-	u := &use{priority: priority}
-	c.uses = append(c.uses, u)
+	u := &priorityUsage{priority: priority}
+	c.usages = append(c.usages, u)
 	return u
 }
 
-// count measures what is asked for.
-func (g *Gate) count(now time.Time, u *use, e *Entry) {
-	if !e.Request.returning() {
-		u.offered.add(now, e.Item.Cost)
+// recordOffer measures what is asked for.
+func (g *Gate) recordOffer(now time.Time, u *priorityUsage, e *Entry) {
+	if !e.Request.isRetry() {
+		u.firstAttempts.add(now, e.Item.Cost)
 		return
 	}
-	u.returns.add(now, e.Item.Cost)
-	g.bands.of(u.priority).returns.add(now, e.Item.Cost)
+	u.retries.add(now, e.Item.Cost)
+	g.bands.forPriority(u.priority).retries.add(now, e.Item.Cost)
 }
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -22,7 +22,7 @@
 const (
 	DefaultMaxQueue = 512
 	DefaultMaxWait  = 10 * time.Second
-	DefaultHold     = time.Second
+	DefaultInitialHoldTime     = time.Second
 )
 
 // Config of one service's gate.
@@ -35,7 +35,7 @@
 	MaxWait time.Duration
 	// Hold is how long a request is taken to run before any has ended.
 	Hold time.Duration
-	Fair fairshare.Config
+	FairShare fairshare.Config
 }
 
 func (c Config) withDefaults() Config {
@@ -46,7 +46,7 @@
 		c.MaxWait = DefaultMaxWait
 	}
 	if c.Hold <= 0 {
-		c.Hold = DefaultHold
+		c.Hold = DefaultInitialHoldTime
 	}
 	return c
 }
@@ -79,16 +79,16 @@
 	Attempt uint32
 }
 
-func (r *Request) returning() bool { return r.Attempt > 1 }
+func (r *Request) isRetry() bool { return r.Attempt > 1 }
 
-// state of an entry.
-type state int
+// entryState of an entry.
+type entryState int
 
 const (
-	idle state = iota
-	waiting
-	granted
-	ended
+	stateNew entryState = iota
+	stateWaiting
+	stateGranted
+	stateEnded
 )
 
 // Entry is one request on its way through the gate.
@@ -97,25 +97,25 @@
 	// Item is the entry's place in the queue.
 	Item fairshare.Item
 
-	state     state
+	state     entryState
 	grantedAt time.Time
-	// answered is set with the first token.
-	answered bool
-	// others is how many of its priority were in flight with it at first.
-	others int
+	// firstTokenSeen is set with the first token.
+	firstTokenSeen bool
+	// inFlightAtGrant is how many of its priority were in flight with it at first.
+	inFlightAtGrant int
 }
 
 // Waiting reports whether the entry is queued.
-func (e *Entry) Waiting() bool { return e.state == waiting }
+func (e *Entry) Waiting() bool { return e.state == stateWaiting }
 
 // Granted reports whether the entry holds a slot.
-func (e *Entry) Granted() bool { return e.state == granted }
+func (e *Entry) Granted() bool { return e.state == stateGranted }
 
 // LatestStart is when a waiting entry has to be abandoned.
 func (e *Entry) LatestStart() time.Time { return e.Item.LatestStart }
 
-// Ending is an entry that the gate ended, with what its caller hears.
-type Ending struct {
+// RefusedEntry is an entry that the gate ended, with what its caller hears.
+type RefusedEntry struct {
 	Entry   *Entry
 	Refusal outcome.Outcome
 }
@@ -128,7 +128,7 @@
 	// Refusal is set with Refused.
 	Refusal outcome.Outcome
 	// Evicted is a waiting entry that had to make room; nil for none.
-	Evicted *Ending
+	Evicted *RefusedEntry
 }
 
 // Gate decides for one service. See New.
@@ -136,25 +136,25 @@
 	config  Config
 	queue   *fairshare.Queue
 	clients map[ident.ClientAccount]*client
-	// order lists the clients as they came: sums over a map would round
+	// clientList lists the clients as they came: sums over a map would round
 	// differently at every run.
-	order []*client
-	// waiting finds the entry of a queued item.
-	waiting  map[*fairshare.Item]*Entry
+	clientList []*client
+	// waitingEntries finds the entry of a queued item.
+	waitingEntries  map[*fairshare.Item]*Entry
 	slots    int
 	inFlight int
-	holds    holds
+	holdTimes    holdTimeMeter
 	bands    bands
-	// level is the slots per unit of weight that an account can have while
+	// slotsPerWeight is the slots per unit of weight that an account can have while
 	// all are taken; infinite while there is enough for all.
-	level float64
-	// part is the same for what upstreams answer in time; see beyondPart.
-	part float64
-	// lateAt is when a request was last refused because its first token
+	slotsPerWeight float64
+	// timelySlotsPerWeight is the same for what upstreams answer in time; see beyondPart.
+	timelySlotsPerWeight float64
+	// lastLateRefusal is when a request was last refused because its first token
 	// would have come late.
-	lateAt time.Time
-	// allowed is bands.allows for this gate, made once.
-	allowed func(priority int) bool
+	lastLateRefusal time.Time
+	// priorityAllowed is bands.allows for this gate, made once.
+	priorityAllowed func(priority int) bool
 }
 
 // New returns a gate without requests.
@@ -162,15 +162,15 @@
 	config = config.withDefaults()
 	g := &Gate{
 		config:  config,
-		queue:   fairshare.New(config.Fair),
+		queue:   fairshare.New(config.FairShare),
 		clients: map[ident.ClientAccount]*client{},
-		waiting: map[*fairshare.Item]*Entry{},
+		waitingEntries: map[*fairshare.Item]*Entry{},
 		slots:   config.Slots,
-		holds:   holds{assumed: config.Hold},
-		level:   math.Inf(1),
-		part:    math.Inf(1),
+		holdTimes:   holdTimeMeter{initial: config.Hold},
+		slotsPerWeight:   math.Inf(1),
+		timelySlotsPerWeight:    math.Inf(1),
 	}
-	g.allowed = func(priority int) bool { return g.bands.allows(priority, g.slots) }
+	g.priorityAllowed = func(priority int) bool { return g.bands.allows(priority, g.slots) }
 	return g
 }
 
@@ -198,19 +198,19 @@
 
 // Offer decides on a request. The entry must be new.
 func (g *Gate) Offer(now time.Time, e *Entry) Decision {
-	c := g.client(&e.Request, now)
-	g.prepare(now, e)
-	u := c.use(e.Item.Priority)
-	g.count(now, u, e)
-	g.reserve(now)
-	g.bands.judge(now, g.bands.of(e.Item.Priority))
+	c := g.clientFor(&e.Request, now)
+	g.fillItem(now, e)
+	u := c.usageOf(e.Item.Priority)
+	g.recordOffer(now, u, e)
+	g.updateReserves(now)
+	g.bands.sampleOverdue(now, g.bands.forPriority(e.Item.Priority))
 	if refusal, refused := g.checkLimits(now, c, e); refused {
 		return refuse(e, refusal)
 	}
 	if refusal, refused := g.checkTime(now, c, u, e); refused {
 		return refuse(e, refusal)
 	}
-	if g.free(e) {
+	if g.canGrantNow(e) {
 		c.quota.Take(now)
 		g.queue.Charge(e.Item.Account, e.Item.Weight, e.Item.Cost)
 		g.grant(now, e)
@@ -219,9 +219,9 @@
 	return g.enqueue(now, c, e)
 }
 
-// free reports whether an entry can be granted a slot without waiting.
-func (g *Gate) free(e *Entry) bool {
-	return g.inFlight < g.slots && g.allowed(e.Item.Priority) && !g.queue.Before(&e.Item)
+// canGrantNow reports whether an entry can be granted a slot without waiting.
+func (g *Gate) canGrantNow(e *Entry) bool {
+	return g.inFlight < g.slots && g.priorityAllowed(e.Item.Priority) && !g.queue.HasItemsAhead(&e.Item)
 }
 
 // enqueue lets an entry wait. A full queue makes room at the expense of the
@@ -233,40 +233,40 @@
 func (g *Gate) enqueue(now time.Time, c *client, e *Entry) Decision {
 	var decision Decision
 	if g.queue.Len() >= g.config.MaxQueue {
-		victim := g.queue.Victim(&e.Item)
+		victim := g.queue.EvictionCandidate(&e.Item)
 		if victim == nil {
-			return refuse(e, g.overloaded(now, c.use(e.Item.Priority), e, 0))
+			return refuse(e, g.overloadRefusal(now, c.usageOf(e.Item.Priority), e, 0))
 		}
-		evicted := g.waiting[victim]
-		refusal := g.overloaded(now, g.clients[victim.Account].use(victim.Priority), evicted, 0)
-		g.drop(evicted)
-		decision.Evicted = &Ending{Entry: evicted, Refusal: refusal}
+		evicted := g.waitingEntries[victim]
+		refusal := g.overloadRefusal(now, g.clients[victim.Account].usageOf(victim.Priority), evicted, 0)
+		g.dequeue(evicted)
+		decision.Evicted = &RefusedEntry{Entry: evicted, Refusal: refusal}
 	}
 	c.quota.Take(now)
-	e.state = waiting
-	g.waiting[&e.Item] = e
+	e.state = stateWaiting
+	g.waitingEntries[&e.Item] = e
 	g.queue.Push(&e.Item)
 	return decision
 }
 
 // Next grants a free slot to the entry whose turn it is, or ends an entry
 // whose turn came too late. It returns nil when there is nothing to do.
-func (g *Gate) Next(now time.Time) (granted *Entry, expired *Ending) {
+func (g *Gate) Next(now time.Time) (granted *Entry, expired *RefusedEntry) {
 	if g.queue.Len() == 0 || g.inFlight >= g.slots {
 		return nil, nil
 	}
-	g.reserve(now)
-	item := g.queue.Pop(g.allowed)
+	g.updateReserves(now)
+	item := g.queue.Pop(g.priorityAllowed)
 	if item == nil {
 		return nil, nil
 	}
-	e := g.waiting[item]
-	delete(g.waiting, item)
+	e := g.waitingEntries[item]
+	delete(g.waitingEntries, item)
 	if late := e.Item.LatestStart; !late.IsZero() && now.After(late) {
 		g.queue.Correct(item.Account, -item.Cost)
-		e.state = ended
+		e.state = stateEnded
 		g.clients[item.Account].quota.Release()
-		return nil, &Ending{Entry: e, Refusal: g.late(now, e)}
+		return nil, &RefusedEntry{Entry: e, Refusal: g.lateRefusal(now, e)}
 	}
 	g.grant(now, e)
 	return e, nil
@@ -275,72 +275,72 @@
 // Abandon ends a waiting entry because its caller left, its deadline passed or
 // its latest start came. It reports false when the entry does not wait.
 func (g *Gate) Abandon(now time.Time, e *Entry, cause outcome.Reason) (outcome.Outcome, bool) {
-	if e.state != waiting {
+	if e.state != stateWaiting {
 		return outcome.Outcome{}, false
 	}
-	g.drop(e)
+	g.dequeue(e)
 	if cause == outcome.ReasonCancelled {
 		return outcome.NewNotRun(cause, messageCancelled, 0), true
 	}
-	return g.late(now, e), true
+	return g.lateRefusal(now, e), true
 }
 
 // Done frees the slot of a granted entry. Cost is what the request did cost;
 // 0 keeps the estimate. Further calls change nothing.
 func (g *Gate) Done(now time.Time, e *Entry, cost float64) {
-	if e.state != granted {
+	if e.state != stateGranted {
 		return
 	}
-	g.vacate(e)
+	g.freeSlot(e)
 	if cost > 0 {
 		g.queue.Correct(e.Item.Account, cost-e.Item.Cost)
 	} else {
 		cost = e.Item.Cost
 	}
-	g.holds.add(now.Sub(e.grantedAt), cost)
-	g.bands.of(e.Item.Priority).learn(cost)
+	g.holdTimes.add(now.Sub(e.grantedAt), cost)
+	g.bands.forPriority(e.Item.Priority).recordCost(cost)
 }
 
 // Cancel takes back a grant that was never used: it frees the slot and the
 // account is not charged.
 func (g *Gate) Cancel(e *Entry) {
-	if e.state != granted {
+	if e.state != stateGranted {
 		return
 	}
-	g.vacate(e)
+	g.freeSlot(e)
 	g.queue.Correct(e.Item.Account, -e.Item.Cost)
 }
 
 func (g *Gate) grant(now time.Time, e *Entry) {
-	e.state = granted
+	e.state = stateGranted
 	e.grantedAt = now
 	g.inFlight++
-	b := g.bands.of(e.Item.Priority)
+	b := g.bands.forPriority(e.Item.Priority)
 	b.inFlight++
-	e.others = b.inFlight
-	b.open = append(b.open, e)
-	g.clients[e.Item.Account].use(e.Item.Priority).inFlight++
+	e.inFlightAtGrant = b.inFlight
+	b.grantedEntries = append(b.grantedEntries, e)
+	g.clients[e.Item.Account].usageOf(e.Item.Priority).inFlight++
 }
 
-// vacate frees a granted entry's slot.
-func (g *Gate) vacate(e *Entry) {
-	e.state = ended
+// freeSlot frees a granted entry's slot.
+func (g *Gate) freeSlot(e *Entry) {
+	e.state = stateEnded
 	g.inFlight--
-	g.bands.of(e.Item.Priority).inFlight--
+	g.bands.forPriority(e.Item.Priority).inFlight--
 	c := g.clients[e.Item.Account]
-	c.use(e.Item.Priority).inFlight--
+	c.usageOf(e.Item.Priority).inFlight--
 	c.quota.Release()
 }
 
-// drop takes a waiting entry out of the queue.
-func (g *Gate) drop(e *Entry) {
+// dequeue takes a waiting entry out of the queue.
+func (g *Gate) dequeue(e *Entry) {
 	g.queue.Remove(&e.Item)
-	delete(g.waiting, &e.Item)
-	e.state = ended
+	delete(g.waitingEntries, &e.Item)
+	e.state = stateEnded
 	g.clients[e.Item.Account].quota.Release()
 }
 
 func refuse(e *Entry, refusal outcome.Outcome) Decision {
-	e.state = ended
+	e.state = stateEnded
 	return Decision{Refused: true, Refusal: refusal}
 }
--- a/internal/admission/gate/lateness.go
+++ b/internal/admission/gate/lateness.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// goalShare is the part of a target within which first tokens have to
+	// goalTargetShare is the part of a target within which first tokens have to
 	// come for a band to grow.
-	goalShare = 0.8
-	// lateMemory is the weight of one answer in a band's share of late ones,
+	goalTargetShare = 0.8
+	// lateSmoothing is the weight of one answer in a band's share of late ones,
 	// and lateShare the share from which on a limit shrinks: less is one
 	// slow upstream, which is for ejection to find.
-	lateMemory = 0.1
-	lateShare  = 0.2
-	// inTimeShare is the share of late answers below which predictions need no
+	lateSmoothing = 0.1
+	shrinkLateShare  = 0.2
+	// maxInTimeLateShare is the share of late answers below which predictions need no
 	// margin.
-	inTimeShare = 0.1
-	// judgeParts is how often in a goal's time the oldest entry without an
+	maxInTimeLateShare = 0.1
+	// overdueSamplesPerGoal is how often in a goal's time the oldest entry without an
 	// answer counts as late again.
-	judgeParts = 4
-	// leastLimit is the smallest limit of a band.
-	leastLimit = 2
+	overdueSamplesPerGoal = 4
+	// minBandLimit is the smallest limit of a band.
+	minBandLimit = 2
 )
 
-// bandLimits bound the limits of bands. They begin wide: a band is only held
+// bandLimitConfig bound the limits of bands. They begin wide: a band is only held
 // back once its answers come late.
-var bandLimits = concurrency.Config{Initial: 100, Min: leastLimit, Max: 4096}
+var bandLimitConfig = concurrency.Config{Initial: 100, Min: minBandLimit, Max: 4096}
 
 // lateness finds out how many requests of a band upstreams answer in time.
 //
@@ -36,88 +36,88 @@
 // with more long requests than they can hold; all of them come late, and short
 // ones with them, for a minute.
 type lateness struct {
-	// heard is set once any first token was told. Until then nothing is
+	// firstTokensReported is set once any first token was told. Until then nothing is
 	// judged, since the caller does not tell them at all.
-	heard bool
+	firstTokensReported bool
 	limit *concurrency.Limit
-	// share of recent answers that came late, 0 to 1.
-	share float64
-	// open are the granted entries in order. Those at the front may have been
+	// lateShare of recent answers that came late, 0 to 1.
+	lateShare float64
+	// grantedEntries are the granted entries in order. Those at the front may have been
 	// answered or have ended meanwhile.
-	open     []*Entry
-	judgedAt time.Time
+	grantedEntries     []*Entry
+	overdueSampledAt time.Time
 }
 
-func newLateness() lateness { return lateness{limit: concurrency.New(bandLimits)} }
+func newLateness() lateness { return lateness{limit: concurrency.New(bandLimitConfig)} }
 
-// goal is the time within which the first token should come; 0 is none.
-func goal(r *Request) time.Duration {
-	return time.Duration(goalShare * float64(target(r)))
+// firstTokenGoal is the time within which the first token should come; 0 is none.
+func firstTokenGoal(r *Request) time.Duration {
+	return time.Duration(goalTargetShare * float64(firstTokenTarget(r)))
 }
 
 // FirstToken tells that a granted entry's first token came. Gates that are
 // told first tokens limit each priority to what upstreams answer in time.
 func (g *Gate) FirstToken(now time.Time, e *Entry) {
-	if e.state != granted || e.answered {
+	if e.state != stateGranted || e.firstTokenSeen {
 		return
 	}
-	e.answered = true
-	own := g.bands.of(e.Item.Priority)
-	own.heard = true
-	g.bands.observe(own, e, now.Sub(e.grantedAt))
+	e.firstTokenSeen = true
+	own := g.bands.forPriority(e.Item.Priority)
+	own.firstTokensReported = true
+	g.bands.observeFirstToken(own, e, now.Sub(e.grantedAt))
 }
 
-// observe takes in how long a first token took, or has taken so far.
+// observeFirstToken takes in how long a first token took, or has taken so far.
 //
 // What comes late is charged to the least urgent band that it can hold back:
 // its requests can wait best, and an engine that serves by priority is slow
 // for an urgent request only when it is full of others.
-func (b *bands) observe(own *band, e *Entry, took time.Duration) {
-	limit := goal(&e.Request)
+func (b *bands) observeFirstToken(own *band, e *Entry, took time.Duration) {
+	limit := firstTokenGoal(&e.Request)
 	if limit == 0 {
 		return
 	}
-	s := concurrency.Sample{Latency: took, Goal: limit, InFlight: e.others}
+	s := concurrency.Sample{Latency: took, Goal: limit, InFlight: e.inFlightAtGrant}
 	if took <= limit {
-		own.share -= lateMemory * own.share
+		own.lateShare -= lateSmoothing * own.lateShare
 		own.limit.Observe(s)
 		return
 	}
-	own.share += lateMemory * (1 - own.share)
-	if own.share < lateShare {
+	own.lateShare += lateSmoothing * (1 - own.lateShare)
+	if own.lateShare < shrinkLateShare {
 		return
 	}
-	for i := len(b.list) - 1; i >= 0; i-- {
-		if x := b.list[i]; x == own || x.yields() {
+	for i := len(b.byPriority) - 1; i >= 0; i-- {
+		if x := b.byPriority[i]; x == own || x.canShrink() {
 			x.limit.Observe(s)
 			return
 		}
 	}
 }
 
-// inTime reports whether hardly any answer came late of late.
-func (l *lateness) inTime() bool { return l.heard && l.share < inTimeShare }
+// mostlyInTime reports whether hardly any answer came late of late.
+func (l *lateness) mostlyInTime() bool { return l.firstTokensReported && l.lateShare < maxInTimeLateShare }
 
-// yields reports whether a smaller limit would hold the band back more than
+// canShrink reports whether a smaller limit would hold the band back more than
 // it is already.
-func (b *band) yields() bool {
-	return b.heard && b.inFlight > leastLimit && b.inFlight <= b.limit.Value()
+func (b *band) canShrink() bool {
+	return b.firstTokensReported && b.inFlight > minBandLimit && b.inFlight <= b.limit.Value()
 }
 
-// judge counts the entry that has waited longest for its first token as late,
+// sampleOverdue counts the entry that has waited longest for its first token as late,
 // if it is: an answer that does not come would otherwise tell nothing.
-func (b *bands) judge(now time.Time, own *band) {
-	for len(own.open) > 0 && (own.open[0].answered || own.open[0].state != granted) {
-		own.open[0] = nil
-		own.open = own.open[1:]
+func (b *bands) sampleOverdue(now time.Time, own *band) {
+	for len(own.grantedEntries) > 0 && (own.grantedEntries[0].firstTokenSeen || own.grantedEntries[0].state != stateGranted) {
+		own.grantedEntries[0] = nil
+		own.grantedEntries = own.grantedEntries[1:]
 	}
-	if !own.heard || len(own.open) == 0 {
+	if !own.firstTokensReported || len(own.grantedEntries) == 0 {
 		return
 	}
-	e := own.open[0]
-	limit, waited := goal(&e.Request), now.Sub(e.grantedAt)
-	if limit > 0 && waited > limit && now.Sub(own.judgedAt) >= limit/judgeParts {
-		own.judgedAt = now
-		b.observe(own, e, waited)
+	e := own.grantedEntries[0]
+	limit, waited := firstTokenGoal(&e.Request), now.Sub(e.grantedAt)
+	if limit > 0 && waited > limit && now.Sub(own.overdueSampledAt) >= limit/overdueSamplesPerGoal {
+		own.overdueSampledAt = now
+		b.observeFirstToken(own, e, waited)
 	}
 }
--- a/internal/admission/gate/lateness_test.go
+++ b/internal/admission/gate/lateness_test.go
@@ -9,26 +9,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// pool answers requests in the order of their priority.
-type pool struct {
+// upstreamPool answers requests in the order of their priority.
+type upstreamPool struct {
 	gate    *Gate
 	now     time.Time
-	waiting []*Entry
+	unanswered []*Entry
 	late    map[int]int
 	served  map[int]int
 }
 
 // answer serves so many waiting requests, the most urgent first.
-func (p *pool) answer(n int) {
-	for range min(n, len(p.waiting)) {
+func (p *upstreamPool) answer(n int) {
+	for range min(n, len(p.unanswered)) {
 		next := 0
-		for i, e := range p.waiting {
-			if e.Item.Priority > p.waiting[next].Item.Priority {
+		for i, e := range p.unanswered {
+			if e.Item.Priority > p.unanswered[next].Item.Priority {
 				next = i
 			}
 		}
-		e := p.waiting[next]
-		p.waiting = append(p.waiting[:next], p.waiting[next+1:]...)
+		e := p.unanswered[next]
+		p.unanswered = append(p.unanswered[:next], p.unanswered[next+1:]...)
 		p.gate.FirstToken(p.now, e)
 		p.served[e.Item.Priority]++
 		if p.now.Sub(e.grantedAt) > e.Request.Class.FirstToken {
@@ -39,17 +39,17 @@
 	for {
 		e, expired := p.gate.Next(p.now)
 		if e != nil {
-			p.waiting = append(p.waiting, e)
+			p.unanswered = append(p.unanswered, e)
 		} else if expired == nil {
 			return
 		}
 	}
 }
 
-func (p *pool) offer(id string, class document.Class) {
+func (p *upstreamPool) offer(id string, class document.Class) {
 	e := &Entry{Request: Request{ID: ident.Request(id), Account: "a", Class: class}}
 	if p.gate.Offer(p.now, e).Granted {
-		p.waiting = append(p.waiting, e)
+		p.unanswered = append(p.unanswered, e)
 	}
 }
 
@@ -62,7 +62,7 @@
 // while slots are free. Cause: admission looks at slots and not at answers.
 func TestLateAnswersLimit(t *testing.T) {
 	long := document.Class{Name: "long", FirstToken: 2 * time.Second, Priority: 1}
-	p := &pool{gate: New(Config{Slots: 1000}), now: time.Unix(1000, 0), late: map[int]int{}, served: map[int]int{}}
+	p := &upstreamPool{gate: New(Config{Slots: 1000}), now: time.Unix(1000, 0), late: map[int]int{}, served: map[int]int{}}
 	const step, perStep = 100 * time.Millisecond, 4
 	run := func(steps, asked int) {
 		p.late, p.served = map[int]int{}, map[int]int{}
@@ -97,7 +97,7 @@
 // TestSilence: upstreams that stop answering get ever fewer requests, although
 // no late answer ever tells that they are late.
 func TestSilence(t *testing.T) {
-	p := &pool{gate: New(Config{Slots: 1000}), now: time.Unix(1000, 0), late: map[int]int{}, served: map[int]int{}}
+	p := &upstreamPool{gate: New(Config{Slots: 1000}), now: time.Unix(1000, 0), late: map[int]int{}, served: map[int]int{}}
 	class := document.Class{Name: "long", FirstToken: 2 * time.Second, Priority: 1}
 	p.offer("answered", class)
 	p.answer(1)
--- a/internal/admission/gate/meter.go
+++ b/internal/admission/gate/meter.go
@@ -6,75 +6,75 @@
 )
 
 const (
-	// meterMemory is the time constant of a meter.
-	meterMemory = 10 * time.Second
-	// holdMemory is how many ended requests the holds remember.
-	holdMemory = 50
+	// meterTimeConstant is the time constant of a meter.
+	meterTimeConstant = 10 * time.Second
+	// holdTimeWindow is how many ended requests the holds remember.
+	holdTimeWindow = 50
 )
 
-// meter is an exponentially decaying rate a second. The zero value is 0.
-type meter struct {
+// rateMeter is an exponentially decaying rate a second. The zero value is 0.
+type rateMeter struct {
 	value float64
-	at    time.Time
-	// full is how much of the memory has been filled, 0 to 1. Without it a
+	updatedAt    time.Time
+	// filled is how much of the memory has been filled, 0 to 1. Without it a
 	// rush would count as a fraction of itself during its first seconds, and
 	// too much would be let in.
-	full float64
+	filled float64
 }
 
-// leastFull keeps the first event from counting as an endless rate.
-const leastFull = 0.1
+// minFilled keeps the first event from counting as an endless rate.
+const minFilled = 0.1
 
-func (m *meter) add(now time.Time, amount float64) {
-	kept := m.kept(now)
-	m.value = m.value*kept + amount/meterMemory.Seconds()
-	if m.at.IsZero() {
-		m.full = leastFull
+func (m *rateMeter) add(now time.Time, amount float64) {
+	kept := m.decay(now)
+	m.value = m.value*kept + amount/meterTimeConstant.Seconds()
+	if m.updatedAt.IsZero() {
+		m.filled = minFilled
 	} else {
-		m.full = 1 - (1-m.full)*kept
+		m.filled = 1 - (1-m.filled)*kept
 	}
-	m.at = now
+	m.updatedAt = now
 }
 
-func (m *meter) rate(now time.Time) float64 {
+func (m *rateMeter) rate(now time.Time) float64 {
 	if m.value == 0 {
 		return 0
 	}
-	kept := m.kept(now)
-	return m.value * kept / (1 - (1-m.full)*kept)
+	kept := m.decay(now)
+	return m.value * kept / (1 - (1-m.filled)*kept)
 }
 
-// kept is the part of the value that is left now.
-func (m *meter) kept(now time.Time) float64 {
-	if m.at.IsZero() {
+// decay is the part of the value that is left now.
+func (m *rateMeter) decay(now time.Time) float64 {
+	if m.updatedAt.IsZero() {
 		return 0
 	}
-	return math.Exp(-now.Sub(m.at).Seconds() / meterMemory.Seconds())
+	return math.Exp(-now.Sub(m.updatedAt).Seconds() / meterTimeConstant.Seconds())
 }
 
-// holds measures how long a slot is held for one unit of cost. By Little's
+// holdTimeMeter measures how long a slot is held for one unit of cost. By Little's
 // law, slots over that time is the drain rate, also while no queue exists.
-type holds struct {
-	// assumed stands in before the first request ended.
-	assumed       time.Duration
-	seconds, cost float64
+type holdTimeMeter struct {
+	// initial stands in before the first request ended.
+	initial       time.Duration
+	heldSeconds, servedCost float64
 }
 
-func (h *holds) add(held time.Duration, cost float64) {
-	const keep = 1 - 1.0/holdMemory
-	h.seconds = h.seconds*keep + held.Seconds()
-	h.cost = h.cost*keep + cost
+func (h *holdTimeMeter) add(held time.Duration, cost float64) {
+	const keep = 1 - 1.0/holdTimeWindow
+	h.heldSeconds = h.heldSeconds*keep + held.Seconds()
+	h.servedCost = h.servedCost*keep + cost
 }
 
 // perCost is the slot time of one unit of cost, above 0.
-func (h *holds) perCost() time.Duration {
-	if h.cost == 0 {
-		return h.assumed
+func (h *holdTimeMeter) perCost() time.Duration {
+	if h.servedCost == 0 {
+		return h.initial
 	}
-	return max(time.Duration(h.seconds/h.cost*float64(time.Second)), time.Microsecond)
+	return max(time.Duration(h.heldSeconds/h.servedCost*float64(time.Second)), time.Microsecond)
 }
 
-// of is the expected slot time of a cost.
-func (h *holds) of(cost float64) time.Duration {
+// expected is the expected slot time of a cost.
+func (h *holdTimeMeter) expected(cost float64) time.Duration {
 	return time.Duration(cost * float64(h.perCost()))
 }
--- a/internal/admission/gate/overload_test.go
+++ b/internal/admission/gate/overload_test.go
@@ -13,29 +13,29 @@
 	simGates   = 2
 	simSlots   = 24
 	simLength  = 5 * time.Minute
-	rushLength = 10 * time.Minute
+	overloadLength = 10 * time.Minute
 	simClients = 5
 )
 
-// fairPart is one account's part of all slots.
-const fairPart = float64(simGates*simSlots) / simClients
+// fairShareSlots is one account's part of all slots.
+const fairShareSlots = float64(simGates*simSlots) / simClients
 
-// mixed is an account that asks for factor times its fair part, 70% of it in
+// mixedLoad is an account that asks for factor times its fair part, 70% of it in
 // short requests.
-func mixed(account ident.ClientAccount, factor float64) []load {
+func mixedLoad(account ident.ClientAccount, factor float64) []load {
 	return []load{
-		{account: account, class: shortClass, rate: 0.7 * factor * fairPart, hold: time.Second},
-		{account: account, class: reviewClass, rate: 0.3 * factor * fairPart / 10, hold: 10 * time.Second},
+		{account: account, class: shortClass, rate: 0.7 * factor * fairShareSlots, hold: time.Second},
+		{account: account, class: reviewClass, rate: 0.3 * factor * fairShareSlots / 10, hold: 10 * time.Second},
 	}
 }
 
-// one is an account that asks for one class.
-func one(account ident.ClientAccount, class document.Class, factor float64) []load {
+// singleClassLoad is an account that asks for one class.
+func singleClassLoad(account ident.ClientAccount, class document.Class, factor float64) []load {
 	hold := time.Second
 	if class.Name == reviewClass.Name {
 		hold *= 10
 	}
-	return []load{{account: account, class: class, rate: factor * fairPart / hold.Seconds(), hold: hold}}
+	return []load{{account: account, class: class, rate: factor * fairShareSlots / hold.Seconds(), hold: hold}}
 }
 
 // TestSmallAccountKeepsShare: an account that asks for about its share gets it
@@ -60,15 +60,15 @@
 }
 
 func checkSmallAccount(t *testing.T, class document.Class, factor float64, patience int) {
-	loads := append(mixed("a", 10), mixed("b", 2)...)
-	loads = append(append(loads, mixed("c", 2)...), mixed("d", 2)...)
-	loads = append(loads, one("small", class, factor)...)
+	loads := append(mixedLoad("a", 10), mixedLoad("b", 2)...)
+	loads = append(append(loads, mixedLoad("c", 2)...), mixedLoad("d", 2)...)
+	loads = append(loads, singleClassLoad("small", class, factor)...)
 	s := newSim(1, simGates, simSlots, patience)
 	small := s.run(simLength, loads)[len(loads)-1]
 	// What waits at the end was neither refused nor served.
 	asked := small.offered - s.waitingCost("small")
-	entitled := min(asked, fairPart*simLength.Seconds())
-	t.Logf("asked %.3f and got %.3f of its share", asked/fairPart/simLength.Seconds(), small.cost/fairPart/simLength.Seconds())
+	entitled := min(asked, fairShareSlots*simLength.Seconds())
+	t.Logf("asked %.3f and got %.3f of its share", asked/fairShareSlots/simLength.Seconds(), small.cost/fairShareSlots/simLength.Seconds())
 	if small.cost < 0.95*entitled {
 		t.Errorf("got %.0f slot seconds of %.0f", small.cost, entitled)
 	}
@@ -92,10 +92,10 @@
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
 			for _, account := range []ident.ClientAccount{"a", "b", "c", "d", "e"} {
-				c.loads = append(c.loads, mixed(account, c.factor)...)
+				c.loads = append(c.loads, mixedLoad(account, c.factor)...)
 			}
 			s := newSim(1, simGates, simSlots, 20)
-			checkOverload(t, s, s.run(rushLength, c.loads))
+			checkOverload(t, s, s.run(overloadLength, c.loads))
 		})
 	}
 }
@@ -105,16 +105,16 @@
 	for i, r := range tallies {
 		sum[i%2].add(r)
 	}
-	used := (sum[0].cost + sum[1].cost) / (simGates * simSlots * rushLength.Seconds())
+	used := (sum[0].cost + sum[1].cost) / (simGates * simSlots * overloadLength.Seconds())
 	t.Logf("slots used %.3f", used)
 	if used < 0.97 {
 		t.Errorf("slots used %.3f, want 0.97", used)
 	}
 	for i, name := range []string{"short", "review"} {
-		kept := float64(sum[i].admitted) / float64(sum[i].returned)
+		kept := float64(sum[i].admitted) / float64(sum[i].retried)
 		broken := float64(sum[i].expired) / float64(sum[i].granted)
 		t.Logf("%s: %d first tries, %d granted, %d refused, %d returned of which %.3f admitted; refused after waiting per granted %.3f",
-			name, sum[i].first, sum[i].granted, sum[i].refused, sum[i].returned, kept, broken)
+			name, sum[i].firstAttempts, sum[i].granted, sum[i].refused, sum[i].retried, kept, broken)
 		if kept < 0.9 {
 			t.Errorf("%s: %.3f of those who returned as told were admitted, want 0.9", name, kept)
 		}
--- a/internal/admission/gate/plan.go
+++ b/internal/admission/gate/plan.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// returnReserve is the part of a target that first tries leave to
+	// retryReserveShare is the part of a target that first tries leave to
 	// requests that were told to return.
-	returnReserve = 0.25
-	// waitMargin is what a predicted wait is multiplied by: a request that is
+	retryReserveShare = 0.25
+	// waitSafetyFactor is what a predicted wait is multiplied by: a request that is
 	// refused after it waited has lost more than one refused at once.
-	waitMargin = 1.5
-	// leastFirstShare is the part of an account's drain rate that first
+	waitSafetyFactor = 1.5
+	// minFirstAttemptShare is the part of an account's drain rate that first
 	// tries can count on, however many requests return.
-	leastFirstShare = 0.1
-	// bookedShare is the part of a drain rate that is booked for returns. A
+	minFirstAttemptShare = 0.1
+	// bookedDrainShare is the part of a drain rate that is booked for returns. A
 	// returning request has mostly missed its target already, and one served
 	// in its place would have met it; so in a rush most turns go to first
 	// tries, and those refused hear a time at which they will find room.
 	// While all slots are taken, accounts that ask for no more than their
 	// part are booked at their full rate. While there are slots, what was
 	// refused is what upstreams cannot answer in time, whoever asks.
-	bookedShare = 0.03
-	// returnLeniency is how many times its target a returning request may
+	bookedDrainShare = 0.03
+	// retryTargetFactor is how many times its target a returning request may
 	// take: for its caller late is better than refused again.
-	returnLeniency = 2
-	// beyondReserve is the part of a target that accounts beyond their part
+	retryTargetFactor = 2
+	// overShareReserve is the part of a target that accounts beyond their part
 	// leave to the others while upstreams are late.
-	beyondReserve = 0.6
-	// noUpstreamReturn is the return time while no upstream is there.
-	noUpstreamReturn = 2 * time.Second
+	overShareReserve = 0.6
+	// noUpstreamRetryAfter is the return time while no upstream is there.
+	noUpstreamRetryAfter = 2 * time.Second
 )
 
 // The sentences that callers hear.
 const (
-	messageRate       = "The client account sends more requests a second than its limit."
-	messageInFlight   = "The client account has as many requests in progress as its limit."
+	messageRateLimit       = "The client account sends more requests a second than its limit."
+	messageInFlightLimit   = "The client account has as many requests in progress as its limit."
 	messageNoUpstream = "No upstream can serve the request now."
 	messageOverloaded = "The answer would come later than its class allows."
 	messageDeadline   = "The request's deadline would pass before its answer."
 	messageCancelled  = "The caller gave the request up before it ran."
 )
 
-// prepare fills the entry's place in the queue.
-func (g *Gate) prepare(now time.Time, e *Entry) {
+// fillItem fills the entry's place in the queue.
+func (g *Gate) fillItem(now time.Time, e *Entry) {
 	r := &e.Request
 	cost := r.Cost
 	if cost <= 0 {
@@ -60,30 +60,30 @@
 		Priority:    r.Class.Priority,
 		Cost:        cost,
 		LatestStart: g.latestStart(now, r),
-		Returning:   r.returning(),
+		Retry:   r.isRetry(),
 	}
 }
 
-// target is the time that the class allows up to the first token. A request
+// firstTokenTarget is the time that the class allows up to the first token. A request
 // that would miss it on an idle upstream is measured by twice its own best:
 // refusing it now and at every return would be untruthful.
-func target(r *Request) time.Duration {
+func firstTokenTarget(r *Request) time.Duration {
 	if r.Class.FirstToken <= 0 {
 		return 0
 	}
 	t := max(r.Class.FirstToken, 2*r.Unloaded)
-	if r.returning() {
-		t *= returnLeniency
+	if r.isRetry() {
+		t *= retryTargetFactor
 	}
 	return t
 }
 
-// predicted is the time from grant to first token to count on: the late bound
+// predictedFirstToken is the time from grant to first token to count on: the late bound
 // of a prediction counts only for less urgent priorities, and only while some
 // of their answers do come late or for accounts beyond their part.
-func (g *Gate) predicted(r *Request) time.Duration {
-	own := g.bands.of(r.Class.Priority)
-	if own == g.bands.list[0] || own.inTime() && !g.beyondPart(g.clients[r.Account]) {
+func (g *Gate) predictedFirstToken(r *Request) time.Duration {
+	own := g.bands.forPriority(r.Class.Priority)
+	if own == g.bands.byPriority[0] || own.mostlyInTime() && !g.exceedsTimelyShare(g.clients[r.Account]) {
 		return r.Predicted
 	}
 	return max(r.Predicted, r.PredictedBy)
@@ -94,8 +94,8 @@
 func (g *Gate) latestStart(now time.Time, r *Request) time.Time {
 	wait := g.config.MaxWait
 	bounded := false
-	predicted := g.predicted(r)
-	if t := target(r); t > 0 {
+	predicted := g.predictedFirstToken(r)
+	if t := firstTokenTarget(r); t > 0 {
 		wait, bounded = t-predicted, true
 	}
 	if r.Class.Completion > 0 {
@@ -113,124 +113,124 @@
 
 // checkLimits refuses a request that exceeds its account's limits.
 func (g *Gate) checkLimits(now time.Time, c *client, e *Entry) (outcome.Outcome, bool) {
-	if c.quota.Full() {
+	if c.quota.AtMaxInFlight() {
 		limit := c.quota.Limit().MaxInFlight
-		gap := g.holds.of(e.Item.Cost) / time.Duration(limit)
-		after := c.limited.Book(now, gap, gap, e.Request.ID)
-		return outcome.NewNotRun(outcome.ReasonRateLimited, messageInFlight, after), true
+		gap := g.holdTimes.expected(e.Item.Cost) / time.Duration(limit)
+		after := c.limitTurns.Book(now, gap, gap, e.Request.ID)
+		return outcome.NewNotRun(outcome.ReasonRateLimited, messageInFlightLimit, after), true
 	}
-	if delay := c.quota.Delay(now, e.Request.returning()); delay > 0 {
-		after := c.limited.Book(now, delay, c.quota.Gap(), e.Request.ID)
-		return outcome.NewNotRun(outcome.ReasonRateLimited, messageRate, after), true
+	if delay := c.quota.Delay(now, e.Request.isRetry()); delay > 0 {
+		after := c.limitTurns.Book(now, delay, c.quota.RequestInterval(), e.Request.ID)
+		return outcome.NewNotRun(outcome.ReasonRateLimited, messageRateLimit, after), true
 	}
 	return outcome.Outcome{}, false
 }
 
 // checkTime refuses a request that cannot start in time.
-func (g *Gate) checkTime(now time.Time, c *client, u *use, e *Entry) (outcome.Outcome, bool) {
+func (g *Gate) checkTime(now time.Time, c *client, u *priorityUsage, e *Entry) (outcome.Outcome, bool) {
 	r := &e.Request
 	if !r.Deadline.IsZero() && !now.Add(r.Predicted).Before(r.Deadline) {
-		return g.deadline(now, u, e), true
+		return g.deadlineRefusal(now, u, e), true
 	}
 	if g.slots == 0 {
-		after := returntime.Spread(noUpstreamReturn, r.ID)
+		after := returntime.Spread(noUpstreamRetryAfter, r.ID)
 		return outcome.NewNotRun(outcome.ReasonNoUpstream, messageNoUpstream, after), true
 	}
 	budget := e.Item.LatestStart.Sub(now)
-	wait := g.wait(now, u, e)
-	if wait > 0 && !r.returning() && now.Before(g.bands.of(e.Item.Priority).bookedUntil) {
+	wait := g.predictWait(now, u, e)
+	if wait > 0 && !r.isRetry() && now.Before(g.bands.forPriority(e.Item.Priority).bookedUntil) {
 		// Without this reserve a first try takes each place as it appears,
 		// and those who return as told find none.
-		budget -= time.Duration(returnReserve * float64(target(r)))
+		budget -= time.Duration(retryReserveShare * float64(firstTokenTarget(r)))
 	}
-	if wait == 0 && g.beyondPart(c) {
-		budget -= time.Duration(beyondReserve * float64(target(r)))
+	if wait == 0 && g.exceedsTimelyShare(c) {
+		budget -= time.Duration(overShareReserve * float64(firstTokenTarget(r)))
 	}
 	if wait > budget {
-		g.lateAt = now
-		return g.overloaded(now, u, e, wait-budget), true
+		g.lastLateRefusal = now
+		return g.overloadRefusal(now, u, e, wait-budget), true
 	}
 	return outcome.Outcome{}, false
 }
 
-// wait predicts how long a request waits for a slot: by what goes before it
+// predictWait predicts how long a request waits for a slot: by what goes before it
 // in all accounts, or by its own account's part after the lead of the others,
 // whichever is sooner. A first try also waits for those who return meanwhile.
-func (g *Gate) wait(now time.Time, u *use, e *Entry) time.Duration {
-	if g.free(e) {
+func (g *Gate) predictWait(now time.Time, u *priorityUsage, e *Entry) time.Duration {
+	if g.canGrantNow(e) {
 		return 0
 	}
-	total, own := g.queue.Ahead(&e.Item)
-	band := g.bands.of(e.Item.Priority)
-	drain, share := g.drain(e), g.ownDrain(now, e)
+	total, own := g.queue.CostAhead(&e.Item)
+	band := g.bands.forPriority(e.Item.Priority)
+	drain, share := g.drainRate(e), g.accountDrainRate(now, e)
 	byAll := (total + band.meanCost()) / drain
 	byOwn := own/share + (band.meanCost()+g.queue.LeadCost(&e.Item))/drain
-	if !e.Request.returning() {
-		byAll /= max(leastFirstShare, 1-band.returns.rate(now)/drain)
-		byOwn /= max(leastFirstShare, 1-u.returns.rate(now)/share)
+	if !e.Request.isRetry() {
+		byAll /= max(minFirstAttemptShare, 1-band.retries.rate(now)/drain)
+		byOwn /= max(minFirstAttemptShare, 1-u.retries.rate(now)/share)
 	}
-	return seconds(waitMargin * min(byAll, byOwn))
+	return secondsToDuration(waitSafetyFactor * min(byAll, byOwn))
 }
 
-// drain is the cost a second that is served of the entry's priority.
-func (g *Gate) drain(e *Entry) float64 {
-	return g.bands.slotsFor(e.Item.Priority, g.slots) / g.holds.perCost().Seconds()
+// drainRate is the cost a second that is served of the entry's priority.
+func (g *Gate) drainRate(e *Entry) float64 {
+	return g.bands.availableSlots(e.Item.Priority, g.slots) / g.holdTimes.perCost().Seconds()
 }
 
-// ownDrain is the cost a second that is served of the entry's account and
+// accountDrainRate is the cost a second that is served of the entry's account and
 // priority: the account's part of the slots, less what its less urgent
 // requests hold and what its more urgent ones ask for.
-func (g *Gate) ownDrain(now time.Time, e *Entry) float64 {
+func (g *Gate) accountDrainRate(now time.Time, e *Entry) float64 {
 	c := g.clients[e.Item.Account]
 	fair := g.fairSlots(c)
 	slots := fair
-	for _, u := range c.uses {
+	for _, u := range c.usages {
 		if u.priority < e.Item.Priority {
 			slots -= float64(u.inFlight)
 		}
 	}
-	urgent := c.demandFrom(now, e.Item.Priority+1) * g.holds.perCost().Seconds()
+	urgent := c.costRateFrom(now, e.Item.Priority+1) * g.holdTimes.perCost().Seconds()
 	slots -= min(urgent, fair*(1-g.queue.ClassShare()))
-	all := g.bands.slotsFor(e.Item.Priority, g.slots)
+	all := g.bands.availableSlots(e.Item.Priority, g.slots)
 	least := all * fair / float64(max(g.slots, 1))
-	return min(max(slots, least), all) / g.holds.perCost().Seconds()
+	return min(max(slots, least), all) / g.holdTimes.perCost().Seconds()
 }
 
-// overloaded refuses for load, with a turn after the excess has drained.
-func (g *Gate) overloaded(now time.Time, u *use, e *Entry, excess time.Duration) outcome.Outcome {
-	return outcome.NewNotRun(outcome.ReasonOverloaded, messageOverloaded, g.book(now, u, e, excess))
+// overloadRefusal refuses for load, with a turn after the excess has drained.
+func (g *Gate) overloadRefusal(now time.Time, u *priorityUsage, e *Entry, excess time.Duration) outcome.Outcome {
+	return outcome.NewNotRun(outcome.ReasonOverloaded, messageOverloaded, g.bookTurn(now, u, e, excess))
 }
 
-// deadline refuses for the caller's own deadline.
-func (g *Gate) deadline(now time.Time, u *use, e *Entry) outcome.Outcome {
-	return outcome.NewNotRun(outcome.ReasonDeadline, messageDeadline, g.book(now, u, e, 0))
+// deadlineRefusal refuses for the caller's own deadline.
+func (g *Gate) deadlineRefusal(now time.Time, u *priorityUsage, e *Entry) outcome.Outcome {
+	return outcome.NewNotRun(outcome.ReasonDeadline, messageDeadline, g.bookTurn(now, u, e, 0))
 }
 
-// late is what a caller hears whose turn did not come in time.
-func (g *Gate) late(now time.Time, e *Entry) outcome.Outcome {
-	u := g.clients[e.Item.Account].use(e.Item.Priority)
+// lateRefusal is what a caller hears whose turn did not come in time.
+func (g *Gate) lateRefusal(now time.Time, e *Entry) outcome.Outcome {
+	u := g.clients[e.Item.Account].usageOf(e.Item.Priority)
 	if d := e.Request.Deadline; !d.IsZero() && !now.Add(e.Request.Predicted+e.Request.Remaining).Before(d) {
-		return g.deadline(now, u, e)
+		return g.deadlineRefusal(now, u, e)
 	}
-	return g.overloaded(now, u, e, 0)
+	return g.overloadRefusal(now, u, e, 0)
 }
 
-// book gives a refused request a turn of its own.
-func (g *Gate) book(now time.Time, u *use, e *Entry, earliest time.Duration) time.Duration {
-	rate := g.ownDrain(now, e)
-	if c := g.clients[e.Item.Account]; c.demand > g.fairSlots(c) || math.IsInf(g.level, 1) {
-		rate *= bookedShare
+// bookTurn gives a refused request a turn of its own.
+func (g *Gate) bookTurn(now time.Time, u *priorityUsage, e *Entry, earliest time.Duration) time.Duration {
+	rate := g.accountDrainRate(now, e)
+	if c := g.clients[e.Item.Account]; c.demand > g.fairSlots(c) || math.IsInf(g.slotsPerWeight, 1) {
+		rate *= bookedDrainShare
 	}
-	after := u.overload.Book(now, earliest, seconds(e.Item.Cost/rate), e.Request.ID)
-	b := g.bands.of(e.Item.Priority)
+	after := u.overloadTurns.Book(now, earliest, secondsToDuration(e.Item.Cost/rate), e.Request.ID)
+	b := g.bands.forPriority(e.Item.Priority)
 	if until := now.Add(after); until.After(b.bookedUntil) {
 		b.bookedUntil = until
 	}
 	return after
 }
 
-// seconds converts without overflow.
-func seconds(s float64) time.Duration {
+// secondsToDuration converts without overflow.
+func secondsToDuration(s float64) time.Duration {
 	const most = float64(returntime.Max/time.Second) * 10
 	return time.Duration(min(s, most) * float64(time.Second))
 }
--- a/internal/admission/gate/sim_test.go
+++ b/internal/admission/gate/sim_test.go
@@ -29,21 +29,21 @@
 
 // tally counts what became of one load.
 type tally struct {
-	first, granted, refused int
+	firstAttempts, granted, refused int
 	// expired are those refused after they had waited.
 	expired int
-	// returned counts those who came back as told; admitted of them.
-	returned, admitted int
+	// retried counts those who came back as told; admitted of them.
+	retried, admitted int
 	// cost granted, and offered by first tries.
 	cost, offered float64
 }
 
 func (t *tally) add(o tally) {
-	t.first += o.first
+	t.firstAttempts += o.firstAttempts
 	t.granted += o.granted
 	t.refused += o.refused
 	t.expired += o.expired
-	t.returned += o.returned
+	t.retried += o.retried
 	t.admitted += o.admitted
 	t.cost += o.cost
 }
@@ -83,21 +83,21 @@
 	events   events
 	sequence int
 	requests int
-	// patience is how many times a caller comes back.
-	patience int
+	// maxRetries is how many times a caller comes back.
+	maxRetries int
 	loads    []load
 	tallies  []tally
-	owner    map[*Entry]int
-	offered  map[*Entry]time.Time
+	loadOf    map[*Entry]int
+	offeredAt  map[*Entry]time.Time
 }
 
 func newSim(seed uint64, gates, slots, patience int) *sim {
 	s := &sim{
 		random:   rand.New(rand.NewPCG(seed, 1)),
 		now:      time.Unix(0, 0),
-		patience: patience,
-		owner:    map[*Entry]int{},
-		offered:  map[*Entry]time.Time{},
+		maxRetries: patience,
+		loadOf:    map[*Entry]int{},
+		offeredAt:  map[*Entry]time.Time{},
 	}
 	for range gates {
 		s.gates = append(s.gates, New(Config{Slots: slots}))
@@ -105,7 +105,7 @@
 	return s
 }
 
-func (s *sim) at(after time.Duration, run func()) {
+func (s *sim) schedule(after time.Duration, run func()) {
 	s.sequence++
 	heap.Push(&s.events, event{s.now.Add(after), s.sequence, run})
 }
@@ -130,9 +130,9 @@
 }
 
 func (s *sim) nextArrival(i int, l load) {
-	s.at(s.exponential(time.Duration(float64(time.Second)/l.rate)), func() {
+	s.schedule(s.exponential(time.Duration(float64(time.Second)/l.rate)), func() {
 		s.requests++
-		s.tallies[i].first++
+		s.tallies[i].firstAttempts++
 		hold := s.exponential(l.hold)
 		s.tallies[i].offered += hold.Seconds()
 		s.offer(i, l, ident.Request(fmt.Sprint("r", s.requests)), hold, 1)
@@ -150,50 +150,50 @@
 		ID: id, Account: l.account, Limit: l.limit, Class: l.class,
 		Remaining: hold, Cost: hold.Seconds(), Attempt: attempt,
 	}}
-	s.owner[e], s.offered[e] = i, s.now
-	if attempt > 1 && s.judged(e) {
-		s.tallies[i].returned++
+	s.loadOf[e], s.offeredAt[e] = i, s.now
+	if attempt > 1 && s.endObservable(e) {
+		s.tallies[i].retried++
 	}
 	d := g.Offer(s.now, e)
 	if d.Evicted != nil {
-		s.expired(d.Evicted.Entry, d.Evicted.Refusal)
+		s.recordExpired(d.Evicted.Entry, d.Evicted.Refusal)
 	}
 	switch {
 	case d.Granted:
-		s.granted(g, e)
+		s.recordGranted(g, e)
 	case d.Refused:
-		s.refused(e, d.Refusal)
+		s.recordRefused(e, d.Refusal)
 	default:
-		s.at(e.LatestStart().Sub(s.now), func() {
+		s.schedule(e.LatestStart().Sub(s.now), func() {
 			if refusal, waited := g.Abandon(s.now, e, outcome.ReasonOverloaded); waited {
-				s.expired(e, refusal)
+				s.recordExpired(e, refusal)
 			}
 		})
 	}
 }
 
-// judged reports whether an entry came early enough for its end to be seen.
-func (s *sim) judged(e *Entry) bool { return s.end.Sub(s.offered[e]) > reviewClass.Completion }
+// endObservable reports whether an entry came early enough for its end to be seen.
+func (s *sim) endObservable(e *Entry) bool { return s.end.Sub(s.offeredAt[e]) > reviewClass.Completion }
 
-func (s *sim) expired(e *Entry, refusal outcome.Outcome) {
-	s.tallies[s.owner[e]].expired++
-	s.refused(e, refusal)
+func (s *sim) recordExpired(e *Entry, refusal outcome.Outcome) {
+	s.tallies[s.loadOf[e]].expired++
+	s.recordRefused(e, refusal)
 }
 
-// refused lets a caller come back when it was told to.
-func (s *sim) refused(e *Entry, refusal outcome.Outcome) {
-	i, r := s.owner[e], e.Request
+// recordRefused lets a caller come back when it was told to.
+func (s *sim) recordRefused(e *Entry, refusal outcome.Outcome) {
+	i, r := s.loadOf[e], e.Request
 	s.tallies[i].refused++
-	if int(r.Attempt) > s.patience {
+	if int(r.Attempt) > s.maxRetries {
 		return
 	}
-	s.at(refusal.RetryAfter, func() { s.offer(i, s.loads[i], r.ID, r.Remaining, r.Attempt+1) })
+	s.schedule(refusal.RetryAfter, func() { s.offer(i, s.loads[i], r.ID, r.Remaining, r.Attempt+1) })
 }
 
 // waitingCost is what an account has waiting at the gates.
 func (s *sim) waitingCost(account ident.ClientAccount) float64 {
 	total := 0.0
-	for e := range s.owner {
+	for e := range s.loadOf {
 		if e.Waiting() && e.Request.Account == account {
 			total += e.Request.Cost
 		}
@@ -201,29 +201,29 @@
 	return total
 }
 
-func (s *sim) granted(g *Gate, e *Entry) {
-	t := &s.tallies[s.owner[e]]
+func (s *sim) recordGranted(g *Gate, e *Entry) {
+	t := &s.tallies[s.loadOf[e]]
 	t.granted++
 	t.cost += e.Request.Cost
-	if e.Request.Attempt > 1 && s.judged(e) {
+	if e.Request.Attempt > 1 && s.endObservable(e) {
 		t.admitted++
 	}
-	s.at(e.Request.Remaining, func() {
+	s.schedule(e.Request.Remaining, func() {
 		g.Done(s.now, e, 0)
-		s.drain(g)
+		s.grantNext(g)
 	})
 }
 
-func (s *sim) drain(g *Gate) {
+func (s *sim) grantNext(g *Gate) {
 	for {
 		e, expired := g.Next(s.now)
 		if expired != nil {
-			s.expired(expired.Entry, expired.Refusal)
+			s.recordExpired(expired.Entry, expired.Refusal)
 			continue
 		}
 		if e == nil {
 			return
 		}
-		s.granted(g, e)
+		s.recordGranted(g, e)
 	}
 }
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -24,7 +24,7 @@
 	expvar.Publish("goldcrestspool.admission.waiting", &m.Waiting)
 }
 
-func (m *Metrics) admitted(refusal *outcome.Outcome) {
+func (m *Metrics) countDecision(refusal *outcome.Outcome) {
 	if refusal == nil {
 		m.Admitted.Add(1)
 		return
@@ -32,4 +32,4 @@
 	m.Refused.Add(string(refusal.Reason), 1)
 }
 
-func (m *Metrics) queued(delta int64) { m.Waiting.Add(delta) }
+func (m *Metrics) addWaiting(delta int64) { m.Waiting.Add(delta) }
--- a/internal/admission/quota/quota.go
+++ b/internal/admission/quota/quota.go
@@ -15,8 +15,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/document"
 )
 
-// returningShare is the part of a burst that only returning requests use.
-const returningShare = 0.25
+// retryReserveShare is the part of a burst that only returning requests use.
+const retryReserveShare = 0.25
 
 // Divide returns one gateway's part of a limit among live gateways.
 //
@@ -48,32 +48,32 @@
 type Account struct {
 	limit    document.AccountLimit
 	limiter  *rate.Limiter
-	reserved float64
+	retryReserve float64
 	inFlight int
 }
 
 // NewAccount returns an account without use.
 func NewAccount(limit document.AccountLimit, now time.Time) *Account {
 	a := &Account{}
-	a.apply(limit, now)
+	a.applyLimit(limit, now)
 	return a
 }
 
 // SetLimit applies a changed limit; what is in flight stays.
 func (a *Account) SetLimit(limit document.AccountLimit, now time.Time) {
 	if a.limit != limit {
-		a.apply(limit, now)
+		a.applyLimit(limit, now)
 	}
 }
 
-func (a *Account) apply(limit document.AccountLimit, now time.Time) {
+func (a *Account) applyLimit(limit document.AccountLimit, now time.Time) {
 	a.limit = limit
 	if limit.RequestsPerSecond <= 0 {
 		a.limiter = nil
 		return
 	}
 	burst := max(limit.Burst, 1)
-	a.reserved = math.Ceil(float64(burst) * returningShare)
+	a.retryReserve = math.Ceil(float64(burst) * retryReserveShare)
 	if burst == 1 {
 		// A burst of 1 leaves nothing to reserve: first tries would take
 		// each token as it appears and no return time would hold. So
@@ -94,8 +94,8 @@
 // InFlight returns how many requests are counted.
 func (a *Account) InFlight() int { return a.inFlight }
 
-// Full reports whether the in-flight limit is reached.
-func (a *Account) Full() bool { return a.limit.MaxInFlight > 0 && a.inFlight >= a.limit.MaxInFlight }
+// AtMaxInFlight reports whether the in-flight limit is reached.
+func (a *Account) AtMaxInFlight() bool { return a.limit.MaxInFlight > 0 && a.inFlight >= a.limit.MaxInFlight }
 
 // Delay returns how long until the rate allows a request; 0 is now. A first
 // try leaves the reserve to those who were told to return.
@@ -105,7 +105,7 @@
 	}
 	need := 1.0
 	if !returning {
-		need += a.reserved
+		need += a.retryReserve
 	}
 	missing := need - a.limiter.TokensAt(now)
 	if missing <= 0 {
@@ -119,8 +119,8 @@
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
 
-// Gap returns the time between two requests at the allowed rate.
-func (a *Account) Gap() time.Duration {
+// RequestInterval returns the time between two requests at the allowed rate.
+func (a *Account) RequestInterval() time.Duration {
 	if a.limiter == nil {
 		return 0
 	}
--- a/internal/admission/quota/quota_test.go
+++ b/internal/admission/quota/quota_test.go
@@ -46,7 +46,7 @@
 				inFlight--
 			}
 		default:
-			if !a.Full() && a.Delay(now, rapid.Bool().Draw(t, "returning")) == 0 {
+			if !a.AtMaxInFlight() && a.Delay(now, rapid.Bool().Draw(t, "returning")) == 0 {
 				a.Take(now)
 				taken++
 				inFlight++
--- a/internal/admission/returntime/returntime.go
+++ b/internal/admission/returntime/returntime.go
@@ -22,8 +22,8 @@
 	Max = 10 * time.Minute
 )
 
-// spreadShare is how much of a return time without a schedule is jitter.
-const spreadShare = 0.5
+// jitterShare is how much of a return time without a schedule is jitter.
+const jitterShare = 0.5
 
 // Fraction maps a request ID evenly onto [0, 1).
 func Fraction(id ident.Request) float64 {
@@ -36,13 +36,13 @@
 // Spread returns a time between base and 1.5 times base, fixed by the ID.
 func Spread(base time.Duration, id ident.Request) time.Duration {
 	base = Clamp(base)
-	return Clamp(base + time.Duration(float64(base)*spreadShare*Fraction(id)))
+	return Clamp(base + time.Duration(float64(base)*jitterShare*Fraction(id)))
 }
 
 // Schedule hands out turns to refused requests. The zero value is empty.
 type Schedule struct {
-	// next is when the first free turn begins.
-	next time.Time
+	// nextFree is when the first free turn begins.
+	nextFree time.Time
 }
 
 // Book returns how long from now a request should wait. The turn lies no
@@ -51,8 +51,8 @@
 // caller's place is fixed by its ID.
 func (s *Schedule) Book(now time.Time, earliest, gap time.Duration, id ident.Request) time.Duration {
 	turn := now.Add(max(earliest, Min))
-	if s.next.After(turn) {
-		turn = s.next
+	if s.nextFree.After(turn) {
+		turn = s.nextFree
 	}
 	if latest := now.Add(Max); turn.After(latest) {
 		// Beyond the bound turns are not kept apart any more, or one long
@@ -60,6 +60,6 @@
 		turn = latest
 	}
 	gap = max(gap, 0)
-	s.next = turn.Add(gap)
+	s.nextFree = turn.Add(gap)
 	return Clamp(turn.Sub(now) + time.Duration(float64(gap)*Fraction(id)))
 }
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -27,8 +27,8 @@
 	// count until then.
 	upstreams map[ident.Instance]*concurrency.Limit
 	ejection  *ejection.Set
-	// slots is what SetSlots said; 0 leaves it to the upstreams' limits.
-	slots int
+	// slotOverride is what SetSlots said; 0 leaves it to the upstreams' limits.
+	slotOverride int
 
 	// exclusion is the last exclusion; see excluded.
 	exclusion atomic.Pointer[exclusion]
@@ -56,17 +56,17 @@
 // admit decides on a ticket's entry and waits if it has to.
 func (s *service) admit(ctx context.Context, t *Ticket) *outcome.Outcome {
 	if ctx.Err() != nil {
-		refusal := outcome.NewNotRun(reasonOf(ctx), "The request was given up before it ran.", 0)
+		refusal := outcome.NewNotRun(contextReason(ctx), "The request was given up before it ran.", 0)
 		return &refusal
 	}
 	now := time.Now()
 	s.mu.Lock()
 	decision := s.gate.Offer(now, &t.entry)
 	if decision.Evicted != nil {
-		s.end(decision.Evicted)
+		s.refuseWaiting(decision.Evicted)
 	}
 	if t.entry.Waiting() {
-		t.ended = make(chan struct{})
+		t.decided = make(chan struct{})
 		s.waiting[&t.entry] = t
 	}
 	s.mu.Unlock()
@@ -76,29 +76,29 @@
 	case decision.Refused:
 		return &decision.Refusal
 	}
-	return s.wait(ctx, t)
+	return s.waitForDecision(ctx, t)
 }
 
-// wait blocks until the entry is granted or ended.
-func (s *service) wait(ctx context.Context, t *Ticket) *outcome.Outcome {
-	s.metrics.queued(1)
-	defer s.metrics.queued(-1)
+// waitForDecision blocks until the entry is granted or ended.
+func (s *service) waitForDecision(ctx context.Context, t *Ticket) *outcome.Outcome {
+	s.metrics.addWaiting(1)
+	defer s.metrics.addWaiting(-1)
 	timer := time.NewTimer(time.Until(t.entry.LatestStart()))
 	defer timer.Stop()
 	select {
-	case <-t.ended:
+	case <-t.decided:
 		return t.refusal
 	case <-ctx.Done():
-		return s.giveUp(t, reasonOf(ctx))
+		return s.abandonWait(t, contextReason(ctx))
 	case <-timer.C:
-		return s.giveUp(t, outcome.ReasonOverloaded)
+		return s.abandonWait(t, outcome.ReasonOverloaded)
 	}
 }
 
-// giveUp ends a wait. A grant can come between the cause and the lock: a
+// abandonWait ends a wait. A grant can come between the cause and the lock: a
 // caller that has gone gives the slot back, since nobody would ever call Done;
 // one that is only late keeps it.
-func (s *service) giveUp(t *Ticket, cause outcome.Reason) *outcome.Outcome {
+func (s *service) abandonWait(t *Ticket, cause outcome.Reason) *outcome.Outcome {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,22 +134,22 @@
 	}
 	s.gate.Done(now, &t.entry, r.Cost)
 	if r.Upstream != "" {
-		s.learn(now, r, t.unloaded)
+		s.applyAttempt(now, r, t.unloaded)
 	}
 	s.grantNext(now)
 }
 
-// observe learns from an attempt and wakes those for whom it made room.
-func (s *service) observe(r Result, unloaded time.Duration) {
+// recordAttemptEnd learns from an attempt and wakes those for whom it made room.
+func (s *service) recordAttemptEnd(r Result, unloaded time.Duration) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learn(now, r, unloaded)
+	s.applyAttempt(now, r, unloaded)
 	s.grantNext(now)
 }
 
-// learn takes in one attempt at an upstream. The lock must be held.
-func (s *service) learn(now time.Time, r Result, unloaded time.Duration) {
+// applyAttempt takes in one attempt at an upstream. The lock must be held.
+func (s *service) applyAttempt(now time.Time, r Result, unloaded time.Duration) {
 	if limit := s.upstreams[r.Upstream]; limit != nil {
 		before := limit.Value()
 		limit.Observe(concurrency.Sample{
@@ -158,7 +158,7 @@
 			InFlight: r.InFlight,
 			Dropped:  r.Failed,
 		})
-		if s.slots == 0 && !slices.Contains(s.exclusion.Load().ids, r.Upstream) {
+		if s.slotOverride == 0 && !slices.Contains(s.exclusion.Load().ids, r.Upstream) {
 			s.gate.SetSlots(s.gate.Slots() + limit.Value() - before)
 		}
 	}
@@ -169,7 +169,7 @@
 	before := s.ejection.State(r.Upstream)
 	s.ejection.Ended(now, r.Upstream, sample)
 	if after := s.ejection.State(r.Upstream); after != before || after == ejection.Probing {
-		s.refresh(now)
+		s.refreshUpstreams(now)
 	}
 }
 
@@ -181,21 +181,21 @@
 		case granted != nil:
 			t := s.waiting[granted]
 			delete(s.waiting, granted)
-			close(t.ended)
+			close(t.decided)
 		case expired != nil:
-			s.end(expired)
+			s.refuseWaiting(expired)
 		default:
 			return
 		}
 	}
 }
 
-// end tells a waiting caller its refusal. The lock must be held.
-func (s *service) end(ending *gate.Ending) {
+// refuseWaiting tells a waiting caller its refusal. The lock must be held.
+func (s *service) refuseWaiting(ending *gate.RefusedEntry) {
 	t := s.waiting[ending.Entry]
 	delete(s.waiting, ending.Entry)
 	t.refusal = &ending.Refusal
-	close(t.ended)
+	close(t.decided)
 }
 
 func (s *service) setUpstreams(ids []ident.Instance) {
@@ -220,7 +220,7 @@
 		}
 	}
 	s.ejection.SetUpstreams(ids)
-	s.refresh(now)
+	s.refreshUpstreams(now)
 	s.grantNext(now)
 }
 
@@ -228,24 +228,24 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slots = max(slots, 0)
-	s.refresh(now)
+	s.slotOverride = max(slots, 0)
+	s.refreshUpstreams(now)
 	s.grantNext(now)
 }
 
-func (s *service) sending(now time.Time, id ident.Instance) {
+func (s *service) recordAttemptStart(now time.Time, id ident.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ejection.State(id) == ejection.Healthy {
 		return
 	}
 	s.ejection.Started(now, id)
-	s.refresh(now)
+	s.refreshUpstreams(now)
 }
 
-// refresh publishes the exclusion and sets the slots: what was set, or the sum
+// refreshUpstreams publishes the exclusion and sets the slots: what was set, or the sum
 // of the limits of those that are not excluded. The lock must be held.
-func (s *service) refresh(now time.Time) {
+func (s *service) refreshUpstreams(now time.Time) {
 	// Clipped, so that a reader who appends does not write into the shared
 	// array: two requests at once would exclude each other's upstreams.
 	ids := slices.Clip(s.ejection.Excluded(now))
@@ -255,8 +255,8 @@
 	if s.upstreams == nil {
 		return
 	}
-	if s.slots > 0 && len(s.upstreams) > 0 {
-		s.gate.SetSlots(s.slots)
+	if s.slotOverride > 0 && len(s.upstreams) > 0 {
+		s.gate.SetSlots(s.slotOverride)
 		return
 	}
 	slots := 0
@@ -277,12 +277,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refresh(now)
+	s.refreshUpstreams(now)
 	return s.exclusion.Load().ids
 }
 
-// reasonOf tells a passed deadline from a caller that left.
-func reasonOf(ctx context.Context) outcome.Reason {
+// contextReason tells a passed deadline from a caller that left.
+func contextReason(ctx context.Context) outcome.Reason {
 	if ctx.Err() == context.DeadlineExceeded {
 		return outcome.ReasonDeadline
 	}
