--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,11 +1,13 @@
-// Package admission admits requests at one gateway: each is granted, waits for
-// a bounded time, or is refused at once with a truthful time to return.
+// Package admission decides at one gateway which requests may run. Each request
+// is granted a slot, waits for one for a bounded time, or is refused at once
+// with a retry-after time at which it can expect to be admitted.
 //
-// The decisions are those of the pure packages below it: quota (limits of a
-// client account), fairshare (order), gate (slots, deadlines, return times),
-// concurrency (limit per upstream) and ejection (upstreams to leave out). A
-// Controller adds a lock per service and the blocking wait. The lock is held
-// for the length of one decision, also by SetUpstreams and SetSlots.
+// The decisions are made by the packages below it, which are pure: quota
+// (limits of a client account), fairshare (order of waiting requests), gate
+// (slots, deadlines, retry-after times), concurrency (limit per upstream) and
+// ejection (upstreams to leave out). A Controller adds one lock per service and
+// the blocking wait. Every method, SetUpstreams and SetSlots included, holds
+// the lock only for the length of one decision.
 package admission
 
 import (
@@ -23,59 +25,64 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Config of a controller. Zero fields take the packages' defaults.
+// Config configures a Controller. Zero fields take the defaults of the
+// respective package.
 type Config struct {
 	Gate        gate.Config
 	Concurrency concurrency.Config
 	Ejection    ejection.Config
-	// Metrics may be nil.
+	// Metrics counts the controller's decisions; nil if nobody reads them.
 	Metrics *Metrics
 }
 
-// Request is what admission needs to know of a request; see gate.Request for
-// units.
+// Request describes a request to Admit; gate.Request explains the fields
+// further.
 type Request struct {
 	Service ident.Service
 	ID      ident.Request
 	Account ident.ClientAccount
-	// Limit as the document says it, for the whole system.
+	// Limit is the account's limit for the whole system, as the document
+	// states it. Admit divides it by the number of live gateways.
 	Limit document.AccountLimit
 	Class document.Class
-	// Predicted, Unloaded and Remaining are routing's predictions: time to
-	// the first token now and on an idle upstream, and from the first token
-	// to the last.
+	// Predicted, Unloaded and Remaining are routing's predictions: the time
+	// to the first token now, the same on an idle upstream, and the time from
+	// the first token to the last.
 	Predicted, Unloaded, Remaining time.Duration
-	// PredictedBy is when four of five such first tokens have come; 0 counts
-	// as Predicted.
+	// PredictedBy is the 80th percentile of the predicted time to the first
+	// token; 0 means Predicted.
 	PredictedBy time.Duration
-	// Deadline of the caller; zero is none. The context's deadline counts
-	// too.
+	// Deadline is the caller's deadline; zero means none. The context's
+	// deadline counts too, whichever is earlier.
 	Deadline time.Time
-	Cost     float64
-	// Attempt counts from 1; 2 or more says that the request was refused
-	// before and returns.
+	// Cost is the estimated cost of the request; see gate.Request.
+	Cost float64
+	// Attempt counts the caller's attempts from 1. 2 or more marks a retry:
+	// the request was refused before and its caller comes back.
 	Attempt uint32
 }
 
-// Result says how a granted request ended.
+// Result says how a granted request, or one attempt of it, ended.
 type Result struct {
-	// Upstream that served it last; empty when none did.
+	// Upstream is the one that served the request last; empty if none did.
 	Upstream ident.Instance
 	// Sent is when the request was sent to Upstream.
 	Sent time.Time
 	// FirstToken is the time from Sent to the first token, or to the answer
-	// of a plain service. 0: there was none.
+	// of a plain service. 0 means that none came.
 	FirstToken time.Duration
-	// InFlight at the upstream from this gateway when it was sent.
+	// InFlight is how many requests this gateway had in flight at the
+	// upstream when this one was sent.
 	InFlight int
-	// Failed: the upstream gave no answer, or refused for load. An error of
-	// the application is an answer.
+	// Failed reports that the upstream gave no answer or refused because of
+	// load. An application error counts as an answer.
 	Failed bool
-	// Cost that the request had after all; 0 keeps the estimate.
+	// Cost is the request's actual cost; 0 keeps the estimate.
 	Cost float64
 }
 
-// Controller admits the requests of one gateway. See New.
+// Controller admits the requests of one gateway. It is safe for concurrent
+// use. See New.
 type Controller struct {
 	config   Config
 	metrics  *Metrics
@@ -83,7 +90,8 @@
 	services sync.Map // ident.Service to *service
 }
 
-// New returns a controller that takes itself for the only gateway.
+// New returns a controller that assumes that its gateway is the only one until
+// SetGateways is called.
 func New(config Config) *Controller {
 	c := &Controller{config: config, metrics: config.Metrics}
 	if c.metrics == nil {
@@ -93,41 +101,44 @@
 	return c
 }
 
-// SetGateways tells among how many live gateways document limits are divided,
-// this one included.
+// SetGateways sets the number of live gateways, this one included. The limits
+// of the document are divided among them.
 func (c *Controller) SetGateways(live int) { c.gateways.Store(int64(max(live, 1))) }
 
-// SetUpstreams tells which upstreams of a service are alive.
+// SetUpstreams sets the live upstreams of a service.
 func (c *Controller) SetUpstreams(name ident.Service, ids []ident.Instance) {
 	c.service(name).setUpstreams(ids)
 }
 
-// SetSlots tells how many requests of a service may run at once from here, in
-// place of the sum of the upstreams' limits; see routing.Router.Slots. 0 goes
-// back to the limits. Without upstreams there are no slots all the same.
+// SetSlots sets how many requests of a service may run at once from this
+// gateway, instead of the sum of the upstreams' concurrency limits; see
+// routing.Router.Slots. 0 returns to that sum. A service without upstreams has
+// no slots in either case.
 func (c *Controller) SetSlots(name ident.Service, slots int) { c.service(name).setSlots(slots) }
 
-// Ejected returns the upstreams that a request must not go to now. The slice
-// is shared and must not be changed.
+// Ejected returns the upstreams that must not receive a request now: ejected
+// ones and those with a probe under way. The slice is shared and must not be
+// changed.
 func (c *Controller) Ejected(name ident.Service) []ident.Instance {
 	return c.service(name).excluded(time.Now())
 }
 
-// Sending tells that a granted request goes to an upstream, so that a probe
-// of an ejected one is counted.
+// Sending reports that a granted request is about to be sent to an upstream. If
+// the upstream's ejection is over, the request counts as its probe.
 func (c *Controller) Sending(name ident.Service, id ident.Instance) {
 	c.service(name).recordAttemptStart(time.Now(), id)
 }
 
-// Observe learns from one attempt of a request that may take several. Unloaded
-// is the time to the first token on an idle upstream; 0 is unknown. The
-// request's own ticket then ends with a Result without an upstream.
+// Observe records the result of one attempt, for requests that may take several
+// attempts. Unloaded is the time to the first token on an idle upstream; 0
+// means unknown. The Result passed to the ticket's Done then names no
+// upstream, so that the attempt isn't recorded twice.
 func (c *Controller) Observe(name ident.Service, r Result, unloaded time.Duration) {
 	c.service(name).recordAttemptEnd(r, unloaded)
 }
 
-// Admit returns a ticket, or else the outcome that the caller has to hear. It
-// blocks while the request waits. The holder of a ticket must call Done.
+// Admit returns a ticket, or else the refusal to send to the caller. It blocks
+// while the request waits. The holder of a ticket must call Done.
 func (c *Controller) Admit(ctx context.Context, r Request) (*Ticket, *outcome.Outcome) {
 	if deadline, ok := ctx.Deadline(); ok && (r.Deadline.IsZero() || deadline.Before(r.Deadline)) {
 		r.Deadline = deadline
@@ -162,21 +173,23 @@
 	return s.(*service)
 }
 
-// Ticket is the right to run one request.
+// Ticket is the permission to run one request.
 type Ticket struct {
 	service  *service
 	unloaded time.Duration
 	entry    gate.Entry
-	// decided receives the verdict on a request that waits; nil if it never
-	// waited.
-	decided   chan struct{}
+	// decided is closed when a waiting request is granted or refused; nil if
+	// the request never waited.
+	decided chan struct{}
+	// refusal is set before decided is closed if the request was refused.
 	refusal *outcome.Outcome
 }
 
-// FirstToken tells that the first token came. A gateway that calls it for the
-// requests of a service has each priority limited to what upstreams answer in
-// time; see gate.Gate.FirstToken. Further calls change nothing.
+// FirstToken reports that the first token arrived. Once it was called for a
+// request of a service, each priority is limited to the number of requests that
+// upstreams answer in time; see gate.Gate.FirstToken. Further calls for the
+// same ticket have no effect.
 func (t *Ticket) FirstToken() { t.service.firstToken(t) }
 
-// Done gives the slot back. Further calls change nothing.
+// Done releases the slot and records the result. Further calls have no effect.
 func (t *Ticket) Done(r Result) { t.service.done(t, r) }
--- a/internal/admission/concurrency/limit.go
+++ b/internal/admission/concurrency/limit.go
@@ -32,7 +32,7 @@
 	// fastLatencyShare of the goal is a latency at which the limit grows by at
 	// least easyStep a sample, so that it recovers soon after a rush.
 	fastLatencyShare = 0.5
-	minFastStep  = 0.5
+	minFastStep      = 0.5
 	// minUsedShare of the limit has to be in flight before it may grow: an
 	// upstream that is not asked for much proves nothing about more.
 	minUsedShare = 0.5
@@ -82,8 +82,8 @@
 
 // Limit is the limit of one upstream. See New.
 type Limit struct {
-	config   Config
-	value    float64
+	config          Config
+	value           float64
 	baselineSeconds float64
 }
 
--- a/internal/admission/ejection/ejection.go
+++ b/internal/admission/ejection/ejection.go
@@ -16,13 +16,13 @@
 
 // Defaults of Config.
 const (
-	DefaultConsecutiveFailures    = 5
-	DefaultSlowFactor  = 3.0
-	DefaultSlowSamples = 10
-	DefaultBaseEjectionTime        = 5 * time.Second
+	DefaultConsecutiveFailures = 5
+	DefaultSlowFactor          = 3.0
+	DefaultSlowSamples         = 10
+	DefaultBaseEjectionTime    = 5 * time.Second
 	DefaultMaxEjectionTime     = 60 * time.Second
-	DefaultProbes      = 3
-	DefaultProbeTimeout  = 30 * time.Second
+	DefaultProbes              = 3
+	DefaultProbeTimeout        = 30 * time.Second
 )
 
 const (
@@ -100,23 +100,23 @@
 
 // upstream is what is known of one upstream.
 type upstream struct {
-	state    State
-	failures int
-	latencyAverage  float64
-	samples  int
+	state          State
+	failures       int
+	latencyAverage float64
+	samples        int
 	// ejections in a row, with less than Config.Longest of health between.
 	ejections int
 	// until is when an ejection ends, or when health was proved.
 	until time.Time
 	// probeStarted is zero when no probe is under way.
 	probeStarted time.Time
-	goodProbes       int
+	goodProbes   int
 }
 
 // Set is the upstreams of one service. See New.
 type Set struct {
-	config Config
-	upstreams  map[ident.Instance]*upstream
+	config    Config
+	upstreams map[ident.Instance]*upstream
 	// latencies is scratch space.
 	latencies []float64
 }
--- a/internal/admission/fairshare/queue.go
+++ b/internal/admission/fairshare/queue.go
@@ -106,7 +106,7 @@
 	// lanes by falling priority. Empty ones are kept: classes are few.
 	lanes []*lane
 	// length and queued count all lanes' items and their cost.
-	length int
+	length     int
 	queuedCost float64
 	// backlogIndex is the index in Queue.backlogged; -1 when nothing waits.
 	backlogIndex int
@@ -121,8 +121,8 @@
 	// virtualTime is the virtual time: the smallest tag served so far.
 	virtualTime float64
 	// meanCost is a moving average of the costs granted.
-	meanCost float64
-	length   int
+	meanCost     float64
+	length       int
 	lastSequence uint64
 }
 
--- a/internal/admission/gate/band.go
+++ b/internal/admission/gate/band.go
@@ -5,19 +5,23 @@
 	"time"
 )
 
-// costSmoothing is the weight of one request in a band's mean cost.
+// costSmoothing is the weight of one request in a band's average cost.
 const costSmoothing = 0.05
 
-// band is the slots that one priority uses.
+// band is the state of one priority.
 type band struct {
 	priority int
+	// inFlight is how many requests of the band hold a slot.
 	inFlight int
-	costAverage     float64
-	// reservedSlots is how many slots are kept free for more urgent bands.
+	// costAverage is the moving average of the cost of ended requests; 0 until
+	// the first has ended.
+	costAverage float64
+	// reservedSlots is how many slots the band leaves to more urgent ones.
 	reservedSlots float64
-	// retries is the cost a second of returning requests.
+	// retries measures the cost per second of retries.
 	retries rateMeter
-	// bookedUntil is when the last turn told to anyone begins.
+	// bookedUntil is the latest time at which a refused caller was told to
+	// come back.
 	bookedUntil time.Time
 	lateness
 }
@@ -29,6 +33,8 @@
 	b.costAverage += costSmoothing * (cost - b.costAverage)
 }
 
+// meanCost returns the average cost of the band's requests; 1 until one has
+// ended.
 func (b *band) meanCost() float64 {
 	if b.costAverage == 0 {
 		return 1
@@ -36,18 +42,19 @@
 	return b.costAverage
 }
 
-// bands are the priorities in use, by falling priority.
+// bands are the bands of all priorities in use.
 //
-// A slot that a long request holds is not free for seconds. Without reserves
-// long requests, whose deadlines let them wait for any slot, would fill all of
-// them, and short ones would be refused although they go first in the queue.
+// A long request holds its slot for seconds. Without reserves, long requests,
+// whose deadlines let them wait for any slot, would fill all slots, and short
+// requests would be refused although they go first in the queue.
 type bands struct {
+	// byPriority lists the bands, the most urgent first.
 	byPriority []*band
-	// reservesUpdatedAt is when the reserves were last worked out.
+	// reservesUpdatedAt is when the reserves were last computed.
 	reservesUpdatedAt time.Time
 }
 
-// forPriority finds or creates the band of a priority.
+// forPriority returns the band of a priority and creates it if there is none.
 func (b *bands) forPriority(priority int) *band {
 	for _, x := range b.byPriority {
 		if x.priority == priority {
@@ -60,8 +67,9 @@
 	return x
 }
 
-// allows reports whether a slot may go to a priority. One slot always may, so
-// that no class starves.
+// allows reports whether a slot may be granted to a priority: the band's own
+// limit isn't reached, and the slots reserved for more urgent bands stay free.
+// The reserve always leaves one slot, so that no class starves.
 func (b *bands) allows(priority, slots int) bool {
 	x := b.forPriority(priority)
 	if x.inFlight >= x.limit.Value() && x.firstTokensReported {
@@ -70,7 +78,8 @@
 	return float64(b.inFlightUpTo(priority)) < max(1, float64(slots)-x.reservedSlots)
 }
 
-// inFlightUpTo counts a priority and all less urgent ones.
+// inFlightUpTo returns how many requests of a priority and all less urgent ones
+// hold a slot.
 func (b *bands) inFlightUpTo(priority int) int {
 	n := 0
 	for _, x := range b.byPriority {
@@ -81,14 +90,15 @@
 	return n
 }
 
-// availableSlots is how many slots a priority can count on: those not reserved for
-// more urgent bands and not held by less urgent ones, up to its own limit.
+// availableSlots returns how many slots a priority can count on: those that are
+// neither reserved for more urgent bands nor held by less urgent ones, up to the
+// band's own limit.
 func (b *bands) availableSlots(priority, slots int) float64 {
 	x := b.forPriority(priority)
 	below := b.inFlightUpTo(priority) - x.inFlight
-	room := max(1, float64(slots)-x.reservedSlots-float64(below))
+	available := max(1, float64(slots)-x.reservedSlots-float64(below))
 	if x.firstTokensReported {
-		room = min(room, float64(x.limit.Value()))
+		available = min(available, float64(x.limit.Value()))
 	}
-	return room
+	return available
 }
--- a/internal/admission/gate/client.go
+++ b/internal/admission/gate/client.go
@@ -7,16 +7,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/admission/returntime"
 )
 
-// client is what the gate remembers of a client account.
+// client is the state of one client account at the gate.
 type client struct {
 	quota  *quota.Account
 	weight float64
 	// demand is how many slots the account asked for when the reserves were
-	// last worked out.
+	// last computed.
 	demand float64
-	// limitTurns books turns of those refused for a limit.
+	// limitTurns books turns for requests refused because of the account's
+	// limits.
 	limitTurns returntime.Schedule
-	// usages are by priority; classes are few.
+	// usages has one element per priority. It is searched linearly since there
+	// are few classes.
 	usages []*priorityUsage
 }
 
@@ -24,13 +26,14 @@
 type priorityUsage struct {
 	priority int
 	inFlight int
-	// firstAttempts is the cost a second of first tries, returns of those that
-	// come back.
+	// firstAttempts and retries measure the cost per second that is offered.
 	firstAttempts, retries rateMeter
-	// overloadTurns books turns of those refused for load.
+	// overloadTurns books turns for requests refused because of load.
 	overloadTurns returntime.Schedule
 }
 
+// clientFor returns the client of a request's account, which it creates if there
+// is none, and applies the request's limits to it.
 func (g *Gate) clientFor(r *Request, now time.Time) *client {
 	c := g.clients[r.Account]
 	if c == nil {
@@ -46,7 +49,8 @@
 	return c
 }
 
-// usageOf finds or creates the account's use of a priority.
+// usageOf returns the account's usage of a priority and creates it if there is
+// none.
 func (c *client) usageOf(priority int) *priorityUsage {
 	for _, u := range c.usages {
 		if u.priority == priority {
@@ -58,7 +62,7 @@
 	return u
 }
 
-// recordOffer measures what is asked for.
+// recordOffer adds an offered entry's cost to the measured rates.
 func (g *Gate) recordOffer(now time.Time, u *priorityUsage, e *Entry) {
 	if !e.Request.isRetry() {
 		u.firstAttempts.add(now, e.Item.Cost)
--- a/internal/admission/gate/demand.go
+++ b/internal/admission/gate/demand.go
@@ -8,21 +8,25 @@
 )
 
 const (
-	// reserveInterval is how often the reserves are worked out again.
+	// reserveInterval is how often the reserves are recomputed.
 	reserveInterval = 200 * time.Millisecond
-	// negligibleDemand is a demand, in slots, that counts as none.
+	// negligibleDemand is a demand, in slots, up to which an account counts
+	// as idle.
 	negligibleDemand = 1e-3
-	// latePeriod is how long upstreams count as late after a refusal for it.
+	// latePeriod is how long upstreams count as late after a request was
+	// refused because it couldn't start in time.
 	latePeriod = 2 * time.Second
-	// inFlightMargin times what is in flight is divided then: demand is
-	// measured, and a little more than is in flight is no overload.
+	// inFlightMargin multiplies the requests in flight to give the slots that
+	// are divided while upstreams are late. Demand is an estimate, and a
+	// demand slightly above what is in flight is no overload.
 	inFlightMargin = 1.15
 )
 
-// updateReserves works out the fair level and how many slots each band leaves to more
-// urgent ones: as many as these ask for, and half of what nobody asks for as a
-// margin. An account's demand counts up to its fair part, so that an account
-// which sends only urgent requests cannot keep out one that sends long ones.
+// updateReserves recomputes the accounts' fair shares and how many slots each
+// band leaves to more urgent ones: as many as these ask for, plus the square
+// root of that as a margin, but no more than half of the slots that nobody asks
+// for. An account's demand counts only up to its fair share, so that an account
+// that sends only urgent requests can't keep out one that sends long requests.
 func (g *Gate) updateReserves(now time.Time) {
 	if now.Sub(g.bands.reservesUpdatedAt) < reserveInterval {
 		return
@@ -32,8 +36,8 @@
 	g.slotsPerWeight = maxMinSlotsPerWeight(g.clientList, float64(g.slots))
 	g.timelySlotsPerWeight = math.Inf(1)
 	if now.Sub(g.lastLateRefusal) < latePeriod {
-		answered := maxMinSlotsPerWeight(g.clientList, inFlightMargin*float64(max(g.inFlight, 1)))
-		g.timelySlotsPerWeight = max(answered, meanDemandPerWeight(g.clientList))
+		timely := maxMinSlotsPerWeight(g.clientList, inFlightMargin*float64(max(g.inFlight, 1)))
+		g.timelySlotsPerWeight = max(timely, meanDemandPerWeight(g.clientList))
 	}
 	spare := max(0, float64(g.slots)-g.fairDemandAbove(now, math.MinInt))
 	for _, b := range g.bands.byPriority {
@@ -42,16 +46,17 @@
 	}
 }
 
-// measureDemand notes how many slots each account asks for.
+// measureDemand updates the number of slots that each account asks for.
 func (g *Gate) measureDemand(now time.Time) {
 	for _, c := range g.clientList {
 		c.demand = c.costRateFrom(now, math.MinInt) * g.holdTimes.perCost().Seconds()
 	}
 }
 
-// fairDemandAbove is how many slots are asked for by more urgent requests than a
-// priority. Each account counts up to its fair part, of which it leaves the
-// class share to its own less urgent requests if it has any.
+// fairDemandAbove returns how many slots are asked for by requests that are more
+// urgent than the priority; math.MinInt counts all requests. Each account counts
+// up to its fair share, less the class share of it that goes to the account's
+// own less urgent requests, if it has any.
 func (g *Gate) fairDemandAbove(now time.Time, priority int) float64 {
 	total := 0.0
 	for _, c := range g.clientList {
@@ -66,9 +71,9 @@
 	return total
 }
 
-// costRateFrom is the cost a second that is asked for of a priority and more
-// urgent ones. Returning requests count again, which matters only for an
-// account that is beyond its fair part anyway.
+// costRateFrom returns the cost per second that the account asks for in requests
+// of the priority and more urgent ones. Retries count again, which matters only
+// for an account that is beyond its fair share anyway.
 func (c *client) costRateFrom(now time.Time, priority int) float64 {
 	total := 0.0
 	for _, u := range c.usages {
@@ -79,9 +84,10 @@
 	return total
 }
 
-// maxMinSlotsPerWeight divides slots among accounts by weight, where no account gets more
-// than it asks for. It returns the slots per unit of weight of those that ask
-// for more; infinite if there are none.
+// maxMinSlotsPerWeight divides slots among accounts by weighted max-min
+// fairness: no account gets more than it asks for, and what it leaves goes to
+// the others by weight. It returns the slots per unit of weight of the accounts
+// that ask for more than they get; infinite if there are none.
 func maxMinSlotsPerWeight(clients []*client, slots float64) float64 {
 	asking := make([]*client, 0, len(clients))
 	weights := 0.0
@@ -104,16 +110,17 @@
 	return math.Inf(1)
 }
 
-// exceedsTimelyShare reports whether an account asks for more than its part while
-// upstreams cannot answer all in time.
+// exceedsTimelyShare reports whether an account asks for more than its fair
+// share while upstreams can't answer all requests in time.
 //
-// Slots may be free then, so that nothing waits and the order of the queue
-// divides nothing: without this, places would go to whoever asks most often.
+// Slots may be free at such times. Then nothing waits and the queue's order has
+// no effect: without this check, slots would go to whoever asks most often.
 func (g *Gate) exceedsTimelyShare(c *client) bool { return c.demand > g.timelySlotsPerWeight*c.weight }
 
-// meanDemandPerWeight is the mean of what accounts ask for, per unit of weight. Whoever
-// asks for less never counts as beyond its part: what is in flight falls when
-// large accounts are refused, and with it what there seems to be to divide.
+// meanDemandPerWeight returns the mean demand of the accounts per unit of
+// weight, in slots. An account that asks for less never counts as beyond its
+// share: refusing large accounts lowers the number in flight, and with it the
+// number of slots that there seem to be to divide.
 func meanDemandPerWeight(clients []*client) float64 {
 	demand, weights := 0.0, 0.0
 	for _, c := range clients {
@@ -125,8 +132,7 @@
 	return demand / max(weights, negligibleDemand)
 }
 
-// fairSlots is an account's part of the slots while all ask for what they ask
-// for now.
+// fairSlots returns an account's fair share of the slots at the present demand.
 func (g *Gate) fairSlots(c *client) float64 {
 	return min(g.slotsPerWeight*c.weight, float64(g.slots))
 }
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -1,11 +1,15 @@
 // Package gate decides for one service at one gateway: a request is granted a
-// slot, waits for one within its deadline, or is refused at once with a time
-// to return.
+// slot, waits for one within its deadline, or is refused at once with a
+// retry-after time.
 //
-// A Gate is a pure state machine. Its caller passes the time in, takes no two
-// steps at once, and after every Done, Abandon or SetSlots calls Next until it
-// returns nil. Package admission wraps it for goroutines; a discrete-event
-// driver uses it as it is.
+// A slot is the permission to run one request. A retry is a request that was
+// refused before and whose caller comes back; other requests are first
+// attempts. A priority band comprises the requests of one priority.
+//
+// A Gate is a pure state machine. Its caller passes the time in, makes one call
+// at a time, and after every Done, Cancel, Abandon or SetSlots calls Next until
+// it returns nil. Package admission wraps it for goroutines; a
+// discrete-event simulation uses it directly.
 package gate
 
 import (
@@ -20,21 +24,24 @@
 
 // Defaults of Config.
 const (
-	DefaultMaxQueue = 512
-	DefaultMaxWait  = 10 * time.Second
-	DefaultInitialHoldTime     = time.Second
+	DefaultMaxQueue        = 512
+	DefaultMaxWait         = 10 * time.Second
+	DefaultInitialHoldTime = time.Second
 )
 
-// Config of one service's gate.
+// Config configures the gate of one service. Zero fields other than Slots take
+// defaults.
 type Config struct {
 	// Slots is how many requests may run at once until SetSlots is called.
 	Slots int
-	// MaxQueue bounds the waiting requests.
+	// MaxQueue is the largest number of waiting requests.
 	MaxQueue int
 	// MaxWait bounds the wait of a request whose class sets no target.
 	MaxWait time.Duration
-	// Hold is how long a request is taken to run before any has ended.
+	// Hold is the assumed time for which a unit of cost holds a slot, used
+	// until the first request has ended.
 	Hold time.Duration
+	// FairShare configures how waiting requests share the slots.
 	FairShare fairshare.Config
 }
 
@@ -51,7 +58,7 @@
 	return c
 }
 
-// Request is what the gate needs to know of a request.
+// Request describes a request to the gate.
 type Request struct {
 	ID      ident.Request
 	Account ident.ClientAccount
@@ -60,28 +67,30 @@
 	Limit document.AccountLimit
 	// Class is the zero value for plain services.
 	Class document.Class
-	// Predicted is the time from grant to the first token, as routing sees
-	// it now. Unloaded is the same on an idle upstream.
+	// Predicted is the predicted time from the grant to the first token at
+	// the present load. Unloaded is the same on an idle upstream.
 	Predicted, Unloaded time.Duration
-	// PredictedBy is when four of five such first tokens have come; 0 counts
-	// as Predicted. It decides for all but the most urgent priority: what
-	// engines serve first varies little, and a wrong refusal costs most.
+	// PredictedBy is the 80th percentile of the predicted time to the first
+	// token; 0 means Predicted. It may replace Predicted for all priorities
+	// but the most urgent: engines serve that one first, so its times vary
+	// little, and a wrong refusal costs most there.
 	PredictedBy time.Duration
 	// Remaining is the predicted time from the first token to the last.
 	Remaining time.Duration
-	// Deadline of the caller; zero is none.
+	// Deadline is the caller's deadline; zero means none.
 	Deadline time.Time
-	// Cost of the request in any unit, the same for all of a service's
-	// requests; 0 counts as 1. Slot time is shared in its proportion.
+	// Cost is the estimated cost of the request, in any unit that is the same
+	// for all requests of a service; 0 means 1. Slot time is shared in
+	// proportion to it.
 	Cost float64
-	// Attempt counts from 1. A request that was refused before and comes
-	// back says 2 or more; it goes ahead of first tries of its account.
+	// Attempt counts the caller's attempts from 1. 2 or more marks a retry,
+	// which goes ahead of first attempts of its account.
 	Attempt uint32
 }
 
 func (r *Request) isRetry() bool { return r.Attempt > 1 }
 
-// entryState of an entry.
+// entryState is the stage of an entry on its way through the gate.
 type entryState int
 
 const (
@@ -91,17 +100,18 @@
 	stateEnded
 )
 
-// Entry is one request on its way through the gate.
+// Entry is one request on its way through the gate. Its user sets Request alone.
 type Entry struct {
 	Request Request
-	// Item is the entry's place in the queue.
+	// Item represents the entry in the queue. The gate sets it.
 	Item fairshare.Item
 
 	state     entryState
 	grantedAt time.Time
-	// firstTokenSeen is set with the first token.
+	// firstTokenSeen is set once the first token was reported.
 	firstTokenSeen bool
-	// inFlightAtGrant is how many of its priority were in flight with it at first.
+	// inFlightAtGrant is how many requests of the entry's priority were in
+	// flight when it was granted, itself included.
 	inFlightAtGrant int
 }
 
@@ -111,83 +121,90 @@
 // Granted reports whether the entry holds a slot.
 func (e *Entry) Granted() bool { return e.state == stateGranted }
 
-// LatestStart is when a waiting entry has to be abandoned.
+// LatestStart returns the time at which a waiting entry must be abandoned.
 func (e *Entry) LatestStart() time.Time { return e.Item.LatestStart }
 
-// RefusedEntry is an entry that the gate ended, with what its caller hears.
+// RefusedEntry is an entry that the gate refused after it had waited, with the
+// refusal for its caller.
 type RefusedEntry struct {
 	Entry   *Entry
 	Refusal outcome.Outcome
 }
 
-// Decision is the gate's answer to an offer. If neither Granted nor Refused
-// is set, the entry waits.
+// Decision is the result of Offer. If neither Granted nor Refused is set, the
+// entry waits.
 type Decision struct {
 	Granted bool
 	Refused bool
 	// Refusal is set with Refused.
 	Refusal outcome.Outcome
-	// Evicted is a waiting entry that had to make room; nil for none.
+	// Evicted is a waiting entry that was evicted to make room for the
+	// offered one; nil if none was.
 	Evicted *RefusedEntry
 }
 
-// Gate decides for one service. See New.
+// Gate admits the requests of one service. It is not safe for concurrent use.
+// See New.
 type Gate struct {
 	config  Config
 	queue   *fairshare.Queue
 	clients map[ident.ClientAccount]*client
-	// clientList lists the clients as they came: sums over a map would round
-	// differently at every run.
+	// clientList holds the clients in order of arrival. Sums over the map
+	// would be rounded differently in each run.
 	clientList []*client
-	// waitingEntries finds the entry of a queued item.
-	waitingEntries  map[*fairshare.Item]*Entry
-	slots    int
-	inFlight int
-	holdTimes    holdTimeMeter
-	bands    bands
-	// slotsPerWeight is the slots per unit of weight that an account can have while
-	// all are taken; infinite while there is enough for all.
+	// waitingEntries maps a queued item to its entry.
+	waitingEntries map[*fairshare.Item]*Entry
+	slots          int
+	inFlight       int
+	holdTimes      holdTimeMeter
+	bands          bands
+	// slotsPerWeight is the max-min fair share of the slots per unit of
+	// weight; infinite while all accounts get what they ask for.
 	slotsPerWeight float64
-	// timelySlotsPerWeight is the same for what upstreams answer in time; see beyondPart.
+	// timelySlotsPerWeight is the same for the requests that upstreams can
+	// answer in time; infinite while they aren't late. See
+	// exceedsTimelyShare.
 	timelySlotsPerWeight float64
-	// lastLateRefusal is when a request was last refused because its first token
-	// would have come late.
+	// lastLateRefusal is when a request was last refused because its predicted
+	// wait exceeded what its targets and deadline allow.
 	lastLateRefusal time.Time
-	// priorityAllowed is bands.allows for this gate, made once.
+	// priorityAllowed calls bands.allows with the gate's slots. It is kept
+	// here so that the closure is allocated only once.
 	priorityAllowed func(priority int) bool
 }
 
-// New returns a gate without requests.
+// New returns an empty gate.
 func New(config Config) *Gate {
 	config = config.withDefaults()
 	g := &Gate{
-		config:  config,
-		queue:   fairshare.New(config.FairShare),
-		clients: map[ident.ClientAccount]*client{},
-		waitingEntries: map[*fairshare.Item]*Entry{},
-		slots:   config.Slots,
-		holdTimes:   holdTimeMeter{initial: config.Hold},
-		slotsPerWeight:   math.Inf(1),
-		timelySlotsPerWeight:    math.Inf(1),
+		config:               config,
+		queue:                fairshare.New(config.FairShare),
+		clients:              map[ident.ClientAccount]*client{},
+		waitingEntries:       map[*fairshare.Item]*Entry{},
+		slots:                config.Slots,
+		holdTimes:            holdTimeMeter{initial: config.Hold},
+		slotsPerWeight:       math.Inf(1),
+		timelySlotsPerWeight: math.Inf(1),
 	}
 	g.priorityAllowed = func(priority int) bool { return g.bands.allows(priority, g.slots) }
 	return g
 }
 
-// SetSlots changes how many requests may run at once. 0 says that no
-// upstream is there.
+// SetSlots sets how many requests may run at once. 0 means that there is no
+// upstream.
 func (g *Gate) SetSlots(slots int) { g.slots = max(slots, 0) }
 
 // Slots returns how many requests may run at once.
 func (g *Gate) Slots() int { return g.slots }
 
-// InFlight returns how many requests hold a slot.
+// InFlight returns the number of requests that hold a slot.
 func (g *Gate) InFlight() int { return g.inFlight }
 
-// Queued returns how many requests wait.
+// Queued returns the number of waiting requests.
 func (g *Gate) Queued() int { return g.queue.Len() }
 
-// AccountInFlight returns how many requests of an account run or wait.
+// AccountInFlight returns the number of requests of an account that run or
+// wait.
 func (g *Gate) AccountInFlight(name ident.ClientAccount) int {
 	c := g.clients[name]
 	if c == nil {
@@ -196,7 +213,7 @@
 	return c.quota.InFlight()
 }
 
-// Offer decides on a request. The entry must be new.
+// Offer grants a slot to a new entry, queues it or refuses it.
 func (g *Gate) Offer(now time.Time, e *Entry) Decision {
 	c := g.clientFor(&e.Request, now)
 	g.fillItem(now, e)
@@ -219,26 +236,28 @@
 	return g.enqueue(now, c, e)
 }
 
-// canGrantNow reports whether an entry can be granted a slot without waiting.
+// canGrantNow reports whether an entry can be granted a slot without waiting:
+// a slot is free for its priority and no waiting entry goes first.
 func (g *Gate) canGrantNow(e *Entry) bool {
 	return g.inFlight < g.slots && g.priorityAllowed(e.Item.Priority) && !g.queue.HasItemsAhead(&e.Item)
 }
 
-// enqueue lets an entry wait. A full queue makes room at the expense of the
-// account that waits with most, or else refuses the entry.
+// enqueue queues an entry. If the queue is full, it evicts an entry of the
+// account with the most waiting cost for its weight, or refuses the new entry if
+// that is its own account.
 //
-// Without that, one account that sends far more than its share would keep the
-// queue full and the others would be refused on arrival, whatever the order
-// inside.
+// Without the eviction, one account that sends far more than its share would
+// keep the queue full, and other accounts would be refused on arrival however
+// fair the order within the queue is.
 func (g *Gate) enqueue(now time.Time, c *client, e *Entry) Decision {
 	var decision Decision
 	if g.queue.Len() >= g.config.MaxQueue {
-		victim := g.queue.EvictionCandidate(&e.Item)
-		if victim == nil {
+		candidate := g.queue.EvictionCandidate(&e.Item)
+		if candidate == nil {
 			return refuse(e, g.overloadRefusal(now, c.usageOf(e.Item.Priority), e, 0))
 		}
-		evicted := g.waitingEntries[victim]
-		refusal := g.overloadRefusal(now, g.clients[victim.Account].usageOf(victim.Priority), evicted, 0)
+		evicted := g.waitingEntries[candidate]
+		refusal := g.overloadRefusal(now, g.clients[candidate.Account].usageOf(candidate.Priority), evicted, 0)
 		g.dequeue(evicted)
 		decision.Evicted = &RefusedEntry{Entry: evicted, Refusal: refusal}
 	}
@@ -249,8 +268,9 @@
 	return decision
 }
 
-// Next grants a free slot to the entry whose turn it is, or ends an entry
-// whose turn came too late. It returns nil when there is nothing to do.
+// Next takes the next entry from the queue if a slot is free for it. It grants
+// the slot, or refuses the entry if its latest start has passed. It returns nil
+// for both if there is nothing to do.
 func (g *Gate) Next(now time.Time) (granted *Entry, expired *RefusedEntry) {
 	if g.queue.Len() == 0 || g.inFlight >= g.slots {
 		return nil, nil
@@ -262,7 +282,7 @@
 	}
 	e := g.waitingEntries[item]
 	delete(g.waitingEntries, item)
-	if late := e.Item.LatestStart; !late.IsZero() && now.After(late) {
+	if latest := e.Item.LatestStart; !latest.IsZero() && now.After(latest) {
 		g.queue.Correct(item.Account, -item.Cost)
 		e.state = stateEnded
 		g.clients[item.Account].quota.Release()
@@ -272,8 +292,8 @@
 	return e, nil
 }
 
-// Abandon ends a waiting entry because its caller left, its deadline passed or
-// its latest start came. It reports false when the entry does not wait.
+// Abandon refuses a waiting entry because its caller left, its deadline passed
+// or its latest start passed. It returns false if the entry doesn't wait.
 func (g *Gate) Abandon(now time.Time, e *Entry, cause outcome.Reason) (outcome.Outcome, bool) {
 	if e.state != stateWaiting {
 		return outcome.Outcome{}, false
@@ -285,8 +305,8 @@
 	return g.lateRefusal(now, e), true
 }
 
-// Done frees the slot of a granted entry. Cost is what the request did cost;
-// 0 keeps the estimate. Further calls change nothing.
+// Done frees the slot of a granted entry. The cost is the request's actual one;
+// 0 keeps the estimate. Further calls have no effect.
 func (g *Gate) Done(now time.Time, e *Entry, cost float64) {
 	if e.state != stateGranted {
 		return
@@ -301,8 +321,8 @@
 	g.bands.forPriority(e.Item.Priority).recordCost(cost)
 }
 
-// Cancel takes back a grant that was never used: it frees the slot and the
-// account is not charged.
+// Cancel takes back a grant that was never used: it frees the slot and refunds
+// the account's charge.
 func (g *Gate) Cancel(e *Entry) {
 	if e.state != stateGranted {
 		return
@@ -322,7 +342,7 @@
 	g.clients[e.Item.Account].usageOf(e.Item.Priority).inFlight++
 }
 
-// freeSlot frees a granted entry's slot.
+// freeSlot ends a granted entry and frees its slot.
 func (g *Gate) freeSlot(e *Entry) {
 	e.state = stateEnded
 	g.inFlight--
@@ -332,7 +352,7 @@
 	c.quota.Release()
 }
 
-// dequeue takes a waiting entry out of the queue.
+// dequeue ends a waiting entry and removes it from the queue.
 func (g *Gate) dequeue(e *Entry) {
 	g.queue.Remove(&e.Item)
 	delete(g.waitingEntries, &e.Item)
--- a/internal/admission/gate/lateness.go
+++ b/internal/admission/gate/lateness.go
@@ -13,8 +13,8 @@
 	// lateSmoothing is the weight of one answer in a band's share of late ones,
 	// and lateShare the share from which on a limit shrinks: less is one
 	// slow upstream, which is for ejection to find.
-	lateSmoothing = 0.1
-	shrinkLateShare  = 0.2
+	lateSmoothing   = 0.1
+	shrinkLateShare = 0.2
 	// maxInTimeLateShare is the share of late answers below which predictions need no
 	// margin.
 	maxInTimeLateShare = 0.1
@@ -39,12 +39,12 @@
 	// firstTokensReported is set once any first token was told. Until then nothing is
 	// judged, since the caller does not tell them at all.
 	firstTokensReported bool
-	limit *concurrency.Limit
+	limit               *concurrency.Limit
 	// lateShare of recent answers that came late, 0 to 1.
 	lateShare float64
 	// grantedEntries are the granted entries in order. Those at the front may have been
 	// answered or have ended meanwhile.
-	grantedEntries     []*Entry
+	grantedEntries   []*Entry
 	overdueSampledAt time.Time
 }
 
@@ -96,7 +96,9 @@
 }
 
 // mostlyInTime reports whether hardly any answer came late of late.
-func (l *lateness) mostlyInTime() bool { return l.firstTokensReported && l.lateShare < maxInTimeLateShare }
+func (l *lateness) mostlyInTime() bool {
+	return l.firstTokensReported && l.lateShare < maxInTimeLateShare
+}
 
 // canShrink reports whether a smaller limit would hold the band back more than
 // it is already.
--- a/internal/admission/gate/lateness_test.go
+++ b/internal/admission/gate/lateness_test.go
@@ -11,11 +11,11 @@
 
 // upstreamPool answers requests in the order of their priority.
 type upstreamPool struct {
-	gate    *Gate
-	now     time.Time
+	gate       *Gate
+	now        time.Time
 	unanswered []*Entry
-	late    map[int]int
-	served  map[int]int
+	late       map[int]int
+	served     map[int]int
 }
 
 // answer serves so many waiting requests, the most urgent first.
--- a/internal/admission/gate/overload_test.go
+++ b/internal/admission/gate/overload_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	simGates   = 2
-	simSlots   = 24
-	simLength  = 5 * time.Minute
+	simGates       = 2
+	simSlots       = 24
+	simLength      = 5 * time.Minute
 	overloadLength = 10 * time.Minute
-	simClients = 5
+	simClients     = 5
 )
 
 // fairShareSlots is one account's part of all slots.
--- a/internal/admission/gate/plan.go
+++ b/internal/admission/gate/plan.go
@@ -10,44 +10,48 @@
 )
 
 const (
-	// retryReserveShare is the part of a target that first tries leave to
-	// requests that were told to return.
+	// retryReserveShare is the part of the first-token target by which first
+	// attempts must start earlier while turns are booked for retries.
 	retryReserveShare = 0.25
-	// waitSafetyFactor is what a predicted wait is multiplied by: a request that is
-	// refused after it waited has lost more than one refused at once.
+	// waitSafetyFactor multiplies a predicted wait: a request that is refused
+	// after it waited has lost more than one that is refused at once.
 	waitSafetyFactor = 1.5
-	// minFirstAttemptShare is the part of an account's drain rate that first
-	// tries can count on, however many requests return.
+	// minFirstAttemptShare is the part of the drain rate that first attempts
+	// can count on, however many retries arrive.
 	minFirstAttemptShare = 0.1
-	// bookedDrainShare is the part of a drain rate that is booked for returns. A
-	// returning request has mostly missed its target already, and one served
-	// in its place would have met it; so in a rush most turns go to first
-	// tries, and those refused hear a time at which they will find room.
-	// While all slots are taken, accounts that ask for no more than their
-	// part are booked at their full rate. While there are slots, what was
-	// refused is what upstreams cannot answer in time, whoever asks.
+	// bookedDrainShare is the part of the drain rate that is booked for
+	// retries. A retry has mostly missed its target already, while a first
+	// attempt served in its place can still meet it. So under overload most
+	// turns go to first attempts, and refused callers are told a time at
+	// which a slot will be free.
+	//
+	// While slots are scarce, accounts that ask for no more than their fair
+	// share are booked at their full rate. While there are enough slots, a
+	// refusal means that upstreams can't answer in time, whichever account
+	// asks, so the share applies to all.
 	bookedDrainShare = 0.03
-	// retryTargetFactor is how many times its target a returning request may
-	// take: for its caller late is better than refused again.
+	// retryTargetFactor is how many times its target a retry may take: for
+	// its caller, a late answer is better than another refusal.
 	retryTargetFactor = 2
-	// overShareReserve is the part of a target that accounts beyond their part
-	// leave to the others while upstreams are late.
+	// overShareReserve is the part of the first-token target that accounts
+	// beyond their fair share leave to the others while upstreams are late.
 	overShareReserve = 0.6
-	// noUpstreamRetryAfter is the return time while no upstream is there.
+	// noUpstreamRetryAfter is the base of the retry-after time while there is
+	// no upstream; callers are spread beyond it.
 	noUpstreamRetryAfter = 2 * time.Second
 )
 
-// The sentences that callers hear.
+// Messages of the refusals that callers receive.
 const (
-	messageRateLimit       = "The client account sends more requests a second than its limit."
-	messageInFlightLimit   = "The client account has as many requests in progress as its limit."
-	messageNoUpstream = "No upstream can serve the request now."
-	messageOverloaded = "The answer would come later than its class allows."
-	messageDeadline   = "The request's deadline would pass before its answer."
-	messageCancelled  = "The caller gave the request up before it ran."
+	messageRateLimit     = "The client account sends more requests a second than its limit."
+	messageInFlightLimit = "The client account has as many requests in progress as its limit."
+	messageNoUpstream    = "No upstream can serve the request now."
+	messageOverloaded    = "The answer would come later than its class allows."
+	messageDeadline      = "The request's deadline would pass before its answer."
+	messageCancelled     = "The caller gave the request up before it ran."
 )
 
-// fillItem fills the entry's place in the queue.
+// fillItem sets the entry's queue item from its request.
 func (g *Gate) fillItem(now time.Time, e *Entry) {
 	r := &e.Request
 	cost := r.Cost
@@ -60,13 +64,15 @@
 		Priority:    r.Class.Priority,
 		Cost:        cost,
 		LatestStart: g.latestStart(now, r),
-		Retry:   r.isRetry(),
+		Retry:       r.isRetry(),
 	}
 }
 
-// firstTokenTarget is the time that the class allows up to the first token. A request
-// that would miss it on an idle upstream is measured by twice its own best:
-// refusing it now and at every return would be untruthful.
+// firstTokenTarget returns the time that the class allows up to the first
+// token; 0 if it sets none. A request that would miss the class's target even on
+// an idle upstream gets twice its unloaded time instead: otherwise it would be
+// refused at every retry, and no retry-after time would be true. Retries get
+// retryTargetFactor times the target.
 func firstTokenTarget(r *Request) time.Duration {
 	if r.Class.FirstToken <= 0 {
 		return 0
@@ -78,9 +84,11 @@
 	return t
 }
 
-// predictedFirstToken is the time from grant to first token to count on: the late bound
-// of a prediction counts only for less urgent priorities, and only while some
-// of their answers do come late or for accounts beyond their part.
+// predictedFirstToken returns the time from the grant to the first token to
+// plan with. It is PredictedBy, the late bound, for all priorities but the most
+// urgent, if answers of the priority have come late recently, if none was
+// reported yet, or if the account is beyond its fair share; otherwise it is
+// Predicted.
 func (g *Gate) predictedFirstToken(r *Request) time.Duration {
 	own := g.bands.forPriority(r.Class.Priority)
 	if own == g.bands.byPriority[0] || own.mostlyInTime() && !g.exceedsTimelyShare(g.clients[r.Account]) {
@@ -89,7 +97,7 @@
 	return max(r.Predicted, r.PredictedBy)
 }
 
-// latestStart is the last moment at which a grant still meets the class's
+// latestStart returns the latest time at which a grant still meets the class's
 // targets and the caller's deadline.
 func (g *Gate) latestStart(now time.Time, r *Request) time.Time {
 	wait := g.config.MaxWait
@@ -126,7 +134,7 @@
 	return outcome.Outcome{}, false
 }
 
-// checkTime refuses a request that cannot start in time.
+// checkTime refuses a request that can't start in time.
 func (g *Gate) checkTime(now time.Time, c *client, u *priorityUsage, e *Entry) (outcome.Outcome, bool) {
 	r := &e.Request
 	if !r.Deadline.IsZero() && !now.Add(r.Predicted).Before(r.Deadline) {
@@ -139,8 +147,8 @@
 	budget := e.Item.LatestStart.Sub(now)
 	wait := g.predictWait(now, u, e)
 	if wait > 0 && !r.isRetry() && now.Before(g.bands.forPriority(e.Item.Priority).bookedUntil) {
-		// Without this reserve a first try takes each place as it appears,
-		// and those who return as told find none.
+		// Without this reserve, first attempts would take each slot as it
+		// becomes free, and callers that come back when told would find none.
 		budget -= time.Duration(retryReserveShare * float64(firstTokenTarget(r)))
 	}
 	if wait == 0 && g.exceedsTimelyShare(c) {
@@ -153,33 +161,37 @@
 	return outcome.Outcome{}, false
 }
 
-// predictWait predicts how long a request waits for a slot: by what goes before it
-// in all accounts, or by its own account's part after the lead of the others,
-// whichever is sooner. A first try also waits for those who return meanwhile.
+// predictWait predicts how long a request waits for a slot. It takes the
+// shorter of two estimates: the cost ahead of it in all accounts, drained at the
+// rate of its priority; and the cost ahead of it in its own account, drained at
+// the account's share of that rate, after the lead that other accounts may have.
+// A first attempt also waits for the retries that arrive in the meantime.
 func (g *Gate) predictWait(now time.Time, u *priorityUsage, e *Entry) time.Duration {
 	if g.canGrantNow(e) {
 		return 0
 	}
 	total, own := g.queue.CostAhead(&e.Item)
 	band := g.bands.forPriority(e.Item.Priority)
-	drain, share := g.drainRate(e), g.accountDrainRate(now, e)
+	drain, accountDrain := g.drainRate(e), g.accountDrainRate(now, e)
 	byAll := (total + band.meanCost()) / drain
-	byOwn := own/share + (band.meanCost()+g.queue.LeadCost(&e.Item))/drain
+	byOwn := own/accountDrain + (band.meanCost()+g.queue.LeadCost(&e.Item))/drain
 	if !e.Request.isRetry() {
 		byAll /= max(minFirstAttemptShare, 1-band.retries.rate(now)/drain)
-		byOwn /= max(minFirstAttemptShare, 1-u.retries.rate(now)/share)
+		byOwn /= max(minFirstAttemptShare, 1-u.retries.rate(now)/accountDrain)
 	}
 	return secondsToDuration(waitSafetyFactor * min(byAll, byOwn))
 }
 
-// drainRate is the cost a second that is served of the entry's priority.
+// drainRate estimates the cost per second that is served for the entry's
+// priority.
 func (g *Gate) drainRate(e *Entry) float64 {
 	return g.bands.availableSlots(e.Item.Priority, g.slots) / g.holdTimes.perCost().Seconds()
 }
 
-// accountDrainRate is the cost a second that is served of the entry's account and
-// priority: the account's part of the slots, less what its less urgent
-// requests hold and what its more urgent ones ask for.
+// accountDrainRate estimates the cost per second that is served for the entry's
+// account and priority. It counts the account's fair share of the slots, less
+// the slots that its less urgent requests hold and those that its more urgent
+// requests ask for.
 func (g *Gate) accountDrainRate(now time.Time, e *Entry) float64 {
 	c := g.clients[e.Item.Account]
 	fair := g.fairSlots(c)
@@ -191,22 +203,24 @@
 	}
 	urgent := c.costRateFrom(now, e.Item.Priority+1) * g.holdTimes.perCost().Seconds()
 	slots -= min(urgent, fair*(1-g.queue.ClassShare()))
-	all := g.bands.availableSlots(e.Item.Priority, g.slots)
-	least := all * fair / float64(max(g.slots, 1))
-	return min(max(slots, least), all) / g.holdTimes.perCost().Seconds()
+	available := g.bands.availableSlots(e.Item.Priority, g.slots)
+	atLeast := available * fair / float64(max(g.slots, 1))
+	return min(max(slots, atLeast), available) / g.holdTimes.perCost().Seconds()
 }
 
-// overloadRefusal refuses for load, with a turn after the excess has drained.
+// overloadRefusal returns a refusal because of load. Its retry-after time lies
+// after the excess, the part of the wait that is too long, has drained.
 func (g *Gate) overloadRefusal(now time.Time, u *priorityUsage, e *Entry, excess time.Duration) outcome.Outcome {
 	return outcome.NewNotRun(outcome.ReasonOverloaded, messageOverloaded, g.bookTurn(now, u, e, excess))
 }
 
-// deadlineRefusal refuses for the caller's own deadline.
+// deadlineRefusal returns a refusal because the caller's deadline would pass.
 func (g *Gate) deadlineRefusal(now time.Time, u *priorityUsage, e *Entry) outcome.Outcome {
 	return outcome.NewNotRun(outcome.ReasonDeadline, messageDeadline, g.bookTurn(now, u, e, 0))
 }
 
-// lateRefusal is what a caller hears whose turn did not come in time.
+// lateRefusal returns the refusal of an entry that waited and wasn't granted a
+// slot in time.
 func (g *Gate) lateRefusal(now time.Time, e *Entry) outcome.Outcome {
 	u := g.clients[e.Item.Account].usageOf(e.Item.Priority)
 	if d := e.Request.Deadline; !d.IsZero() && !now.Add(e.Request.Predicted+e.Request.Remaining).Before(d) {
@@ -215,7 +229,8 @@
 	return g.overloadRefusal(now, u, e, 0)
 }
 
-// bookTurn gives a refused request a turn of its own.
+// bookTurn books a turn for a refused request and returns its retry-after time.
+// The turn begins no sooner than earliest from now.
 func (g *Gate) bookTurn(now time.Time, u *priorityUsage, e *Entry, earliest time.Duration) time.Duration {
 	rate := g.accountDrainRate(now, e)
 	if c := g.clients[e.Item.Account]; c.demand > g.fairSlots(c) || math.IsInf(g.slotsPerWeight, 1) {
@@ -229,8 +244,9 @@
 	return after
 }
 
-// secondsToDuration converts without overflow.
+// secondsToDuration converts seconds to a duration. It caps them at ten times
+// the longest retry-after time so that the conversion can't overflow.
 func secondsToDuration(s float64) time.Duration {
-	const most = float64(returntime.Max/time.Second) * 10
-	return time.Duration(min(s, most) * float64(time.Second))
+	const maxSeconds = float64(returntime.Max/time.Second) * 10
+	return time.Duration(min(s, maxSeconds) * float64(time.Second))
 }
--- a/internal/admission/gate/sim_test.go
+++ b/internal/admission/gate/sim_test.go
@@ -85,18 +85,18 @@
 	requests int
 	// maxRetries is how many times a caller comes back.
 	maxRetries int
-	loads    []load
-	tallies  []tally
-	loadOf    map[*Entry]int
+	loads      []load
+	tallies    []tally
+	loadOf     map[*Entry]int
 	offeredAt  map[*Entry]time.Time
 }
 
 func newSim(seed uint64, gates, slots, patience int) *sim {
 	s := &sim{
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		now:      time.Unix(0, 0),
+		random:     rand.New(rand.NewPCG(seed, 1)),
+		now:        time.Unix(0, 0),
 		maxRetries: patience,
-		loadOf:    map[*Entry]int{},
+		loadOf:     map[*Entry]int{},
 		offeredAt:  map[*Entry]time.Time{},
 	}
 	for range gates {
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -6,18 +6,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Metrics counts what a controller decided. The zero value counts unseen.
+// Metrics counts a controller's decisions. The zero value is usable; its
+// counters are exported only after Publish.
 type Metrics struct {
 	// Admitted counts granted requests.
 	Admitted expvar.Int
 	// Refused counts refusals by reason.
 	Refused expvar.Map
-	// Waiting is how many requests wait now.
+	// Waiting is the number of requests that wait for a slot now.
 	Waiting expvar.Int
 }
 
-// Publish makes the counters visible as goldcrestspool.admission.<name>. It
-// may be called once in a process.
+// Publish exports the counters through expvar as
+// goldcrestspool.admission.<name>. It may be called only once per process.
 func (m *Metrics) Publish() {
 	expvar.Publish("goldcrestspool.admission.admitted", &m.Admitted)
 	expvar.Publish("goldcrestspool.admission.refused", &m.Refused)
--- a/internal/admission/quota/quota.go
+++ b/internal/admission/quota/quota.go
@@ -46,10 +46,10 @@
 
 // Account is the use that one client account makes of one gateway.
 type Account struct {
-	limit    document.AccountLimit
-	limiter  *rate.Limiter
+	limit        document.AccountLimit
+	limiter      *rate.Limiter
 	retryReserve float64
-	inFlight int
+	inFlight     int
 }
 
 // NewAccount returns an account without use.
@@ -95,7 +95,9 @@
 func (a *Account) InFlight() int { return a.inFlight }
 
 // AtMaxInFlight reports whether the in-flight limit is reached.
-func (a *Account) AtMaxInFlight() bool { return a.limit.MaxInFlight > 0 && a.inFlight >= a.limit.MaxInFlight }
+func (a *Account) AtMaxInFlight() bool {
+	return a.limit.MaxInFlight > 0 && a.inFlight >= a.limit.MaxInFlight
+}
 
 // Delay returns how long until the rate allows a request; 0 is now. A first
 // try leaves the reserve to those who were told to return.
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -14,8 +14,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// service is the admission of one service. Its lock is held for the length of
-// one decision and never while waiting.
+// service admits the requests of one service. Its lock is held for the length
+// of one decision and never while a request waits.
 type service struct {
 	config  Config
 	metrics *Metrics
@@ -23,21 +23,24 @@
 	mu      sync.Mutex
 	gate    *gate.Gate
 	waiting map[*gate.Entry]*Ticket
-	// upstreams is nil until setUpstreams was called; the gate's own slots
-	// count until then.
+	// upstreams holds the concurrency limit of each live upstream. It is nil
+	// until setUpstreams is called; until then gate.Config.Slots applies.
 	upstreams map[ident.Instance]*concurrency.Limit
 	ejection  *ejection.Set
-	// slotOverride is what SetSlots said; 0 leaves it to the upstreams' limits.
+	// slotOverride is the value passed to SetSlots; 0 means that the slots
+	// are the sum of the upstreams' limits.
 	slotOverride int
 
-	// exclusion is the last exclusion; see excluded.
+	// exclusion is the current list of excluded upstreams, readable without
+	// the lock; see excluded.
 	exclusion atomic.Pointer[exclusion]
 }
 
-// exclusion is the upstreams that get no request, until a time.
+// exclusion lists the upstreams that get no request, until a given time.
 type exclusion struct {
 	ids []ident.Instance
-	// until is when the list changes by time alone; zero is never.
+	// until is when the list changes merely because time passes; zero means
+	// never.
 	until time.Time
 }
 
@@ -53,7 +56,8 @@
 	return s
 }
 
-// admit decides on a ticket's entry and waits if it has to.
+// admit decides on a ticket's entry and blocks while the entry waits. It
+// returns nil if the entry was granted a slot.
 func (s *service) admit(ctx context.Context, t *Ticket) *outcome.Outcome {
 	if ctx.Err() != nil {
 		refusal := outcome.NewNotRun(contextReason(ctx), "The request was given up before it ran.", 0)
@@ -79,7 +83,7 @@
 	return s.waitForDecision(ctx, t)
 }
 
-// waitForDecision blocks until the entry is granted or ended.
+// waitForDecision blocks until the entry is granted a slot or refused.
 func (s *service) waitForDecision(ctx context.Context, t *Ticket) *outcome.Outcome {
 	s.metrics.addWaiting(1)
 	defer s.metrics.addWaiting(-1)
@@ -95,9 +99,10 @@
 	}
 }
 
-// abandonWait ends a wait. A grant can come between the cause and the lock: a
-// caller that has gone gives the slot back, since nobody would ever call Done;
-// one that is only late keeps it.
+// abandonWait ends a wait because its timer fired or its context ended. The
+// entry may be granted before the lock is taken. If the caller is gone by then,
+// the slot is given back, since nobody would ever call Done; if only the latest
+// start has passed, the entry keeps its slot.
 func (s *service) abandonWait(t *Ticket, cause outcome.Reason) *outcome.Outcome {
 	now := time.Now()
 	s.mu.Lock()
@@ -115,7 +120,8 @@
 	return &refusal
 }
 
-// firstToken notes a first token. It may let in more of those that wait.
+// firstToken records a first token, which may raise a priority's limit, and
+// grants slots to waiting entries.
 func (s *service) firstToken(t *Ticket) {
 	now := time.Now()
 	s.mu.Lock()
@@ -124,7 +130,8 @@
 	s.grantNext(now)
 }
 
-// done frees a ticket's slot and learns from its result.
+// done frees a ticket's slot, records its result and grants slots to waiting
+// entries.
 func (s *service) done(t *Ticket, r Result) {
 	now := time.Now()
 	s.mu.Lock()
@@ -139,7 +146,8 @@
 	s.grantNext(now)
 }
 
-// recordAttemptEnd learns from an attempt and wakes those for whom it made room.
+// recordAttemptEnd records the result of an attempt and grants slots to waiting
+// entries.
 func (s *service) recordAttemptEnd(r Result, unloaded time.Duration) {
 	now := time.Now()
 	s.mu.Lock()
@@ -148,7 +156,8 @@
 	s.grantNext(now)
 }
 
-// applyAttempt takes in one attempt at an upstream. The lock must be held.
+// applyAttempt updates the upstream's concurrency limit and ejection state with
+// the result of one attempt. The lock must be held.
 func (s *service) applyAttempt(now time.Time, r Result, unloaded time.Duration) {
 	if limit := s.upstreams[r.Upstream]; limit != nil {
 		before := limit.Value()
@@ -173,7 +182,8 @@
 	}
 }
 
-// grantNext wakes those whose turn it is. The lock must be held.
+// grantNext grants free slots to waiting entries and refuses those that can't
+// start in time any more. The lock must be held.
 func (s *service) grantNext(now time.Time) {
 	for {
 		granted, expired := s.gate.Next(now)
@@ -190,11 +200,12 @@
 	}
 }
 
-// refuseWaiting tells a waiting caller its refusal. The lock must be held.
-func (s *service) refuseWaiting(ending *gate.RefusedEntry) {
-	t := s.waiting[ending.Entry]
-	delete(s.waiting, ending.Entry)
-	t.refusal = &ending.Refusal
+// refuseWaiting passes a refusal on to the caller that waits for the entry. The
+// lock must be held.
+func (s *service) refuseWaiting(refused *gate.RefusedEntry) {
+	t := s.waiting[refused.Entry]
+	delete(s.waiting, refused.Entry)
+	t.refusal = &refused.Refusal
 	close(t.decided)
 }
 
@@ -243,11 +254,13 @@
 	s.refreshUpstreams(now)
 }
 
-// refreshUpstreams publishes the exclusion and sets the slots: what was set, or the sum
-// of the limits of those that are not excluded. The lock must be held.
+// refreshUpstreams publishes the list of excluded upstreams and sets the gate's
+// slots: slotOverride, or the sum of the limits of all upstreams that aren't
+// excluded. The lock must be held.
 func (s *service) refreshUpstreams(now time.Time) {
-	// Clipped, so that a reader who appends does not write into the shared
-	// array: two requests at once would exclude each other's upstreams.
+	// The slice is clipped so that a reader that appends to it doesn't write
+	// into the shared array: two concurrent requests would exclude each
+	// other's upstreams.
 	ids := slices.Clip(s.ejection.Excluded(now))
 	if old := s.exclusion.Load(); !slices.Equal(old.ids, ids) || !old.until.Equal(s.ejection.NextChange(now)) {
 		s.exclusion.Store(&exclusion{ids: ids, until: s.ejection.NextChange(now)})
@@ -268,8 +281,8 @@
 	s.gate.SetSlots(slots)
 }
 
-// excluded returns the published exclusion; it takes the lock only at the
-// moment when an ejection ends.
+// excluded returns the published list of excluded upstreams. It takes the lock
+// only if the list has expired, because an ejection or a probe's time is over.
 func (s *service) excluded(now time.Time) []ident.Instance {
 	e := s.exclusion.Load()
 	if e.until.IsZero() || now.Before(e.until) {
@@ -281,7 +294,8 @@
 	return s.exclusion.Load().ids
 }
 
-// contextReason tells a passed deadline from a caller that left.
+// contextReason returns ReasonDeadline if the context's deadline has passed,
+// and ReasonCancelled if the caller left.
 func contextReason(ctx context.Context) outcome.Reason {
 	if ctx.Err() == context.DeadlineExceeded {
 		return outcome.ReasonDeadline
