--- a/internal/admission/fairshare/account.go
+++ b/internal/admission/fairshare/account.go
@@ -8,7 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// costSmoothing is the weight of one grant in the moving average of costs.
+// costSmoothing is the weight of one grant in the moving average
+// Queue.meanCost.
 const costSmoothing = 0.05
 
 func effectiveWeight(weight float64) float64 {
@@ -18,7 +19,8 @@
 	return weight
 }
 
-// accountFor finds or creates an account and updates its weight.
+// accountFor returns an account with its weight updated, and creates it if there
+// is none.
 func (q *Queue) accountFor(name ident.ClientAccount, weight float64) *account {
 	weight = effectiveWeight(weight)
 	a := q.accounts[name]
@@ -31,18 +33,21 @@
 	return a
 }
 
-// minTag is how far an account can lag: the present less its credit.
+// minTag returns the smallest start tag that an account may have: the virtual
+// time less the credit.
 func (q *Queue) minTag() float64 { return q.virtualTime - q.config.Credit*q.meanCost }
 
-// addBacklogged makes an account backlogged. What it did not use before counts up to
-// the credit; what it used while nobody else waited is not held against it,
-// since the present has moved on too.
+// addBacklogged adds an account to the backlogged ones. Service that it didn't
+// use before counts up to the credit. Service that it used while nobody else
+// waited isn't held against it, since the virtual time has advanced too.
 func (q *Queue) addBacklogged(a *account) {
 	a.startTag = max(a.startTag, q.minTag())
 	a.backlogIndex = len(q.backlogged)
 	q.backlogged = append(q.backlogged, a)
 }
 
+// removeBacklogged removes an account from the backlogged ones and clears the
+// credit of its lanes.
 func (q *Queue) removeBacklogged(a *account) {
 	last := len(q.backlogged) - 1
 	moved := q.backlogged[last]
@@ -70,7 +75,8 @@
 	}
 }
 
-// updateTotals adds an item to the totals, or takes it from them.
+// updateTotals adds an item to the totals if sign is 1, and subtracts it if sign
+// is -1.
 func (q *Queue) updateTotals(item *Item, sign int) {
 	l := item.lane
 	cost := float64(sign) * item.cost()
@@ -83,6 +89,7 @@
 	q.length += sign
 }
 
+// charge advances an account's start tag for a granted cost.
 func (q *Queue) charge(a *account, cost float64) {
 	if cost <= 0 {
 		cost = 1
@@ -94,10 +101,10 @@
 	q.meanCost += costSmoothing * (cost - q.meanCost)
 }
 
-// chooseAccount returns the account to serve: of those within the lead, the
-// one with the most urgent class, then the one furthest behind. Accounts of
-// which nothing is allowed do not hold the others back; they keep their tag
-// and so catch up later.
+// chooseAccount returns the account to serve, or nil if no allowed item waits:
+// of the accounts within the lead, the one with the most urgent item, then the
+// one with the smallest start tag. An account without allowed items doesn't hold
+// the others back; it keeps its tag and so catches up later.
 func (q *Queue) chooseAccount(allowed func(int) bool) *account {
 	smallest := math.Inf(1)
 	for _, a := range q.backlogged {
@@ -128,8 +135,9 @@
 }
 
 // servedBefore reports whether account a, with its most urgent item, is served
-// before account b. A returning item goes first within its priority: turns are
-// booked over all accounts, and each account's alone are too few to even out.
+// before account b, with its most urgent item other. A retry goes first within
+// its priority, whichever account it is of: retries are booked to come evenly
+// over all accounts together, but those of one account are too few to even out.
 func servedBefore(a *account, item *Item, b *account, other *Item) bool {
 	if item.Priority != other.Priority {
 		return item.Priority > other.Priority
@@ -140,7 +148,8 @@
 	return smallerTag(a, b)
 }
 
-// smallerTag breaks ties by name, so that a run gives the same order every time.
+// smallerTag compares start tags. It breaks ties by name so that the order is
+// the same in each run.
 func smallerTag(a, b *account) bool {
 	if a.startTag != b.startTag {
 		return a.startTag < b.startTag
@@ -148,7 +157,7 @@
 	return a.name < b.name
 }
 
-// laneFor finds or creates the lane of a priority.
+// laneFor returns the lane of a priority and creates it if there is none.
 func (a *account) laneFor(priority int) *lane {
 	i, found := slices.BinarySearchFunc(a.lanes, priority, func(l *lane, p int) int { return p - l.priority })
 	if !found {
@@ -157,7 +166,8 @@
 	return a.lanes[i]
 }
 
-// mostUrgentLane returns the most urgent lane that waits and is allowed, or nil.
+// mostUrgentLane returns the most urgent lane that has items and is allowed, or
+// nil if there is none.
 func (a *account) mostUrgentLane(allowed func(int) bool) *lane {
 	for _, l := range a.lanes {
 		if l.mayServe(allowed) {
@@ -167,20 +177,22 @@
 	return nil
 }
 
+// mayServe reports whether the lane has items and its priority is allowed.
 func (l *lane) mayServe(allowed func(int) bool) bool {
 	return len(l.items) > 0 && (allowed == nil || allowed(l.priority))
 }
 
-// chooseLane returns the lane to serve: of those that have earned their share
-// the one with most credit beyond its price, else the most urgent.
+// chooseLane returns the lane to serve: of the lanes whose credit covers the
+// price of their first item, the one with the largest surplus; otherwise the
+// most urgent lane.
 //
-// Without the earned share a steady flow of short replies would keep a long
-// review waiting for ever; it would show as a wait that grows with the flow's
-// length. With it, a lane gets at least its part of the account's cost.
+// Without credit, a steady flow of short replies would keep a long review
+// waiting forever: its wait would grow with the length of the flow. With it,
+// each waiting lane gets at least its share of the account's cost.
 func (a *account) chooseLane(share float64, allowed func(int) bool) *lane {
 	share = a.laneShare(share)
 	var urgent, earned *lane
-	most := 0.0
+	maxSurplus := 0.0
 	for _, l := range a.lanes {
 		if !l.mayServe(allowed) {
 			continue
@@ -188,8 +200,8 @@
 		if urgent == nil {
 			urgent = l
 		}
-		if surplus := l.credit - creditPrice(l.items[0], share); surplus >= most {
-			earned, most = l, surplus
+		if surplus := l.credit - creditPrice(l.items[0], share); surplus >= maxSurplus {
+			earned, maxSurplus = l, surplus
 		}
 	}
 	if earned != nil {
@@ -198,7 +210,8 @@
 	return urgent
 }
 
-// laneShare divides the class share among all lanes but the most urgent.
+// laneShare divides the class share equally among all waiting lanes but the most
+// urgent.
 func (a *account) laneShare(share float64) float64 {
 	waiting := 0
 	for _, l := range a.lanes {
@@ -209,11 +222,12 @@
 	return share / float64(max(waiting-1, 1))
 }
 
-// creditPrice is the cost of other lanes after which an item has earned its grant.
+// creditPrice returns the credit for which an item is granted: the cost that
+// other lanes must be served for the item to make up its lane's share.
 func creditPrice(item *Item, share float64) float64 { return item.cost() * (1 - share) / share }
 
-// settleCredit gives the waiting lanes credit for the served cost, and takes
-// the price of an earned grant from the served lane.
+// settleCredit adds the served cost to the credit of the other waiting lanes and
+// subtracts the item's price from the credit of the served lane.
 func (a *account) settleCredit(served *lane, cost, share float64) {
 	for _, l := range a.lanes {
 		if l != served && len(l.items) > 0 {
@@ -223,8 +237,8 @@
 	served.credit = max(0, served.credit-creditPrice(served.items[0], a.laneShare(share)))
 }
 
-// lastItem returns the item that would be served last: the least urgent lane's
-// latest.
+// lastItem returns the item that would be served last, that is the last item of
+// the least urgent lane that isn't empty, or nil if nothing waits.
 func (a *account) lastItem() *Item {
 	for i := len(a.lanes) - 1; i >= 0; i-- {
 		if items := a.lanes[i].items; len(items) > 0 {
@@ -234,7 +248,7 @@
 	return nil
 }
 
-// itemHeap orders items: returning first, then by latest start, then by
+// itemHeap is a heap of items: retries first, then by latest start, then by
 // arrival.
 type itemHeap []*Item
 
@@ -264,6 +278,7 @@
 	return item
 }
 
+// latest returns the item that would be popped last. The heap must not be empty.
 func (h itemHeap) latest() *Item {
 	latest := h[0]
 	for _, item := range h[1:] {
--- a/internal/admission/gate/lateness.go
+++ b/internal/admission/gate/lateness.go
@@ -7,56 +7,62 @@
 )
 
 const (
-	// goalTargetShare is the part of a target within which first tokens have to
-	// come for a band to grow.
+	// goalTargetShare is the part of the first-token target within which first
+	// tokens must come for a band's limit to grow.
 	goalTargetShare = 0.8
-	// lateSmoothing is the weight of one answer in a band's share of late ones,
-	// and lateShare the share from which on a limit shrinks: less is one
-	// slow upstream, which is for ejection to find.
-	lateSmoothing   = 0.1
+	// lateSmoothing is the weight of one answer in the moving average of a
+	// band's share of late answers.
+	lateSmoothing = 0.1
+	// shrinkLateShare is the share of late answers from which on a limit
+	// shrinks. A lower share points to a single slow upstream, which ejection
+	// deals with.
 	shrinkLateShare = 0.2
-	// maxInTimeLateShare is the share of late answers below which predictions need no
-	// margin.
+	// maxInTimeLateShare is the share of late answers below which predictions
+	// need no margin.
 	maxInTimeLateShare = 0.1
-	// overdueSamplesPerGoal is how often in a goal's time the oldest entry without an
-	// answer counts as late again.
+	// overdueSamplesPerGoal is how many times per goal's duration the oldest
+	// entry without a first token is counted as late again.
 	overdueSamplesPerGoal = 4
-	// minBandLimit is the smallest limit of a band.
+	// minBandLimit is the smallest limit of a band, in requests in flight.
 	minBandLimit = 2
 )
 
-// bandLimitConfig bound the limits of bands. They begin wide: a band is only held
-// back once its answers come late.
+// bandLimitConfig bounds the limits of bands. They begin high, so that a band is
+// held back only once its answers come late.
 var bandLimitConfig = concurrency.Config{Initial: 100, Min: minBandLimit, Max: 4096}
 
-// lateness finds out how many requests of a band upstreams answer in time.
+// lateness estimates how many requests of a band upstreams can answer in time.
 //
-// Slots cannot tell: an engine with free places in its batch may have a long
-// queue of prompts. Without it, the first seconds of a rush fill the engines
-// with more long requests than they can hold; all of them come late, and short
-// ones with them, for a minute.
+// The slots don't show this: an engine with free places in its batch may have a
+// long queue of prompts. Without this estimate, the first seconds of a load
+// spike fill the engines with more long requests than they can handle, and all
+// of them, short ones included, are answered late for a minute.
 type lateness struct {
-	// firstTokensReported is set once any first token was told. Until then nothing is
-	// judged, since the caller does not tell them at all.
+	// firstTokensReported is set once any first token was reported. Until then
+	// the limit isn't applied, since the caller may not report them at all.
 	firstTokensReported bool
-	limit               *concurrency.Limit
-	// lateShare of recent answers that came late, 0 to 1.
+	// limit is how many requests of the band may be in flight.
+	limit *concurrency.Limit
+	// lateShare is the share of recent answers that came late, 0 to 1.
 	lateShare float64
-	// grantedEntries are the granted entries in order. Those at the front may have been
-	// answered or have ended meanwhile.
-	grantedEntries   []*Entry
+	// grantedEntries are the granted entries in order of their grants. Entries
+	// at the front may have had their first token or have ended.
+	grantedEntries []*Entry
+	// overdueSampledAt is when sampleOverdue last counted an entry as late.
 	overdueSampledAt time.Time
 }
 
 func newLateness() lateness { return lateness{limit: concurrency.New(bandLimitConfig)} }
 
-// firstTokenGoal is the time within which the first token should come; 0 is none.
+// firstTokenGoal returns the time within which the first token should come; 0
+// if the class sets no target.
 func firstTokenGoal(r *Request) time.Duration {
 	return time.Duration(goalTargetShare * float64(firstTokenTarget(r)))
 }
 
-// FirstToken tells that a granted entry's first token came. Gates that are
-// told first tokens limit each priority to what upstreams answer in time.
+// FirstToken reports that a granted entry's first token arrived. A gate to which
+// first tokens are reported limits each priority to the number of requests that
+// upstreams answer in time. Further calls for the same entry have no effect.
 func (g *Gate) FirstToken(now time.Time, e *Entry) {
 	if e.state != stateGranted || e.firstTokenSeen {
 		return
@@ -67,18 +73,20 @@
 	g.bands.observeFirstToken(own, e, now.Sub(e.grantedAt))
 }
 
-// observeFirstToken takes in how long a first token took, or has taken so far.
+// observeFirstToken records how long a first token took, or how long it has been
+// awaited so far.
 //
-// What comes late is charged to the least urgent band that it can hold back:
-// its requests can wait best, and an engine that serves by priority is slow
-// for an urgent request only when it is full of others.
+// A late first token lowers the limit of the least urgent band, down to the
+// entry's own, whose limit can hold back requests. Requests of that band can
+// wait best, and an engine that serves by priority is slow for an urgent request
+// only when it is full of less urgent ones.
 func (b *bands) observeFirstToken(own *band, e *Entry, took time.Duration) {
-	limit := firstTokenGoal(&e.Request)
-	if limit == 0 {
+	goal := firstTokenGoal(&e.Request)
+	if goal == 0 {
 		return
 	}
-	s := concurrency.Sample{Latency: took, Goal: limit, InFlight: e.inFlightAtGrant}
-	if took <= limit {
+	s := concurrency.Sample{Latency: took, Goal: goal, InFlight: e.inFlightAtGrant}
+	if took <= goal {
 		own.lateShare -= lateSmoothing * own.lateShare
 		own.limit.Observe(s)
 		return
@@ -95,19 +103,20 @@
 	}
 }
 
-// mostlyInTime reports whether hardly any answer came late of late.
+// mostlyInTime reports whether first tokens are reported and hardly any recent
+// one came late.
 func (l *lateness) mostlyInTime() bool {
 	return l.firstTokensReported && l.lateShare < maxInTimeLateShare
 }
 
 // canShrink reports whether a smaller limit would hold the band back more than
-// it is already.
+// the present one does.
 func (b *band) canShrink() bool {
 	return b.firstTokensReported && b.inFlight > minBandLimit && b.inFlight <= b.limit.Value()
 }
 
-// sampleOverdue counts the entry that has waited longest for its first token as late,
-// if it is: an answer that does not come would otherwise tell nothing.
+// sampleOverdue counts the entry that has waited longest for its first token as
+// late once it is overdue. Otherwise an answer that never comes would never count.
 func (b *bands) sampleOverdue(now time.Time, own *band) {
 	for len(own.grantedEntries) > 0 && (own.grantedEntries[0].firstTokenSeen || own.grantedEntries[0].state != stateGranted) {
 		own.grantedEntries[0] = nil
@@ -117,8 +126,8 @@
 		return
 	}
 	e := own.grantedEntries[0]
-	limit, waited := firstTokenGoal(&e.Request), now.Sub(e.grantedAt)
-	if limit > 0 && waited > limit && now.Sub(own.overdueSampledAt) >= limit/overdueSamplesPerGoal {
+	goal, waited := firstTokenGoal(&e.Request), now.Sub(e.grantedAt)
+	if goal > 0 && waited > goal && now.Sub(own.overdueSampledAt) >= goal/overdueSamplesPerGoal {
 		own.overdueSampledAt = now
 		b.observeFirstToken(own, e, waited)
 	}
