--- a/internal/admission/fairshare/queue.go
+++ b/internal/admission/fairshare/queue.go
@@ -1,14 +1,14 @@
-// Package fairshare orders waiting requests: client accounts share a service
-// by weight, and within that a short class goes before a long one, yet no
-// class starves.
+// Package fairshare orders waiting requests. Client accounts share a service by
+// weight; within that, urgent classes go before less urgent ones, but no class
+// starves.
 //
-// Accounts are kept in step by start-time fair queueing: every grant moves its
-// account's tag forward by cost/weight, and only accounts whose tag lies
-// within a lead of the smallest tag may be served. Among those, the most
-// urgent class goes first. Within an account, a class that is passed over
-// collects credit and is served once it has earned its guaranteed share.
+// The share by weight follows start-time fair queueing: each grant advances its
+// account's start tag by cost/weight, and only accounts whose tag is within the
+// lead of the smallest tag may be served. Among these, the most urgent class
+// goes first. Within an account, a class that is passed over collects credit
+// and is served once the credit covers its guaranteed share.
 //
-// The package is pure: no clock, no goroutine, no lock.
+// The package is pure: it has no clock, no goroutine and no lock.
 package fairshare
 
 import (
@@ -25,19 +25,20 @@
 	DefaultClassShare = 0.2
 )
 
-// Config sets how strictly accounts and classes are kept in step.
+// Config sets how far accounts and classes may deviate from their shares. Zero
+// fields take the defaults.
 type Config struct {
-	// Lead is how far one account may run ahead of another so that an
-	// urgent class goes first, in mean costs per unit of weight.
+	// Lead is how far one account may run ahead of another so that an urgent
+	// class goes first, in mean costs per unit of weight.
 	Lead float64
 	// Credit is how much service an account that asked for less than its
-	// share can catch up, in mean costs per unit of weight. Without it a
-	// small account that asks for just its share, in bursts as real ones
-	// do, would lose what falls between its bursts to those that always
-	// wait. Negative is none.
+	// share can catch up on, in mean costs per unit of weight. Without it, a
+	// small account that asks for just its share, in bursts as real accounts
+	// do, would lose the time between its bursts to accounts that always have
+	// requests waiting. Negative means none.
 	Credit float64
-	// ClassShare is the share of an account's cost, 0 to 1, that all waiting
-	// classes but the most urgent get together, in equal parts.
+	// ClassShare is the share of an account's cost, 0 to 1, that its waiting
+	// classes except the most urgent one get together, in equal parts.
 	ClassShare float64
 }
 
@@ -58,20 +59,22 @@
 // Item is one waiting request. It is in at most one queue.
 type Item struct {
 	Account ident.ClientAccount
-	// Weight is the account's share; 0 counts as 1.
+	// Weight is the account's weight; 0 or less means 1.
 	Weight float64
-	// Priority of the class: higher is more urgent.
+	// Priority is that of the request's class: higher is more urgent.
 	Priority int
-	// Cost in any unit that is the same for all items; 0 counts as 1.
+	// Cost is in any unit that is the same for all items; 0 or less means 1.
 	Cost float64
-	// LatestStart orders items of one account and class.
+	// LatestStart orders the items of one account and priority, the earliest
+	// first.
 	LatestStart time.Time
-	// Retry items were refused before and go ahead of first tries of
-	// the same account and class.
+	// Retry marks a request that was refused before and whose caller comes
+	// back. It goes ahead of first attempts of the same account and priority.
 	Retry bool
 
+	// sequence is the order of arrival.
 	sequence uint64
-	// position in the lane's heap, from 1; 0 is not queued.
+	// position is the index in the lane's heap plus 1; 0 means not queued.
 	position int
 	lane     *lane
 }
@@ -91,24 +94,27 @@
 	account  *account
 	priority int
 	items    itemHeap
-	// queuedCost is the cost of all items; returning of those that return.
+	// queuedCost is the cost of all items, retryCost that of retries alone.
 	queuedCost, retryCost float64
-	// credit is the cost of other lanes served while this one waited.
+	// credit is the cost served from the account's other lanes while this one
+	// waited, less what earned grants have used.
 	credit float64
 }
 
-// account is what the queue remembers of a client account.
+// account is the state of one client account in the queue.
 type account struct {
 	name   ident.ClientAccount
 	weight float64
 	// startTag is the virtual time at which the account's next grant starts.
 	startTag float64
-	// lanes by falling priority. Empty ones are kept: classes are few.
+	// lanes are sorted by falling priority. Empty lanes are kept, since there
+	// are few classes.
 	lanes []*lane
-	// length and queued count all lanes' items and their cost.
+	// length and queuedCost are the number and the cost of the waiting items
+	// in all lanes.
 	length     int
 	queuedCost float64
-	// backlogIndex is the index in Queue.backlogged; -1 when nothing waits.
+	// backlogIndex is the index in Queue.backlogged; -1 if nothing waits.
 	backlogIndex int
 }
 
@@ -118,11 +124,14 @@
 	accounts map[ident.ClientAccount]*account
 	// backlogged are the accounts with waiting items, in no order.
 	backlogged []*account
-	// virtualTime is the virtual time: the smallest tag served so far.
+	// virtualTime is the present in virtual time. It follows the smallest
+	// start tag that can be served and never moves back.
 	virtualTime float64
 	// meanCost is a moving average of the costs granted.
-	meanCost     float64
-	length       int
+	meanCost float64
+	// length is the number of waiting items.
+	length int
+	// lastSequence is the sequence of the item pushed last.
 	lastSequence uint64
 }
 
@@ -131,13 +140,13 @@
 	return &Queue{config: config.withDefaults(), accounts: map[ident.ClientAccount]*account{}}
 }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return q.length }
 
-// ClassShare returns the share in force; see Config.
+// ClassShare returns the class share that is in effect; see Config.
 func (q *Queue) ClassShare() float64 { return q.config.ClassShare }
 
-// Push adds an item. Its weight becomes its account's.
+// Push adds an item. The item's weight becomes its account's weight.
 func (q *Queue) Push(item *Item) {
 	a := q.accountFor(item.Account, item.Weight)
 	if a.backlogIndex < 0 {
@@ -151,9 +160,9 @@
 	q.updateTotals(item, 1)
 }
 
-// Pop removes the item to grant next and charges its account. Items of a
-// priority that is not allowed now stay; nil allows all. It returns nil when
-// nothing that is allowed waits.
+// Pop removes the item to grant next and charges its account. It leaves items
+// whose priority isn't allowed in the queue; if allowed is nil, all priorities
+// are allowed. It returns nil if no allowed item waits.
 func (q *Queue) Pop(allowed func(priority int) bool) *Item {
 	a := q.chooseAccount(allowed)
 	if a == nil {
@@ -167,7 +176,8 @@
 	return item
 }
 
-// Remove takes an item out without a grant. It reports whether it waited.
+// Remove removes an item without charging its account. It reports whether the
+// item was waiting.
 func (q *Queue) Remove(item *Item) bool {
 	if !item.Queued() {
 		return false
@@ -176,7 +186,7 @@
 	return true
 }
 
-// Charge accounts for a grant that never waited.
+// Charge charges an account for a request that was granted without waiting.
 func (q *Queue) Charge(name ident.ClientAccount, weight, cost float64) {
 	a := q.accountFor(name, weight)
 	a.startTag = max(a.startTag, q.minTag())
@@ -186,33 +196,33 @@
 	q.charge(a, cost)
 }
 
-// Correct adds to an account what a grant cost beyond its estimate; extra may
-// be negative.
+// Correct charges an account for the cost of a grant beyond its estimate. A
+// negative extra refunds.
 func (q *Queue) Correct(name ident.ClientAccount, extra float64) {
 	if a := q.accounts[name]; a != nil {
 		a.startTag += extra / a.weight
 	}
 }
 
-// EvictionCandidate returns the item to push out so that incoming finds room: the last
-// item of the account that waits with most cost for its weight. It returns
-// nil when that account is incoming's own, or no account waits with more.
+// EvictionCandidate returns the item to evict to make room for incoming: the
+// last item of the account with the most waiting cost for its weight. It returns
+// nil if that is incoming's own account, with incoming counted as waiting.
 func (q *Queue) EvictionCandidate(incoming *Item) *Item {
 	own := q.accountFor(incoming.Account, incoming.Weight)
-	worst, most := own, (own.queuedCost+incoming.cost())/own.weight
+	heaviest, maxLoad := own, (own.queuedCost+incoming.cost())/own.weight
 	for _, a := range q.backlogged {
-		if load := a.queuedCost / a.weight; load > most {
-			worst, most = a, load
+		if load := a.queuedCost / a.weight; load > maxLoad {
+			heaviest, maxLoad = a, load
 		}
 	}
-	if worst == own {
+	if heaviest == own {
 		return nil
 	}
-	return worst.lastItem()
+	return heaviest.lastItem()
 }
 
-// HasItemsAhead reports whether anything waits that goes before an item: of its own
-// or a more urgent priority.
+// HasItemsAhead reports whether an item of the same or a more urgent priority
+// waits, in any account.
 func (q *Queue) HasItemsAhead(item *Item) bool {
 	for _, a := range q.backlogged {
 		if a.queuedCostFrom(item.Priority) > 0 {
@@ -222,10 +232,11 @@
 	return false
 }
 
-// CostAhead returns the cost of an item's priority that will be served before it,
-// if what waits now is all that comes: own is what its own account has ahead
-// of it beyond its credit; total adds all of the own, and from each other
-// account as much as is served meanwhile at that one's weight.
+// CostAhead returns the cost of an item's priority that will be served before
+// it if no further items arrive. Own is the cost ahead of it in its own account
+// that the account's credit doesn't cover. Total is the cost ahead of it in its
+// own account, credit or not, plus the cost that each other account is served
+// by weight in the meantime.
 func (q *Queue) CostAhead(item *Item) (total, own float64) {
 	weight := effectiveWeight(item.Weight)
 	mine := q.accounts[item.Account]
@@ -235,17 +246,18 @@
 	}
 	total = own
 	own = max(0, own-credit)
-	reach := max(0, total+item.cost()-credit) / weight
+	perWeight := max(0, total+item.cost()-credit) / weight
 	for _, a := range q.backlogged {
 		if a != mine {
-			total += min(a.costAhead(item), reach*a.weight)
+			total += min(a.costAhead(item), perWeight*a.weight)
 		}
 	}
 	return total, own
 }
 
-// LeadCost is how much other accounts can be served before an item for the sake
-// of their classes or because they return, beyond what is theirs by weight.
+// LeadCost returns the most cost that other accounts can be served before an
+// item beyond their share by weight, because their classes are more urgent or
+// their items are retries.
 func (q *Queue) LeadCost(item *Item) float64 {
 	weights := 0.0
 	for _, a := range q.backlogged {
@@ -256,7 +268,8 @@
 	return max(0, q.config.Lead*q.meanCost-q.lag(item)) * weights
 }
 
-// lag is how far an item's account is behind the present, within its credit.
+// lag returns how far an item's account is behind the virtual time, at most its
+// credit.
 func (q *Queue) lag(item *Item) float64 {
 	a := q.accounts[item.Account]
 	if a == nil {
@@ -265,7 +278,8 @@
 	return max(0, q.virtualTime-max(a.startTag, q.minTag()))
 }
 
-// costAhead is the waiting cost of an item's priority that goes before it.
+// costAhead returns the account's waiting cost that goes before an item of the
+// same priority: retries only if the item is itself a retry.
 func (a *account) costAhead(item *Item) float64 {
 	for _, l := range a.lanes {
 		if l.priority != item.Priority {
@@ -279,7 +293,8 @@
 	return 0
 }
 
-// queuedCostFrom is the waiting cost of a priority and all more urgent ones.
+// queuedCostFrom returns the waiting cost of a priority and all more urgent
+// ones.
 func (a *account) queuedCostFrom(priority int) float64 {
 	total := 0.0
 	for _, l := range a.lanes {
--- a/internal/admission/fairshare/queue_test.go
+++ b/internal/admission/fairshare/queue_test.go
@@ -13,18 +13,20 @@
 
 func init() { testkit.FixSeed() }
 
+// maxCost is the largest cost of an item in TestNoStarvation.
 const maxCost = 8
 
-// waitingItem is what the oracle knows of a waiting item.
+// waitingItem is what the oracle knows about a waiting item.
 type waitingItem struct {
 	item *Item
-	// costAhead is the cost that waited in its lane when it came.
+	// costAhead is the cost that waited in the item's lane when it was pushed.
 	costAhead float64
-	// servedAtPush of its account, and of each other account, when it came.
+	// servedAtPush is the cost that each account had been served by then.
 	servedAtPush map[ident.ClientAccount]float64
 }
 
-// oracle counts what each account was served, in a plain list.
+// oracle pushes to a queue and pops from it, and records the waiting items in a
+// plain list and the cost that each account was served.
 type oracle struct {
 	queue   *Queue
 	waiting []*waitingItem
@@ -32,12 +34,13 @@
 	weights map[ident.ClientAccount]float64
 }
 
-// TestNoStarvation pushes and pops at random and holds each grant against two
-// bounds that follow from the configuration alone.
+// TestNoStarvation pushes and pops at random and checks at each grant that what
+// was served before each waiting item stays within two bounds that follow from
+// the configuration alone.
 //
-// Symptom: a long review waits for ever behind short replies, or a small
-// account behind a large one. Sequence: the urgent ones never stop coming.
-// Cause: strict priority, or order by arrival.
+// It guards against long reviews that wait forever behind short replies, and
+// small accounts that wait forever behind large ones. That happens under strict
+// priority or order of arrival if urgent items never stop arriving.
 func TestNoStarvation(t *testing.T) { rapid.Check(t, checkNoStarvation) }
 
 func checkNoStarvation(t *rapid.T) {
@@ -66,13 +69,13 @@
 		o.pop(t)
 	}
 	if o.queue.Len() != len(o.waiting) {
-		t.Fatalf("%d wait, want %d", o.queue.Len(), len(o.waiting))
+		t.Fatalf("%d items wait, want %d", o.queue.Len(), len(o.waiting))
 	}
 	for len(o.waiting) > 0 {
 		o.pop(t)
 	}
 	if o.queue.Pop(nil) != nil {
-		t.Fatal("an empty queue grants")
+		t.Fatal("Pop returned an item of an empty queue")
 	}
 }
 
@@ -107,7 +110,7 @@
 	item := o.queue.Pop(nil)
 	i := slices.IndexFunc(o.waiting, func(w *waitingItem) bool { return w.item == item })
 	if i < 0 {
-		t.Fatalf("granted %+v, which does not wait", item)
+		t.Fatalf("granted %+v, which was not waiting", item)
 	}
 	for _, w := range o.waiting {
 		o.checkBounds(t, w)
@@ -116,37 +119,37 @@
 	o.served[item.Account] += item.Cost
 }
 
-// checkBounds holds what was served since an item came against what its own
-// account and the others may have had before it.
+// checkBounds checks the cost that the item's own account and the other accounts
+// were served since the item was pushed.
 func (o *oracle) checkBounds(t *rapid.T, w *waitingItem) {
 	config := o.queue.config
 	account := w.item.Account
 	own := o.served[account] - w.servedAtPush[account]
-	// A lane gets its part of the account's cost; what other lanes have
-	// earned before, and the grants that begin and end the wait, come on top.
-	part := config.ClassShare / 2
-	most := (w.costAhead+w.item.Cost+2*maxCost)/part + 2*maxCost
-	if own > most {
-		t.Fatalf("account was served %v before an item with %v ahead, at most %v", own, w.costAhead, most)
+	// A lane gets its share of the account's cost. The credit that other lanes
+	// had before, and the grants that begin and end the wait, are added.
+	share := config.ClassShare / 2
+	maxOwn := (w.costAhead+w.item.Cost+2*maxCost)/share + 2*maxCost
+	if own > maxOwn {
+		t.Fatalf("account %s was served %v before an item with %v ahead in its lane, want at most %v", account, own, w.costAhead, maxOwn)
 	}
 	for other, weight := range o.weights {
 		theirs := o.served[other] - w.servedAtPush[other]
 		slack := (config.Lead+config.Credit)*maxCost + 2*maxCost/min(weight, o.weights[account])
 		if theirs/weight > own/o.weights[account]+slack {
-			t.Fatalf("account %s was served %v per weight while %s waits with %v", other, theirs/weight, account, own/o.weights[account])
+			t.Fatalf("account %s was served %v per weight while an item of %s waited, which was served %v per weight", other, theirs/weight, account, own/o.weights[account])
 		}
 	}
 }
 
 func (o *oracle) remove(t *rapid.T, i int) {
 	if !o.queue.Remove(o.waiting[i].item) || o.queue.Remove(o.waiting[i].item) {
-		t.Fatal("removal of a waiting item is not told once")
+		t.Fatal("Remove must return true for a waiting item, and false for one that was removed")
 	}
 	o.waiting = slices.Delete(o.waiting, i, i+1)
 }
 
-// TestVictim: room is made at the expense of the account that waits with most
-// for its weight.
+// TestVictim checks that the item to evict is of the account with the most
+// waiting cost for its weight.
 func TestVictim(t *testing.T) {
 	q := New(Config{})
 	for range 3 {
@@ -154,15 +157,15 @@
 		q.Push(&Item{Account: "light"})
 	}
 	if v := q.EvictionCandidate(&Item{Account: "new"}); v == nil || v.Account != "light" {
-		t.Errorf("victim %+v, want the light account's", v)
+		t.Errorf("eviction candidate %+v, want an item of the light account", v)
 	}
 	if v := q.EvictionCandidate(&Item{Account: "light"}); v != nil {
-		t.Errorf("victim %+v for the account that waits with most, want none", v)
+		t.Errorf("eviction candidate %+v for an item of the account with the most waiting cost, want none", v)
 	}
 }
 
-// TestAllowed: an account of which nothing is allowed does not stop the others
-// and catches up later.
+// TestAllowed checks that an account without allowed items doesn't block the
+// others, and that its items are served later.
 func TestAllowed(t *testing.T) {
 	q := New(Config{})
 	for range 20 {
@@ -172,15 +175,15 @@
 	short := func(priority int) bool { return priority == 2 }
 	for range 20 {
 		if item := q.Pop(short); item == nil || item.Account != "short" {
-			t.Fatalf("got %+v, want a short one", item)
+			t.Fatalf("Pop returned %+v, want an item of the short account", item)
 		}
 	}
 	if item := q.Pop(short); item != nil {
-		t.Fatalf("got %+v, which is not allowed", item)
+		t.Fatalf("Pop returned %+v, whose priority is not allowed", item)
 	}
 	for range 20 {
 		if q.Pop(nil) == nil {
-			t.Fatal("long ones lost")
+			t.Fatal("items of the long account were lost")
 		}
 	}
 }
