--- a/internal/admission/concurrency/limit_test.go
+++ b/internal/admission/concurrency/limit_test.go
@@ -13,13 +13,15 @@
 
 const unloaded = 100 * time.Millisecond
 
-// upstreamLatency is an upstream that answers at once up to capacity and queues beyond.
+// upstreamLatency returns the latency at an upstream that answers as many
+// requests as its capacity without queueing and queues the others.
 func upstreamLatency(inFlight, capacity int) time.Duration {
 	return unloaded * time.Duration(max(inFlight, capacity)) / time.Duration(capacity)
 }
 
-// settle lets gateways with a limit each share an upstream, all using their
-// limit fully, and returns the sum of the limits.
+// settle simulates gateways, with a limit each, that share an upstream and use
+// their limits fully. It returns the sum of the limits after the rounds. The
+// samples state the unloaded latency if known is set.
 func settle(limits []*Limit, capacity, rounds int, known bool) int {
 	total := 0
 	for range rounds {
@@ -38,11 +40,12 @@
 	return total
 }
 
-// TestFollowsCapacity: gateways that do not talk to each other settle between
-// an upstream's capacity and a short queue there, and follow a change.
+// TestFollowsCapacity checks that the limits of gateways that don't communicate
+// settle between an upstream's capacity and a short queue there, and follow a
+// change of capacity.
 //
-// Symptom: a slow upstream holds more and more requests. Sequence: its capacity
-// falls to a quarter under full load. Cause: the limit stays as it was.
+// It guards against an upstream that holds more and more requests: its capacity
+// falls to a quarter under full load and the limits stay as they were.
 func TestFollowsCapacity(t *testing.T) {
 	for _, gateways := range []int{1, 6} {
 		limits := make([]*Limit, gateways)
@@ -58,20 +61,20 @@
 	}
 }
 
-// TestRecovers: after a rush the limit is back within few answers that come
-// well in time.
+// TestRecovers checks that after a load spike a few fast answers bring the limit
+// back up.
 func TestRecovers(t *testing.T) {
 	l := New(Config{Initial: 2})
 	for range 20 {
 		l.Observe(Sample{Latency: unloaded, Goal: 4 * unloaded, InFlight: l.Value()})
 	}
 	if l.Value() < 10 {
-		t.Errorf("limit %d after 20 answers in time, want 10", l.Value())
+		t.Errorf("limit %d after 20 fast answers, want at least 10", l.Value())
 	}
 }
 
-// TestBounds: no sequence of samples takes the limit out of its bounds, idle
-// upstreams do not raise it, and drops lower it.
+// TestBounds checks that no sequence of samples moves the limit out of its
+// bounds, that samples at low load don't raise it, and that drops lower it.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{Initial: 10, Min: 2, Max: 50}
@@ -86,10 +89,10 @@
 			}
 			l.Observe(s)
 			if l.value < config.Min || l.value > config.Max {
-				t.Fatalf("limit %v", l.value)
+				t.Fatalf("limit %v, want between %v and %v", l.value, config.Min, config.Max)
 			}
 			if s.Dropped && before > config.Min && l.value >= before {
-				t.Fatalf("limit %v after a drop at %v", l.value, before)
+				t.Fatalf("limit %v after a drop, want less than the %v before", l.value, before)
 			}
 			if float64(s.InFlight) < before/2 && l.value > before {
 				t.Fatalf("limit grew from %v to %v with %d in flight", before, l.value, s.InFlight)
--- a/internal/admission/ejection/ejection.go
+++ b/internal/admission/ejection/ejection.go
@@ -1,10 +1,12 @@
-// Package ejection keeps requests from upstreams that fail or are far slower
-// than their peers, whatever they report of themselves.
+// Package ejection detects upstreams that fail or are far slower than the
+// others, whatever they report about themselves, and excludes them from
+// receiving requests for a while (outlier ejection).
 //
 // An upstream is healthy, ejected for a time, or probed with one request at a
-// time until it has proved itself. Never more than a third is ejected: when
-// everything is slow the cause is load or a cut, and sending all work to the
-// few that look best would bring these down too. The package is pure.
+// time until enough probes have succeeded. Never more than a third of the
+// upstreams is unhealthy: if everything is slow, the cause is load or a network
+// partition, and sending all requests to the few that look best would bring
+// these down too. The package is pure: time is passed in.
 package ejection
 
 import (
@@ -26,28 +28,35 @@
 )
 
 const (
-	// upstreamsPerEjected bounds the ejected: one in this many.
+	// upstreamsPerEjected bounds the upstreams that aren't healthy: at most
+	// one in this many.
 	upstreamsPerEjected = 3
-	// latencySmoothing is the weight of one sample in an upstream's latency.
+	// latencySmoothing is the weight of one sample in the moving average of an
+	// upstream's latency.
 	latencySmoothing = 0.2
-	// minOthers is how many others are needed to tell what is slow.
+	// minOthers is how many other healthy upstreams with samples are needed to
+	// tell whether an upstream is slow.
 	minOthers = 2
 )
 
-// Config sets when an upstream is ejected and for how long.
+// Config sets when an upstream is ejected and for how long. Zero fields take
+// the defaults.
 type Config struct {
-	// Failures in a row that eject.
+	// Failures is the number of consecutive failures that eject an upstream.
 	Failures int
-	// SlowFactor times the median of the peers' latency ejects, once
-	// SlowSamples were seen.
+	// SlowFactor ejects an upstream whose average latency exceeds this many
+	// times the median of the others, once SlowSamples latencies of it were
+	// recorded. It must be above 1.
 	SlowFactor  float64
 	SlowSamples int
-	// Base is the first ejection's time; each further one doubles it up to
-	// Longest.
+	// Base is the length of the first ejection. Each further one is twice as
+	// long, up to Longest.
 	Base, Longest time.Duration
-	// Probes is how many in a row have to succeed.
+	// Probes is how many consecutive probes must succeed before an upstream is
+	// healthy again.
 	Probes int
-	// ProbeLimit ends a probe that no one reports on.
+	// ProbeLimit is the time after which a probe without a reported result is
+	// given up and another one may be sent.
 	ProbeLimit time.Duration
 }
 
@@ -71,53 +80,63 @@
 	return value
 }
 
-// State of an upstream.
+// State is the state of an upstream.
 type State int
 
-// The states.
+// The states of an upstream.
 const (
-	// Healthy: the upstream gets requests.
+	// Healthy upstreams get requests.
 	Healthy State = iota
-	// Ejected: it gets none until its time is over; then one, as a probe.
+	// Ejected upstreams get no request until the ejection is over, and then
+	// one, as a probe.
 	Ejected
-	// Probing: it gets one request at a time.
+	// Probing upstreams get one request at a time.
 	Probing
 )
 
 // Sample is one ended request at an upstream.
 type Sample struct {
-	// Failed: no answer, or a refusal that is not for its being asked to
-	// leave. A call that the application itself failed is a success.
+	// Failed reports that the upstream gave no answer, or refused for another
+	// reason than that it is about to leave. An application error counts as
+	// success.
 	Failed bool
-	// Latency to the first token over what is expected of an idle upstream
-	// for this request, so that long prompts do not look slow; or any
-	// latency, if requests are alike. 0 is not measured.
+	// Latency is the time to the first token divided by the time that an idle
+	// upstream is expected to take for this request, so that long prompts
+	// don't look slow. If all requests are alike, it may be any measure of
+	// latency. 0 means not measured.
 	Latency float64
-	// Started is when the request was sent. While probing, requests sent
-	// before the probe prove nothing. Zero counts as the probe's own.
+	// Started is when the request was sent. While an upstream is being
+	// probed, requests sent before the probe are ignored. Zero means that the
+	// request is the probe.
 	Started time.Time
 }
 
-// upstream is what is known of one upstream.
+// upstream is the state of one upstream.
 type upstream struct {
-	state          State
-	failures       int
+	state State
+	// failures is the number of consecutive failures.
+	failures int
+	// latencyAverage is the moving average of Sample.Latency over samples.
 	latencyAverage float64
 	samples        int
-	// ejections in a row, with less than Config.Longest of health between.
+	// ejections counts ejections that followed each other with less than
+	// Config.Longest of health in between.
 	ejections int
-	// until is when an ejection ends, or when health was proved.
+	// until is when the ejection ends, or, for a healthy upstream, when it
+	// became healthy again.
 	until time.Time
-	// probeStarted is zero when no probe is under way.
+	// probeStarted is when the present probe was sent; zero if none is under
+	// way.
 	probeStarted time.Time
 	goodProbes   int
 }
 
-// Set is the upstreams of one service. See New.
+// Set holds the upstreams of one service. It is not safe for concurrent use.
+// See New.
 type Set struct {
 	config    Config
 	upstreams map[ident.Instance]*upstream
-	// latencies is scratch space.
+	// latencies is scratch space of medianOfOthers.
 	latencies []float64
 }
 
@@ -126,7 +145,7 @@
 	return &Set{config: config.withDefaults(), upstreams: map[ident.Instance]*upstream{}}
 }
 
-// SetUpstreams says which upstreams there are. New ones are healthy.
+// SetUpstreams sets the upstreams of the service. New ones are healthy.
 func (s *Set) SetUpstreams(ids []ident.Instance) {
 	wanted := make(map[ident.Instance]bool, len(ids))
 	for _, id := range ids {
@@ -145,14 +164,14 @@
 	s.enforceEjectionLimit()
 }
 
-// enforceEjectionLimit readmits those whose ejection ends first until no more than a
-// third is out. Upstreams can leave while others are ejected; without this,
-// the ejected could come to outnumber the rest.
+// enforceEjectionLimit makes upstreams healthy again, those whose ejection ends
+// first, until no more than a third is unhealthy. Upstreams can leave while
+// others are ejected; without this, the ejected ones could outnumber the rest.
 func (s *Set) enforceEjectionLimit() {
 	for s.notHealthy()*upstreamsPerEjected > len(s.upstreams) {
 		var first ident.Instance
-		for id, p := range s.upstreams {
-			if p.state != Healthy && (first == "" || s.endsSooner(id, p, first)) {
+		for id, u := range s.upstreams {
+			if u.state != Healthy && (first == "" || s.endsSooner(id, u, first)) {
 				first = id
 			}
 		}
@@ -160,27 +179,29 @@
 	}
 }
 
-func (s *Set) endsSooner(id ident.Instance, p *upstream, than ident.Instance) bool {
-	other := s.upstreams[than]
-	if !p.until.Equal(other.until) {
-		return p.until.Before(other.until)
+// endsSooner reports whether the ejection of upstream id ends before that of
+// otherID. It breaks ties by ID so that the order is the same in each run.
+func (s *Set) endsSooner(id ident.Instance, u *upstream, otherID ident.Instance) bool {
+	other := s.upstreams[otherID]
+	if !u.until.Equal(other.until) {
+		return u.until.Before(other.until)
 	}
-	return id < than
+	return id < otherID
 }
 
-// State returns the state of an upstream; unknown ones are healthy.
+// State returns the state of an upstream. An unknown upstream is healthy.
 func (s *Set) State(id ident.Instance) State {
-	if p := s.upstreams[id]; p != nil {
-		return p.state
+	if u := s.upstreams[id]; u != nil {
+		return u.state
 	}
 	return Healthy
 }
 
-// Excluded returns the upstreams that must get no request now, in order.
+// Excluded returns the upstreams that must not get a request now, sorted by ID.
 func (s *Set) Excluded(now time.Time) []ident.Instance {
 	var ids []ident.Instance
-	for id, p := range s.upstreams {
-		if !s.allows(p, now) {
+	for id, u := range s.upstreams {
+		if !s.allows(u, now) {
 			ids = append(ids, id)
 		}
 	}
@@ -188,92 +209,95 @@
 	return ids
 }
 
-// allows reports whether a request may go to an upstream.
-func (s *Set) allows(p *upstream, now time.Time) bool {
-	switch p.state {
+// allows reports whether a request may be sent to an upstream now.
+func (s *Set) allows(u *upstream, now time.Time) bool {
+	switch u.state {
 	case Ejected:
-		return !now.Before(p.until)
+		return !now.Before(u.until)
 	case Probing:
-		return p.probeStarted.IsZero() || now.Sub(p.probeStarted) >= s.config.ProbeLimit
+		return u.probeStarted.IsZero() || now.Sub(u.probeStarted) >= s.config.ProbeLimit
 	}
 	return true
 }
 
-// NextChange returns when Excluded changes by time alone; zero is never.
+// NextChange returns the next time at which Excluded changes merely because time
+// passes; zero means never.
 func (s *Set) NextChange(now time.Time) time.Time {
 	var next time.Time
-	for _, p := range s.upstreams {
-		at := p.until
-		if p.state == Probing && !p.probeStarted.IsZero() {
-			at = p.probeStarted.Add(s.config.ProbeLimit)
+	for _, u := range s.upstreams {
+		at := u.until
+		if u.state == Probing && !u.probeStarted.IsZero() {
+			at = u.probeStarted.Add(s.config.ProbeLimit)
 		}
-		if p.state != Healthy && at.After(now) && (next.IsZero() || at.Before(next)) {
+		if u.state != Healthy && at.After(now) && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
 	return next
 }
 
-// Started says that a request goes to an upstream. At an upstream whose
-// ejection is over it is a probe.
+// Started reports that a request is sent to an upstream. If the upstream's
+// ejection is over and no probe is under way, the request is a probe.
 func (s *Set) Started(now time.Time, id ident.Instance) {
-	p := s.upstreams[id]
-	if p == nil || p.state == Healthy || !s.allows(p, now) {
+	u := s.upstreams[id]
+	if u == nil || u.state == Healthy || !s.allows(u, now) {
 		return
 	}
-	p.state = Probing
-	p.probeStarted = now
+	u.state = Probing
+	u.probeStarted = now
 }
 
-// Ended takes in an ended request.
+// Ended records the result of a request. It may eject the upstream or, after a
+// probe, make it healthy again.
 func (s *Set) Ended(now time.Time, id ident.Instance, sample Sample) {
-	p := s.upstreams[id]
-	if p == nil {
+	u := s.upstreams[id]
+	if u == nil {
 		return
 	}
-	p.record(sample)
-	switch p.state {
+	u.record(sample)
+	switch u.state {
 	case Probing:
-		s.recordProbe(now, p, sample)
+		s.recordProbe(now, u, sample)
 	case Healthy:
-		if p.failures >= s.config.Failures || s.slow(p) {
-			s.ejectWithinLimit(now, p)
+		if u.failures >= s.config.Failures || s.slow(u) {
+			s.ejectWithinLimit(now, u)
 		}
 	}
 }
 
-func (p *upstream) record(sample Sample) {
+func (u *upstream) record(sample Sample) {
 	if sample.Failed {
-		p.failures++
+		u.failures++
 		return
 	}
-	p.failures = 0
+	u.failures = 0
 	if sample.Latency <= 0 {
 		return
 	}
-	p.samples++
-	if p.samples == 1 {
-		p.latencyAverage = sample.Latency
+	u.samples++
+	if u.samples == 1 {
+		u.latencyAverage = sample.Latency
 		return
 	}
-	p.latencyAverage += latencySmoothing * (sample.Latency - p.latencyAverage)
+	u.latencyAverage += latencySmoothing * (sample.Latency - u.latencyAverage)
 }
 
-// slow reports whether an upstream is far slower than its healthy peers.
-func (s *Set) slow(p *upstream) bool {
-	if p.samples < s.config.SlowSamples {
+// slow reports whether an upstream is far slower than the other healthy ones.
+func (s *Set) slow(u *upstream) bool {
+	if u.samples < s.config.SlowSamples {
 		return false
 	}
-	median, known := s.medianOfOthers(p)
-	return known && p.latencyAverage > s.config.SlowFactor*median
+	median, known := s.medianOfOthers(u)
+	return known && u.latencyAverage > s.config.SlowFactor*median
 }
 
-// medianOfOthers returns the median latency of the other healthy upstreams.
+// medianOfOthers returns the median of the average latencies of the other healthy
+// upstreams, and false if fewer than minOthers have samples.
 func (s *Set) medianOfOthers(except *upstream) (float64, bool) {
 	s.latencies = s.latencies[:0]
-	for _, p := range s.upstreams {
-		if p != except && p.state == Healthy && p.samples > 0 {
-			s.latencies = append(s.latencies, p.latencyAverage)
+	for _, u := range s.upstreams {
+		if u != except && u.state == Healthy && u.samples > 0 {
+			s.latencies = append(s.latencies, u.latencyAverage)
 		}
 	}
 	if len(s.latencies) < minOthers {
@@ -283,51 +307,54 @@
 	return s.latencies[len(s.latencies)/2], true
 }
 
-// ejectWithinLimit takes an upstream out unless a third already is.
-func (s *Set) ejectWithinLimit(now time.Time, p *upstream) {
+// ejectWithinLimit ejects an upstream unless more than a third of the upstreams
+// would be unhealthy then.
+func (s *Set) ejectWithinLimit(now time.Time, u *upstream) {
 	if (s.notHealthy()+1)*upstreamsPerEjected > len(s.upstreams) {
 		return
 	}
-	s.startEjection(now, p)
+	s.startEjection(now, u)
 }
 
-func (s *Set) startEjection(now time.Time, p *upstream) {
-	if p.state == Healthy && now.Sub(p.until) >= s.config.Longest {
-		p.ejections = 0
+// startEjection ejects an upstream, twice as long as the last time unless it has
+// been healthy for Config.Longest since.
+func (s *Set) startEjection(now time.Time, u *upstream) {
+	if u.state == Healthy && now.Sub(u.until) >= s.config.Longest {
+		u.ejections = 0
 	}
-	length := s.config.Base << min(p.ejections, 20)
+	length := s.config.Base << min(u.ejections, 20)
 	if length <= 0 || length > s.config.Longest {
 		length = s.config.Longest
 	}
-	*p = upstream{state: Ejected, ejections: p.ejections + 1, until: now.Add(length)}
+	*u = upstream{state: Ejected, ejections: u.ejections + 1, until: now.Add(length)}
 }
 
-// notHealthy counts the upstreams that are not healthy.
+// notHealthy returns the number of upstreams that are ejected or being probed.
 func (s *Set) notHealthy() int {
 	n := 0
-	for _, p := range s.upstreams {
-		if p.state != Healthy {
+	for _, u := range s.upstreams {
+		if u.state != Healthy {
 			n++
 		}
 	}
 	return n
 }
 
-// recordProbe returns an upstream to service after enough good probes, or
-// ejects it again after a bad one.
-func (s *Set) recordProbe(now time.Time, p *upstream, sample Sample) {
-	if !sample.Started.IsZero() && sample.Started.Before(p.probeStarted) {
+// recordProbe records the result of a probe. It makes the upstream healthy after
+// enough consecutive good probes, and ejects it again after a failed or slow one.
+func (s *Set) recordProbe(now time.Time, u *upstream, sample Sample) {
+	if !sample.Started.IsZero() && sample.Started.Before(u.probeStarted) {
 		return
 	}
-	p.probeStarted = time.Time{}
-	median, known := s.medianOfOthers(p)
+	u.probeStarted = time.Time{}
+	median, known := s.medianOfOthers(u)
 	slow := known && sample.Latency > s.config.SlowFactor*median
 	if sample.Failed || slow {
-		s.startEjection(now, p)
+		s.startEjection(now, u)
 		return
 	}
-	p.goodProbes++
-	if p.goodProbes >= s.config.Probes {
-		*p = upstream{ejections: p.ejections, until: now}
+	u.goodProbes++
+	if u.goodProbes >= s.config.Probes {
+		*u = upstream{ejections: u.ejections, until: now}
 	}
 }
--- a/internal/admission/ejection/ejection_test.go
+++ b/internal/admission/ejection/ejection_test.go
@@ -22,12 +22,13 @@
 	return ids
 }
 
-// TestFloor: whatever fails, more than a third is never kept out, and an
-// upstream that is kept out is tried again in bounded time.
+// TestFloor checks that never more than a third of the upstreams is excluded,
+// whatever fails, and that an excluded upstream is tried again in bounded time.
 //
-// Symptom: a slow minute ends with no upstream left, or one that recovered
-// stays out. Sequence: many fail at once; upstreams leave while others are
-// ejected; a probe's answer never comes. Cause: each is judged alone.
+// It guards against a slow minute that leaves no upstream, and against
+// upstreams that recovered and stay excluded. That happens if each upstream is
+// ejected regardless of the others while many fail at once, upstreams leave
+// while others are ejected, or a probe's answer never comes.
 func TestFloor(t *testing.T) { rapid.Check(t, checkFloor) }
 
 func checkFloor(t *rapid.T) {
@@ -54,17 +55,18 @@
 				s.Ended(now, id, Sample{Failed: true})
 			}
 		}
-		if out := s.Excluded(now); len(out)*upstreamsPerEjected > len(ids) {
-			t.Fatalf("%d of %d kept out", len(out), len(ids))
+		if excluded := s.Excluded(now); len(excluded)*upstreamsPerEjected > len(ids) {
+			t.Fatalf("%d of %d upstreams excluded, want at most a third", len(excluded), len(ids))
 		}
 		if late := now.Add(DefaultMaxEjectionTime + DefaultProbeTimeout); len(s.Excluded(late)) > 0 {
-			t.Fatalf("%v still kept out after the longest ejection", s.Excluded(late))
+			t.Fatalf("%v still excluded after the longest ejection", s.Excluded(late))
 		}
 		checkNextChange(t, s, now)
 	}
 }
 
-// checkNextChange: the exclusion stays as it is until NextChange says so.
+// checkNextChange checks that the excluded upstreams stay the same until the
+// time that NextChange returns.
 func checkNextChange(t *rapid.T, s *Set, now time.Time) {
 	next := s.NextChange(now)
 	before := now.Add(time.Hour)
@@ -72,11 +74,12 @@
 		before = next.Add(-1)
 	}
 	if !slices.Equal(s.Excluded(before), s.Excluded(now)) {
-		t.Fatalf("exclusion changes from %v to %v before %v", s.Excluded(now), s.Excluded(before), next)
+		t.Fatalf("excluded upstreams change from %v to %v before NextChange, %v", s.Excluded(now), s.Excluded(before), next)
 	}
 }
 
-// TestStory walks through an ejection from cause to return.
+// TestStory follows an upstream from the cause of its ejection until it is
+// healthy again.
 func TestStory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
@@ -102,23 +105,23 @@
 			s.SetUpstreams(instances(3))
 			c.bad(s)
 			if s.State("u0") != Ejected || !slices.Equal(s.Excluded(now), []ident.Instance{"u0"}) {
-				t.Fatal("not ejected")
+				t.Fatal("u0 was not ejected")
 			}
 			now := now.Add(DefaultBaseEjectionTime)
 			if len(s.Excluded(now)) != 0 {
-				t.Fatal("not probed when its time is over")
+				t.Fatal("u0 is still excluded when its ejection is over")
 			}
 			s.Started(now, "u0")
 			if len(s.Excluded(now)) != 1 {
-				t.Fatal("a second request during the probe")
+				t.Fatal("u0 would get a second request during its probe")
 			}
 			s.Ended(now, "u0", Sample{Failed: true, Started: now.Add(-time.Minute)})
 			if s.State("u0") != Probing {
-				t.Fatal("an answer to an earlier request counts as the probe's")
+				t.Fatal("the result of an earlier request counts as the probe's")
 			}
 			s.Ended(now, "u0", Sample{Failed: true, Started: now})
 			if len(s.Excluded(now.Add(2*DefaultBaseEjectionTime-1))) != 1 {
-				t.Fatal("a failed probe does not double the time")
+				t.Fatal("a failed probe did not double the ejection time")
 			}
 			now = now.Add(2 * DefaultBaseEjectionTime)
 			for range DefaultProbes {
@@ -126,7 +129,7 @@
 				s.Ended(now, "u0", Sample{Latency: 1, Started: now})
 			}
 			if s.State("u0") != Healthy {
-				t.Fatal("not readmitted after good probes")
+				t.Fatal("u0 is not healthy after good probes")
 			}
 		})
 	}
--- a/internal/admission/quota/quota_test.go
+++ b/internal/admission/quota/quota_test.go
@@ -13,12 +13,12 @@
 
 func init() { testkit.FixSeed() }
 
-// TestLimitsHold sends at random to all gateways and counts what they let
-// through together against the document and the error that Divide states.
+// TestLimitsHold sends requests to gateways at random and checks that what they
+// admit together stays within the document's limit and the error that Divide
+// states.
 //
-// Symptom: an account gets several times its limit. Sequence: its requests
-// spread over gateways that do not ask each other. Cause: each gateway grants
-// the whole limit.
+// It guards against an account that gets several times its limit because its
+// requests spread over gateways and each of them grants the whole limit.
 func TestLimitsHold(t *testing.T) { rapid.Check(t, checkLimitsHold) }
 
 func checkLimitsHold(t *rapid.T) {
@@ -54,51 +54,51 @@
 		}
 		allowed := limit.RequestsPerSecond*now.Sub(start).Seconds() + float64(max(limit.Burst, 1)+2*gateways)
 		if float64(taken) > allowed {
-			t.Fatalf("%d taken, at most %.1f", taken, allowed)
+			t.Fatalf("%d requests taken, want at most %.1f", taken, allowed)
 		}
 		if inFlight >= limit.MaxInFlight+gateways {
-			t.Fatalf("%d in flight at %d gateways, limit %d", inFlight, gateways, limit.MaxInFlight)
+			t.Fatalf("%d requests in flight at %d gateways, limit %d", inFlight, gateways, limit.MaxInFlight)
 		}
 	}
 }
 
-// TestDelayIsEnough: a request that waits as long as it was told is allowed,
-// and a nanosecond before it was not.
+// TestDelayIsEnough checks that a request is allowed a microsecond after the
+// delay, and not allowed a microsecond before it ends.
 func TestDelayIsEnough(t *testing.T) {
-	for _, returning := range []bool{false, true} {
-		t.Run(fmt.Sprint("returning ", returning), func(t *testing.T) {
+	for _, retry := range []bool{false, true} {
+		t.Run(fmt.Sprint("returning ", retry), func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			a := NewAccount(document.AccountLimit{RequestsPerSecond: 7, Burst: 4}, now)
-			for a.Delay(now, returning) == 0 {
+			for a.Delay(now, retry) == 0 {
 				a.Take(now)
 			}
-			delay := a.Delay(now, returning)
-			if early := a.Delay(now.Add(delay-time.Microsecond), returning); early <= 0 {
-				t.Error("allowed before the delay is over")
+			delay := a.Delay(now, retry)
+			if early := a.Delay(now.Add(delay-time.Microsecond), retry); early <= 0 {
+				t.Error("request allowed before the delay is over")
 			}
-			if late := a.Delay(now.Add(delay+time.Microsecond), returning); late != 0 {
-				t.Errorf("another %v after the delay is over", late)
+			if late := a.Delay(now.Add(delay+time.Microsecond), retry); late != 0 {
+				t.Errorf("request delayed by another %v after the delay is over", late)
 			}
 		})
 	}
 }
 
-// TestReserve: first tries leave room for those who return as told, also where
-// a gateway's part of the burst is a single request.
+// TestReserve checks that first attempts leave tokens to retries, even if a
+// gateway's part of the burst is a single request.
 func TestReserve(t *testing.T) {
 	for _, burst := range []int{1, 2, 8} {
 		now := time.Unix(1000, 0)
 		a := NewAccount(document.AccountLimit{RequestsPerSecond: 1, Burst: burst}, now)
-		first := 0
+		firstAttempts := 0
 		for a.Delay(now, false) == 0 {
 			a.Take(now)
-			first++
+			firstAttempts++
 		}
-		if first < 1 {
-			t.Errorf("burst %d: no first try is let in", burst)
+		if firstAttempts < 1 {
+			t.Errorf("burst %d: no first attempt is allowed", burst)
 		}
 		if a.Delay(now, true) != 0 {
-			t.Errorf("burst %d: first tries left nothing to those who return", burst)
+			t.Errorf("burst %d: first attempts left no token to retries", burst)
 		}
 	}
 }
--- a/internal/admission/returntime/returntime_test.go
+++ b/internal/admission/returntime/returntime_test.go
@@ -8,10 +8,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// TestBookSpreads: callers that are refused together do not return together.
+// TestBookSpreads checks that callers that are refused together don't come back
+// together.
 //
-// Symptom: load comes in waves, each refused like the one before. Sequence: a
-// burst is refused at one moment. Cause: all are told the same time.
+// It guards against load in waves, each refused like the one before, which
+// arises if all requests of a burst are told the same retry-after time.
 func TestBookSpreads(t *testing.T) {
 	const callers, gap = 1000, 10 * time.Millisecond
 	now := time.Unix(1000, 0)
@@ -20,39 +21,41 @@
 	for i := range callers {
 		after := s.Book(now, time.Second, gap, ident.Request(fmt.Sprint(i)))
 		if after < time.Second {
-			t.Fatalf("caller %d returns after %v, before the backlog has drained", i, after)
+			t.Fatalf("caller %d comes back after %v, before the backlog has drained", i, after)
 		}
 		perGap[after/gap]++
 	}
 	for slot, n := range perGap {
 		if n > 2 {
-			t.Errorf("%d callers return within one gap, at %v", n, slot*gap)
+			t.Errorf("%d callers come back within one gap, at %v, want at most 2", n, slot*gap)
 		}
 	}
 	if after := s.Book(now, 0, 0, "next"); after != time.Second+callers*gap {
-		t.Errorf("the next one returns after %v", after)
+		t.Errorf("the next caller comes back after %v, want %v", after, time.Second+callers*gap)
 	}
 	if after := s.Book(now.Add(time.Hour), 0, 0, "late"); after != Min {
-		t.Errorf("one an hour later returns after %v", after)
+		t.Errorf("a caller refused an hour later comes back after %v, want %v", after, Min)
 	}
 }
 
-// TestBounds: no return time is outside the bounds, however long the rush.
+// TestBounds checks that no retry-after time is outside the bounds, however long
+// the overload lasts.
 func TestBounds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var s Schedule
 	for i := range 1000 {
 		after := s.Book(now, -time.Hour, time.Minute, ident.Request(fmt.Sprint(i)))
 		if after < Min || after > Max {
-			t.Fatalf("return time %v", after)
+			t.Fatalf("retry-after time %v, want between %v and %v", after, Min, Max)
 		}
 	}
 	if d := Spread(time.Hour, "x"); d != Max {
-		t.Errorf("spread %v, want %v", d, Max)
+		t.Errorf("Spread of an hour returned %v, want %v", d, Max)
 	}
 }
 
-// TestSpread: the time depends on the request ID alone and fills its range.
+// TestSpread checks that the time depends on the base and the request ID alone,
+// and that the times of many requests are spread evenly over the range.
 func TestSpread(t *testing.T) {
 	const base = 10 * time.Second
 	var quarters [4]int
@@ -60,13 +63,13 @@
 		id := ident.Request(fmt.Sprint("request-", i))
 		d := Spread(base, id)
 		if d != Spread(base, id) {
-			t.Fatal("two times for one request")
+			t.Fatalf("Spread returned two different times for request %s", id)
 		}
 		quarters[min(int(4*(d-base)/(base/2)), 3)]++
 	}
 	for i, n := range quarters {
 		if n < 200 || n > 300 {
-			t.Errorf("quarter %d of the range holds %d of 1000", i, n)
+			t.Errorf("quarter %d of the range holds %d of 1000 times, want 200 to 300", i, n)
 		}
 	}
 }
