--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -31,13 +31,13 @@
 	return Request{Service: "s", ID: id, Account: "a", Class: shortClass}
 }
 
-// TestWaitingEnds: whatever ends a wait, the caller hears it at that moment and
-// the slot is free afterwards.
+// TestWaitingEnds checks that whatever ends a wait, the caller is refused at that
+// moment and the slot can be granted afterwards.
 //
-// Symptom: a slot stays taken after a caller gave up, and the gateway's
-// capacity shrinks until it is restarted. Sequence: a request waits; its
-// caller cancels, its deadline passes or its class's target passes. Cause: the
-// wait ends without the entry leaving the gate.
+// It guards against a slot that stays taken after a caller gave up, so that the
+// gateway's capacity shrinks until it is restarted. That happens if a wait ends,
+// because the caller cancels or its deadline or class target passes, without the
+// entry leaving the gate.
 func TestWaitingEnds(t *testing.T) {
 	cases := []struct {
 		story  string
@@ -71,13 +71,13 @@
 					t.Fatalf("got %+v, want not_run %s", refusal, c.reason)
 				}
 				if waited := time.Since(begin); waited != c.after {
-					t.Errorf("answer after %v, want %v", waited, c.after)
+					t.Errorf("refused after %v, want %v", waited, c.after)
 				}
 				first.Done(Result{})
 				first.Done(Result{})
 				third, refusal := ctl.Admit(t.Context(), request("third"))
 				if refusal != nil {
-					t.Fatal("slot not free after the wait ended:", refusal)
+					t.Fatal("request refused after the wait ended:", refusal)
 				}
 				third.Done(Result{})
 			})
@@ -85,16 +85,16 @@
 	}
 }
 
-// TestUpstreams: slots follow the upstreams that are there, an upstream that
-// fails is left out until its time is over, and who waits is let in when an
-// upstream comes.
+// TestUpstreams checks that the slots follow the live upstreams, that a failing
+// upstream is excluded until its ejection is over, and that a waiting request is
+// granted a slot when an upstream is added.
 func TestUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctl := New(Config{Concurrency: concurrency.Config{Initial: 1, Max: 1}})
 		ctl.SetUpstreams("s", nil)
 		_, refusal := ctl.Admit(t.Context(), request("none"))
 		if refusal == nil || refusal.Reason != outcome.ReasonNoUpstream || refusal.RetryAfter <= 0 {
-			t.Fatalf("got %+v without an upstream", refusal)
+			t.Fatalf("got %+v without an upstream, want not_run %s with a retry-after time", refusal, outcome.ReasonNoUpstream)
 		}
 		ctl.SetUpstreams("s", []ident.Instance{"u1", "u2"})
 		first, _ := ctl.Admit(t.Context(), request("1"))
@@ -114,41 +114,42 @@
 		for range ejection.DefaultConsecutiveFailures {
 			ctl.Observe("s", Result{Upstream: "u1", Failed: true, Sent: time.Now()}, 0)
 		}
-		if out := ctl.Ejected("s"); len(out) != 1 || out[0] != "u1" {
-			t.Fatalf("ejected %v, want u1", out)
+		if excluded := ctl.Ejected("s"); len(excluded) != 1 || excluded[0] != "u1" {
+			t.Fatalf("excluded %v, want u1", excluded)
 		}
 		time.Sleep(ejection.DefaultBaseEjectionTime)
-		if out := ctl.Ejected("s"); len(out) != 0 {
-			t.Fatalf("ejected %v after its time", out)
+		if excluded := ctl.Ejected("s"); len(excluded) != 0 {
+			t.Fatalf("excluded %v after the ejection, want none", excluded)
 		}
 		ctl.Sending("s", "u1")
-		if out := ctl.Ejected("s"); len(out) != 1 {
-			t.Fatalf("ejected %v during a probe, want u1", out)
+		if excluded := ctl.Ejected("s"); len(excluded) != 1 {
+			t.Fatalf("excluded %v during a probe, want u1", excluded)
 		}
 	})
 }
 
-// TestSetSlots: slots that are set replace the upstreams' limits while there
-// are upstreams.
+// TestSetSlots checks that slots set by SetSlots replace the sum of the
+// upstreams' limits while there are upstreams.
 func TestSetSlots(t *testing.T) {
 	ctl := New(Config{Concurrency: concurrency.Config{Initial: 1, Max: 1}})
 	ctl.SetUpstreams("s", []ident.Instance{"u1"})
 	ctl.SetSlots("s", 3)
 	if n := ctl.service("s").gate.Slots(); n != 3 {
-		t.Errorf("%d slots, want those that were set", n)
+		t.Errorf("%d slots after SetSlots, want 3", n)
 	}
 	ctl.Observe("s", Result{Upstream: "u1", Failed: true}, 0)
 	ctl.SetUpstreams("s", []ident.Instance{"u1", "u2"})
 	if n := ctl.service("s").gate.Slots(); n != 3 {
-		t.Errorf("%d slots after a change of upstreams", n)
+		t.Errorf("%d slots after a change of upstreams, want 3", n)
 	}
 	ctl.SetUpstreams("s", nil)
 	if n := ctl.service("s").gate.Slots(); n != 0 {
-		t.Errorf("%d slots without upstreams", n)
+		t.Errorf("%d slots without upstreams, want 0", n)
 	}
 }
 
-// TestDividedLimit: the document's limit holds for all gateways together.
+// TestDividedLimit checks that one of four gateways admits a quarter of the
+// document's limit.
 func TestDividedLimit(t *testing.T) {
 	ctl := New(Config{Gate: gate.Config{Slots: 100}})
 	ctl.SetGateways(4)
@@ -156,11 +157,11 @@
 	r.Limit = document.AccountLimit{MaxInFlight: 8}
 	for range 2 {
 		if _, refusal := ctl.Admit(t.Context(), r); refusal != nil {
-			t.Fatal("refused within the limit:", refusal)
+			t.Fatal("request within the limit refused:", refusal)
 		}
 	}
 	_, refusal := ctl.Admit(t.Context(), r)
 	if refusal == nil || refusal.Reason != outcome.ReasonRateLimited || refusal.RetryAfter <= 0 {
-		t.Fatalf("got %+v beyond a quarter of 8 in flight", refusal)
+		t.Fatalf("got %+v beyond a quarter of 8 in flight, want not_run %s with a retry-after time", refusal, outcome.ReasonRateLimited)
 	}
 }
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// BenchmarkAdmit measures an admission with its end, for requests that are let
-// in and for requests that are refused for their account's limit.
+// BenchmarkAdmit measures Admit and Done for requests that are granted, and
+// Admit for requests that are refused because of their account's rate limit.
 func BenchmarkAdmit(b *testing.B) {
 	for _, accounts := range []int{5, 500} {
 		for _, parallel := range []int{1, 12} {
@@ -59,7 +59,7 @@
 	return list
 }
 
-// BenchmarkObserve measures what an ended attempt costs.
+// BenchmarkObserve measures the recording of an ended attempt.
 func BenchmarkObserve(b *testing.B) {
 	for _, upstreams := range []int{9, 690} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
@@ -79,7 +79,8 @@
 	}
 }
 
-// BenchmarkMemory measures what a gate keeps for each client account.
+// BenchmarkMemory measures the memory that a controller keeps for each client
+// account.
 func BenchmarkMemory(b *testing.B) {
 	for _, accounts := range []int{100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
--- a/internal/admission/fuzz_test.go
+++ b/internal/admission/fuzz_test.go
@@ -16,13 +16,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// caller is one request of the fuzzing test and what it heard.
+// caller is one request of TestConcurrentUse and its result.
 type caller struct {
 	cancel context.CancelFunc
+	// answer is nil until Admit has returned.
 	answer atomic.Pointer[answer]
-	// finished is set when the test gave the ticket back.
+	// finished is set once the test has taken the ticket to call Done.
 	finished bool
-	// latest is when it must have heard something.
+	// latest is the time by which Admit must have returned.
 	latest time.Time
 }
 
@@ -32,7 +33,7 @@
 	refusal *outcome.Outcome
 }
 
-// running returns the ticket while it is out.
+// running returns the ticket of a granted request that isn't finished, or nil.
 func (c *caller) running() *Ticket {
 	if a := c.answer.Load(); a != nil && !c.finished {
 		return a.ticket
@@ -40,16 +41,17 @@
 	return nil
 }
 
-// bubbled hides the Deadline method of testing.T from rapid: it must not be
-// called inside a bubble.
+// bubbled hides the Deadline method of testing.T from rapid, since it must not be
+// called inside a synctest bubble.
 type bubbled struct{ testing.TB }
 
-// TestConcurrentUse lets callers come, give up, run into deadlines and end in
-// any order, and checks against a count of the tickets out.
+// TestConcurrentUse lets callers arrive, cancel, run into deadlines and finish in
+// any order, and compares the controller with a count of the unfinished tickets.
 //
-// Symptom: more requests run than slots, a caller hears nothing, or a slot is
-// lost. Sequence: a grant races with a cancel, a deadline, an eviction or a
-// change of slots. Cause: the two sides disagree on who owns the slot.
+// It guards against more running requests than slots, callers that get no answer
+// and slots that are lost. That happens if a grant races with a cancellation, a
+// deadline, an eviction or a change of slots, and the two sides disagree on
+// which of them owns the slot.
 func TestConcurrentUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(bubbled{t}, checkConcurrentUse)
@@ -102,15 +104,15 @@
 		"": func(t *rapid.T) {
 			synctest.Wait()
 			if n := running(); n > slots {
-				t.Fatalf("%d run at %d slots", n, slots)
+				t.Fatalf("%d requests run, want at most %d", n, slots)
 			}
 			for i, c := range callers {
 				a := c.answer.Load()
 				if a == nil && time.Now().After(c.latest) {
-					t.Fatalf("caller %d heard nothing until %v after its latest start", i, time.Since(c.latest))
+					t.Fatalf("caller %d has no answer %v after its latest start", i, time.Since(c.latest))
 				}
 				if a != nil && a.refusal != nil && a.refusal.Kind != outcome.NotRun {
-					t.Fatalf("caller %d heard %v", i, a.refusal.Kind)
+					t.Fatalf("caller %d was refused with %v, want %v", i, a.refusal.Kind, outcome.NotRun)
 				}
 			}
 		},
@@ -132,7 +134,7 @@
 	}
 }
 
-// arrive sends a request; a timeout of 0 is none.
+// arrive starts Admit for a request; a timeout of 0 means none.
 func arrive(ctl *Controller, r Request, timeout time.Duration) *caller {
 	ctx, cancel := context.WithCancel(context.Background())
 	latest := time.Now().Add(gate.DefaultMaxWait)
@@ -148,7 +150,8 @@
 	return c
 }
 
-// take returns the ticket of the nth running request, or nil.
+// take returns the ticket of the nth running request, counted from 0, and marks
+// the request as finished. It returns nil if there is none.
 func take(callers []*caller, nth int) *Ticket {
 	for _, c := range callers {
 		ticket := c.running()
@@ -170,8 +173,8 @@
 	}
 }
 
-// endAll finishes everything and checks that no slot, place or use of a limit
-// is left behind.
+// endAll cancels and finishes all requests and checks that no slot, queue place
+// or counted request of an account is left.
 func endAll(t *rapid.T, ctl *Controller, callers []*caller) {
 	for _, c := range callers {
 		c.cancel()
@@ -182,11 +185,11 @@
 	}
 	s := ctl.service("s")
 	if s.gate.InFlight() != 0 || s.gate.Queued() != 0 || len(s.waiting) != 0 {
-		t.Fatalf("left behind: %d in flight, %d queued, %d waiting", s.gate.InFlight(), s.gate.Queued(), len(s.waiting))
+		t.Fatalf("after all requests ended: %d in flight, %d queued, %d waiting", s.gate.InFlight(), s.gate.Queued(), len(s.waiting))
 	}
 	for _, account := range []ident.ClientAccount{"a", "b", "c"} {
 		if n := s.gate.AccountInFlight(account); n != 0 {
-			t.Fatalf("account %s still counts %d in flight", account, n)
+			t.Fatalf("account %s still counts %d requests in flight", account, n)
 		}
 	}
 }
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -9,14 +9,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// TestAtTheDoor: what a request hears when it arrives, by what is predicted.
+// TestAtTheDoor checks the decision on arrival for different predictions.
 func TestAtTheDoor(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		story   string
 		slots   int
 		request Request
-		// want is the reason of the refusal; empty is granted.
+		// want is the reason of the refusal; empty means granted.
 		want outcome.Reason
 	}{
 		{"in time", 1, Request{Predicted: 900 * time.Millisecond}, ""},
@@ -38,18 +38,18 @@
 				return
 			}
 			if r := d.Refusal; !d.Refused || r.Kind != outcome.NotRun || r.Reason != c.want || r.RetryAfter <= 0 {
-				t.Fatalf("got %+v, want not_run %s with a return time", d, c.want)
+				t.Fatalf("got %+v, want not_run %s with a retry-after time", d, c.want)
 			}
 		})
 	}
 }
 
-// TestFullQueue: a full queue makes room for the account that waits with less,
-// and whoever has to leave hears it.
+// TestFullQueue checks that a full queue evicts an entry of the account with the
+// most waiting cost to make room for another account, and that the evicted entry
+// is refused.
 //
-// Symptom: a small account is refused at once while a large one's requests
-// wait. Sequence: the large one fills the queue. Cause: the queue is full for
-// everybody.
+// It guards against a small account that is refused at once because a large one
+// has filled the queue with its waiting requests.
 func TestFullQueue(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := New(Config{Slots: 1, MaxQueue: 3, Hold: time.Millisecond})
@@ -64,31 +64,32 @@
 	}
 	large := fill(4)
 	if g.Queued() != 3 {
-		t.Fatalf("%d wait, want 3", g.Queued())
+		t.Fatalf("%d entries wait, want 3", g.Queued())
 	}
 	if d := g.Offer(now, &Entry{Request: Request{Account: "large", Class: patient}}); !d.Refused || d.Evicted != nil {
-		t.Fatalf("got %+v, want a refusal of the account that fills the queue", d)
+		t.Fatalf("got %+v, want a refusal without eviction for the account that fills the queue", d)
 	}
 	small := &Entry{Request: Request{Account: "small", Class: patient}}
 	d := g.Offer(now, small)
 	if d.Refused || d.Evicted == nil || d.Evicted.Entry != large[3] {
-		t.Fatalf("got %+v, want the large account's last one evicted", d)
+		t.Fatalf("got %+v, want the last entry of the large account evicted", d)
 	}
 	if r := d.Evicted.Refusal; r.Kind != outcome.NotRun || r.RetryAfter <= 0 {
-		t.Errorf("the evicted one hears %+v", r)
+		t.Errorf("evicted entry refused with %+v, want not_run with a retry-after time", r)
 	}
 	if !small.Waiting() || large[3].Waiting() || g.Queued() != 3 || g.AccountInFlight("large") != 3 {
-		t.Errorf("queue of %d, large account counts %d", g.Queued(), g.AccountInFlight("large"))
+		t.Errorf("%d entries wait, large account counts %d, want 3 and 3 with the small account's entry waiting", g.Queued(), g.AccountInFlight("large"))
 	}
 }
 
-// TestLateUpstreams: while upstreams cannot answer all in time, the account
-// that asks for most of it leaves room to the others, although slots are free.
+// TestLateUpstreams checks that while upstreams can't answer all requests in
+// time, the account that asks for the most is refused for the sake of the
+// others, although slots are free.
 //
-// Symptom: a small account's requests are refused as often as those of the
-// account that causes the load. Sequence: one account asks for ever more;
-// predictions come to lie around the target. Cause: nothing waits, so that no
-// queue divides.
+// It guards against a small account whose requests are refused as often as those
+// of the account that causes the load. That happens if one account asks for more
+// and more until predictions are around the target: nothing waits then, so the
+// queue's order divides nothing.
 func TestLateUpstreams(t *testing.T) {
 	g := New(Config{Slots: 1000})
 	now := time.Unix(1000, 0)
@@ -122,32 +123,32 @@
 	}
 }
 
-// TestLateBound: the late bound of a prediction refuses a less urgent request,
-// unless such requests are answered in time anyway; it never refuses one of
-// the most urgent class.
+// TestLateBound checks that the late bound of a prediction, PredictedBy, makes
+// the gate refuse a less urgent request unless answers of its priority come in
+// time anyway, and that it never makes the gate refuse the most urgent class.
 func TestLateBound(t *testing.T) {
 	long := document.Class{Name: "long", FirstToken: time.Second, Priority: 1}
 	g := New(Config{Slots: 100})
 	now := time.Unix(1000, 0)
-	offer := func(class document.Class, by time.Duration) *Entry {
-		e := &Entry{Request: Request{Account: "a", Class: class, PredictedBy: by}}
+	offer := func(class document.Class, predictedBy time.Duration) *Entry {
+		e := &Entry{Request: Request{Account: "a", Class: class, PredictedBy: predictedBy}}
 		g.Offer(now, e)
 		return e
 	}
 	if !offer(shortClass, 2*time.Second).Granted() {
-		t.Error("most urgent request refused for its late bound")
+		t.Error("most urgent request refused because of its late bound")
 	}
 	if offer(long, 2*time.Second).Granted() {
-		t.Error("long request granted against its late bound, though nothing is known of its answers")
+		t.Error("long request granted against its late bound, though no answer to a long request was reported")
 	}
 	g.FirstToken(now, offer(long, 0))
 	if !offer(long, 2*time.Second).Granted() {
-		t.Error("long request refused for its late bound, though such requests are answered in time")
+		t.Error("long request refused because of its late bound, though long requests are answered in time")
 	}
 	e := offer(long, 0)
 	now = now.Add(2 * time.Second)
 	g.FirstToken(now, e)
 	if offer(long, 2*time.Second).Granted() {
-		t.Error("long request granted against its late bound, though such requests are answered late")
+		t.Error("long request granted against its late bound, though long requests are answered late")
 	}
 }
--- a/internal/admission/gate/lateness_test.go
+++ b/internal/admission/gate/lateness_test.go
@@ -9,16 +9,20 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// upstreamPool answers requests in the order of their priority.
+// upstreamPool simulates upstreams that answer granted requests in the order of
+// their priority.
 type upstreamPool struct {
-	gate       *Gate
-	now        time.Time
+	gate *Gate
+	now  time.Time
+	// unanswered are the granted requests without an answer.
 	unanswered []*Entry
-	late       map[int]int
-	served     map[int]int
+	// late and served count answers by priority.
+	late   map[int]int
+	served map[int]int
 }
 
-// answer serves so many waiting requests, the most urgent first.
+// answer answers up to n requests, the most urgent first, and grants the slots
+// that become free.
 func (p *upstreamPool) answer(n int) {
 	for range min(n, len(p.unanswered)) {
 		next := 0
@@ -53,22 +57,23 @@
 	}
 }
 
-// TestLateAnswersLimit: upstreams that answer less than is asked for, though
-// slots are free, get no more than they answer in time, and the limit ends
-// with the rush.
+// TestLateAnswersLimit checks that upstreams that can't answer all requests get
+// no more than they answer in time although slots are free, and that the limit is
+// gone after the load spike.
 //
-// Symptom: in a rush nearly all first tokens come too late although everything
-// runs. Sequence: more long requests than upstreams can begin are sent to them
-// while slots are free. Cause: admission looks at slots and not at answers.
+// It guards against a load spike in which nearly all first tokens come too late
+// although nothing fails. That happens if admission looks at slots and not at
+// answers: while slots are free, upstreams are sent more long requests than they
+// can start.
 func TestLateAnswersLimit(t *testing.T) {
 	long := document.Class{Name: "long", FirstToken: 2 * time.Second, Priority: 1}
 	p := &upstreamPool{gate: New(Config{Slots: 1000}), now: time.Unix(1000, 0), late: map[int]int{}, served: map[int]int{}}
 	const step, perStep = 100 * time.Millisecond, 4
-	run := func(steps, asked int) {
+	run := func(steps, offeredPerStep int) {
 		p.late, p.served = map[int]int{}, map[int]int{}
 		for i := range steps {
 			p.now = p.now.Add(step)
-			for j := range asked {
+			for j := range offeredPerStep {
 				p.offer(fmt.Sprint(p.now.UnixNano(), i, j), long)
 			}
 			p.answer(perStep)
@@ -76,26 +81,26 @@
 	}
 	run(100, 3)
 	if p.late[1] > 0 {
-		t.Fatalf("%d late before the rush", p.late[1])
+		t.Fatalf("%d answers late before the load spike, want none", p.late[1])
 	}
 	run(100, 12)
 	run(300, 12)
-	t.Logf("in the rush %d of %d late, %d in flight", p.late[1], p.served[1], p.gate.InFlight())
+	t.Logf("during the load spike %d of %d answers late, %d requests in flight", p.late[1], p.served[1], p.gate.InFlight())
 	if p.late[1]*2 > p.served[1] {
-		t.Errorf("%d of %d still late ten seconds into the rush", p.late[1], p.served[1])
+		t.Errorf("%d of %d answers late from ten seconds into the load spike on, want at most half", p.late[1], p.served[1])
 	}
 	if p.served[1] < 300*perStep*9/10 {
-		t.Errorf("%d served, the upstreams could serve %d", p.served[1], 300*perStep)
+		t.Errorf("%d requests served, want at least nine tenths of the possible %d", p.served[1], 300*perStep)
 	}
 	run(100, 3)
 	run(100, 3)
 	if p.served[1] < 290 || p.late[1] > 0 {
-		t.Errorf("after the rush %d of 300 served, %d late", p.served[1], p.late[1])
+		t.Errorf("after the load spike %d of 300 requests served, %d late, want at least 290 and none", p.served[1], p.late[1])
 	}
 }
 
-// TestSilence: upstreams that stop answering get ever fewer requests, although
-// no late answer ever tells that they are late.
+// TestSilence checks that upstreams that stop answering get fewer and fewer
+// requests, although no late first token is ever reported.
 func TestSilence(t *testing.T) {
 	p := &upstreamPool{gate: New(Config{Slots: 1000}), now: time.Unix(1000, 0), late: map[int]int{}, served: map[int]int{}}
 	class := document.Class{Name: "long", FirstToken: 2 * time.Second, Priority: 1}
@@ -107,6 +112,6 @@
 		p.answer(0)
 	}
 	if n := p.gate.InFlight(); n > 50 {
-		t.Errorf("%d of 100 were sent to silent upstreams", n)
+		t.Errorf("%d of 100 requests were sent to silent upstreams, want at most 50", n)
 	}
 }
--- a/internal/admission/gate/sim_test.go
+++ b/internal/admission/gate/sim_test.go
@@ -16,25 +16,26 @@
 	reviewClass = document.Class{Name: "review", Completion: 90 * time.Second, Priority: 1}
 )
 
-// load is one stream of requests of the simulation.
+// load is one stream of simulated requests, of one account and class.
 type load struct {
 	account ident.ClientAccount
 	class   document.Class
 	limit   document.AccountLimit
-	// rate is in requests a second; hold is the mean slot time, which is
-	// also the cost in seconds.
+	// rate is in requests per second. hold is the mean time for which a
+	// request holds a slot; a request's cost is its own time in seconds.
 	rate float64
 	hold time.Duration
 }
 
-// tally counts what became of one load.
+// tally counts the results of one load.
 type tally struct {
 	firstAttempts, granted, refused int
-	// expired are those refused after they had waited.
+	// expired counts the requests that were refused after they had waited.
 	expired int
-	// retried counts those who came back as told; admitted of them.
+	// retried counts the retries whose end could be observed, admitted those
+	// of them that were granted.
 	retried, admitted int
-	// cost granted, and offered by first tries.
+	// cost is the cost granted, offered the cost of all first attempts.
 	cost, offered float64
 }
 
@@ -48,7 +49,7 @@
 	t.cost += o.cost
 }
 
-// event is a step of the simulation.
+// event is a step of the simulation at a virtual time.
 type event struct {
 	at       time.Time
 	sequence int
@@ -73,8 +74,9 @@
 	return e
 }
 
-// sim drives gates in virtual time: callers arrive at random at one of them,
-// hold a slot for a random time, and come back when told, at any gate.
+// sim drives gates in virtual time. Requests arrive at random times at a random
+// gate and hold a slot for a random time; refused callers come back when told, at
+// a random gate.
 type sim struct {
 	gates    []*Gate
 	random   *rand.Rand
@@ -87,15 +89,16 @@
 	maxRetries int
 	loads      []load
 	tallies    []tally
-	loadOf     map[*Entry]int
-	offeredAt  map[*Entry]time.Time
+	// loadOf is the index of each entry's load.
+	loadOf    map[*Entry]int
+	offeredAt map[*Entry]time.Time
 }
 
-func newSim(seed uint64, gates, slots, patience int) *sim {
+func newSim(seed uint64, gates, slots, maxRetries int) *sim {
 	s := &sim{
 		random:     rand.New(rand.NewPCG(seed, 1)),
 		now:        time.Unix(0, 0),
-		maxRetries: patience,
+		maxRetries: maxRetries,
 		loadOf:     map[*Entry]int{},
 		offeredAt:  map[*Entry]time.Time{},
 	}
@@ -110,7 +113,7 @@
 	heap.Push(&s.events, event{s.now.Add(after), s.sequence, run})
 }
 
-// run simulates the loads for a time.
+// run simulates the loads for the given time and returns their tallies.
 func (s *sim) run(length time.Duration, loads []load) []tally {
 	s.end = s.now.Add(length)
 	s.loads = loads
@@ -172,7 +175,8 @@
 	}
 }
 
-// endObservable reports whether an entry came early enough for its end to be seen.
+// endObservable reports whether an entry was offered early enough that it is
+// granted or refused before the simulation ends.
 func (s *sim) endObservable(e *Entry) bool { return s.end.Sub(s.offeredAt[e]) > reviewClass.Completion }
 
 func (s *sim) recordExpired(e *Entry, refusal outcome.Outcome) {
@@ -180,7 +184,8 @@
 	s.recordRefused(e, refusal)
 }
 
-// recordRefused lets a caller come back when it was told to.
+// recordRefused counts a refusal and schedules the caller's retry at the time
+// that it was told.
 func (s *sim) recordRefused(e *Entry, refusal outcome.Outcome) {
 	i, r := s.loadOf[e], e.Request
 	s.tallies[i].refused++
@@ -190,7 +195,7 @@
 	s.schedule(refusal.RetryAfter, func() { s.offer(i, s.loads[i], r.ID, r.Remaining, r.Attempt+1) })
 }
 
-// waitingCost is what an account has waiting at the gates.
+// waitingCost returns the cost of an account's requests that wait at the gates.
 func (s *sim) waitingCost(account ident.ClientAccount) float64 {
 	total := 0.0
 	for e := range s.loadOf {
--- a/internal/admission/returntime/returntime_test.go
+++ b/internal/admission/returntime/returntime_test.go
@@ -25,9 +25,9 @@
 		}
 		perGap[after/gap]++
 	}
-	for slot, n := range perGap {
+	for gapIndex, n := range perGap {
 		if n > 2 {
-			t.Errorf("%d callers come back within one gap, at %v, want at most 2", n, slot*gap)
+			t.Errorf("%d callers come back within one gap, at %v, want at most 2", n, gapIndex*gap)
 		}
 	}
 	if after := s.Book(now, 0, 0, "next"); after != time.Second+callers*gap {
