--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -45,12 +45,12 @@
 	// states it. Admit divides it by the number of live gateways.
 	Limit document.AccountLimit
 	Class document.Class
-	// Predicted, Unloaded and Remaining are routing's predictions: the time
+	// Predicted and the next two fields are routing's predictions: the time
 	// to the first token now, the same on an idle upstream, and the time from
 	// the first token to the last.
 	Predicted, Unloaded, Remaining time.Duration
 	// PredictedBy is the 80th percentile of the predicted time to the first
-	// token; 0 means Predicted.
+	// token; 0 means Request.Predicted.
 	PredictedBy time.Duration
 	// Deadline is the caller's deadline; zero means none. The context's
 	// deadline counts too, whichever is earlier.
--- a/internal/admission/ejection/ejection.go
+++ b/internal/admission/ejection/ejection.go
@@ -46,11 +46,11 @@
 	Failures int
 	// SlowFactor ejects an upstream whose average latency exceeds this many
 	// times the median of the others, once SlowSamples latencies of it were
-	// recorded. It must be above 1.
+	// recorded. 1 or less takes the default.
 	SlowFactor  float64
 	SlowSamples int
 	// Base is the length of the first ejection. Each further one is twice as
-	// long, up to Longest.
+	// long, up to Config.Longest.
 	Base, Longest time.Duration
 	// Probes is how many consecutive probes must succeed before an upstream is
 	// healthy again.
@@ -316,8 +316,9 @@
 	s.startEjection(now, u)
 }
 
-// startEjection ejects an upstream, twice as long as the last time unless it has
-// been healthy for Config.Longest since.
+// startEjection ejects an upstream for twice as long as the last time, at most
+// Config.Longest, or for Config.Base if it has been healthy for Config.Longest
+// since.
 func (s *Set) startEjection(now time.Time, u *upstream) {
 	if u.state == Healthy && now.Sub(u.until) >= s.config.Longest {
 		u.ejections = 0
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -8,8 +8,8 @@
 //
 // A Gate is a pure state machine. Its caller passes the time in, makes one call
 // at a time, and after every Done, Cancel, Abandon or SetSlots calls Next until
-// it returns nil. Package admission wraps it for goroutines; a
-// discrete-event simulation uses it directly.
+// it returns nil. Package admission wraps it for goroutines; a discrete-event
+// simulation uses it directly.
 package gate
 
 import (
@@ -68,12 +68,12 @@
 	// Class is the zero value for plain services.
 	Class document.Class
 	// Predicted is the predicted time from the grant to the first token at
-	// the present load. Unloaded is the same on an idle upstream.
+	// the present load. Request.Unloaded is the same on an idle upstream.
 	Predicted, Unloaded time.Duration
 	// PredictedBy is the 80th percentile of the predicted time to the first
-	// token; 0 means Predicted. It may replace Predicted for all priorities
-	// but the most urgent: engines serve that one first, so its times vary
-	// little, and a wrong refusal costs most there.
+	// token; 0 means Request.Predicted. It may replace Request.Predicted for
+	// all priorities but the most urgent: engines serve that one first, so its
+	// times vary little, and a wrong refusal costs most there.
 	PredictedBy time.Duration
 	// Remaining is the predicted time from the first token to the last.
 	Remaining time.Duration
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestLateBound checks that the late bound of a prediction, PredictedBy, makes
-// the gate refuse a less urgent request unless answers of its priority come in
-// time anyway, and that it never makes the gate refuse the most urgent class.
+// TestLateBound checks that the late bound of a prediction, Request.PredictedBy,
+// makes the gate refuse a less urgent request unless answers of its priority come
+// in time anyway, and that it never makes the gate refuse the most urgent class.
 func TestLateBound(t *testing.T) {
 	long := document.Class{Name: "long", FirstToken: time.Second, Priority: 1}
 	g := New(Config{Slots: 100})
--- a/internal/admission/gate/lateness.go
+++ b/internal/admission/gate/lateness.go
@@ -35,8 +35,8 @@
 //
 // The slots don't show this: an engine with free places in its batch may have a
 // long queue of prompts. Without this estimate, the first seconds of a load
-// spike fill the engines with more long requests than they can handle, and all
-// of them, short ones included, are answered late for a minute.
+// spike fill the engines with more long requests than they can handle. All of
+// these, and short requests with them, are then answered late for a minute.
 type lateness struct {
 	// firstTokensReported is set once any first token was reported. Until then
 	// the limit isn't applied, since the caller may not report them at all.
@@ -46,7 +46,8 @@
 	// lateShare is the share of recent answers that came late, 0 to 1.
 	lateShare float64
 	// grantedEntries are the granted entries in order of their grants. Entries
-	// at the front may have had their first token or have ended.
+	// at the front that have had their first token or have ended stay until
+	// sampleOverdue removes them.
 	grantedEntries []*Entry
 	// overdueSampledAt is when sampleOverdue last counted an entry as late.
 	overdueSampledAt time.Time
@@ -76,10 +77,11 @@
 // observeFirstToken records how long a first token took, or how long it has been
 // awaited so far.
 //
-// A late first token lowers the limit of the least urgent band, down to the
-// entry's own, whose limit can hold back requests. Requests of that band can
-// wait best, and an engine that serves by priority is slow for an urgent request
-// only when it is full of less urgent ones.
+// If many first tokens of the entry's band come late, a late one lowers the limit
+// of the least urgent band that a smaller limit would hold back, or else of the
+// entry's own band. Requests of the least urgent band can wait best, and an engine that
+// serves by priority is slow for an urgent request only when it is full of less
+// urgent ones.
 func (b *bands) observeFirstToken(own *band, e *Entry, took time.Duration) {
 	goal := firstTokenGoal(&e.Request)
 	if goal == 0 {
@@ -116,7 +118,8 @@
 }
 
 // sampleOverdue counts the entry that has waited longest for its first token as
-// late once it is overdue. Otherwise an answer that never comes would never count.
+// late once it is overdue. Otherwise an answer that never comes would never
+// count.
 func (b *bands) sampleOverdue(now time.Time, own *band) {
 	for len(own.grantedEntries) > 0 && (own.grantedEntries[0].firstTokenSeen || own.grantedEntries[0].state != stateGranted) {
 		own.grantedEntries[0] = nil
--- a/internal/admission/gate/plan.go
+++ b/internal/admission/gate/plan.go
@@ -85,10 +85,10 @@
 }
 
 // predictedFirstToken returns the time from the grant to the first token to
-// plan with. It is PredictedBy, the late bound, for all priorities but the most
-// urgent, if answers of the priority have come late recently, if none was
-// reported yet, or if the account is beyond its fair share; otherwise it is
-// Predicted.
+// plan with. For all priorities but the most urgent, it is the late bound,
+// Request.PredictedBy, if answers of the priority have come late recently, if
+// none was reported yet, or if the account is beyond its fair share. Otherwise
+// it is Request.Predicted.
 func (g *Gate) predictedFirstToken(r *Request) time.Duration {
 	own := g.bands.forPriority(r.Class.Priority)
 	if own == g.bands.byPriority[0] || own.mostlyInTime() && !g.exceedsTimelyShare(g.clients[r.Account]) {
