--- a/internal/admission/gate/lateness.go
+++ b/internal/admission/gate/lateness.go
@@ -79,9 +79,8 @@
 //
 // If many first tokens of the entry's band come late, a late one lowers the limit
 // of the least urgent band that a smaller limit would hold back, or else of the
-// entry's own band. Requests of the least urgent band can wait best, and an engine that
-// serves by priority is slow for an urgent request only when it is full of less
-// urgent ones.
+// entry's own band. Less urgent requests can wait best, and an engine that serves
+// by priority is slow for an urgent request only when it is full of them.
 func (b *bands) observeFirstToken(own *band, e *Entry, took time.Duration) {
 	goal := firstTokenGoal(&e.Request)
 	if goal == 0 {
