--- a/internal/admission/fairshare/account.go
+++ b/internal/admission/fairshare/account.go
@@ -8,22 +8,24 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// meanWeight is the weight of one grant in the moving average of costs.
-const meanWeight = 0.05
+// costSmoothing is the weight of one grant in the moving average
+// Queue.meanCost.
+const costSmoothing = 0.05
 
-func effective(weight float64) float64 {
+func effectiveWeight(weight float64) float64 {
 	if weight <= 0 {
 		return 1
 	}
 	return weight
 }
 
-// account finds or creates an account and updates its weight.
-func (q *Queue) account(name ident.ClientAccount, weight float64) *account {
-	weight = effective(weight)
+// accountFor returns an account with its weight updated, and creates it if there
+// is none.
+func (q *Queue) accountFor(name ident.ClientAccount, weight float64) *account {
+	weight = effectiveWeight(weight)
 	a := q.accounts[name]
 	if a == nil {
-		a = &account{name: name, weight: weight, slot: -1}
+		a = &account{name: name, weight: weight, backlogIndex: -1}
 		q.accounts[name] = a
 		return a
 	}
@@ -31,125 +33,132 @@
 	return a
 }
 
-// oldestTag is how far an account can lag: the present less its credit.
-func (q *Queue) oldestTag() float64 { return q.clock - q.config.Credit*q.meanCost }
+// minTag returns the smallest start tag that an account may have: the virtual
+// time less the credit.
+func (q *Queue) minTag() float64 { return q.virtualTime - q.config.Credit*q.meanCost }
 
-// enter makes an account backlogged. What it did not use before counts up to
-// the credit; what it used while nobody else waited is not held against it,
-// since the present has moved on too.
-func (q *Queue) enter(a *account) {
-	a.tag = max(a.tag, q.oldestTag())
-	a.slot = len(q.backlogged)
+// addBacklogged adds an account to the backlogged ones. Service that it didn't
+// use before counts up to the credit. Service that it used while nobody else
+// waited isn't held against it, since the virtual time has advanced too.
+func (q *Queue) addBacklogged(a *account) {
+	a.startTag = max(a.startTag, q.minTag())
+	a.backlogIndex = len(q.backlogged)
 	q.backlogged = append(q.backlogged, a)
 }
 
-func (q *Queue) leave(a *account) {
+// removeBacklogged removes an account from the backlogged ones and clears the
+// credit of its lanes.
+func (q *Queue) removeBacklogged(a *account) {
 	last := len(q.backlogged) - 1
 	moved := q.backlogged[last]
-	q.backlogged[a.slot] = moved
-	moved.slot = a.slot
+	q.backlogged[a.backlogIndex] = moved
+	moved.backlogIndex = a.backlogIndex
 	q.backlogged[last] = nil
 	q.backlogged = q.backlogged[:last]
-	a.slot = -1
+	a.backlogIndex = -1
 	for _, l := range a.lanes {
 		l.credit = 0
 	}
 }
 
-// take removes a queued item from its lane.
-func (q *Queue) take(item *Item) {
+// dequeue removes a queued item from its lane.
+func (q *Queue) dequeue(item *Item) {
 	l := item.lane
 	heap.Remove(&l.items, item.position-1)
-	q.count(item, -1)
+	q.updateTotals(item, -1)
 	if l.items.Len() == 0 {
-		l.queued, l.returning, l.credit = 0, 0, 0
+		l.queuedCost, l.retryCost, l.credit = 0, 0, 0
 	}
 	if a := l.account; a.length == 0 {
-		a.queued = 0
-		q.leave(a)
+		a.queuedCost = 0
+		q.removeBacklogged(a)
 	}
 }
 
-// count adds an item to the totals, or takes it from them.
-func (q *Queue) count(item *Item, sign int) {
+// updateTotals adds an item to the totals if sign is 1, and subtracts it if sign
+// is -1.
+func (q *Queue) updateTotals(item *Item, sign int) {
 	l := item.lane
 	cost := float64(sign) * item.cost()
-	l.queued += cost
-	if item.Returning {
-		l.returning += cost
+	l.queuedCost += cost
+	if item.Retry {
+		l.retryCost += cost
 	}
-	l.account.queued += cost
+	l.account.queuedCost += cost
 	l.account.length += sign
 	q.length += sign
 }
 
+// charge advances an account's start tag for a granted cost.
 func (q *Queue) charge(a *account, cost float64) {
 	if cost <= 0 {
 		cost = 1
 	}
-	a.tag += cost / a.weight
+	a.startTag += cost / a.weight
 	if q.meanCost == 0 {
 		q.meanCost = cost
 	}
-	q.meanCost += meanWeight * (cost - q.meanCost)
+	q.meanCost += costSmoothing * (cost - q.meanCost)
 }
 
-// chooseAccount returns the account to serve: of those within the lead, the
-// one with the most urgent class, then the one furthest behind. Accounts of
-// which nothing is allowed do not hold the others back; they keep their tag
-// and so catch up later.
+// chooseAccount returns the account to serve, or nil if no allowed item waits:
+// of the accounts within the lead, the one with the most urgent item, then the
+// one with the smallest start tag. An account without allowed items doesn't hold
+// the others back; it keeps its tag and so catches up later.
 func (q *Queue) chooseAccount(allowed func(int) bool) *account {
 	smallest := math.Inf(1)
 	for _, a := range q.backlogged {
-		if a.tag < smallest && a.urgent(allowed) != nil {
-			smallest = a.tag
+		if a.startTag < smallest && a.mostUrgentLane(allowed) != nil {
+			smallest = a.startTag
 		}
 	}
 	if math.IsInf(smallest, 1) {
 		return nil
 	}
-	q.clock = max(q.clock, smallest)
+	q.virtualTime = max(q.virtualTime, smallest)
 	limit := smallest + q.config.Lead*q.meanCost
 	var best *account
 	var first *Item
 	for _, a := range q.backlogged {
-		if a.tag > limit {
+		if a.startTag > limit {
 			continue
 		}
-		l := a.urgent(allowed)
+		l := a.mostUrgentLane(allowed)
 		if l == nil {
 			continue
 		}
-		if best == nil || goesFirst(a, l.items[0], best, first) {
+		if best == nil || servedBefore(a, l.items[0], best, first) {
 			best, first = a, l.items[0]
 		}
 	}
 	return best
 }
 
-// goesFirst reports whether account a, with its most urgent item, is served
-// before account b. A returning item goes first within its priority: turns are
-// booked over all accounts, and each account's alone are too few to even out.
-func goesFirst(a *account, item *Item, b *account, other *Item) bool {
+// servedBefore reports whether account a, with its most urgent item, is served
+// before account b, with its most urgent item other. A retry goes first within
+// its priority, whichever account it is of: the retries of all accounts together
+// arrive evenly, but those of a single account are too few to even out.
+func servedBefore(a *account, item *Item, b *account, other *Item) bool {
 	if item.Priority != other.Priority {
 		return item.Priority > other.Priority
 	}
-	if item.Returning != other.Returning {
-		return item.Returning
+	if item.Retry != other.Retry {
+		return item.Retry
 	}
-	return before(a, b)
+	return smallerTag(a, b)
 }
 
-// before breaks ties by name, so that a run gives the same order every time.
-func before(a, b *account) bool {
-	if a.tag != b.tag {
-		return a.tag < b.tag
+// smallerTag compares start tags. It breaks ties by name so that the order is
+// the same in each run.
+func smallerTag(a, b *account) bool {
+	if a.startTag != b.startTag {
+		return a.startTag < b.startTag
 	}
 	return a.name < b.name
 }
 
-// lane finds or creates the lane of a priority.
-func (a *account) lane(priority int) *lane {
+// laneFor returns the lane of a priority and creates it if there is none.
+func (a *account) laneFor(priority int) *lane {
 	i, found := slices.BinarySearchFunc(a.lanes, priority, func(l *lane, p int) int { return p - l.priority })
 	if !found {
 		a.lanes = slices.Insert(a.lanes, i, &lane{account: a, priority: priority})
@@ -157,39 +166,42 @@
 	return a.lanes[i]
 }
 
-// urgent returns the most urgent lane that waits and is allowed, or nil.
-func (a *account) urgent(allowed func(int) bool) *lane {
+// mostUrgentLane returns the most urgent lane that has items and is allowed, or
+// nil if there is none.
+func (a *account) mostUrgentLane(allowed func(int) bool) *lane {
 	for _, l := range a.lanes {
-		if l.ready(allowed) {
+		if l.mayServe(allowed) {
 			return l
 		}
 	}
 	return nil
 }
 
-func (l *lane) ready(allowed func(int) bool) bool {
+// mayServe reports whether the lane has items and its priority is allowed.
+func (l *lane) mayServe(allowed func(int) bool) bool {
 	return len(l.items) > 0 && (allowed == nil || allowed(l.priority))
 }
 
-// chooseLane returns the lane to serve: of those that have earned their share
-// the one with most credit beyond its price, else the most urgent.
+// chooseLane returns the lane to serve: of the lanes whose credit covers the
+// price of their first item, the one with the largest surplus; otherwise the
+// most urgent lane.
 //
-// Without the earned share a steady flow of short replies would keep a long
-// review waiting for ever; it would show as a wait that grows with the flow's
-// length. With it, a lane gets at least its part of the account's cost.
+// Without credit, a steady flow of short replies would keep a long review
+// waiting forever: its wait would grow with the length of the flow. With it,
+// each waiting lane gets at least its share of the account's cost.
 func (a *account) chooseLane(share float64, allowed func(int) bool) *lane {
 	share = a.laneShare(share)
 	var urgent, earned *lane
-	most := 0.0
+	maxSurplus := 0.0
 	for _, l := range a.lanes {
-		if !l.ready(allowed) {
+		if !l.mayServe(allowed) {
 			continue
 		}
 		if urgent == nil {
 			urgent = l
 		}
-		if surplus := l.credit - price(l.items[0], share); surplus >= most {
-			earned, most = l, surplus
+		if surplus := l.credit - creditPrice(l.items[0], share); surplus >= maxSurplus {
+			earned, maxSurplus = l, surplus
 		}
 	}
 	if earned != nil {
@@ -198,7 +210,8 @@
 	return urgent
 }
 
-// laneShare divides the class share among all lanes but the most urgent.
+// laneShare divides the class share equally among all waiting lanes but the most
+// urgent.
 func (a *account) laneShare(share float64) float64 {
 	waiting := 0
 	for _, l := range a.lanes {
@@ -209,23 +222,24 @@
 	return share / float64(max(waiting-1, 1))
 }
 
-// price is the cost of other lanes after which an item has earned its grant.
-func price(item *Item, share float64) float64 { return item.cost() * (1 - share) / share }
+// creditPrice returns the credit for which an item is granted: the cost that
+// other lanes must be served for the item to make up its lane's share.
+func creditPrice(item *Item, share float64) float64 { return item.cost() * (1 - share) / share }
 
-// settleCredit gives the waiting lanes credit for the served cost, and takes
-// the price of an earned grant from the served lane.
+// settleCredit adds the served cost to the credit of the other waiting lanes and
+// subtracts the item's price from the credit of the served lane.
 func (a *account) settleCredit(served *lane, cost, share float64) {
 	for _, l := range a.lanes {
 		if l != served && len(l.items) > 0 {
 			l.credit += cost
 		}
 	}
-	served.credit = max(0, served.credit-price(served.items[0], a.laneShare(share)))
+	served.credit = max(0, served.credit-creditPrice(served.items[0], a.laneShare(share)))
 }
 
-// last returns the item that would be served last: the least urgent lane's
-// latest.
-func (a *account) last() *Item {
+// lastItem returns the item that would be served last, that is the last item of
+// the least urgent lane that isn't empty, or nil if nothing waits.
+func (a *account) lastItem() *Item {
 	for i := len(a.lanes) - 1; i >= 0; i-- {
 		if items := a.lanes[i].items; len(items) > 0 {
 			return items.latest()
@@ -234,12 +248,12 @@
 	return nil
 }
 
-// itemHeap orders items: returning first, then by latest start, then by
+// itemHeap is a heap of items: retries first, then by latest start, then by
 // arrival.
 type itemHeap []*Item
 
 func (h itemHeap) Len() int           { return len(h) }
-func (h itemHeap) Less(i, j int) bool { return earlier(h[i], h[j]) }
+func (h itemHeap) Less(i, j int) bool { return lessItem(h[i], h[j]) }
 
 func (h itemHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
@@ -264,19 +278,20 @@
 	return item
 }
 
+// latest returns the item that would be popped last. The heap must not be empty.
 func (h itemHeap) latest() *Item {
 	latest := h[0]
 	for _, item := range h[1:] {
-		if earlier(latest, item) {
+		if lessItem(latest, item) {
 			latest = item
 		}
 	}
 	return latest
 }
 
-func earlier(a, b *Item) bool {
-	if a.Returning != b.Returning {
-		return a.Returning
+func lessItem(a, b *Item) bool {
+	if a.Retry != b.Retry {
+		return a.Retry
 	}
 	if !a.LatestStart.Equal(b.LatestStart) {
 		return a.LatestStart.Before(b.LatestStart)
--- a/internal/admission/gate/client.go
+++ b/internal/admission/gate/client.go
@@ -7,36 +7,39 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/admission/returntime"
 )
 
-// client is what the gate remembers of a client account.
+// client is the state of one client account at the gate.
 type client struct {
 	quota  *quota.Account
 	weight float64
 	// demand is how many slots the account asked for when the reserves were
-	// last worked out.
+	// last computed.
 	demand float64
-	// limited books turns of those refused for a limit.
-	limited returntime.Schedule
-	// uses are by priority; classes are few.
-	uses []*use
+	// limitTurns books turns for requests refused because of the account's
+	// limits.
+	limitTurns returntime.Schedule
+	// usages has one element per priority. It is searched linearly since there
+	// are few classes.
+	usages []*priorityUsage
 }
 
-// use is one account's use of one priority.
-type use struct {
+// priorityUsage is one account's use of one priority.
+type priorityUsage struct {
 	priority int
 	inFlight int
-	// offered is the cost a second of first tries, returns of those that
-	// come back.
-	offered, returns meter
-	// overload books turns of those refused for load.
-	overload returntime.Schedule
+	// firstAttempts and retries measure the cost per second that is offered.
+	firstAttempts, retries rateMeter
+	// overloadTurns books turns for requests refused because of load.
+	overloadTurns returntime.Schedule
 }
 
-func (g *Gate) client(r *Request, now time.Time) *client {
+// clientFor returns the client of a request's account, which it creates if there
+// is none, and applies the request's limits to it.
+func (g *Gate) clientFor(r *Request, now time.Time) *client {
 	c := g.clients[r.Account]
 	if c == nil {
 		c = &client{quota: quota.NewAccount(r.Limit, now)}
 		g.clients[r.Account] = c
-		g.order = append(g.order, c)
+		g.clientList = append(g.clientList, c)
 	}
 	c.quota.SetLimit(r.Limit, now)
 	c.weight = r.Limit.Share
@@ -46,24 +49,25 @@
 	return c
 }
 
-// use finds or creates the account's use of a priority.
-func (c *client) use(priority int) *use {
-	for _, u := range c.uses {
+// usageOf returns the account's usage of a priority and creates it if there is
+// none.
+func (c *client) usageOf(priority int) *priorityUsage {
+	for _, u := range c.usages {
 		if u.priority == priority {
 			return u
 		}
 	}
-	u := &use{priority: priority}
-	c.uses = append(c.uses, u)
+	u := &priorityUsage{priority: priority}
+	c.usages = append(c.usages, u)
 	return u
 }
 
-// count measures what is asked for.
-func (g *Gate) count(now time.Time, u *use, e *Entry) {
-	if !e.Request.returning() {
-		u.offered.add(now, e.Item.Cost)
+// recordOffer adds an offered entry's cost to the measured rates.
+func (g *Gate) recordOffer(now time.Time, u *priorityUsage, e *Entry) {
+	if !e.Request.isRetry() {
+		u.firstAttempts.add(now, e.Item.Cost)
 		return
 	}
-	u.returns.add(now, e.Item.Cost)
-	g.bands.of(u.priority).returns.add(now, e.Item.Cost)
+	u.retries.add(now, e.Item.Cost)
+	g.bands.forPriority(u.priority).retries.add(now, e.Item.Cost)
 }
--- a/internal/admission/gate/meter.go
+++ b/internal/admission/gate/meter.go
@@ -6,75 +6,82 @@
 )
 
 const (
-	// meterMemory is the time constant of a meter.
-	meterMemory = 10 * time.Second
-	// holdMemory is how many ended requests the holds remember.
-	holdMemory = 50
+	// meterTimeConstant is the time after which a rateMeter's value has decayed
+	// to 1/e.
+	meterTimeConstant = 10 * time.Second
+	// holdTimeWindow is over how many ended requests a holdTimeMeter averages.
+	holdTimeWindow = 50
 )
 
-// meter is an exponentially decaying rate a second. The zero value is 0.
-type meter struct {
-	value float64
-	at    time.Time
-	// full is how much of the memory has been filled, 0 to 1. Without it a
-	// rush would count as a fraction of itself during its first seconds, and
-	// too much would be let in.
-	full float64
+// rateMeter measures a rate per second with exponential decay. The zero value
+// is a rate of 0.
+type rateMeter struct {
+	value     float64
+	updatedAt time.Time
+	// filled is how much of the averaging window has been filled, 0 to 1; the
+	// rate is scaled up by it. Otherwise a load spike would count as a fraction
+	// of its rate during its first seconds, and too much would be admitted.
+	filled float64
 }
 
-// leastFull keeps the first event from counting as an endless rate.
-const leastFull = 0.1
+// minFilled is the initial value of rateMeter.filled. It keeps the first event
+// from counting as an infinite rate.
+const minFilled = 0.1
 
-func (m *meter) add(now time.Time, amount float64) {
-	kept := m.kept(now)
-	m.value = m.value*kept + amount/meterMemory.Seconds()
-	if m.at.IsZero() {
-		m.full = leastFull
+func (m *rateMeter) add(now time.Time, amount float64) {
+	decay := m.decay(now)
+	m.value = m.value*decay + amount/meterTimeConstant.Seconds()
+	if m.updatedAt.IsZero() {
+		m.filled = minFilled
 	} else {
-		m.full = 1 - (1-m.full)*kept
+		m.filled = 1 - (1-m.filled)*decay
 	}
-	m.at = now
+	m.updatedAt = now
 }
 
-func (m *meter) rate(now time.Time) float64 {
+func (m *rateMeter) rate(now time.Time) float64 {
 	if m.value == 0 {
 		return 0
 	}
-	kept := m.kept(now)
-	return m.value * kept / (1 - (1-m.full)*kept)
+	decay := m.decay(now)
+	return m.value * decay / (1 - (1-m.filled)*decay)
 }
 
-// kept is the part of the value that is left now.
-func (m *meter) kept(now time.Time) float64 {
-	if m.at.IsZero() {
+// decay returns the factor by which the value has decayed since the last add.
+func (m *rateMeter) decay(now time.Time) float64 {
+	if m.updatedAt.IsZero() {
 		return 0
 	}
-	return math.Exp(-now.Sub(m.at).Seconds() / meterMemory.Seconds())
+	return math.Exp(-now.Sub(m.updatedAt).Seconds() / meterTimeConstant.Seconds())
 }
 
-// holds measures how long a slot is held for one unit of cost. By Little's
-// law, slots over that time is the drain rate, also while no queue exists.
-type holds struct {
-	// assumed stands in before the first request ended.
-	assumed       time.Duration
-	seconds, cost float64
+// holdTimeMeter measures how long a slot is held for one unit of cost. By
+// Little's law, the number of slots divided by that time is the drain rate, even
+// while nothing waits.
+type holdTimeMeter struct {
+	// initial is the time per unit of cost until the first request has ended.
+	initial time.Duration
+	// heldSeconds and servedCost are decaying sums over ended requests.
+	heldSeconds, servedCost float64
 }
 
-func (h *holds) add(held time.Duration, cost float64) {
-	const keep = 1 - 1.0/holdMemory
-	h.seconds = h.seconds*keep + held.Seconds()
-	h.cost = h.cost*keep + cost
+func (h *holdTimeMeter) add(held time.Duration, cost float64) {
+	const decay = 1 - 1.0/holdTimeWindow
+	h.heldSeconds = h.heldSeconds*decay + held.Seconds()
+	h.servedCost = h.servedCost*decay + cost
 }
 
-// perCost is the slot time of one unit of cost, above 0.
-func (h *holds) perCost() time.Duration {
-	if h.cost == 0 {
-		return h.assumed
+// perCost returns the time for which one unit of cost holds a slot, at least one
+// microsecond.
+func (h *holdTimeMeter) perCost() time.Duration {
+	if h.servedCost == 0 {
+		return h.initial
 	}
-	return max(time.Duration(h.seconds/h.cost*float64(time.Second)), time.Microsecond)
+	return max(time.Duration(h.heldSeconds/h.servedCost*float64(time.Second)), time.Microsecond)
 }
 
-// of is the expected slot time of a cost.
-func (h *holds) of(cost float64) time.Duration {
+// expected returns the time for which a request of the given cost is expected to
+// hold a slot.
+func (h *holdTimeMeter) expected(cost float64) time.Duration {
 	return time.Duration(cost * float64(h.perCost()))
 }
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -6,25 +6,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Metrics counts what a controller decided. The zero value counts unseen.
+// Metrics counts a controller's decisions. The zero value is usable; its
+// counters are exported only after Publish.
 type Metrics struct {
 	// Admitted counts granted requests.
 	Admitted expvar.Int
 	// Refused counts refusals by reason.
 	Refused expvar.Map
-	// Waiting is how many requests wait now.
+	// Waiting is the number of requests that wait for a slot now.
 	Waiting expvar.Int
 }
 
-// Publish makes the counters visible as goldcrestspool.admission.<name>. It
-// may be called once in a process.
+// Publish exports the counters through expvar as
+// goldcrestspool.admission.<name>. It may be called only once per process.
 func (m *Metrics) Publish() {
 	expvar.Publish("goldcrestspool.admission.admitted", &m.Admitted)
 	expvar.Publish("goldcrestspool.admission.refused", &m.Refused)
 	expvar.Publish("goldcrestspool.admission.waiting", &m.Waiting)
 }
 
-func (m *Metrics) admitted(refusal *outcome.Outcome) {
+func (m *Metrics) countDecision(refusal *outcome.Outcome) {
 	if refusal == nil {
 		m.Admitted.Add(1)
 		return
@@ -32,4 +33,4 @@
 	m.Refused.Add(string(refusal.Reason), 1)
 }
 
-func (m *Metrics) queued(delta int64) { m.Waiting.Add(delta) }
+func (m *Metrics) addWaiting(delta int64) { m.Waiting.Add(delta) }
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -14,8 +14,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// service is the admission of one service. Its lock is held for the length of
-// one decision and never while waiting.
+// service admits the requests of one service. Its lock is held for the length
+// of one decision and never while a request waits.
 type service struct {
 	config  Config
 	metrics *Metrics
@@ -23,21 +23,24 @@
 	mu      sync.Mutex
 	gate    *gate.Gate
 	waiting map[*gate.Entry]*Ticket
-	// upstreams is nil until setUpstreams was called; the gate's own slots
-	// count until then.
+	// upstreams holds the concurrency limit of each live upstream. It is nil
+	// until setUpstreams is called; until then gate.Config.Slots applies.
 	upstreams map[ident.Instance]*concurrency.Limit
 	ejection  *ejection.Set
-	// slots is what SetSlots said; 0 leaves it to the upstreams' limits.
-	slots int
+	// slotOverride is the value passed to SetSlots; 0 means that the slots
+	// are the sum of the upstreams' limits.
+	slotOverride int
 
-	// exclusion is the last exclusion; see excluded.
+	// exclusion is the current list of excluded upstreams, readable without
+	// the lock; see excluded.
 	exclusion atomic.Pointer[exclusion]
 }
 
-// exclusion is the upstreams that get no request, until a time.
+// exclusion lists the upstreams that get no request, until a given time.
 type exclusion struct {
 	ids []ident.Instance
-	// until is when the list changes by time alone; zero is never.
+	// until is when the list changes merely because time passes; zero means
+	// never.
 	until time.Time
 }
 
@@ -53,20 +56,21 @@
 	return s
 }
 
-// admit decides on a ticket's entry and waits if it has to.
+// admit decides on a ticket's entry and blocks while the entry waits. It
+// returns nil if the entry was granted a slot.
 func (s *service) admit(ctx context.Context, t *Ticket) *outcome.Outcome {
 	if ctx.Err() != nil {
-		refusal := outcome.NewNotRun(reasonOf(ctx), "The request was given up before it ran.", 0)
+		refusal := outcome.NewNotRun(contextReason(ctx), "The request was given up before it ran.", 0)
 		return &refusal
 	}
 	now := time.Now()
 	s.mu.Lock()
 	decision := s.gate.Offer(now, &t.entry)
 	if decision.Evicted != nil {
-		s.end(decision.Evicted)
+		s.refuseWaiting(decision.Evicted)
 	}
 	if t.entry.Waiting() {
-		t.ended = make(chan struct{})
+		t.decided = make(chan struct{})
 		s.waiting[&t.entry] = t
 	}
 	s.mu.Unlock()
@@ -76,29 +80,30 @@
 	case decision.Refused:
 		return &decision.Refusal
 	}
-	return s.wait(ctx, t)
+	return s.waitForDecision(ctx, t)
 }
 
-// wait blocks until the entry is granted or ended.
-func (s *service) wait(ctx context.Context, t *Ticket) *outcome.Outcome {
-	s.metrics.queued(1)
-	defer s.metrics.queued(-1)
+// waitForDecision blocks until the entry is granted a slot or refused.
+func (s *service) waitForDecision(ctx context.Context, t *Ticket) *outcome.Outcome {
+	s.metrics.addWaiting(1)
+	defer s.metrics.addWaiting(-1)
 	timer := time.NewTimer(time.Until(t.entry.LatestStart()))
 	defer timer.Stop()
 	select {
-	case <-t.ended:
+	case <-t.decided:
 		return t.refusal
 	case <-ctx.Done():
-		return s.giveUp(t, reasonOf(ctx))
+		return s.abandonWait(t, contextReason(ctx))
 	case <-timer.C:
-		return s.giveUp(t, outcome.ReasonOverloaded)
+		return s.abandonWait(t, outcome.ReasonOverloaded)
 	}
 }
 
-// giveUp ends a wait. A grant can come between the cause and the lock: a
-// caller that has gone gives the slot back, since nobody would ever call Done;
-// one that is only late keeps it.
-func (s *service) giveUp(t *Ticket, cause outcome.Reason) *outcome.Outcome {
+// abandonWait ends a wait because its timer fired or its context ended. The
+// entry may be granted before the lock is taken. If the caller is gone by then,
+// the slot is given back, since nobody would ever call Done; if only the latest
+// start has passed, the entry keeps its slot.
+func (s *service) abandonWait(t *Ticket, cause outcome.Reason) *outcome.Outcome {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +120,8 @@
 	return &refusal
 }
 
-// firstToken notes a first token. It may let in more of those that wait.
+// firstToken records a first token, which may raise a priority's limit, and
+// grants slots to waiting entries.
 func (s *service) firstToken(t *Ticket) {
 	now := time.Now()
 	s.mu.Lock()
@@ -124,7 +130,8 @@
 	s.grantNext(now)
 }
 
-// done frees a ticket's slot and learns from its result.
+// done frees a ticket's slot, records its result and grants slots to waiting
+// entries.
 func (s *service) done(t *Ticket, r Result) {
 	now := time.Now()
 	s.mu.Lock()
@@ -134,22 +141,24 @@
 	}
 	s.gate.Done(now, &t.entry, r.Cost)
 	if r.Upstream != "" {
-		s.learn(now, r, t.unloaded)
+		s.applyAttempt(now, r, t.unloaded)
 	}
 	s.grantNext(now)
 }
 
-// observe learns from an attempt and wakes those for whom it made room.
-func (s *service) observe(r Result, unloaded time.Duration) {
+// recordAttemptEnd records the result of an attempt and grants slots to waiting
+// entries.
+func (s *service) recordAttemptEnd(r Result, unloaded time.Duration) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learn(now, r, unloaded)
+	s.applyAttempt(now, r, unloaded)
 	s.grantNext(now)
 }
 
-// learn takes in one attempt at an upstream. The lock must be held.
-func (s *service) learn(now time.Time, r Result, unloaded time.Duration) {
+// applyAttempt updates the upstream's concurrency limit and ejection state with
+// the result of one attempt. The lock must be held.
+func (s *service) applyAttempt(now time.Time, r Result, unloaded time.Duration) {
 	if limit := s.upstreams[r.Upstream]; limit != nil {
 		before := limit.Value()
 		limit.Observe(concurrency.Sample{
@@ -158,7 +167,7 @@
 			InFlight: r.InFlight,
 			Dropped:  r.Failed,
 		})
-		if s.slots == 0 && !slices.Contains(s.exclusion.Load().ids, r.Upstream) {
+		if s.slotOverride == 0 && !slices.Contains(s.exclusion.Load().ids, r.Upstream) {
 			s.gate.SetSlots(s.gate.Slots() + limit.Value() - before)
 		}
 	}
@@ -169,11 +178,12 @@
 	before := s.ejection.State(r.Upstream)
 	s.ejection.Ended(now, r.Upstream, sample)
 	if after := s.ejection.State(r.Upstream); after != before || after == ejection.Probing {
-		s.refresh(now)
+		s.refreshUpstreams(now)
 	}
 }
 
-// grantNext wakes those whose turn it is. The lock must be held.
+// grantNext grants free slots to waiting entries and refuses those that can't
+// start in time any more. The lock must be held.
 func (s *service) grantNext(now time.Time) {
 	for {
 		granted, expired := s.gate.Next(now)
@@ -181,21 +191,22 @@
 		case granted != nil:
 			t := s.waiting[granted]
 			delete(s.waiting, granted)
-			close(t.ended)
+			close(t.decided)
 		case expired != nil:
-			s.end(expired)
+			s.refuseWaiting(expired)
 		default:
 			return
 		}
 	}
 }
 
-// end tells a waiting caller its refusal. The lock must be held.
-func (s *service) end(ending *gate.Ending) {
-	t := s.waiting[ending.Entry]
-	delete(s.waiting, ending.Entry)
-	t.refusal = &ending.Refusal
-	close(t.ended)
+// refuseWaiting passes a refusal on to the caller that waits for the entry. The
+// lock must be held.
+func (s *service) refuseWaiting(refused *gate.RefusedEntry) {
+	t := s.waiting[refused.Entry]
+	delete(s.waiting, refused.Entry)
+	t.refusal = &refused.Refusal
+	close(t.decided)
 }
 
 func (s *service) setUpstreams(ids []ident.Instance) {
@@ -220,7 +231,7 @@
 		}
 	}
 	s.ejection.SetUpstreams(ids)
-	s.refresh(now)
+	s.refreshUpstreams(now)
 	s.grantNext(now)
 }
 
@@ -228,26 +239,28 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slots = max(slots, 0)
-	s.refresh(now)
+	s.slotOverride = max(slots, 0)
+	s.refreshUpstreams(now)
 	s.grantNext(now)
 }
 
-func (s *service) sending(now time.Time, id ident.Instance) {
+func (s *service) recordAttemptStart(now time.Time, id ident.Instance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ejection.State(id) == ejection.Healthy {
 		return
 	}
 	s.ejection.Started(now, id)
-	s.refresh(now)
+	s.refreshUpstreams(now)
 }
 
-// refresh publishes the exclusion and sets the slots: what was set, or the sum
-// of the limits of those that are not excluded. The lock must be held.
-func (s *service) refresh(now time.Time) {
-	// Clipped, so that a reader who appends does not write into the shared
-	// array: two requests at once would exclude each other's upstreams.
+// refreshUpstreams publishes the list of excluded upstreams and sets the gate's
+// slots: slotOverride, or the sum of the limits of all upstreams that aren't
+// excluded. The lock must be held.
+func (s *service) refreshUpstreams(now time.Time) {
+	// The slice is clipped so that a reader that appends to it doesn't write
+	// into the shared array: two concurrent requests would exclude each
+	// other's upstreams.
 	ids := slices.Clip(s.ejection.Excluded(now))
 	if old := s.exclusion.Load(); !slices.Equal(old.ids, ids) || !old.until.Equal(s.ejection.NextChange(now)) {
 		s.exclusion.Store(&exclusion{ids: ids, until: s.ejection.NextChange(now)})
@@ -255,8 +268,8 @@
 	if s.upstreams == nil {
 		return
 	}
-	if s.slots > 0 && len(s.upstreams) > 0 {
-		s.gate.SetSlots(s.slots)
+	if s.slotOverride > 0 && len(s.upstreams) > 0 {
+		s.gate.SetSlots(s.slotOverride)
 		return
 	}
 	slots := 0
@@ -268,8 +281,8 @@
 	s.gate.SetSlots(slots)
 }
 
-// excluded returns the published exclusion; it takes the lock only at the
-// moment when an ejection ends.
+// excluded returns the published list of excluded upstreams. It takes the lock
+// only if the list has expired, because an ejection or a probe's time is over.
 func (s *service) excluded(now time.Time) []ident.Instance {
 	e := s.exclusion.Load()
 	if e.until.IsZero() || now.Before(e.until) {
@@ -277,12 +290,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refresh(now)
+	s.refreshUpstreams(now)
 	return s.exclusion.Load().ids
 }
 
-// reasonOf tells a passed deadline from a caller that left.
-func reasonOf(ctx context.Context) outcome.Reason {
+// contextReason returns ReasonDeadline if the context's deadline has passed,
+// and ReasonCancelled if the caller left.
+func contextReason(ctx context.Context) outcome.Reason {
 	if ctx.Err() == context.DeadlineExceeded {
 		return outcome.ReasonDeadline
 	}
