--- a/internal/cacheview/bench_test.go
+++ b/internal/cacheview/bench_test.go
@@ -14,32 +14,32 @@
 		b.Run(fmt.Sprintf("blocks=%d", blocks), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				New(Params{Blocks: blocks, Lifetime: time.Minute}, began)
+				New(Params{Blocks: blocks, Lifetime: time.Minute}, start)
 			}
 		})
 	}
 }
 
 func BenchmarkApply(b *testing.B) {
-	v := New(DefaultParams(), began)
+	v := New(DefaultParams(), start)
 	blocks := hashes(8192)
 	sequence := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		sequence++
-		v.Apply([]upstream.CacheEvent{{Sequence: sequence, Stored: true, Block: blocks[sequence%8192]}}, began)
+		v.Apply([]upstream.CacheEvent{{Sequence: sequence, Stored: true, Block: blocks[sequence%8192]}}, start)
 	}
 }
 
 func BenchmarkCached(b *testing.B) {
-	v := New(DefaultParams(), began)
+	v := New(DefaultParams(), start)
 	for _, n := range []int{1, 16, 48} {
 		blocks := hashes(n)
-		v.Placed(blocks, began)
+		v.Placed(blocks, start)
 		b.Run(fmt.Sprintf("blocks=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				v.Cached(blocks, began)
+				v.Cached(blocks, start)
 			}
 		})
 	}
--- a/internal/cacheview/cacheview.go
+++ b/internal/cacheview/cacheview.go
@@ -17,9 +17,9 @@
 const (
 	// ways is the size of a set in which a block may stand.
 	ways = 4
-	// spare is how many words there are for each expected block, so that few
+	// wordsPerBlock is how many words there are for each expected block, so that few
 	// sets overflow.
-	spare = 2
+	wordsPerBlock = 2
 
 	// A word is a fingerprint of the block's hash above the stamp of its last
 	// confirmation. Two blocks of a set are taken for each other with a
@@ -29,10 +29,10 @@
 	// stampShift makes a tick 2^28 ns. A stamp is the low bits of a tick, so
 	// that stamps start again after 52 days.
 	stampShift = 28
-	// clockSlack is how many ticks a confirmation may lie after the present of
+	// clockSlackTicks is how many ticks a confirmation may lie after the present of
 	// a reader that took its time earlier. It counts as age 0 and not as 52
 	// days.
-	clockSlack = 64
+	clockSlackTicks = 64
 	// emptyAge is above the age of any block.
 	emptyAge = stampMask + 1
 )
@@ -57,40 +57,40 @@
 // View is what is believed of one incarnation of one upstream. Apply has one
 // caller; the other methods are safe for concurrent use.
 type View struct {
-	params Params
-	began  time.Time
-	sets   uint64
-	words  []atomic.Uint64
-	// last is the sequence number of the newest event applied.
-	last atomic.Uint64
-	// distrustBefore is the tick of the last gap.
-	distrustBefore atomic.Uint64
+	params    Params
+	createdAt time.Time
+	sets      uint64
+	words     []atomic.Uint64
+	// lastSequence is the sequence number of the newest event applied.
+	lastSequence atomic.Uint64
+	// gapTick is the tick of the last gap.
+	gapTick atomic.Uint64
 }
 
 var _ blackboard.CachedPrefix = (*View)(nil)
 
 // New returns an empty View; now is the present.
 func New(p Params, now time.Time) *View {
-	sets := uint64(max(1, p.Blocks*spare/ways))
-	return &View{params: p, began: now, sets: sets, words: make([]atomic.Uint64, sets*ways)}
+	sets := uint64(max(1, p.Blocks*wordsPerBlock/ways))
+	return &View{params: p, createdAt: now, sets: sets, words: make([]atomic.Uint64, sets*ways)}
 }
 
 // After returns the sequence number above which events are wanted.
-func (v *View) After() uint64 { return v.last.Load() }
+func (v *View) After() uint64 { return v.lastSequence.Load() }
 
 // Apply takes events in, which are in order. A hole in their numbers means
 // that evictions may have been missed: all that is older is believed less
 // until it is confirmed again.
 func (v *View) Apply(events []upstream.CacheEvent, now time.Time) {
 	for _, e := range events {
-		last := v.last.Load()
+		last := v.lastSequence.Load()
 		if e.Sequence <= last {
 			continue
 		}
 		if e.Sequence != last+1 {
-			v.distrustBefore.Store(v.tick(now))
+			v.gapTick.Store(v.tick(now))
 		}
-		v.last.Store(e.Sequence)
+		v.lastSequence.Store(e.Sequence)
 		if e.Stored {
 			v.confirm(e.Block, now)
 		} else {
@@ -111,7 +111,7 @@
 // much that belief is worth.
 func (v *View) Cached(blocks []uint64, now time.Time) float64 {
 	present := v.tick(now)
-	distrust := v.distrustBefore.Load()
+	distrust := v.gapTick.Load()
 	lifetime := float64(v.params.Lifetime >> stampShift)
 	sum := 0.0
 	for _, b := range blocks {
@@ -134,7 +134,7 @@
 
 // tick numbers the times since the View began.
 func (v *View) tick(now time.Time) uint64 {
-	return uint64(max(0, now.Sub(v.began)) >> stampShift)
+	return uint64(max(0, now.Sub(v.createdAt)) >> stampShift)
 }
 
 // ageOf returns how many ticks before the present a word was confirmed.
@@ -146,7 +146,7 @@
 	if word == 0 {
 		return emptyAge
 	}
-	return max((present+clockSlack-word)&stampMask, clockSlack) - clockSlack
+	return max((present+clockSlackTicks-word)&stampMask, clockSlackTicks) - clockSlackTicks
 }
 
 // set returns the words where a block may stand.
--- a/internal/cacheview/cacheview_test.go
+++ b/internal/cacheview/cacheview_test.go
@@ -12,7 +12,7 @@
 
 func init() { testkit.FixSeed() }
 
-var began = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
 // hashes returns n block hashes that look random.
 func hashes(n int) []uint64 {
@@ -27,7 +27,7 @@
 // Without gaps and within the table's size the view agrees with a plain set.
 func TestViewFollowsEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := New(Params{Blocks: 64, Lifetime: time.Hour, Distrusted: 0.5}, began)
+		v := New(Params{Blocks: 64, Lifetime: time.Hour, Distrusted: 0.5}, start)
 		blocks := hashes(8)
 		model := make(map[uint64]bool)
 		count := rapid.IntRange(1, 40).Draw(t, "events")
@@ -35,14 +35,14 @@
 			b := rapid.SampledFrom(blocks).Draw(t, "block")
 			stored := rapid.Bool().Draw(t, "stored")
 			event := upstream.CacheEvent{Sequence: uint64(i + 1), Stored: stored, Block: b}
-			v.Apply([]upstream.CacheEvent{event, event}, began)
+			v.Apply([]upstream.CacheEvent{event, event}, start)
 			model[b] = stored
 		}
 		want := 0
 		for want < len(blocks) && model[blocks[want]] {
 			want++
 		}
-		if got := v.Cached(blocks, began); got != float64(want) {
+		if got := v.Cached(blocks, start); got != float64(want) {
 			t.Fatalf("believes in %v leading blocks, want %d", got, want)
 		}
 	})
@@ -53,10 +53,10 @@
 // the later events show a hole. Cause: belief outlives what it rests on.
 func TestGapAndAgeLowerTheBelief(t *testing.T) {
 	blocks := hashes(4)
-	v := New(Params{Blocks: 64, Lifetime: 100 * time.Second, Distrusted: 0.5}, began)
-	v.Placed(blocks, began)
-	fresh := v.Cached(blocks, began)
-	later := began.Add(50 * time.Second)
+	v := New(Params{Blocks: 64, Lifetime: 100 * time.Second, Distrusted: 0.5}, start)
+	v.Placed(blocks, start)
+	fresh := v.Cached(blocks, start)
+	later := start.Add(50 * time.Second)
 	aged := v.Cached(blocks, later)
 	v.Apply([]upstream.CacheEvent{{Sequence: 7, Stored: true, Block: 99}}, later)
 	gap := v.Cached(blocks, later)
@@ -77,11 +77,11 @@
 // Cause: stamps that start again were compared as if they had not, and the last
 // one before the start ran over into the fingerprint.
 func TestViewOutlivesItsStamps(t *testing.T) {
-	turn := began.Add(time.Duration(1<<stampBits) << stampShift)
+	turn := start.Add(time.Duration(1<<stampBits) << stampShift)
 	old := hashes(1)
 	for _, moment := range []time.Time{turn.Add(-time.Millisecond), turn, turn.Add(time.Hour)} {
 		// One set, so that a new block needs the place of the oldest.
-		v := New(Params{Blocks: 1, Lifetime: 10 * time.Minute, Distrusted: 0.5}, began)
+		v := New(Params{Blocks: 1, Lifetime: 10 * time.Minute, Distrusted: 0.5}, start)
 		v.Placed(old, turn.Add(-24*time.Hour))
 		if got := v.Cached(old, moment); got != 0 {
 			t.Errorf("%v after the turn: belief in a block of the day before is %v, want 0", moment.Sub(turn), got)
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -28,14 +28,14 @@
 )
 
 const (
-	// memory is over how many of a gateway's own samples the sums are kept. What is new
+	// memorySamples is over how many of a gateway's own samples the sums are kept. What is new
 	// looks odd at first, so that a longer one follows another kind of engine late.
-	memory = 40
+	memorySamples = 40
 	// tolerance is the part of the expected time by which a sample may lie off and count
 	// fully, and leastTolerance its least, in seconds: wide enough to follow another kind
 	// of engine, narrow enough not to follow a few slow ones.
-	tolerance      = 0.4
-	leastTolerance = 0.005
+	tolerance    = 0.4
+	minTolerance = 0.005
 	// kilo: tokens are counted in thousands, so that the four figures have sizes that
 	// compare.
 	kilo = 1000
@@ -53,22 +53,22 @@
 // are recognized too.
 var priorWeight = vector{5, 1, 1, 5}
 
-// least and most bound the figures: rates of 5 to 1,000 tokens a millisecond, and what
+// minFigures and most bound the figures: rates of 5 to 1,000 tokens a millisecond, and what
 // no engine is beyond.
 var (
-	least = vector{0.001, 0.001, 0.0005, 0.0002}
-	most  = vector{0.500, 0.200, 0.2000, 0.0300}
+	minFigures = vector{0.001, 0.001, 0.0005, 0.0002}
+	maxFigures = vector{0.500, 0.200, 0.2000, 0.0300}
 )
 
-// leastAhead is the least that a token ahead counts relative to one's own. Views of the
+// minAheadRatio is the least that a token ahead counts relative to one's own. Views of the
 // others' work that are a quarter of a second old gave 0.4 to 0.7 on two kinds of
 // engines; below a third, queues would be taken for none.
-const leastAhead = 1.0 / 3
+const minAheadRatio = 1.0 / 3
 
-// size is the number of figures.
-const size = 4
+// figureCount is the number of figures.
+const figureCount = 4
 
-type vector [size]float64
+type vector [figureCount]float64
 
 // Sample is what one request saw.
 type Sample struct {
@@ -89,17 +89,17 @@
 	Weight float64
 	// Square are the sums of products of the figures' factors, its upper triangle by
 	// rows, and Target those of the factors and the times.
-	Square [squares]float64
+	Square [productCount]float64
 	Target vector
 }
 
-const squares = size * (size + 1) / 2
+const productCount = figureCount * (figureCount + 1) / 2
 
 // List returns all sums in a fixed order, for SumsOf: gateways send them with every
 // report, and single precision is far more than the fit needs.
 func (s Sums) List() []float32 {
 	var out []float32
-	for _, v := range s.list() {
+	for _, v := range s.pointers() {
 		out = append(out, float32(*v))
 	}
 	return out
@@ -108,7 +108,7 @@
 // SumsOf is the inverse of List. Sums that cannot be are an error.
 func SumsOf(list []float32) (Sums, error) {
 	var s Sums
-	into := s.list()
+	into := s.pointers()
 	if len(list) != len(into) {
 		return Sums{}, errors.Errorf("%d sums of an engine model, want %d", len(list), len(into))
 	}
@@ -121,7 +121,7 @@
 	return s, nil
 }
 
-func (s *Sums) list() []*float64 {
+func (s *Sums) pointers() []*float64 {
 	out := []*float64{&s.Weight}
 	for i := range s.Square {
 		out = append(out, &s.Square[i])
@@ -146,8 +146,8 @@
 // Subtract takes out sums that were added before. What rounding leaves below zero counts as
 // nothing.
 func (s *Sums) Subtract(other Sums) {
-	taken := other.list()
-	for i, v := range s.list() {
+	taken := other.pointers()
+	for i, v := range s.pointers() {
 		*v = max(0, *v-*taken[i])
 	}
 }
@@ -155,15 +155,15 @@
 // Learn takes a sample in, and forgets a little of the earlier ones. figures are what is
 // believed now, of all gateways' samples.
 func (s *Sums) Learn(sample Sample, figures Figures) {
-	s.scale(1 - 1.0/memory)
+	s.scale(1 - 1.0/memorySamples)
 	row, first := sample.row(), sample.First.Seconds()
 	expected := figures.FirstSeconds(sample.Own, sample.Ahead, sample.Running)
-	allowed := max(leastTolerance, tolerance*expected)
+	allowed := max(minTolerance, tolerance*expected)
 	weight := allowed / max(allowed, math.Abs(first-expected))
 	s.Weight += weight
 	k := 0
-	for i := range size {
-		for j := i; j < size; j++ {
+	for i := range figureCount {
+		for j := i; j < figureCount; j++ {
 			s.Square[k] += weight * row[i] * row[j]
 			k++
 		}
@@ -212,46 +212,46 @@
 
 // Fit returns the figures that fit the sums and the prior best.
 func (s Sums) Fit() Figures {
-	var a [size][size + 1]float64
+	var a [figureCount][figureCount + 1]float64
 	k := 0
-	for i := range size {
-		for j := i; j < size; j++ {
+	for i := range figureCount {
+		for j := i; j < figureCount; j++ {
 			a[i][j] = s.Square[k]
 			a[j][i] = s.Square[k]
 			k++
 		}
-		a[i][size] = s.Target[i]
+		a[i][figureCount] = s.Target[i]
 	}
 	for i, weight := range priorWeight {
 		// The prior counts as samples each of which knows one figure only.
 		a[i][i] += weight
-		a[i][size] += weight * prior[i]
+		a[i][figureCount] += weight * prior[i]
 	}
 	x := solve(&a)
 	for i := range x {
-		x[i] = min(max(x[i], least[i]), most[i])
+		x[i] = min(max(x[i], minFigures[i]), maxFigures[i])
 	}
-	ahead := min(max(x[2], leastAhead*x[1]), x[1])
+	ahead := min(max(x[2], minAheadRatio*x[1]), x[1])
 	return Figures{Base: seconds(x[0]), Token: x[1] / kilo, Ahead: ahead / kilo, Running: x[3], Samples: s.Weight}
 }
 
 // solve solves symmetric positive definite equations, the right side in the last
 // column. The prior on the diagonal makes them so.
-func solve(a *[size][size + 1]float64) vector {
-	for i := range size {
-		for k := range size {
+func solve(a *[figureCount][figureCount + 1]float64) vector {
+	for i := range figureCount {
+		for k := range figureCount {
 			if k == i {
 				continue
 			}
 			factor := a[k][i] / a[i][i]
-			for j := i; j <= size; j++ {
+			for j := i; j <= figureCount; j++ {
 				a[k][j] -= factor * a[i][j]
 			}
 		}
 	}
 	var x vector
-	for i := range size {
-		x[i] = a[i][size] / a[i][i]
+	for i := range figureCount {
+		x[i] = a[i][figureCount] / a[i][i]
 	}
 	return x
 }
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -44,13 +44,13 @@
 func (f *fleet) teach(gateways []Sums, samples int) Figures {
 	for range samples {
 		for g := range gateways {
-			gateways[g].Learn(f.sample(), all(gateways).Fit())
+			gateways[g].Learn(f.sample(), total(gateways).Fit())
 		}
 	}
-	return all(gateways).Fit()
+	return total(gateways).Fit()
 }
 
-func all(gateways []Sums) Sums {
+func total(gateways []Sums) Sums {
 	var sum Sums
 	for _, g := range gateways {
 		sum.Add(g)
@@ -58,8 +58,8 @@
 	return sum
 }
 
-// off is by which part a rate is wrong.
-func off(f Figures, rate float64) float64 { return math.Abs(f.Rate()/rate - 1) }
+// relativeError is by which part a rate is wrong.
+func relativeError(f Figures, rate float64) float64 { return math.Abs(f.Rate()/rate - 1) }
 
 // Symptom: work goes to the wrong engines and too few are kept, on machines that nobody
 // has told of. Sequence: a system starts and sees its first requests. Cause: a constant
@@ -68,10 +68,10 @@
 func TestTheRateIsRightAfterFiftyRequests(t *testing.T) {
 	for _, rate := range []float64{10_000, 30_900, 92_100, 200_000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			if got := newFleet(rate).teach(make([]Sums, 1), 50); off(got, rate) > 0.25 {
+			if got := newFleet(rate).teach(make([]Sums, 1), 50); relativeError(got, rate) > 0.25 {
 				t.Errorf("rate %.0f, want %.0f", got.Rate(), rate)
 			}
-			if got := newFleet(rate).teach(make([]Sums, 9), 6); off(got, rate) > 0.25 {
+			if got := newFleet(rate).teach(make([]Sums, 9), 6); relativeError(got, rate) > 0.25 {
 				t.Errorf("nine gateways, six requests each: rate %.0f, want %.0f", got.Rate(), rate)
 			}
 		})
@@ -131,7 +131,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(30_900)
 			f.spoil = c.spoil
-			if got := f.teach(make([]Sums, 4), 100); off(got, 30_900) > 0.25 {
+			if got := f.teach(make([]Sums, 4), 100); relativeError(got, 30_900) > 0.25 {
 				t.Errorf("rate %.0f, want 30900", got.Rate())
 			}
 		})
@@ -144,7 +144,7 @@
 	for _, c := range []struct{ before, after float64 }{{92_100, 30_900}, {30_900, 92_100}} {
 		gateways := make([]Sums, 4)
 		newFleet(c.before).teach(gateways, 300)
-		if got := newFleet(c.after).teach(gateways, 75); off(got, c.after) > 0.25 {
+		if got := newFleet(c.after).teach(gateways, 75); relativeError(got, c.after) > 0.25 {
 			t.Errorf("%.0f after %.0f, want %.0f", got.Rate(), c.before, c.after)
 		}
 	}
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -13,28 +13,28 @@
 
 // chooser makes one decision.
 type chooser struct {
-	router  *Router
-	view    []blackboard.Upstream
-	entries []entry
-	req     Request
-	now     time.Time
-	plain   bool
-	// mean and slack are those of the view; see prepared.
-	mean, slack float64
+	router    *Router
+	view      []blackboard.Upstream
+	upstreams []preparedUpstream
+	req       Request
+	now       time.Time
+	plain     bool
+	// meanFill and slack are those of the view; see prepared.
+	meanFill, priceFactor float64
 
 	// cached holds, by upstream, how many leading blocks it probably has.
 	cached []float64
-	// shareRequests and shareTokens are which part of a queue is served before
+	// requestShareAhead and shareTokens are which part of a queue is served before
 	// the request.
-	shareRequests, shareTokens float64
+	requestShareAhead, tokenShareAhead float64
 	// margin is the factor within which four of five predictions come true.
 	margin float64
-	// farthest is the largest place that is a home of the request's prefix.
-	farthest float64
+	// maxHomeDistance is the largest place that is a home of the request's prefix.
+	maxHomeDistance float64
 
-	best    [shortlistSize]candidate
-	count   int
-	reasons []Reason
+	best      [shortlistSize]candidate
+	bestCount int
+	reasons   []Reason
 }
 
 // candidate is an upstream that could serve the request.
@@ -51,21 +51,21 @@
 	}
 	scratch := c.router.scratch.Get().(*[]float64)
 	defer c.router.scratch.Put(scratch)
-	c.lookUp(scratch)
+	c.lookUpCaches(scratch)
 	c.margin = c.router.predictor.margin(c.req.Class.Priority)
-	c.shareRequests, c.shareTokens = c.router.predictor.shares(c.req.Class.Priority)
+	c.requestShareAhead, c.tokenShareAhead = c.router.predictor.sharesAhead(c.req.Class.Priority)
 	c.shortlist(blackboard.Alive)
-	if c.count == 0 {
+	if c.bestCount == 0 {
 		c.shortlist(blackboard.Suspect)
 	}
-	if c.count == 0 {
+	if c.bestCount == 0 {
 		return Decision{Reasons: c.reasons}
 	}
 	return c.decision(c.draw())
 }
 
-// lookUp asks all cache views for the request's prefix.
-func (c *chooser) lookUp(scratch *[]float64) {
+// lookUpCaches asks all cache views for the request's prefix.
+func (c *chooser) lookUpCaches(scratch *[]float64) {
 	if len(c.req.Blocks) == 0 {
 		return
 	}
@@ -77,7 +77,7 @@
 			c.cached[i] = u.Cache.Cached(c.req.Blocks, c.now)
 		}
 	}
-	c.homes()
+	c.findHomes()
 }
 
 // shortlist keeps the best usable upstreams in a state. It begins at a random
@@ -93,7 +93,7 @@
 		e := c.estimate(i)
 		c.insert(candidate{index: i, estimate: e})
 		if c.req.Explain {
-			c.explain(i, RuleScored, fmt.Sprintf("score %.4f, first token %.4f s, uncached %d tokens", e.score, e.firstToken, e.uncached))
+			c.explain(i, RuleScored, fmt.Sprintf("score %.4f, first token %.4f s, uncached %d tokens", e.score, e.firstToken, e.uncachedTokens))
 		}
 	}
 }
@@ -123,7 +123,7 @@
 
 // insert keeps the shortlist sorted by score.
 func (c *chooser) insert(x candidate) {
-	at := c.count
+	at := c.bestCount
 	for at > 0 && c.best[at-1].score > x.score {
 		at--
 	}
@@ -132,7 +132,7 @@
 	}
 	copy(c.best[at+1:], c.best[at:])
 	c.best[at] = x
-	c.count = min(c.count+1, shortlistSize)
+	c.bestCount = min(c.bestCount+1, shortlistSize)
 }
 
 // draw chooses from those that are nearly as good as the best. Without it all
@@ -140,8 +140,8 @@
 // one would notice by queues that swing from one upstream to the next.
 func (c *chooser) draw() candidate {
 	near := 1
-	limit := c.best[0].score + c.router.params.NearEqual
-	for near < c.count && c.best[near].score <= limit {
+	limit := c.best[0].score + c.router.params.ScoreTolerance
+	for near < c.bestCount && c.best[near].score <= limit {
 		near++
 	}
 	if near == 1 {
@@ -157,7 +157,7 @@
 }
 
 func (c *chooser) outstanding(x candidate) int64 {
-	return c.entries[x.index].slot.outstanding.Load()
+	return c.upstreams[x.index].local.outstanding.Load()
 }
 
 func (c *chooser) decision(x candidate) Decision {
@@ -169,14 +169,14 @@
 		FirstToken:     duration(x.firstToken),
 		FirstTokenBy:   duration(x.firstToken * c.margin),
 		BetweenTokens:  duration(x.betweenTokens),
-		UncachedTokens: x.uncached,
+		UncachedTokens: x.uncachedTokens,
 		Unloaded:       duration(x.unloaded),
-		Work:           x.work,
+		Work:           x.engineSeconds,
 		Reasons:        c.reasons,
-		slot:           c.entries[x.index].slot,
+		local:          c.upstreams[x.index].local,
 	}
-	if p, ok := u.Cache.(placer); ok {
-		d.placer = p
+	if p, ok := u.Cache.(placementObserver); ok {
+		d.observer = p
 	}
 	return d
 }
--- a/internal/routing/home.go
+++ b/internal/routing/home.go
@@ -43,14 +43,14 @@
 	return float64(p.cells[prefix%popularityCells].Load()) / float64(max(1, p.total.Load()))
 }
 
-// homes finds the upstreams where the request's prefix is at home: the same at
+// findHomes finds the upstreams where the request's prefix is at home: the same at
 // all gateways without any messages between them, and as many as the prefix's share
 // of the work needs. It sets the largest place that is a home.
-func (c *chooser) homes() {
-	c.farthest = math.Inf(1)
+func (c *chooser) findHomes() {
+	c.maxHomeDistance = math.Inf(1)
 	prefix := c.req.Blocks[0]
 	share := c.router.popularity.share(prefix)
-	n := int(math.Ceil(share * float64(len(c.view)) * c.router.params.HomeSpread))
+	n := int(math.Ceil(share * float64(len(c.view)) * c.router.params.HomesPerUpstream))
 	n = max(1, n)
 	if n > maxHomes || n >= len(c.view) {
 		return
@@ -61,7 +61,7 @@
 		if c.view[i].State != blackboard.Alive {
 			continue
 		}
-		x := c.place(prefix, i)
+		x := c.distance(prefix, i)
 		at := count
 		for at > 0 && nearest[at-1] > x {
 			at--
@@ -74,20 +74,20 @@
 		count = min(count+1, n)
 	}
 	if count > 0 {
-		c.farthest = nearest[count-1]
+		c.maxHomeDistance = nearest[count-1]
 	}
 }
 
-// away reports whether the i-th upstream is no home of the request's prefix.
-func (c *chooser) away(i int) bool {
-	return len(c.req.Blocks) > 0 && c.place(c.req.Blocks[0], i) > c.farthest
+// awayFromHome reports whether the i-th upstream is no home of the request's prefix.
+func (c *chooser) awayFromHome(i int) bool {
+	return len(c.req.Blocks) > 0 && c.distance(c.req.Blocks[0], i) > c.maxHomeDistance
 }
 
-// place orders the upstreams for a prefix, alike at all gateways: it is
+// distance orders the upstreams for a prefix, alike at all gateways: it is
 // between 0 and 1 and looks random (rendezvous hashing).
-func (c *chooser) place(prefix uint64, i int) float64 {
+func (c *chooser) distance(prefix uint64, i int) float64 {
 	const golden = 0x9e3779b97f4a7c15
-	x := (prefix ^ c.entries[i].hash) * golden
+	x := (prefix ^ c.upstreams[i].nameHash) * golden
 	x ^= x >> 32
 	x *= golden
 	x ^= x >> 29
--- a/internal/routing/inflight.go
+++ b/internal/routing/inflight.go
@@ -22,54 +22,54 @@
 	epochMask   = 1<<(64-epochShift) - 1
 )
 
-// slot is what this gateway knows of one upstream by its own dealings with
+// localState is what this gateway knows of one upstream by its own dealings with
 // it. All fields are atomic: many requests use a slot at once.
-type slot struct {
+type localState struct {
 	// outstanding counts the attempts that have not ended.
 	outstanding atomic.Int64
 	// lastSent is when the newest attempt was sent, as an epoch.
 	lastSent atomic.Int64
-	// batch is the learnt size of the upstream's batch.
-	batch average
-	// sent holds, by time of sending, the attempts whose first token has not
+	// learnedBatch is the learnt size of the upstream's batch.
+	learnedBatch average
+	// sentBuckets holds, by time of sending, the attempts whose first token has not
 	// come, and their uncached tokens. Each word is epoch, count and tokens.
-	sent [bucketCount]atomic.Uint64
+	sentBuckets [bucketCount]atomic.Uint64
 }
 
-// load is work that a report does not know of yet.
-type load struct {
+// sentWork is work that a report does not know of yet.
+type sentWork struct {
 	requests int
 	tokens   int
 }
 
-func (s *slot) add(epoch int64, tokens int) {
+func (s *localState) addSent(epoch int64, tokens int) {
 	s.outstanding.Add(1)
 	if epoch > s.lastSent.Load() {
 		s.lastSent.Store(epoch)
 	}
-	s.change(epoch, func(l load) load {
-		return load{requests: min(l.requests+1, requestMask), tokens: min(l.tokens+tokens, tokenMask)}
+	s.updateBucket(epoch, func(l sentWork) sentWork {
+		return sentWork{requests: min(l.requests+1, requestMask), tokens: min(l.tokens+tokens, tokenMask)}
 	})
 }
 
-// settle removes work from the bucket in which it was added, unless the
+// removeSent removes work from the bucket in which it was added, unless the
 // bucket has been used again since.
-func (s *slot) settle(epoch int64, tokens int) {
-	word := &s.sent[epoch%bucketCount]
+func (s *localState) removeSent(epoch int64, tokens int) {
+	word := &s.sentBuckets[epoch%bucketCount]
 	if int64(word.Load()>>epochShift) != epoch&epochMask {
 		return
 	}
-	s.change(epoch, func(l load) load {
-		return load{requests: max(l.requests-1, 0), tokens: max(l.tokens-tokens, 0)}
+	s.updateBucket(epoch, func(l sentWork) sentWork {
+		return sentWork{requests: max(l.requests-1, 0), tokens: max(l.tokens-tokens, 0)}
 	})
 }
 
-// change replaces one bucket's contents; an older epoch counts as empty.
-func (s *slot) change(epoch int64, update func(load) load) {
-	word := &s.sent[epoch%bucketCount]
+// updateBucket replaces one bucket's contents; an older epoch counts as empty.
+func (s *localState) updateBucket(epoch int64, update func(sentWork) sentWork) {
+	word := &s.sentBuckets[epoch%bucketCount]
 	for {
 		old := word.Load()
-		next := update(unpack(old, epoch))
+		next := update(unpackBucket(old, epoch))
 		packed := uint64(epoch&epochMask)<<epochShift | uint64(next.requests)<<tokenBits | uint64(next.tokens)
 		if word.CompareAndSwap(old, packed) {
 			return
@@ -77,39 +77,39 @@
 	}
 }
 
-// unpack returns a bucket's contents if they belong to the epoch.
-func unpack(word uint64, epoch int64) load {
+// unpackBucket returns a bucket's contents if they belong to the epoch.
+func unpackBucket(word uint64, epoch int64) sentWork {
 	if int64(word>>epochShift) != epoch&epochMask {
-		return load{}
+		return sentWork{}
 	}
-	return load{requests: int(word >> tokenBits & requestMask), tokens: int(word & tokenMask)}
+	return sentWork{requests: int(word >> tokenBits & requestMask), tokens: int(word & tokenMask)}
 }
 
-// since sums what was sent from one epoch to another and still waits for its
+// awaitingFirstToken sums what was sent from one epoch to another and still waits for its
 // first token.
-func (s *slot) since(from, to int64) load {
-	var sum load
+func (s *localState) awaitingFirstToken(from, to int64) sentWork {
+	var sum sentWork
 	to = min(to, s.lastSent.Load())
 	from = max(from, to-bucketCount+1, 0)
 	for epoch := from; epoch <= to; epoch++ {
-		l := unpack(s.sent[epoch%bucketCount].Load(), epoch)
+		l := unpackBucket(s.sentBuckets[epoch%bucketCount].Load(), epoch)
 		sum.requests += l.requests
 		sum.tokens += l.tokens
 	}
 	return sum
 }
 
-// slots maps instances to their slots. It is replaced as a whole when an
+// localStates maps instances to their slots. It is replaced as a whole when an
 // instance is added, so that readers need no lock.
-type slots map[ident.Instance]*slot
+type localStates map[ident.Instance]*localState
 
 // Ticket follows one attempt from Started to Finished. It belongs to the one
 // goroutine that runs the attempt. The zero value does nothing.
 type Ticket struct {
-	slot     *slot
-	epoch    int64
-	tokens   int
-	priority int
+	local          *localState
+	epoch          int64
+	uncachedTokens int
+	priority       int
 	// waiting: the first token has not come.
 	waiting   bool
 	sent      time.Time
--- a/internal/routing/mechanisms_test.go
+++ b/internal/routing/mechanisms_test.go
@@ -125,7 +125,7 @@
 		if i%4 == 0 {
 			took = 3 * time.Second
 		}
-		p.learn(1, time.Second, took)
+		p.learnMargin(1, time.Second, took)
 	}
 	if m := p.margin(1); m < 2.5 || m > 3.5 {
 		t.Errorf("margin is %.2f, want about 3: a quarter takes three times as long", m)
@@ -145,7 +145,7 @@
 		total += New(DefaultParams(), time.Unix(90, 0)).Slots(view, 6, present)
 	}
 	p := DefaultParams()
-	if most := int(3 * p.BatchLimit * p.Filled); total > most || total < most-6 {
+	if most := int(3 * p.BatchLimit * p.TargetFill); total > most || total < most-6 {
 		t.Errorf("six gateways have %d slots, want %d between them", total, most)
 	}
 }
@@ -156,7 +156,7 @@
 	full, free := fleet(1), fleet(1)
 	full[0].Report.Running, full[0].Report.Queued = 30, 50
 	free[0].Report.Running = 30
-	known := r.addSlots(full)["runner-0"]
+	known := r.addLocalStates(full)["runner-0"]
 	r.learnBatch(&full[0], known)
 	shrunk := known.batchSize(96)
 	for range 300 {
--- a/internal/routing/placement/drawn.go
+++ b/internal/routing/placement/drawn.go
@@ -7,20 +7,20 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// notDrawn is by how much sooner, in seconds, an upstream must serve a call than its home
+// unsampledPenalty is by how much sooner, in seconds, an upstream must serve a call than its home
 // and those that are drawn for it: more than what one view's age adds to a queue, less than
 // the shortest objective.
-const notDrawn = 0.1
+const unsampledPenalty = 0.1
 
-// drawn are two of a service's upstreams, drawn by a call's ID: of many gateways that see
+// sampledPair are two of a service's upstreams, drawn by a call's ID: of many gateways that see
 // the same loads, some tenths of a second old, each would else send what its home cannot
 // take to the same upstream, the one that had least to do.
-type drawn [2]int
+type sampledPair [2]int
 
-// draw draws two of the upstreams that are ready.
-func draw(call *forward.Call, all []directory.Upstream) drawn {
+// samplePair draws two of the upstreams that are ready.
+func samplePair(call *forward.Call, all []directory.Upstream) sampledPair {
 	seed := xxhash.Sum64String(string(call.ID))
-	d, weights := drawn{-1, -1}, [2]uint64{}
+	d, weights := sampledPair{-1, -1}, [2]uint64{}
 	for i := range all {
 		if all[i].State != directory.Ready {
 			continue
@@ -36,4 +36,4 @@
 	return d
 }
 
-func (d drawn) has(i int) bool { return i == d[0] || i == d[1] }
+func (d sampledPair) has(i int) bool { return i == d[0] || i == d[1] }
--- a/internal/routing/placement/drawn_test.go
+++ b/internal/routing/placement/drawn_test.go
@@ -30,7 +30,7 @@
 			call.ID = ident.Request(fmt.Sprint("request-", i))
 			if part > 0 {
 				// Its home has a queue: the call goes elsewhere.
-				home := f.Chooser.line(call, f.view.Of("svc")).home
+				home := f.Chooser.homeOrderOf(call, f.view.Of("svc")).home
 				f.others[f.view.Of("svc")[home].ID] = Load{Running: 8, Unread: 400_000}
 			} else {
 				call.PromptTokens = 1000
--- a/internal/routing/placement/engines.go
+++ b/internal/routing/placement/engines.go
@@ -7,54 +7,54 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// fitEvery is how often the figures of a service's engines are worked out anew. The other
+// fitInterval is how often the figures of a service's engines are worked out anew. The other
 // gateways' reports come about as often, and a request moves the figures by a few in a
 // hundred.
-const fitEvery = 250 * time.Millisecond
+const fitInterval = 250 * time.Millisecond
 
-// toldStep is by which part the reading rate must have changed for a log line.
-const toldStep = 0.25
+// loggedRateChange is by which part the reading rate must have changed for a log line.
+const loggedRateChange = 0.25
 
-// engines is what is known of the engines of one service.
-type engines struct {
+// serviceEngines is what is known of the engines of one service.
+type serviceEngines struct {
 	// own is what this gateway's requests saw.
-	own     enginemodel.Sums
-	figures enginemodel.Figures
-	fitted  time.Time
-	// told is the reading rate that the log has.
-	told float64
+	own      enginemodel.Sums
+	figures  enginemodel.Figures
+	fittedAt time.Time
+	// loggedRate is the reading rate that the log has.
+	loggedRate float64
 }
 
-// learnEngine takes in what a request saw of its engine.
-func (c *Chooser) learnEngine(p *place, now time.Time) {
-	if p.unread == 0 {
+// learnEngineSpeed takes in what a request saw of its engine.
+func (c *Chooser) learnEngineSpeed(p *reservation, now time.Time) {
+	if p.unreadTokens == 0 {
 		return // an application, or a prompt that nobody counted
 	}
 	figures := c.figures(p.service, now)
-	at(c.engines, p.service).own.Learn(enginemodel.Sample{
-		Own: float64(p.unread), Ahead: float64(p.ahead.Unread), Running: float64(p.ahead.Running), First: p.latency,
+	getOrCreate(c.engines, p.service).own.Learn(enginemodel.Sample{
+		Own: float64(p.unreadTokens), Ahead: float64(p.loadAhead.Unread), Running: float64(p.loadAhead.Running), First: p.firstEventLatency,
 	}, figures)
 }
 
 // figures returns what all gateways' requests together say of a service's engines.
 func (c *Chooser) figures(service ident.Service, now time.Time) enginemodel.Figures {
-	e := at(c.engines, service)
-	if e.fitted.IsZero() || now.Sub(e.fitted) >= fitEvery {
+	e := getOrCreate(c.engines, service)
+	if e.fittedAt.IsZero() || now.Sub(e.fittedAt) >= fitInterval {
 		sums := e.own
 		sums.Add(c.cfg.Engines(service))
-		e.figures, e.fitted = sums.Fit(), now
-		c.tellEngines(service, e)
+		e.figures, e.fittedAt = sums.Fit(), now
+		c.logEngineFigures(service, e)
 	}
 	return e.figures
 }
 
-// tellEngines logs a reading rate that differs from the one that was logged last.
-func (c *Chooser) tellEngines(service ident.Service, e *engines) {
+// logEngineFigures logs a reading rate that differs from the one that was logged last.
+func (c *Chooser) logEngineFigures(service ident.Service, e *serviceEngines) {
 	rate := e.figures.Rate()
-	if e.figures.Samples == 0 || rate > e.told*(1-toldStep) && rate < e.told*(1+toldStep) {
+	if e.figures.Samples == 0 || rate > e.loggedRate*(1-loggedRateChange) && rate < e.loggedRate*(1+loggedRateChange) {
 		return
 	}
-	e.told = rate
+	e.loggedRate = rate
 	c.cfg.Log.Info("engines' figures", "service", service, "tokens_per_s", int(rate), "base_ms", e.figures.Base.Milliseconds(),
 		"ahead_us_per_token", e.figures.Ahead*1e6, "running_ms", e.figures.Running*1e3, "samples", int(e.figures.Samples))
 }
--- a/internal/routing/placement/homes.go
+++ b/internal/routing/placement/homes.go
@@ -10,20 +10,20 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// line is the order of upstreams for a shared part: by weights that all gateways
+// homeOrder is the order of upstreams for a shared part: by weights that all gateways
 // work out alike. The one with the highest weight is the part's home.
-type line struct {
+type homeOrder struct {
 	weights []uint64
 	home    int
 }
 
-// line returns the order for the call's shared part, or nil if it shares none.
-func (c *Chooser) line(call *forward.Call, all []directory.Upstream) *line {
+// homeOrderOf returns the order for the call's shared part, or nil if it shares none.
+func (c *Chooser) homeOrderOf(call *forward.Call, all []directory.Upstream) *homeOrder {
 	if call.Service.Engine == nil || len(call.Parts) < 2 {
 		return nil
 	}
 	part := call.Parts[len(call.Parts)-2].ID
-	l := &line{weights: make([]uint64, len(all)), home: -1}
+	l := &homeOrder{weights: make([]uint64, len(all)), home: -1}
 	for i := range all {
 		if all[i].State != directory.Ready {
 			continue
@@ -36,8 +36,10 @@
 	return l
 }
 
-// behind is how far an upstream is from the front, from 0 to 1.
-func (l *line) behind(i int) float64 { return 1 - float64(l.weights[i])/float64(math.MaxUint64) }
+// distanceFromFront is how far an upstream is from the front, from 0 to 1.
+func (l *homeOrder) distanceFromFront(i int) float64 {
+	return 1 - float64(l.weights[i])/float64(math.MaxUint64)
+}
 
 // rendezvous weighs an upstream for a part, by its name: an upstream that starts again
 // is the home of the same parts as before, so that the others keep theirs.
--- a/internal/routing/placement/learn.go
+++ b/internal/routing/placement/learn.go
@@ -13,18 +13,18 @@
 func (c *Chooser) Began(choice forward.Choice, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := choice.Place.(*place)
-	if p.began {
+	p := choice.Place.(*reservation)
+	if p.gotFirstEvent {
 		return
 	}
-	p.began = true
-	p.latency = now.Sub(p.sent)
-	at(c.own, choice.Upstream).load.Unread -= p.unread
-	if p.unproven() {
+	p.gotFirstEvent = true
+	p.firstEventLatency = now.Sub(p.sentAt)
+	getOrCreate(c.own, choice.Upstream).load.Unread -= p.unreadTokens
+	if p.usesUnprovenVersion() {
 		return
 	}
-	at(c.learned, p.service).learn(p.latency - p.expected)
-	c.learnEngine(p, now)
+	getOrCreate(c.firstEventTimings, p.service).learn(p.firstEventLatency - p.expectedFirstEvent)
+	c.learnEngineSpeed(p, now)
 }
 
 // Ended implements forward.Placement. An upstream that had said that it leaves, or whose
@@ -32,7 +32,7 @@
 func (c *Chooser) Ended(choice forward.Choice) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	choice.Place.(*place).ended = true
+	choice.Place.(*reservation).upstreamEnded = true
 	u, known := c.cfg.View().Upstream(choice.Upstream)
 	return known && u.State == directory.Ready
 }
@@ -41,31 +41,31 @@
 func (c *Chooser) Finished(choice forward.Choice, result forward.Result, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := choice.Place.(*place)
-	o := at(c.own, choice.Upstream)
+	p := choice.Place.(*reservation)
+	o := getOrCreate(c.own, choice.Upstream)
 	o.load.Running--
-	p.note(result, c.work[p.service], now)
-	if result == forward.Done && p.began && !p.unproven() {
-		at(c.work, p.service).ended(p.route, now.Sub(p.sent)-p.latency)
+	p.reportToRollout(result, c.demands[p.service], now)
+	if result == forward.Done && p.gotFirstEvent && !p.usesUnprovenVersion() {
+		getOrCreate(c.demands, p.service).answerFinished(p.route, now.Sub(p.sentAt)-p.firstEventLatency)
 	}
-	if !p.began {
-		o.load.Unread -= p.unread
+	if !p.gotFirstEvent {
+		o.load.Unread -= p.unreadTokens
 	}
-	c.learnReach(o, result, now)
+	c.updateAvoidance(o, result, now)
 	if result == forward.NoConnection || result == forward.Broken || result == forward.Cut {
-		c.lost[p.domain] = now
+		c.lastUnreachable[p.domain] = now
 	}
-	if sample, counts := sampleOf(p, result); counts {
-		c.set(p.service).Ended(now, choice.Upstream, sample)
-		c.noteEjection(p.service, choice.Upstream)
+	if sample, counts := ejectionSample(p, result); counts {
+		c.ejectionSet(p.service).Ended(now, choice.Upstream, sample)
+		c.logEjectionChange(p.service, choice.Upstream)
 	}
 }
 
-// sampleOf returns what a result says about its upstream. What the caller or the
+// ejectionSample returns what a result says about its upstream. What the caller or the
 // clock ended says nothing.
-func sampleOf(p *place, result forward.Result) (ejection.Sample, bool) {
-	sample := ejection.Sample{Started: p.sent}
-	if p.ended {
+func ejectionSample(p *reservation, result forward.Result) (ejection.Sample, bool) {
+	sample := ejection.Sample{Started: p.sentAt}
+	if p.upstreamEnded {
 		// What ended it may be the request: that says nothing of how it serves others.
 		return sample, false
 	}
@@ -73,39 +73,39 @@
 	case forward.CallerGone:
 		return sample, false
 	case forward.Expired:
-		if p.began {
+		if p.gotFirstEvent {
 			return sample, false
 		}
 		sample.Failed = true
 	case forward.Done:
-		sample.Latency = p.latency.Seconds() / (p.expected.Seconds() + idleAnswer.Seconds())
+		sample.Latency = p.firstEventLatency.Seconds() / (p.expectedFirstEvent.Seconds() + idleAnswerTime.Seconds())
 	default:
 		sample.Failed = true
 	}
 	return sample, true
 }
 
-// idleAnswer is what an idle upstream takes beside reading the prompt; it keeps
+// idleAnswerTime is what an idle upstream takes beside reading the prompt; it keeps
 // short requests from looking slow.
-const idleAnswer = 60 * time.Millisecond
+const idleAnswerTime = 60 * time.Millisecond
 
-func (c *Chooser) learnReach(o *own, result forward.Result, now time.Time) {
+func (c *Chooser) updateAvoidance(o *ownWork, result forward.Result, now time.Time) {
 	if result != forward.NoConnection {
 		o.failures = 0
 		return
 	}
-	wait := min(firstAvoid<<min(o.failures, 8), mostAvoid)
+	wait := min(minAvoidance<<min(o.failures, 8), maxAvoidance)
 	o.failures++
 	o.avoidUntil = now.Add(wait)
 }
 
-// noteEjection logs a change of an upstream's state.
-func (c *Chooser) noteEjection(service ident.Service, id ident.Instance) {
-	state := c.set(service).State(id)
-	if c.reported[id] == state {
+// logEjectionChange logs a change of an upstream's state.
+func (c *Chooser) logEjectionChange(service ident.Service, id ident.Instance) {
+	state := c.ejectionSet(service).State(id)
+	if c.loggedStates[id] == state {
 		return
 	}
-	c.reported[id] = state
+	c.loggedStates[id] = state
 	c.cfg.Log.Info("upstream's standing changed", "upstream", id, "service", service,
 		"standing", [...]string{"healthy", "ejected", "probing"}[state])
 }
--- a/internal/routing/placement/limits.go
+++ b/internal/routing/placement/limits.go
@@ -8,17 +8,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// withLimits returns the best candidate where some have limits: the first of those that are
+// applyLimits returns the best candidate where some have limits: the first of those that are
 // better than all others and take the call within their limit, else the best of the others.
 // An upstream is asked only where no other is better, so that others with less to do go on
 // being compared with it, and its prompt parts keep their home.
-func (s *search) withLimits(best candidate, found bool) (candidate, bool) {
+func (s *search) applyLimits(best candidate, found bool) (candidate, bool) {
 	if found {
-		s.held = slices.DeleteFunc(s.held, func(x candidate) bool { return x.score > best.score })
+		s.limitedCandidates = slices.DeleteFunc(s.limitedCandidates, func(x candidate) bool { return x.score > best.score })
 	}
-	slices.SortFunc(s.held, func(a, b candidate) int { return cmp.Compare(a.score, b.score) })
-	for i := range s.held {
-		next := s.held[i]
+	slices.SortFunc(s.limitedCandidates, func(a, b candidate) int { return cmp.Compare(a.score, b.score) })
+	for i := range s.limitedCandidates {
+		next := s.limitedCandidates[i]
 		if s.chooser.cfg.Limits.Take(next.upstream.ID) {
 			return next, true
 		}
@@ -37,15 +37,15 @@
 	marks map[*directory.Upstream][]bool
 }
 
-// mostMarked bounds the lists that are remembered; each new view of the upstreams has others.
-const mostMarked = 64
+// maxMarkedLists bounds the lists that are remembered; each new view of the upstreams has others.
+const maxMarkedLists = 64
 
-// of returns which of a list have limits; nil where none has.
-func (m *limitedMarks) of(all []directory.Upstream, limits Limits) []bool {
+// marksOf returns which of a list have limits; nil where none has.
+func (m *limitedMarks) marksOf(all []directory.Upstream, limits Limits) []bool {
 	if len(all) == 0 || !limits.Some() {
 		return nil
 	}
-	if version := limits.Version(); m.marks == nil || version != m.version || len(m.marks) >= mostMarked {
+	if version := limits.Version(); m.marks == nil || version != m.version || len(m.marks) >= maxMarkedLists {
 		m.version, m.marks = version, make(map[*directory.Upstream][]bool)
 	}
 	marks, known := m.marks[&all[0]]
@@ -60,13 +60,13 @@
 	return marks
 }
 
-// limitedOf returns a service's upstreams that take work, if all of them have limits.
-func (c *Chooser) limitedOf(service ident.Service) []ident.Instance {
+// readyIfAllLimited returns a service's upstreams that take work, if all of them have limits.
+func (c *Chooser) readyIfAllLimited(service ident.Service) []ident.Instance {
 	if !c.cfg.Limits.Some() {
 		return nil
 	}
 	var ids []ident.Instance
-	for _, u := range c.refresh().Of(service) {
+	for _, u := range c.refreshView().Of(service) {
 		if u.State != directory.Ready {
 			continue
 		}
--- a/internal/routing/placement/limits_test.go
+++ b/internal/routing/placement/limits_test.go
@@ -143,7 +143,7 @@
 		}
 		tracker.Refresh(nil)
 		verdict := tracker.Orders()[0].Verdict
-		if verdict.Against > 1 || len(f.set("svc").Excluded(f.now)) > 0 {
+		if verdict.Against > 1 || len(f.ejectionSet("svc").Excluded(f.now)) > 0 {
 			t.Errorf("%s limited: %v against the version that is tried", limited, verdict.Against)
 		}
 		if most := 4*3*3/2 + 4*5; sent[limited] > most {
--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -26,16 +26,16 @@
 
 // Params are the weights of the choice.
 type Params struct {
-	// Again is how much a shared part that is read again counts, relative to the
+	// RereadWeight is how much a shared part that is read again counts, relative to the
 	// time that its reading takes: it costs the users' money and delays the
 	// others at that engine.
-	Again float64
-	// OtherDomain is what sending to another failure domain costs, in seconds:
+	RereadWeight float64
+	// OtherDomainCost is what sending to another failure domain costs, in seconds:
 	// the way, and the price of the bytes.
-	OtherDomain float64
-	// EngineQueue and PlainQueue are how many requests may wait at an upstream
+	OtherDomainCost float64
+	// EngineQueuePerSlot and PlainQueue are how many requests may wait at an upstream
 	// for each of its slots; beyond them it takes no work.
-	EngineQueue, PlainQueue float64
+	EngineQueuePerSlot, PlainQueuePerSlot float64
 }
 
 // DefaultParams hold no engine's figures: these are learned.
@@ -43,11 +43,11 @@
 	return Params{
 		// Waiting 0.2 s at the home is better than reading 5,000 tokens again:
 		// the objectives are 0.5 s and more.
-		Again: 4,
+		RereadWeight: 4,
 		// 1 ms there and back, and bytes that cost as much as another 1 ms.
-		OtherDomain: 0.002,
-		EngineQueue: 0.5,
-		PlainQueue:  2,
+		OtherDomainCost:    0.002,
+		EngineQueuePerSlot: 0.5,
+		PlainQueuePerSlot:  2,
 	}
 }
 
@@ -108,20 +108,20 @@
 
 	mu   sync.Mutex
 	view *directory.View
-	// lost are domains with when an upstream there did not answer last.
-	lost     map[ident.FailureDomain]time.Time
-	own      map[ident.Instance]*own
-	sets     map[ident.Service]*ejection.Set
-	learned  map[ident.Service]*timing
-	reported map[ident.Instance]ejection.State
-	work     map[ident.Service]*workOf
-	engines  map[ident.Service]*engines
-	limited  limitedMarks
-	search   search
+	// lastUnreachable are domains with when an upstream there did not answer last.
+	lastUnreachable   map[ident.FailureDomain]time.Time
+	own               map[ident.Instance]*ownWork
+	ejectionSets      map[ident.Service]*ejection.Set
+	firstEventTimings map[ident.Service]*firstEventTiming
+	loggedStates      map[ident.Instance]ejection.State
+	demands           map[ident.Service]*serviceDemand
+	engines           map[ident.Service]*serviceEngines
+	limited           limitedMarks
+	search            search
 }
 
-// own is what this gateway has at an upstream.
-type own struct {
+// ownWork is what this gateway has at an upstream.
+type ownWork struct {
 	load Load
 	// avoidUntil: it could not be reached.
 	avoidUntil time.Time
@@ -131,29 +131,29 @@
 // Avoidance of upstreams that cannot be reached: doubled with each failure in
 // a row. A crashed upstream is back, or out of the directory, within seconds.
 const (
-	firstAvoid = 500 * time.Millisecond
-	mostAvoid  = 4 * time.Second
+	minAvoidance = 500 * time.Millisecond
+	maxAvoidance = 4 * time.Second
 )
 
 // ejectionConfig is quicker than the package's defaults: the users' upstreams
 // that fail part of their requests do so for five seconds at a time.
 var ejectionConfig = ejection.Config{Failures: 3, Base: 2 * time.Second, Longest: 8 * time.Second, Probes: 2, ProbeLimit: 5 * time.Second}
 
-// place is what a request holds at an upstream.
-type place struct {
-	domain  ident.FailureDomain
-	service ident.Service
-	route   string
-	unread  int
-	// ahead is what was there when it was sent.
-	ahead Load
-	sent  time.Time
-	// expected is the time to the first event behind what is there.
-	expected time.Duration
-	began    bool
-	latency  time.Duration
+// reservation is what a request holds at an upstream.
+type reservation struct {
+	domain       ident.FailureDomain
+	service      ident.Service
+	route        string
+	unreadTokens int
+	// loadAhead is what was there when it was sent.
+	loadAhead Load
+	sentAt    time.Time
+	// expectedFirstEvent is the time to the first event behind what is there.
+	expectedFirstEvent time.Duration
+	gotFirstEvent      bool
+	firstEventLatency  time.Duration
 	// ended: the upstream's process ended under the request.
-	ended bool
+	upstreamEnded bool
 	// split is how the service's upstreams were split by version; nil if they were not.
 	split    *rollout.Split
 	side     rollout.Side
@@ -163,47 +163,47 @@
 // New returns a Chooser that has sent nothing.
 func New(cfg Config) *Chooser {
 	return &Chooser{
-		cfg: cfg, seed: xxhash.Sum64String(string(cfg.Self)), lost: make(map[ident.FailureDomain]time.Time), own: make(map[ident.Instance]*own), sets: make(map[ident.Service]*ejection.Set),
-		learned: make(map[ident.Service]*timing), reported: make(map[ident.Instance]ejection.State),
-		work: make(map[ident.Service]*workOf), engines: make(map[ident.Service]*engines),
+		cfg: cfg, seed: xxhash.Sum64String(string(cfg.Self)), lastUnreachable: make(map[ident.FailureDomain]time.Time), own: make(map[ident.Instance]*ownWork), ejectionSets: make(map[ident.Service]*ejection.Set),
+		firstEventTimings: make(map[ident.Service]*firstEventTiming), loggedStates: make(map[ident.Instance]ejection.State),
+		demands: make(map[ident.Service]*serviceDemand), engines: make(map[ident.Service]*serviceEngines),
 	}
 }
 
 // candidate is an upstream that may take a request.
 type candidate struct {
-	upstream directory.Upstream
-	own      *own
-	load     Load
-	score    float64
-	uncached int
-	// first is the expected time to the call's first event there, in seconds; 0 at an
+	upstream       directory.Upstream
+	own            *ownWork
+	load           Load
+	score          float64
+	uncachedTokens int
+	// firstEventSeconds is the expected time to the call's first event there, in seconds; 0 at an
 	// application.
-	first float64
+	firstEventSeconds float64
 }
 
 // Choose implements forward.Placement.
 func (c *Chooser) Choose(call *forward.Call, exclude []ident.Instance, now time.Time) (forward.Choice, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	view := c.refresh()
-	set := c.set(call.Service.Name)
-	split, lists := c.lists(call, view, len(exclude) > 0, now)
+	view := c.refreshView()
+	set := c.ejectionSet(call.Service.Name)
+	split, lists := c.upstreamLists(call, view, len(exclude) > 0, now)
 	excluded := set.Excluded(now)
-	cut := c.cutOff(now)
+	cut := c.cutOffDomains(now)
 	figures := c.figures(call.Service.Name, now)
-	share := c.share(call.Service)
+	share := c.connectionShareOf(call.Service)
 	s := &c.search
-	*s = search{chooser: c, call: call, figures: figures, now: now, held: s.held}
-	best, why, found := s.first(lists, func(u *directory.Upstream, o *own) bool {
-		return !contains(exclude, u.ID) && !contains(excluded, u.ID) && !now.Before(o.avoidUntil) && !contains(cut, u.FailureDomain) && c.uses(u, share)
+	*s = search{chooser: c, call: call, figures: figures, now: now, limitedCandidates: s.limitedCandidates}
+	best, why, found := s.bestOfLists(lists, func(u *directory.Upstream, o *ownWork) bool {
+		return !contains(exclude, u.ID) && !contains(excluded, u.ID) && !now.Before(o.avoidUntil) && !contains(cut, u.FailureDomain) && c.mayUse(u, share)
 	})
 	if !found {
 		// Where only suspects are left, one of them is better than none.
-		best, why, found = s.first(lists, func(u *directory.Upstream, _ *own) bool { return !contains(exclude, u.ID) })
+		best, why, found = s.bestOfLists(lists, func(u *directory.Upstream, _ *ownWork) bool { return !contains(exclude, u.ID) })
 		why = "suspect, " + why
 	}
 	if !found {
-		return forward.Choice{AtLimit: s.atLimit, OnlyLimits: len(s.atLimit) > 0 && !s.full}, false
+		return forward.Choice{AtLimit: s.atLimit, OnlyLimits: len(s.atLimit) > 0 && !s.foundFull}, false
 	}
 	var side rollout.Side
 	if split != nil {
@@ -211,26 +211,26 @@
 	}
 	set.Started(now, best.upstream.ID)
 	best.own.load.Running++
-	best.own.load.Unread += best.uncached
+	best.own.load.Unread += best.uncachedTokens
 	if len(exclude) == 0 {
-		at(c.work, call.Service.Name).began(call, now)
+		getOrCreate(c.demands, call.Service.Name).callStarted(call, now)
 	}
-	t := at(c.learned, call.Service.Name)
-	expected := time.Duration(best.first * float64(time.Second))
+	t := getOrCreate(c.firstEventTimings, call.Service.Name)
+	expected := time.Duration(best.firstEventSeconds * float64(time.Second))
 	return forward.Choice{
 		Upstream:       best.upstream.ID,
 		Name:           best.upstream.Name,
 		Address:        best.upstream.Address,
-		MaxConnections: share.most,
-		Slow:           t.slow(call.Route.Objective, expected),
+		MaxConnections: share.maxPerUpstream,
+		Slow:           t.slowAfter(call.Route.Objective, expected),
 		Why:            why,
 		AtLimit:        s.atLimit,
-		Place:          &place{domain: best.upstream.FailureDomain, service: call.Service.Name, route: call.Route.Name, unread: best.uncached, sent: now, expected: expected, ahead: best.load, split: split, side: side, upstream: best.upstream},
+		Place:          &reservation{domain: best.upstream.FailureDomain, service: call.Service.Name, route: call.Route.Name, unreadTokens: best.uncachedTokens, sentAt: now, expectedFirstEvent: expected, loadAhead: best.load, split: split, side: side, upstream: best.upstream},
 	}, true
 }
 
-// lists returns which upstreams may take a call.
-func (c *Chooser) lists(call *forward.Call, view *directory.View, again bool, now time.Time) (*rollout.Split, rollout.Lists) {
+// upstreamLists returns which upstreams may take a call.
+func (c *Chooser) upstreamLists(call *forward.Call, view *directory.View, again bool, now time.Time) (*rollout.Split, rollout.Lists) {
 	split := c.cfg.Split(call.Service.Name)
 	if split == nil {
 		return nil, rollout.Lists{First: view.Of(call.Service.Name)}
@@ -244,127 +244,127 @@
 	call    *forward.Call
 	figures enginemodel.Figures
 	now     time.Time
-	// held are those of the candidates that have limits; kept for the next search.
-	held []candidate
+	// limitedCandidates are those of the candidates that have limits; kept for the next search.
+	limitedCandidates []candidate
 	// atLimit are the upstreams that would have been better but for their limits, and full
 	// whether one had as much work as it may get.
-	atLimit []ident.Instance
-	full    bool
+	atLimit   []ident.Instance
+	foundFull bool
 }
 
-// first returns the best candidate of the first list that has one.
-func (s *search) first(lists rollout.Lists, fits func(*directory.Upstream, *own) bool) (candidate, string, bool) {
-	best, why, found := s.best(lists.First, fits)
+// bestOfLists returns the best candidate of the first list that has one.
+func (s *search) bestOfLists(lists rollout.Lists, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
+	best, why, found := s.bestOfList(lists.First, fits)
 	if !found && len(lists.Then) > 0 {
-		return s.best(lists.Then, fits)
+		return s.bestOfList(lists.Then, fits)
 	}
 	return best, why, found
 }
 
-// best returns the candidate with the least score among those that fit and take it.
-func (s *search) best(all []directory.Upstream, fits func(*directory.Upstream, *own) bool) (candidate, string, bool) {
+// bestOfList returns the candidate with the least score among those that fit and take it.
+func (s *search) bestOfList(all []directory.Upstream, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
 	var best candidate
 	found := false
 	c, call, figures := s.chooser, s.call, &s.figures
-	s.held = s.held[:0]
-	limited := c.limited.of(all, c.cfg.Limits)
-	order := c.line(call, all)
-	var two drawn
+	s.limitedCandidates = s.limitedCandidates[:0]
+	limited := c.limited.marksOf(all, c.cfg.Limits)
+	order := c.homeOrderOf(call, all)
+	var two sampledPair
 	if call.Service.Engine != nil {
-		two = draw(call, all)
+		two = samplePair(call, all)
 	}
 	left := call.Remaining(s.now).Seconds()
 	for i := range all {
 		u := &all[i]
-		o := at(c.own, u.ID)
+		o := getOrCreate(c.own, u.ID)
 		if u.State != directory.Ready || !fits(u, o) {
 			continue
 		}
-		next := candidate{upstream: *u, own: o, load: c.loadAt(u.ID, o)}
-		if c.full(call, &next) {
-			s.full = true
+		next := candidate{upstream: *u, own: o, load: c.totalLoad(u.ID, o)}
+		if c.isFull(call, &next) {
+			s.foundFull = true
 			continue
 		}
 		c.score(call, &next, order, i, figures)
-		if next.first > 0 && (order == nil || order.home != i) && !two.has(i) {
-			next.score += notDrawn
+		if next.firstEventSeconds > 0 && (order == nil || order.home != i) && !two.has(i) {
+			next.score += unsampledPenalty
 		}
-		if figures.Samples >= fewest && next.first > left {
+		if figures.Samples >= minSamples && next.firstEventSeconds > left {
 			// A request that surely cannot be served would take an engine's time
 			// from those that can, and its caller would wait for nothing.
 			continue
 		}
 		if limited != nil && limited[i] {
-			s.held = append(s.held, next)
+			s.limitedCandidates = append(s.limitedCandidates, next)
 			continue
 		}
 		if !found || next.score < best.score {
 			best, found = next, true
 		}
 	}
-	if len(s.held) > 0 {
-		best, found = s.withLimits(best, found)
+	if len(s.limitedCandidates) > 0 {
+		best, found = s.applyLimits(best, found)
 	}
 	why := "least work"
-	if found && order != nil && best.uncached < call.PromptTokens {
+	if found && order != nil && best.uncachedTokens < call.PromptTokens {
 		why = "holds the prompt's parts"
 	}
 	return best, why, found
 }
 
-func (c *Chooser) loadAt(id ident.Instance, o *own) Load {
+func (c *Chooser) totalLoad(id ident.Instance, o *ownWork) Load {
 	return o.load.Plus(c.cfg.Others(id))
 }
 
-// full reports whether an upstream has as much work as it may get.
-func (c *Chooser) full(call *forward.Call, x *candidate) bool {
-	queue := c.cfg.Params.PlainQueue
+// isFull reports whether an upstream has as much work as it may get.
+func (c *Chooser) isFull(call *forward.Call, x *candidate) bool {
+	queue := c.cfg.Params.PlainQueuePerSlot
 	if call.Service.Engine != nil {
-		queue = c.cfg.Params.EngineQueue
+		queue = c.cfg.Params.EngineQueuePerSlot
 	}
 	most := float64(x.upstream.Slots) * (1 + queue)
 	return x.upstream.Slots > 0 && float64(x.load.Running) >= most
 }
 
-// amongEquals is what an upstream's place in this gateway's order counts, in seconds: less
+// tieBreakSeconds is what an upstream's place in this gateway's order counts, in seconds: less
 // than a request in progress, or another failure domain.
-const amongEquals = 1e-4
+const tieBreakSeconds = 1e-4
 
 // score sets the candidate's expected first event, and its score: that time in seconds,
 // and what else speaks against it.
-func (c *Chooser) score(call *forward.Call, x *candidate, order *line, i int, figures *enginemodel.Figures) {
+func (c *Chooser) score(call *forward.Call, x *candidate, order *homeOrder, i int, figures *enginemodel.Figures) {
 	p := c.cfg.Params
-	x.uncached = call.PromptTokens
+	x.uncachedTokens = call.PromptTokens
 	again := 0.0
 	if order != nil {
 		shared := sharedTokens(call)
 		if order.home == i {
-			x.uncached -= shared
+			x.uncachedTokens -= shared
 		} else {
-			again = (p.Again - 1) * float64(shared)
+			again = (p.RereadWeight - 1) * float64(shared)
 		}
 	}
 	if call.Service.Engine == nil {
 		x.score = float64(x.load.Running) / float64(max(1, x.upstream.Slots)) * call.Route.Objective.Seconds()
 		// What goes wrong if all gateways take the same one of several idle upstreams: each
 		// of hundreds sends it what few requests it has, and the others stand by.
-		x.score += c.rank(x.upstream.Name) * amongEquals
+		x.score += c.rank(x.upstream.Name) * tieBreakSeconds
 	} else {
-		x.first = figures.FirstSeconds(float64(x.uncached), float64(x.load.Unread), float64(x.load.Running))
-		x.score = x.first + again*figures.Token
+		x.firstEventSeconds = figures.FirstSeconds(float64(x.uncachedTokens), float64(x.load.Unread), float64(x.load.Running))
+		x.score = x.firstEventSeconds + again*figures.Token
 	}
 	if order != nil {
 		// Among equals the first in line, so that copies of a part stay few. The
 		// weight is below what a request in progress counts.
-		x.score += order.behind(i) * 1e-3
+		x.score += order.distanceFromFront(i) * 1e-3
 	}
 	if x.upstream.FailureDomain != c.cfg.Domain {
-		x.score += p.OtherDomain
+		x.score += p.OtherDomainCost
 	}
 }
 
-// refresh takes over a new view of the upstreams.
-func (c *Chooser) refresh() *directory.View {
+// refreshView takes over a new view of the upstreams.
+func (c *Chooser) refreshView() *directory.View {
 	view := c.cfg.View()
 	if view == c.view {
 		return view
@@ -372,19 +372,19 @@
 	c.view = view
 	// Marks by their lists would keep the views of before in memory.
 	c.limited.marks = nil
-	for service, set := range c.sets {
-		set.SetUpstreams(ready(view.Of(service)))
+	for service, set := range c.ejectionSets {
+		set.SetUpstreams(readyIDs(view.Of(service)))
 	}
 	for id, o := range c.own {
 		if _, known := view.Upstream(id); !known && o.load == (Load{}) {
 			delete(c.own, id)
-			delete(c.reported, id)
+			delete(c.loggedStates, id)
 		}
 	}
 	return view
 }
 
-func ready(upstreams []directory.Upstream) []ident.Instance {
+func readyIDs(upstreams []directory.Upstream) []ident.Instance {
 	var ids []ident.Instance
 	for _, u := range upstreams {
 		if u.State == directory.Ready {
@@ -394,21 +394,21 @@
 	return ids
 }
 
-func (c *Chooser) set(service ident.Service) *ejection.Set {
-	set := c.sets[service]
+func (c *Chooser) ejectionSet(service ident.Service) *ejection.Set {
+	set := c.ejectionSets[service]
 	if set == nil {
 		set = ejection.New(ejectionConfig)
 		if c.view != nil {
-			set.SetUpstreams(ready(c.view.Of(service)))
+			set.SetUpstreams(readyIDs(c.view.Of(service)))
 		}
-		c.sets[service] = set
+		c.ejectionSets[service] = set
 	}
 	return set
 }
 
-// at returns what a map holds of a key; a zero value that it holds from now on, if
+// getOrCreate returns what a map holds of a key; a zero value that it holds from now on, if
 // nothing.
-func at[K comparable, V any](m map[K]*V, key K) *V {
+func getOrCreate[K comparable, V any](m map[K]*V, key K) *V {
 	v := m[key]
 	if v == nil {
 		v = new(V)
--- a/internal/routing/placement/placement_test.go
+++ b/internal/routing/placement/placement_test.go
@@ -127,7 +127,7 @@
 		t.Fatal("the domain was never tried")
 	}
 	f.silent["b"] = false
-	f.now = f.now.Add(firstAvoid)
+	f.now = f.now.Add(minAvoidance)
 	f.others = map[ident.Instance]Load{"a0": {Running: 8}, "a1": {Running: 8}, "c0": {Running: 8}, "c1": {Running: 8}}
 	if choice := f.choose(t, f.call(plain, 0), forward.Done); choice.Upstream[0] != 'b' {
 		t.Errorf("%s is chosen though the domain is back", choice.Upstream)
--- a/internal/routing/placement/room.go
+++ b/internal/routing/placement/room.go
@@ -14,20 +14,20 @@
 func (c *Chooser) RoomIn(call *forward.Call, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if limited := c.limitedOf(call.Service.Name); len(limited) > 0 {
+	if limited := c.readyIfAllLimited(call.Service.Name); len(limited) > 0 {
 		return c.cfg.Limits.RoomIn(limited)
 	}
 	figures := c.figures(call.Service.Name, now)
-	if call.Service.Engine == nil || figures.Samples < fewest {
+	if call.Service.Engine == nil || figures.Samples < minSamples {
 		return 0
 	}
 	room, found := time.Duration(0), false
-	for _, u := range c.refresh().Of(call.Service.Name) {
+	for _, u := range c.refreshView().Of(call.Service.Name) {
 		if u.State != directory.Ready {
 			continue
 		}
-		load := c.loadAt(u.ID, at(c.own, u.ID))
-		first := figures.First(float64(offered(call)), float64(load.Unread), float64(load.Running))
+		load := c.totalLoad(u.ID, getOrCreate(c.own, u.ID))
+		first := figures.First(float64(tokensToRead(call)), float64(load.Unread), float64(load.Running))
 		if late := max(0, first-call.Route.Objective); !found || late < room {
 			room, found = late, true
 		}
--- a/internal/routing/placement/subset_test.go
+++ b/internal/routing/placement/subset_test.go
@@ -59,8 +59,8 @@
 			sum := 0
 			for gateway := range gateways {
 				f.as(gateway, gateways)
-				if s := f.share(service); f.uses(&u, s) {
-					sum += s.most
+				if s := f.connectionShareOf(service); f.mayUse(&u, s) {
+					sum += s.maxPerUpstream
 				}
 			}
 			if sum > service.MaxConnections {
--- a/internal/routing/placement/timing_test.go
+++ b/internal/routing/placement/timing_test.go
@@ -23,7 +23,7 @@
 		f.Finished(choice, forward.CallerGone, f.now)
 		return choice.Slow
 	}
-	for range fewest {
+	for range minSamples {
 		f.choose(t, f.call(engine, 7), forward.Done)
 	}
 	if got := slow(); got > route.Objective {
--- a/internal/routing/placement/versions_test.go
+++ b/internal/routing/placement/versions_test.go
@@ -99,7 +99,7 @@
 	if verdict := tracker.Orders()[0].Verdict; reached < 50 || verdict.Answers != 0 || verdict.Against > 1 {
 		t.Errorf("%d broken off, %d answers counted, %v against the version", reached, verdict.Answers, verdict.Against)
 	}
-	if got := f.set("svc").Excluded(f.now); len(got) > 0 {
+	if got := f.ejectionSet("svc").Excluded(f.now); len(got) > 0 {
 		t.Errorf("ejected: %v", got)
 	}
 }
--- a/internal/routing/placement/work.go
+++ b/internal/routing/placement/work.go
@@ -9,108 +9,108 @@
 )
 
 const (
-	// workMemory is over how long the work of a service is averaged: two or three
+	// demandWindow is over how long the work of a service is averaged: two or three
 	// seconds show a burst before its queues have grown.
-	workMemory = 2500 * time.Millisecond
-	// usualMemory is over how many answers a route's usual time is averaged: some ten
+	demandWindow = 2500 * time.Millisecond
+	// maxMeanSamples is over how many answers a route's usual time is averaged: some ten
 	// seconds of want of engines hardly move it.
-	usualMemory = 200
-	// usualClip bounds what one answer counts, in times of the usual one.
-	usualClip = 2
+	maxMeanSamples = 200
+	// maxSampleRatio bounds what one answer counts, in times of the usual one.
+	maxSampleRatio = 2
 )
 
-// workOf is the work that callers ask of a service through this gateway: what engines
+// serviceDemand is the work that callers ask of a service through this gateway: what engines
 // would have to do if there were enough of them. What goes wrong if what they have in
 // progress were counted instead: where they are short, all answers take several times as
 // long, and on-demand engines would be ordered for work that nobody asks for.
-type workOf struct {
-	// prompt is tokens to be read a second; it decays.
-	prompt float64
-	at     time.Time
-	routes map[string]*routeWork
+type serviceDemand struct {
+	// promptRate is tokens to be read a second; it decays.
+	promptRate float64
+	updatedAt  time.Time
+	routes     map[string]*routeDemand
 }
 
-// routeWork is the generating that one route asks for.
-type routeWork struct {
-	// rate is requests a second; it decays.
-	rate float64
-	// usual is how long an answer takes from its first event to its end, in seconds,
+// routeDemand is the generating that one route asks for.
+type routeDemand struct {
+	// requestRate is requests a second; it decays.
+	requestRate float64
+	// meanSeconds is how long an answer takes from its first event to its end, in seconds,
 	// of so many samples.
-	usual   float64
-	samples int
+	meanSeconds float64
+	samples     int
 }
 
-// moveTo lets time pass.
-func (w *workOf) moveTo(now time.Time) {
-	elapsed := now.Sub(w.at)
+// decayTo lets time pass.
+func (w *serviceDemand) decayTo(now time.Time) {
+	elapsed := now.Sub(w.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
-	keep := math.Exp(-elapsed.Seconds() / workMemory.Seconds())
-	w.prompt *= keep
+	keep := math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
+	w.promptRate *= keep
 	for _, r := range w.routes {
-		r.rate *= keep
+		r.requestRate *= keep
 	}
-	w.at = now
+	w.updatedAt = now
 }
 
-// began notes a call that is sent for the first time, with the tokens that it asks to be
+// callStarted notes a call that is sent for the first time, with the tokens that it asks to be
 // read.
-func (w *workOf) began(call *forward.Call, now time.Time) {
-	w.moveTo(now)
-	w.prompt += float64(offered(call)) / workMemory.Seconds()
-	w.route(call.Route.Name).rate += 1 / workMemory.Seconds()
+func (w *serviceDemand) callStarted(call *forward.Call, now time.Time) {
+	w.decayTo(now)
+	w.promptRate += float64(tokensToRead(call)) / demandWindow.Seconds()
+	w.route(call.Route.Name).requestRate += 1 / demandWindow.Seconds()
 }
 
-// ended notes how long a whole answer of a route took from its first event on.
-func (w *workOf) ended(route string, generating time.Duration) {
+// answerFinished notes how long a whole answer of a route took from its first event on.
+func (w *serviceDemand) answerFinished(route string, generating time.Duration) {
 	w.route(route).learn(generating.Seconds())
 }
 
-func (w *workOf) route(name string) *routeWork {
+func (w *serviceDemand) route(name string) *routeDemand {
 	if w.routes == nil {
-		w.routes = make(map[string]*routeWork)
+		w.routes = make(map[string]*routeDemand)
 	}
-	return at(w.routes, name)
+	return getOrCreate(w.routes, name)
 }
 
-func (r *routeWork) learn(seconds float64) {
+func (r *routeDemand) learn(seconds float64) {
 	r.samples++
 	if r.samples == 1 {
-		r.usual = seconds
+		r.meanSeconds = seconds
 		return
 	}
-	weight := 1 / float64(min(r.samples, usualMemory))
-	r.usual += weight * (min(seconds, usualClip*r.usual) - r.usual)
+	weight := 1 / float64(min(r.samples, maxMeanSamples))
+	r.meanSeconds += weight * (min(seconds, maxSampleRatio*r.meanSeconds) - r.meanSeconds)
 }
 
 // generating is how many requests would be generating at their usual speed.
-func (w *workOf) generating() float64 {
+func (w *serviceDemand) generating() float64 {
 	sum := 0.0
 	for _, r := range w.routes {
-		sum += r.rate * r.usual
+		sum += r.requestRate * r.meanSeconds
 	}
 	return sum
 }
 
-// usualsOfDrain times the usual answer nearly all answers last.
-const usualsOfDrain = 3
+// drainFactor times the usual answer nearly all answers last.
+const drainFactor = 3
 
 // Drain returns how long nearly all answers of a service take that have begun.
 func (c *Chooser) Drain(service ident.Service) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	longest := 0.0
-	for _, r := range at(c.work, service).routes {
-		longest = max(longest, r.usual)
+	for _, r := range getOrCreate(c.demands, service).routes {
+		longest = max(longest, r.meanSeconds)
 	}
-	return time.Duration(usualsOfDrain * longest * float64(time.Second))
+	return time.Duration(drainFactor * longest * float64(time.Second))
 }
 
-// offered is how many prompt tokens a call asks to be read: those that the home of its
+// tokensToRead is how many prompt tokens a call asks to be read: those that the home of its
 // parts lacks. Where engines are short, requests are sent away from their homes and sent
 // again, and three times as many are read.
-func offered(call *forward.Call) int {
+func tokensToRead(call *forward.Call) int {
 	return call.PromptTokens - sharedTokens(call)
 }
 
@@ -137,7 +137,7 @@
 func (c *Chooser) Demand(service ident.Service, now time.Time) Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := at(c.work, service)
-	w.moveTo(now)
-	return Demand{Prompt: w.prompt, Generating: w.generating()}
+	w := getOrCreate(c.demands, service)
+	w.decayTo(now)
+	return Demand{Prompt: w.promptRate, Generating: w.generating()}
 }
--- a/internal/routing/reclaim.go
+++ b/internal/routing/reclaim.go
@@ -19,9 +19,9 @@
 	Recompute ReclaimAction = 3
 )
 
-// noticeUsed is the part of a notice that is planned with; the rest is for
+// plannedNoticeShare is the part of a notice that is planned with; the rest is for
 // what takes longer than predicted.
-const noticeUsed = 0.8
+const plannedNoticeShare = 0.8
 
 // LeavingStream is a stream of this gateway at a leaving upstream.
 type LeavingStream struct {
@@ -52,7 +52,7 @@
 // lasts; the rest resume elsewhere, spread over the notice, so that their
 // prefills do not all begin at the moment of the end.
 func PlanReclaim(streams []LeavingStream, left time.Duration, rate float64, gateways int) []ReclaimStep {
-	budget := time.Duration(noticeUsed * float64(left))
+	budget := time.Duration(plannedNoticeShare * float64(left))
 	var steps, moves []ReclaimStep
 	for i, s := range streams {
 		step := ReclaimStep{Stream: i, Action: Stay}
@@ -63,14 +63,14 @@
 		moves = append(moves, step)
 	}
 	slices.SortStableFunc(moves, func(a, b ReclaimStep) int {
-		return cmp.Compare(saving(streams[b.Stream]), saving(streams[a.Stream]))
+		return cmp.Compare(savedShare(streams[b.Stream]), savedShare(streams[a.Stream]))
 	})
 	perToken := float64(max(1, gateways)) / rate
 	at := time.Duration(0)
 	for i, m := range moves {
 		took := duration(float64(streams[m.Stream].Context) * perToken)
 		if rate <= 0 || at+took > budget {
-			return append(steps, spread(moves[i:], budget)...)
+			return append(steps, spreadResumes(moves[i:], budget)...)
 		}
 		steps = append(steps, ReclaimStep{Stream: m.Stream, Action: MoveCache, After: at})
 		at += took
@@ -78,13 +78,13 @@
 	return steps
 }
 
-// saving is the recomputation that a move saves for each token moved.
-func saving(s LeavingStream) float64 {
+// savedShare is the recomputation that a move saves for each token moved.
+func savedShare(s LeavingStream) float64 {
 	return float64(s.Context-s.Cached) / float64(max(1, s.Context))
 }
 
-// spread lets streams resume one after the other.
-func spread(rest []ReclaimStep, over time.Duration) []ReclaimStep {
+// spreadResumes lets streams resume one after the other.
+func spreadResumes(rest []ReclaimStep, over time.Duration) []ReclaimStep {
 	for i := range rest {
 		rest[i].Action = Recompute
 		rest[i].After = over * time.Duration(i) / time.Duration(len(rest))
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -13,8 +13,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// placer is a cache view that takes notice of this gateway's own placements.
-type placer interface {
+// placementObserver is a cache view that takes notice of this gateway's own placements.
+type placementObserver interface {
 	Placed(blocks []uint64, now time.Time)
 }
 
@@ -22,43 +22,43 @@
 // New. It is safe for concurrent use.
 type Router struct {
 	params Params
-	// began is the origin of the epochs.
-	began time.Time
-	slots atomic.Pointer[slots]
+	// epochOrigin is the origin of the epochs.
+	epochOrigin time.Time
+	states      atomic.Pointer[localStates]
 	// prepared belongs to the view seen last.
-	prepared    atomic.Pointer[prepared]
-	predictor   predictor
-	popularity  popularity
-	slotsSmooth average
+	prepared      atomic.Pointer[preparedView]
+	predictor     predictor
+	popularity    popularity
+	smoothedSlots average
 	// scratch holds slices for the decisions under way.
 	scratch sync.Pool
 }
 
-// prepared holds what a view and a document give for every decision.
-type prepared struct {
-	view    []blackboard.Upstream
-	doc     *document.Document
-	entries []entry
-	// mean is the mean fill of the alive upstreams; slack is how far it is
+// preparedView holds what a view and a document give for every decision.
+type preparedView struct {
+	view      []blackboard.Upstream
+	doc       *document.Document
+	upstreams []preparedUpstream
+	// meanFill is the mean fill of the alive upstreams; slack is how far it is
 	// below the fill at which prices no longer count, from 0 to 1.
-	mean, slack float64
+	meanFill, priceFactor float64
 }
 
-// entry belongs to the upstream with the same index in the view.
-type entry struct {
-	slot *slot
+// preparedUpstream belongs to the upstream with the same index in the view.
+type preparedUpstream struct {
+	local *localState
 	// price is relative to the dearest upstream of the view, 0 to 1.
 	price float64
-	// hash of the instance's name.
-	hash uint64
+	// nameHash of the instance's name.
+	nameHash uint64
 }
 
 // New returns a Router that has sent nothing yet; now is the present.
 func New(p Params, now time.Time) *Router {
-	r := &Router{params: p, began: now}
+	r := &Router{params: p, epochOrigin: now}
 	r.scratch.New = func() any { return new([]float64) }
-	r.slots.Store(&slots{})
-	r.prepared.Store(&prepared{})
+	r.states.Store(&localStates{})
+	r.prepared.Store(&preparedView{})
 	return r
 }
 
@@ -67,7 +67,7 @@
 // the request has no prompt.
 func (r *Router) Decide(doc *document.Document, view []blackboard.Upstream, req Request, now time.Time) Decision {
 	p := r.prepare(doc, view)
-	c := chooser{router: r, view: view, entries: p.entries, req: req, now: now, mean: p.mean, slack: p.slack}
+	c := chooser{router: r, view: view, upstreams: p.upstreams, req: req, now: now, meanFill: p.meanFill, priceFactor: p.priceFactor}
 	c.plain = isPlain(doc, req)
 	return c.choose()
 }
@@ -80,29 +80,29 @@
 }
 
 // prepare returns the entries of a view, which are built once for each view.
-func (r *Router) prepare(doc *document.Document, view []blackboard.Upstream) *prepared {
+func (r *Router) prepare(doc *document.Document, view []blackboard.Upstream) *preparedView {
 	p := r.prepared.Load()
 	if len(view) == 0 {
-		return &prepared{}
+		return &preparedView{}
 	}
 	if len(p.view) == len(view) && &p.view[0] == &view[0] && p.doc == doc {
 		return p
 	}
-	p = &prepared{view: view, doc: doc, entries: make([]entry, len(view))}
-	known := r.addSlots(view)
+	p = &preparedView{view: view, doc: doc, upstreams: make([]preparedUpstream, len(view))}
+	known := r.addLocalStates(view)
 	highest := 0.0
 	for i := range view {
-		p.entries[i].slot = known[view[i].Instance.ID]
-		r.learnBatch(&view[i], p.entries[i].slot)
-		p.entries[i].price = price(doc, &view[i])
-		p.entries[i].hash = xxhash.Sum64String(string(view[i].Instance.ID))
-		highest = max(highest, p.entries[i].price)
-	}
-	p.mean = r.meanFill(p)
-	p.slack = max(0, 1-p.mean/r.params.PriceUpTo)
-	for i := range p.entries {
+		p.upstreams[i].local = known[view[i].Instance.ID]
+		r.learnBatch(&view[i], p.upstreams[i].local)
+		p.upstreams[i].price = price(doc, &view[i])
+		p.upstreams[i].nameHash = xxhash.Sum64String(string(view[i].Instance.ID))
+		highest = max(highest, p.upstreams[i].price)
+	}
+	p.meanFill = r.meanFill(p)
+	p.priceFactor = max(0, 1-p.meanFill/r.params.PriceFadeFill)
+	for i := range p.upstreams {
 		if highest > 0 {
-			p.entries[i].price /= highest
+			p.upstreams[i].price /= highest
 		}
 	}
 	r.prepared.Store(p)
@@ -110,11 +110,11 @@
 }
 
 // meanFill is the mean fill of the alive upstreams, by their reports.
-func (r *Router) meanFill(p *prepared) float64 {
+func (r *Router) meanFill(p *preparedView) float64 {
 	sum, count := 0.0, 0
 	for i := range p.view {
 		if u := &p.view[i]; u.State == blackboard.Alive {
-			s := r.situation(u, p.entries[i].slot, load{})
+			s := r.stateOf(u, p.upstreams[i].local, sentWork{})
 			sum += s.fill(&r.params)
 			count++
 		}
@@ -136,11 +136,11 @@
 	return 0
 }
 
-// addSlots adds what slots a view still needs, all at once: a copy for each of
+// addLocalStates adds what slots a view still needs, all at once: a copy for each of
 // them would cost the square of their number.
-func (r *Router) addSlots(view []blackboard.Upstream) slots {
+func (r *Router) addLocalStates(view []blackboard.Upstream) localStates {
 	for {
-		old := r.slots.Load()
+		old := r.states.Load()
 		next := *old
 		for i := range view {
 			id := view[i].Instance.ID
@@ -150,12 +150,12 @@
 			if len(next) == len(*old) {
 				next = maps.Clone(next)
 			}
-			next[id] = &slot{}
+			next[id] = &localState{}
 		}
 		if len(next) == len(*old) {
 			return next
 		}
-		if added := next; r.slots.CompareAndSwap(old, &added) {
+		if added := next; r.states.CompareAndSwap(old, &added) {
 			return next
 		}
 	}
@@ -163,27 +163,27 @@
 
 // epoch numbers the buckets of time since the Router began.
 func (r *Router) epoch(at time.Time) int64 {
-	return max(0, int64(at.Sub(r.began)/bucketWidth))
+	return max(0, int64(at.Sub(r.epochOrigin)/bucketWidth))
 }
 
 // Started notes that an attempt is sent as decided. Call it before the first
 // byte leaves, so that concurrent decisions see it.
 func (r *Router) Started(d Decision, req Request, now time.Time) Ticket {
-	if d.slot == nil {
+	if d.local == nil {
 		return Ticket{}
 	}
 	t := Ticket{
-		slot: d.slot, epoch: r.epoch(now), tokens: d.UncachedTokens, priority: req.Class.Priority,
+		local: d.local, epoch: r.epoch(now), uncachedTokens: d.UncachedTokens, priority: req.Class.Priority,
 		waiting: true, sent: now, predicted: d.FirstToken,
 	}
-	r.predictor.started(t.priority, t.tokens)
+	r.predictor.addWaiting(t.priority, t.uncachedTokens)
 	r.predictor.output.add(float64(max(1, req.MaxTokens)), assumedOutput)
-	d.slot.add(t.epoch, t.tokens)
+	d.local.addSent(t.epoch, t.uncachedTokens)
 	if len(req.Blocks) > 0 {
 		r.popularity.add(req.Blocks[0], d.Work)
 	}
-	if d.placer != nil {
-		d.placer.Placed(req.Blocks, now)
+	if d.observer != nil {
+		d.observer.Placed(req.Blocks, now)
 	}
 	return t
 }
@@ -191,36 +191,36 @@
 // FirstToken notes that the first token came, so that the attempt's prefill is
 // over. Later calls do nothing.
 func (r *Router) FirstToken(t *Ticket, now time.Time) {
-	if t.slot == nil || !t.waiting {
+	if t.local == nil || !t.waiting {
 		return
 	}
-	r.predictor.learn(t.priority, t.predicted, now.Sub(t.sent))
-	r.settle(t)
+	r.predictor.learnMargin(t.priority, t.predicted, now.Sub(t.sent))
+	r.stopWaiting(t)
 }
 
-// settle ends the attempt's part in what waits for a first token.
-func (r *Router) settle(t *Ticket) {
+// stopWaiting ends the attempt's part in what waits for a first token.
+func (r *Router) stopWaiting(t *Ticket) {
 	if !t.waiting {
 		return
 	}
 	t.waiting = false
-	t.slot.settle(t.epoch, t.tokens)
-	r.predictor.settled(t.priority, t.tokens)
+	t.local.removeSent(t.epoch, t.uncachedTokens)
+	r.predictor.removeWaiting(t.priority, t.uncachedTokens)
 }
 
 // Finished notes that an attempt ended. Later calls do nothing.
 func (r *Router) Finished(t *Ticket, _ Result, _ time.Time) {
-	if t.slot == nil {
+	if t.local == nil {
 		return
 	}
-	r.settle(t)
-	t.slot.outstanding.Add(-1)
-	t.slot = nil
+	r.stopWaiting(t)
+	t.local.outstanding.Add(-1)
+	t.local = nil
 }
 
 // Outstanding returns how many attempts of this gateway an instance has.
 func (r *Router) Outstanding(id ident.Instance) int {
-	if s := (*r.slots.Load())[id]; s != nil {
+	if s := (*r.states.Load())[id]; s != nil {
 		return int(s.outstanding.Load())
 	}
 	return 0
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -13,27 +13,27 @@
 	score float64
 	// firstToken, unloaded (firstToken at an idle upstream) and betweenTokens
 	// are in seconds.
-	firstToken    float64
-	betweenTokens float64
-	unloaded      float64
-	uncached      int
-	// work is the engine time that the request takes.
-	work float64
+	firstToken     float64
+	betweenTokens  float64
+	unloaded       float64
+	uncachedTokens int
+	// engineSeconds is the engine time that the request takes.
+	engineSeconds float64
 }
 
 // estimate predicts a request at the i-th upstream of the view.
 func (c *chooser) estimate(i int) estimate {
 	u := &c.view[i]
-	unseen := c.unseen(i)
+	unseen := c.unreportedWork(i)
 	if c.plain {
 		return c.estimatePlain(i, unseen)
 	}
-	s := c.router.situation(u, c.entries[i].slot, unseen)
-	e := estimate{betweenTokens: s.step, uncached: c.uncached(i)}
-	ahead, own := c.wait(s, e.uncached)
-	e.unloaded = own + c.hop(u)
+	s := c.router.stateOf(u, c.upstreams[i].local, unseen)
+	e := estimate{betweenTokens: s.stepTime, uncachedTokens: c.uncachedTokens(i)}
+	ahead, own := c.predictWait(s, e.uncachedTokens)
+	e.unloaded = own + c.networkDelay(u)
 	e.firstToken = ahead + e.unloaded
-	e.work = float64(e.uncached)/s.rate + float64(c.req.MaxTokens)*s.decode/s.batch
+	e.engineSeconds = float64(e.uncachedTokens)/s.prefillRate + float64(c.req.MaxTokens)*s.decodeTime/s.batchSize
 	e.score = c.cost(i, s, e)
 	return e
 }
@@ -41,15 +41,15 @@
 // cost adds up what speaks against an upstream, each term by its weight:
 // prefill that is cached elsewhere, the price, lateness, a fill above what the
 // others have, and a place that is no home of the prefix.
-func (c *chooser) cost(i int, s situation, e estimate) float64 {
+func (c *chooser) cost(i int, s engineState, e estimate) float64 {
 	p := &c.router.params
 	fill := s.fill(p)
-	sum := p.RecomputeWeight * float64(e.uncached) / s.rate
-	sum += p.PriceWeight * c.slack * c.entries[i].price
-	sum += p.LateWeight * c.lateness(e.firstToken)
-	sum += p.CrowdWeight * max(0, fill-max(p.Crowded, p.Bound*c.mean))
+	sum := p.RecomputeWeight * float64(e.uncachedTokens) / s.prefillRate
+	sum += p.PriceWeight * c.priceFactor * c.upstreams[i].price
+	sum += p.LatenessWeight * c.lateness(e.firstToken)
+	sum += p.CrowdWeight * max(0, fill-max(p.CrowdedFill, p.CrowdedOverMean*c.meanFill))
 	sum += p.BalanceWeight * fill
-	if c.away(i) {
+	if c.awayFromHome(i) {
 		sum += p.HomeWeight
 	}
 	return sum
@@ -60,27 +60,27 @@
 // chasing the least late one would only scatter the prefixes.
 func (c *chooser) lateness(firstToken float64) float64 {
 	p := &c.router.params
-	target := orElse(c.req.Class.FirstToken.Seconds(), p.Target.Seconds())
-	return min(1, max(0, firstToken*c.margin/target-p.Comfort))
+	target := orElse(c.req.Class.FirstToken.Seconds(), p.DefaultTarget.Seconds())
+	return min(1, max(0, firstToken*c.margin/target-p.LatenessStart))
 }
 
 // estimatePlain predicts a call of a plain service: fewest in flight wins,
 // the near ones first.
-func (c *chooser) estimatePlain(i int, unseen load) estimate {
+func (c *chooser) estimatePlain(i int, unseen sentWork) estimate {
 	u := &c.view[i]
 	known := u.Report.Running + unseen.requests
-	own := int(c.entries[i].slot.outstanding.Load())
-	return estimate{score: float64(max(known, own)) + c.hop(u)}
+	own := int(c.upstreams[i].local.outstanding.Load())
+	return estimate{score: float64(max(known, own)) + c.networkDelay(u)}
 }
 
-// unseen is this gateway's own work that the upstream's report cannot know.
-func (c *chooser) unseen(i int) load {
+// unreportedWork is this gateway's own work that the upstream's report cannot know.
+func (c *chooser) unreportedWork(i int) sentWork {
 	r := c.router
-	return c.entries[i].slot.since(r.epoch(c.view[i].AsOf), r.epoch(c.now))
+	return c.upstreams[i].local.awaitingFirstToken(r.epoch(c.view[i].AsOf), r.epoch(c.now))
 }
 
-// uncached is how many tokens of the prompt need prefill at an upstream.
-func (c *chooser) uncached(i int) int {
+// uncachedTokens is how many tokens of the prompt need prefill at an upstream.
+func (c *chooser) uncachedTokens(i int) int {
 	cached := 0.0
 	if c.cached != nil {
 		cached = c.cached[i] * prompt.BlockTokens
@@ -88,12 +88,12 @@
 	return max(1, c.req.PromptTokens-int(cached))
 }
 
-// hop is the round trip to an upstream, in seconds.
-func (c *chooser) hop(u *blackboard.Upstream) float64 {
+// networkDelay is the round trip to an upstream, in seconds.
+func (c *chooser) networkDelay(u *blackboard.Upstream) float64 {
 	if u.Instance.FailureDomain == c.req.FailureDomain {
 		return 0
 	}
-	return c.router.params.Hop.Seconds()
+	return c.router.params.CrossDomainRTT.Seconds()
 }
 
 func orElse(value, fallback float64) float64 {
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -81,8 +81,8 @@
 	// Reasons are filled only when asked for, since they allocate.
 	Reasons []Reason
 
-	slot   *slot
-	placer placer
+	local    *localState
+	observer placementObserver
 }
 
 // Found reports whether the decision names an upstream.
