--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -8,7 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/blackboard"
 )
 
-// shortlistSize is how many of the best upstreams are compared at the end.
+// shortlistSize is how many of the upstreams with the best scores are kept for
+// the final random draw.
 const shortlistSize = 4
 
 // chooser makes one decision.
@@ -19,17 +20,20 @@
 	req       Request
 	now       time.Time
 	plain     bool
-	// meanFill and slack are those of the view; see prepared.
+	// meanFill and priceFactor are those of the view; see preparedView.
 	meanFill, priceFactor float64
 
-	// cached holds, by upstream, how many leading blocks it probably has.
+	// cached is the estimated number of leading blocks that each upstream has
+	// cached, by its index in the view; nil if the request has no blocks.
 	cached []float64
-	// requestShareAhead and shareTokens are which part of a queue is served before
-	// the request.
+	// requestShareAhead and tokenShareAhead are the shares of an upstream's
+	// queued requests and queued prefill tokens that are served before the
+	// request.
 	requestShareAhead, tokenShareAhead float64
-	// margin is the factor within which four of five predictions come true.
+	// margin is the factor by which a prediction is multiplied to get a time
+	// within which four of five first tokens arrive.
 	margin float64
-	// maxHomeDistance is the largest place that is a home of the request's prefix.
+	// maxHomeDistance is the largest distance of a home of the request's prefix.
 	maxHomeDistance float64
 
 	best      [shortlistSize]candidate
@@ -43,8 +47,8 @@
 	estimate
 }
 
-// choose returns the decision. Suspect upstreams are used only when there is
-// no other.
+// choose returns the decision. Suspect upstreams are used only if no upstream
+// that is alive is usable.
 func (c *chooser) choose() Decision {
 	if len(c.view) == 0 {
 		return Decision{}
@@ -64,7 +68,8 @@
 	return c.decision(c.draw())
 }
 
-// lookUpCaches asks all cache views for the request's prefix.
+// lookUpCaches looks the request's prefix up in the cache view of each upstream,
+// and finds the homes of the prefix.
 func (c *chooser) lookUpCaches(scratch *[]float64) {
 	if len(c.req.Blocks) == 0 {
 		return
@@ -80,8 +85,9 @@
 	c.findHomes()
 }
 
-// shortlist keeps the best usable upstreams in a state. It begins at a random
-// place, so that gateways do not all prefer the same of many equals.
+// shortlist adds the usable upstreams in a state to the shortlist. It begins at
+// a random index, so that gateways do not all prefer the same upstream of many
+// with equal scores.
 func (c *chooser) shortlist(state blackboard.MemberState) {
 	n := len(c.view)
 	start := int(c.router.params.Random() % uint64(n))
@@ -98,7 +104,8 @@
 	}
 }
 
-// usable reports whether the i-th upstream may serve the request.
+// usable reports whether the i-th upstream has the state and may serve the
+// request.
 func (c *chooser) usable(i int, state blackboard.MemberState) bool {
 	u := &c.view[i]
 	switch {
@@ -121,7 +128,8 @@
 	c.reasons = append(c.reasons, Reason{Upstream: c.view[i].Instance.ID, Rule: rule, Detail: detail})
 }
 
-// insert keeps the shortlist sorted by score.
+// insert adds a candidate to the shortlist, which is sorted by score. If the
+// shortlist is full, the worst candidate is dropped.
 func (c *chooser) insert(x candidate) {
 	at := c.bestCount
 	for at > 0 && c.best[at-1].score > x.score {
@@ -135,9 +143,10 @@
 	c.bestCount = min(c.bestCount+1, shortlistSize)
 }
 
-// draw chooses from those that are nearly as good as the best. Without it all
-// gateways with the same late view would send to the same upstream at once;
-// one would notice by queues that swing from one upstream to the next.
+// draw chooses among the candidates whose scores are nearly as good as the best:
+// it draws two and takes the one with fewer outstanding attempts. Without the
+// draw all gateways with the same stale view would send to the same upstream at
+// once, and queues would swing from one upstream to the next.
 func (c *chooser) draw() candidate {
 	near := 1
 	limit := c.best[0].score + c.router.params.ScoreTolerance
--- a/internal/routing/home.go
+++ b/internal/routing/home.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// popularityCells is the size of the table of popular prefixes. Prefixes
-	// that share a cell only get more homes than they need.
+	// popularityCells is the size of the popularity table. Prefixes that share
+	// a cell get more homes than they need, which does no other harm.
 	popularityCells = 512
 	// popularityWindow is how much engine time, in microseconds, is counted
 	// before all counts are halved.
 	popularityWindow = 60_000_000
-	// maxHomes bounds the homes that are told apart; a prefix that needs more
-	// is at home everywhere.
+	// maxHomes is the largest number of homes that is computed. For a prefix
+	// that needs more, every upstream is a home.
 	maxHomes = 16
 )
 
-// popularity estimates each prefix's share of the engine time that this
-// gateway asks for. Updates may be lost when goroutines race, which only
-// blurs the estimate.
+// popularity estimates the share of each prefix in the engine time of this
+// gateway's requests. Updates may be lost when goroutines race, which makes the
+// estimate a little less exact.
 type popularity struct {
 	cells [popularityCells]atomic.Uint32
 	total atomic.Uint32
 }
 
+// add counts a request's engine time, in seconds, for a prefix.
 func (p *popularity) add(prefix uint64, seconds float64) {
 	micros := uint32(min(seconds*1e6, popularityWindow)) + 1
 	p.cells[prefix%popularityCells].Add(micros)
@@ -39,13 +40,15 @@
 	p.total.Store(p.total.Load() / 2)
 }
 
+// share returns the prefix's share of the counted engine time, from 0 to 1.
 func (p *popularity) share(prefix uint64) float64 {
 	return float64(p.cells[prefix%popularityCells].Load()) / float64(max(1, p.total.Load()))
 }
 
-// findHomes finds the upstreams where the request's prefix is at home: the same at
-// all gateways without any messages between them, and as many as the prefix's share
-// of the work needs. It sets the largest place that is a home.
+// findHomes sets maxHomeDistance so that the upstreams up to that distance are
+// the homes of the request's prefix, where its requests preferably go. All
+// gateways compute the same order of upstreams without exchanging messages. The
+// larger the prefix's share of the work, the more homes it has.
 func (c *chooser) findHomes() {
 	c.maxHomeDistance = math.Inf(1)
 	prefix := c.req.Blocks[0]
@@ -78,13 +81,15 @@
 	}
 }
 
-// awayFromHome reports whether the i-th upstream is no home of the request's prefix.
+// awayFromHome reports whether the i-th upstream is not a home of the request's
+// prefix.
 func (c *chooser) awayFromHome(i int) bool {
 	return len(c.req.Blocks) > 0 && c.distance(c.req.Blocks[0], i) > c.maxHomeDistance
 }
 
-// distance orders the upstreams for a prefix, alike at all gateways: it is
-// between 0 and 1 and looks random (rendezvous hashing).
+// distance returns a pseudo-random number from 0 to 1 for a prefix and an
+// upstream, the same at all gateways (rendezvous hashing). The upstreams with
+// the smallest distances are the homes of the prefix.
 func (c *chooser) distance(prefix uint64, i int) float64 {
 	const golden = 0x9e3779b97f4a7c15
 	x := (prefix ^ c.upstreams[i].nameHash) * golden
--- a/internal/routing/inflight.go
+++ b/internal/routing/inflight.go
@@ -8,12 +8,15 @@
 )
 
 const (
-	// bucketWidth and bucketCount bound how far back this gateway remembers
-	// when it sent what: reports older than the product are corrected only
-	// by the newest part.
+	// bucketWidth times bucketCount is how far back a localState records what
+	// was sent. A report that is older is corrected only by the work of that
+	// period.
 	bucketWidth = 64 * time.Millisecond
 	bucketCount = 128
 
+	// A bucket is one word: the low bits of its epoch, the number of requests
+	// and the number of tokens, from high bits to low.
+
 	tokenBits   = 28
 	requestBits = 12
 	tokenMask   = 1<<tokenBits - 1
@@ -22,49 +25,53 @@
 	epochMask   = 1<<(64-epochShift) - 1
 )
 
-// localState is what this gateway knows of one upstream by its own dealings with
-// it. All fields are atomic: many requests use a slot at once.
+// localState is what this gateway knows about one upstream from the attempts
+// that it sent there. All fields are atomic, because concurrent requests use it.
 type localState struct {
 	// outstanding counts the attempts that have not ended.
 	outstanding atomic.Int64
-	// lastSent is when the newest attempt was sent, as an epoch.
+	// lastSent is the epoch in which the newest attempt was sent.
 	lastSent atomic.Int64
-	// learnedBatch is the learnt size of the upstream's batch.
+	// learnedBatch is the learned batch size of the upstream; see learnBatch.
 	learnedBatch average
-	// sentBuckets holds, by time of sending, the attempts whose first token has not
-	// come, and their uncached tokens. Each word is epoch, count and tokens.
+	// sentBuckets counts the attempts that wait for their first token, and their
+	// uncached tokens, by the epoch of sending.
 	sentBuckets [bucketCount]atomic.Uint64
 }
 
-// sentWork is work that a report does not know of yet.
+// sentWork counts attempts that were sent and wait for their first token.
 type sentWork struct {
 	requests int
-	tokens   int
+	// tokens is the sum of the attempts' uncached prompt tokens.
+	tokens int
 }
 
+// addSent records an attempt that is sent in an epoch.
+
 func (s *localState) addSent(epoch int64, tokens int) {
 	s.outstanding.Add(1)
 	if epoch > s.lastSent.Load() {
 		s.lastSent.Store(epoch)
 	}
-	s.updateBucket(epoch, func(l sentWork) sentWork {
-		return sentWork{requests: min(l.requests+1, requestMask), tokens: min(l.tokens+tokens, tokenMask)}
+	s.updateBucket(epoch, func(w sentWork) sentWork {
+		return sentWork{requests: min(w.requests+1, requestMask), tokens: min(w.tokens+tokens, tokenMask)}
 	})
 }
 
-// removeSent removes work from the bucket in which it was added, unless the
-// bucket has been used again since.
+// removeSent removes an attempt from the bucket of its epoch, unless the bucket
+// has been reused for a later epoch since.
 func (s *localState) removeSent(epoch int64, tokens int) {
 	word := &s.sentBuckets[epoch%bucketCount]
 	if int64(word.Load()>>epochShift) != epoch&epochMask {
 		return
 	}
-	s.updateBucket(epoch, func(l sentWork) sentWork {
-		return sentWork{requests: max(l.requests-1, 0), tokens: max(l.tokens-tokens, 0)}
+	s.updateBucket(epoch, func(w sentWork) sentWork {
+		return sentWork{requests: max(w.requests-1, 0), tokens: max(w.tokens-tokens, 0)}
 	})
 }
 
-// updateBucket replaces one bucket's contents; an older epoch counts as empty.
+// updateBucket applies update to the bucket of an epoch. A bucket that holds
+// another epoch counts as empty.
 func (s *localState) updateBucket(epoch int64, update func(sentWork) sentWork) {
 	word := &s.sentBuckets[epoch%bucketCount]
 	for {
@@ -77,7 +84,8 @@
 	}
 }
 
-// unpackBucket returns a bucket's contents if they belong to the epoch.
+// unpackBucket returns a bucket's contents if they belong to the epoch, else the
+// zero value.
 func unpackBucket(word uint64, epoch int64) sentWork {
 	if int64(word>>epochShift) != epoch&epochMask {
 		return sentWork{}
@@ -85,32 +93,33 @@
 	return sentWork{requests: int(word >> tokenBits & requestMask), tokens: int(word & tokenMask)}
 }
 
-// awaitingFirstToken sums what was sent from one epoch to another and still waits for its
-// first token.
+// awaitingFirstToken sums the attempts that were sent from one epoch to another,
+// both included, and still wait for their first token.
 func (s *localState) awaitingFirstToken(from, to int64) sentWork {
 	var sum sentWork
 	to = min(to, s.lastSent.Load())
 	from = max(from, to-bucketCount+1, 0)
 	for epoch := from; epoch <= to; epoch++ {
-		l := unpackBucket(s.sentBuckets[epoch%bucketCount].Load(), epoch)
-		sum.requests += l.requests
-		sum.tokens += l.tokens
+		w := unpackBucket(s.sentBuckets[epoch%bucketCount].Load(), epoch)
+		sum.requests += w.requests
+		sum.tokens += w.tokens
 	}
 	return sum
 }
 
-// localStates maps instances to their slots. It is replaced as a whole when an
-// instance is added, so that readers need no lock.
+// localStates maps instances to their states. The map is replaced as a whole
+// when instances are added, so that readers need no lock.
 type localStates map[ident.Instance]*localState
 
-// Ticket follows one attempt from Started to Finished. It belongs to the one
-// goroutine that runs the attempt. The zero value does nothing.
+// Ticket identifies one attempt from Router.Started to Router.Finished. Only the
+// goroutine that runs the attempt may use it. The methods of Router ignore the
+// zero value.
 type Ticket struct {
 	local          *localState
 	epoch          int64
 	uncachedTokens int
 	priority       int
-	// waiting: the first token has not come.
+	// waiting is true until the first token arrives or the attempt ends.
 	waiting   bool
 	sent      time.Time
 	predicted time.Duration
--- a/internal/routing/params.go
+++ b/internal/routing/params.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Params tune a Router. Their defaults were measured with `make policy`; see
+// Params tune a Router. The defaults come from runs of `make policy`; see
 // docs/design/routing.md.
 type Params struct {
 	EngineParams
@@ -15,61 +15,65 @@
 	Random func() uint64
 }
 
-// EngineParams are what is taken to be true of engines until reports tell.
+// EngineParams are assumed of engines where their reports give no value.
 type EngineParams struct {
-	// StepTokens is the token budget of a step.
+	// StepTokens is the token budget of an engine step.
 	StepTokens float64
-	// BatchLimit is how many requests run at once; see learnBatch.
+	// BatchLimit is how many requests run at once, until learnBatch lowers it.
 	BatchLimit float64
-	// PrefillRate is in tokens a second.
+	// PrefillRate is in tokens per second.
 	PrefillRate float64
-	// StepTime is the time between two tokens.
+	// StepTime is the time between two tokens of a stream.
 	StepTime time.Duration
-	// CrossDomainRTT is the round trip to another failure domain.
+	// CrossDomainRTT is the round-trip time to another failure domain.
 	CrossDomainRTT time.Duration
 }
 
-// LimitParams bound what gateways send to an upstream.
+// LimitParams bound how many requests the gateways send to an upstream.
 type LimitParams struct {
-	// TargetFill is the share of a batch that gateways fill.
+	// TargetFill is the share of an engine's batch that all gateways together
+	// fill.
 	TargetFill float64
-	// SaturationBacklog is the backlog of prefill from which on an engine counts as
-	// saturated.
+	// SaturationBacklog is the backlog of prefill above which an engine counts
+	// as saturated.
 	SaturationBacklog time.Duration
-	// SlotSmoothing is the weight of one view in what Slots returns.
+	// SlotSmoothing is the weight of the newest view in the moving average that
+	// Slots returns.
 	SlotSmoothing float64
 }
 
-// Weights are the terms of a score. A score of 1 is a first token that comes
-// a whole target too late.
+// Weights are the weights and thresholds of a score's terms. With
+// LatenessWeight 1, a score of 1 is a first token that is late by its whole
+// target. Fill is how full an upstream is; see engineState.fill.
 type Weights struct {
-	// RecomputeWeight is what a second of prefill costs.
+	// RecomputeWeight is added for each second of prefill.
 	RecomputeWeight float64
-	// PriceWeight is what the dearest upstream costs while all are idle. It
-	// fades up to a mean fill of PriceUpTo: then the dear ones are needed.
+	// PriceWeight is added for the most expensive upstream while all are idle.
+	// It falls linearly to 0 at a mean fill of PriceFadeFill, since from there
+	// on the expensive upstreams are needed too.
 	PriceWeight, PriceFadeFill float64
-	// LatenessWeight is what a target of lateness costs. Lateness counts from
-	// Comfort on, as a share of the target; Target is that of classes without.
+	// LatenessWeight is added for a lateness of one target. Lateness counts
+	// from LatenessStart on, as a share of the target. DefaultTarget is the
+	// target of classes that have none.
 	LatenessWeight, LatenessStart float64
 	DefaultTarget                 time.Duration
-	// CrowdedFill is the fill from which on an upstream is avoided, Bound how far
-	// above the mean of all upstreams it may be nevertheless, and CrowdWeight
-	// what a fill of 1 beyond both costs. A backlog of prefill of FullBacklog
-	// is a fill of 1.
+	// CrowdWeight is added for each unit of fill above a threshold: the larger
+	// of CrowdedFill and CrowdedOverMean times the mean fill of all upstreams.
 	CrowdedFill, CrowdedOverMean, CrowdWeight float64
-	FullBacklog                               time.Duration
-	// BalanceWeight is what a fill of 1 costs in any case.
+	// FullBacklog is the backlog of prefill that counts as a fill of 1.
+	FullBacklog time.Duration
+	// BalanceWeight is added for each unit of fill, whatever the threshold.
 	BalanceWeight float64
-	// HomeWeight is what an upstream costs that is no home of the prefix, and
-	// HomeSpread how many homes a prefix has for each upstream that its share
-	// of the work would fill.
+	// HomeWeight is added for an upstream that is not a home of the prefix.
+	// HomesPerUpstream is how many homes a prefix gets for each upstream that
+	// its share of the work would fill.
 	HomeWeight, HomesPerUpstream float64
-	// ScoreTolerance is how much worse than the best a score may be for its
-	// upstream to be drawn as well.
+	// ScoreTolerance is how much worse than the best score the score of an
+	// upstream may be for the upstream to take part in the random draw.
 	ScoreTolerance float64
 }
 
-// DefaultParams returns the measured defaults.
+// DefaultParams returns the default parameters.
 func DefaultParams() Params {
 	return Params{
 		EngineParams: EngineParams{
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -13,7 +13,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// placementObserver is a cache view that takes notice of this gateway's own placements.
+// placementObserver is a cache view that also records which prompts this
+// gateway sends to the upstream.
 type placementObserver interface {
 	Placed(blocks []uint64, now time.Time)
 }
@@ -22,25 +23,25 @@
 // New. It is safe for concurrent use.
 type Router struct {
 	params Params
-	// epochOrigin is the origin of the epochs.
+	// epochOrigin is the time at which epoch 0 begins; see epoch.
 	epochOrigin time.Time
 	states      atomic.Pointer[localStates]
-	// prepared belongs to the view seen last.
+	// prepared belongs to the newest view.
 	prepared      atomic.Pointer[preparedView]
 	predictor     predictor
 	popularity    popularity
 	smoothedSlots average
-	// scratch holds slices for the decisions under way.
+	// scratch pools the slices that decisions in progress use.
 	scratch sync.Pool
 }
 
-// preparedView holds what a view and a document give for every decision.
+// preparedView caches what all decisions on one view and document share.
 type preparedView struct {
 	view      []blackboard.Upstream
 	doc       *document.Document
 	upstreams []preparedUpstream
-	// meanFill is the mean fill of the alive upstreams; slack is how far it is
-	// below the fill at which prices no longer count, from 0 to 1.
+	// meanFill is the mean fill of the alive upstreams. priceFactor scales the
+	// price term of scores: 1 while all are idle, 0 from PriceFadeFill on.
 	meanFill, priceFactor float64
 }
 
@@ -49,11 +50,11 @@
 	local *localState
 	// price is relative to the dearest upstream of the view, 0 to 1.
 	price float64
-	// nameHash of the instance's name.
+	// nameHash is the hash of the instance's ID.
 	nameHash uint64
 }
 
-// New returns a Router that has sent nothing yet; now is the present.
+// New returns a Router that has sent nothing yet. now is the current time.
 func New(p Params, now time.Time) *Router {
 	r := &Router{params: p, epochOrigin: now}
 	r.scratch.New = func() any { return new([]float64) }
@@ -62,9 +63,9 @@
 	return r
 }
 
-// Decide chooses an upstream from a view, which must not change afterwards.
-// doc may be nil: then prices are equal, and the service counts as plain if
-// the request has no prompt.
+// Decide chooses an upstream from a view, which the caller must not change
+// afterwards. doc may be nil: then prices count as equal, and the service counts
+// as plain if the request has no prompt tokens.
 func (r *Router) Decide(doc *document.Document, view []blackboard.Upstream, req Request, now time.Time) Decision {
 	p := r.prepare(doc, view)
 	c := chooser{router: r, view: view, upstreams: p.upstreams, req: req, now: now, meanFill: p.meanFill, priceFactor: p.priceFactor}
@@ -79,7 +80,8 @@
 	return req.PromptTokens == 0
 }
 
-// prepare returns the entries of a view, which are built once for each view.
+// prepare returns the preparedView of a view and document. It is built once and
+// reused while decisions come with the same slice and document.
 func (r *Router) prepare(doc *document.Document, view []blackboard.Upstream) *preparedView {
 	p := r.prepared.Load()
 	if len(view) == 0 {
@@ -89,10 +91,10 @@
 		return p
 	}
 	p = &preparedView{view: view, doc: doc, upstreams: make([]preparedUpstream, len(view))}
-	known := r.addLocalStates(view)
+	states := r.addLocalStates(view)
 	highest := 0.0
 	for i := range view {
-		p.upstreams[i].local = known[view[i].Instance.ID]
+		p.upstreams[i].local = states[view[i].Instance.ID]
 		r.learnBatch(&view[i], p.upstreams[i].local)
 		p.upstreams[i].price = price(doc, &view[i])
 		p.upstreams[i].nameHash = xxhash.Sum64String(string(view[i].Instance.ID))
@@ -109,7 +111,8 @@
 	return p
 }
 
-// meanFill is the mean fill of the alive upstreams, by their reports.
+// meanFill returns the mean fill of the alive upstreams according to their
+// reports; 0 if none is alive.
 func (r *Router) meanFill(p *preparedView) float64 {
 	sum, count := 0.0, 0
 	for i := range p.view {
@@ -122,22 +125,23 @@
 	return sum / float64(max(1, count))
 }
 
-// price returns what an upstream costs, in cents an hour; 0 if unknown.
+// price returns what an upstream costs, in cents per hour; 0 if unknown.
 func price(doc *document.Document, u *blackboard.Upstream) float64 {
 	if doc == nil {
 		return 0
 	}
 	for _, p := range doc.Placement.Prices {
-		in := u.Instance
-		if p.FailureDomain == in.FailureDomain && p.Class == in.Class && p.Reclaimable == in.Reclaimable {
+		instance := u.Instance
+		if p.FailureDomain == instance.FailureDomain && p.Class == instance.Class && p.Reclaimable == instance.Reclaimable {
 			return p.CentsPerHour
 		}
 	}
 	return 0
 }
 
-// addLocalStates adds what slots a view still needs, all at once: a copy for each of
-// them would cost the square of their number.
+// addLocalStates adds a localState for each upstream of the view that has none,
+// and returns the map. It copies the map once for all of them, since a copy for
+// each would make the cost quadratic.
 func (r *Router) addLocalStates(view []blackboard.Upstream) localStates {
 	for {
 		old := r.states.Load()
@@ -161,13 +165,14 @@
 	}
 }
 
-// epoch numbers the buckets of time since the Router began.
+// epoch returns the number of the bucketWidth interval that a time lies in,
+// counted from the creation of the Router.
 func (r *Router) epoch(at time.Time) int64 {
 	return max(0, int64(at.Sub(r.epochOrigin)/bucketWidth))
 }
 
-// Started notes that an attempt is sent as decided. Call it before the first
-// byte leaves, so that concurrent decisions see it.
+// Started records that an attempt is sent as decided. Call it before the first
+// byte is sent, so that concurrent decisions take the attempt into account.
 func (r *Router) Started(d Decision, req Request, now time.Time) Ticket {
 	if d.local == nil {
 		return Ticket{}
@@ -188,8 +193,8 @@
 	return t
 }
 
-// FirstToken notes that the first token came, so that the attempt's prefill is
-// over. Later calls do nothing.
+// FirstToken records that the first token of the attempt arrived, so its prefill
+// is over. Later calls do nothing.
 func (r *Router) FirstToken(t *Ticket, now time.Time) {
 	if t.local == nil || !t.waiting {
 		return
@@ -198,7 +203,8 @@
 	r.stopWaiting(t)
 }
 
-// stopWaiting ends the attempt's part in what waits for a first token.
+// stopWaiting removes the attempt from the work that waits for a first token.
+// Later calls do nothing.
 func (r *Router) stopWaiting(t *Ticket) {
 	if !t.waiting {
 		return
@@ -208,7 +214,7 @@
 	r.predictor.removeWaiting(t.priority, t.uncachedTokens)
 }
 
-// Finished notes that an attempt ended. Later calls do nothing.
+// Finished records that an attempt ended. Later calls do nothing.
 func (r *Router) Finished(t *Ticket, _ Result, _ time.Time) {
 	if t.local == nil {
 		return
@@ -218,7 +224,8 @@
 	t.local = nil
 }
 
-// Outstanding returns how many attempts of this gateway an instance has.
+// Outstanding returns how many attempts of this gateway at an instance have not
+// ended.
 func (r *Router) Outstanding(id ident.Instance) int {
 	if s := (*r.states.Load())[id]; s != nil {
 		return int(s.outstanding.Load())
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -7,12 +7,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/prompt"
 )
 
-// estimate is what one upstream is expected to do with one request.
+// estimate is the predicted performance of one request at one upstream. Times
+// are in seconds.
 type estimate struct {
-	// score: lower is better; see cost.
+	// score ranks upstreams, lower is better; see cost.
 	score float64
-	// firstToken, unloaded (firstToken at an idle upstream) and betweenTokens
-	// are in seconds.
+	// firstToken is the time to the first token, unloaded the same at an idle
+	// upstream.
 	firstToken     float64
 	betweenTokens  float64
 	unloaded       float64
@@ -24,11 +25,11 @@
 // estimate predicts a request at the i-th upstream of the view.
 func (c *chooser) estimate(i int) estimate {
 	u := &c.view[i]
-	unseen := c.unreportedWork(i)
+	unreported := c.unreportedWork(i)
 	if c.plain {
-		return c.estimatePlain(i, unseen)
+		return c.estimatePlain(i, unreported)
 	}
-	s := c.router.stateOf(u, c.upstreams[i].local, unseen)
+	s := c.router.stateOf(u, c.upstreams[i].local, unreported)
 	e := estimate{betweenTokens: s.stepTime, uncachedTokens: c.uncachedTokens(i)}
 	ahead, own := c.predictWait(s, e.uncachedTokens)
 	e.unloaded = own + c.networkDelay(u)
@@ -38,9 +39,9 @@
 	return e
 }
 
-// cost adds up what speaks against an upstream, each term by its weight:
-// prefill that is cached elsewhere, the price, lateness, a fill above what the
-// others have, and a place that is no home of the prefix.
+// cost returns the score of the i-th upstream, a weighted sum of: the prefill
+// that is not cached there, the price, lateness, a fill above that of the other
+// upstreams, the fill itself, and not being a home of the prefix.
 func (c *chooser) cost(i int, s engineState, e estimate) float64 {
 	p := &c.router.params
 	fill := s.fill(p)
@@ -55,31 +56,34 @@
 	return sum
 }
 
-// lateness is how much of its target a first token is likely to be late by,
-// beyond what is comfortable. It is at most 1: when all upstreams are late,
-// chasing the least late one would only scatter the prefixes.
+// lateness is how far the likely time to the first token is beyond
+// LatenessStart, as a share of the target. It is at most 1: when all upstreams
+// are late, sending to the least late one would only scatter the prefixes over
+// more caches.
 func (c *chooser) lateness(firstToken float64) float64 {
 	p := &c.router.params
 	target := orElse(c.req.Class.FirstToken.Seconds(), p.DefaultTarget.Seconds())
 	return min(1, max(0, firstToken*c.margin/target-p.LatenessStart))
 }
 
-// estimatePlain predicts a call of a plain service: fewest in flight wins,
-// the near ones first.
-func (c *chooser) estimatePlain(i int, unseen sentWork) estimate {
+// estimatePlain scores an upstream of a plain service by the requests in flight
+// there. The network delay breaks ties in favour of the own failure domain.
+func (c *chooser) estimatePlain(i int, unreported sentWork) estimate {
 	u := &c.view[i]
-	known := u.Report.Running + unseen.requests
+	running := u.Report.Running + unreported.requests
 	own := int(c.upstreams[i].local.outstanding.Load())
-	return estimate{score: float64(max(known, own)) + c.networkDelay(u)}
+	return estimate{score: float64(max(running, own)) + c.networkDelay(u)}
 }
 
-// unreportedWork is this gateway's own work that the upstream's report cannot know.
+// unreportedWork returns what this gateway sent after the upstream's report was
+// made and that still waits for its first token.
 func (c *chooser) unreportedWork(i int) sentWork {
 	r := c.router
 	return c.upstreams[i].local.awaitingFirstToken(r.epoch(c.view[i].AsOf), r.epoch(c.now))
 }
 
-// uncachedTokens is how many tokens of the prompt need prefill at an upstream.
+// uncachedTokens returns how many tokens of the prompt need prefill at the i-th
+// upstream, at least 1.
 func (c *chooser) uncachedTokens(i int) int {
 	cached := 0.0
 	if c.cached != nil {
@@ -88,7 +92,8 @@
 	return max(1, c.req.PromptTokens-int(cached))
 }
 
-// networkDelay is the round trip to an upstream, in seconds.
+// networkDelay returns the round-trip time to an upstream, in seconds; within
+// the own failure domain it counts as 0.
 func (c *chooser) networkDelay(u *blackboard.Upstream) float64 {
 	if u.Instance.FailureDomain == c.req.FailureDomain {
 		return 0
@@ -96,6 +101,7 @@
 	return c.router.params.CrossDomainRTT.Seconds()
 }
 
+// orElse returns value if it is positive, else fallback.
 func orElse(value, fallback float64) float64 {
 	if value > 0 {
 		return value
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -2,8 +2,9 @@
 //
 // A Router belongs to one service at one gateway. Decide depends only on its
 // arguments and on what this gateway itself sent, which the Router knows from
-// Started, FirstToken and Finished. It takes no lock, waits for nothing and,
-// unless reasons are asked for, does not allocate once a view is known.
+// Started, FirstToken and Finished. Decide takes no lock and never blocks. It
+// allocates only for the first decision on a new view, and for reasons if the
+// request asks for them.
 package routing
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Request is what routing needs to know of a request.
+// Request describes a request to the router.
 type Request struct {
 	Service ident.Service
 	Account ident.ClientAccount
@@ -26,16 +27,16 @@
 	PromptTokens int
 	// MaxTokens is how many tokens are still to be generated.
 	MaxTokens int
-	// FailureDomain of the deciding gateway.
+	// FailureDomain is that of the deciding gateway.
 	FailureDomain ident.FailureDomain
-	// Exclude are upstreams that must not be chosen: they failed this request,
-	// or are ejected.
+	// Exclude lists upstreams that must not be chosen, because they failed this
+	// request or are ejected.
 	Exclude []ident.Instance
-	// Explain asks for Decision.Reasons.
+	// Explain makes the decision fill in Decision.Reasons.
 	Explain bool
 }
 
-// Rule names a reason for a decision.
+// Rule names why an upstream was chosen or passed over.
 type Rule string
 
 // The rules.
@@ -52,33 +53,34 @@
 	RuleChosen Rule = "chosen"
 )
 
-// Reason is one step of a decision, for `spoolctl explain`.
+// Reason says how one rule applied to one upstream. `spoolctl explain` prints
+// it.
 type Reason struct {
 	Upstream ident.Instance
 	Rule     Rule
 	Detail   string
 }
 
-// Decision is where a request goes.
+// Decision says which upstream a request is sent to and what is predicted there.
 type Decision struct {
 	// Upstream is empty when no upstream can serve the request.
 	Upstream ident.Instance
 	Address  string
 	// FirstToken is the predicted time to the first token.
 	FirstToken time.Duration
-	// FirstTokenBy is when four of five such first tokens have come, by how
-	// earlier predictions came out.
+	// FirstTokenBy is the time within which four of five first tokens with this
+	// prediction arrive, judging by the errors of earlier predictions.
 	FirstTokenBy time.Duration
 	// BetweenTokens is the predicted time between two tokens.
 	BetweenTokens time.Duration
-	// UncachedTokens is how much of the prompt is believed to need prefill.
+	// UncachedTokens estimates how many tokens of the prompt need prefill.
 	UncachedTokens int
 	// Unloaded is the predicted time to the first token if the upstream were
 	// idle.
 	Unloaded time.Duration
-	// Work is the engine time that the request takes, in seconds.
+	// Work is the predicted engine time of the request, in seconds.
 	Work float64
-	// Reasons are filled only when asked for, since they allocate.
+	// Reasons is filled only if Request.Explain is set, because it allocates.
 	Reasons []Reason
 
 	local    *localState
@@ -88,18 +90,18 @@
 // Found reports whether the decision names an upstream.
 func (d Decision) Found() bool { return d.Upstream != "" }
 
-// Result says how an attempt at an upstream ended.
+// Result is how an attempt at an upstream ended.
 type Result int
 
 // The results.
 const (
-	// ResultDone: the whole answer came.
+	// ResultDone: the whole answer arrived.
 	ResultDone Result = 1
 	// ResultRefused: the upstream ran nothing.
 	ResultRefused Result = 2
-	// ResultFailed: the attempt broke off, or its connection did.
+	// ResultFailed: the attempt or its connection broke off.
 	ResultFailed Result = 3
-	// ResultCancelled: the caller or the gateway gave up; says nothing about
-	// the upstream.
+	// ResultCancelled: the caller or the gateway cancelled the attempt, which
+	// says nothing about the upstream.
 	ResultCancelled Result = 4
 )
