--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -10,10 +10,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/document"
 )
 
-// sizes are the upstreams of one service: today's, and up to the target's.
+// sizes are numbers of upstreams of one service, from today's to the target.
 var sizes = []int{9, 36, 150, 690}
 
-// prompt of 3,072 tokens, as a long dossier's prefix.
+// benchBlocks returns the blocks of a prefix of 3,072 tokens, the length of a
+// long dossier's prefix.
 func benchBlocks(prefix uint64) []uint64 {
 	blocks := make([]uint64, 48)
 	for i := range blocks {
@@ -22,8 +23,8 @@
 	return blocks
 }
 
-// BenchmarkDecide measures one decision with cache views in which one upstream
-// of nine has the prompt's prefix.
+// BenchmarkDecide measures one decision where one upstream in nine has the
+// prompt's prefix in its cache view.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// BenchmarkAttempt measures what an attempt costs besides its decision.
+// BenchmarkAttempt measures the bookkeeping of an attempt without its decision.
 func BenchmarkAttempt(b *testing.B) {
 	view := fleet(9)
 	r := New(DefaultParams(), time.Unix(90, 0))
@@ -61,8 +62,8 @@
 	}
 }
 
-// BenchmarkPrepare measures the first decision on a new view, once for each
-// report of any upstream.
+// BenchmarkPrepare measures what the first decision on a new view adds. It is
+// needed once for each report of any upstream.
 func BenchmarkPrepare(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
--- a/internal/routing/mechanisms_test.go
+++ b/internal/routing/mechanisms_test.go
@@ -26,7 +26,7 @@
 	return view
 }
 
-// Whatever the view, a decision names an upstream exactly when one is usable,
+// Whatever the view, a decision names an upstream if and only if one is usable,
 // and never one that is leaving, gone or excluded.
 func TestDecisionsAreUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -57,9 +57,9 @@
 	})
 }
 
-// Symptom: each gateway computes the same new prefix at another upstream.
-// Sequence: a new catalogue is opened; its first requests come through several
-// gateways before any cache event. Cause: they do not see each other's choice.
+// Guards against the same new prefix being computed at a different upstream for
+// each gateway. The first requests of the prefix arrive through several gateways
+// before any cache event, so the gateways do not see each other's choices.
 func TestGatewaysAgreeOnTheHomeOfANewPrefix(t *testing.T) {
 	view := fleet(9)
 	homes := make(map[ident.Instance]int)
@@ -73,7 +73,7 @@
 			homes[d.Upstream]++
 		}
 		if len(chosen) != 1 {
-			t.Errorf("six gateways chose %v for one prefix", chosen)
+			t.Errorf("six gateways chose %v for one prefix, want one upstream", chosen)
 		}
 	}
 	if len(homes) != len(view) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// A prefix that makes most of the work gets several homes.
+// A prefix that causes most of the work gets several homes.
 func TestPopularPrefixHasMoreHomes(t *testing.T) {
 	view := fleet(9)
 	r := New(DefaultParams(), time.Unix(90, 0))
@@ -98,9 +98,9 @@
 	}
 }
 
-// Symptom: short replies are refused although engines serve them first.
-// Sequence: long prompts queue at all engines. Cause: reports tell the sum of
-// the queue, not whose it is.
+// Guards against urgent short requests being refused while long prompts queue at
+// all engines, although engines serve the urgent ones first. Reports give only
+// the sum of the queue over all priorities.
 func TestUrgentRequestsDoNotWaitForTheWholeQueue(t *testing.T) {
 	view := []blackboard.Upstream{runner("a", blackboard.Alive, 40000)}
 	r := New(DefaultParams(), time.Unix(90, 0))
@@ -117,7 +117,7 @@
 	}
 }
 
-// The margin rises until four of five first tokens come within it.
+// The margin rises until four of five first tokens arrive within it.
 func TestMarginFollowsOutcomes(t *testing.T) {
 	var p predictor
 	for i := range 5000 {
@@ -135,9 +135,8 @@
 	}
 }
 
-// Symptom: six gateways fill the same room six times over.
-// Sequence: all see the same report and send as much as it allows. Cause: none
-// knows what the others send.
+// Guards against six gateways filling the same free capacity six times over. All
+// see the same report, and none knows what the others send.
 func TestGatewaysShareTheRoom(t *testing.T) {
 	view := fleet(3)
 	total := 0
@@ -146,24 +145,24 @@
 	}
 	p := DefaultParams()
 	if most := int(3 * p.BatchLimit * p.TargetFill); total > most || total < most-6 {
-		t.Errorf("six gateways have %d slots, want %d between them", total, most)
+		t.Errorf("six gateways have %d slots in total, want at most %d and at most 6 fewer", total, most)
 	}
 }
 
-// A batch shrinks while requests queue before it, and grows back.
+// The learned batch size shrinks while requests queue, and grows back.
 func TestBatchIsLearnt(t *testing.T) {
 	r := New(DefaultParams(), time.Unix(90, 0))
 	full, free := fleet(1), fleet(1)
 	full[0].Report.Running, full[0].Report.Queued = 30, 50
 	free[0].Report.Running = 30
-	known := r.addLocalStates(full)["runner-0"]
-	r.learnBatch(&full[0], known)
-	shrunk := known.batchSize(96)
+	local := r.addLocalStates(full)["runner-0"]
+	r.learnBatch(&full[0], local)
+	shrunk := local.batchSize(96)
 	for range 300 {
-		r.learnBatch(&free[0], known)
+		r.learnBatch(&free[0], local)
 	}
-	if grown := known.batchSize(96); shrunk > 30 || grown != 96 {
-		t.Errorf("learnt %.1f from a queue behind 30 and %.1f later, want below 30 and 96", shrunk, grown)
+	if grown := local.batchSize(96); shrunk > 30 || grown != 96 {
+		t.Errorf("learned batch size %.1f with 30 running and a queue, and %.1f later; want at most 30, and 96", shrunk, grown)
 	}
 }
 
@@ -188,12 +187,12 @@
 			t.Errorf("stream %d: action %d, want %d", s.Stream, s.Action, want[s.Stream])
 		}
 		if s.After > 560*time.Millisecond {
-			t.Errorf("stream %d begins after %v, too late for the notice", s.Stream, s.After)
+			t.Errorf("stream %d begins after %v, want at most 560ms", s.Stream, s.After)
 		}
 	}
 	for _, s := range PlanReclaim(streams, time.Second, 0, 2) {
 		if s.Action == MoveCache {
-			t.Errorf("stream %d moves over no bandwidth", s.Stream)
+			t.Errorf("stream %d: cache is moved although the bandwidth is 0", s.Stream)
 		}
 	}
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -11,11 +11,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// cached is a cache view that always believes in n blocks.
+// cached is a cache view that reports the same number of cached blocks for every
+// prompt.
 type cached float64
 
 func (c cached) Cached([]uint64, time.Time) float64 { return float64(c) }
 
+// runner returns an upstream in failure domain hall-a with queued prefill tokens.
 func runner(id ident.Instance, state blackboard.MemberState, queued int) blackboard.Upstream {
 	return blackboard.Upstream{
 		Instance: platform.Instance{ID: id, Address: string(id) + ":1", FailureDomain: "hall-a", Class: "gpu", Reclaimable: true},
@@ -66,9 +68,9 @@
 	}
 }
 
-// Symptom: one upstream gets a burst of requests while another idles.
-// Sequence: a report arrives; the gateway decides several times before the
-// next report. Cause: the report cannot know what was sent after it.
+// Guards against one upstream getting a burst of requests while another idles:
+// the gateway decides several times on one report, which does not contain what
+// was sent after it.
 func TestOwnWorkCountsUntilItsFirstToken(t *testing.T) {
 	now := time.Unix(101, 0)
 	view := []blackboard.Upstream{runner("a", blackboard.Alive, 0), runner("b", blackboard.Alive, 30000)}
@@ -100,7 +102,7 @@
 	}
 }
 
-// A report that is newer than the sending already contains it.
+// A report that was made after an attempt was sent already contains the attempt.
 func TestOwnWorkIsNotCountedTwice(t *testing.T) {
 	r := New(DefaultParams(), time.Unix(90, 0))
 	view := []blackboard.Upstream{runner("a", blackboard.Alive, 0)}
