--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -53,11 +53,11 @@
 // are recognized too.
 var priorWeight = vector{5, 1, 1, 5}
 
-// minFigures and most bound the figures: rates of 5 to 1,000 tokens a millisecond, and what
+// minCoefficients and most bound the figures: rates of 5 to 1,000 tokens a millisecond, and what
 // no engine is beyond.
 var (
-	minFigures = vector{0.001, 0.001, 0.0005, 0.0002}
-	maxFigures = vector{0.500, 0.200, 0.2000, 0.0300}
+	minCoefficients = vector{0.001, 0.001, 0.0005, 0.0002}
+	maxCoefficients = vector{0.500, 0.200, 0.2000, 0.0300}
 )
 
 // minAheadRatio is the least that a token ahead counts relative to one's own. Views of the
@@ -65,10 +65,10 @@
 // engines; below a third, queues would be taken for none.
 const minAheadRatio = 1.0 / 3
 
-// figureCount is the number of figures.
-const figureCount = 4
+// coefficientCount is the number of figures.
+const coefficientCount = 4
 
-type vector [figureCount]float64
+type vector [coefficientCount]float64
 
 // Sample is what one request saw.
 type Sample struct {
@@ -93,7 +93,7 @@
 	Target vector
 }
 
-const productCount = figureCount * (figureCount + 1) / 2
+const productCount = coefficientCount * (coefficientCount + 1) / 2
 
 // List returns all sums in a fixed order, for SumsOf: gateways send them with every
 // report, and single precision is far more than the fit needs.
@@ -162,8 +162,8 @@
 	weight := allowed / max(allowed, math.Abs(first-expected))
 	s.Weight += weight
 	k := 0
-	for i := range figureCount {
-		for j := i; j < figureCount; j++ {
+	for i := range coefficientCount {
+		for j := i; j < coefficientCount; j++ {
 			s.Square[k] += weight * row[i] * row[j]
 			k++
 		}
@@ -212,24 +212,24 @@
 
 // Fit returns the figures that fit the sums and the prior best.
 func (s Sums) Fit() Figures {
-	var a [figureCount][figureCount + 1]float64
+	var a [coefficientCount][coefficientCount + 1]float64
 	k := 0
-	for i := range figureCount {
-		for j := i; j < figureCount; j++ {
+	for i := range coefficientCount {
+		for j := i; j < coefficientCount; j++ {
 			a[i][j] = s.Square[k]
 			a[j][i] = s.Square[k]
 			k++
 		}
-		a[i][figureCount] = s.Target[i]
+		a[i][coefficientCount] = s.Target[i]
 	}
 	for i, weight := range priorWeight {
 		// The prior counts as samples each of which knows one figure only.
 		a[i][i] += weight
-		a[i][figureCount] += weight * prior[i]
+		a[i][coefficientCount] += weight * prior[i]
 	}
 	x := solve(&a)
 	for i := range x {
-		x[i] = min(max(x[i], minFigures[i]), maxFigures[i])
+		x[i] = min(max(x[i], minCoefficients[i]), maxCoefficients[i])
 	}
 	ahead := min(max(x[2], minAheadRatio*x[1]), x[1])
 	return Figures{Base: seconds(x[0]), Token: x[1] / kilo, Ahead: ahead / kilo, Running: x[3], Samples: s.Weight}
@@ -237,21 +237,21 @@
 
 // solve solves symmetric positive definite equations, the right side in the last
 // column. The prior on the diagonal makes them so.
-func solve(a *[figureCount][figureCount + 1]float64) vector {
-	for i := range figureCount {
-		for k := range figureCount {
+func solve(a *[coefficientCount][coefficientCount + 1]float64) vector {
+	for i := range coefficientCount {
+		for k := range coefficientCount {
 			if k == i {
 				continue
 			}
 			factor := a[k][i] / a[i][i]
-			for j := i; j <= figureCount; j++ {
+			for j := i; j <= coefficientCount; j++ {
 				a[k][j] -= factor * a[i][j]
 			}
 		}
 	}
 	var x vector
-	for i := range figureCount {
-		x[i] = a[i][figureCount] / a[i][i]
+	for i := range coefficientCount {
+		x[i] = a[i][coefficientCount] / a[i][i]
 	}
 	return x
 }
--- a/internal/routing/placement/engines.go
+++ b/internal/routing/placement/engines.go
@@ -7,8 +7,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// fitInterval is how often the figures of a service's engines are worked out anew. The other
-// gateways' reports come about as often, and a request moves the figures by a few in a
+// fitInterval is how often the estimate of a service's engines are worked out anew. The other
+// gateways' reports come about as often, and a request moves the estimate by a few in a
 // hundred.
 const fitInterval = 250 * time.Millisecond
 
@@ -19,7 +19,7 @@
 type serviceEngines struct {
 	// own is what this gateway's requests saw.
 	own      enginemodel.Sums
-	figures  enginemodel.Figures
+	estimate  enginemodel.Figures
 	fittedAt time.Time
 	// loggedRate is the reading rate that the log has.
 	loggedRate float64
@@ -30,40 +30,40 @@
 	if p.unreadTokens == 0 {
 		return // an application, or a prompt that nobody counted
 	}
-	figures := c.figures(p.service, now)
+	estimate := c.engineEstimate(p.service, now)
 	getOrCreate(c.engines, p.service).own.Learn(enginemodel.Sample{
 		Own: float64(p.unreadTokens), Ahead: float64(p.loadAhead.Unread), Running: float64(p.loadAhead.Running), First: p.firstEventLatency,
-	}, figures)
+	}, estimate)
 }
 
-// figures returns what all gateways' requests together say of a service's engines.
-func (c *Chooser) figures(service ident.Service, now time.Time) enginemodel.Figures {
+// engineEstimate returns what all gateways' requests together say of a service's engines.
+func (c *Chooser) engineEstimate(service ident.Service, now time.Time) enginemodel.Figures {
 	e := getOrCreate(c.engines, service)
 	if e.fittedAt.IsZero() || now.Sub(e.fittedAt) >= fitInterval {
 		sums := e.own
 		sums.Add(c.cfg.Engines(service))
-		e.figures, e.fittedAt = sums.Fit(), now
-		c.logEngineFigures(service, e)
+		e.estimate, e.fittedAt = sums.Fit(), now
+		c.logEngineEstimate(service, e)
 	}
-	return e.figures
+	return e.estimate
 }
 
-// logEngineFigures logs a reading rate that differs from the one that was logged last.
-func (c *Chooser) logEngineFigures(service ident.Service, e *serviceEngines) {
-	rate := e.figures.Rate()
-	if e.figures.Samples == 0 || rate > e.loggedRate*(1-loggedRateChange) && rate < e.loggedRate*(1+loggedRateChange) {
+// logEngineEstimate logs a reading rate that differs from the one that was logged last.
+func (c *Chooser) logEngineEstimate(service ident.Service, e *serviceEngines) {
+	rate := e.estimate.Rate()
+	if e.estimate.Samples == 0 || rate > e.loggedRate*(1-loggedRateChange) && rate < e.loggedRate*(1+loggedRateChange) {
 		return
 	}
 	e.loggedRate = rate
-	c.cfg.Log.Info("engines' figures", "service", service, "tokens_per_s", int(rate), "base_ms", e.figures.Base.Milliseconds(),
-		"ahead_us_per_token", e.figures.Ahead*1e6, "running_ms", e.figures.Running*1e3, "samples", int(e.figures.Samples))
+	c.cfg.Log.Info("fitted the engine model", "service", service, "tokens_per_s", int(rate), "base_ms", e.estimate.Base.Milliseconds(),
+		"ahead_us_per_token", e.estimate.Ahead*1e6, "running_ms", e.estimate.Running*1e3, "samples", int(e.estimate.Samples))
 }
 
 // EngineFigures returns what is known of a service's engines.
 func (c *Chooser) EngineFigures(service ident.Service, now time.Time) enginemodel.Figures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.figures(service, now)
+	return c.engineEstimate(service, now)
 }
 
 // Engines returns what this gateway's requests saw of each service's engines.
--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -26,10 +26,10 @@
 
 // Params are the weights of the choice.
 type Params struct {
-	// RereadWeight is how much a shared part that is read again counts, relative to the
+	// RecomputeWeight is how much a shared part that is read again counts, relative to the
 	// time that its reading takes: it costs the users' money and delays the
 	// others at that engine.
-	RereadWeight float64
+	RecomputeWeight float64
 	// OtherDomainCost is what sending to another failure domain costs, in seconds:
 	// the way, and the price of the bytes.
 	OtherDomainCost float64
@@ -38,12 +38,12 @@
 	EngineQueuePerSlot, PlainQueuePerSlot float64
 }
 
-// DefaultParams hold no engine's figures: these are learned.
+// DefaultParams hold no engine's estimate: these are learned.
 func DefaultParams() Params {
 	return Params{
 		// Waiting 0.2 s at the home is better than reading 5,000 tokens again:
 		// the objectives are 0.5 s and more.
-		RereadWeight: 4,
+		RecomputeWeight: 4,
 		// 1 ms there and back, and bytes that cost as much as another 1 ms.
 		OtherDomainCost:    0.002,
 		EngineQueuePerSlot: 0.5,
@@ -116,7 +116,7 @@
 	loggedStates      map[ident.Instance]ejection.State
 	demands           map[ident.Service]*serviceDemand
 	engines           map[ident.Service]*serviceEngines
-	limited           limitedMarks
+	limitedMarks           limitedMarks
 	search            search
 }
 
@@ -175,7 +175,7 @@
 	own            *ownWork
 	load           Load
 	score          float64
-	uncachedTokens int
+	prefillTokens int
 	// firstEventSeconds is the expected time to the call's first event there, in seconds; 0 at an
 	// application.
 	firstEventSeconds float64
@@ -190,10 +190,10 @@
 	split, lists := c.upstreamLists(call, view, len(exclude) > 0, now)
 	excluded := set.Excluded(now)
 	cut := c.cutOffDomains(now)
-	figures := c.figures(call.Service.Name, now)
+	estimate := c.engineEstimate(call.Service.Name, now)
 	share := c.connectionShareOf(call.Service)
 	s := &c.search
-	*s = search{chooser: c, call: call, figures: figures, now: now, limitedCandidates: s.limitedCandidates}
+	*s = search{chooser: c, call: call, estimate: estimate, now: now, limitedCandidates: s.limitedCandidates}
 	best, why, found := s.bestOfLists(lists, func(u *directory.Upstream, o *ownWork) bool {
 		return !contains(exclude, u.ID) && !contains(excluded, u.ID) && !now.Before(o.avoidUntil) && !contains(cut, u.FailureDomain) && c.mayUse(u, share)
 	})
@@ -211,7 +211,7 @@
 	}
 	set.Started(now, best.upstream.ID)
 	best.own.load.Running++
-	best.own.load.Unread += best.uncachedTokens
+	best.own.load.Unread += best.prefillTokens
 	if len(exclude) == 0 {
 		getOrCreate(c.demands, call.Service.Name).callStarted(call, now)
 	}
@@ -225,7 +225,7 @@
 		Slow:           t.slowAfter(call.Route.Objective, expected),
 		Why:            why,
 		AtLimit:        s.atLimit,
-		Place:          &reservation{domain: best.upstream.FailureDomain, service: call.Service.Name, route: call.Route.Name, unreadTokens: best.uncachedTokens, sentAt: now, expectedFirstEvent: expected, loadAhead: best.load, split: split, side: side, upstream: best.upstream},
+		Place:          &reservation{domain: best.upstream.FailureDomain, service: call.Service.Name, route: call.Route.Name, unreadTokens: best.prefillTokens, sentAt: now, expectedFirstEvent: expected, loadAhead: best.load, split: split, side: side, upstream: best.upstream},
 	}, true
 }
 
@@ -242,7 +242,7 @@
 type search struct {
 	chooser *Chooser
 	call    *forward.Call
-	figures enginemodel.Figures
+	estimate enginemodel.Figures
 	now     time.Time
 	// limitedCandidates are those of the candidates that have limits; kept for the next search.
 	limitedCandidates []candidate
@@ -265,9 +265,9 @@
 func (s *search) bestOfList(all []directory.Upstream, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
 	var best candidate
 	found := false
-	c, call, figures := s.chooser, s.call, &s.figures
+	c, call, estimate := s.chooser, s.call, &s.estimate
 	s.limitedCandidates = s.limitedCandidates[:0]
-	limited := c.limited.marksOf(all, c.cfg.Limits)
+	limited := c.limitedMarks.marksOf(all, c.cfg.Limits)
 	order := c.homeOrderOf(call, all)
 	var two sampledPair
 	if call.Service.Engine != nil {
@@ -285,11 +285,11 @@
 			s.foundFull = true
 			continue
 		}
-		c.score(call, &next, order, i, figures)
+		c.score(call, &next, order, i, estimate)
 		if next.firstEventSeconds > 0 && (order == nil || order.home != i) && !two.has(i) {
 			next.score += unsampledPenalty
 		}
-		if figures.Samples >= minSamples && next.firstEventSeconds > left {
+		if estimate.Samples >= minSamples && next.firstEventSeconds > left {
 			// A request that surely cannot be served would take an engine's time
 			// from those that can, and its caller would wait for nothing.
 			continue
@@ -306,7 +306,7 @@
 		best, found = s.applyLimits(best, found)
 	}
 	why := "least work"
-	if found && order != nil && best.uncachedTokens < call.PromptTokens {
+	if found && order != nil && best.prefillTokens < call.PromptTokens {
 		why = "holds the prompt's parts"
 	}
 	return best, why, found
@@ -332,16 +332,16 @@
 
 // score sets the candidate's expected first event, and its score: that time in seconds,
 // and what else speaks against it.
-func (c *Chooser) score(call *forward.Call, x *candidate, order *homeOrder, i int, figures *enginemodel.Figures) {
+func (c *Chooser) score(call *forward.Call, x *candidate, order *homeOrder, i int, estimate *enginemodel.Figures) {
 	p := c.cfg.Params
-	x.uncachedTokens = call.PromptTokens
+	x.prefillTokens = call.PromptTokens
 	again := 0.0
 	if order != nil {
 		shared := sharedTokens(call)
 		if order.home == i {
-			x.uncachedTokens -= shared
+			x.prefillTokens -= shared
 		} else {
-			again = (p.RereadWeight - 1) * float64(shared)
+			again = (p.RecomputeWeight - 1) * float64(shared)
 		}
 	}
 	if call.Service.Engine == nil {
@@ -350,8 +350,8 @@
 		// of hundreds sends it what few requests it has, and the others stand by.
 		x.score += c.rank(x.upstream.Name) * tieBreakSeconds
 	} else {
-		x.firstEventSeconds = figures.FirstSeconds(float64(x.uncachedTokens), float64(x.load.Unread), float64(x.load.Running))
-		x.score = x.firstEventSeconds + again*figures.Token
+		x.firstEventSeconds = estimate.FirstSeconds(float64(x.prefillTokens), float64(x.load.Unread), float64(x.load.Running))
+		x.score = x.firstEventSeconds + again*estimate.Token
 	}
 	if order != nil {
 		// Among equals the first in line, so that copies of a part stay few. The
@@ -371,7 +371,7 @@
 	}
 	c.view = view
 	// Marks by their lists would keep the views of before in memory.
-	c.limited.marks = nil
+	c.limitedMarks.marks = nil
 	for service, set := range c.ejectionSets {
 		set.SetUpstreams(readyIDs(view.Of(service)))
 	}
--- a/internal/routing/placement/room.go
+++ b/internal/routing/placement/room.go
@@ -17,8 +17,8 @@
 	if limited := c.readyIfAllLimited(call.Service.Name); len(limited) > 0 {
 		return c.cfg.Limits.RoomIn(limited)
 	}
-	figures := c.figures(call.Service.Name, now)
-	if call.Service.Engine == nil || figures.Samples < minSamples {
+	estimate := c.engineEstimate(call.Service.Name, now)
+	if call.Service.Engine == nil || estimate.Samples < minSamples {
 		return 0
 	}
 	room, found := time.Duration(0), false
@@ -27,7 +27,7 @@
 			continue
 		}
 		load := c.totalLoad(u.ID, getOrCreate(c.own, u.ID))
-		first := figures.First(float64(tokensToRead(call)), float64(load.Unread), float64(load.Running))
+		first := estimate.First(float64(prefillTokens(call)), float64(load.Unread), float64(load.Running))
 		if late := max(0, first-call.Route.Objective); !found || late < room {
 			room, found = late, true
 		}
--- a/internal/routing/placement/work.go
+++ b/internal/routing/placement/work.go
@@ -58,7 +58,7 @@
 // read.
 func (w *serviceDemand) callStarted(call *forward.Call, now time.Time) {
 	w.decayTo(now)
-	w.promptRate += float64(tokensToRead(call)) / demandWindow.Seconds()
+	w.promptRate += float64(prefillTokens(call)) / demandWindow.Seconds()
 	w.route(call.Route.Name).requestRate += 1 / demandWindow.Seconds()
 }
 
@@ -107,10 +107,10 @@
 	return time.Duration(drainFactor * longest * float64(time.Second))
 }
 
-// tokensToRead is how many prompt tokens a call asks to be read: those that the home of its
+// prefillTokens is how many prompt tokens a call asks to be read: those that the home of its
 // parts lacks. Where engines are short, requests are sent away from their homes and sent
 // again, and three times as many are read.
-func tokensToRead(call *forward.Call) int {
+func prefillTokens(call *forward.Call) int {
 	return call.PromptTokens - sharedTokens(call)
 }
 
