--- a/internal/routing/placement/cutoff.go
+++ b/internal/routing/placement/cutoff.go
@@ -6,17 +6,20 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// unreachableTTL is for how long an upstream that did not answer makes its domain
-// suspect: gateways that are not heard show within the same time that the cut is
-// over.
+// unreachableTTL is how long a failed connection to an upstream keeps its failure
+// domain suspect. Within the same time gateways there that are not heard show
+// whether the cut is over.
 const unreachableTTL = 3 * time.Second
 
-// cutOffDomains returns the failure domains that are probably cut off from this one: no
-// gateway there is heard, and an upstream there did not answer. A request for a
-// silent domain costs a connection time-out, or its whole time where it went out
-// on a kept connection; without the gateways' word each upstream there would have
-// to fail by itself. A domain whose only gateway is restarted has upstreams that
-// answer, and is not taken for cut off.
+// cutOffDomains returns the failure domains that are probably cut off from this
+// one: all gateways there are silent, and a connection to an upstream there
+// failed recently.
+//
+// A request to a domain that is cut off costs a connection time-out, or its whole
+// deadline if it is sent on a kept-alive connection. Without the silence of the
+// gateways as evidence, each upstream there would have to fail separately. Without
+// the failed connection, a domain whose only gateway restarts would count as cut
+// off although its upstreams answer.
 func (c *Chooser) cutOffDomains(now time.Time) []ident.FailureDomain {
 	var cut []ident.FailureDomain
 	for domain, at := range c.lastUnreachable {
--- a/internal/routing/placement/drawn.go
+++ b/internal/routing/placement/drawn.go
@@ -7,17 +7,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// unsampledPenalty is by how much sooner, in seconds, an upstream must serve a call than its home
-// and those that are drawn for it: more than what one view's age adds to a queue, less than
-// the shortest objective.
+// unsampledPenalty is added, in seconds, to the score of an engine that is neither
+// the call's home nor in its sampledPair. It is more than a queue grows within the
+// age of a view, and less than the shortest objective.
 const unsampledPenalty = 0.1
 
-// sampledPair are two of a service's upstreams, drawn by a call's ID: of many gateways that see
-// the same loads, some tenths of a second old, each would else send what its home cannot
-// take to the same upstream, the one that had least to do.
+// sampledPair holds the indexes of two of a service's upstreams that are sampled
+// by the call's ID, -1 for none. Without the sampling many gateways that see the
+// same loads, some tenths of a second old, would all send the calls that a home
+// cannot take to the same upstream, the one that was least loaded.
 type sampledPair [2]int
 
-// samplePair draws two of the upstreams that are ready.
+// samplePair samples two of the upstreams that are ready.
 func samplePair(call *forward.Call, all []directory.Upstream) sampledPair {
 	seed := xxhash.Sum64String(string(call.ID))
 	d, weights := sampledPair{-1, -1}, [2]uint64{}
--- a/internal/routing/placement/engines.go
+++ b/internal/routing/placement/engines.go
@@ -7,28 +7,30 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// fitInterval is how often the estimate of a service's engines are worked out anew. The other
-// gateways' reports come about as often, and a request moves the estimate by a few in a
-// hundred.
+// fitInterval is how often the engine model of a service is fitted. The reports
+// of the other gateways arrive about as often, and one request changes the model
+// by only a few percent.
 const fitInterval = 250 * time.Millisecond
 
-// loggedRateChange is by which part the reading rate must have changed for a log line.
+// loggedRateChange is the relative change of the prefill rate that is logged.
 const loggedRateChange = 0.25
 
-// serviceEngines is what is known of the engines of one service.
+// serviceEngines is what is known about the engines of one service.
 type serviceEngines struct {
-	// own is what this gateway's requests saw.
-	own      enginemodel.Sums
-	estimate  enginemodel.Figures
+	// own sums the samples of this gateway's requests.
+	own enginemodel.Sums
+	// estimate is the model that was fitted at fittedAt to the samples of all
+	// gateways.
+	estimate enginemodel.Figures
 	fittedAt time.Time
-	// loggedRate is the reading rate that the log has.
+	// loggedRate is the prefill rate that was logged last, in tokens per second.
 	loggedRate float64
 }
 
-// learnEngineSpeed takes in what a request saw of its engine.
+// learnEngineSpeed adds a request's sample of its engine.
 func (c *Chooser) learnEngineSpeed(p *reservation, now time.Time) {
 	if p.unreadTokens == 0 {
-		return // an application, or a prompt that nobody counted
+		return // a plain service, or a prompt whose tokens were not counted
 	}
 	estimate := c.engineEstimate(p.service, now)
 	getOrCreate(c.engines, p.service).own.Learn(enginemodel.Sample{
@@ -36,7 +38,8 @@
 	}, estimate)
 }
 
-// engineEstimate returns what all gateways' requests together say of a service's engines.
+// engineEstimate returns the model of a service's engines that is fitted to the
+// samples of all gateways.
 func (c *Chooser) engineEstimate(service ident.Service, now time.Time) enginemodel.Figures {
 	e := getOrCreate(c.engines, service)
 	if e.fittedAt.IsZero() || now.Sub(e.fittedAt) >= fitInterval {
@@ -48,7 +51,8 @@
 	return e.estimate
 }
 
-// logEngineEstimate logs a reading rate that differs from the one that was logged last.
+// logEngineEstimate logs the model if its prefill rate differs from the one that
+// was logged last by loggedRateChange or more.
 func (c *Chooser) logEngineEstimate(service ident.Service, e *serviceEngines) {
 	rate := e.estimate.Rate()
 	if e.estimate.Samples == 0 || rate > e.loggedRate*(1-loggedRateChange) && rate < e.loggedRate*(1+loggedRateChange) {
@@ -59,14 +63,14 @@
 		"ahead_us_per_token", e.estimate.Ahead*1e6, "running_ms", e.estimate.Running*1e3, "samples", int(e.estimate.Samples))
 }
 
-// EngineFigures returns what is known of a service's engines.
+// EngineFigures returns the current model of a service's engines.
 func (c *Chooser) EngineFigures(service ident.Service, now time.Time) enginemodel.Figures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.engineEstimate(service, now)
 }
 
-// Engines returns what this gateway's requests saw of each service's engines.
+// Engines returns the samples of this gateway's requests for each service.
 func (c *Chooser) Engines() map[ident.Service]enginemodel.Sums {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routing/placement/homes.go
+++ b/internal/routing/placement/homes.go
@@ -10,39 +10,45 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// homeOrder is the order of upstreams for a shared part: by weights that all gateways
-// work out alike. The one with the highest weight is the part's home.
+// homeOrder orders a list of upstreams for a shared prompt part by weights that
+// are the same at all gateways. The upstream with the highest weight is the
+// part's home.
 type homeOrder struct {
+	// weights are by index in the list; 0 for upstreams that are not ready.
 	weights []uint64
-	home    int
+	// home is the index of the home, -1 if no upstream is ready.
+	home int
 }
 
-// homeOrderOf returns the order for the call's shared part, or nil if it shares none.
+// homeOrderOf returns the order for the last prompt part that the call shares with
+// others, or nil if it shares none or the service has no engines.
 func (c *Chooser) homeOrderOf(call *forward.Call, all []directory.Upstream) *homeOrder {
 	if call.Service.Engine == nil || len(call.Parts) < 2 {
 		return nil
 	}
 	part := call.Parts[len(call.Parts)-2].ID
-	l := &homeOrder{weights: make([]uint64, len(all)), home: -1}
+	o := &homeOrder{weights: make([]uint64, len(all)), home: -1}
 	for i := range all {
 		if all[i].State != directory.Ready {
 			continue
 		}
-		l.weights[i] = rendezvous(part, all[i].Name)
-		if l.home < 0 || l.weights[i] > l.weights[l.home] {
-			l.home = i
+		o.weights[i] = rendezvous(part, all[i].Name)
+		if o.home < 0 || o.weights[i] > o.weights[o.home] {
+			o.home = i
 		}
 	}
-	return l
+	return o
 }
 
-// distanceFromFront is how far an upstream is from the front, from 0 to 1.
-func (l *homeOrder) distanceFromFront(i int) float64 {
-	return 1 - float64(l.weights[i])/float64(math.MaxUint64)
+// distanceFromFront returns how far the i-th upstream is from the front of the
+// order, from 0 to 1.
+func (o *homeOrder) distanceFromFront(i int) float64 {
+	return 1 - float64(o.weights[i])/float64(math.MaxUint64)
 }
 
-// rendezvous weighs an upstream for a part, by its name: an upstream that starts again
-// is the home of the same parts as before, so that the others keep theirs.
+// rendezvous returns the weight of an upstream for a part. It depends on the
+// upstream's name and not on its ID, so that an upstream that restarts is the home
+// of the same parts as before and the other homes do not change.
 func rendezvous(part uint64, name ident.Instance) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(part)
@@ -51,7 +57,8 @@
 	return d.Sum64()
 }
 
-// sharedTokens are those of all parts but the last, which belongs to the call.
+// sharedTokens returns the number of tokens in all prompt parts but the last,
+// which belongs to the call alone.
 func sharedTokens(call *forward.Call) int {
 	sum := 0
 	for _, part := range call.Parts[:max(0, len(call.Parts)-1)] {
--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -1,11 +1,12 @@
-// Package placement chooses upstreams without asking them anything: from what
-// this gateway sent, from what the other gateways say that they have in
-// progress, and from which prompt parts belong where.
+// Package placement chooses the upstream for each request without querying the
+// upstreams. It uses what this gateway sent, what the other gateways report that
+// they have in progress, and which upstream is the home of which prompt part.
 //
-// Requests that share a prompt part go to the same engine, its home, so that
-// the part is read once. All gateways work out the same home by rendezvous
-// hashing and need no word of each other for it. Where the home has more work
-// before it than reading the part again takes, the next in line is used.
+// Requests that share a prompt part go to the same engine, the part's home, so
+// that the part is read (prefilled) only once. All gateways compute the same
+// home by rendezvous hashing, without exchanging messages. If the queue at the
+// home takes longer than reading the part again elsewhere, another engine is
+// used.
 package placement
 
 import (
@@ -24,27 +25,29 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-// Params are the weights of the choice.
+// Params are the weights and bounds of the choice.
 type Params struct {
-	// RecomputeWeight is how much a shared part that is read again counts, relative to the
-	// time that its reading takes: it costs the users' money and delays the
-	// others at that engine.
+	// RecomputeWeight multiplies the time to read a shared part at an engine
+	// that is not its home. It is more than 1 because reading a part again costs
+	// the users' money and delays other requests at that engine.
 	RecomputeWeight float64
-	// OtherDomainCost is what sending to another failure domain costs, in seconds:
-	// the way, and the price of the bytes.
+	// OtherDomainCost is what sending to another failure domain adds to a score,
+	// in seconds: the round trip and the price of the bytes.
 	OtherDomainCost float64
-	// EngineQueuePerSlot and PlainQueue are how many requests may wait at an upstream
-	// for each of its slots; beyond them it takes no work.
+	// EngineQueuePerSlot and PlainQueuePerSlot are how many requests may wait at
+	// an engine or a plain upstream for each of its slots. An upstream with more
+	// gets no work.
 	EngineQueuePerSlot, PlainQueuePerSlot float64
 }
 
-// DefaultParams hold no engine's estimate: these are learned.
+// DefaultParams returns the default parameters. They contain no engine's speed,
+// because that is learned.
 func DefaultParams() Params {
 	return Params{
-		// Waiting 0.2 s at the home is better than reading 5,000 tokens again:
-		// the objectives are 0.5 s and more.
+		// Waiting 0.2 s at the home is better than reading 5,000 tokens again,
+		// as the objectives are 0.5 s and more.
 		RecomputeWeight: 4,
-		// 1 ms there and back, and bytes that cost as much as another 1 ms.
+		// A round trip of 1 ms, and bytes whose price counts as another 1 ms.
 		OtherDomainCost:    0.002,
 		EngineQueuePerSlot: 0.5,
 		PlainQueuePerSlot:  2,
@@ -55,112 +58,130 @@
 type Load struct {
 	// Running counts requests in progress.
 	Running int
-	// Unread are prompt tokens of requests without a first event.
+	// Unread counts the prompt tokens still to be read: those of requests that
+	// have had no first event.
 	Unread int
 }
 
-// Plus is the work of two together, and Minus what is left of it without a part.
-func (l Load) Plus(o Load) Load  { return Load{l.Running + o.Running, l.Unread + o.Unread} }
+// Plus returns the sum of two loads.
+func (l Load) Plus(o Load) Load { return Load{l.Running + o.Running, l.Unread + o.Unread} }
+
+// Minus returns the load without a part of it.
 func (l Load) Minus(o Load) Load { return Load{l.Running - o.Running, l.Unread - o.Unread} }
 
-// Config is what a Chooser works with.
+// Config holds the parameters of a Chooser and where it gets its data. The
+// functions are called with the Chooser locked and must not call it.
 type Config struct {
 	Params Params
-	// Self is this gateway, and Domain where it is.
+	// Self is this gateway, and Domain its failure domain.
 	Self   ident.Instance
 	Domain ident.FailureDomain
 	Log    hclog.Logger
-	// View returns the upstreams; it is called for each choice.
+	// View returns the current upstreams. It is called for each choice.
 	View func() *directory.View
-	// Others returns what the other gateways have at an upstream.
+	// Others returns the load that the other gateways have at an upstream.
 	Others func(ident.Instance) Load
-	// Silent reports whether all gateways of another failure domain have fallen
-	// silent just now.
+	// Silent reports whether all gateways of another failure domain have
+	// recently stopped reporting.
 	Silent func(ident.FailureDomain) bool
-	// Gateways is how many gateways share the upstreams' connections.
+	// Gateways returns how many gateways share the upstreams' connections.
 	Gateways func() int
-	// Engines returns what the other gateways' requests saw of a service's engines.
+	// Engines returns the other gateways' samples of a service's engines.
 	Engines func(ident.Service) enginemodel.Sums
-	// Limits are the rates that upstreams named.
+	// Limits are the rate limits that upstreams announced.
 	Limits Limits
-	// Split returns how a service's upstreams are split by version; nil if they are not.
+	// Split returns how a service's upstreams are split by version, or nil if
+	// they are not.
 	Split func(ident.Service) *rollout.Split
 }
 
-// Limits are the rates that upstreams named, to which all gateways keep together.
+// Limits are the rate limits that upstreams announced. They hold for all
+// gateways together.
 type Limits interface {
-	// Some reports whether any upstream has a limit; Version changes with those that have.
+	// Some reports whether any upstream has a limit.
 	Some() bool
+	// Version changes whenever the set of upstreams with limits changes.
 	Version() uint64
+	// Limited reports whether an upstream has a limit.
 	Limited(ident.Instance) bool
-	// Take reports whether a request may be sent to an upstream for which it is the best
-	// choice. It is counted as sent.
+	// Take reports whether the limit of an upstream admits one more request. If
+	// so, the request counts as sent.
 	Take(ident.Instance) bool
-	// RoomIn returns after how long upstreams take one more request that all have a limit.
+	// RoomIn returns the time until one of the upstreams, all of which have
+	// limits, admits one more request.
 	RoomIn([]ident.Instance) time.Duration
 }
 
 // Chooser implements forward.Placement. It is safe for concurrent use.
 type Chooser struct {
 	cfg Config
-	// seed makes this gateway's order of upstreams another one than that of others.
+	// seed makes this gateway rank the upstreams differently from the others.
 	seed uint64
 
+	// mu guards all fields below.
 	mu   sync.Mutex
 	view *directory.View
-	// lastUnreachable are domains with when an upstream there did not answer last.
+	// lastUnreachable is when a connection to an upstream last failed, by the
+	// upstream's failure domain.
 	lastUnreachable   map[ident.FailureDomain]time.Time
 	own               map[ident.Instance]*ownWork
 	ejectionSets      map[ident.Service]*ejection.Set
 	firstEventTimings map[ident.Service]*firstEventTiming
+	// loggedStates are the ejection states that were logged last.
 	loggedStates      map[ident.Instance]ejection.State
 	demands           map[ident.Service]*serviceDemand
 	engines           map[ident.Service]*serviceEngines
-	limitedMarks           limitedMarks
+	limitedMarks      limitedMarks
 	search            search
 }
 
-// ownWork is what this gateway has at an upstream.
+// ownWork is this gateway's work at an upstream.
 type ownWork struct {
 	load Load
-	// avoidUntil: it could not be reached.
+	// avoidUntil is when the upstream is tried again after a connection failed.
 	avoidUntil time.Time
-	failures   int
+	// failures counts the failed connections in a row.
+	failures int
 }
 
-// Avoidance of upstreams that cannot be reached: doubled with each failure in
-// a row. A crashed upstream is back, or out of the directory, within seconds.
+// An upstream that cannot be reached is avoided for minAvoidance, and for twice
+// as long after each further failure in a row, up to maxAvoidance. A crashed
+// upstream is back, or gone from the directory, within seconds.
 const (
 	minAvoidance = 500 * time.Millisecond
 	maxAvoidance = 4 * time.Second
 )
 
-// ejectionConfig is quicker than the package's defaults: the users' upstreams
-// that fail part of their requests do so for five seconds at a time.
+// ejectionConfig ejects and probes more quickly than the package's defaults,
+// because upstreams that fail some of their requests do so for about five
+// seconds at a time.
 var ejectionConfig = ejection.Config{Failures: 3, Base: 2 * time.Second, Longest: 8 * time.Second, Probes: 2, ProbeLimit: 5 * time.Second}
 
-// reservation is what a request holds at an upstream.
+// reservation is a request's place at an upstream, from Choose to Finished.
 type reservation struct {
 	domain       ident.FailureDomain
 	service      ident.Service
 	route        string
 	unreadTokens int
-	// loadAhead is what was there when it was sent.
+	// loadAhead is the load that the upstream had before the request.
 	loadAhead Load
 	sentAt    time.Time
-	// expectedFirstEvent is the time to the first event behind what is there.
+	// expectedFirstEvent is the predicted time from sending to the first event,
+	// the wait for loadAhead included; 0 at a plain upstream.
 	expectedFirstEvent time.Duration
 	gotFirstEvent      bool
-	firstEventLatency  time.Duration
-	// ended: the upstream's process ended under the request.
+	// firstEventLatency is the time from sending to the first event.
+	firstEventLatency time.Duration
+	// upstreamEnded is set if the upstream's process ended during the request.
 	upstreamEnded bool
-	// split is how the service's upstreams were split by version; nil if they were not.
+	// split is how the service's upstreams were split by version when the request
+	// was sent, or nil if they were not.
 	split    *rollout.Split
 	side     rollout.Side
 	upstream directory.Upstream
 }
 
-// New returns a Chooser that has sent nothing.
+// New returns a Chooser that has sent nothing yet.
 func New(cfg Config) *Chooser {
 	return &Chooser{
 		cfg: cfg, seed: xxhash.Sum64String(string(cfg.Self)), lastUnreachable: make(map[ident.FailureDomain]time.Time), own: make(map[ident.Instance]*ownWork), ejectionSets: make(map[ident.Service]*ejection.Set),
@@ -171,13 +192,16 @@
 
 // candidate is an upstream that may take a request.
 type candidate struct {
-	upstream       directory.Upstream
-	own            *ownWork
-	load           Load
-	score          float64
+	upstream directory.Upstream
+	own      *ownWork
+	// load is the load of all gateways at the upstream.
+	load Load
+	// score ranks candidates, in seconds; the lowest is the best.
+	score float64
+	// prefillTokens is how many prompt tokens the upstream would have to read.
 	prefillTokens int
-	// firstEventSeconds is the expected time to the call's first event there, in seconds; 0 at an
-	// application.
+	// firstEventSeconds is the predicted time to the call's first event, in
+	// seconds; 0 at a plain upstream.
 	firstEventSeconds float64
 }
 
@@ -198,7 +222,7 @@
 		return !contains(exclude, u.ID) && !contains(excluded, u.ID) && !now.Before(o.avoidUntil) && !contains(cut, u.FailureDomain) && c.mayUse(u, share)
 	})
 	if !found {
-		// Where only suspects are left, one of them is better than none.
+		// If only suspect upstreams are left, one of them is better than none.
 		best, why, found = s.bestOfLists(lists, func(u *directory.Upstream, _ *ownWork) bool { return !contains(exclude, u.ID) })
 		why = "suspect, " + why
 	}
@@ -229,7 +253,8 @@
 	}, true
 }
 
-// upstreamLists returns which upstreams may take a call.
+// upstreamLists returns the upstreams that may take a call, and how they are
+// split by version. again is true if the call was sent before.
 func (c *Chooser) upstreamLists(call *forward.Call, view *directory.View, again bool, now time.Time) (*rollout.Split, rollout.Lists) {
 	split := c.cfg.Split(call.Service.Name)
 	if split == nil {
@@ -238,21 +263,24 @@
 	return split, split.Lists(call.ID, call.Route.Name, again, now)
 }
 
-// search is the search for one call's upstream.
+// search is the state of the search for one call's upstream.
 type search struct {
-	chooser *Chooser
-	call    *forward.Call
+	chooser  *Chooser
+	call     *forward.Call
 	estimate enginemodel.Figures
-	now     time.Time
-	// limitedCandidates are those of the candidates that have limits; kept for the next search.
+	now      time.Time
+	// limitedCandidates are the candidates with rate limits. The slice is reused
+	// by the next search.
 	limitedCandidates []candidate
-	// atLimit are the upstreams that would have been better but for their limits, and full
-	// whether one had as much work as it may get.
-	atLimit   []ident.Instance
+	// atLimit are the upstreams that scored better than the chosen one, but whose
+	// limits did not admit the call.
+	atLimit []ident.Instance
+	// foundFull is set if an upstream was passed over because it was full.
 	foundFull bool
 }
 
-// bestOfLists returns the best candidate of the first list that has one.
+// bestOfLists returns the best candidate of the first list that has one, and
+// the reason of the choice for the log.
 func (s *search) bestOfLists(lists rollout.Lists, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
 	best, why, found := s.bestOfList(lists.First, fits)
 	if !found && len(lists.Then) > 0 {
@@ -261,7 +289,9 @@
 	return best, why, found
 }
 
-// bestOfList returns the candidate with the least score among those that fit and take it.
+// bestOfList returns the candidate with the lowest score among the ready
+// upstreams that fit, are not full, can probably serve the call in time, and
+// whose limits admit it.
 func (s *search) bestOfList(all []directory.Upstream, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
 	var best candidate
 	found := false
@@ -269,11 +299,11 @@
 	s.limitedCandidates = s.limitedCandidates[:0]
 	limited := c.limitedMarks.marksOf(all, c.cfg.Limits)
 	order := c.homeOrderOf(call, all)
-	var two sampledPair
+	var pair sampledPair
 	if call.Service.Engine != nil {
-		two = samplePair(call, all)
+		pair = samplePair(call, all)
 	}
-	left := call.Remaining(s.now).Seconds()
+	remaining := call.Remaining(s.now).Seconds()
 	for i := range all {
 		u := &all[i]
 		o := getOrCreate(c.own, u.ID)
@@ -286,12 +316,12 @@
 			continue
 		}
 		c.score(call, &next, order, i, estimate)
-		if next.firstEventSeconds > 0 && (order == nil || order.home != i) && !two.has(i) {
+		if next.firstEventSeconds > 0 && (order == nil || order.home != i) && !pair.has(i) {
 			next.score += unsampledPenalty
 		}
-		if estimate.Samples >= minSamples && next.firstEventSeconds > left {
-			// A request that surely cannot be served would take an engine's time
-			// from those that can, and its caller would wait for nothing.
+		if estimate.Samples >= minSamples && next.firstEventSeconds > remaining {
+			// A request that will not be served in time would take engine time
+			// from requests that can be, and its caller would wait in vain.
 			continue
 		}
 		if limited != nil && limited[i] {
@@ -312,50 +342,55 @@
 	return best, why, found
 }
 
+// totalLoad returns the load of all gateways at an upstream.
 func (c *Chooser) totalLoad(id ident.Instance, o *ownWork) Load {
 	return o.load.Plus(c.cfg.Others(id))
 }
 
-// isFull reports whether an upstream has as much work as it may get.
+// isFull reports whether an upstream has as many requests as it may get.
 func (c *Chooser) isFull(call *forward.Call, x *candidate) bool {
 	queue := c.cfg.Params.PlainQueuePerSlot
 	if call.Service.Engine != nil {
 		queue = c.cfg.Params.EngineQueuePerSlot
 	}
-	most := float64(x.upstream.Slots) * (1 + queue)
-	return x.upstream.Slots > 0 && float64(x.load.Running) >= most
+	capacity := float64(x.upstream.Slots) * (1 + queue)
+	return x.upstream.Slots > 0 && float64(x.load.Running) >= capacity
 }
 
-// tieBreakSeconds is what an upstream's place in this gateway's order counts, in seconds: less
-// than a request in progress, or another failure domain.
+// tieBreakSeconds is the most that the rank of an upstream adds to its score, in
+// seconds. It is less than what a request in progress or another failure domain
+// adds.
 const tieBreakSeconds = 1e-4
 
-// score sets the candidate's expected first event, and its score: that time in seconds,
-// and what else speaks against it.
+// score sets the candidate's predicted time to the first event, and its score:
+// that time, plus penalties for reading shared parts again, for another failure
+// domain, and for breaking ties. i is the upstream's index in the list of order,
+// which is nil if the call shares no prompt part.
 func (c *Chooser) score(call *forward.Call, x *candidate, order *homeOrder, i int, estimate *enginemodel.Figures) {
 	p := c.cfg.Params
 	x.prefillTokens = call.PromptTokens
-	again := 0.0
+	extraTokens := 0.0
 	if order != nil {
 		shared := sharedTokens(call)
 		if order.home == i {
 			x.prefillTokens -= shared
 		} else {
-			again = (p.RecomputeWeight - 1) * float64(shared)
+			extraTokens = (p.RecomputeWeight - 1) * float64(shared)
 		}
 	}
 	if call.Service.Engine == nil {
 		x.score = float64(x.load.Running) / float64(max(1, x.upstream.Slots)) * call.Route.Objective.Seconds()
-		// What goes wrong if all gateways take the same one of several idle upstreams: each
-		// of hundreds sends it what few requests it has, and the others stand by.
+		// The rank differs between gateways. Without it hundreds of gateways with
+		// few requests each would all use the same one of several idle upstreams.
 		x.score += c.rank(x.upstream.Name) * tieBreakSeconds
 	} else {
 		x.firstEventSeconds = estimate.FirstSeconds(float64(x.prefillTokens), float64(x.load.Unread), float64(x.load.Running))
-		x.score = x.firstEventSeconds + again*estimate.Token
+		x.score = x.firstEventSeconds + extraTokens*estimate.Token
 	}
 	if order != nil {
-		// Among equals the first in line, so that copies of a part stay few. The
-		// weight is below what a request in progress counts.
+		// Among equals the front of the home order is preferred, so that few
+		// engines hold copies of a part. The weight is less than what a request in
+		// progress adds.
 		x.score += order.distanceFromFront(i) * 1e-3
 	}
 	if x.upstream.FailureDomain != c.cfg.Domain {
@@ -363,14 +398,16 @@
 	}
 }
 
-// refreshView takes over a new view of the upstreams.
+// refreshView returns the current view of the upstreams. If it is new, it also
+// updates what is kept by upstream.
 func (c *Chooser) refreshView() *directory.View {
 	view := c.cfg.View()
 	if view == c.view {
 		return view
 	}
 	c.view = view
-	// Marks by their lists would keep the views of before in memory.
+	// The keys of the marks point into the previous view and would keep it in
+	// memory.
 	c.limitedMarks.marks = nil
 	for service, set := range c.ejectionSets {
 		set.SetUpstreams(readyIDs(view.Of(service)))
@@ -384,6 +421,7 @@
 	return view
 }
 
+// readyIDs returns the IDs of the upstreams that are ready.
 func readyIDs(upstreams []directory.Upstream) []ident.Instance {
 	var ids []ident.Instance
 	for _, u := range upstreams {
@@ -394,6 +432,7 @@
 	return ids
 }
 
+// ejectionSet returns the ejection state of a service's upstreams.
 func (c *Chooser) ejectionSet(service ident.Service) *ejection.Set {
 	set := c.ejectionSets[service]
 	if set == nil {
@@ -406,8 +445,8 @@
 	return set
 }
 
-// getOrCreate returns what a map holds of a key; a zero value that it holds from now on, if
-// nothing.
+// getOrCreate returns the value of a key. If there is none, it adds a zero value
+// to the map and returns that.
 func getOrCreate[K comparable, V any](m map[K]*V, key K) *V {
 	v := m[key]
 	if v == nil {
@@ -417,7 +456,7 @@
 	return v
 }
 
-// Own returns this gateway's work at each upstream that has any.
+// Own returns this gateway's load at each upstream where it has any.
 func (c *Chooser) Own() map[ident.Instance]Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
