--- a/internal/routing/placement/learn.go
+++ b/internal/routing/placement/learn.go
@@ -27,8 +27,8 @@
 	c.learnEngineSpeed(p, now)
 }
 
-// Ended implements forward.Placement. An upstream that had said that it leaves, or whose
-// entry is gone, was expected to end.
+// Ended implements forward.Placement. The end was expected if the upstream had
+// announced that it leaves, or if its entry is gone from the directory.
 func (c *Chooser) Ended(choice forward.Choice) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,12 +61,14 @@
 	}
 }
 
-// ejectionSample returns what a result says about its upstream. What the caller or the
-// clock ended says nothing.
+// ejectionSample returns what a result says about its upstream. It returns false
+// for results that say nothing: those of requests that the caller cancelled, or
+// that expired after their first event.
 func ejectionSample(p *reservation, result forward.Result) (ejection.Sample, bool) {
 	sample := ejection.Sample{Started: p.sentAt}
 	if p.upstreamEnded {
-		// What ended it may be the request: that says nothing of how it serves others.
+		// The request itself may have ended the upstream, which says nothing about
+		// how the upstream serves other requests.
 		return sample, false
 	}
 	switch result {
@@ -85,10 +87,11 @@
 	return sample, true
 }
 
-// idleAnswerTime is what an idle upstream takes beside reading the prompt; it keeps
-// short requests from looking slow.
+// idleAnswerTime is what an idle upstream takes to answer, apart from reading the
+// prompt. It is added to predictions, so that short requests do not look slow.
 const idleAnswerTime = 60 * time.Millisecond
 
+// updateAvoidance avoids the upstream for a while if the connection failed.
 func (c *Chooser) updateAvoidance(o *ownWork, result forward.Result, now time.Time) {
 	if result != forward.NoConnection {
 		o.failures = 0
@@ -99,13 +102,13 @@
 	o.avoidUntil = now.Add(wait)
 }
 
-// logEjectionChange logs a change of an upstream's state.
+// logEjectionChange logs the ejection state of an upstream if it has changed.
 func (c *Chooser) logEjectionChange(service ident.Service, id ident.Instance) {
 	state := c.ejectionSet(service).State(id)
 	if c.loggedStates[id] == state {
 		return
 	}
 	c.loggedStates[id] = state
-	c.cfg.Log.Info("upstream's standing changed", "upstream", id, "service", service,
+	c.cfg.Log.Info("ejection state of upstream changed", "upstream", id, "service", service,
 		"standing", [...]string{"healthy", "ejected", "probing"}[state])
 }
--- a/internal/routing/placement/limits.go
+++ b/internal/routing/placement/limits.go
@@ -8,10 +8,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// applyLimits returns the best candidate where some have limits: the first of those that are
-// better than all others and take the call within their limit, else the best of the others.
-// An upstream is asked only where no other is better, so that others with less to do go on
-// being compared with it, and its prompt parts keep their home.
+// applyLimits returns the best candidate if some have limits. best is the best of
+// those without limits, if found is true. Of the candidates with limits that score
+// no worse than best, applyLimits returns the first in the order of their scores
+// whose limit admits the call; if there is none, it returns best.
+//
+// A limit is checked, which counts the call, only when the upstream is next in
+// this order. So candidates with less work are still preferred to upstreams with
+// limits, and prompt parts keep their homes.
 func (s *search) applyLimits(best candidate, found bool) (candidate, bool) {
 	if found {
 		s.limitedCandidates = slices.DeleteFunc(s.limitedCandidates, func(x candidate) bool { return x.score > best.score })
@@ -29,18 +33,23 @@
 	return best, found
 }
 
-// limitedMarks remembers which upstreams of a list have limits, as long as these do not
-// change: looking each of hundreds up for each request would cost more than the choice.
+// limitedMarks caches which upstreams of a list have limits, until the set of
+// upstreams with limits changes. Looking up hundreds of upstreams for each request
+// would cost more than the rest of the choice.
 type limitedMarks struct {
+	// version is Limits.Version as of which the marks are valid.
 	version uint64
-	// marks are by the list's first upstream: lists are replaced whole.
+	// marks are by the address of the list's first upstream. It identifies the
+	// list, because lists are replaced and never changed.
 	marks map[*directory.Upstream][]bool
 }
 
-// maxMarkedLists bounds the lists that are remembered; each new view of the upstreams has others.
+// maxMarkedLists bounds the number of cached lists; each new view of the upstreams
+// has new lists.
 const maxMarkedLists = 64
 
-// marksOf returns which of a list have limits; nil where none has.
+// marksOf returns for each upstream of a list whether it has a limit, or nil if no
+// upstream of any list has one.
 func (m *limitedMarks) marksOf(all []directory.Upstream, limits Limits) []bool {
 	if len(all) == 0 || !limits.Some() {
 		return nil
@@ -60,7 +69,8 @@
 	return marks
 }
 
-// readyIfAllLimited returns a service's upstreams that take work, if all of them have limits.
+// readyIfAllLimited returns the ready upstreams of a service if all of them have
+// limits, else nil.
 func (c *Chooser) readyIfAllLimited(service ident.Service) []ident.Instance {
 	if !c.cfg.Limits.Some() {
 		return nil
--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -128,11 +128,11 @@
 	ejectionSets      map[ident.Service]*ejection.Set
 	firstEventTimings map[ident.Service]*firstEventTiming
 	// loggedStates are the ejection states that were logged last.
-	loggedStates      map[ident.Instance]ejection.State
-	demands           map[ident.Service]*serviceDemand
-	engines           map[ident.Service]*serviceEngines
-	limitedMarks      limitedMarks
-	search            search
+	loggedStates map[ident.Instance]ejection.State
+	demands      map[ident.Service]*serviceDemand
+	engines      map[ident.Service]*serviceEngines
+	limitedMarks limitedMarks
+	search       search
 }
 
 // ownWork is this gateway's work at an upstream.
--- a/internal/routing/placement/room.go
+++ b/internal/routing/placement/room.go
@@ -7,10 +7,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// RoomIn returns after how long the first engine will have so little to read that the
-// call's first event would come within its objective; 0 for now, and where nothing is
-// known. Queues are taken to be read without new work, so that it is a lower bound. Where
-// all upstreams have limits, it is when these let through what came before the call.
+// RoomIn returns how long it takes until the queue of some engine is so short that
+// the call's first event would arrive within its objective. It returns 0 if that
+// is so now, for a plain service, and while too little is known about the engines.
+// It is a lower bound, because it assumes that no more work arrives. If all ready
+// upstreams have limits, it returns when the limits will have admitted the requests
+// that came before the call.
 func (c *Chooser) RoomIn(call *forward.Call, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routing/placement/timing.go
+++ b/internal/routing/placement/timing.go
@@ -2,24 +2,29 @@
 
 import "time"
 
-// firstEventTiming learns how long first events of a service take, beyond what is expected of
-// them behind what their upstream has before them.
+// firstEventTiming learns how much later the first events of a service arrive than
+// predicted. The predictions include the wait for the work that the upstream had
+// before.
 type firstEventTiming struct {
+	// mean is the moving average of the delays beyond the predictions, and deviation
+	// that of their absolute deviations from it, in seconds.
 	mean, deviation float64
 	samples         int
 }
 
 const (
-	// timingSampleWeight is the weight of one sample.
+	// timingSampleWeight is the weight of the newest sample in the averages.
 	timingSampleWeight = 0.05
-	// slowDeviations above the mean lie nearly all samples.
+	// slowDeviations is how many deviations above the mean an attempt counts as
+	// slow. Nearly all samples lie below that.
 	slowDeviations = 4
-	// minSamples samples before the timing is used.
+	// minSamples is how many samples are needed before learned values are used.
 	minSamples = 20
 )
 
-func (t *firstEventTiming) learn(latency time.Duration) {
-	x := latency.Seconds()
+// learn adds a sample: the time to a first event minus its prediction.
+func (t *firstEventTiming) learn(delay time.Duration) {
+	x := delay.Seconds()
 	t.samples++
 	if t.samples == 1 {
 		t.mean, t.deviation = x, x/2
@@ -30,16 +35,20 @@
 	t.deviation += timingSampleWeight * (max(off, -off) - t.deviation)
 }
 
-// slowAfter is after how long an attempt is slower than nearly all are: never under
-// half of the objective, so that a calm service is not tried twice for nothing.
-// Where all are slow, waiting is better than moving: an attempt behind a queue is
-// expected to wait for it. What goes wrong if only the own prompt's reading is expected:
-// under a want of engines requests are moved from queue to queue, away from the homes of
-// their prompt parts, and three times as much is read.
+// slowAfter returns the time after which an attempt without a first event is slower
+// than nearly all attempts. objective is that of the route, and expected the
+// predicted time to the first event. The result is at least half of the objective,
+// so that requests of a service with little load are not sent twice for nothing.
+//
+// expected includes the wait for the upstream's queue, because if all upstreams are
+// slow, waiting is better than moving. If only the time to read the request's own
+// prompt were expected, requests would be moved from queue to queue while engines
+// are short, away from the homes of their prompt parts, and three times as many
+// tokens would be read.
 func (t *firstEventTiming) slowAfter(objective, expected time.Duration) time.Duration {
 	if t.samples < minSamples {
 		return max(objective, 2*expected)
 	}
-	usual := 2*expected + time.Duration((t.mean+slowDeviations*t.deviation)*float64(time.Second))
-	return max(usual, objective/2)
+	slow := 2*expected + time.Duration((t.mean+slowDeviations*t.deviation)*float64(time.Second))
+	return max(slow, objective/2)
 }
--- a/internal/routing/placement/versions.go
+++ b/internal/routing/placement/versions.go
@@ -7,18 +7,21 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-// usesUnprovenVersion reports whether the upstream has a version that is tried. What it does says
-// nothing of the others: their queues, patience and number must not follow it.
+// usesUnprovenVersion reports whether the upstream has a version whose rollout is
+// still in trial. Such an upstream says nothing about the others, so what it does
+// must not change the predicted queues, the time after which attempts are slow, or
+// the number of engines that is ordered.
 func (p *reservation) usesUnprovenVersion() bool {
 	return p.split != nil && p.split.Unproven(p.upstream.Version)
 }
 
-// reportToRollout tells a rollout how a request ended, if there is one.
-func (p *reservation) reportToRollout(result forward.Result, work *serviceDemand, now time.Time) {
+// reportToRollout reports to the rollout, if there is one, how the request ended.
+// demand is that of the service; nil if nothing was recorded yet.
+func (p *reservation) reportToRollout(result forward.Result, demand *serviceDemand, now time.Time) {
 	if p.split == nil {
 		return
 	}
-	answer, counts := p.rolloutAnswer(result, work, now)
+	answer, counts := p.rolloutAnswer(result, demand, now)
 	if !counts {
 		p.split.Withdrawn(p.route, p.side)
 		return
@@ -26,47 +29,51 @@
 	p.split.Ended(&p.upstream, p.route, p.side, p.sentAt, answer)
 }
 
-// rolloutAnswer is what a result shows of the upstream's version. What it did not run, and what
-// the caller ended soon, shows nothing.
-func (p *reservation) rolloutAnswer(result forward.Result, work *serviceDemand, now time.Time) (rollout.Answer, bool) {
+// rolloutAnswer returns what a result shows about the upstream's version. It returns
+// false if the result shows nothing: if the upstream did not run the request, if it
+// ended during the request, or if the caller gave up or the request expired before
+// the answer was slow.
+func (p *reservation) rolloutAnswer(result forward.Result, demand *serviceDemand, now time.Time) (rollout.Answer, bool) {
 	elapsed := now.Sub(p.sentAt)
 	if p.upstreamEnded {
-		// One request may have ended it, and broken off all that ran beside it.
+		// Another request may have ended the upstream and so broken off this one.
 		return rollout.Answer{}, false
 	}
 	switch result {
 	case forward.NoConnection, forward.Rejected:
 		return rollout.Answer{}, false
 	case forward.Done:
-		return rollout.Answer{Timed: true, Time: p.slowness(elapsed, work)}, true
+		return rollout.Answer{Timed: true, Time: p.slowness(elapsed, demand)}, true
 	case forward.CallerGone, forward.Expired:
 		if p.gotFirstEvent || elapsed < slowFactor*p.referenceLatency() {
 			return rollout.Answer{}, false
 		}
-		// Nothing came in several times what was expected.
+		// No first event arrived within slowFactor times the expected time.
 		return rollout.Answer{Timed: true, Time: elapsed.Seconds() / p.referenceLatency().Seconds()}, true
 	}
 	return rollout.Answer{Failed: true}, true
 }
 
-// slowFactor times what is expected without a first event is slow, whoever ended it.
+// slowFactor is how many times referenceLatency must have passed without a first
+// event for the answer to count as slow, even if the caller gave up or the request
+// expired.
 const slowFactor = 2
 
-// referenceLatency is what the first event is expected to take, at an application by what an idle one
-// takes.
+// referenceLatency returns the time that the first event is expected to take. At a
+// plain upstream this is the time of an idle one.
 func (p *reservation) referenceLatency() time.Duration { return p.expectedFirstEvent + idleAnswerTime }
 
-// slowness is how long the answer took: its first event in times of what was expected
-// behind what was there, or what followed in times of the route's usual answer, whichever
-// is more.
-func (p *reservation) slowness(elapsed time.Duration, work *serviceDemand) float64 {
+// slowness returns how slow the answer was: the larger of two ratios, that of the
+// first event's time to the expected one, and that of the rest of the answer's time
+// to the mean of the route.
+func (p *reservation) slowness(elapsed time.Duration, demand *serviceDemand) float64 {
 	first := p.firstEventLatency.Seconds() / p.referenceLatency().Seconds()
-	if work == nil {
+	if demand == nil {
 		return first
 	}
-	usual := work.route(p.route)
-	if usual.samples < minSamples || usual.meanSeconds <= 0 {
+	route := demand.route(p.route)
+	if route.samples < minSamples || route.meanSeconds <= 0 {
 		return first
 	}
-	return max(first, (elapsed-p.firstEventLatency).Seconds()/usual.meanSeconds)
+	return max(first, (elapsed-p.firstEventLatency).Seconds()/route.meanSeconds)
 }
--- a/internal/routing/placement/work.go
+++ b/internal/routing/placement/work.go
@@ -9,71 +9,75 @@
 )
 
 const (
-	// demandWindow is over how long the work of a service is averaged: two or three
+	// demandWindow is the time constant of a service's average demand. Two or three
 	// seconds show a burst before its queues have grown.
 	demandWindow = 2500 * time.Millisecond
-	// maxMeanSamples is over how many answers a route's usual time is averaged: some ten
-	// seconds of want of engines hardly move it.
+	// maxMeanSamples is over how many answers a route's mean time is averaged: so many
+	// that a shortage of engines for some ten seconds hardly changes the mean.
 	maxMeanSamples = 200
-	// maxSampleRatio bounds what one answer counts, in times of the usual one.
+	// maxSampleRatio bounds the time that one answer counts with, as a multiple of the
+	// mean.
 	maxSampleRatio = 2
 )
 
-// serviceDemand is the work that callers ask of a service through this gateway: what engines
-// would have to do if there were enough of them. What goes wrong if what they have in
-// progress were counted instead: where they are short, all answers take several times as
-// long, and on-demand engines would be ordered for work that nobody asks for.
+// serviceDemand estimates the work that callers ask of a service through this
+// gateway: what its engines would have to do if there were enough of them.
+//
+// It does not count the requests in progress. While engines are short, all answers
+// take several times as long, and on-demand engines would be ordered for work that
+// nobody asks for.
 type serviceDemand struct {
-	// promptRate is tokens to be read a second; it decays.
+	// promptRate is the number of prompt tokens to be read per second, as of updatedAt.
 	promptRate float64
 	updatedAt  time.Time
 	routes     map[string]*routeDemand
 }
 
-// routeDemand is the generating that one route asks for.
+// routeDemand is the demand of one route for generating answers.
 type routeDemand struct {
-	// requestRate is requests a second; it decays.
+	// requestRate is the number of requests per second, as of updatedAt of the service.
 	requestRate float64
-	// meanSeconds is how long an answer takes from its first event to its end, in seconds,
-	// of so many samples.
+	// meanSeconds is the mean time of an answer from its first event to its end, in
+	// seconds, and samples how many answers were measured.
 	meanSeconds float64
 	samples     int
 }
 
-// decayTo lets time pass.
-func (w *serviceDemand) decayTo(now time.Time) {
-	elapsed := now.Sub(w.updatedAt)
+// decayTo lets the rates decay until now.
+func (d *serviceDemand) decayTo(now time.Time) {
+	elapsed := now.Sub(d.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
 	keep := math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
-	w.promptRate *= keep
-	for _, r := range w.routes {
+	d.promptRate *= keep
+	for _, r := range d.routes {
 		r.requestRate *= keep
 	}
-	w.updatedAt = now
+	d.updatedAt = now
 }
 
-// callStarted notes a call that is sent for the first time, with the tokens that it asks to be
-// read.
-func (w *serviceDemand) callStarted(call *forward.Call, now time.Time) {
-	w.decayTo(now)
-	w.promptRate += float64(prefillTokens(call)) / demandWindow.Seconds()
-	w.route(call.Route.Name).requestRate += 1 / demandWindow.Seconds()
+// callStarted records a call that is sent for the first time.
+func (d *serviceDemand) callStarted(call *forward.Call, now time.Time) {
+	d.decayTo(now)
+	d.promptRate += float64(prefillTokens(call)) / demandWindow.Seconds()
+	d.route(call.Route.Name).requestRate += 1 / demandWindow.Seconds()
 }
 
-// answerFinished notes how long a whole answer of a route took from its first event on.
-func (w *serviceDemand) answerFinished(route string, generating time.Duration) {
-	w.route(route).learn(generating.Seconds())
+// answerFinished records how long a whole answer of a route took from its first
+// event to its end.
+func (d *serviceDemand) answerFinished(route string, generating time.Duration) {
+	d.route(route).learn(generating.Seconds())
 }
 
-func (w *serviceDemand) route(name string) *routeDemand {
-	if w.routes == nil {
-		w.routes = make(map[string]*routeDemand)
+func (d *serviceDemand) route(name string) *routeDemand {
+	if d.routes == nil {
+		d.routes = make(map[string]*routeDemand)
 	}
-	return getOrCreate(w.routes, name)
+	return getOrCreate(d.routes, name)
 }
 
+// learn adds the time of an answer to the mean.
 func (r *routeDemand) learn(seconds float64) {
 	r.samples++
 	if r.samples == 1 {
@@ -84,19 +88,22 @@
 	r.meanSeconds += weight * (min(seconds, maxSampleRatio*r.meanSeconds) - r.meanSeconds)
 }
 
-// generating is how many requests would be generating at their usual speed.
-func (w *serviceDemand) generating() float64 {
+// generating returns how many requests would be generating an answer at a time if
+// each took the mean time of its route.
+func (d *serviceDemand) generating() float64 {
 	sum := 0.0
-	for _, r := range w.routes {
+	for _, r := range d.routes {
 		sum += r.requestRate * r.meanSeconds
 	}
 	return sum
 }
 
-// drainFactor times the usual answer nearly all answers last.
+// drainFactor is the multiple of the mean answer time within which nearly all
+// answers end.
 const drainFactor = 3
 
-// Drain returns how long nearly all answers of a service take that have begun.
+// Drain returns the time within which nearly all answers of a service end that have
+// begun.
 func (c *Chooser) Drain(service ident.Service) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,37 +114,39 @@
 	return time.Duration(drainFactor * longest * float64(time.Second))
 }
 
-// prefillTokens is how many prompt tokens a call asks to be read: those that the home of its
-// parts lacks. Where engines are short, requests are sent away from their homes and sent
-// again, and three times as many are read.
+// prefillTokens returns how many prompt tokens a call asks to be read: those that
+// the home of its shared parts does not have. The number that is really read is no
+// measure of demand: while engines are short, requests are sent elsewhere than to
+// their homes and sent again, and three times as many tokens are read.
 func prefillTokens(call *forward.Call) int {
 	return call.PromptTokens - sharedTokens(call)
 }
 
-// Demand is what callers ask of a service's engines: what these would have to do if there
-// were enough of them.
+// Demand is the work that callers ask of a service's engines: what these would have
+// to do if there were enough of them.
 type Demand struct {
-	// Prompt is tokens to be read a second.
+	// Prompt is the number of prompt tokens to be read per second.
 	Prompt float64
-	// Generating is how many requests would be generating at their usual speed.
+	// Generating is how many requests would be generating an answer at a time if each
+	// took its usual time.
 	Generating float64
 }
 
-// Plus is what two ask together.
+// Plus returns the sum of two demands.
 func (d Demand) Plus(o Demand) Demand {
 	return Demand{d.Prompt + o.Prompt, d.Generating + o.Generating}
 }
 
-// Minus is what is left of a demand without a part of it.
+// Minus returns the demand without a part of it, at least 0.
 func (d Demand) Minus(o Demand) Demand {
 	return Demand{max(0, d.Prompt-o.Prompt), max(0, d.Generating-o.Generating)}
 }
 
-// Demand returns what this gateway's callers ask of a service.
+// Demand returns the demand of this gateway's callers for a service.
 func (c *Chooser) Demand(service ident.Service, now time.Time) Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := getOrCreate(c.demands, service)
-	w.decayTo(now)
-	return Demand{Prompt: w.promptRate, Generating: w.generating()}
+	d := getOrCreate(c.demands, service)
+	d.decayTo(now)
+	return Demand{Prompt: d.promptRate, Generating: d.generating()}
 }
