--- a/internal/routing/placement/bench_test.go
+++ b/internal/routing/placement/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// BenchmarkChoose gives the slope of docs/CAPACITY.md: one request placed among so
-// many engines.
+// BenchmarkChoose measures the choice for one request by the number of engines. It
+// gives the slope in docs/CAPACITY.md.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{9, 64, 690} {
 		f := newFixture()
--- a/internal/routing/placement/drawn_test.go
+++ b/internal/routing/placement/drawn_test.go
@@ -9,9 +9,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Symptom: a queue of twenty requests at one engine while others have nothing to do.
-// Sequence: 200 gateways each send one request, all by the same view of everyone's load,
-// which is 0.3 s old. Cause: all of them choose the upstream that had least to do.
+// Guards against a queue of twenty requests at one engine while others are idle: 200
+// gateways each send one request on the same view of all loads, which is 0.3 s old,
+// and all choose the upstream that was least loaded.
 func TestGatewaysWithTheSameViewSpreadTheirRequests(t *testing.T) {
 	const gateways, upstreams = 200, 40
 	for _, part := range []uint64{0, 7} {
@@ -29,7 +29,7 @@
 			call := f.call(engine, part)
 			call.ID = ident.Request(fmt.Sprint("request-", i))
 			if part > 0 {
-				// Its home has a queue: the call goes elsewhere.
+				// The home has a queue, so the call goes elsewhere.
 				home := f.Chooser.homeOrderOf(call, f.view.Of("svc")).home
 				f.others[f.view.Of("svc")[home].ID] = Load{Running: 8, Unread: 400_000}
 			} else {
--- a/internal/routing/placement/limits_test.go
+++ b/internal/routing/placement/limits_test.go
@@ -11,7 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// chooseAll sends so many calls of a service, a millisecond apart, and counts where they go.
+// chooseAll sends a number of calls, a millisecond apart. It returns how many each
+// upstream got and how many found none.
 func (f *fixture) chooseAll(calls int, next func(i int) *forward.Call) (where map[ident.Instance]int, none int) {
 	where = make(map[ident.Instance]int)
 	for i := range calls {
@@ -27,8 +28,8 @@
 	return where, none
 }
 
-// Guards against requests that are refused, or sent to an upstream beyond the rate which it
-// named, while others have room.
+// Guards against requests that are refused, or sent to an upstream beyond the rate limit
+// that it announced, while other upstreams have capacity.
 func TestUpstreamsWithLimitsArePassedOverForOthers(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -61,8 +62,8 @@
 	}
 }
 
-// Guards against requests that wait, or are sent all the same, where every upstream has a
-// limit: they are refused at once, with when to return.
+// Guards against requests that wait, or are sent beyond the limits, while every upstream has
+// a limit: they must be refused at once, with the time after which to retry.
 func TestWhereAllHaveLimitsCallsAreRefusedAtOnce(t *testing.T) {
 	f := newFixture()
 	for _, u := range f.view.Of("svc") {
@@ -72,11 +73,11 @@
 	const calls = 8000
 	where, none := f.chooseAll(calls, func(int) *forward.Call { return f.call(plain, 0) })
 	if served := calls - none; served < 50 || served > 2*6*8*3/2 {
-		t.Errorf("%d calls served in 8 s by six upstreams that take 2 a second", served)
+		t.Errorf("%d calls served in 8 s by six upstreams with a limit of 2 per second, want 50 to 144", served)
 	}
 	for id, n := range where {
 		if n > 29 {
-			t.Errorf("%s got %d", id, n)
+			t.Errorf("%s got %d calls, want at most 29", id, n)
 		}
 	}
 	choice, found := forward.Choice{}, true
@@ -84,21 +85,21 @@
 		choice, found = f.Choose(f.call(plain, 0), nil, f.now)
 	}
 	if !choice.OnlyLimits || len(choice.AtLimit) != 6 {
-		t.Errorf("a call that found none: %+v", choice)
+		t.Errorf("choice of a call that found no upstream: %+v, want 6 at their limits and nothing else in the way", choice)
 	}
 	if in := f.RoomIn(f.call(plain, 0), f.now); in < time.Second || in > 30*time.Second {
-		t.Errorf("room in %v, with 1000 calls a second for 12", in)
+		t.Errorf("room in %v after 1000 calls per second for 12 per second that are admitted, want 1s to 30s", in)
 	}
 	for _, u := range f.view.Of("svc") {
 		f.limits.Hear(u.ID, "", upstreamlimit.Statement{})
 	}
 	if _, found := f.Choose(f.call(plain, 0), nil, f.now); !found {
-		t.Error("limits were lifted, and a call found no upstream")
+		t.Error("a call found no upstream after the limits were lifted")
 	}
 }
 
-// Guards against a wait in vain, or none, where an upstream with a limit is not all that is
-// in the way: a full one takes work again soon.
+// Guards against a call being refused because of limits alone while another upstream is only
+// full: the full upstream takes work again soon.
 func TestAFullUpstreamBesideOneWithALimitIsWaitedFor(t *testing.T) {
 	f := newFixture()
 	f.see(directory.Ready, "a0", "a1")
@@ -110,12 +111,12 @@
 		choice, found = f.Choose(f.call(engine, 0), nil, f.now)
 	}
 	if choice.OnlyLimits || len(choice.AtLimit) != 1 {
-		t.Errorf("a call that found none: %+v", choice)
+		t.Errorf("choice of a call that found no upstream: %+v, want one at its limit and not only limits in the way", choice)
 	}
 }
 
-// Guards against a verdict on a version that turns on the limits of its upstreams, or of the
-// old version's, and against a version that is tried on more than its share for these.
+// Guards against rate limits of upstreams, of the new version or the old one, that influence
+// the verdict on the new version, or give it more than its share of the requests.
 func TestLimitsSayNothingOfAVersion(t *testing.T) {
 	for _, limited := range []ident.Version{"v1", "v2"} {
 		f, tracker := trying(8)
@@ -144,16 +145,16 @@
 		tracker.Refresh(nil)
 		verdict := tracker.Orders()[0].Verdict
 		if verdict.Against > 1 || len(f.ejectionSet("svc").Excluded(f.now)) > 0 {
-			t.Errorf("%s limited: %v against the version that is tried", limited, verdict.Against)
+			t.Errorf("%s limited: evidence %v against the new version, want at most 1 and nothing ejected", limited, verdict.Against)
 		}
 		if most := 4*3*3/2 + 4*5; sent[limited] > most {
-			t.Errorf("%s limited: it got %d requests in 3 s, at most %d", limited, sent[limited], most)
+			t.Errorf("%s limited: it got %d requests in 3 s, want at most %d", limited, sent[limited], most)
 		}
 		if share := 3000/10 + 50; sent["v2"] > share {
-			t.Errorf("%s limited: %d requests to the version that is tried, at most %d", limited, sent["v2"], share)
+			t.Errorf("%s limited: the new version got %d requests, want at most %d", limited, sent["v2"], share)
 		}
 		if limited == "v2" && none > 0 {
-			t.Errorf("%d calls found no upstream while the old version has room", none)
+			t.Errorf("%d calls found no upstream while the old version has capacity", none)
 		}
 	}
 }
--- a/internal/routing/placement/placement_test.go
+++ b/internal/routing/placement/placement_test.go
@@ -19,14 +19,14 @@
 
 // fixture is a Chooser in failure domain a, with upstreams in a, b and c.
 type fixture struct {
-	// split is nil where no version is tried.
+	// split is nil if no rollout is in progress.
 	split *rollout.Split
 	*Chooser
 	now    time.Time
 	view   *directory.View
 	silent map[ident.FailureDomain]bool
 	others map[ident.Instance]Load
-	// sums are what the other gateways saw of engines that read 92,100 tokens a second.
+	// sums are the other gateways' samples of engines that read 92,100 tokens per second.
 	sums   enginemodel.Sums
 	limits *upstreamlimit.Keeper
 }
@@ -61,6 +61,7 @@
 	return f
 }
 
+// see replaces the view by upstreams in one state, whose IDs begin with their failure domains.
 func (f *fixture) see(state directory.State, ids ...string) {
 	var list []directory.Upstream
 	for _, id := range ids {
@@ -69,13 +70,15 @@
 	f.view = directory.NewView(list)
 }
 
-// queue sets what the other gateways have at each upstream.
+// queue sets the load that the other gateways have at each upstream.
 func (f *fixture) queue(load Load) {
 	for _, u := range f.view.Of("svc") {
 		f.others[u.ID] = load
 	}
 }
 
+// call returns a call of a service. If part is not 0, its prompt has two shared parts, the
+// second of them with this ID.
 func (f *fixture) call(service *routetable.Service, part uint64) *forward.Call {
 	c := &forward.Call{Route: route, Service: service, Expires: f.now.Add(time.Minute)}
 	if part > 0 {
@@ -85,7 +88,7 @@
 	return c
 }
 
-// choose chooses and gives the place back with a result.
+// choose chooses an upstream for a call and finishes the call with a result.
 func (f *fixture) choose(t *testing.T, call *forward.Call, result forward.Result) forward.Choice {
 	t.Helper()
 	choice, found := f.Choose(call, nil, f.now)
@@ -99,9 +102,9 @@
 	return choice
 }
 
-// Symptom: for six seconds every request for a cut-off domain waits for a
-// connection time-out, at each of its upstreams again. Sequence: a failure domain
-// is cut off. Cause: each upstream has to fail by itself.
+// Guards against every request to a domain that is cut off waiting for a connection
+// time-out at each upstream there, for six seconds, because each upstream has to fail
+// separately.
 func TestACutOffDomainIsLeftAloneAfterOneFailure(t *testing.T) {
 	f := newFixture()
 	f.others["a0"], f.others["a1"] = Load{Running: 7}, Load{Running: 7}
@@ -114,7 +117,7 @@
 		}
 		inB := choice.Upstream[0] == 'b'
 		if inB && lost {
-			t.Fatalf("%s was chosen after its domain was lost", choice.Upstream)
+			t.Fatalf("%s was chosen after a connection to its silent domain had failed", choice.Upstream)
 		}
 		result := forward.Done
 		if inB {
@@ -130,18 +133,18 @@
 	f.now = f.now.Add(minAvoidance)
 	f.others = map[ident.Instance]Load{"a0": {Running: 8}, "a1": {Running: 8}, "c0": {Running: 8}, "c1": {Running: 8}}
 	if choice := f.choose(t, f.call(plain, 0), forward.Done); choice.Upstream[0] != 'b' {
-		t.Errorf("%s is chosen though the domain is back", choice.Upstream)
+		t.Errorf("chose %s, want an upstream of domain b, which is back", choice.Upstream)
 	}
 }
 
-// Symptom: a domain's upstreams stand idle. Sequence: its only gateway is
-// restarted. Cause: a silent gateway is taken for a cut.
+// Guards against a domain's upstreams staying idle while its only gateway restarts, because
+// a silent gateway alone counts as a cut.
 func TestADomainWhoseGatewayIsRestartedIsUsed(t *testing.T) {
 	f := newFixture()
 	f.silent["b"], f.silent["c"] = true, true
 	f.others["a0"], f.others["a1"] = Load{Running: 8}, Load{Running: 8}
 	if choice := f.choose(t, f.call(plain, 0), forward.Done); choice.Upstream[0] == 'a' {
-		t.Errorf("%s is chosen", choice.Upstream)
+		t.Errorf("chose %s, want an upstream of domain b or c", choice.Upstream)
 	}
 }
 
@@ -152,23 +155,23 @@
 			homes[newFixture().choose(t, newFixture().call(engine, part), forward.Done).Upstream] = true
 		}
 		if len(homes) != 1 {
-			t.Fatalf("part %d has homes %v", part, homes)
+			t.Fatalf("part %d has homes %v, want one", part, homes)
 		}
 	}
 }
 
-// Symptom: a popular part's home has a long queue while others are idle. Cause:
-// requests never leave their home.
+// Guards against a long queue at the home of a popular part while other engines are idle,
+// because requests never leave the home.
 func TestABusyHomeIsLeft(t *testing.T) {
 	f := newFixture()
 	home := f.choose(t, f.call(engine, 7), forward.Done).Upstream
 	f.others[home] = Load{Running: 5, Unread: 60_000}
 	if next := f.choose(t, f.call(engine, 7), forward.Done).Upstream; next == home {
-		t.Error("still at home behind 60,000 unread tokens")
+		t.Error("chose the home, with 60,000 unread tokens there")
 	}
 	f.others[home] = Load{Running: 5, Unread: 5000}
 	if next := f.choose(t, f.call(engine, 7), forward.Done).Upstream; next != home {
-		t.Error("not at home behind 5,000 unread tokens")
+		t.Error("did not choose the home, with only 5,000 unread tokens there")
 	}
 }
 
@@ -189,14 +192,14 @@
 			c.play(t, f)
 			choice, found := f.Choose(f.call(plain, 0), c.exclude, f.now)
 			if !found || string(choice.Upstream[0]) == c.never {
-				t.Errorf("chosen %q, found %v", choice.Upstream, found)
+				t.Errorf("chose %q, found %v, want one that is not in domain %s", choice.Upstream, found, c.never)
 			}
 		})
 	}
 }
 
-// Symptom: a third of the requests fail at one upstream for as long as it is
-// faulty. Cause: its failures are not held against it.
+// Guards against a third of the requests failing at one faulty upstream for as long as it
+// is faulty, because its failures are not counted.
 func TestAnUpstreamThatFailsIsEjectedAndComesBack(t *testing.T) {
 	f := newFixture()
 	faulty := f.choose(t, f.call(plain, 0), forward.Done).Upstream
@@ -211,7 +214,7 @@
 		f.Finished(choice, result, f.now)
 	}
 	if failed == 0 || failed > ejectionConfig.Failures {
-		t.Errorf("%d requests failed", failed)
+		t.Errorf("%d requests failed, want 1 to %d", failed, ejectionConfig.Failures)
 	}
 	f.now = f.now.Add(ejectionConfig.Longest)
 	back := false
@@ -219,7 +222,7 @@
 		back = f.choose(t, f.call(plain, 0), forward.Done).Upstream == faulty || back
 	}
 	if !back {
-		t.Error("never tried again")
+		t.Errorf("upstream %s was never tried again after its ejection", faulty)
 	}
 }
 
@@ -230,13 +233,13 @@
 		f.choose(t, f.call(engine, uint64(i+2)), result)
 	}
 	if own := f.Own(); len(own) != 0 {
-		t.Errorf("left over: %v", fmt.Sprint(own))
+		t.Errorf("load left after all requests finished: %v", fmt.Sprint(own))
 	}
 }
 
-// Symptom: upstreams are ordered for twice the load, and arrive when it is over. Sequence:
-// engines are short; requests leave the homes of their prompt parts and are sent again.
-// Cause: what is read for want of engines is taken for what callers ask.
+// Guards against engines being ordered for twice the load, which arrive when it is over.
+// While engines are short, requests leave the homes of their prompt parts and are sent
+// again, and the tokens that are read for this must not count as demand.
 func TestTheWorkIsWhatCallersAsk(t *testing.T) {
 	f := newFixture()
 	asked := func() float64 {
@@ -246,23 +249,24 @@
 	atHome := asked()
 	f.others[home] = Load{Running: 5, Unread: 60_000}
 	if away := f.choose(t, f.call(engine, 7), forward.Done).Upstream; away == home {
-		t.Fatal("still at home")
+		t.Fatal("chose the home, with 60,000 unread tokens there")
 	}
 	if got := asked(); got > 2.05*atHome {
-		t.Errorf("%.0f tokens a second after one request at home, %.0f after one away", atHome, got)
+		t.Errorf("demand of %.0f tokens per second after one request at its home, and %.0f after another elsewhere; want at most twice as much", atHome, got)
 	}
 	before := asked()
 	if _, found := f.Choose(f.call(engine, 7), []ident.Instance{home}, f.now); !found || asked() > before {
-		t.Errorf("a second attempt counts: %.0f tokens a second, %.0f before", asked(), before)
+		t.Errorf("a second attempt counts as demand: %.0f tokens per second, %.0f before", asked(), before)
 	}
 }
 
-// Symptom: an on-demand engine is ordered for each that is there, and comes when it is
-// over. Sequence: engines are short for ten seconds, and all answers take five times as
-// long. Cause: what is in progress is taken for what callers ask.
+// Guards against an on-demand engine being ordered for each existing one, which arrives when
+// the shortage is over. While engines are short for ten seconds, all answers take five times
+// as long, and the requests in progress must not count as demand.
 func TestSlowAnswersAreNoMoreWork(t *testing.T) {
 	f := newFixture()
-	// play sends ten requests a second for a time; each generates for so long.
+	// play sends ten requests per second for a time, each of which generates its answer for
+	// another time, and returns the demand.
 	play := func(d, generating time.Duration) float64 {
 		for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(100 * time.Millisecond) {
 			choice, found := f.Choose(f.call(engine, 7), nil, f.now)
@@ -276,18 +280,17 @@
 	}
 	usual := play(20*time.Second, time.Second)
 	if usual < 8 || usual > 12 {
-		t.Errorf("%.1f generating, want 10: ten a second of a second each", usual)
+		t.Errorf("demand of %.1f generating requests, want 10: ten per second of a second each", usual)
 	}
 	if short := play(10*time.Second, 5*time.Second); short > 1.7*usual {
-		t.Errorf("%.1f generating while engines are short, %.1f before", short, usual)
+		t.Errorf("demand of %.1f generating requests while engines are short, want at most 1.7 times the %.1f before", short, usual)
 	}
 }
 
-// Symptom: callers wait for their whole deadline for nothing, and engines work for them.
-// Sequence: engines are short, and the queue at each is longer than a request's time.
-// Cause: a request that surely cannot be served is sent nevertheless. The load is a queue
-// of 200,000 tokens at every engine, two seconds' reading; callers with four seconds left
-// are served, those with one are refused at once.
+// Guards against callers waiting for their whole deadline in vain while engines work for
+// them, because a request is sent that cannot be served in time. Every engine has a queue of
+// 200,000 tokens, which take two seconds to read: callers with four seconds left are served,
+// those with one second are refused at once.
 func TestWhatCannotBeServedIsNotSent(t *testing.T) {
 	f := newFixture()
 	f.queue(Load{Running: 5, Unread: 200_000})
@@ -298,26 +301,25 @@
 		call := f.call(engine, 7)
 		call.Expires = f.now.Add(c.left)
 		if _, found := f.Choose(call, nil, f.now); found != c.want {
-			t.Errorf("with %v left: sent %v, want %v", c.left, found, c.want)
+			t.Errorf("request with %v left: sent %v, want %v", c.left, found, c.want)
 		}
 	}
 }
 
-// Symptom: a crowd that was refused is refused again. Sequence: engines are short, and all
-// that are refused come back after the same time, which is shorter than the queues. Cause:
-// a return time that knows nothing of the queues. 200,000 tokens are two seconds' reading
-// here, and 20,000 a fifth of one.
+// Guards against refused callers being refused again: while engines are short, all of them
+// return after the same time, and that is too early if it does not depend on the queues. Here
+// 200,000 tokens take two seconds to read, and 20,000 tokens a fifth of a second.
 func TestTheReturnTimeFollowsTheShortestQueue(t *testing.T) {
 	f := newFixture()
 	if got := f.RoomIn(f.call(engine, 7), f.now); got != 0 {
-		t.Errorf("room in %v at idle engines", got)
+		t.Errorf("room in %v at idle engines, want 0", got)
 	}
 	f.queue(Load{Unread: 200_000})
 	if got := f.RoomIn(f.call(engine, 7), f.now); got < time.Second || got > 2500*time.Millisecond {
-		t.Errorf("room in %v behind 200,000 tokens everywhere", got)
+		t.Errorf("room in %v with 200,000 unread tokens at every engine, want 1s to 2.5s", got)
 	}
 	f.others["b1"] = Load{Unread: 20_000}
 	if got := f.RoomIn(f.call(engine, 7), f.now); got > 200*time.Millisecond {
-		t.Errorf("room in %v behind 20,000 tokens at one engine", got)
+		t.Errorf("room in %v with 20,000 unread tokens at one engine, want at most 200ms", got)
 	}
 }
--- a/internal/routing/placement/subset_test.go
+++ b/internal/routing/placement/subset_test.go
@@ -12,14 +12,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// as makes the fixture's gateway another one, among so many.
+// as gives the fixture's gateway another number, and sets how many gateways there are.
 func (f *fixture) as(gateway, gateways int) {
 	f.cfg.Self, f.cfg.Gateways = ident.Instance(fmt.Sprint("gw", gateway)), func() int { return gateways }
 	f.seed = xxhash.Sum64String(string(f.cfg.Self))
 }
 
-// Guards against gateways of which each has next to no requests, and all send theirs to the
-// same one of several idle upstreams.
+// Guards against many gateways with few requests each that all use the same one of several
+// idle upstreams.
 func TestIdleUpstreamsShareTheRequestsOfManyGateways(t *testing.T) {
 	const gateways, upstreams = 160, 12
 	f := newFixture()
@@ -36,20 +36,20 @@
 			choice := f.choose(t, f.call(plain, 0), forward.Done)
 			got[choice.Upstream]++
 			if again > 0 && choice.Upstream != last {
-				t.Error("a gateway changes its upstream, and opens a connection, though nothing has changed")
+				t.Errorf("gateway %d chose %s after %s although nothing has changed; that opens another connection", gateway, choice.Upstream, last)
 			}
 			last = choice.Upstream
 		}
 	}
 	for _, id := range ids {
 		if n := got[ident.Instance(id)]; n == 0 || n > 2*2*gateways/upstreams {
-			t.Errorf("%s gets %d of %d requests", id, n, 2*gateways)
+			t.Errorf("%s got %d of %d requests, want 1 to %d", id, n, 2*gateways, 2*2*gateways/upstreams)
 		}
 	}
 }
 
 // Guards against gateways that together may open more connections to an upstream than it
-// takes, because each may open some.
+// accepts, because each may open at least a few.
 func TestAllGatewaysKeepToAnUpstreamsConnections(t *testing.T) {
 	service := &routetable.Service{Name: "svc", MaxConnections: 1800}
 	f := newFixture()
@@ -64,18 +64,18 @@
 				}
 			}
 			if sum > service.MaxConnections {
-				t.Errorf("%d gateways: %d connections to %s, which takes %d", gateways, sum, u.Name, service.MaxConnections)
+				t.Errorf("%d gateways may open %d connections to %s, which accepts %d", gateways, sum, u.Name, service.MaxConnections)
 			}
 		}
 	}
 }
 
-// Guards against a gateway that has no upstream left to use where it is one of very many.
+// Guards against a gateway without any upstream because there are very many gateways.
 func TestAGatewayWithoutAShareUsesWhatThereIs(t *testing.T) {
 	f := newFixture()
 	f.as(7, 100_000)
 	call := f.call(&routetable.Service{Name: "svc", MaxConnections: 10}, 0)
 	if _, ok := f.Choose(call, nil, f.now); !ok {
-		t.Error("no upstream, though all are idle")
+		t.Error("found no upstream although all are idle")
 	}
 }
--- a/internal/routing/placement/timing_test.go
+++ b/internal/routing/placement/timing_test.go
@@ -8,11 +8,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// Symptom: engines are short, and read three times as much as callers ask. Sequence: all
-// queues grow; a stream without a first event for half of its objective is given up and
-// sent to another engine, behind another queue, where its prompt's shared parts are read
-// again. Cause: patience that counts the reading of the own prompt only. The load is two
-// seconds of queue at every engine.
+// Guards against engines that are short reading three times as many tokens as callers ask:
+// a stream without a first event is abandoned after half of its objective and sent to
+// another engine, behind another queue, where its prompt's shared parts are read again. The
+// time after which an attempt is slow must include the queue, here two seconds at every
+// engine.
 func TestPatienceCountsTheQueue(t *testing.T) {
 	f := newFixture()
 	slow := func() time.Duration {
@@ -27,11 +27,11 @@
 		f.choose(t, f.call(engine, 7), forward.Done)
 	}
 	if got := slow(); got > route.Objective {
-		t.Errorf("waits %v for an idle engine", got)
+		t.Errorf("an attempt at an idle engine is slow after %v, want at most %v", got, route.Objective)
 	}
 	f.see(directory.Ready, "a0", "b0")
 	f.queue(Load{Unread: 200_000})
 	if got := slow(); got < 2*time.Second {
-		t.Errorf("waits only %v behind two seconds of queue", got)
+		t.Errorf("an attempt behind a queue of two seconds is slow after %v, want at least 2s", got)
 	}
 }
--- a/internal/routing/placement/versions_test.go
+++ b/internal/routing/placement/versions_test.go
@@ -13,7 +13,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-// trying returns a fixture in which half of n upstreams have a version that is tried.
+// trying returns a fixture with a rollout in its canary phase: half of n upstreams have the
+// new version v2.
 func trying(n int) (*fixture, *rollout.Tracker) {
 	f := newFixture()
 	var list []directory.Upstream
@@ -40,9 +41,8 @@
 	return f, t
 }
 
-// Symptom: a version that is tried gets its full part of the requests, or callers suffer
-// from it twice. Sequence: requests, some of which are sent again after a failure there.
-// Cause: the choice knows no versions.
+// Guards against a canary version getting requests in proportion to its upstreams instead of
+// its small share, and against a request that failed there being sent to it again.
 func TestATriedVersionGetsItsShareAndNoRepeats(t *testing.T) {
 	f, _ := trying(8)
 	tried := 0
@@ -62,17 +62,17 @@
 		tried++
 		again, found := f.Choose(call, []ident.Instance{choice.Upstream}, f.now)
 		if u, _ := f.view.Upstream(again.Upstream); !found || u.Version != "v1" {
-			t.Errorf("sent again to %s", u.ID)
+			t.Errorf("sent again to %s of version %s, want one of v1", u.ID, u.Version)
 		}
 		f.Finished(again, forward.Done, f.now)
 	}
 	if tried == 0 || tried > 150 {
-		t.Errorf("%d of 1,000 requests went to the version that is tried", tried)
+		t.Errorf("%d of 1,000 requests went to the new version, want 1 to 150", tried)
 	}
 }
 
-// Guards against a good version that is stopped, and healthy upstreams that are ejected,
-// for a request that ended them under all that ran there.
+// Guards against a good version being stopped, and healthy upstreams being ejected, because
+// one request ended an upstream and broke off all others that ran there.
 func TestWhatAnEndBrokeOffSpeaksAgainstNobody(t *testing.T) {
 	f, tracker := trying(8)
 	reached := 0
@@ -89,7 +89,7 @@
 			reached++
 			result = forward.Cut
 			if !f.Ended(choice) {
-				t.Error("the end of a ready upstream was expected")
+				t.Errorf("the end of ready upstream %s counted as expected", choice.Upstream)
 			}
 		}
 		f.Finished(choice, result, f.now)
@@ -97,14 +97,14 @@
 	}
 	tracker.Refresh(nil)
 	if verdict := tracker.Orders()[0].Verdict; reached < 50 || verdict.Answers != 0 || verdict.Against > 1 {
-		t.Errorf("%d broken off, %d answers counted, %v against the version", reached, verdict.Answers, verdict.Against)
+		t.Errorf("%d requests broken off, %d answers counted, evidence %v against the new version; want at least 50, 0, and at most 1", reached, verdict.Answers, verdict.Against)
 	}
 	if got := f.ejectionSet("svc").Excluded(f.now); len(got) > 0 {
-		t.Errorf("ejected: %v", got)
+		t.Errorf("ejected %v, want none", got)
 	}
 }
 
-// Guards against an announced end that is taken for a request's doing.
+// Guards against the announced end of an upstream being attributed to a request.
 func TestAnAnnouncedEndIsExpected(t *testing.T) {
 	f, _ := trying(8)
 	choice, _ := f.Choose(f.call(engine, 7), nil, f.now)
@@ -112,17 +112,17 @@
 	u.State = directory.Leaving
 	f.view = directory.NewView([]directory.Upstream{u})
 	if f.Ended(choice) {
-		t.Error("the end of a leaving upstream was not expected")
+		t.Error("the end of a leaving upstream counted as unexpected")
 	}
 	f.view = directory.NewView(nil)
 	if f.Ended(choice) {
-		t.Error("the end of an upstream whose entry is gone was not expected")
+		t.Error("the end of an upstream whose entry is gone counted as unexpected")
 	}
 	f.Finished(choice, forward.Cut, f.now)
 }
 
-// BenchmarkChooseWhileAVersionIsTried is what a choice costs beside BenchmarkChoose: as
-// many upstreams of the old version, and as many of the new one.
+// BenchmarkChooseWhileAVersionIsTried measures a choice during a rollout, for comparison with
+// BenchmarkChoose: n upstreams have the old version and n others the new one.
 func BenchmarkChooseWhileAVersionIsTried(b *testing.B) {
 	for _, n := range []int{9, 64, 690} {
 		f, _ := trying(2 * n)
