--- a/internal/cacheview/cacheview.go
+++ b/internal/cacheview/cacheview.go
@@ -55,9 +55,8 @@
 	return Params{Blocks: 4096, Lifetime: 10 * time.Minute, DistrustFactor: 0.5}
 }
 
-// View estimates the prefix cache of one incarnation of one upstream. Apply must
-// not be called concurrently with itself; the methods are safe for concurrent use
-// otherwise.
+// View estimates the prefix cache of one incarnation of one upstream. Only one
+// goroutine may call Apply; the other methods are safe for concurrent use.
 type View struct {
 	params    Params
 	createdAt time.Time
--- a/internal/cacheview/cacheview_test.go
+++ b/internal/cacheview/cacheview_test.go
@@ -74,8 +74,8 @@
 // Guards against a long-running gateway that sends prompts where their prefix was
 // evicted weeks ago, and forgets what was placed just now. A view lives longer than
 // its stamps count: one block is confirmed before the stamps wrap around, others
-// after it. The fault came back if stamps were compared without regard to the wrap,
-// and if the last stamp before it overflowed into the fingerprint.
+// after it. The causes were stamps that were compared without regard to the wrap, and
+// the last stamp before it, which overflowed into the fingerprint.
 func TestViewOutlivesItsStamps(t *testing.T) {
 	wrap := start.Add(time.Duration(1<<stampBits) << stampShift)
 	old := hashes(1)
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -1,21 +1,21 @@
-// Package enginemodel estimates how fast a service's engines work, from nothing but
-// what its requests see: how many tokens an engine had to read before a first event,
-// how many requests it had in progress, and how long the event took.
+// Package enginemodel estimates how fast a service's engines are from its requests
+// alone: how many prompt tokens an engine had to read before a first event, how many
+// requests it had in progress, and how long the event took.
 //
-// Nobody tells a gateway which engines it sends to, and no constant suits two kinds of
-// them: with a reading rate that is too high, requests pile up at few engines.
+// A gateway is not configured with the kind of engines that it sends to, and no constant
+// suits two kinds: with a prefill rate that is too high, requests pile up at few engines.
 //
-// The first event of a request is taken to come after
+// The model predicts the time to the first event of a request as
 //
 //	base + own tokens / rate + tokens ahead * Ahead + requests in progress * Running
 //
-// Its four figures are fitted by least squares with forgetting. Each sample counts the
-// less the farther it lies from what was expected (Huber's weights), so that an engine
-// that is slow, frozen or lacks what it was believed to hold moves the figures little,
-// as long as most samples are sound. The sums that the fit is made from can be added:
-// gateways tell each other theirs, and one that has just started begins with those of
-// the others. Weighed against it: the median of ratios, which needs the base from
-// elsewhere, and a ratio to a prior, which cannot tell the base from the rate.
+// Its four coefficients are fitted by least squares with exponential forgetting. A sample
+// that is far from its prediction gets a lower weight (Huber weights), so that an engine
+// that is slow, is frozen or lacks cached tokens that it was believed to hold changes the
+// coefficients little, as long as most samples are sound. The sums that the fit needs can
+// be added: gateways exchange them, and a gateway that has just started begins with those
+// of the others. Alternatives that were rejected: the median of ratios needs the base from
+// another source, and the ratio to a prior cannot distinguish the base from the rate.
 //
 // The package is pure: it has no clock and does no I/O.
 package enginemodel
@@ -28,75 +28,82 @@
 )
 
 const (
-	// memorySamples is over how many of a gateway's own samples the sums are kept. What is new
-	// looks odd at first, so that a longer one follows another kind of engine late.
+	// memorySamples is the number of a gateway's own samples after which a sample's weight
+	// has decayed to about a third. With more, another kind of engine is followed too late,
+	// because its samples have low weights at first.
 	memorySamples = 40
-	// tolerance is the part of the expected time by which a sample may lie off and count
-	// fully, and leastTolerance its least, in seconds: wide enough to follow another kind
-	// of engine, narrow enough not to follow a few slow ones.
+	// tolerance is how far a sample may be from its prediction and still have full weight,
+	// as a share of the prediction. minTolerance is the least that it may be, in seconds.
+	// The tolerance is wide enough to follow another kind of engine, and narrow enough not
+	// to follow a few slow engines.
 	tolerance    = 0.4
 	minTolerance = 0.005
-	// kilo: tokens are counted in thousands, so that the four figures have sizes that
-	// compare.
+	// kilo is the unit in which the fit counts tokens, so that the four coefficients have
+	// similar magnitudes.
 	kilo = 1000
 )
 
-// prior holds before anything was seen: an engine that is slower than any known one
-// (20 tokens a millisecond), so that work is spread and no upstream is given up until
-// the real figures are known. Seconds: base, a thousand own tokens, a thousand tokens
-// ahead, a request in progress.
+// prior is the model before there are samples: an engine that is slower than any known
+// one (20 tokens per millisecond), so that work is spread and no upstream is given up until
+// the real coefficients are known. The elements are seconds: base, per thousand own
+// tokens, per thousand tokens ahead, and per request in progress.
 var prior = vector{0.030, 0.050, 0.050, 0.001}
 
-// priorWeight is how many samples the prior counts for, by figure. It is overruled by
-// fifty requests, and keeps a few odd ones from giving a figure without sense. The rate's
-// counts for one of a thousand tokens, so that engines ten times as fast as the prior
-// are recognized too.
+// priorWeight is how many samples the prior counts as, for each coefficient. Fifty requests
+// outweigh it, and it prevents a few odd requests from giving meaningless coefficients. For
+// the rate the prior counts as one request of a thousand tokens, so that engines ten times
+// as fast as the prior are recognized too.
 var priorWeight = vector{5, 1, 1, 5}
 
-// minCoefficients and most bound the figures: rates of 5 to 1,000 tokens a millisecond, and what
-// no engine is beyond.
+// minCoefficients and maxCoefficients bound the fitted coefficients: rates of 5 to 1,000
+// tokens per millisecond, and for the others values that no engine exceeds.
 var (
 	minCoefficients = vector{0.001, 0.001, 0.0005, 0.0002}
 	maxCoefficients = vector{0.500, 0.200, 0.2000, 0.0300}
 )
 
-// minAheadRatio is the least that a token ahead counts relative to one's own. Views of the
-// others' work that are a quarter of a second old gave 0.4 to 0.7 on two kinds of
-// engines; below a third, queues would be taken for none.
+// minAheadRatio is the lowest ratio of the coefficient for tokens ahead to that for own
+// tokens. With views of the other gateways' work that are a quarter of a second old, the
+// ratio was 0.4 to 0.7 on two kinds of engines. Below a third, queues would hardly count.
 const minAheadRatio = 1.0 / 3
 
-// coefficientCount is the number of figures.
+// coefficientCount is the number of coefficients of the model.
 const coefficientCount = 4
 
+// vector has an element for each coefficient: base, own tokens, tokens ahead, requests in
+// progress.
 type vector [coefficientCount]float64
 
-// Sample is what one request saw.
+// Sample is the observation of one request at an engine.
 type Sample struct {
-	// Own are the request's prompt tokens that were believed to be read, and Ahead
-	// those of requests that were there before and had no first event.
+	// Own is how many prompt tokens of the request the engine was believed to have to read.
+	// Ahead is the same for the requests that were there before and had no first event.
 	Own, Ahead float64
-	// Running is how many requests were in progress there before it.
+	// Running is how many requests were in progress there before.
 	Running float64
 	// First is the time from sending to the first event.
 	First time.Duration
 }
 
+// row returns the factors of the coefficients for the sample.
 func (s Sample) row() vector { return vector{1, s.Own / kilo, s.Ahead / kilo, s.Running} }
 
-// Sums are what a fit is made from. The zero value holds nothing.
+// Sums are the weighted sums over samples that Fit needs. The zero value contains no
+// samples.
 type Sums struct {
 	// Weight is the sum of the samples' weights.
 	Weight float64
-	// Square are the sums of products of the figures' factors, its upper triangle by
-	// rows, and Target those of the factors and the times.
+	// Square is the upper triangle, by rows, of the sums of products of two factors. Target
+	// holds the sums of products of a factor and the time.
 	Square [productCount]float64
 	Target vector
 }
 
+// productCount is the number of elements of the upper triangle.
 const productCount = coefficientCount * (coefficientCount + 1) / 2
 
-// List returns all sums in a fixed order, for SumsOf: gateways send them with every
-// report, and single precision is far more than the fit needs.
+// List returns all sums in a fixed order, to be sent and decoded by SumsOf. Single
+// precision is far more than the fit needs, and gateways send the sums with every report.
 func (s Sums) List() []float32 {
 	var out []float32
 	for _, v := range s.pointers() {
@@ -105,22 +112,24 @@
 	return out
 }
 
-// SumsOf is the inverse of List. Sums that cannot be are an error.
+// SumsOf is the inverse of List. It returns an error if the number of sums is wrong or one
+// of them is negative, infinite or not a number.
 func SumsOf(list []float32) (Sums, error) {
 	var s Sums
 	into := s.pointers()
 	if len(list) != len(into) {
-		return Sums{}, errors.Errorf("%d sums of an engine model, want %d", len(list), len(into))
+		return Sums{}, errors.Errorf("engine model has %d sums, want %d", len(list), len(into))
 	}
 	for i, v := range list {
 		if math.IsNaN(float64(v)) || math.IsInf(float64(v), 0) || v < 0 {
-			return Sums{}, errors.Errorf("a sum of %v in an engine model", v)
+			return Sums{}, errors.Errorf("engine model has sum %v, want a finite number that is not negative", v)
 		}
 		*into[i] = float64(v)
 	}
 	return s, nil
 }
 
+// pointers returns pointers to all sums, in the order of List.
 func (s *Sums) pointers() []*float64 {
 	out := []*float64{&s.Weight}
 	for i := range s.Square {
@@ -132,7 +141,7 @@
 	return out
 }
 
-// Add adds other sums.
+// Add adds the samples of other sums.
 func (s *Sums) Add(other Sums) {
 	s.Weight += other.Weight
 	for i, v := range other.Square {
@@ -143,21 +152,21 @@
 	}
 }
 
-// Subtract takes out sums that were added before. What rounding leaves below zero counts as
-// nothing.
+// Subtract removes sums that were added before. Sums that are negative after it because of
+// rounding become 0.
 func (s *Sums) Subtract(other Sums) {
-	taken := other.pointers()
+	subtracted := other.pointers()
 	for i, v := range s.pointers() {
-		*v = max(0, *v-*taken[i])
+		*v = max(0, *v-*subtracted[i])
 	}
 }
 
-// Learn takes a sample in, and forgets a little of the earlier ones. figures are what is
-// believed now, of all gateways' samples.
-func (s *Sums) Learn(sample Sample, figures Figures) {
+// Learn adds a sample and lets the earlier ones decay. estimate is the current fit to the
+// samples of all gateways, from which the weight of the sample follows.
+func (s *Sums) Learn(sample Sample, estimate Figures) {
 	s.scale(1 - 1.0/memorySamples)
 	row, first := sample.row(), sample.First.Seconds()
-	expected := figures.FirstSeconds(sample.Own, sample.Ahead, sample.Running)
+	expected := estimate.FirstSeconds(sample.Own, sample.Ahead, sample.Running)
 	allowed := max(minTolerance, tolerance*expected)
 	weight := allowed / max(allowed, math.Abs(first-expected))
 	s.Weight += weight
@@ -171,46 +180,48 @@
 	}
 }
 
-func (s *Sums) scale(by float64) {
-	s.Weight *= by
+// scale multiplies all sums by a factor.
+func (s *Sums) scale(factor float64) {
+	s.Weight *= factor
 	for i := range s.Square {
-		s.Square[i] *= by
+		s.Square[i] *= factor
 	}
 	for i := range s.Target {
-		s.Target[i] *= by
+		s.Target[i] *= factor
 	}
 }
 
-// Figures are an engine's, as far as they are known.
+// Figures are the fitted coefficients of the model of a service's engines.
 type Figures struct {
-	// Base is the time of an idle engine's first event, reading left out.
+	// Base is the time to the first event at an idle engine without reading the prompt.
 	Base time.Duration
-	// Token is the time to read one token, in seconds, and Ahead how much later a first
-	// event comes for each token of others that was there before: less than Token where
-	// the view of the others' work is old.
+	// Token is the time to read one prompt token, in seconds. Ahead is how much later a
+	// first event arrives for each token of other requests that was to be read before, in
+	// seconds. It is less than Token if the view of the other gateways' work is old.
 	Token, Ahead float64
-	// Running is how much later it comes for each request in progress, in seconds.
+	// Running is how much later a first event arrives for each request in progress, in
+	// seconds.
 	Running float64
-	// Samples is how many samples count, with their weights; the prior not included.
+	// Samples is the sum of the weights of the samples, without the prior.
 	Samples float64
 }
 
-// Rate is how many prompt tokens an engine reads in a second.
+// Rate returns how many prompt tokens an engine reads per second.
 func (f Figures) Rate() float64 { return 1 / f.Token }
 
-// First is the expected time to a first event.
+// First returns the predicted time to a first event; see Sample for the arguments.
 func (f *Figures) First(own, ahead, running float64) time.Duration {
 	return seconds(f.FirstSeconds(own, ahead, running))
 }
 
-// FirstSeconds is First in seconds, for those who compare many.
+// FirstSeconds returns the same as First, in seconds, for callers that compare many.
 func (f *Figures) FirstSeconds(own, ahead, running float64) float64 {
 	return f.Base.Seconds() + own*f.Token + ahead*f.Ahead + running*f.Running
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Fit returns the figures that fit the sums and the prior best.
+// Fit returns the coefficients that fit the sums and the prior best, within bounds.
 func (s Sums) Fit() Figures {
 	var a [coefficientCount][coefficientCount + 1]float64
 	k := 0
@@ -223,7 +234,7 @@
 		a[i][coefficientCount] = s.Target[i]
 	}
 	for i, weight := range priorWeight {
-		// The prior counts as samples each of which knows one figure only.
+		// The prior counts as samples each of which depends on one coefficient only.
 		a[i][i] += weight
 		a[i][coefficientCount] += weight * prior[i]
 	}
@@ -235,8 +246,8 @@
 	return Figures{Base: seconds(x[0]), Token: x[1] / kilo, Ahead: ahead / kilo, Running: x[3], Samples: s.Weight}
 }
 
-// solve solves symmetric positive definite equations, the right side in the last
-// column. The prior on the diagonal makes them so.
+// solve solves a system of linear equations with the right-hand side in the last column. The
+// matrix must be symmetric and positive definite, as the prior on its diagonal makes it.
 func solve(a *[coefficientCount][coefficientCount + 1]float64) vector {
 	for i := range coefficientCount {
 		for k := range coefficientCount {
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -8,18 +8,21 @@
 	"time"
 )
 
-// engine is a model engine, in seconds and tokens.
+// engine is an engine that follows the model exactly. rate is in tokens per second, base and
+// running are in seconds.
 type engine struct{ rate, base, running float64 }
 
+// first returns the time to a first event, in seconds.
+
 func (e engine) first(own, ahead, running float64) float64 {
 	return e.base + (own+ahead)/e.rate + running*e.running
 }
 
-// fleet makes samples of one kind of engine, and may spoil them.
+// fleet generates samples of one kind of engine.
 type fleet struct {
 	engine
 	random *rand.Rand
-	// spoil changes the time of a sample.
+	// spoil, if not nil, changes the time to the first event of a sample, in seconds.
 	spoil func(random *rand.Rand, s Sample, first float64) float64
 }
 
@@ -40,7 +43,7 @@
 	return s
 }
 
-// teach shows so many samples to each of some gateways, which tell each other their sums.
+// teach gives each gateway a number of samples. The gateways exchange their sums at once.
 func (f *fleet) teach(gateways []Sums, samples int) Figures {
 	for range samples {
 		for g := range gateways {
@@ -58,18 +61,18 @@
 	return sum
 }
 
-// relativeError is by which part a rate is wrong.
+// relativeError returns the relative error of the estimated rate.
 func relativeError(f Figures, rate float64) float64 { return math.Abs(f.Rate()/rate - 1) }
 
-// Symptom: work goes to the wrong engines and too few are kept, on machines that nobody
-// has told of. Sequence: a system starts and sees its first requests. Cause: a constant
-// that suits other machines. 25 in a hundred are allowed: placement ranks engines by
-// differences, and a fifth more engines is the step that a domain's one more makes.
+// Guards against work going to the wrong engines, and too few engines being kept, on machines
+// of an unknown kind, when a system has just started: a constant suits only some machines. An
+// error of 25 percent is allowed, because placement ranks engines by differences, and one more
+// engine in a domain is a fifth more anyway.
 func TestTheRateIsRightAfterFiftyRequests(t *testing.T) {
 	for _, rate := range []float64{10_000, 30_900, 92_100, 200_000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
 			if got := newFleet(rate).teach(make([]Sums, 1), 50); relativeError(got, rate) > 0.25 {
-				t.Errorf("rate %.0f, want %.0f", got.Rate(), rate)
+				t.Errorf("one gateway, 50 requests: rate %.0f, want %.0f", got.Rate(), rate)
 			}
 			if got := newFleet(rate).teach(make([]Sums, 9), 6); relativeError(got, rate) > 0.25 {
 				t.Errorf("nine gateways, six requests each: rate %.0f, want %.0f", got.Rate(), rate)
@@ -78,20 +81,21 @@
 	}
 }
 
-// Symptom: upstreams are given up before callers come. Cause: what is not known is taken
-// for fast.
+// Guards against upstreams being given up before callers come, because engines that are not
+// known yet count as fast.
 func TestBeforeAnythingWasSeenEnginesAreTakenForSlow(t *testing.T) {
 	if got := (Sums{}).Fit(); got.Rate() > 20_001 || got.Samples != 0 {
-		t.Errorf("rate %.0f of %.0f samples", got.Rate(), got.Samples)
+		t.Errorf("rate %.0f of %.0f samples before any sample, want at most 20001 of 0", got.Rate(), got.Samples)
 	}
 	f := newFleet(92_100)
 	if got := f.teach(make([]Sums, 1), 3); got.Rate() > 92_100 {
-		t.Errorf("rate %.0f after three requests", got.Rate())
+		t.Errorf("rate %.0f after three requests, want at most 92100", got.Rate())
 	}
 }
 
-// Symptom: all engines are taken for slow, and more are ordered. Sequence: some engines
-// are slow, stand still or lack what they were believed to hold. Cause: a mean.
+// Guards against all engines counting as slow, and more being ordered, because some engines
+// are slow, are frozen or lack cached tokens that they were believed to hold. A plain mean
+// would follow such samples.
 func TestWhatDoesNotMislead(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -138,19 +142,19 @@
 	}
 }
 
-// Symptom: too few engines for minutes. Sequence: the operators change to slower
-// machines. Cause: samples that are never forgotten. 75 requests are 15 s at 5 a second.
+// Guards against too few engines for minutes after the operators change to slower machines,
+// because old samples are never forgotten. 75 requests are 15 s at 5 per second.
 func TestAnotherKindOfEngineIsFollowed(t *testing.T) {
 	for _, c := range []struct{ before, after float64 }{{92_100, 30_900}, {30_900, 92_100}} {
 		gateways := make([]Sums, 4)
 		newFleet(c.before).teach(gateways, 300)
 		if got := newFleet(c.after).teach(gateways, 75); relativeError(got, c.after) > 0.25 {
-			t.Errorf("%.0f after %.0f, want %.0f", got.Rate(), c.before, c.after)
+			t.Errorf("rate %.0f after a change from %.0f, want %.0f", got.Rate(), c.before, c.after)
 		}
 	}
 }
 
-// No samples whatever may give figures without sense, or end the process.
+// Whatever the samples are, the fit must not panic or give meaningless coefficients.
 func FuzzFigures(f *testing.F) {
 	f.Add(int64(1), 100.0, 0.0, 3.0)
 	f.Add(int64(-1), 0.0, -1.0, 1e9)
@@ -164,7 +168,7 @@
 		}
 		got := s.Fit()
 		if !(got.Rate() >= 4_999 && got.Rate() <= 1_000_001) || got.Base <= 0 || !(got.Running > 0) {
-			t.Fatalf("%+v", got)
+			t.Fatalf("meaningless coefficients: %+v", got)
 		}
 	})
 }
