--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -7,9 +7,9 @@
 //
 // The model predicts the time to the first event of a request as
 //
-//	base + own tokens / rate + tokens ahead * Ahead + requests in progress * Running
+//	base + own tokens * a + tokens ahead * b + requests in progress * c
 //
-// Its four coefficients are fitted by least squares with exponential forgetting. A sample
+// The four coefficients (base, a, b and c) are fitted by least squares with exponential forgetting. A sample
 // that is far from its prediction gets a lower weight (Huber weights), so that an engine
 // that is slow, is frozen or lacks cached tokens that it was believed to hold changes the
 // coefficients little, as long as most samples are sound. The sums that the fit needs can
@@ -76,8 +76,8 @@
 
 // Sample is the observation of one request at an engine.
 type Sample struct {
-	// Own is how many prompt tokens of the request the engine was believed to have to read.
-	// Ahead is the same for the requests that were there before and had no first event.
+	// How many prompt tokens the engine was believed to have to read: for the request itself,
+	// and for the requests that were there before and had no first event.
 	Own, Ahead float64
 	// Running is how many requests were in progress there before.
 	Running float64
@@ -195,9 +195,9 @@
 type Figures struct {
 	// Base is the time to the first event at an idle engine without reading the prompt.
 	Base time.Duration
-	// Token is the time to read one prompt token, in seconds. Ahead is how much later a
-	// first event arrives for each token of other requests that was to be read before, in
-	// seconds. It is less than Token if the view of the other gateways' work is old.
+	// The time to read one prompt token, in seconds, and how much later a first event arrives
+	// for each token of other requests that was to be read before, also in seconds. The latter
+	// is less than the former if the view of the other gateways' work is old.
 	Token, Ahead float64
 	// Running is how much later a first event arrives for each request in progress, in
 	// seconds.
@@ -214,7 +214,8 @@
 	return seconds(f.FirstSeconds(own, ahead, running))
 }
 
-// FirstSeconds returns the same as First, in seconds, for callers that compare many.
+// FirstSeconds returns the predicted time to a first event in seconds, for callers that
+// compare many.
 func (f *Figures) FirstSeconds(own, ahead, running float64) float64 {
 	return f.Base.Seconds() + own*f.Token + ahead*f.Ahead + running*f.Running
 }
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -43,8 +43,8 @@
 	return s
 }
 
-// teach gives each gateway a number of samples. The gateways exchange their sums at once.
-func (f *fleet) teach(gateways []Sums, samples int) Figures {
+// addSamples gives each gateway a number of samples. The gateways exchange their sums at once.
+func (f *fleet) addSamples(gateways []Sums, samples int) Figures {
 	for range samples {
 		for g := range gateways {
 			gateways[g].Learn(f.sample(), total(gateways).Fit())
@@ -71,10 +71,10 @@
 func TestTheRateIsRightAfterFiftyRequests(t *testing.T) {
 	for _, rate := range []float64{10_000, 30_900, 92_100, 200_000} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
-			if got := newFleet(rate).teach(make([]Sums, 1), 50); relativeError(got, rate) > 0.25 {
+			if got := newFleet(rate).addSamples(make([]Sums, 1), 50); relativeError(got, rate) > 0.25 {
 				t.Errorf("one gateway, 50 requests: rate %.0f, want %.0f", got.Rate(), rate)
 			}
-			if got := newFleet(rate).teach(make([]Sums, 9), 6); relativeError(got, rate) > 0.25 {
+			if got := newFleet(rate).addSamples(make([]Sums, 9), 6); relativeError(got, rate) > 0.25 {
 				t.Errorf("nine gateways, six requests each: rate %.0f, want %.0f", got.Rate(), rate)
 			}
 		})
@@ -88,7 +88,7 @@
 		t.Errorf("rate %.0f of %.0f samples before any sample, want at most 20001 of 0", got.Rate(), got.Samples)
 	}
 	f := newFleet(92_100)
-	if got := f.teach(make([]Sums, 1), 3); got.Rate() > 92_100 {
+	if got := f.addSamples(make([]Sums, 1), 3); got.Rate() > 92_100 {
 		t.Errorf("rate %.0f after three requests, want at most 92100", got.Rate())
 	}
 }
@@ -135,7 +135,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(30_900)
 			f.spoil = c.spoil
-			if got := f.teach(make([]Sums, 4), 100); relativeError(got, 30_900) > 0.25 {
+			if got := f.addSamples(make([]Sums, 4), 100); relativeError(got, 30_900) > 0.25 {
 				t.Errorf("rate %.0f, want 30900", got.Rate())
 			}
 		})
@@ -147,8 +147,8 @@
 func TestAnotherKindOfEngineIsFollowed(t *testing.T) {
 	for _, c := range []struct{ before, after float64 }{{92_100, 30_900}, {30_900, 92_100}} {
 		gateways := make([]Sums, 4)
-		newFleet(c.before).teach(gateways, 300)
-		if got := newFleet(c.after).teach(gateways, 75); relativeError(got, c.after) > 0.25 {
+		newFleet(c.before).addSamples(gateways, 300)
+		if got := newFleet(c.after).addSamples(gateways, 75); relativeError(got, c.after) > 0.25 {
 			t.Errorf("rate %.0f after a change from %.0f, want %.0f", got.Rate(), c.before, c.after)
 		}
 	}
--- a/internal/routing/placement/limits_test.go
+++ b/internal/routing/placement/limits_test.go
@@ -102,7 +102,7 @@
 // full: the full upstream takes work again soon.
 func TestAFullUpstreamBesideOneWithALimitIsWaitedFor(t *testing.T) {
 	f := newFixture()
-	f.see(directory.Ready, "a0", "a1")
+	f.setUpstreams(directory.Ready, "a0", "a1")
 	f.others["a1"] = Load{Running: 1000}
 	f.limits.Hear("a0", "", upstreamlimit.RateOf(0))
 	f.limits.Refresh(nil, upstreamlimit.Fleet{Heard: 1, Known: 1})
@@ -119,7 +119,7 @@
 // the verdict on the new version, or give it more than its share of the requests.
 func TestLimitsSayNothingOfAVersion(t *testing.T) {
 	for _, limited := range []ident.Version{"v1", "v2"} {
-		f, tracker := trying(8)
+		f, tracker := newRolloutFixture(8)
 		for _, u := range f.view.Of("svc") {
 			if u.Version == limited {
 				f.limits.Hear(u.ID, "", upstreamlimit.RateOf(1))
--- a/internal/routing/placement/placement_test.go
+++ b/internal/routing/placement/placement_test.go
@@ -39,7 +39,7 @@
 
 func newFixture() *fixture {
 	f := &fixture{now: time.Unix(1000, 0), silent: make(map[ident.FailureDomain]bool), others: make(map[ident.Instance]Load)}
-	f.see(directory.Ready, "a0", "a1", "b0", "b1", "c0", "c1")
+	f.setUpstreams(directory.Ready, "a0", "a1", "b0", "b1", "c0", "c1")
 	for i := range 100 {
 		own := float64(500 * (1 + i%7))
 		f.sums.Learn(enginemodel.Sample{Own: own, First: 15*time.Millisecond + time.Duration(own/92_100*float64(time.Second))}, f.sums.Fit())
@@ -61,8 +61,8 @@
 	return f
 }
 
-// see replaces the view by upstreams in one state, whose IDs begin with their failure domains.
-func (f *fixture) see(state directory.State, ids ...string) {
+// setUpstreams replaces the view by upstreams in one state, whose IDs begin with their failure domains.
+func (f *fixture) setUpstreams(state directory.State, ids ...string) {
 	var list []directory.Upstream
 	for _, id := range ids {
 		list = append(list, directory.Upstream{ID: ident.Instance(id), Name: ident.Instance(id), Service: "svc", FailureDomain: ident.FailureDomain(id[:1]), Slots: 8, State: state})
@@ -70,8 +70,8 @@
 	f.view = directory.NewView(list)
 }
 
-// queue sets the load that the other gateways have at each upstream.
-func (f *fixture) queue(load Load) {
+// setOtherLoads sets the load that the other gateways have at each upstream.
+func (f *fixture) setOtherLoads(load Load) {
 	for _, u := range f.view.Of("svc") {
 		f.others[u.ID] = load
 	}
@@ -293,7 +293,7 @@
 // those with one second are refused at once.
 func TestWhatCannotBeServedIsNotSent(t *testing.T) {
 	f := newFixture()
-	f.queue(Load{Running: 5, Unread: 200_000})
+	f.setOtherLoads(Load{Running: 5, Unread: 200_000})
 	for _, c := range []struct {
 		left time.Duration
 		want bool
@@ -314,7 +314,7 @@
 	if got := f.RoomIn(f.call(engine, 7), f.now); got != 0 {
 		t.Errorf("room in %v at idle engines, want 0", got)
 	}
-	f.queue(Load{Unread: 200_000})
+	f.setOtherLoads(Load{Unread: 200_000})
 	if got := f.RoomIn(f.call(engine, 7), f.now); got < time.Second || got > 2500*time.Millisecond {
 		t.Errorf("room in %v with 200,000 unread tokens at every engine, want 1s to 2.5s", got)
 	}
--- a/internal/routing/placement/sampledpair_test.go
+++ b/internal/routing/placement/sampledpair_test.go
@@ -22,7 +22,7 @@
 			for n := range upstreams {
 				ids = append(ids, fmt.Sprintf("%c%02d", 'a'+n%3, n))
 			}
-			f.see(directory.Ready, ids...)
+			f.setUpstreams(directory.Ready, ids...)
 			for n, u := range f.view.Of("svc") {
 				f.others[u.ID] = Load{Running: 1 + n%3, Unread: 500 * (1 + n%5)}
 			}
--- a/internal/routing/placement/subset_test.go
+++ b/internal/routing/placement/subset_test.go
@@ -12,8 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// as gives the fixture's gateway another number, and sets how many gateways there are.
-func (f *fixture) as(gateway, gateways int) {
+// setGateway gives the fixture's gateway another number, and sets how many gateways there are.
+func (f *fixture) setGateway(gateway, gateways int) {
 	f.cfg.Self, f.cfg.Gateways = ident.Instance(fmt.Sprint("gw", gateway)), func() int { return gateways }
 	f.seed = xxhash.Sum64String(string(f.cfg.Self))
 }
@@ -27,10 +27,10 @@
 	for i := range upstreams {
 		ids = append(ids, fmt.Sprint("a", i))
 	}
-	f.see(directory.Ready, ids...)
+	f.setUpstreams(directory.Ready, ids...)
 	got := make(map[ident.Instance]int)
 	for gateway := range gateways {
-		f.as(gateway, gateways)
+		f.setGateway(gateway, gateways)
 		last := ident.Instance("")
 		for again := range 2 {
 			choice := f.choose(t, f.call(plain, 0), forward.Done)
@@ -58,7 +58,7 @@
 			u := directory.Upstream{Name: ident.Instance(fmt.Sprint("u", i))}
 			sum := 0
 			for gateway := range gateways {
-				f.as(gateway, gateways)
+				f.setGateway(gateway, gateways)
 				if s := f.connectionShareOf(service); f.mayUse(&u, s) {
 					sum += s.maxPerUpstream
 				}
@@ -73,7 +73,7 @@
 // Guards against a gateway without any upstream because there are very many gateways.
 func TestAGatewayWithoutAShareUsesWhatThereIs(t *testing.T) {
 	f := newFixture()
-	f.as(7, 100_000)
+	f.setGateway(7, 100_000)
 	call := f.call(&routetable.Service{Name: "svc", MaxConnections: 10}, 0)
 	if _, ok := f.Choose(call, nil, f.now); !ok {
 		t.Error("found no upstream although all are idle")
--- a/internal/routing/placement/timing_test.go
+++ b/internal/routing/placement/timing_test.go
@@ -29,8 +29,8 @@
 	if got := slow(); got > route.Objective {
 		t.Errorf("an attempt at an idle engine is slow after %v, want at most the objective", got)
 	}
-	f.see(directory.Ready, "a0", "b0")
-	f.queue(Load{Unread: 200_000})
+	f.setUpstreams(directory.Ready, "a0", "b0")
+	f.setOtherLoads(Load{Unread: 200_000})
 	if got := slow(); got < 2*time.Second {
 		t.Errorf("an attempt behind a queue of two seconds is slow after %v, want at least 2s", got)
 	}
--- a/internal/routing/placement/versions_test.go
+++ b/internal/routing/placement/versions_test.go
@@ -13,9 +13,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-// trying returns a fixture with a rollout in its canary phase: half of n upstreams have the
+// newRolloutFixture returns a fixture with a rollout in its canary phase: half of n upstreams have the
 // new version v2.
-func trying(n int) (*fixture, *rollout.Tracker) {
+func newRolloutFixture(n int) (*fixture, *rollout.Tracker) {
 	f := newFixture()
 	var list []directory.Upstream
 	for i := range n {
@@ -44,7 +44,7 @@
 // Guards against a canary version getting requests in proportion to its upstreams instead of
 // its small share, and against a request that failed there being sent to it again.
 func TestATriedVersionGetsItsShareAndNoRepeats(t *testing.T) {
-	f, _ := trying(8)
+	f, _ := newRolloutFixture(8)
 	tried := 0
 	for i := range 1000 {
 		call := f.call(engine, 7)
@@ -74,7 +74,7 @@
 // Guards against a good version being stopped, and healthy upstreams being ejected, because
 // one request ended an upstream and broke off all others that ran there.
 func TestWhatAnEndBrokeOffSpeaksAgainstNobody(t *testing.T) {
-	f, tracker := trying(8)
+	f, tracker := newRolloutFixture(8)
 	reached := 0
 	for i := range 3000 {
 		call := f.call(engine, 7)
@@ -106,7 +106,7 @@
 
 // Guards against the announced end of an upstream being attributed to a request.
 func TestAnAnnouncedEndIsExpected(t *testing.T) {
-	f, _ := trying(8)
+	f, _ := newRolloutFixture(8)
 	choice, _ := f.Choose(f.call(engine, 7), nil, f.now)
 	u, _ := f.view.Upstream(choice.Upstream)
 	u.State = directory.Leaving
@@ -125,7 +125,7 @@
 // BenchmarkChoose: n upstreams have the old version and n others the new one.
 func BenchmarkChooseWhileAVersionIsTried(b *testing.B) {
 	for _, n := range []int{9, 64, 690} {
-		f, _ := trying(2 * n)
+		f, _ := newRolloutFixture(2 * n)
 		call := f.call(engine, 7)
 		b.Run(fmt.Sprintf("%d", n), func(b *testing.B) {
 			b.ReportAllocs()
