--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -9,13 +9,15 @@
 //
 //	base + own tokens * a + tokens ahead * b + requests in progress * c
 //
-// The four coefficients (base, a, b and c) are fitted by least squares with exponential forgetting. A sample
-// that is far from its prediction gets a lower weight (Huber weights), so that an engine
-// that is slow, is frozen or lacks cached tokens that it was believed to hold changes the
-// coefficients little, as long as most samples are sound. The sums that the fit needs can
-// be added: gateways exchange them, and a gateway that has just started begins with those
-// of the others. Alternatives that were rejected: the median of ratios needs the base from
-// another source, and the ratio to a prior cannot distinguish the base from the rate.
+// The four coefficients (base, a, b and c) are fitted by least squares with exponential
+// forgetting; the prefill rate is 1/a. A sample that is far from its prediction gets a
+// lower weight (Huber weights), so that an engine that is slow, is frozen or lacks cached
+// tokens that it was believed to hold changes the coefficients little, as long as most
+// samples are sound. The sums that the fit needs can be added: gateways exchange them, and
+// a gateway that has just started begins with those of the others.
+//
+// Alternatives that were rejected: the median of ratios needs the base from another source,
+// and the ratio to a prior cannot distinguish the base from the rate.
 //
 // The package is pure: it has no clock and does no I/O.
 package enginemodel
--- a/internal/routing/mechanisms_test.go
+++ b/internal/routing/mechanisms_test.go
@@ -175,7 +175,7 @@
 		{Context: 4000, Remaining: 500, BetweenTokens: step},
 		{Context: 9000, Remaining: 500, BetweenTokens: step},
 	}
-	// Two gateways share 50,000 tokens a second: 4,000 tokens take 160 ms and
+	// Two gateways share 50,000 tokens per second: 4,000 tokens take 160 ms and
 	// 9,000 take 360 ms, which together fit into 0.8 of 700 ms.
 	steps := PlanReclaim(streams, 700*time.Millisecond, rate, 2)
 	want := map[int]ReclaimAction{0: Stay, 1: Recompute, 2: MoveCache, 3: MoveCache}
--- a/internal/routing/placement/subset_test.go
+++ b/internal/routing/placement/subset_test.go
@@ -12,7 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// setGateway gives the fixture's gateway another number, and sets how many gateways there are.
+// setGateway makes the fixture's gateway another one, by number, and sets how many gateways
+// there are.
 func (f *fixture) setGateway(gateway, gateways int) {
 	f.cfg.Self, f.cfg.Gateways = ident.Instance(fmt.Sprint("gw", gateway)), func() int { return gateways }
 	f.seed = xxhash.Sum64String(string(f.cfg.Self))
--- a/internal/routing/placement/versions.go
+++ b/internal/routing/placement/versions.go
@@ -31,8 +31,8 @@
 
 // rolloutAnswer returns what a result shows about the upstream's version. It returns
 // false if the result shows nothing: if the upstream did not run the request, if it
-// ended during the request, or if the caller gave up or the request expired before
-// the answer was slow.
+// ended during the request, or if the caller gave up or the request expired, unless
+// the first event was slow to arrive by then.
 func (p *reservation) rolloutAnswer(result forward.Result, demand *serviceDemand, now time.Time) (rollout.Answer, bool) {
 	elapsed := now.Sub(p.sentAt)
 	if p.upstreamEnded {
--- a/internal/routing/placement/versions_test.go
+++ b/internal/routing/placement/versions_test.go
@@ -13,8 +13,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-// newRolloutFixture returns a fixture with a rollout in its canary phase: half of n upstreams have the
-// new version v2.
+// newRolloutFixture returns a fixture with a rollout in its canary phase: half of n upstreams
+// have the new version v2.
 func newRolloutFixture(n int) (*fixture, *rollout.Tracker) {
 	f := newFixture()
 	var list []directory.Upstream
