--- a/internal/routing/placement/engines.go
+++ b/internal/routing/placement/engines.go
@@ -7,66 +7,70 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// fitEvery is how often the figures of a service's engines are worked out anew. The other
-// gateways' reports come about as often, and a request moves the figures by a few in a
-// hundred.
-const fitEvery = 250 * time.Millisecond
+// fitInterval is how often the engine model of a service is fitted. The reports
+// of the other gateways arrive about as often, and one request changes the model
+// by only a few percent.
+const fitInterval = 250 * time.Millisecond
 
-// toldStep is by which part the reading rate must have changed for a log line.
-const toldStep = 0.25
+// loggedRateChange is the relative change of the prefill rate that is logged.
+const loggedRateChange = 0.25
 
-// engines is what is known of the engines of one service.
-type engines struct {
-	// own is what this gateway's requests saw.
-	own     enginemodel.Sums
-	figures enginemodel.Figures
-	fitted  time.Time
-	// told is the reading rate that the log has.
-	told float64
+// serviceEngines is what is known about the engines of one service.
+type serviceEngines struct {
+	// own sums the samples of this gateway's requests.
+	own enginemodel.Sums
+	// estimate is the model that was fitted at fittedAt to the samples of all
+	// gateways.
+	estimate enginemodel.Figures
+	fittedAt time.Time
+	// loggedRate is the prefill rate that was logged last, in tokens per second.
+	loggedRate float64
 }
 
-// learnEngine takes in what a request saw of its engine.
-func (c *Chooser) learnEngine(p *place, now time.Time) {
-	if p.unread == 0 {
-		return // an application, or a prompt that nobody counted
+// learnEngineSpeed adds a request's sample of its engine.
+func (c *Chooser) learnEngineSpeed(p *reservation, now time.Time) {
+	if p.unreadTokens == 0 {
+		return // a plain service, or a prompt whose tokens were not counted
 	}
-	figures := c.figures(p.service, now)
-	at(c.engines, p.service).own.Learn(enginemodel.Sample{
-		Own: float64(p.unread), Ahead: float64(p.ahead.Unread), Running: float64(p.ahead.Running), First: p.latency,
-	}, figures)
+	estimate := c.engineEstimate(p.service, now)
+	getOrCreate(c.engines, p.service).own.Learn(enginemodel.Sample{
+		Own: float64(p.unreadTokens), Ahead: float64(p.loadAhead.Unread), Running: float64(p.loadAhead.Running), First: p.firstEventLatency,
+	}, estimate)
 }
 
-// figures returns what all gateways' requests together say of a service's engines.
-func (c *Chooser) figures(service ident.Service, now time.Time) enginemodel.Figures {
-	e := at(c.engines, service)
-	if e.fitted.IsZero() || now.Sub(e.fitted) >= fitEvery {
+// engineEstimate returns the model of a service's engines that is fitted to the
+// samples of all gateways.
+func (c *Chooser) engineEstimate(service ident.Service, now time.Time) enginemodel.Figures {
+	e := getOrCreate(c.engines, service)
+	if e.fittedAt.IsZero() || now.Sub(e.fittedAt) >= fitInterval {
 		sums := e.own
 		sums.Add(c.cfg.Engines(service))
-		e.figures, e.fitted = sums.Fit(), now
-		c.tellEngines(service, e)
+		e.estimate, e.fittedAt = sums.Fit(), now
+		c.logEngineEstimate(service, e)
 	}
-	return e.figures
+	return e.estimate
 }
 
-// tellEngines logs a reading rate that differs from the one that was logged last.
-func (c *Chooser) tellEngines(service ident.Service, e *engines) {
-	rate := e.figures.Rate()
-	if e.figures.Samples == 0 || rate > e.told*(1-toldStep) && rate < e.told*(1+toldStep) {
+// logEngineEstimate logs the model if its prefill rate differs from the one that
+// was logged last by loggedRateChange or more.
+func (c *Chooser) logEngineEstimate(service ident.Service, e *serviceEngines) {
+	rate := e.estimate.Rate()
+	if e.estimate.Samples == 0 || rate > e.loggedRate*(1-loggedRateChange) && rate < e.loggedRate*(1+loggedRateChange) {
 		return
 	}
-	e.told = rate
-	c.cfg.Log.Info("engines' figures", "service", service, "tokens_per_s", int(rate), "base_ms", e.figures.Base.Milliseconds(),
-		"ahead_us_per_token", e.figures.Ahead*1e6, "running_ms", e.figures.Running*1e3, "samples", int(e.figures.Samples))
+	e.loggedRate = rate
+	c.cfg.Log.Info("fitted the engine model", "service", service, "tokens_per_s", int(rate), "base_ms", e.estimate.Base.Milliseconds(),
+		"ahead_us_per_token", e.estimate.Ahead*1e6, "running_ms", e.estimate.Running*1e3, "samples", int(e.estimate.Samples))
 }
 
-// EngineFigures returns what is known of a service's engines.
+// EngineFigures returns the current model of a service's engines.
 func (c *Chooser) EngineFigures(service ident.Service, now time.Time) enginemodel.Figures {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.figures(service, now)
+	return c.engineEstimate(service, now)
 }
 
-// Engines returns what this gateway's requests saw of each service's engines.
+// Engines returns the samples of this gateway's requests for each service.
 func (c *Chooser) Engines() map[ident.Service]enginemodel.Sums {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -1,11 +1,12 @@
-// Package placement chooses upstreams without asking them anything: from what
-// this gateway sent, from what the other gateways say that they have in
-// progress, and from which prompt parts belong where.
+// Package placement chooses the upstream for each request without querying the
+// upstreams. It uses what this gateway sent, what the other gateways report that
+// they have in progress, and which upstream is the home of which prompt part.
 //
-// Requests that share a prompt part go to the same engine, its home, so that
-// the part is read once. All gateways work out the same home by rendezvous
-// hashing and need no word of each other for it. Where the home has more work
-// before it than reading the part again takes, the next in line is used.
+// Requests that share a prompt part go to the same engine, the part's home, so
+// that the part is read (prefilled) only once. All gateways compute the same
+// home by rendezvous hashing, without exchanging messages. If the queue at the
+// home takes longer than reading the part again elsewhere, another engine is
+// used.
 package placement
 
 import (
@@ -24,30 +25,32 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-// Params are the weights of the choice.
+// Params are the weights and bounds of the choice.
 type Params struct {
-	// Again is how much a shared part that is read again counts, relative to the
-	// time that its reading takes: it costs the users' money and delays the
-	// others at that engine.
-	Again float64
-	// OtherDomain is what sending to another failure domain costs, in seconds:
-	// the way, and the price of the bytes.
-	OtherDomain float64
-	// EngineQueue and PlainQueue are how many requests may wait at an upstream
-	// for each of its slots; beyond them it takes no work.
-	EngineQueue, PlainQueue float64
+	// RecomputeWeight multiplies the time to read a shared part at an engine
+	// that is not its home. It is more than 1 because reading a part again costs
+	// the users' money and delays other requests at that engine.
+	RecomputeWeight float64
+	// OtherDomainCost is what sending to another failure domain adds to a score,
+	// in seconds: the round trip and the price of the bytes.
+	OtherDomainCost float64
+	// EngineQueuePerSlot and PlainQueuePerSlot are how many requests may wait at
+	// an engine or a plain upstream for each of its slots. An upstream with more
+	// gets no work.
+	EngineQueuePerSlot, PlainQueuePerSlot float64
 }
 
-// DefaultParams hold no engine's figures: these are learned.
+// DefaultParams returns the default parameters. They contain no engine's speed,
+// because that is learned.
 func DefaultParams() Params {
 	return Params{
-		// Waiting 0.2 s at the home is better than reading 5,000 tokens again:
-		// the objectives are 0.5 s and more.
-		Again: 4,
-		// 1 ms there and back, and bytes that cost as much as another 1 ms.
-		OtherDomain: 0.002,
-		EngineQueue: 0.5,
-		PlainQueue:  2,
+		// Waiting 0.2 s at the home is better than reading 5,000 tokens again,
+		// as the objectives are 0.5 s and more.
+		RecomputeWeight: 4,
+		// A round trip of 1 ms, and bytes whose price counts as another 1 ms.
+		OtherDomainCost:    0.002,
+		EngineQueuePerSlot: 0.5,
+		PlainQueuePerSlot:  2,
 	}
 }
 
@@ -55,155 +58,176 @@
 type Load struct {
 	// Running counts requests in progress.
 	Running int
-	// Unread are prompt tokens of requests without a first event.
+	// Unread counts the prompt tokens still to be read: those of requests that
+	// have had no first event.
 	Unread int
 }
 
-// Plus is the work of two together, and Minus what is left of it without a part.
-func (l Load) Plus(o Load) Load  { return Load{l.Running + o.Running, l.Unread + o.Unread} }
+// Plus returns the sum of two loads.
+func (l Load) Plus(o Load) Load { return Load{l.Running + o.Running, l.Unread + o.Unread} }
+
+// Minus returns the load without a part of it.
 func (l Load) Minus(o Load) Load { return Load{l.Running - o.Running, l.Unread - o.Unread} }
 
-// Config is what a Chooser works with.
+// Config holds the parameters of a Chooser and where it gets its data. The
+// functions are called with the Chooser locked and must not call it.
 type Config struct {
 	Params Params
-	// Self is this gateway, and Domain where it is.
+	// Self is this gateway, and Domain its failure domain.
 	Self   ident.Instance
 	Domain ident.FailureDomain
 	Log    hclog.Logger
-	// View returns the upstreams; it is called for each choice.
+	// View returns the current upstreams. It is called for each choice.
 	View func() *directory.View
-	// Others returns what the other gateways have at an upstream.
+	// Others returns the load that the other gateways have at an upstream.
 	Others func(ident.Instance) Load
-	// Silent reports whether all gateways of another failure domain have fallen
-	// silent just now.
+	// Silent reports whether all gateways of another failure domain have
+	// recently stopped reporting.
 	Silent func(ident.FailureDomain) bool
-	// Gateways is how many gateways share the upstreams' connections.
+	// Gateways returns how many gateways share the upstreams' connections.
 	Gateways func() int
-	// Engines returns what the other gateways' requests saw of a service's engines.
+	// Engines returns the other gateways' samples of a service's engines.
 	Engines func(ident.Service) enginemodel.Sums
-	// Limits are the rates that upstreams named.
+	// Limits are the rate limits that upstreams announced.
 	Limits Limits
-	// Split returns how a service's upstreams are split by version; nil if they are not.
+	// Split returns how a service's upstreams are split by version, or nil if
+	// they are not.
 	Split func(ident.Service) *rollout.Split
 }
 
-// Limits are the rates that upstreams named, to which all gateways keep together.
+// Limits are the rate limits that upstreams announced. They hold for all
+// gateways together.
 type Limits interface {
-	// Some reports whether any upstream has a limit; Version changes with those that have.
+	// Some reports whether any upstream has a limit.
 	Some() bool
+	// Version changes whenever the set of upstreams with limits changes.
 	Version() uint64
+	// Limited reports whether an upstream has a limit.
 	Limited(ident.Instance) bool
-	// Take reports whether a request may be sent to an upstream for which it is the best
-	// choice. It is counted as sent.
+	// Take reports whether the limit of an upstream admits one more request. If
+	// so, the request counts as sent.
 	Take(ident.Instance) bool
-	// RoomIn returns after how long upstreams take one more request that all have a limit.
+	// RoomIn returns the time until one of the upstreams, all of which have
+	// limits, admits one more request.
 	RoomIn([]ident.Instance) time.Duration
 }
 
 // Chooser implements forward.Placement. It is safe for concurrent use.
 type Chooser struct {
 	cfg Config
-	// seed makes this gateway's order of upstreams another one than that of others.
+	// seed makes this gateway rank the upstreams differently from the others.
 	seed uint64
 
+	// mu guards all fields below.
 	mu   sync.Mutex
 	view *directory.View
-	// lost are domains with when an upstream there did not answer last.
-	lost     map[ident.FailureDomain]time.Time
-	own      map[ident.Instance]*own
-	sets     map[ident.Service]*ejection.Set
-	learned  map[ident.Service]*timing
-	reported map[ident.Instance]ejection.State
-	work     map[ident.Service]*workOf
-	engines  map[ident.Service]*engines
-	limited  limitedMarks
-	search   search
+	// lastUnreachable is when a connection to an upstream last failed, by the
+	// upstream's failure domain.
+	lastUnreachable   map[ident.FailureDomain]time.Time
+	own               map[ident.Instance]*ownWork
+	ejectionSets      map[ident.Service]*ejection.Set
+	firstEventTimings map[ident.Service]*firstEventTiming
+	// loggedStates are the ejection states that were logged last.
+	loggedStates map[ident.Instance]ejection.State
+	demands      map[ident.Service]*serviceDemand
+	engines      map[ident.Service]*serviceEngines
+	limitedMarks limitedMarks
+	search       search
 }
 
-// own is what this gateway has at an upstream.
-type own struct {
+// ownWork is this gateway's work at an upstream.
+type ownWork struct {
 	load Load
-	// avoidUntil: it could not be reached.
+	// avoidUntil is when the upstream is tried again after a connection failed.
 	avoidUntil time.Time
-	failures   int
+	// failures counts the failed connections in a row.
+	failures int
 }
 
-// Avoidance of upstreams that cannot be reached: doubled with each failure in
-// a row. A crashed upstream is back, or out of the directory, within seconds.
+// An upstream that cannot be reached is avoided for minAvoidance, and for twice
+// as long after each further failure in a row, up to maxAvoidance. A crashed
+// upstream is back, or gone from the directory, within seconds.
 const (
-	firstAvoid = 500 * time.Millisecond
-	mostAvoid  = 4 * time.Second
+	minAvoidance = 500 * time.Millisecond
+	maxAvoidance = 4 * time.Second
 )
 
-// ejectionConfig is quicker than the package's defaults: the users' upstreams
-// that fail part of their requests do so for five seconds at a time.
+// ejectionConfig ejects and probes more quickly than the package's defaults,
+// because upstreams that fail some of their requests do so for about five
+// seconds at a time.
 var ejectionConfig = ejection.Config{Failures: 3, Base: 2 * time.Second, Longest: 8 * time.Second, Probes: 2, ProbeLimit: 5 * time.Second}
 
-// place is what a request holds at an upstream.
-type place struct {
-	domain  ident.FailureDomain
-	service ident.Service
-	route   string
-	unread  int
-	// ahead is what was there when it was sent.
-	ahead Load
-	sent  time.Time
-	// expected is the time to the first event behind what is there.
-	expected time.Duration
-	began    bool
-	latency  time.Duration
-	// ended: the upstream's process ended under the request.
-	ended bool
-	// split is how the service's upstreams were split by version; nil if they were not.
+// reservation is a request's place at an upstream, from Choose to Finished.
+type reservation struct {
+	domain       ident.FailureDomain
+	service      ident.Service
+	route        string
+	unreadTokens int
+	// loadAhead is the load that the upstream had before the request.
+	loadAhead Load
+	sentAt    time.Time
+	// expectedFirstEvent is the predicted time from sending to the first event,
+	// the wait for loadAhead included; 0 at a plain upstream.
+	expectedFirstEvent time.Duration
+	gotFirstEvent      bool
+	// firstEventLatency is the time from sending to the first event.
+	firstEventLatency time.Duration
+	// upstreamEnded is set if the upstream's process ended during the request.
+	upstreamEnded bool
+	// split is how the service's upstreams were split by version when the request
+	// was sent, or nil if they were not.
 	split    *rollout.Split
 	side     rollout.Side
 	upstream directory.Upstream
 }
 
-// New returns a Chooser that has sent nothing.
+// New returns a Chooser that has sent nothing yet.
 func New(cfg Config) *Chooser {
 	return &Chooser{
-		cfg: cfg, seed: xxhash.Sum64String(string(cfg.Self)), lost: make(map[ident.FailureDomain]time.Time), own: make(map[ident.Instance]*own), sets: make(map[ident.Service]*ejection.Set),
-		learned: make(map[ident.Service]*timing), reported: make(map[ident.Instance]ejection.State),
-		work: make(map[ident.Service]*workOf), engines: make(map[ident.Service]*engines),
+		cfg: cfg, seed: xxhash.Sum64String(string(cfg.Self)), lastUnreachable: make(map[ident.FailureDomain]time.Time), own: make(map[ident.Instance]*ownWork), ejectionSets: make(map[ident.Service]*ejection.Set),
+		firstEventTimings: make(map[ident.Service]*firstEventTiming), loggedStates: make(map[ident.Instance]ejection.State),
+		demands: make(map[ident.Service]*serviceDemand), engines: make(map[ident.Service]*serviceEngines),
 	}
 }
 
 // candidate is an upstream that may take a request.
 type candidate struct {
 	upstream directory.Upstream
-	own      *own
-	load     Load
-	score    float64
-	uncached int
-	// first is the expected time to the call's first event there, in seconds; 0 at an
-	// application.
-	first float64
+	own      *ownWork
+	// load is the load of all gateways at the upstream.
+	load Load
+	// score ranks candidates, in seconds; the lowest is the best.
+	score float64
+	// prefillTokens is how many prompt tokens the upstream would have to read.
+	prefillTokens int
+	// firstEventSeconds is the predicted time to the call's first event, in
+	// seconds; 0 at a plain upstream.
+	firstEventSeconds float64
 }
 
 // Choose implements forward.Placement.
 func (c *Chooser) Choose(call *forward.Call, exclude []ident.Instance, now time.Time) (forward.Choice, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	view := c.refresh()
-	set := c.set(call.Service.Name)
-	split, lists := c.lists(call, view, len(exclude) > 0, now)
+	view := c.refreshView()
+	set := c.ejectionSet(call.Service.Name)
+	split, lists := c.upstreamLists(call, view, len(exclude) > 0, now)
 	excluded := set.Excluded(now)
-	cut := c.cutOff(now)
-	figures := c.figures(call.Service.Name, now)
-	share := c.share(call.Service)
+	cut := c.cutOffDomains(now)
+	estimate := c.engineEstimate(call.Service.Name, now)
+	share := c.connectionShareOf(call.Service)
 	s := &c.search
-	*s = search{chooser: c, call: call, figures: figures, now: now, held: s.held}
-	best, why, found := s.first(lists, func(u *directory.Upstream, o *own) bool {
-		return !contains(exclude, u.ID) && !contains(excluded, u.ID) && !now.Before(o.avoidUntil) && !contains(cut, u.FailureDomain) && c.uses(u, share)
+	*s = search{chooser: c, call: call, estimate: estimate, now: now, limitedCandidates: s.limitedCandidates}
+	best, why, found := s.bestOfLists(lists, func(u *directory.Upstream, o *ownWork) bool {
+		return !contains(exclude, u.ID) && !contains(excluded, u.ID) && !now.Before(o.avoidUntil) && !contains(cut, u.FailureDomain) && c.mayUse(u, share)
 	})
 	if !found {
-		// Where only suspects are left, one of them is better than none.
-		best, why, found = s.first(lists, func(u *directory.Upstream, _ *own) bool { return !contains(exclude, u.ID) })
+		// If only suspect upstreams are left, one of them is better than none.
+		best, why, found = s.bestOfLists(lists, func(u *directory.Upstream, _ *ownWork) bool { return !contains(exclude, u.ID) })
 		why = "suspect, " + why
 	}
 	if !found {
-		return forward.Choice{AtLimit: s.atLimit, OnlyLimits: len(s.atLimit) > 0 && !s.full}, false
+		return forward.Choice{AtLimit: s.atLimit, OnlyLimits: len(s.atLimit) > 0 && !s.foundFull}, false
 	}
 	var side rollout.Side
 	if split != nil {
@@ -211,26 +235,27 @@
 	}
 	set.Started(now, best.upstream.ID)
 	best.own.load.Running++
-	best.own.load.Unread += best.uncached
+	best.own.load.Unread += best.prefillTokens
 	if len(exclude) == 0 {
-		at(c.work, call.Service.Name).began(call, now)
+		getOrCreate(c.demands, call.Service.Name).callStarted(call, now)
 	}
-	t := at(c.learned, call.Service.Name)
-	expected := time.Duration(best.first * float64(time.Second))
+	t := getOrCreate(c.firstEventTimings, call.Service.Name)
+	expected := time.Duration(best.firstEventSeconds * float64(time.Second))
 	return forward.Choice{
 		Upstream:       best.upstream.ID,
 		Name:           best.upstream.Name,
 		Address:        best.upstream.Address,
-		MaxConnections: share.most,
-		Slow:           t.slow(call.Route.Objective, expected),
+		MaxConnections: share.maxPerUpstream,
+		Slow:           t.slowAfter(call.Route.Objective, expected),
 		Why:            why,
 		AtLimit:        s.atLimit,
-		Place:          &place{domain: best.upstream.FailureDomain, service: call.Service.Name, route: call.Route.Name, unread: best.uncached, sent: now, expected: expected, ahead: best.load, split: split, side: side, upstream: best.upstream},
+		Place:          &reservation{domain: best.upstream.FailureDomain, service: call.Service.Name, route: call.Route.Name, unreadTokens: best.prefillTokens, sentAt: now, expectedFirstEvent: expected, loadAhead: best.load, split: split, side: side, upstream: best.upstream},
 	}, true
 }
 
-// lists returns which upstreams may take a call.
-func (c *Chooser) lists(call *forward.Call, view *directory.View, again bool, now time.Time) (*rollout.Split, rollout.Lists) {
+// upstreamLists returns the upstreams that may take a call, and how they are
+// split by version. again is true if the call was sent before.
+func (c *Chooser) upstreamLists(call *forward.Call, view *directory.View, again bool, now time.Time) (*rollout.Split, rollout.Lists) {
 	split := c.cfg.Split(call.Service.Name)
 	if split == nil {
 		return nil, rollout.Lists{First: view.Of(call.Service.Name)}
@@ -238,153 +263,166 @@
 	return split, split.Lists(call.ID, call.Route.Name, again, now)
 }
 
-// search is the search for one call's upstream.
+// search is the state of the search for one call's upstream.
 type search struct {
-	chooser *Chooser
-	call    *forward.Call
-	figures enginemodel.Figures
-	now     time.Time
-	// held are those of the candidates that have limits; kept for the next search.
-	held []candidate
-	// atLimit are the upstreams that would have been better but for their limits, and full
-	// whether one had as much work as it may get.
+	chooser  *Chooser
+	call     *forward.Call
+	estimate enginemodel.Figures
+	now      time.Time
+	// limitedCandidates are the candidates with rate limits. The slice is reused
+	// by the next search.
+	limitedCandidates []candidate
+	// atLimit are the upstreams that scored better than the chosen one, but whose
+	// limits did not admit the call.
 	atLimit []ident.Instance
-	full    bool
+	// foundFull is set if an upstream was passed over because it was full.
+	foundFull bool
 }
 
-// first returns the best candidate of the first list that has one.
-func (s *search) first(lists rollout.Lists, fits func(*directory.Upstream, *own) bool) (candidate, string, bool) {
-	best, why, found := s.best(lists.First, fits)
+// bestOfLists returns the best candidate of the first list that has one, and
+// the reason of the choice for the log.
+func (s *search) bestOfLists(lists rollout.Lists, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
+	best, why, found := s.bestOfList(lists.First, fits)
 	if !found && len(lists.Then) > 0 {
-		return s.best(lists.Then, fits)
+		return s.bestOfList(lists.Then, fits)
 	}
 	return best, why, found
 }
 
-// best returns the candidate with the least score among those that fit and take it.
-func (s *search) best(all []directory.Upstream, fits func(*directory.Upstream, *own) bool) (candidate, string, bool) {
+// bestOfList returns the candidate with the lowest score among the ready
+// upstreams that fit, are not full, can probably serve the call in time, and
+// whose limits admit it.
+func (s *search) bestOfList(all []directory.Upstream, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
 	var best candidate
 	found := false
-	c, call, figures := s.chooser, s.call, &s.figures
-	s.held = s.held[:0]
-	limited := c.limited.of(all, c.cfg.Limits)
-	order := c.line(call, all)
-	var two drawn
+	c, call, estimate := s.chooser, s.call, &s.estimate
+	s.limitedCandidates = s.limitedCandidates[:0]
+	limited := c.limitedMarks.marksOf(all, c.cfg.Limits)
+	order := c.homeOrderOf(call, all)
+	var pair sampledPair
 	if call.Service.Engine != nil {
-		two = draw(call, all)
+		pair = samplePair(call, all)
 	}
-	left := call.Remaining(s.now).Seconds()
+	remaining := call.Remaining(s.now).Seconds()
 	for i := range all {
 		u := &all[i]
-		o := at(c.own, u.ID)
+		o := getOrCreate(c.own, u.ID)
 		if u.State != directory.Ready || !fits(u, o) {
 			continue
 		}
-		next := candidate{upstream: *u, own: o, load: c.loadAt(u.ID, o)}
-		if c.full(call, &next) {
-			s.full = true
+		next := candidate{upstream: *u, own: o, load: c.totalLoad(u.ID, o)}
+		if c.isFull(call, &next) {
+			s.foundFull = true
 			continue
 		}
-		c.score(call, &next, order, i, figures)
-		if next.first > 0 && (order == nil || order.home != i) && !two.has(i) {
-			next.score += notDrawn
+		c.score(call, &next, order, i, estimate)
+		if next.firstEventSeconds > 0 && (order == nil || order.home != i) && !pair.has(i) {
+			next.score += unsampledPenalty
 		}
-		if figures.Samples >= fewest && next.first > left {
-			// A request that surely cannot be served would take an engine's time
-			// from those that can, and its caller would wait for nothing.
+		if estimate.Samples >= minSamples && next.firstEventSeconds > remaining {
+			// A request that will not be served in time would take engine time
+			// from requests that can be, and its caller would wait in vain.
 			continue
 		}
 		if limited != nil && limited[i] {
-			s.held = append(s.held, next)
+			s.limitedCandidates = append(s.limitedCandidates, next)
 			continue
 		}
 		if !found || next.score < best.score {
 			best, found = next, true
 		}
 	}
-	if len(s.held) > 0 {
-		best, found = s.withLimits(best, found)
+	if len(s.limitedCandidates) > 0 {
+		best, found = s.applyLimits(best, found)
 	}
 	why := "least work"
-	if found && order != nil && best.uncached < call.PromptTokens {
+	if found && order != nil && best.prefillTokens < call.PromptTokens {
 		why = "holds the prompt's parts"
 	}
 	return best, why, found
 }
 
-func (c *Chooser) loadAt(id ident.Instance, o *own) Load {
+// totalLoad returns the load of all gateways at an upstream.
+func (c *Chooser) totalLoad(id ident.Instance, o *ownWork) Load {
 	return o.load.Plus(c.cfg.Others(id))
 }
 
-// full reports whether an upstream has as much work as it may get.
-func (c *Chooser) full(call *forward.Call, x *candidate) bool {
-	queue := c.cfg.Params.PlainQueue
+// isFull reports whether an upstream has as many requests as it may get.
+func (c *Chooser) isFull(call *forward.Call, x *candidate) bool {
+	queue := c.cfg.Params.PlainQueuePerSlot
 	if call.Service.Engine != nil {
-		queue = c.cfg.Params.EngineQueue
+		queue = c.cfg.Params.EngineQueuePerSlot
 	}
-	most := float64(x.upstream.Slots) * (1 + queue)
-	return x.upstream.Slots > 0 && float64(x.load.Running) >= most
+	capacity := float64(x.upstream.Slots) * (1 + queue)
+	return x.upstream.Slots > 0 && float64(x.load.Running) >= capacity
 }
 
-// amongEquals is what an upstream's place in this gateway's order counts, in seconds: less
-// than a request in progress, or another failure domain.
-const amongEquals = 1e-4
+// tieBreakSeconds is the most that the rank of an upstream adds to its score, in
+// seconds. It is less than what a request in progress or another failure domain
+// adds.
+const tieBreakSeconds = 1e-4
 
-// score sets the candidate's expected first event, and its score: that time in seconds,
-// and what else speaks against it.
-func (c *Chooser) score(call *forward.Call, x *candidate, order *line, i int, figures *enginemodel.Figures) {
+// score sets the candidate's predicted time to the first event, and its score:
+// that time, plus penalties for reading shared parts again, for another failure
+// domain, and for breaking ties. i is the upstream's index in the list of order,
+// which is nil if the call shares no prompt part.
+func (c *Chooser) score(call *forward.Call, x *candidate, order *homeOrder, i int, estimate *enginemodel.Figures) {
 	p := c.cfg.Params
-	x.uncached = call.PromptTokens
-	again := 0.0
+	x.prefillTokens = call.PromptTokens
+	extraTokens := 0.0
 	if order != nil {
 		shared := sharedTokens(call)
 		if order.home == i {
-			x.uncached -= shared
+			x.prefillTokens -= shared
 		} else {
-			again = (p.Again - 1) * float64(shared)
+			extraTokens = (p.RecomputeWeight - 1) * float64(shared)
 		}
 	}
 	if call.Service.Engine == nil {
 		x.score = float64(x.load.Running) / float64(max(1, x.upstream.Slots)) * call.Route.Objective.Seconds()
-		// What goes wrong if all gateways take the same one of several idle upstreams: each
-		// of hundreds sends it what few requests it has, and the others stand by.
-		x.score += c.rank(x.upstream.Name) * amongEquals
+		// The rank differs between gateways. Without it hundreds of gateways with
+		// few requests each would all use the same one of several idle upstreams.
+		x.score += c.rank(x.upstream.Name) * tieBreakSeconds
 	} else {
-		x.first = figures.FirstSeconds(float64(x.uncached), float64(x.load.Unread), float64(x.load.Running))
-		x.score = x.first + again*figures.Token
+		x.firstEventSeconds = estimate.FirstSeconds(float64(x.prefillTokens), float64(x.load.Unread), float64(x.load.Running))
+		x.score = x.firstEventSeconds + extraTokens*estimate.Token
 	}
 	if order != nil {
-		// Among equals the first in line, so that copies of a part stay few. The
-		// weight is below what a request in progress counts.
-		x.score += order.behind(i) * 1e-3
+		// Among equals the front of the home order is preferred, so that few
+		// engines hold copies of a part. The weight is less than what a request in
+		// progress adds.
+		x.score += order.distanceFromFront(i) * 1e-3
 	}
 	if x.upstream.FailureDomain != c.cfg.Domain {
-		x.score += p.OtherDomain
+		x.score += p.OtherDomainCost
 	}
 }
 
-// refresh takes over a new view of the upstreams.
-func (c *Chooser) refresh() *directory.View {
+// refreshView returns the current view of the upstreams. If it is new, it also
+// updates what is kept by upstream.
+func (c *Chooser) refreshView() *directory.View {
 	view := c.cfg.View()
 	if view == c.view {
 		return view
 	}
 	c.view = view
-	// Marks by their lists would keep the views of before in memory.
-	c.limited.marks = nil
-	for service, set := range c.sets {
-		set.SetUpstreams(ready(view.Of(service)))
+	// The keys of the marks point into the previous view and would keep it in
+	// memory.
+	c.limitedMarks.marks = nil
+	for service, set := range c.ejectionSets {
+		set.SetUpstreams(readyIDs(view.Of(service)))
 	}
 	for id, o := range c.own {
 		if _, known := view.Upstream(id); !known && o.load == (Load{}) {
 			delete(c.own, id)
-			delete(c.reported, id)
+			delete(c.loggedStates, id)
 		}
 	}
 	return view
 }
 
-func ready(upstreams []directory.Upstream) []ident.Instance {
+// readyIDs returns the IDs of the upstreams that are ready.
+func readyIDs(upstreams []directory.Upstream) []ident.Instance {
 	var ids []ident.Instance
 	for _, u := range upstreams {
 		if u.State == directory.Ready {
@@ -394,21 +432,22 @@
 	return ids
 }
 
-func (c *Chooser) set(service ident.Service) *ejection.Set {
-	set := c.sets[service]
+// ejectionSet returns the ejection state of a service's upstreams.
+func (c *Chooser) ejectionSet(service ident.Service) *ejection.Set {
+	set := c.ejectionSets[service]
 	if set == nil {
 		set = ejection.New(ejectionConfig)
 		if c.view != nil {
-			set.SetUpstreams(ready(c.view.Of(service)))
+			set.SetUpstreams(readyIDs(c.view.Of(service)))
 		}
-		c.sets[service] = set
+		c.ejectionSets[service] = set
 	}
 	return set
 }
 
-// at returns what a map holds of a key; a zero value that it holds from now on, if
-// nothing.
-func at[K comparable, V any](m map[K]*V, key K) *V {
+// getOrCreate returns the value of a key. If there is none, it adds a zero value
+// to the map and returns that.
+func getOrCreate[K comparable, V any](m map[K]*V, key K) *V {
 	v := m[key]
 	if v == nil {
 		v = new(V)
@@ -417,7 +456,7 @@
 	return v
 }
 
-// Own returns this gateway's work at each upstream that has any.
+// Own returns this gateway's load at each upstream where it has any.
 func (c *Chooser) Own() map[ident.Instance]Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routing/placement/work.go
+++ b/internal/routing/placement/work.go
@@ -9,135 +9,144 @@
 )
 
 const (
-	// workMemory is over how long the work of a service is averaged: two or three
+	// demandWindow is the time constant of a service's average demand. Two or three
 	// seconds show a burst before its queues have grown.
-	workMemory = 2500 * time.Millisecond
-	// usualMemory is over how many answers a route's usual time is averaged: some ten
-	// seconds of want of engines hardly move it.
-	usualMemory = 200
-	// usualClip bounds what one answer counts, in times of the usual one.
-	usualClip = 2
+	demandWindow = 2500 * time.Millisecond
+	// maxMeanSamples is over how many answers a route's mean time is averaged: so many
+	// that a shortage of engines for some ten seconds hardly changes the mean.
+	maxMeanSamples = 200
+	// maxSampleRatio bounds the time that one answer counts with, as a multiple of the
+	// mean.
+	maxSampleRatio = 2
 )
 
-// workOf is the work that callers ask of a service through this gateway: what engines
-// would have to do if there were enough of them. What goes wrong if what they have in
-// progress were counted instead: where they are short, all answers take several times as
-// long, and on-demand engines would be ordered for work that nobody asks for.
-type workOf struct {
-	// prompt is tokens to be read a second; it decays.
-	prompt float64
-	at     time.Time
-	routes map[string]*routeWork
+// serviceDemand estimates the work that callers ask of a service through this
+// gateway: what its engines would have to do if there were enough of them.
+//
+// It does not count the requests in progress. While engines are short, all answers
+// take several times as long, and on-demand engines would be ordered for work that
+// nobody asks for.
+type serviceDemand struct {
+	// promptRate is the number of prompt tokens to be read per second, as of updatedAt.
+	promptRate float64
+	updatedAt  time.Time
+	routes     map[string]*routeDemand
 }
 
-// routeWork is the generating that one route asks for.
-type routeWork struct {
-	// rate is requests a second; it decays.
-	rate float64
-	// usual is how long an answer takes from its first event to its end, in seconds,
-	// of so many samples.
-	usual   float64
-	samples int
+// routeDemand is the demand of one route for generating answers.
+type routeDemand struct {
+	// requestRate is the number of requests per second, as of updatedAt of the service.
+	requestRate float64
+	// meanSeconds is the mean time of an answer from its first event to its end, in
+	// seconds, and samples how many answers were measured.
+	meanSeconds float64
+	samples     int
 }
 
-// moveTo lets time pass.
-func (w *workOf) moveTo(now time.Time) {
-	elapsed := now.Sub(w.at)
+// decayTo lets the rates decay until now.
+func (d *serviceDemand) decayTo(now time.Time) {
+	elapsed := now.Sub(d.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
-	keep := math.Exp(-elapsed.Seconds() / workMemory.Seconds())
-	w.prompt *= keep
-	for _, r := range w.routes {
-		r.rate *= keep
+	keep := math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
+	d.promptRate *= keep
+	for _, r := range d.routes {
+		r.requestRate *= keep
 	}
-	w.at = now
+	d.updatedAt = now
 }
 
-// began notes a call that is sent for the first time, with the tokens that it asks to be
-// read.
-func (w *workOf) began(call *forward.Call, now time.Time) {
-	w.moveTo(now)
-	w.prompt += float64(offered(call)) / workMemory.Seconds()
-	w.route(call.Route.Name).rate += 1 / workMemory.Seconds()
+// callStarted records a call that is sent for the first time.
+func (d *serviceDemand) callStarted(call *forward.Call, now time.Time) {
+	d.decayTo(now)
+	d.promptRate += float64(prefillTokens(call)) / demandWindow.Seconds()
+	d.route(call.Route.Name).requestRate += 1 / demandWindow.Seconds()
 }
 
-// ended notes how long a whole answer of a route took from its first event on.
-func (w *workOf) ended(route string, generating time.Duration) {
-	w.route(route).learn(generating.Seconds())
+// answerFinished records how long a whole answer of a route took from its first
+// event to its end.
+func (d *serviceDemand) answerFinished(route string, generating time.Duration) {
+	d.route(route).learn(generating.Seconds())
 }
 
-func (w *workOf) route(name string) *routeWork {
-	if w.routes == nil {
-		w.routes = make(map[string]*routeWork)
+func (d *serviceDemand) route(name string) *routeDemand {
+	if d.routes == nil {
+		d.routes = make(map[string]*routeDemand)
 	}
-	return at(w.routes, name)
+	return getOrCreate(d.routes, name)
 }
 
-func (r *routeWork) learn(seconds float64) {
+// learn adds the time of an answer to the mean.
+func (r *routeDemand) learn(seconds float64) {
 	r.samples++
 	if r.samples == 1 {
-		r.usual = seconds
+		r.meanSeconds = seconds
 		return
 	}
-	weight := 1 / float64(min(r.samples, usualMemory))
-	r.usual += weight * (min(seconds, usualClip*r.usual) - r.usual)
+	weight := 1 / float64(min(r.samples, maxMeanSamples))
+	r.meanSeconds += weight * (min(seconds, maxSampleRatio*r.meanSeconds) - r.meanSeconds)
 }
 
-// generating is how many requests would be generating at their usual speed.
-func (w *workOf) generating() float64 {
+// generating returns how many requests would be generating an answer at a time if
+// each took the mean time of its route.
+func (d *serviceDemand) generating() float64 {
 	sum := 0.0
-	for _, r := range w.routes {
-		sum += r.rate * r.usual
+	for _, r := range d.routes {
+		sum += r.requestRate * r.meanSeconds
 	}
 	return sum
 }
 
-// usualsOfDrain times the usual answer nearly all answers last.
-const usualsOfDrain = 3
+// drainFactor is the multiple of the mean answer time within which nearly all
+// answers end.
+const drainFactor = 3
 
-// Drain returns how long nearly all answers of a service take that have begun.
+// Drain returns the time within which nearly all answers of a service end that have
+// begun.
 func (c *Chooser) Drain(service ident.Service) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	longest := 0.0
-	for _, r := range at(c.work, service).routes {
-		longest = max(longest, r.usual)
+	for _, r := range getOrCreate(c.demands, service).routes {
+		longest = max(longest, r.meanSeconds)
 	}
-	return time.Duration(usualsOfDrain * longest * float64(time.Second))
+	return time.Duration(drainFactor * longest * float64(time.Second))
 }
 
-// offered is how many prompt tokens a call asks to be read: those that the home of its
-// parts lacks. Where engines are short, requests are sent away from their homes and sent
-// again, and three times as many are read.
-func offered(call *forward.Call) int {
+// prefillTokens returns how many prompt tokens a call asks to be read: those that
+// the home of its shared parts does not have. The number that is really read is no
+// measure of demand: while engines are short, requests are sent elsewhere than to
+// their homes and sent again, and three times as many tokens are read.
+func prefillTokens(call *forward.Call) int {
 	return call.PromptTokens - sharedTokens(call)
 }
 
-// Demand is what callers ask of a service's engines: what these would have to do if there
-// were enough of them.
+// Demand is the work that callers ask of a service's engines: what these would have
+// to do if there were enough of them.
 type Demand struct {
-	// Prompt is tokens to be read a second.
+	// Prompt is the number of prompt tokens to be read per second.
 	Prompt float64
-	// Generating is how many requests would be generating at their usual speed.
+	// Generating is how many requests would be generating an answer at a time if each
+	// took its usual time.
 	Generating float64
 }
 
-// Plus is what two ask together.
+// Plus returns the sum of two demands.
 func (d Demand) Plus(o Demand) Demand {
 	return Demand{d.Prompt + o.Prompt, d.Generating + o.Generating}
 }
 
-// Minus is what is left of a demand without a part of it.
+// Minus returns the demand without a part of it, at least 0.
 func (d Demand) Minus(o Demand) Demand {
 	return Demand{max(0, d.Prompt-o.Prompt), max(0, d.Generating-o.Generating)}
 }
 
-// Demand returns what this gateway's callers ask of a service.
+// Demand returns the demand of this gateway's callers for a service.
 func (c *Chooser) Demand(service ident.Service, now time.Time) Demand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := at(c.work, service)
-	w.moveTo(now)
-	return Demand{Prompt: w.prompt, Generating: w.generating()}
+	d := getOrCreate(c.demands, service)
+	d.decayTo(now)
+	return Demand{Prompt: d.promptRate, Generating: d.generating()}
 }
--- a/internal/routing/predict.go
+++ b/internal/routing/predict.go
@@ -9,23 +9,27 @@
 )
 
 const (
-	// priorities bounds the distinct priorities that are learnt apart.
-	priorities = 8
-	// learnRate is the weight of one observation in a learnt average.
-	learnRate = 0.02
-	// marginQuantile of the first tokens come within the margin, which moves
-	// in steps of marginStep and up to marginMost, as logarithms of a factor.
+	// priorityLevels is how many priorities are learned separately; higher ones
+	// share the last level.
+	priorityLevels = 8
+	// averageWeight is the weight of one observation in a learned average.
+	averageWeight = 0.02
+	// marginQuantile is the share of first tokens that arrive within the
+	// margin. The margin is a factor, of which the logarithm is kept: it moves in
+	// steps of up to logMarginStep and is at most maxLogMargin.
 	marginQuantile = 0.8
-	marginStep     = 0.05
-	marginMost     = 2
-	// assumedOutput is the mean answer, in tokens, until it is learnt.
+	logMarginStep  = 0.05
+	maxLogMargin   = 2
+	// assumedOutput is the mean length of an answer, in tokens, that the learned
+	// mean starts from.
 	assumedOutput = 200
 )
 
-// average is an exponentially weighted mean that many goroutines update. A
-// lost update is harmless: it is one observation of many.
+// average is an exponentially weighted mean that many goroutines update. An
+// update that is lost in a race is harmless, as it is one observation of many.
 type average struct{ bits atomic.Uint64 }
 
+// load returns the mean, or initial if nothing was added or stored.
 func (a *average) load(initial float64) float64 {
 	if bits := a.bits.Load(); bits != 0 {
 		return math.Float64frombits(bits)
@@ -33,39 +37,44 @@
 	return initial
 }
 
+// add moves the mean, which begins at initial, towards an observation.
 func (a *average) add(x, initial float64) {
 	old := a.load(initial)
-	a.bits.Store(math.Float64bits(old + learnRate*(x-old)))
+	a.bits.Store(math.Float64bits(old + averageWeight*(x-old)))
 }
 
 func (a *average) store(x float64) { a.bits.Store(math.Float64bits(x)) }
 
-// predictor learns what reports do not tell.
+// predictor learns from this gateway's requests what the reports of engines do
+// not contain.
 //
-// Engines serve higher priorities first, but their reports only give sums. What
-// share of a queue goes before a new request is taken from this gateway's own
-// requests: the mix of those that wait for their first token. Other gateways'
-// requests are like them.
+// Engines serve higher priorities first, but their reports give only the sums
+// over all priorities. The share of a queue that is served before a new request
+// is estimated from the priorities of this gateway's own requests that wait for
+// their first token, on the assumption that the requests of other gateways have
+// the same mix.
 type predictor struct {
-	// waiting is what waits for its first token now, by priority.
-	waiting [priorities]waiting
-	// margins are, by priority, the logarithm of the factor within which
-	// marginQuantile of the first tokens came.
-	margins [priorities]average
-	// output is the mean length of the answers.
+	// waiting is the work that waits for its first token, by priority.
+	waiting [priorityLevels]waitingWork
+	// margins are the logarithms of the margins, by priority; see learnMargin.
+	margins [priorityLevels]average
+	// output is the mean MaxTokens of the requests.
 	output average
 }
 
-// waiting is this gateway's work of one priority that waits for first tokens,
-// now and on average.
-type waiting struct {
+// waitingWork counts this gateway's requests of one priority that wait for their
+// first token, and their uncached tokens, now and on average.
+type waitingWork struct {
 	requests, tokens         atomic.Int64
 	meanRequests, meanTokens average
 }
 
-func priorityIndex(priority int) int { return min(max(priority, 0), priorities-1) }
+// priorityIndex returns the level at which a priority is learned.
+func priorityIndex(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
-func (p *predictor) started(priority, tokens int) {
+// addWaiting records a request that begins to wait for its first token, and
+// updates the averages of all priorities.
+func (p *predictor) addWaiting(priority, tokens int) {
 	w := &p.waiting[priorityIndex(priority)]
 	w.requests.Add(1)
 	w.tokens.Add(int64(tokens))
@@ -76,36 +85,42 @@
 	}
 }
 
-func (p *predictor) settled(priority, tokens int) {
+// removeWaiting undoes addWaiting when the first token arrives or the attempt
+// ends.
+func (p *predictor) removeWaiting(priority, tokens int) {
 	w := &p.waiting[priorityIndex(priority)]
 	w.requests.Add(-1)
 	w.tokens.Add(-int64(tokens))
 }
 
-// learn notes how a prediction came out. The margin moves up by each miss and
-// down by each hit, in such a proportion that it rests at its quantile.
-func (p *predictor) learn(priority int, predicted, actual time.Duration) {
+// learnMargin compares a predicted time to the first token with the actual one.
+// The margin grows if the first token arrived later than the prediction times
+// the margin, and shrinks otherwise. The two steps are in such a proportion that
+// the margin settles where marginQuantile of the first tokens arrive in time.
+func (p *predictor) learnMargin(priority int, predicted, actual time.Duration) {
 	if predicted <= 0 || actual <= 0 {
 		return
 	}
 	margin := &p.margins[priorityIndex(priority)]
 	m := margin.load(0)
 	if math.Log(float64(actual)/float64(predicted)) > m {
-		m += marginStep * marginQuantile
+		m += logMarginStep * marginQuantile
 	} else {
-		m -= marginStep * (1 - marginQuantile)
+		m -= logMarginStep * (1 - marginQuantile)
 	}
-	margin.store(min(max(m, 0), marginMost))
+	margin.store(min(max(m, 0), maxLogMargin))
 }
 
-// margin is the factor within which marginQuantile of the first tokens come.
+// margin returns the factor by which predictions are multiplied so that
+// marginQuantile of the first tokens arrive in time.
 func (p *predictor) margin(priority int) float64 {
 	return math.Exp(p.margins[priorityIndex(priority)].load(0))
 }
 
-// shares returns which part of queued requests and of queued prefill is served
-// before a new request of a priority.
-func (p *predictor) shares(priority int) (requests, tokens float64) {
+// sharesAhead returns the shares of an upstream's queued requests and queued
+// prefill tokens that are served before a new request of a priority: those of
+// the same or a higher priority.
+func (p *predictor) sharesAhead(priority int) (requests, tokens float64) {
 	var aheadRequests, allRequests, aheadTokens, allTokens float64
 	for i := range p.waiting {
 		r, t := p.waiting[i].meanRequests.load(0), p.waiting[i].meanTokens.load(0)
@@ -116,67 +131,78 @@
 			aheadTokens += t
 		}
 	}
-	return part(aheadRequests, allRequests), part(aheadTokens, allTokens)
+	return shareOf(aheadRequests, allRequests), shareOf(aheadTokens, allTokens)
 }
 
-// part is a share of a whole; of nothing it is all.
-func part(of, whole float64) float64 {
+// shareOf returns part as a share of whole, or 1 if whole is not positive.
+func shareOf(part, whole float64) float64 {
 	if whole <= 0 {
 		return 1
 	}
-	return of / whole
+	return part / whole
 }
 
-// situation is an upstream as it probably is now, in seconds and tokens.
-type situation struct {
-	rate    float64
-	step    float64
-	decode  float64
-	chunk   float64
+// engineState is the estimated current state of an engine.
+type engineState struct {
+	// prefillRate is in tokens per second.
+	prefillRate float64
+	// stepTime is the time of an engine step and decodeTime the part of it that
+	// decoding takes, in seconds.
+	stepTime   float64
+	decodeTime float64
+	// chunkTokens is how many prefill tokens fit into one step.
+	chunkTokens float64
+	// running and queued count requests.
 	running float64
-	waiting float64
-	prefill float64
-	// batch is how many requests run at once there.
-	batch float64
+	queued  float64
+	// queuedTokens is the prefill in the queue, in tokens.
+	queuedTokens float64
+	// batchSize is how many requests run at once.
+	batchSize float64
 }
 
-// situation adds to a report what it cannot know of yet.
-func (r *Router) situation(u *blackboard.Upstream, known *slot, unseen load) situation {
+// stateOf combines an upstream's report with the work that this gateway sent
+// after the report was made.
+func (r *Router) stateOf(u *blackboard.Upstream, local *localState, unreported sentWork) engineState {
 	p, report := &r.params, &u.Report
-	s := situation{
-		rate:    orElse(report.PrefillRate, p.PrefillRate),
-		step:    orElse(report.Step.Seconds(), p.Step.Seconds()),
-		running: float64(report.Running),
-		waiting: float64(report.Queued + unseen.requests),
-		prefill: float64(report.QueuedPrefillTokens + unseen.tokens),
-		batch:   known.batchSize(p.BatchLimit),
+	s := engineState{
+		prefillRate:  orElse(report.PrefillRate, p.PrefillRate),
+		stepTime:     orElse(report.Step.Seconds(), p.StepTime.Seconds()),
+		running:      float64(report.Running),
+		queued:       float64(report.Queued + unreported.requests),
+		queuedTokens: float64(report.QueuedPrefillTokens + unreported.tokens),
+		batchSize:    local.batchSize(p.BatchLimit),
 	}
-	s.chunk = max(1, p.StepTokens-s.running)
-	// With prefill in the queue, the reported step held a whole chunk of it.
-	s.decode = max(s.step/4, s.step-min(float64(report.QueuedPrefillTokens), s.chunk)/s.rate)
+	s.chunkTokens = max(1, p.StepTokens-s.running)
+	// If prefill is queued, the reported step time includes the prefill of a
+	// whole chunk, or of the queue if that is less.
+	s.decodeTime = max(s.stepTime/4, s.stepTime-min(float64(report.QueuedPrefillTokens), s.chunkTokens)/s.prefillRate)
 	return s
 }
 
-// backlog is how long the prefill in the queue takes, in seconds.
-func (s *situation) backlog() float64 { return s.prefill * (s.decode/s.chunk + 1/s.rate) }
+// backlog returns how long the queued prefill takes, in seconds.
+func (s *engineState) backlog() float64 {
+	return s.queuedTokens * (s.decodeTime/s.chunkTokens + 1/s.prefillRate)
+}
 
-// fill is how full an upstream is: 1 is a whole batch, or a backlog of prefill
-// that counts as much. Engines with long prompts have a backlog long before
-// their batch is full.
-func (s *situation) fill(p *Params) float64 {
-	return (s.running+s.waiting)/s.batch + s.backlog()/p.FullBacklog.Seconds()
+// fill returns how full an engine is: 1 is a full batch, or a backlog of
+// FullBacklog. The backlog counts too because engines with long prompts have one
+// long before their batch is full.
+func (s *engineState) fill(p *Params) float64 {
+	return (s.running+s.queued)/s.batchSize + s.backlog()/p.FullBacklog.Seconds()
 }
 
-// wait predicts the parts of the time to the first token: what is ahead, and
-// the request's own prefill.
-func (c *chooser) wait(s situation, uncached int) (ahead, own float64) {
-	ahead = c.shareTokens * s.backlog()
-	if room := s.batch - s.running; s.waiting > room {
+// predictWait predicts the two parts of the time to the first token, in seconds:
+// the wait for work that is ahead of the request, and the request's own prefill.
+func (c *chooser) predictWait(s engineState, uncached int) (ahead, own float64) {
+	ahead = c.tokenShareAhead * s.backlog()
+	if free := s.batchSize - s.running; s.queued > free {
 		output := c.router.predictor.output.load(assumedOutput)
-		release := s.running / (s.step * output)
-		ahead += c.shareRequests * (s.waiting - max(0, room)) / max(release, 1e-3)
+		// finishing is how many running requests finish per second.
+		finishing := s.running / (s.stepTime * output)
+		ahead += c.requestShareAhead * (s.queued - max(0, free)) / max(finishing, 1e-3)
 	}
-	steps := math.Ceil(float64(uncached) / s.chunk)
-	own = s.step/2 + steps*s.decode + float64(uncached)/s.rate
+	steps := math.Ceil(float64(uncached) / s.chunkTokens)
+	own = s.stepTime/2 + steps*s.decodeTime + float64(uncached)/s.prefillRate
 	return ahead, own
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -13,8 +13,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// placer is a cache view that takes notice of this gateway's own placements.
-type placer interface {
+// placementObserver is a cache view that also records which prompts this
+// gateway sends to the upstream.
+type placementObserver interface {
 	Placed(blocks []uint64, now time.Time)
 }
 
@@ -22,52 +23,52 @@
 // New. It is safe for concurrent use.
 type Router struct {
 	params Params
-	// began is the origin of the epochs.
-	began time.Time
-	slots atomic.Pointer[slots]
-	// prepared belongs to the view seen last.
-	prepared    atomic.Pointer[prepared]
-	predictor   predictor
-	popularity  popularity
-	slotsSmooth average
-	// scratch holds slices for the decisions under way.
+	// epochOrigin is the time at which epoch 0 begins; see epoch.
+	epochOrigin time.Time
+	states      atomic.Pointer[localStates]
+	// prepared belongs to the newest view.
+	prepared      atomic.Pointer[preparedView]
+	predictor     predictor
+	popularity    popularity
+	smoothedSlots average
+	// scratch pools the slices that decisions in progress use.
 	scratch sync.Pool
 }
 
-// prepared holds what a view and a document give for every decision.
-type prepared struct {
-	view    []blackboard.Upstream
-	doc     *document.Document
-	entries []entry
-	// mean is the mean fill of the alive upstreams; slack is how far it is
-	// below the fill at which prices no longer count, from 0 to 1.
-	mean, slack float64
+// preparedView caches what all decisions on one view and document share.
+type preparedView struct {
+	view      []blackboard.Upstream
+	doc       *document.Document
+	upstreams []preparedUpstream
+	// meanFill is the mean fill of the alive upstreams. priceFactor scales the
+	// price term of scores: 1 while all are idle, 0 from PriceFadeFill on.
+	meanFill, priceFactor float64
 }
 
-// entry belongs to the upstream with the same index in the view.
-type entry struct {
-	slot *slot
+// preparedUpstream belongs to the upstream with the same index in the view.
+type preparedUpstream struct {
+	local *localState
 	// price is relative to the dearest upstream of the view, 0 to 1.
 	price float64
-	// hash of the instance's name.
-	hash uint64
+	// nameHash is the hash of the instance's ID.
+	nameHash uint64
 }
 
-// New returns a Router that has sent nothing yet; now is the present.
+// New returns a Router that has sent nothing yet. now is the current time.
 func New(p Params, now time.Time) *Router {
-	r := &Router{params: p, began: now}
+	r := &Router{params: p, epochOrigin: now}
 	r.scratch.New = func() any { return new([]float64) }
-	r.slots.Store(&slots{})
-	r.prepared.Store(&prepared{})
+	r.states.Store(&localStates{})
+	r.prepared.Store(&preparedView{})
 	return r
 }
 
-// Decide chooses an upstream from a view, which must not change afterwards.
-// doc may be nil: then prices are equal, and the service counts as plain if
-// the request has no prompt.
+// Decide chooses an upstream from a view, which the caller must not change
+// afterwards. doc may be nil: then prices count as equal, and the service counts
+// as plain if the request has no prompt tokens.
 func (r *Router) Decide(doc *document.Document, view []blackboard.Upstream, req Request, now time.Time) Decision {
 	p := r.prepare(doc, view)
-	c := chooser{router: r, view: view, entries: p.entries, req: req, now: now, mean: p.mean, slack: p.slack}
+	c := chooser{router: r, view: view, upstreams: p.upstreams, req: req, now: now, meanFill: p.meanFill, priceFactor: p.priceFactor}
 	c.plain = isPlain(doc, req)
 	return c.choose()
 }
@@ -79,42 +80,44 @@
 	return req.PromptTokens == 0
 }
 
-// prepare returns the entries of a view, which are built once for each view.
-func (r *Router) prepare(doc *document.Document, view []blackboard.Upstream) *prepared {
+// prepare returns the preparedView of a view and document. It is built once and
+// reused while decisions come with the same slice and document.
+func (r *Router) prepare(doc *document.Document, view []blackboard.Upstream) *preparedView {
 	p := r.prepared.Load()
 	if len(view) == 0 {
-		return &prepared{}
+		return &preparedView{}
 	}
 	if len(p.view) == len(view) && &p.view[0] == &view[0] && p.doc == doc {
 		return p
 	}
-	p = &prepared{view: view, doc: doc, entries: make([]entry, len(view))}
-	known := r.addSlots(view)
+	p = &preparedView{view: view, doc: doc, upstreams: make([]preparedUpstream, len(view))}
+	states := r.addLocalStates(view)
 	highest := 0.0
 	for i := range view {
-		p.entries[i].slot = known[view[i].Instance.ID]
-		r.learnBatch(&view[i], p.entries[i].slot)
-		p.entries[i].price = price(doc, &view[i])
-		p.entries[i].hash = xxhash.Sum64String(string(view[i].Instance.ID))
-		highest = max(highest, p.entries[i].price)
-	}
-	p.mean = r.meanFill(p)
-	p.slack = max(0, 1-p.mean/r.params.PriceUpTo)
-	for i := range p.entries {
+		p.upstreams[i].local = states[view[i].Instance.ID]
+		r.learnBatch(&view[i], p.upstreams[i].local)
+		p.upstreams[i].price = price(doc, &view[i])
+		p.upstreams[i].nameHash = xxhash.Sum64String(string(view[i].Instance.ID))
+		highest = max(highest, p.upstreams[i].price)
+	}
+	p.meanFill = r.meanFill(p)
+	p.priceFactor = max(0, 1-p.meanFill/r.params.PriceFadeFill)
+	for i := range p.upstreams {
 		if highest > 0 {
-			p.entries[i].price /= highest
+			p.upstreams[i].price /= highest
 		}
 	}
 	r.prepared.Store(p)
 	return p
 }
 
-// meanFill is the mean fill of the alive upstreams, by their reports.
-func (r *Router) meanFill(p *prepared) float64 {
+// meanFill returns the mean fill of the alive upstreams according to their
+// reports; 0 if none is alive.
+func (r *Router) meanFill(p *preparedView) float64 {
 	sum, count := 0.0, 0
 	for i := range p.view {
 		if u := &p.view[i]; u.State == blackboard.Alive {
-			s := r.situation(u, p.entries[i].slot, load{})
+			s := r.stateOf(u, p.upstreams[i].local, sentWork{})
 			sum += s.fill(&r.params)
 			count++
 		}
@@ -122,25 +125,26 @@
 	return sum / float64(max(1, count))
 }
 
-// price returns what an upstream costs, in cents an hour; 0 if unknown.
+// price returns what an upstream costs, in cents per hour; 0 if unknown.
 func price(doc *document.Document, u *blackboard.Upstream) float64 {
 	if doc == nil {
 		return 0
 	}
 	for _, p := range doc.Placement.Prices {
-		in := u.Instance
-		if p.FailureDomain == in.FailureDomain && p.Class == in.Class && p.Reclaimable == in.Reclaimable {
+		instance := u.Instance
+		if p.FailureDomain == instance.FailureDomain && p.Class == instance.Class && p.Reclaimable == instance.Reclaimable {
 			return p.CentsPerHour
 		}
 	}
 	return 0
 }
 
-// addSlots adds what slots a view still needs, all at once: a copy for each of
-// them would cost the square of their number.
-func (r *Router) addSlots(view []blackboard.Upstream) slots {
+// addLocalStates adds a localState for each upstream of the view that has none,
+// and returns the map. It copies the map once for all of them, since a copy for
+// each would make the cost quadratic.
+func (r *Router) addLocalStates(view []blackboard.Upstream) localStates {
 	for {
-		old := r.slots.Load()
+		old := r.states.Load()
 		next := *old
 		for i := range view {
 			id := view[i].Instance.ID
@@ -150,77 +154,80 @@
 			if len(next) == len(*old) {
 				next = maps.Clone(next)
 			}
-			next[id] = &slot{}
+			next[id] = &localState{}
 		}
 		if len(next) == len(*old) {
 			return next
 		}
-		if added := next; r.slots.CompareAndSwap(old, &added) {
+		if added := next; r.states.CompareAndSwap(old, &added) {
 			return next
 		}
 	}
 }
 
-// epoch numbers the buckets of time since the Router began.
+// epoch returns the number of the bucketWidth interval that a time lies in,
+// counted from the creation of the Router.
 func (r *Router) epoch(at time.Time) int64 {
-	return max(0, int64(at.Sub(r.began)/bucketWidth))
+	return max(0, int64(at.Sub(r.epochOrigin)/bucketWidth))
 }
 
-// Started notes that an attempt is sent as decided. Call it before the first
-// byte leaves, so that concurrent decisions see it.
+// Started records that an attempt is sent as decided. Call it before the first
+// byte is sent, so that concurrent decisions take the attempt into account.
 func (r *Router) Started(d Decision, req Request, now time.Time) Ticket {
-	if d.slot == nil {
+	if d.local == nil {
 		return Ticket{}
 	}
 	t := Ticket{
-		slot: d.slot, epoch: r.epoch(now), tokens: d.UncachedTokens, priority: req.Class.Priority,
+		local: d.local, epoch: r.epoch(now), uncachedTokens: d.UncachedTokens, priority: req.Class.Priority,
 		waiting: true, sent: now, predicted: d.FirstToken,
 	}
-	r.predictor.started(t.priority, t.tokens)
+	r.predictor.addWaiting(t.priority, t.uncachedTokens)
 	r.predictor.output.add(float64(max(1, req.MaxTokens)), assumedOutput)
-	d.slot.add(t.epoch, t.tokens)
+	d.local.addSent(t.epoch, t.uncachedTokens)
 	if len(req.Blocks) > 0 {
 		r.popularity.add(req.Blocks[0], d.Work)
 	}
-	if d.placer != nil {
-		d.placer.Placed(req.Blocks, now)
+	if d.observer != nil {
+		d.observer.Placed(req.Blocks, now)
 	}
 	return t
 }
 
-// FirstToken notes that the first token came, so that the attempt's prefill is
-// over. Later calls do nothing.
+// FirstToken records that the first token of the attempt arrived, so its prefill
+// is over. Later calls do nothing.
 func (r *Router) FirstToken(t *Ticket, now time.Time) {
-	if t.slot == nil || !t.waiting {
+	if t.local == nil || !t.waiting {
 		return
 	}
-	r.predictor.learn(t.priority, t.predicted, now.Sub(t.sent))
-	r.settle(t)
+	r.predictor.learnMargin(t.priority, t.predicted, now.Sub(t.sent))
+	r.stopWaiting(t)
 }
 
-// settle ends the attempt's part in what waits for a first token.
-func (r *Router) settle(t *Ticket) {
+// stopWaiting removes the attempt from the work that waits for a first token.
+// Later calls do nothing.
+func (r *Router) stopWaiting(t *Ticket) {
 	if !t.waiting {
 		return
 	}
 	t.waiting = false
-	t.slot.settle(t.epoch, t.tokens)
-	r.predictor.settled(t.priority, t.tokens)
+	t.local.removeSent(t.epoch, t.uncachedTokens)
+	r.predictor.removeWaiting(t.priority, t.uncachedTokens)
 }
 
-// Finished notes that an attempt ended. Later calls do nothing.
+// Finished records that an attempt ended. Later calls do nothing.
 func (r *Router) Finished(t *Ticket, _ Result, _ time.Time) {
-	if t.slot == nil {
+	if t.local == nil {
 		return
 	}
-	r.settle(t)
-	t.slot.outstanding.Add(-1)
-	t.slot = nil
+	r.stopWaiting(t)
+	t.local.outstanding.Add(-1)
+	t.local = nil
 }
 
-// Outstanding returns how many attempts of this gateway an instance has.
+// Outstanding returns how many attempts of this gateway at an instance have not
+// ended.
 func (r *Router) Outstanding(id ident.Instance) int {
-	if s := (*r.slots.Load())[id]; s != nil {
+	if s := (*r.states.Load())[id]; s != nil {
 		return int(s.outstanding.Load())
 	}
 	return 0
