--- a/internal/poison/admit.go
+++ b/internal/poison/admit.go
@@ -39,18 +39,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	if after, barred := t.barred(content); barred {
+	if after, barred := t.barIfConvicted(content); barred {
 		return Decision{Step: Bar, After: after}
 	}
-	ends, newest := t.ends(content, now)
+	ends, newest := t.crashesAgainst(content, now)
 	if ends == 0 {
 		return Decision{Step: Send}
 	}
-	open := ends >= enough-1 && len(t.running[content]) > 0 || ends >= enough && now.Sub(newest) < settle
-	if open && waited < settle {
+	open := ends >= minCrashes-1 && len(t.inFlight[content]) > 0 || ends >= minCrashes && now.Sub(newest) < settleTime
+	if open && waited < settleTime {
 		return Decision{Step: Wait}
 	}
-	return Decision{Step: Send, Avoid: t.suspectedAt(content)}
+	return Decision{Step: Send, Avoid: t.upstreamsOfOtherSuspects(content)}
 }
 
 // Resend reports whether a request that an end broke off may be sent to a further
@@ -60,28 +60,28 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	ends, _ := t.ends(content, now)
-	return ends < enough && !t.convicted(content, now)
+	ends, _ := t.crashesAgainst(content, now)
+	return ends < minCrashes && !t.isConvicted(content, now)
 }
 
-// ends returns how many ends count against a content, and when the newest was.
-func (t *Tracker) ends(content ident.Content, now time.Time) (n int, newest time.Time) {
-	t.index(now)
+// crashesAgainst returns how many ends count against a content, and when the newest was.
+func (t *Tracker) crashesAgainst(content ident.Content, now time.Time) (n int, newest time.Time) {
+	t.rebuildSuspects(now)
 	s := t.suspects[content]
 	if s == nil {
 		return 0, newest
 	}
-	for _, c := range s.crashes {
+	for _, c := range s.unexplained {
 		newest = boottime.Later(newest, c.at)
 	}
-	return len(s.crashes), newest
+	return len(s.unexplained), newest
 }
 
-// suspectedAt returns the upstreams where a request with another suspected content is in
+// upstreamsOfOtherSuspects returns the upstreams where a request with another suspected content is in
 // progress.
-func (t *Tracker) suspectedAt(content ident.Content) []ident.Instance {
+func (t *Tracker) upstreamsOfOtherSuspects(content ident.Content) []ident.Instance {
 	var out []ident.Instance
-	for other, at := range t.running {
+	for other, at := range t.inFlight {
 		if other == content {
 			continue
 		}
@@ -97,24 +97,24 @@
 func (t *Tracker) Started(upstream ident.Instance, content ident.Content) (ended func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if ends, _ := t.ends(content, t.cfg.Now()); ends == 0 {
+	if ends, _ := t.crashesAgainst(content, t.cfg.Now()); ends == 0 {
 		return func() {}
 	}
-	if t.running[content] == nil {
-		t.running[content] = make(map[ident.Instance]int)
+	if t.inFlight[content] == nil {
+		t.inFlight[content] = make(map[ident.Instance]int)
 	}
-	t.running[content][upstream]++
-	return func() { t.ended(upstream, content) }
+	t.inFlight[content][upstream]++
+	return func() { t.finished(upstream, content) }
 }
 
-func (t *Tracker) ended(upstream ident.Instance, content ident.Content) {
+func (t *Tracker) finished(upstream ident.Instance, content ident.Content) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.running[content]
+	at := t.inFlight[content]
 	if at[upstream]--; at[upstream] <= 0 {
 		delete(at, upstream)
 	}
 	if len(at) == 0 {
-		delete(t.running, content)
+		delete(t.inFlight, content)
 	}
 }
--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -12,20 +12,20 @@
 // much is remembered as can be.
 func BenchmarkAsk(b *testing.B) {
 	b.Run("quiet", func(b *testing.B) {
-		d := newDesk()
+		d := newTestTracker()
 		for b.Loop() {
 			if !d.Quiet() {
 				b.Fatal("something is known")
 			}
 		}
 	})
-	d := newDesk()
-	for i := range mostCrashes {
+	d := newTestTracker()
+	for i := range maxCrashes {
 		for k := range 64 {
-			d.end(fmt.Sprint("u", i), content(i*64+k+1))
+			d.crashWith(fmt.Sprint("u", i), content(i*64+k+1))
 		}
 	}
-	d.after(settle)
+	d.advance(settleTime)
 	b.Run("unlike any", func(b *testing.B) {
 		for b.Loop() {
 			if d.Quiet() || d.Knows(content(1<<30).Outline()) {
@@ -50,7 +50,7 @@
 	b.Run("refresh", func(b *testing.B) {
 		for b.Loop() {
 			d.dirty = true
-			d.after(time.Microsecond)
+			d.advance(time.Microsecond)
 		}
 	})
 }
--- a/internal/poison/find.go
+++ b/internal/poison/find.go
@@ -8,70 +8,70 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// surely many ends in a row say that a content is a cause also where another one was at
+// minCrashesIfTied many ends in a row say that a content is a cause also where another one was at
 // the same ends, so that nothing tells them apart.
-const surely = enough + 2
+const minCrashesIfTied = minCrashes + 2
 
-// total is how often a content was at an end since it was last answered, and how many
+// tally is how often a content was at an end since it was last answered, and how many
 // requests with it an end broke off: one that a gateway sent on after each end is one.
-type total struct{ ends, arrivals int }
+type tally struct{ crashes, arrivals int }
 
 // compare compares how much speaks for a cause: its ends, and then that each arrival made
 // one. What was sent on by its gateway alone has fewer arrivals than ends, and what many
 // callers send at a time, and had been in progress for a while, has more.
-func (a total) compare(b total) int {
-	return cmp.Or(cmp.Compare(a.ends, b.ends), cmp.Compare(b.unequal(), a.unequal()))
+func (a tally) compare(b tally) int {
+	return cmp.Or(cmp.Compare(a.crashes, b.crashes), cmp.Compare(b.imbalance(), a.imbalance()))
 }
 
-func (a total) unequal() int { return max(a.arrivals-a.ends, a.ends-a.arrivals) }
+func (a tally) imbalance() int { return max(a.arrivals-a.crashes, a.crashes-a.arrivals) }
 
 // suspect is a content that was at ends.
 type suspect struct {
 	content ident.Content
-	// found and cleared are what is known of it already, and since when ends count.
-	found, cleared bool
-	since          time.Time
-	// seen are the ends since it was last answered, and crashes those of them that count
+	// convicted and cleared are what is known of it already, and since when ends count.
+	convicted, cleared bool
+	clearedAt          time.Time
+	// allCrashes are the ends since it was last answered, and crashes those of them that count
 	// against it.
-	seen, crashes []*crash
-	total         total
+	allCrashes, unexplained []*crash
+	tally         tally
 }
 
-// index works out anew what counts against which content, if anything has changed.
+// rebuildSuspects works out anew what counts against which content, if anything has changed.
 //
 // An end where a found content was says nothing against the others there, but for one that
 // was at as many ends as the found one, and never answered: then the found one may only
 // have run beside it.
-func (t *Tracker) index(now time.Time) {
+func (t *Tracker) rebuildSuspects(now time.Time) {
 	if !t.dirty {
 		return
 	}
 	t.dirty = false
 	clear(t.suspects)
 	for _, c := range t.crashes {
-		c.cause = total{}
-		t.indexCrash(c, now)
+		c.topConvicted = tally{}
+		t.addSuspectsOf(c, now)
 	}
 	for _, s := range t.suspects {
-		s.total = totalOf(s.content, s.seen)
-		for _, c := range s.seen {
-			if s.found && c.cause.compare(s.total) < 0 {
-				c.cause = s.total
+		s.tally = tallyOf(s.content, s.allCrashes)
+		for _, c := range s.allCrashes {
+			if s.convicted && c.topConvicted.compare(s.tally) < 0 {
+				c.topConvicted = s.tally
 			}
 		}
 	}
 	for _, s := range t.suspects {
-		for _, c := range s.seen {
-			explained := c.cause.ends > 0 && (s.cleared || s.total.compare(c.cause) < 0)
-			if !s.found && !explained {
-				s.crashes = append(s.crashes, c)
+		for _, c := range s.allCrashes {
+			explained := c.topConvicted.crashes > 0 && (s.cleared || s.tally.compare(c.topConvicted) < 0)
+			if !s.convicted && !explained {
+				s.unexplained = append(s.unexplained, c)
 			}
 		}
 	}
 }
 
-// indexCrash notes the contents that were at an end.
-func (t *Tracker) indexCrash(c *crash, now time.Time) {
+// addSuspectsOf notes the contents that were at an end.
+func (t *Tracker) addSuspectsOf(c *crash, now time.Time) {
 	for i, mark := range c.marks {
 		content := mark.Content()
 		if i > 0 && c.marks[i-1].Content() == content {
@@ -79,18 +79,18 @@
 		}
 		s := t.suspects[content]
 		if s == nil {
-			s = &suspect{content: content, found: t.convicted(content, now), since: t.clearedAt(content)}
-			s.cleared = !s.since.IsZero()
+			s = &suspect{content: content, convicted: t.isConvicted(content, now), clearedAt: t.clearedAt(content)}
+			s.cleared = !s.clearedAt.IsZero()
 			t.suspects[content] = s
 		}
-		if c.at.After(s.since) {
-			s.seen = append(s.seen, c)
+		if c.at.After(s.clearedAt) {
+			s.allCrashes = append(s.allCrashes, c)
 		}
 	}
 }
 
-// totalOf counts a content's ends and requests.
-func totalOf(content ident.Content, crashes []*crash) total {
+// tallyOf counts a content's ends and requests.
+func tallyOf(content ident.Content, crashes []*crash) tally {
 	var arrived []ident.Mark
 	for _, c := range crashes {
 		first, _ := slices.BinarySearch(c.marks, ident.Mark(content))
@@ -98,81 +98,81 @@
 			if mark.Content() != content {
 				break
 			}
-			arrived, _ = insert(arrived, mark)
+			arrived, _ = insertSorted(arrived, mark)
 		}
 	}
-	return total{ends: len(crashes), arrivals: len(arrived)}
+	return tally{crashes: len(crashes), arrivals: len(arrived)}
 }
 
-// find looks for causes until what is left is explained or may still change.
-func (t *Tracker) find(now time.Time) {
+// convictCauses looks for causes until what is left is explained or may still change.
+func (t *Tracker) convictCauses(now time.Time) {
 	for {
-		t.index(now)
-		likely := t.likely(now)
-		best, found := cause(likely)
+		t.rebuildSuspects(now)
+		likely := t.candidates(now)
+		best, found := likeliestCause(likely)
 		if !found {
 			return
 		}
-		ages := make([]int64, 0, len(best.crashes))
-		for _, c := range best.crashes {
+		ages := make([]int64, 0, len(best.unexplained))
+		for _, c := range best.unexplained {
 			ages = append(ages, now.Sub(c.at).Milliseconds())
 		}
-		t.verdicts[best.content] = &verdict{at: now, seen: now, told: true}
+		t.verdicts[best.content] = &verdict{at: now, lastSeen: now, shared: true}
 		t.counts.Found++
-		t.boundVerdicts()
+		t.limitVerdicts()
 		t.dirty = true
-		t.cfg.Log.Warn("request found to end upstreams", "content", best.content, "ends", best.total.ends, "arrivals", best.total.arrivals,
+		t.cfg.Log.Warn("request found to end upstreams", "content", best.content, "ends", best.tally.crashes, "arrivals", best.tally.arrivals,
 			"ends_age_ms", ages, "suspects", len(likely))
 	}
 }
 
-// likely returns the contents that were at enough ends in a row of which all gateways have
+// candidates returns the contents that were at enough ends in a row of which all gateways have
 // told, the likeliest cause first. A request that came once is no cause, because only its
 // own gateway sent it on, and one that came twice must have been at one end more: its
 // caller alone brought it back.
-func (t *Tracker) likely(now time.Time) []*suspect {
+func (t *Tracker) candidates(now time.Time) []*suspect {
 	var out []*suspect
 	for _, s := range t.suspects {
-		if len(s.crashes) < enough {
+		if len(s.unexplained) < minCrashes {
 			continue
 		}
-		if settled := s.settled(now); settled.total.arrivals >= 2 && settled.total.ends >= enough && settled.total.ends+settled.total.arrivals >= 2*enough {
+		if settled := s.onlySettled(now); settled.tally.arrivals >= 2 && settled.tally.crashes >= minCrashes && settled.tally.crashes+settled.tally.arrivals >= 2*minCrashes {
 			out = append(out, settled)
 		}
 	}
 	slices.SortFunc(out, func(a, b *suspect) int {
-		return cmp.Or(b.total.compare(a.total), cmp.Compare(a.content, b.content))
+		return cmp.Or(b.tally.compare(a.tally), cmp.Compare(a.content, b.content))
 	})
 	return out
 }
 
-// settled returns the suspect with those ends of which all gateways have told.
-func (s *suspect) settled(now time.Time) *suspect {
+// onlySettled returns the suspect with those ends of which all gateways have told.
+func (s *suspect) onlySettled(now time.Time) *suspect {
 	out := &suspect{content: s.content}
-	for _, c := range s.crashes {
-		if now.Sub(c.at) >= settle {
-			out.crashes = append(out.crashes, c)
+	for _, c := range s.unexplained {
+		if now.Sub(c.at) >= settleTime {
+			out.unexplained = append(out.unexplained, c)
 		}
 	}
-	out.total = totalOf(s.content, out.crashes)
+	out.tally = tallyOf(s.content, out.unexplained)
 	return out
 }
 
-// cause returns the likeliest cause, unless another content was seen alike.
-func cause(likely []*suspect) (*suspect, bool) {
+// likeliestCause returns the likeliest cause, unless another content was seen alike.
+func likeliestCause(likely []*suspect) (*suspect, bool) {
 	for i, s := range likely {
-		outdone := slices.ContainsFunc(likely[:i], s.shares)
+		outdone := slices.ContainsFunc(likely[:i], s.sharesCrash)
 		alike := slices.ContainsFunc(likely[i+1:], func(o *suspect) bool {
-			return o.total.compare(s.total) == 0 && s.shares(o)
+			return o.tally.compare(s.tally) == 0 && s.sharesCrash(o)
 		})
-		if len(s.crashes) >= surely || !outdone && !alike {
+		if len(s.unexplained) >= minCrashesIfTied || !outdone && !alike {
 			return s, true
 		}
 	}
 	return nil, false
 }
 
-// shares reports whether an end counts against both.
-func (s *suspect) shares(o *suspect) bool {
-	return slices.ContainsFunc(s.crashes, func(c *crash) bool { return slices.Contains(o.crashes, c) })
+// sharesCrash reports whether an end counts against both.
+func (s *suspect) sharesCrash(o *suspect) bool {
+	return slices.ContainsFunc(s.unexplained, func(c *crash) bool { return slices.Contains(o.unexplained, c) })
 }
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -19,25 +19,25 @@
 // with the real Tracker, the exchange with its delays, upstreams that end and come back.
 
 const (
-	round      = 250 * time.Millisecond
-	look       = 25 * time.Millisecond
-	collectAt  = 18
-	hop        = 20 * time.Millisecond
-	retryAfter = 100 * time.Millisecond
-	length     = 25 * time.Second
-	renewal    = 1500 * time.Millisecond
-	startTime  = 50 * time.Millisecond
+	exchangePeriod      = 250 * time.Millisecond
+	pollPeriod       = 25 * time.Millisecond
+	minGatewaysForCollectors  = 18
+	exchangeDelay        = 20 * time.Millisecond
+	clientRetryDelay = 100 * time.Millisecond
+	playLength     = 25 * time.Second
+	leaseRenewalPeriod    = 1500 * time.Millisecond
+	restoreDelay  = 50 * time.Millisecond
 )
 
 // killer is a content that ends each upstream that runs it.
 type killer struct {
-	// every is the mean time between its arrivals, and burst how many come at once.
-	every time.Duration
+	// meanInterval is the mean time between its arrivals, and burst how many come at once.
+	meanInterval time.Duration
 	burst int
-	// after is when, of the run, it ends the upstream.
-	after time.Duration
-	// attempts is how often a gateway may send one arrival.
-	attempts int
+	// crashDelay is when, of the run, it ends the upstream.
+	crashDelay time.Duration
+	// maxSends is how often a gateway may send one arrival.
+	maxSends int
 	// from is when it begins to come.
 	from time.Duration
 	// group is what other requests have the same home.
@@ -49,24 +49,24 @@
 	name              string
 	gateways, domains int
 	upstreams, slots  int
-	contact           time.Duration
+	knownWithin           time.Duration
 	rate              float64
-	took              time.Duration
+	meanDuration              time.Duration
 	killers           []killer
-	hot               float64 // the part of ordinary requests that have one content
-	selfEnds          float64 // ends a second of upstreams by themselves, under load
-	flaps             int     // upstreams that end by themselves, again and again
-	reclaimed         bool    // a domain's upstreams leave as announced
-	lost              bool    // a domain's upstreams end at once, unannounced
-	cut               bool    // a domain is cut off by resets for some seconds
-	sameName          bool    // upstreams come back under their name
-	restart           bool    // gateways are started anew, one after the other
-	none              bool    // without the tracker
+	hotShare               float64 // the part of ordinary requests that have one content
+	crashRate          float64 // ends a second of upstreams by themselves, under load
+	flappingUpstreams             int     // upstreams that end by themselves, again and again
+	domainReclaimed         bool    // a domain's upstreams leave as announced
+	domainLost              bool    // a domain's upstreams end at once, unannounced
+	domainCutOff               bool    // a domain is cut off by resets for some seconds
+	keepsIDs          bool    // upstreams come back under their name
+	rollingRestart           bool    // gateways are started anew, one after the other
+	withoutTracker              bool    // without the tracker
 	burst             bool
-	// tries is how often the caller of an ordinary request that failed comes again; 0 is once.
-	tries int
-	// killed are when all gateways are started anew at once.
-	killed []time.Duration
+	// maxRetries is how often the caller of an ordinary request that failed comes again; 0 is once.
+	maxRetries int
+	// massRestarts are when all gateways are started anew at once.
+	massRestarts []time.Duration
 }
 
 type request struct {
@@ -74,13 +74,13 @@
 	content ident.Content
 	killer  *killer
 	gateway *gateway
-	// tries of the client, runs of this arrival.
-	tries, runs, attempts int
-	ended                 bool
+	// retries of the client, runs of this arrival.
+	retries, sends, maxSends int
+	crashed                 bool
 	group                 int
 	waitedFrom            time.Duration
 	upstream              *upstream
-	done                  func()
+	finished                  func()
 }
 
 type upstream struct {
@@ -88,7 +88,7 @@
 	domain  int
 	up      bool
 	leaving bool
-	runs    map[*request]bool
+	inFlight    map[*request]bool
 }
 
 func (u *upstream) id(same bool) ident.Instance {
@@ -98,26 +98,26 @@
 	return ident.Instance("u" + strconv.Itoa(u.i) + "/" + strconv.Itoa(u.life))
 }
 
-// inOrder returns the requests in progress in the order of their coming, so that a seed
+// sortedInFlight returns the requests in progress in the order of their coming, so that a seed
 // plays alike each time.
-func (u *upstream) inOrder() []*request {
-	return slices.SortedFunc(maps.Keys(u.runs), func(a, b *request) int { return a.id - b.id })
+func (u *upstream) sortedInFlight() []*request {
+	return slices.SortedFunc(maps.Keys(u.inFlight), func(a, b *request) int { return a.id - b.id })
 }
 
 type gateway struct {
 	i, domain int
 	tracker   *Tracker
-	// calmSince is since when it is in touch with the others.
-	calmSince time.Duration
+	// connectedSince is since when it is in touch with the others.
+	connectedSince time.Duration
 }
 
 type result struct {
-	// worst is the most sends of one content that were too late.
-	worst, ends, ordinary, refused, lost int
-	// known is the longest time from a content's third end to the last gateway's knowing.
-	known time.Duration
-	found bool
-	told  int // the most contents and verdicts in one report
+	// mostLateSends is the most sends of one content that were too late.
+	mostLateSends, crashes, ordinary, refused, lost int
+	// knownAfter is the longest time from a content's third end to the last gateway's knowing.
+	knownAfter time.Duration
+	knownToAll bool
+	mostReported  int // the most contents and verdicts in one report
 }
 
 type fleet struct {
@@ -125,140 +125,140 @@
 	s        story
 	rng      *rand.Rand
 	gateways []*gateway
-	ups      []*upstream
-	words    []heard
-	sums     []heard
-	ids      int
-	r        result
+	upstreams      []*upstream
+	received    []receivedReport
+	sums     []receivedReport
+	lastID      int
+	result        result
 	// ends of each killer's content, and late sends.
-	thirdEnd map[ident.Content]time.Duration
+	thirdCrashAt map[ident.Content]time.Duration
 	kills    map[ident.Content]int
-	late     map[ident.Content]int
-	cutOff   int
-	notedAt  time.Duration
-	// kept is what the lease's record holds.
-	kept json.RawMessage
+	lateSends     map[ident.Content]int
+	cutOffDomain   int
+	checkedAt  time.Duration
+	// storedRecord is what the lease's record holds.
+	storedRecord json.RawMessage
 }
 
-// heard is what came from a gateway or a collector last, and since when it is so old.
-type heard struct {
+// receivedReport is what came from a gateway or a collector last, and since when it is so old.
+type receivedReport struct {
 	words Words
 	at    time.Duration
 }
 
-func (f *fleet) aged(h heard) Words { return h.words.Aged(f.Now() - h.at) }
+func (f *fleet) aged(h receivedReport) Words { return h.words.Aged(f.Now() - h.at) }
 
 var epoch = time.Unix(1_000_000, 0)
 
-func key(id ident.Instance) uint32 { return uint32(xxhash.Sum64String(string(id))) }
+func testUpstreamKey(id ident.Instance) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
 func newTracker(now func() time.Time) *Tracker {
-	return New(Config{Now: now, Log: hclog.NewNullLogger(), Key: key})
+	return New(Config{Now: now, Log: hclog.NewNullLogger(), Key: testUpstreamKey})
 }
 
-func play(s story, seed uint64) result {
+func playStory(s story, seed uint64) result {
 	f := &fleet{
-		s: s, rng: rand.New(rand.NewPCG(seed, 7)), thirdEnd: make(map[ident.Content]time.Duration),
-		kills: make(map[ident.Content]int), late: make(map[ident.Content]int), cutOff: -1,
+		s: s, rng: rand.New(rand.NewPCG(seed, 7)), thirdCrashAt: make(map[ident.Content]time.Duration),
+		kills: make(map[ident.Content]int), lateSends: make(map[ident.Content]int), cutOffDomain: -1,
 	}
 	for i := range s.gateways {
-		f.gateways = append(f.gateways, &gateway{i: i, domain: i % s.domains, tracker: newTracker(f.clock), calmSince: -time.Hour})
+		f.gateways = append(f.gateways, &gateway{i: i, domain: i % s.domains, tracker: newTracker(f.clock), connectedSince: -time.Hour})
 	}
 	for i := range s.upstreams {
-		f.ups = append(f.ups, &upstream{i: i, domain: i % s.domains, up: true, runs: make(map[*request]bool)})
+		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, up: true, inFlight: make(map[*request]bool)})
 	}
-	f.words, f.sums = make([]heard, s.gateways), make([]heard, s.domains)
+	f.received, f.sums = make([]receivedReport, s.gateways), make([]receivedReport, s.domains)
 	f.schedule()
-	f.Play(length)
-	for _, n := range f.late {
-		f.r.worst = max(f.r.worst, n)
+	f.Play(playLength)
+	for _, n := range f.lateSends {
+		f.result.mostLateSends = max(f.result.mostLateSends, n)
 	}
-	return f.r
+	return f.result
 }
 
 func (f *fleet) clock() time.Time { return epoch.Add(f.Now()) }
 
-func (f *fleet) exp(mean time.Duration) time.Duration {
+func (f *fleet) randomExp(mean time.Duration) time.Duration {
 	return time.Duration(f.rng.ExpFloat64() * float64(mean))
 }
 
 func (f *fleet) schedule() {
 	s := f.s
-	f.In(0, f.arrive)
+	f.In(0, f.ordinaryArrives)
 	for i := range s.killers {
 		k := &s.killers[i]
 		content := ident.ContentOf(ident.Outline(1+i), 0)
-		f.In(k.from, func() { f.killerComes(k, content) })
+		f.In(k.from, func() { f.killerArrives(k, content) })
 	}
 	for _, g := range f.gateways {
-		f.In(time.Duration(f.rng.Int64N(int64(round))), func() { f.exchange(g) })
-		f.In(time.Duration(f.rng.Int64N(int64(round/2))), func() { f.refresh(g) })
+		f.In(time.Duration(f.rng.Int64N(int64(exchangePeriod))), func() { f.exchange(g) })
+		f.In(time.Duration(f.rng.Int64N(int64(exchangePeriod/2))), func() { f.refresh(g) })
 	}
-	if s.gateways >= collectAt {
+	if s.gateways >= minGatewaysForCollectors {
 		for d := range s.domains {
-			f.In(time.Duration(f.rng.Int64N(int64(round/2))), func() { f.collect(d) })
+			f.In(time.Duration(f.rng.Int64N(int64(exchangePeriod/2))), func() { f.collect(d) })
 		}
 	}
-	if s.selfEnds > 0 {
-		f.In(f.exp(time.Duration(float64(time.Second)/s.selfEnds)), f.selfEnd)
+	if s.crashRate > 0 {
+		f.In(f.randomExp(time.Duration(float64(time.Second)/s.crashRate)), f.randomCrash)
 	}
-	for i := range s.flaps {
-		f.In(f.exp(time.Second), func() { f.flap(f.ups[i]) })
+	for i := range s.flappingUpstreams {
+		f.In(f.randomExp(time.Second), func() { f.flap(f.upstreams[i]) })
 	}
 	domain := f.rng.IntN(s.domains)
 	at := 2*time.Second + time.Duration(f.rng.Int64N(int64(6*time.Second)))
-	if s.reclaimed {
+	if s.domainReclaimed {
 		f.In(at, func() { f.reclaim(domain) })
 	}
-	if s.lost {
+	if s.domainLost {
 		f.In(at, func() {
-			for _, u := range f.ups {
+			for _, u := range f.upstreams {
 				if u.domain == domain {
-					f.end(u)
+					f.crash(u)
 				}
 			}
 		})
 	}
-	if s.cut {
+	if s.domainCutOff {
 		f.In(at, func() { f.cutDomain(domain) })
 	}
-	f.In(renewal, f.renew)
-	for _, at := range s.killed {
+	f.In(leaseRenewalPeriod, f.renewLease)
+	for _, at := range s.massRestarts {
 		f.In(at, func() {
 			for _, g := range f.gateways {
 				f.restart(g)
 			}
 		})
 	}
-	if s.restart {
+	if s.rollingRestart {
 		for _, g := range f.gateways {
-			f.In(time.Duration(f.rng.Int64N(int64(length))), func() { f.restart(g) })
+			f.In(time.Duration(f.rng.Int64N(int64(playLength))), func() { f.restart(g) })
 		}
 	}
 }
 
 func (f *fleet) restart(g *gateway) {
-	g.tracker, g.calmSince = newTracker(f.clock), f.Now()
-	f.In(startTime, func() { g.tracker.Learn(f.kept) })
-	f.words[g.i] = heard{}
+	g.tracker, g.connectedSince = newTracker(f.clock), f.Now()
+	f.In(restoreDelay, func() { g.tracker.Learn(f.storedRecord) })
+	f.received[g.i] = receivedReport{}
 }
 
-// renew writes the lease's record.
-func (f *fleet) renew() {
-	f.kept = f.gateways[0].tracker.Keep()
-	f.In(renewal, f.renew)
+// renewLease writes the lease's record.
+func (f *fleet) renewLease() {
+	f.storedRecord = f.gateways[0].tracker.Keep()
+	f.In(leaseRenewalPeriod, f.renewLease)
 }
 
 func (f *fleet) reclaim(domain int) {
-	for _, u := range f.ups {
+	for _, u := range f.upstreams {
 		if u.domain == domain {
 			u.leaving = true
 		}
 	}
 	f.In(2500*time.Millisecond, func() {
-		for _, u := range f.ups {
+		for _, u := range f.upstreams {
 			if u.domain == domain && u.up {
-				f.end(u)
+				f.crash(u)
 			}
 		}
 	})
@@ -266,72 +266,72 @@
 
 // cutDomain resets all connections between a domain and the others, and refuses new ones.
 func (f *fleet) cutDomain(domain int) {
-	f.cutOff = domain
-	for _, u := range f.ups {
-		for _, r := range u.inOrder() {
-			if f.apart(r.gateway, u) {
-				f.brokenOff(r, u, true)
+	f.cutOffDomain = domain
+	for _, u := range f.upstreams {
+		for _, r := range u.sortedInFlight() {
+			if f.cannotReach(r.gateway, u) {
+				f.interrupt(r, u, true)
 			}
 		}
 	}
 	f.In(5*time.Second, func() {
-		f.cutOff = -1
+		f.cutOffDomain = -1
 		for _, g := range f.gateways {
 			if g.domain == domain {
-				g.calmSince = f.Now()
+				g.connectedSince = f.Now()
 			}
 		}
 	})
 }
 
-func (f *fleet) apart(g *gateway, u *upstream) bool {
-	return f.cutOff >= 0 && (g.domain == f.cutOff) != (u.domain == f.cutOff)
+func (f *fleet) cannotReach(g *gateway, u *upstream) bool {
+	return f.cutOffDomain >= 0 && (g.domain == f.cutOffDomain) != (u.domain == f.cutOffDomain)
 }
 
-func (f *fleet) selfEnd() {
-	if u := f.ups[f.rng.IntN(len(f.ups))]; u.up {
-		f.end(u)
+func (f *fleet) randomCrash() {
+	if u := f.upstreams[f.rng.IntN(len(f.upstreams))]; u.up {
+		f.crash(u)
 	}
-	f.In(f.exp(time.Duration(float64(time.Second)/f.s.selfEnds)), f.selfEnd)
+	f.In(f.randomExp(time.Duration(float64(time.Second)/f.s.crashRate)), f.randomCrash)
 }
 
 func (f *fleet) flap(u *upstream) {
 	if u.up {
-		f.end(u)
+		f.crash(u)
 	}
 	f.In(5*time.Second, func() { f.flap(u) })
 }
 
-// arrive brings an ordinary request, and schedules the next.
-func (f *fleet) arrive() {
+// ordinaryArrives brings an ordinary request, and schedules the next.
+func (f *fleet) ordinaryArrives() {
 	rate := f.s.rate
 	if f.s.burst && f.Now() > 5*time.Second && f.Now() < 10*time.Second {
 		rate *= 2
 	}
-	f.In(f.exp(time.Duration(float64(time.Second)/rate)), f.arrive)
-	f.ids++
-	r := &request{id: f.ids, content: ident.ContentOf(ident.Outline(1_000_000+f.ids), 0), attempts: 1 + 2*f.rng.IntN(2), group: f.rng.IntN(10)}
-	if f.rng.Float64() < f.s.hot {
-		r.content, r.attempts, r.group = ident.ContentOf(999, 0), 3, 5
+	f.In(f.randomExp(time.Duration(float64(time.Second)/rate)), f.ordinaryArrives)
+	f.lastID++
+	r := &request{id: f.lastID, content: ident.ContentOf(ident.Outline(1_000_000+f.lastID), 0), maxSends: 1 + 2*f.rng.IntN(2), group: f.rng.IntN(10)}
+	if f.rng.Float64() < f.s.hotShare {
+		r.content, r.maxSends, r.group = ident.ContentOf(999, 0), 3, 5
 	}
-	f.r.ordinary++
-	f.come(r)
+	f.result.ordinary++
+	f.receive(r)
 }
 
-func (f *fleet) killerComes(k *killer, content ident.Content) {
+func (f *fleet) killerArrives(k *killer, content ident.Content) {
 	for range max(1, k.burst) {
-		f.ids++
-		f.come(&request{id: f.ids, content: content, killer: k, attempts: k.attempts, group: k.group})
+		f.lastID++
+		f.receive(&request{id: f.lastID, content: content, killer: k, maxSends: k.maxSends, group: k.group})
 	}
-	f.In(f.exp(k.every), func() { f.killerComes(k, content) })
+	f.In(f.randomExp(k.meanInterval), func() { f.killerArrives(k, content) })
 }
 
-// come brings a request to some gateway.
-func (f *fleet) come(r *request) {
+// receive brings a request to some gateway.
+func (f *fleet) receive(r *request) {
 	r.gateway = f.gateways[f.rng.IntN(len(f.gateways))]
-	f.ids++
-	r.id, r.runs, r.ended = f.ids, 0, false
-	if _, barred := r.gateway.tracker.Barred(r.content); barred && !f.s.none {
+	f.lastID++
+	r.id, r.sends, r.crashed = f.lastID, 0, false
+	if _, barred := r.gateway.tracker.Barred(r.content); barred && !f.s.withoutTracker {
 		f.refuse(r)
 		return
 	}
@@ -341,20 +341,20 @@
 
 func (f *fleet) refuse(r *request) {
 	if r.killer == nil {
-		f.r.refused++
+		f.result.refused++
 	}
 }
 
 func (f *fleet) admit(r *request) {
 	var avoid []ident.Instance
-	if t := r.gateway.tracker; !f.s.none && !t.Quiet() && t.Knows(r.content.Outline()) {
+	if t := r.gateway.tracker; !f.s.withoutTracker && !t.Quiet() && t.Knows(r.content.Outline()) {
 		d := t.Admit(r.content, f.Now()-r.waitedFrom)
 		switch d.Step {
 		case Bar:
 			f.refuse(r)
 			return
 		case Wait:
-			f.In(look, func() { f.admit(r) })
+			f.In(pollPeriod, func() { f.admit(r) })
 			return
 		}
 		avoid = d.Avoid
@@ -366,8 +366,8 @@
 // two that has less.
 func (f *fleet) place(r *request, avoid []ident.Instance) {
 	var open []*upstream
-	for _, u := range f.ups {
-		if u.up && !u.leaving && len(u.runs) < f.s.slots && !f.apart(r.gateway, u) && !slices.Contains(avoid, u.id(f.s.sameName)) {
+	for _, u := range f.upstreams {
+		if u.up && !u.leaving && len(u.inFlight) < f.s.slots && !f.cannotReach(r.gateway, u) && !slices.Contains(avoid, u.id(f.s.keepsIDs)) {
 			open = append(open, u)
 		}
 	}
@@ -377,37 +377,37 @@
 	}
 	if len(open) == 0 {
 		if r.killer == nil {
-			f.failed(r)
+			f.retryByClient(r)
 		}
 		return
 	}
 	u := open[f.rng.IntN(len(open))]
-	if home := f.ups[r.group%len(f.ups)]; slices.Contains(open, home) && f.rng.IntN(2) == 0 {
+	if home := f.upstreams[r.group%len(f.upstreams)]; slices.Contains(open, home) && f.rng.IntN(2) == 0 {
 		u = home
-	} else if other := open[f.rng.IntN(len(open))]; len(other.runs) < len(u.runs) {
+	} else if other := open[f.rng.IntN(len(open))]; len(other.inFlight) < len(u.inFlight) {
 		u = other
 	}
 	f.send(r, u)
 }
 
 func (f *fleet) send(r *request, u *upstream) {
-	r.runs++
+	r.sends++
 	r.upstream = u
-	u.runs[r] = true
-	r.done = func() {}
-	if !f.s.none && r.gateway.tracker.Knows(r.content.Outline()) {
-		r.done = r.gateway.tracker.Started(u.id(f.s.sameName), r.content)
+	u.inFlight[r] = true
+	r.finished = func() {}
+	if !f.s.withoutTracker && r.gateway.tracker.Knows(r.content.Outline()) {
+		r.finished = r.gateway.tracker.Started(u.id(f.s.keepsIDs), r.content)
 	}
 	life := u.life
 	if r.killer == nil {
-		f.In(f.exp(f.s.took), func() { f.complete(r, u, life) })
+		f.In(f.randomExp(f.s.meanDuration), func() { f.complete(r, u, life) })
 		return
 	}
-	if third, known := f.thirdEnd[r.content]; known && f.Now() > third+f.s.contact && f.Now()-r.gateway.calmSince > f.s.contact {
-		f.late[r.content]++
+	if third, known := f.thirdCrashAt[r.content]; known && f.Now() > third+f.s.knownWithin && f.Now()-r.gateway.connectedSince > f.s.knownWithin {
+		f.lateSends[r.content]++
 	}
-	f.In(r.killer.after+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
-		if u.up && u.life == life && u.runs[r] {
+	f.In(r.killer.crashDelay+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
+		if u.up && u.life == life && u.inFlight[r] {
 			f.kill(r, u)
 		}
 	})
@@ -416,31 +416,31 @@
 func (f *fleet) kill(r *request, u *upstream) {
 	f.kills[r.content]++
 	if f.kills[r.content] == 3 {
-		f.thirdEnd[r.content] = f.Now()
+		f.thirdCrashAt[r.content] = f.Now()
 	}
-	f.end(u)
+	f.crash(u)
 }
 
 func (f *fleet) complete(r *request, u *upstream, life int) {
-	if !u.up || u.life != life || !u.runs[r] || r.upstream != u {
+	if !u.up || u.life != life || !u.inFlight[r] || r.upstream != u {
 		return
 	}
-	delete(u.runs, r)
-	r.done()
-	if !f.s.none && r.gateway.tracker.Knows(r.content.Outline()) {
+	delete(u.inFlight, r)
+	r.finished()
+	if !f.s.withoutTracker && r.gateway.tracker.Knows(r.content.Outline()) {
 		r.gateway.tracker.Completed(r.content)
 	}
 }
 
-// end ends an upstream's process; it is back some seconds later.
-func (f *fleet) end(u *upstream) {
+// crash ends an upstream's process; it is back some seconds later.
+func (f *fleet) crash(u *upstream) {
 	if !u.up {
 		return
 	}
 	u.up = false
-	f.r.ends++
-	for _, r := range u.inOrder() {
-		f.brokenOff(r, u, !u.leaving)
+	f.result.crashes++
+	for _, r := range u.sortedInFlight() {
+		f.interrupt(r, u, !u.leaving)
 	}
 	f.In(2*time.Second+time.Duration(f.rng.Int64N(int64(2*time.Second))), func() {
 		u.up, u.leaving = true, false
@@ -448,99 +448,99 @@
 	})
 }
 
-// brokenOff goes on with a request whose upstream ended, or seemed to.
-func (f *fleet) brokenOff(r *request, u *upstream, noted bool) {
-	delete(u.runs, r)
-	r.done()
+// interrupt goes on with a request whose upstream ended, or seemed to.
+func (f *fleet) interrupt(r *request, u *upstream, noted bool) {
+	delete(u.inFlight, r)
+	r.finished()
 	t := r.gateway.tracker
-	if noted && !f.s.none {
-		t.Crashed(u.id(f.s.sameName), ident.MarkOf(r.content, ident.Request(strconv.Itoa(r.id))))
-		r.ended = true
+	if noted && !f.s.withoutTracker {
+		t.Crashed(u.id(f.s.keepsIDs), ident.MarkOf(r.content, ident.Request(strconv.Itoa(r.id))))
+		r.crashed = true
 	}
-	if r.runs < r.attempts && (f.s.none || !r.ended || t.Resend(r.content)) {
+	if r.sends < r.maxSends && (f.s.withoutTracker || !r.crashed || t.Resend(r.content)) {
 		r.waitedFrom = f.Now()
 		f.In(time.Millisecond, func() { f.admit(r) })
 		return
 	}
 	if r.killer == nil {
-		f.failed(r)
+		f.retryByClient(r)
 	}
 }
 
-// failed has the client of an ordinary request come once more.
-func (f *fleet) failed(r *request) {
-	if r.tries++; r.tries > max(1, f.s.tries) {
-		f.r.lost++
+// retryByClient has the client of an ordinary request come once more.
+func (f *fleet) retryByClient(r *request) {
+	if r.retries++; r.retries > max(1, f.s.maxRetries) {
+		f.result.lost++
 		return
 	}
-	f.In(retryAfter, func() { f.come(r) })
+	f.In(clientRetryDelay, func() { f.receive(r) })
 }
 
 // exchange tells what one gateway has to say.
 func (f *fleet) exchange(g *gateway) {
-	f.In(round, func() { f.exchange(g) })
+	f.In(exchangePeriod, func() { f.exchange(g) })
 	w := g.tracker.Words()
 	told := len(w.Verdicts)
 	for _, c := range w.Crashes {
 		told += len(c.Marks)
 	}
-	f.r.told = max(f.r.told, told)
+	f.result.mostReported = max(f.result.mostReported, told)
 	at := f.Now()
-	f.In(hop, func() { f.words[g.i] = heard{w, at} })
+	f.In(exchangeDelay, func() { f.received[g.i] = receivedReport{w, at} })
 }
 
 // collect adds up a domain's words, as of now.
 func (f *fleet) collect(d int) {
-	f.In(round/2, func() { f.collect(d) })
+	f.In(exchangePeriod/2, func() { f.collect(d) })
 	var sum Words
 	for _, g := range f.gateways {
 		if g.domain == d {
-			sum = sum.Plus(f.aged(f.words[g.i]))
+			sum = sum.Plus(f.aged(f.received[g.i]))
 		}
 	}
 	at := f.Now()
-	f.In(hop, func() { f.sums[d] = heard{sum, at} })
+	f.In(exchangeDelay, func() { f.sums[d] = receivedReport{sum, at} })
 }
 
 // refresh takes in what the others said.
 func (f *fleet) refresh(g *gateway) {
-	f.In(round/2, func() { f.refresh(g) })
+	f.In(exchangePeriod/2, func() { f.refresh(g) })
 	var words Words
-	if f.s.gateways < collectAt {
+	if f.s.gateways < minGatewaysForCollectors {
 		for _, o := range f.gateways {
-			if o != g && (f.cutOff < 0 || (o.domain == f.cutOff) == (g.domain == f.cutOff)) {
-				words = words.Plus(f.aged(f.words[o.i]))
+			if o != g && (f.cutOffDomain < 0 || (o.domain == f.cutOffDomain) == (g.domain == f.cutOffDomain)) {
+				words = words.Plus(f.aged(f.received[o.i]))
 			}
 		}
 	} else {
 		for d := range f.s.domains {
-			if f.cutOff < 0 || (d == f.cutOff) == (g.domain == f.cutOff) {
+			if f.cutOffDomain < 0 || (d == f.cutOffDomain) == (g.domain == f.cutOffDomain) {
 				words = words.Plus(f.aged(f.sums[d]))
 			}
 		}
 	}
 	g.tracker.Refresh(words)
-	if f.Now() >= f.notedAt+look {
-		f.notedAt = f.Now()
-		f.noteKnown()
+	if f.Now() >= f.checkedAt+pollPeriod {
+		f.checkedAt = f.Now()
+		f.checkKnownToAll()
 	}
 }
 
-// noteKnown notes when the last gateway has found the content of all that it must know.
-func (f *fleet) noteKnown() {
-	if f.r.found {
+// checkKnownToAll notes when the last gateway has found the content of all that it must know.
+func (f *fleet) checkKnownToAll() {
+	if f.result.knownToAll {
 		return
 	}
-	for content, third := range f.thirdEnd {
+	for content, third := range f.thirdCrashAt {
 		all := true
 		for _, g := range f.gateways {
 			g.tracker.mu.Lock()
-			all = all && g.tracker.convicted(content, f.clock())
+			all = all && g.tracker.isConvicted(content, f.clock())
 			g.tracker.mu.Unlock()
 			if !all {
 				return
 			}
 		}
-		f.r.known, f.r.found = max(f.r.known, f.Now()-third), true
+		f.result.knownAfter, f.result.knownToAll = max(f.result.knownAfter, f.Now()-third), true
 	}
 }
--- a/internal/poison/kept.go
+++ b/internal/poison/kept.go
@@ -9,11 +9,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// mostKept bounds the verdicts that outlive all gateways.
-const mostKept = 32
+// maxStoredVerdicts bounds the verdicts that outlive all gateways.
+const maxStoredVerdicts = 32
 
-// keptVerdict is a verdict in a record of the platform's store.
-type keptVerdict struct {
+// storedVerdict is a verdict in a record of the platform's store.
+type storedVerdict struct {
 	Content ident.Content `json:"content"`
 	// AgeMillis and IdleMillis are as of the record's writing.
 	AgeMillis  int64 `json:"age_ms"`
@@ -24,25 +24,25 @@
 // came last first. What goes wrong without it: after all gateways were killed, each such
 // content ends three more upstreams before it is found again. It returns nil for none.
 func (t *Tracker) Keep() json.RawMessage {
-	if t.quiet.Load() {
+	if t.empty.Load() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	var kept []keptVerdict
+	var kept []storedVerdict
 	for content, v := range t.verdicts {
-		if t.convicted(content, now) {
-			kept = append(kept, keptVerdict{Content: content, AgeMillis: now.Sub(v.at).Milliseconds(), IdleMillis: now.Sub(v.seen).Milliseconds()})
+		if t.isConvicted(content, now) {
+			kept = append(kept, storedVerdict{Content: content, AgeMillis: now.Sub(v.at).Milliseconds(), IdleMillis: now.Sub(v.lastSeen).Milliseconds()})
 		}
 	}
 	if len(kept) == 0 {
 		return nil
 	}
-	slices.SortFunc(kept, func(a, b keptVerdict) int {
+	slices.SortFunc(kept, func(a, b storedVerdict) int {
 		return cmp.Or(cmp.Compare(a.IdleMillis, b.IdleMillis), cmp.Compare(a.Content, b.Content))
 	})
-	data, err := json.Marshal(kept[:min(len(kept), mostKept)])
+	data, err := json.Marshal(kept[:min(len(kept), maxStoredVerdicts)])
 	if err != nil {
 		t.cfg.Log.Error("found contents not encoded", "error", err)
 		return nil
@@ -56,7 +56,7 @@
 	if len(data) == 0 {
 		return
 	}
-	var kept []keptVerdict
+	var kept []storedVerdict
 	if err := json.Unmarshal(data, &kept); err != nil {
 		t.cfg.Log.Error("kept contents not usable", "error", err)
 		return
@@ -64,14 +64,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	for _, k := range kept[:min(len(kept), mostKept)] {
+	for _, k := range kept[:min(len(kept), maxStoredVerdicts)] {
 		if k.Content == 0 || k.AgeMillis < 0 || k.IdleMillis < 0 {
 			t.cfg.Log.Error("a kept content is not usable", "content", k.Content, "age_ms", k.AgeMillis, "idle_ms", k.IdleMillis)
 			continue
 		}
-		t.hearVerdict(&Verdict{
+		t.mergeVerdict(&Verdict{
 			Content: k.Content, Age: time.Duration(k.AgeMillis) * time.Millisecond, Idle: time.Duration(k.IdleMillis) * time.Millisecond,
 		}, now)
 	}
-	t.outline()
+	t.rebuildOutlines()
 }
--- a/internal/poison/list.go
+++ b/internal/poison/list.go
@@ -22,13 +22,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	t.index(now)
+	t.rebuildSuspects(now)
 	var out []Barred
 	for content, v := range t.verdicts {
-		if t.convicted(content, now) {
-			b := Barred{Content: content, Age: now.Sub(v.at), Idle: now.Sub(v.seen)}
+		if t.isConvicted(content, now) {
+			b := Barred{Content: content, Age: now.Sub(v.at), Idle: now.Sub(v.lastSeen)}
 			if s := t.suspects[content]; s != nil {
-				b.Ends = s.total.ends
+				b.Ends = s.tally.crashes
 			}
 			out = append(out, b)
 		}
@@ -42,10 +42,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	t.index(now)
+	t.rebuildSuspects(now)
 	n := 0
 	for _, s := range t.suspects {
-		if len(s.crashes) > 0 {
+		if len(s.unexplained) > 0 {
 			n++
 		}
 	}
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -25,23 +25,23 @@
 )
 
 const (
-	// enough ends in a row say that a content is the cause.
-	enough = 3
-	// settle is how old an end must be before it counts: by then all gateways have told
+	// minCrashes ends in a row say that a content is the cause.
+	minCrashes = 3
+	// settleTime is how old an end must be before it counts: by then all gateways have told
 	// what they had there. What goes wrong without it: a gateway knows all of the ends that
 	// one of its own requests met by being sent again, and not yet what else was at each.
-	settle = 750 * time.Millisecond
+	settleTime = 750 * time.Millisecond
 	// sameEnd: what two gateways say of an upstream is of one end if it is no further
 	// apart. An upstream's process takes longer to start again.
-	sameEnd = time.Second
-	// remembered is for how long an end is held against what was there.
-	remembered = 10 * time.Minute
+	sameCrashWindow = time.Second
+	// crashTTL is for how long an end is held against what was there.
+	crashTTL = 10 * time.Minute
 	// ForgetAfter is for how long a content must stay away before it is tried again.
 	ForgetAfter = 10 * time.Minute
-	// mostCrashes and mostVerdicts bound what is remembered, also while someone sends
+	// maxCrashes and mostVerdicts bound what is remembered, also while someone sends
 	// many different requests that end upstreams.
-	mostCrashes  = 64
-	mostVerdicts = 256
+	maxCrashes  = 64
+	maxVerdicts = 256
 )
 
 // Config is what a Tracker works with. All fields are required.
@@ -57,7 +57,7 @@
 type Tracker struct {
 	cfg Config
 	// quiet: nothing is known, so that nothing must be asked about a request.
-	quiet atomic.Bool
+	empty atomic.Bool
 
 	mu      sync.Mutex
 	crashes []*crash
@@ -71,10 +71,10 @@
 	outlines   map[ident.Outline]bool
 	// verdicts are by content.
 	verdicts map[ident.Content]*verdict
-	// running counts the requests in progress whose content is suspected, by upstream.
-	running map[ident.Content]map[ident.Instance]int
-	// told is how many verdicts were told so far, for their turns.
-	told   int
+	// inFlight counts the requests in progress whose content is suspected, by upstream.
+	inFlight map[ident.Content]map[ident.Instance]int
+	// reportCursor is how many verdicts were told so far, for their turns.
+	reportCursor   int
 	counts Counters
 }
 
@@ -90,33 +90,33 @@
 	upstream uint32
 	at       time.Time
 	// marks are of the requests that were there, and own those of this gateway, in order.
-	marks, own []ident.Mark
-	// ownAt is when the last of them was noted, for how long they are told.
-	ownAt time.Time
-	// cause is the total of the likeliest found content that was there; zero if none was.
-	cause total
+	marks, ownMarks []ident.Mark
+	// lastOwnAt is when the last of them was noted, for how long they are told.
+	lastOwnAt time.Time
+	// topConvicted is the total of the likeliest found content that was there; zero if none was.
+	topConvicted tally
 }
 
 // verdict is what was found of a content.
 type verdict struct {
 	at time.Time
-	// seen is when a request with the content came last, at any gateway.
-	seen time.Time
+	// lastSeen is when a request with the content came last, at any gateway.
+	lastSeen time.Time
 	// cleared: nothing up to at counts against the content.
 	cleared bool
 	// told: the others need to know. Most contents come to one gateway alone.
-	told bool
+	shared bool
 }
 
 // New returns a Tracker that knows nothing.
 func New(cfg Config) *Tracker {
-	t := &Tracker{cfg: cfg, suspects: make(map[ident.Content]*suspect), verdicts: make(map[ident.Content]*verdict), running: make(map[ident.Content]map[ident.Instance]int), outlines: make(map[ident.Outline]bool)}
-	t.quiet.Store(true)
+	t := &Tracker{cfg: cfg, suspects: make(map[ident.Content]*suspect), verdicts: make(map[ident.Content]*verdict), inFlight: make(map[ident.Content]map[ident.Instance]int), outlines: make(map[ident.Outline]bool)}
+	t.empty.Store(true)
 	return t
 }
 
 // Quiet reports whether nothing is known, so that no request needs to be asked about.
-func (t *Tracker) Quiet() bool { return t.quiet.Load() }
+func (t *Tracker) Quiet() bool { return t.empty.Load() }
 
 // Knows reports whether anything is known of requests with an outline.
 func (t *Tracker) Knows(outline ident.Outline) bool {
@@ -125,8 +125,8 @@
 	return t.outlines[outline]
 }
 
-// outline works the outlines out anew.
-func (t *Tracker) outline() {
+// rebuildOutlines works the outlines out anew.
+func (t *Tracker) rebuildOutlines() {
 	all := make(map[ident.Outline]bool)
 	for _, c := range t.crashes {
 		for _, mark := range c.marks {
@@ -139,7 +139,7 @@
 	t.outlinesMu.Lock()
 	t.outlines = all
 	t.outlinesMu.Unlock()
-	t.quiet.Store(len(all) == 0)
+	t.empty.Store(len(all) == 0)
 }
 
 // Crashed notes that an upstream's process ended while it had one of this gateway's
@@ -149,49 +149,49 @@
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
 	key := t.cfg.Key(upstream)
-	c := t.crash(key, now)
-	c.own, _ = insert(c.own, mark)
-	c.ownAt = now
-	t.add(c, mark)
+	c := t.findOrAddCrash(key, now)
+	c.ownMarks, _ = insertSorted(c.ownMarks, mark)
+	c.lastOwnAt = now
+	t.addMark(c, mark)
 	t.outlinesMu.Lock()
 	t.outlines[mark.Content().Outline()] = true
 	t.outlinesMu.Unlock()
-	t.quiet.Store(false)
+	t.empty.Store(false)
 }
 
-// crash returns what is known of an upstream's end at an instant.
-func (t *Tracker) crash(upstream uint32, at time.Time) *crash {
+// findOrAddCrash returns what is known of an upstream's end at an instant.
+func (t *Tracker) findOrAddCrash(upstream uint32, at time.Time) *crash {
 	for i := len(t.crashes) - 1; i >= 0; i-- {
-		if c := t.crashes[i]; c.upstream == upstream && c.at.Sub(at).Abs() < sameEnd {
+		if c := t.crashes[i]; c.upstream == upstream && c.at.Sub(at).Abs() < sameCrashWindow {
 			return c
 		}
 	}
 	c := &crash{upstream: upstream, at: at}
 	t.crashes = append(t.crashes, c)
 	t.counts.Crashes++
-	if len(t.crashes) > mostCrashes {
-		t.crashes = slices.Delete(t.crashes, 0, len(t.crashes)-mostCrashes)
+	if len(t.crashes) > maxCrashes {
+		t.crashes = slices.Delete(t.crashes, 0, len(t.crashes)-maxCrashes)
 		t.dirty = true
 	}
 	return c
 }
 
-// mostMarks bounds what is remembered of one end.
-const mostMarks = 256
+// maxMarksPerCrash bounds what is remembered of one end.
+const maxMarksPerCrash = 256
 
-// add notes that a request was at an end.
-func (t *Tracker) add(c *crash, mark ident.Mark) {
-	if len(c.marks) >= mostMarks {
+// addMark notes that a request was at an end.
+func (t *Tracker) addMark(c *crash, mark ident.Mark) {
+	if len(c.marks) >= maxMarksPerCrash {
 		return
 	}
 	var isNew bool
-	if c.marks, isNew = insert(c.marks, mark); isNew {
+	if c.marks, isNew = insertSorted(c.marks, mark); isNew {
 		t.dirty = true
 	}
 }
 
-// insert puts a mark into a sorted list and reports whether it was not there.
-func insert(list []ident.Mark, mark ident.Mark) ([]ident.Mark, bool) {
+// insertSorted puts a mark into a sorted list and reports whether it was not there.
+func insertSorted(list []ident.Mark, mark ident.Mark) ([]ident.Mark, bool) {
 	i, found := slices.BinarySearch(list, mark)
 	if found {
 		return list, false
@@ -205,30 +205,30 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	barred := t.convicted(content, now)
-	if n, _ := t.ends(content, now); n == 0 && !barred {
+	barred := t.isConvicted(content, now)
+	if n, _ := t.crashesAgainst(content, now); n == 0 && !barred {
 		return
 	}
-	t.clear(content, barred || t.elsewhere(content), now)
+	t.clearContent(content, barred || t.reportedElsewhere(content), now)
 	if barred {
 		t.cfg.Log.Warn("request that was found to end upstreams was answered whole", "content", content)
 	}
 }
 
-// elsewhere reports whether other gateways had a suspected content at an end too.
-func (t *Tracker) elsewhere(content ident.Content) bool {
-	return slices.ContainsFunc(t.suspects[content].crashes, func(c *crash) bool {
+// reportedElsewhere reports whether other gateways had a suspected content at an end too.
+func (t *Tracker) reportedElsewhere(content ident.Content) bool {
+	return slices.ContainsFunc(t.suspects[content].unexplained, func(c *crash) bool {
 		return slices.ContainsFunc(c.marks, func(mark ident.Mark) bool {
-			_, own := slices.BinarySearch(c.own, mark)
+			_, own := slices.BinarySearch(c.ownMarks, mark)
 			return mark.Content() == content && !own
 		})
 	})
 }
 
-// clear makes all ends up to now say nothing against a content.
-func (t *Tracker) clear(content ident.Content, tell bool, now time.Time) {
-	t.verdicts[content] = &verdict{at: now, seen: now, cleared: true, told: tell}
-	t.boundVerdicts()
+// clearContent makes all ends up to now say nothing against a content.
+func (t *Tracker) clearContent(content ident.Content, tell bool, now time.Time) {
+	t.verdicts[content] = &verdict{at: now, lastSeen: now, cleared: true, shared: tell}
+	t.limitVerdicts()
 	t.dirty = true
 }
 
@@ -240,24 +240,24 @@
 	return time.Time{}
 }
 
-func (t *Tracker) convicted(content ident.Content, now time.Time) bool {
+func (t *Tracker) isConvicted(content ident.Content, now time.Time) bool {
 	v := t.verdicts[content]
-	return v != nil && !v.cleared && now.Sub(v.seen) < ForgetAfter
+	return v != nil && !v.cleared && now.Sub(v.lastSeen) < ForgetAfter
 }
 
 // Barred reports whether a request with a content must not run, and when it may come back.
 func (t *Tracker) Barred(content ident.Content) (after time.Duration, barred bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.barred(content)
+	return t.barIfConvicted(content)
 }
 
-func (t *Tracker) barred(content ident.Content) (time.Duration, bool) {
+func (t *Tracker) barIfConvicted(content ident.Content) (time.Duration, bool) {
 	now := t.cfg.Now()
-	if !t.convicted(content, now) {
+	if !t.isConvicted(content, now) {
 		return 0, false
 	}
-	t.verdicts[content].seen = now
+	t.verdicts[content].lastSeen = now
 	t.counts.Refused++
 	return ForgetAfter, true
 }
@@ -268,10 +268,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	if !t.convicted(content, now) {
+	if !t.isConvicted(content, now) {
 		return false
 	}
-	t.clear(content, true, now)
+	t.clearContent(content, true, now)
 	t.cfg.Log.Warn("request cleared by an operator", "content", content)
 	return true
 }
@@ -279,52 +279,52 @@
 // Refresh takes in what the other gateways tell, finds what is to be found, and forgets
 // what is old.
 func (t *Tracker) Refresh(words Words) {
-	if words.Empty() && t.quiet.Load() {
+	if words.Empty() && t.empty.Load() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
 	for i := range words.Crashes {
-		t.hearCrash(&words.Crashes[i], now)
+		t.mergeCrash(&words.Crashes[i], now)
 	}
 	for i := range words.Verdicts {
-		t.hearVerdict(&words.Verdicts[i], now)
+		t.mergeVerdict(&words.Verdicts[i], now)
 	}
 	changed := t.dirty
-	t.find(now)
-	t.forget(now)
+	t.convictCauses(now)
+	t.expire(now)
 	if changed || t.dirty {
-		t.outline()
+		t.rebuildOutlines()
 	}
 }
 
-func (t *Tracker) hearCrash(told *Crash, now time.Time) {
-	if told.Age >= remembered {
+func (t *Tracker) mergeCrash(told *Crash, now time.Time) {
+	if told.Age >= crashTTL {
 		return
 	}
-	c := t.crash(told.Upstream, now.Add(-told.Age))
+	c := t.findOrAddCrash(told.Upstream, now.Add(-told.Age))
 	for _, mark := range told.Marks {
-		t.add(c, mark)
+		t.addMark(c, mark)
 	}
 }
 
-// hearVerdict takes the later of two verdicts.
-func (t *Tracker) hearVerdict(told *Verdict, now time.Time) {
+// mergeVerdict takes the later of two verdicts.
+func (t *Tracker) mergeVerdict(told *Verdict, now time.Time) {
 	if told.Idle >= ForgetAfter {
 		return
 	}
 	at, seen := now.Add(-told.Age), now.Add(-told.Idle)
 	known := t.verdicts[told.Content]
 	if known != nil {
-		known.seen = boottime.Later(known.seen, seen)
+		known.lastSeen = boottime.Later(known.lastSeen, seen)
 		if !supersedes(told.Cleared, at, known.cleared, known.at) {
 			return
 		}
-		seen = known.seen
+		seen = known.lastSeen
 	}
-	t.verdicts[told.Content] = &verdict{at: at, seen: seen, cleared: told.Cleared, told: true}
-	t.boundVerdicts()
+	t.verdicts[told.Content] = &verdict{at: at, lastSeen: seen, cleared: told.Cleared, shared: true}
+	t.limitVerdicts()
 	t.dirty = true
 	if !told.Cleared || known != nil && !known.cleared {
 		t.cfg.Log.Info("told of a request that ends upstreams", "content", told.Content, "cleared", told.Cleared,
@@ -332,8 +332,8 @@
 	}
 }
 
-// sameWord is by how much ages that came by way of others are off.
-const sameWord = 100 * time.Millisecond
+// ageTolerance is by how much ages that came by way of others are off.
+const ageTolerance = 100 * time.Millisecond
 
 // supersedes reports whether a verdict replaces a known one. Of two at about the same time
 // the one that clears stands: an answer proves more than ends do, and further ends speak
@@ -341,18 +341,18 @@
 func supersedes(cleared bool, at time.Time, knownCleared bool, knownAt time.Time) bool {
 	switch {
 	case cleared && !knownCleared:
-		return at.After(knownAt.Add(-sameWord))
+		return at.After(knownAt.Add(-ageTolerance))
 	case cleared || knownCleared:
-		return at.After(knownAt.Add(sameWord))
+		return at.After(knownAt.Add(ageTolerance))
 	}
 	return false
 }
 
-// forget drops what is too old to matter.
-func (t *Tracker) forget(now time.Time) {
+// expire drops what is too old to matter.
+func (t *Tracker) expire(now time.Time) {
 	kept := t.crashes[:0]
 	for _, c := range t.crashes {
-		if now.Sub(c.at) < remembered {
+		if now.Sub(c.at) < crashTTL {
 			kept = append(kept, c)
 		}
 	}
@@ -360,7 +360,7 @@
 	clear(t.crashes[len(kept):])
 	t.crashes = kept
 	for content, v := range t.verdicts {
-		if now.Sub(v.seen) >= ForgetAfter || v.cleared && now.Sub(v.at) >= remembered {
+		if now.Sub(v.lastSeen) >= ForgetAfter || v.cleared && now.Sub(v.at) >= crashTTL {
 			delete(t.verdicts, content)
 			forgot = true
 		}
@@ -370,12 +370,12 @@
 	}
 }
 
-// boundVerdicts drops the verdict whose content stayed away for longest.
-func (t *Tracker) boundVerdicts() {
-	for len(t.verdicts) > mostVerdicts {
+// limitVerdicts drops the verdict whose content stayed away for longest.
+func (t *Tracker) limitVerdicts() {
+	for len(t.verdicts) > maxVerdicts {
 		var oldest ident.Content
 		for content, v := range t.verdicts {
-			if o := t.verdicts[oldest]; o == nil || v.cleared && !o.cleared || v.cleared == o.cleared && v.seen.Before(o.seen) {
+			if o := t.verdicts[oldest]; o == nil || v.cleared && !o.cleared || v.cleared == o.cleared && v.lastSeen.Before(o.lastSeen) {
 				oldest = content
 			}
 		}
--- a/internal/poison/words.go
+++ b/internal/poison/words.go
@@ -63,7 +63,7 @@
 	for _, v := range o.Verdicts {
 		out.addVerdict(v)
 	}
-	out.bound(mostSummed, mostVerdicts)
+	out.limit(maxMergedMarks, maxVerdicts)
 	return out
 }
 
@@ -78,7 +78,7 @@
 func (w *Words) addCrash(c *Crash) {
 	for i := range w.Crashes {
 		known := &w.Crashes[i]
-		if known.Upstream == c.Upstream && (known.Age-c.Age).Abs() < sameEnd {
+		if known.Upstream == c.Upstream && (known.Age-c.Age).Abs() < sameCrashWindow {
 			known.Marks = union(known.Marks, c.Marks)
 			return
 		}
@@ -112,9 +112,9 @@
 	w.Verdicts = append(w.Verdicts, v)
 }
 
-// bound leaves out what is too much for one message: crashes by age, and of those that
+// limit leaves out what is too much for one message: crashes by age, and of those that
 // stay the marks beyond a number; and the verdicts that were idle for longest.
-func (w *Words) bound(marks, verdicts int) {
+func (w *Words) limit(marks, verdicts int) {
 	slices.SortStableFunc(w.Crashes, func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) })
 	left := marks
 	for i := range w.Crashes {
