--- a/internal/poison/admit.go
+++ b/internal/poison/admit.go
@@ -7,34 +7,35 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Step is what to do with a request before it is sent to an upstream.
+// Step says what to do with a request before it is sent to an upstream.
 type Step int
 
 // The steps.
 const (
-	// Send it.
+	// Send means that the request may be sent now.
 	Send Step = iota + 1
-	// Wait: what is known of it will soon be more.
+	// Wait means to ask again shortly: more evidence about the content is on its way.
 	Wait
-	// Bar: it must not run.
+	// Bar means that the request must not run.
 	Bar
 )
 
-// Decision is a step with what belongs to it.
+// Decision is the result of Admit.
 type Decision struct {
 	Step Step
-	// Avoid are the upstreams where another suspected request is in progress: if one of
-	// the two ends an upstream, it shows which.
+	// Avoid lists the upstreams where a request with another suspected content is in progress.
+	// Kept apart, a crash shows which of the two contents caused it.
 	Avoid []ident.Instance
-	// After is when a barred request may come back.
+	// After is how long the caller of a barred request should wait before a retry.
 	After time.Duration
 }
 
-// Admit decides about a request that is to be sent now and has waited for so long.
+// Admit decides whether a request may be sent now, after it has waited for the given time.
 //
-// A content that was at enough ends waits until all gateways have told what they had
-// there. One that was at one fewer is sent, but not while another request with the same
-// content is in progress here, which may show more.
+// A content with minCrashes crashes waits until all gateways have reported what they had
+// running in them. A content with one crash fewer is sent, but not while another request with
+// the same content is in progress at this gateway, because its end may decide. No request
+// waits longer than settleTime.
 func (t *Tracker) Admit(content ident.Content, waited time.Duration) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,29 +43,29 @@
 	if after, barred := t.barIfConvicted(content); barred {
 		return Decision{Step: Bar, After: after}
 	}
-	ends, newest := t.crashesAgainst(content, now)
-	if ends == 0 {
+	crashes, newest := t.crashesAgainst(content, now)
+	if crashes == 0 {
 		return Decision{Step: Send}
 	}
-	open := ends >= minCrashes-1 && len(t.inFlight[content]) > 0 || ends >= minCrashes && now.Sub(newest) < settleTime
-	if open && waited < settleTime {
+	undecided := crashes >= minCrashes-1 && len(t.inFlight[content]) > 0 || crashes >= minCrashes && now.Sub(newest) < settleTime
+	if undecided && waited < settleTime {
 		return Decision{Step: Wait}
 	}
 	return Decision{Step: Send, Avoid: t.upstreamsOfOtherSuspects(content)}
 }
 
-// Resend reports whether a request that an end broke off may be sent to a further
-// upstream: not where its content was at enough ends already, and only another arrival of
-// it can tell whether it is their cause.
+// Resend reports whether a request that a crash interrupted may be sent to another upstream.
+// It may not if its content already has minCrashes crashes: then only another arrival of the
+// content can tell whether it is their cause.
 func (t *Tracker) Resend(content ident.Content) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	ends, _ := t.crashesAgainst(content, now)
-	return ends < minCrashes && !t.isConvicted(content, now)
+	crashes, _ := t.crashesAgainst(content, now)
+	return crashes < minCrashes && !t.isConvicted(content, now)
 }
 
-// crashesAgainst returns how many ends count against a content, and when the newest was.
+// crashesAgainst returns how many crashes count against a content, and when the newest was.
 func (t *Tracker) crashesAgainst(content ident.Content, now time.Time) (n int, newest time.Time) {
 	t.rebuildSuspects(now)
 	s := t.suspects[content]
@@ -81,23 +82,23 @@
 // progress.
 func (t *Tracker) upstreamsOfOtherSuspects(content ident.Content) []ident.Instance {
 	var out []ident.Instance
-	for other, at := range t.inFlight {
+	for other, upstreams := range t.inFlight {
 		if other == content {
 			continue
 		}
-		for upstream := range at {
+		for upstream := range upstreams {
 			out = append(out, upstream)
 		}
 	}
 	return out
 }
 
-// Started notes that a request whose content is suspected was sent to an upstream, and
-// returns what to call when it has ended there.
+// Started records that a request was sent to an upstream, if its content is suspected. The
+// caller must call ended when the request has ended there.
 func (t *Tracker) Started(upstream ident.Instance, content ident.Content) (ended func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if ends, _ := t.crashesAgainst(content, t.cfg.Now()); ends == 0 {
+	if crashes, _ := t.crashesAgainst(content, t.cfg.Now()); crashes == 0 {
 		return func() {}
 	}
 	if t.inFlight[content] == nil {
@@ -110,11 +111,11 @@
 func (t *Tracker) finished(upstream ident.Instance, content ident.Content) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := t.inFlight[content]
-	if at[upstream]--; at[upstream] <= 0 {
-		delete(at, upstream)
+	upstreams := t.inFlight[content]
+	if upstreams[upstream]--; upstreams[upstream] <= 0 {
+		delete(upstreams, upstream)
 	}
-	if len(at) == 0 {
+	if len(upstreams) == 0 {
 		delete(t.inFlight, content)
 	}
 }
--- a/internal/poison/find.go
+++ b/internal/poison/find.go
@@ -8,40 +8,43 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// minCrashesIfTied many ends in a row say that a content is a cause also where another one was at
-// the same ends, so that nothing tells them apart.
+// minCrashesIfTied is how many crashes in a row convict a content even if another content was
+// running in the same crashes, so that nothing tells the two apart.
 const minCrashesIfTied = minCrashes + 2
 
-// tally is how often a content was at an end since it was last answered, and how many
-// requests with it an end broke off: one that a gateway sent on after each end is one.
+// tally counts the crashes in which a content was running since it was last answered, and
+// the distinct requests with it that the crashes interrupted. A request that its gateway
+// resent after each crash counts once.
 type tally struct{ crashes, arrivals int }
 
-// compare compares how much speaks for a cause: its ends, and then that each arrival made
-// one. What was sent on by its gateway alone has fewer arrivals than ends, and what many
-// callers send at a time, and had been in progress for a while, has more.
+// compare orders tallies by how likely they belong to a cause: more crashes first, then
+// those with nearly one arrival per crash. A request that only its own gateway resent has
+// fewer arrivals than crashes; content that many callers have in progress at a time has more.
 func (a tally) compare(b tally) int {
 	return cmp.Or(cmp.Compare(a.crashes, b.crashes), cmp.Compare(b.imbalance(), a.imbalance()))
 }
 
+// imbalance is how far the arrivals differ from one per crash.
 func (a tally) imbalance() int { return max(a.arrivals-a.crashes, a.crashes-a.arrivals) }
 
-// suspect is a content that was at ends.
+// suspect is a content that was running in at least one crash.
 type suspect struct {
 	content ident.Content
-	// convicted and cleared are what is known of it already, and since when ends count.
+	// convicted and cleared give the content's verdict. Only crashes after clearedAt count.
 	convicted, cleared bool
 	clearedAt          time.Time
-	// allCrashes are the ends since it was last answered, and crashes those of them that count
-	// against it.
+	// allCrashes are the crashes since the content was last answered; unexplained are those of
+	// them that count against it, because no convicted content explains them.
 	allCrashes, unexplained []*crash
-	tally         tally
+	tally                   tally
 }
 
-// rebuildSuspects works out anew what counts against which content, if anything has changed.
+// rebuildSuspects recomputes which crashes count against which content, if anything has
+// changed.
 //
-// An end where a found content was says nothing against the others there, but for one that
-// was at as many ends as the found one, and never answered: then the found one may only
-// have run beside it.
+// A crash in which a convicted content was running does not count against the other contents
+// there. The exception is a content that was in as many crashes as the convicted one and was
+// never answered: then the convicted one may only have run beside it.
 func (t *Tracker) rebuildSuspects(now time.Time) {
 	if !t.dirty {
 		return
@@ -70,7 +73,7 @@
 	}
 }
 
-// addSuspectsOf notes the contents that were at an end.
+// addSuspectsOf adds a crash to each content that was running in it.
 func (t *Tracker) addSuspectsOf(c *crash, now time.Time) {
 	for i, mark := range c.marks {
 		content := mark.Content()
@@ -89,7 +92,7 @@
 	}
 }
 
-// tallyOf counts a content's ends and requests.
+// tallyOf counts the given crashes and a content's distinct requests in them.
 func tallyOf(content ident.Content, crashes []*crash) tally {
 	var arrived []ident.Mark
 	for _, c := range crashes {
@@ -104,12 +107,13 @@
 	return tally{crashes: len(crashes), arrivals: len(arrived)}
 }
 
-// convictCauses looks for causes until what is left is explained or may still change.
+// convictCauses convicts one cause after another until the remaining crashes are explained or
+// the evidence about them is still incomplete.
 func (t *Tracker) convictCauses(now time.Time) {
 	for {
 		t.rebuildSuspects(now)
-		likely := t.candidates(now)
-		best, found := likeliestCause(likely)
+		candidates := t.candidates(now)
+		best, found := likeliestCause(candidates)
 		if !found {
 			return
 		}
@@ -121,15 +125,14 @@
 		t.counts.Found++
 		t.limitVerdicts()
 		t.dirty = true
-		t.cfg.Log.Warn("request found to end upstreams", "content", best.content, "ends", best.tally.crashes, "arrivals", best.tally.arrivals,
-			"ends_age_ms", ages, "suspects", len(likely))
+		t.cfg.Log.Warn("request content convicted of crashing upstreams", "content", best.content, "ends", best.tally.crashes, "arrivals", best.tally.arrivals,
+			"ends_age_ms", ages, "suspects", len(candidates))
 	}
 }
 
-// candidates returns the contents that were at enough ends in a row of which all gateways have
-// told, the likeliest cause first. A request that came once is no cause, because only its
-// own gateway sent it on, and one that came twice must have been at one end more: its
-// caller alone brought it back.
+// candidates returns the contents with enough settled crashes, the likeliest cause first. A
+// content that arrived once is no candidate, because only its own gateway resent it. One that
+// arrived twice needs one crash more, because it may be only its caller's retry.
 func (t *Tracker) candidates(now time.Time) []*suspect {
 	var out []*suspect
 	for _, s := range t.suspects {
@@ -146,7 +149,8 @@
 	return out
 }
 
-// onlySettled returns the suspect with those ends of which all gateways have told.
+// onlySettled returns the suspect with only those crashes that all gateways have reported by
+// now.
 func (s *suspect) onlySettled(now time.Time) *suspect {
 	out := &suspect{content: s.content}
 	for _, c := range s.unexplained {
@@ -158,21 +162,22 @@
 	return out
 }
 
-// likeliestCause returns the likeliest cause, unless another content was seen alike.
-func likeliestCause(likely []*suspect) (*suspect, bool) {
-	for i, s := range likely {
-		outdone := slices.ContainsFunc(likely[:i], s.sharesCrash)
-		alike := slices.ContainsFunc(likely[i+1:], func(o *suspect) bool {
+// likeliestCause returns the first candidate that no likelier or equally likely candidate
+// shares a crash with. A candidate with minCrashesIfTied crashes needs no such distinction.
+func likeliestCause(candidates []*suspect) (*suspect, bool) {
+	for i, s := range candidates {
+		outranked := slices.ContainsFunc(candidates[:i], s.sharesCrash)
+		tied := slices.ContainsFunc(candidates[i+1:], func(o *suspect) bool {
 			return o.tally.compare(s.tally) == 0 && s.sharesCrash(o)
 		})
-		if len(s.unexplained) >= minCrashesIfTied || !outdone && !alike {
+		if len(s.unexplained) >= minCrashesIfTied || !outranked && !tied {
 			return s, true
 		}
 	}
 	return nil, false
 }
 
-// sharesCrash reports whether an end counts against both.
+// sharesCrash reports whether a crash counts against both suspects.
 func (s *suspect) sharesCrash(o *suspect) bool {
 	return slices.ContainsFunc(s.unexplained, func(c *crash) bool { return slices.Contains(o.unexplained, c) })
 }
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -19,21 +19,21 @@
 // with the real Tracker, the exchange with its delays, upstreams that end and come back.
 
 const (
-	exchangePeriod      = 250 * time.Millisecond
-	pollPeriod       = 25 * time.Millisecond
-	minGatewaysForCollectors  = 18
-	exchangeDelay        = 20 * time.Millisecond
-	clientRetryDelay = 100 * time.Millisecond
-	playLength     = 25 * time.Second
-	leaseRenewalPeriod    = 1500 * time.Millisecond
-	restoreDelay  = 50 * time.Millisecond
+	exchangePeriod           = 250 * time.Millisecond
+	pollPeriod               = 25 * time.Millisecond
+	minGatewaysForCollectors = 18
+	exchangeDelay            = 20 * time.Millisecond
+	clientRetryDelay         = 100 * time.Millisecond
+	playLength               = 25 * time.Second
+	leaseRenewalPeriod       = 1500 * time.Millisecond
+	restoreDelay             = 50 * time.Millisecond
 )
 
 // killer is a content that ends each upstream that runs it.
 type killer struct {
 	// meanInterval is the mean time between its arrivals, and burst how many come at once.
 	meanInterval time.Duration
-	burst int
+	burst        int
 	// crashDelay is when, of the run, it ends the upstream.
 	crashDelay time.Duration
 	// maxSends is how often a gateway may send one arrival.
@@ -49,19 +49,19 @@
 	name              string
 	gateways, domains int
 	upstreams, slots  int
-	knownWithin           time.Duration
+	knownWithin       time.Duration
 	rate              float64
-	meanDuration              time.Duration
+	meanDuration      time.Duration
 	killers           []killer
-	hotShare               float64 // the part of ordinary requests that have one content
-	crashRate          float64 // ends a second of upstreams by themselves, under load
-	flappingUpstreams             int     // upstreams that end by themselves, again and again
-	domainReclaimed         bool    // a domain's upstreams leave as announced
-	domainLost              bool    // a domain's upstreams end at once, unannounced
-	domainCutOff               bool    // a domain is cut off by resets for some seconds
+	hotShare          float64 // the part of ordinary requests that have one content
+	crashRate         float64 // ends a second of upstreams by themselves, under load
+	flappingUpstreams int     // upstreams that end by themselves, again and again
+	domainReclaimed   bool    // a domain's upstreams leave as announced
+	domainLost        bool    // a domain's upstreams end at once, unannounced
+	domainCutOff      bool    // a domain is cut off by resets for some seconds
 	keepsIDs          bool    // upstreams come back under their name
-	rollingRestart           bool    // gateways are started anew, one after the other
-	withoutTracker              bool    // without the tracker
+	rollingRestart    bool    // gateways are started anew, one after the other
+	withoutTracker    bool    // without the tracker
 	burst             bool
 	// maxRetries is how often the caller of an ordinary request that failed comes again; 0 is once.
 	maxRetries int
@@ -76,19 +76,19 @@
 	gateway *gateway
 	// retries of the client, runs of this arrival.
 	retries, sends, maxSends int
-	crashed                 bool
-	group                 int
-	waitedFrom            time.Duration
-	upstream              *upstream
-	finished                  func()
+	crashed                  bool
+	group                    int
+	waitedFrom               time.Duration
+	upstream                 *upstream
+	finished                 func()
 }
 
 type upstream struct {
-	i, life int
-	domain  int
-	up      bool
-	leaving bool
-	inFlight    map[*request]bool
+	i, life  int
+	domain   int
+	up       bool
+	leaving  bool
+	inFlight map[*request]bool
 }
 
 func (u *upstream) id(same bool) ident.Instance {
@@ -115,27 +115,27 @@
 	// mostLateSends is the most sends of one content that were too late.
 	mostLateSends, crashes, ordinary, refused, lost int
 	// knownAfter is the longest time from a content's third end to the last gateway's knowing.
-	knownAfter time.Duration
-	knownToAll bool
-	mostReported  int // the most contents and verdicts in one report
+	knownAfter   time.Duration
+	knownToAll   bool
+	mostReported int // the most contents and verdicts in one report
 }
 
 type fleet struct {
 	testkit.Timeline
-	s        story
-	rng      *rand.Rand
-	gateways []*gateway
-	upstreams      []*upstream
-	received    []receivedReport
-	sums     []receivedReport
-	lastID      int
-	result        result
+	s         story
+	rng       *rand.Rand
+	gateways  []*gateway
+	upstreams []*upstream
+	received  []receivedReport
+	sums      []receivedReport
+	lastID    int
+	result    result
 	// ends of each killer's content, and late sends.
 	thirdCrashAt map[ident.Content]time.Duration
-	kills    map[ident.Content]int
-	lateSends     map[ident.Content]int
-	cutOffDomain   int
-	checkedAt  time.Duration
+	kills        map[ident.Content]int
+	lateSends    map[ident.Content]int
+	cutOffDomain int
+	checkedAt    time.Duration
 	// storedRecord is what the lease's record holds.
 	storedRecord json.RawMessage
 }
--- a/internal/poison/kept.go
+++ b/internal/poison/kept.go
@@ -9,20 +9,20 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// maxStoredVerdicts bounds the verdicts that outlive all gateways.
+// maxStoredVerdicts bounds the verdicts in the stored record.
 const maxStoredVerdicts = 32
 
-// storedVerdict is a verdict in a record of the platform's store.
+// storedVerdict is a convicted content in a record of the platform's store.
 type storedVerdict struct {
 	Content ident.Content `json:"content"`
-	// AgeMillis and IdleMillis are as of the record's writing.
+	// AgeMillis and IdleMillis are measured at the time the record was written.
 	AgeMillis  int64 `json:"age_ms"`
 	IdleMillis int64 `json:"idle_ms"`
 }
 
-// Keep returns what must outlive all gateways: the contents that were found, those that
-// came last first. What goes wrong without it: after all gateways were killed, each such
-// content ends three more upstreams before it is found again. It returns nil for none.
+// Keep returns the convicted contents for storage, the most recently seen first, or nil if
+// there are none. Without the record, after all gateways were killed, each such content
+// crashes three more upstreams before it is convicted again.
 func (t *Tracker) Keep() json.RawMessage {
 	if t.empty.Load() {
 		return nil
@@ -30,47 +30,47 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	var kept []storedVerdict
+	var stored []storedVerdict
 	for content, v := range t.verdicts {
 		if t.isConvicted(content, now) {
-			kept = append(kept, storedVerdict{Content: content, AgeMillis: now.Sub(v.at).Milliseconds(), IdleMillis: now.Sub(v.lastSeen).Milliseconds()})
+			stored = append(stored, storedVerdict{Content: content, AgeMillis: now.Sub(v.at).Milliseconds(), IdleMillis: now.Sub(v.lastSeen).Milliseconds()})
 		}
 	}
-	if len(kept) == 0 {
+	if len(stored) == 0 {
 		return nil
 	}
-	slices.SortFunc(kept, func(a, b storedVerdict) int {
+	slices.SortFunc(stored, func(a, b storedVerdict) int {
 		return cmp.Or(cmp.Compare(a.IdleMillis, b.IdleMillis), cmp.Compare(a.Content, b.Content))
 	})
-	data, err := json.Marshal(kept[:min(len(kept), maxStoredVerdicts)])
+	data, err := json.Marshal(stored[:min(len(stored), maxStoredVerdicts)])
 	if err != nil {
-		t.cfg.Log.Error("found contents not encoded", "error", err)
+		t.cfg.Log.Error("convicted contents could not be encoded for storage", "error", err)
 		return nil
 	}
 	return data
 }
 
-// Learn takes in what an earlier holder of the lease kept. What cannot be read changes
-// nothing.
+// Learn merges the record that an earlier holder of the lease stored with Keep. Entries that
+// cannot be used are logged and skipped.
 func (t *Tracker) Learn(data json.RawMessage) {
 	if len(data) == 0 {
 		return
 	}
-	var kept []storedVerdict
-	if err := json.Unmarshal(data, &kept); err != nil {
-		t.cfg.Log.Error("kept contents not usable", "error", err)
+	var stored []storedVerdict
+	if err := json.Unmarshal(data, &stored); err != nil {
+		t.cfg.Log.Error("stored record of convicted contents cannot be read", "error", err)
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	for _, k := range kept[:min(len(kept), maxStoredVerdicts)] {
-		if k.Content == 0 || k.AgeMillis < 0 || k.IdleMillis < 0 {
-			t.cfg.Log.Error("a kept content is not usable", "content", k.Content, "age_ms", k.AgeMillis, "idle_ms", k.IdleMillis)
+	for _, v := range stored[:min(len(stored), maxStoredVerdicts)] {
+		if v.Content == 0 || v.AgeMillis < 0 || v.IdleMillis < 0 {
+			t.cfg.Log.Error("stored verdict is not valid", "content", v.Content, "age_ms", v.AgeMillis, "idle_ms", v.IdleMillis)
 			continue
 		}
 		t.mergeVerdict(&Verdict{
-			Content: k.Content, Age: time.Duration(k.AgeMillis) * time.Millisecond, Idle: time.Duration(k.IdleMillis) * time.Millisecond,
+			Content: v.Content, Age: time.Duration(v.AgeMillis) * time.Millisecond, Idle: time.Duration(v.IdleMillis) * time.Millisecond,
 		}, now)
 	}
 	t.rebuildOutlines()
--- a/internal/poison/list.go
+++ b/internal/poison/list.go
@@ -8,16 +8,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Barred is a content that was found, for operators.
+// Barred describes a convicted content to operators.
 type Barred struct {
 	Content ident.Content
-	// Age is how long ago it was found, and Idle how long it has stayed away.
+	// Age is the time since its conviction, Idle the time since a request with it last arrived
+	// at any gateway.
 	Age, Idle time.Duration
-	// Ends are those of the ends remembered at which it was.
+	// Ends counts the remembered crashes in which it was running.
 	Ends int
 }
 
-// List returns what was found, the newest first.
+// List returns the convicted contents, the most recently convicted first.
 func (t *Tracker) List() []Barred {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,7 +38,8 @@
 	return out
 }
 
-// Suspected returns how many contents ends count against that were not found.
+// Suspected returns the number of contents that crashes count against but that are not
+// convicted.
 func (t *Tracker) Suspected() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/poison/tell.go
+++ b/internal/poison/outgoing.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// reportCrashFor is for how long this gateway tells what it had at an end: four rounds of the
-	// exchange, so that two lost ones change nothing.
+	// reportCrashFor is how long this gateway reports its requests in a crash: four rounds of
+	// the exchange, so that losing two of them does no harm.
 	reportCrashFor = time.Second
-	// maxReportedMarks bounds the marks in one report, and mostSummed those in what a collector
-	// adds up.
+	// maxReportedMarks bounds the marks in one gateway's report, and maxMergedMarks those in a
+	// collector's merged report.
 	maxReportedMarks, maxMergedMarks = 14, 160
-	// maxReportedVerdicts is how many verdicts are told in one report, in turns.
+	// maxReportedVerdicts bounds the verdicts in one report; further ones take turns.
 	maxReportedVerdicts = 3
 )
 
-// Words returns what to tell the other gateways now.
+// Words returns this gateway's current report to the other gateways.
 func (t *Tracker) Words() Words {
 	if t.empty.Load() {
 		return Words{}
@@ -37,21 +37,23 @@
 	return w
 }
 
-// crashToReport puts those requests first whose content was at most ends.
+// crashToReport returns this gateway's part of a crash. Marks of contents with the most crashes
+// come first, so that limit drops the others.
 func (t *Tracker) crashToReport(c *crash, now time.Time) Crash {
 	marks := slices.Clone(c.ownMarks)
 	slices.SortFunc(marks, func(a, b ident.Mark) int {
-		endsA, _ := t.crashesAgainst(a.Content(), now)
-		endsB, _ := t.crashesAgainst(b.Content(), now)
-		return cmp.Or(cmp.Compare(endsB, endsA), cmp.Compare(a, b))
+		crashesA, _ := t.crashesAgainst(a.Content(), now)
+		crashesB, _ := t.crashesAgainst(b.Content(), now)
+		return cmp.Or(cmp.Compare(crashesB, crashesA), cmp.Compare(a, b))
 	})
 	return Crash{Upstream: c.upstream, Age: now.Sub(c.at), Marks: marks}
 }
 
-// verdictsToReport returns the verdicts whose turn it is: the newest one of what was found, and
-// then one after the other. What was cleared is told for a while.
+// verdictsToReport returns up to maxReportedVerdicts verdicts: always the newest conviction, or
+// the newest clearance if there is none, and the others in turn. A clearance is reported only
+// for reportClearedFor.
 func (t *Tracker) verdictsToReport(now time.Time) []Verdict {
-	var found, cleared []Verdict
+	var convicted, cleared []Verdict
 	for content, v := range t.verdicts {
 		if !v.shared || v.cleared && now.Sub(v.at) >= reportClearedFor {
 			continue
@@ -60,13 +62,13 @@
 		if v.cleared {
 			cleared = append(cleared, next)
 		} else {
-			found = append(found, next)
+			convicted = append(convicted, next)
 		}
 	}
 	newestFirst := func(a, b Verdict) int { return cmp.Or(cmp.Compare(a.Age, b.Age), cmp.Compare(a.Content, b.Content)) }
-	slices.SortFunc(found, newestFirst)
+	slices.SortFunc(convicted, newestFirst)
 	slices.SortFunc(cleared, newestFirst)
-	all := slices.Concat(found, cleared)
+	all := slices.Concat(convicted, cleared)
 	if len(all) <= maxReportedVerdicts {
 		return all
 	}
@@ -79,6 +81,6 @@
 	return out
 }
 
-// reportClearedFor is longer than tellFor, because an operator's word must reach gateways that
-// were out of touch for a while.
+// reportClearedFor is longer than reportCrashFor, because an operator's clearance must reach
+// gateways that were disconnected for a while.
 const reportClearedFor = 30 * time.Second
--- a/internal/poison/words.go
+++ b/internal/poison/report.go
@@ -8,37 +8,39 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Crash is what one or more gateways had at an upstream when its process ended.
+// Crash lists the requests that one or more gateways had in progress at an upstream when its
+// process ended.
 type Crash struct {
-	// Upstream stands for the ID of the upstream's life.
+	// Upstream is the hash of the upstream's ID that Config.Key returns.
 	Upstream uint32
-	// Age is how long ago it ended.
+	// Age is the time since the crash.
 	Age time.Duration
-	// Marks are of the requests that it broke off.
+	// Marks identify the interrupted requests.
 	Marks []ident.Mark
 }
 
-// Verdict is what was found of a content.
+// Verdict is the conviction or the clearance of a content.
 type Verdict struct {
 	Content ident.Content
-	// Age is how long ago it was found, and Idle how long no request with the content has
-	// come to any gateway.
+	// Age is the time since the verdict, and Idle the time since a request with the content
+	// last arrived at any gateway.
 	Age, Idle time.Duration
-	// Cleared: a request with the content was answered whole, or an operator cleared it.
-	// Only what ended later counts against it.
+	// Cleared means that a request with the content was answered completely, or that an
+	// operator cleared it: only later crashes count against it. Otherwise it is convicted.
 	Cleared bool
 }
 
-// Words are what gateways tell each other. They may come in any order and more than once.
+// Words is the report that gateways exchange. Reports may arrive in any order and more than
+// once.
 type Words struct {
 	Crashes  []Crash
 	Verdicts []Verdict
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether the report contains nothing.
 func (w Words) Empty() bool { return len(w.Crashes) == 0 && len(w.Verdicts) == 0 }
 
-// Aged returns the words as of some time later.
+// Aged returns a copy of the report with all ages increased.
 func (w Words) Aged(by time.Duration) Words {
 	out := Words{Crashes: slices.Clone(w.Crashes), Verdicts: slices.Clone(w.Verdicts)}
 	for i := range out.Crashes {
@@ -51,7 +53,7 @@
 	return out
 }
 
-// Plus returns the words of two groups of gateways as one, bounded for a message.
+// Plus merges the reports of two groups of gateways, bounded to the size of a message.
 func (w Words) Plus(o Words) Words {
 	if o.Empty() {
 		return w
@@ -75,6 +77,7 @@
 	return out
 }
 
+// addCrash merges a crash into the same upstream's crash at about the same time, if there is one.
 func (w *Words) addCrash(c *Crash) {
 	for i := range w.Crashes {
 		known := &w.Crashes[i]
@@ -86,6 +89,7 @@
 	w.Crashes = append(w.Crashes, Crash{Upstream: c.Upstream, Age: c.Age, Marks: slices.Clone(c.Marks)})
 }
 
+// union appends to a the elements of b that it lacks.
 func union(a, b []ident.Mark) []ident.Mark {
 	for _, x := range b {
 		if !slices.Contains(a, x) {
@@ -95,6 +99,7 @@
 	return a
 }
 
+// addVerdict keeps the prevailing one of two verdicts on a content, with the shorter idle time.
 func (w *Words) addVerdict(v Verdict) {
 	for i := range w.Verdicts {
 		known := &w.Verdicts[i]
@@ -112,8 +117,8 @@
 	w.Verdicts = append(w.Verdicts, v)
 }
 
-// limit leaves out what is too much for one message: crashes by age, and of those that
-// stay the marks beyond a number; and the verdicts that were idle for longest.
+// limit cuts the report down to the size of one message: it drops marks, those of the oldest
+// crashes first, then crashes without marks, and the verdicts that were idle for longest.
 func (w *Words) limit(marks, verdicts int) {
 	slices.SortStableFunc(w.Crashes, func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) })
 	left := marks
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -1,14 +1,15 @@
-// Package poison finds requests that end the processes of the upstreams that run them, and
-// keeps them from further ones.
+// Package poison detects requests that crash the processes of the upstreams that run them, and
+// bars them from further upstreams.
 //
-// Such a request comes again and again, at any gateway, under new IDs; what it asks for
-// stays the same (ident.Content). All that is in progress at an upstream ends with it, so
-// that each of up to its slots' number of requests may be the cause. Gateways tell each
-// other which contents they had there. A content is found to be the cause where it explains
-// at least three ends in a row better than any other does; the ends that a found content
-// explains say nothing against those that ran beside it.
+// Such a request arrives again and again, at any gateway, under new IDs; what it asks for, its
+// content (ident.Content), stays the same. A crash interrupts all requests in progress at the
+// upstream, as many as it has slots, and each of them may be the cause. Gateways report to each
+// other which contents they had there. A content is convicted as the cause if it explains at
+// least three crashes in a row, without a complete answer in between, better than any other
+// content does. Crashes that a convicted content explains do not count against the requests
+// that ran beside it.
 //
-// It is a fold without I/O; what gateways tell each other may come late, twice and in any
+// The package does no I/O. The reports of other gateways may arrive late, twice and in any
 // order.
 package poison
 
@@ -25,107 +26,110 @@
 )
 
 const (
-	// minCrashes ends in a row say that a content is the cause.
+	// minCrashes is how many crashes in a row convict a content.
 	minCrashes = 3
-	// settleTime is how old an end must be before it counts: by then all gateways have told
-	// what they had there. What goes wrong without it: a gateway knows all of the ends that
-	// one of its own requests met by being sent again, and not yet what else was at each.
+	// settleTime is how old a crash must be before it can convict: by then all gateways have
+	// reported what they had there. Counted sooner, a gateway would know every crash that one
+	// of its own requests met by being resent, but not yet what else was running in each.
 	settleTime = 750 * time.Millisecond
-	// sameEnd: what two gateways say of an upstream is of one end if it is no further
-	// apart. An upstream's process takes longer to start again.
+	// sameCrashWindow separates crashes of one upstream: reports closer together than this
+	// are about the same crash. An upstream's process takes longer to restart.
 	sameCrashWindow = time.Second
-	// crashTTL is for how long an end is held against what was there.
+	// crashTTL is how long a crash counts against the contents that were running in it.
 	crashTTL = 10 * time.Minute
-	// ForgetAfter is for how long a content must stay away before it is tried again.
+	// ForgetAfter is how long a barred content must not arrive before it is let through again.
 	ForgetAfter = 10 * time.Minute
-	// maxCrashes and mostVerdicts bound what is remembered, also while someone sends
-	// many different requests that end upstreams.
+	// maxCrashes and maxVerdicts bound the memory even if someone sends many different
+	// requests that crash upstreams.
 	maxCrashes  = 64
 	maxVerdicts = 256
 )
 
-// Config is what a Tracker works with. All fields are required.
+// Config configures a Tracker. All fields are required.
 type Config struct {
 	Now boottime.Clock
 	Log hclog.Logger
-	// Key returns what stands for an upstream's ID between gateways.
+	// Key returns the hash of an upstream's ID that all gateways use in their reports.
 	Key func(ident.Instance) uint32
 }
 
-// Tracker is what one gateway knows of requests that end upstreams. It is safe for
+// Tracker holds what one gateway knows about requests that crash upstreams. It is safe for
 // concurrent use.
 type Tracker struct {
 	cfg Config
-	// quiet: nothing is known, so that nothing must be asked about a request.
+	// empty is true while there are no crashes and no verdicts, so that callers can skip all
+	// other questions about a request.
 	empty atomic.Bool
 
 	mu      sync.Mutex
 	crashes []*crash
-	// suspects are the contents with the ends that count against them, unless dirty: what
-	// they follow from has changed.
+	// suspects is derived from crashes and verdicts; dirty means that these have changed since.
 	suspects map[ident.Content]*suspect
 	dirty    bool
-	// outlines are those of what was at ends and of verdicts, so that requests unlike them
-	// are let by without a look at their bodies.
+	// outlines are the outlines of all contents in crashes and verdicts. The body of a request
+	// with another outline need not be read.
 	outlinesMu sync.RWMutex
 	outlines   map[ident.Outline]bool
-	// verdicts are by content.
-	verdicts map[ident.Content]*verdict
-	// inFlight counts the requests in progress whose content is suspected, by upstream.
+	verdicts   map[ident.Content]*verdict
+	// inFlight counts the requests in progress with suspected contents, by upstream.
 	inFlight map[ident.Content]map[ident.Instance]int
-	// reportCursor is how many verdicts were told so far, for their turns.
-	reportCursor   int
-	counts Counters
+	// reportCursor is the number of verdicts reported in turn so far.
+	reportCursor int
+	counts       Counters
 }
 
-// Counters count what a Tracker saw and did.
+// Counters counts what a Tracker saw and did since its start.
 type Counters struct {
-	// Crashes are ends of upstreams under requests, Found contents that were found to be
-	// the cause, Refused the requests that were kept from upstreams.
+	// Crashes counts crashes of upstreams that had requests in progress, Found convicted
+	// contents, Refused barred requests.
 	Crashes, Found, Refused int64
 }
 
-// crash is the end of an upstream's process.
+// crash is the end of an upstream's process while requests were in progress there.
 type crash struct {
 	upstream uint32
 	at       time.Time
-	// marks are of the requests that were there, and own those of this gateway, in order.
+	// marks identify the interrupted requests, ownMarks those of this gateway. Both are sorted.
 	marks, ownMarks []ident.Mark
-	// lastOwnAt is when the last of them was noted, for how long they are told.
+	// lastOwnAt is when the latest own mark was added; reportCrashFor counts from it.
 	lastOwnAt time.Time
-	// topConvicted is the total of the likeliest found content that was there; zero if none was.
+	// topConvicted is the tally of the likeliest convicted content that was running; zero if
+	// there was none.
 	topConvicted tally
 }
 
-// verdict is what was found of a content.
+// verdict is the conviction or the clearance of a content.
 type verdict struct {
 	at time.Time
-	// lastSeen is when a request with the content came last, at any gateway.
+	// lastSeen is when a request with the content last arrived at any gateway.
 	lastSeen time.Time
-	// cleared: nothing up to at counts against the content.
+	// cleared means that no crash up to at counts against the content. Otherwise the content is
+	// convicted.
 	cleared bool
-	// told: the others need to know. Most contents come to one gateway alone.
+	// shared means that the other gateways are told. A clearance that only concerns this
+	// gateway is not: most contents arrive at one gateway alone.
 	shared bool
 }
 
-// New returns a Tracker that knows nothing.
+// New returns an empty Tracker.
 func New(cfg Config) *Tracker {
 	t := &Tracker{cfg: cfg, suspects: make(map[ident.Content]*suspect), verdicts: make(map[ident.Content]*verdict), inFlight: make(map[ident.Content]map[ident.Instance]int), outlines: make(map[ident.Outline]bool)}
 	t.empty.Store(true)
 	return t
 }
 
-// Quiet reports whether nothing is known, so that no request needs to be asked about.
+// Quiet reports whether there are no crashes and no verdicts, so that every request may be sent
+// without further questions.
 func (t *Tracker) Quiet() bool { return t.empty.Load() }
 
-// Knows reports whether anything is known of requests with an outline.
+// Knows reports whether any content with this outline is suspected or has a verdict.
 func (t *Tracker) Knows(outline ident.Outline) bool {
 	t.outlinesMu.RLock()
 	defer t.outlinesMu.RUnlock()
 	return t.outlines[outline]
 }
 
-// rebuildOutlines works the outlines out anew.
+// rebuildOutlines recomputes the outlines and the empty flag.
 func (t *Tracker) rebuildOutlines() {
 	all := make(map[ident.Outline]bool)
 	for _, c := range t.crashes {
@@ -142,8 +146,8 @@
 	t.empty.Store(len(all) == 0)
 }
 
-// Crashed notes that an upstream's process ended while it had one of this gateway's
-// requests.
+// Crashed records that an upstream's process ended while one of this gateway's requests was in
+// progress there.
 func (t *Tracker) Crashed(upstream ident.Instance, mark ident.Mark) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +163,8 @@
 	t.empty.Store(false)
 }
 
-// findOrAddCrash returns what is known of an upstream's end at an instant.
+// findOrAddCrash returns the crash of an upstream within sameCrashWindow of an instant. If there
+// is none it adds one, and drops the oldest if there are too many.
 func (t *Tracker) findOrAddCrash(upstream uint32, at time.Time) *crash {
 	for i := len(t.crashes) - 1; i >= 0; i-- {
 		if c := t.crashes[i]; c.upstream == upstream && c.at.Sub(at).Abs() < sameCrashWindow {
@@ -176,10 +181,10 @@
 	return c
 }
 
-// maxMarksPerCrash bounds what is remembered of one end.
+// maxMarksPerCrash bounds the memory of one crash.
 const maxMarksPerCrash = 256
 
-// addMark notes that a request was at an end.
+// addMark records that a request was interrupted by a crash.
 func (t *Tracker) addMark(c *crash, mark ident.Mark) {
 	if len(c.marks) >= maxMarksPerCrash {
 		return
@@ -190,7 +195,7 @@
 	}
 }
 
-// insertSorted puts a mark into a sorted list and reports whether it was not there.
+// insertSorted inserts a mark into a sorted list and reports whether the mark is new.
 func insertSorted(list []ident.Mark, mark ident.Mark) ([]ident.Mark, bool) {
 	i, found := slices.BinarySearch(list, mark)
 	if found {
@@ -199,8 +204,7 @@
 	return slices.Insert(list, i, mark), true
 }
 
-// Completed notes that a request with a content was answered whole: it does not end what
-// runs it.
+// Completed records that a request was answered completely, which clears its content.
 func (t *Tracker) Completed(content ident.Content) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,11 +215,11 @@
 	}
 	t.clearContent(content, barred || t.reportedElsewhere(content), now)
 	if barred {
-		t.cfg.Log.Warn("request that was found to end upstreams was answered whole", "content", content)
+		t.cfg.Log.Warn("request content convicted of crashing upstreams was answered completely and is cleared", "content", content)
 	}
 }
 
-// reportedElsewhere reports whether other gateways had a suspected content at an end too.
+// reportedElsewhere reports whether another gateway had a suspected content in a crash too.
 func (t *Tracker) reportedElsewhere(content ident.Content) bool {
 	return slices.ContainsFunc(t.suspects[content].unexplained, func(c *crash) bool {
 		return slices.ContainsFunc(c.marks, func(mark ident.Mark) bool {
@@ -225,14 +229,16 @@
 	})
 }
 
-// clearContent makes all ends up to now say nothing against a content.
-func (t *Tracker) clearContent(content ident.Content, tell bool, now time.Time) {
-	t.verdicts[content] = &verdict{at: now, lastSeen: now, cleared: true, shared: tell}
+// clearContent discounts all crashes up to now for a content, and tells the other gateways if
+// share is set.
+func (t *Tracker) clearContent(content ident.Content, share bool, now time.Time) {
+	t.verdicts[content] = &verdict{at: now, lastSeen: now, cleared: true, shared: share}
 	t.limitVerdicts()
 	t.dirty = true
 }
 
-// clearedAt is until when nothing counts against a content.
+// clearedAt returns when a content was last cleared, zero for never. Crashes up to then do not
+// count against it.
 func (t *Tracker) clearedAt(content ident.Content) time.Time {
 	if v := t.verdicts[content]; v != nil && v.cleared {
 		return v.at
@@ -240,12 +246,14 @@
 	return time.Time{}
 }
 
+// isConvicted reports whether a content is convicted and arrived within ForgetAfter.
 func (t *Tracker) isConvicted(content ident.Content, now time.Time) bool {
 	v := t.verdicts[content]
 	return v != nil && !v.cleared && now.Sub(v.lastSeen) < ForgetAfter
 }
 
-// Barred reports whether a request with a content must not run, and when it may come back.
+// Barred reports whether a request with this content must not run, and after what time its
+// caller may retry. It counts as an arrival of the content.
 func (t *Tracker) Barred(content ident.Content) (after time.Duration, barred bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -262,8 +270,7 @@
 	return ForgetAfter, true
 }
 
-// Clear is an operator's word that a content is harmless; it reports whether the content
-// was barred.
+// Clear clears a content on an operator's behalf; it reports whether the content was barred.
 func (t *Tracker) Clear(content ident.Content) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -272,24 +279,24 @@
 		return false
 	}
 	t.clearContent(content, true, now)
-	t.cfg.Log.Warn("request cleared by an operator", "content", content)
+	t.cfg.Log.Warn("request content cleared by an operator", "content", content)
 	return true
 }
 
-// Refresh takes in what the other gateways tell, finds what is to be found, and forgets
-// what is old.
-func (t *Tracker) Refresh(words Words) {
-	if words.Empty() && t.empty.Load() {
+// Refresh merges the reports of the other gateways, convicts causes and drops expired crashes
+// and verdicts. It must be called regularly, also with an empty report.
+func (t *Tracker) Refresh(report Words) {
+	if report.Empty() && t.empty.Load() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	for i := range words.Crashes {
-		t.mergeCrash(&words.Crashes[i], now)
+	for i := range report.Crashes {
+		t.mergeCrash(&report.Crashes[i], now)
 	}
-	for i := range words.Verdicts {
-		t.mergeVerdict(&words.Verdicts[i], now)
+	for i := range report.Verdicts {
+		t.mergeVerdict(&report.Verdicts[i], now)
 	}
 	changed := t.dirty
 	t.convictCauses(now)
@@ -299,45 +306,45 @@
 	}
 }
 
-func (t *Tracker) mergeCrash(told *Crash, now time.Time) {
-	if told.Age >= crashTTL {
+func (t *Tracker) mergeCrash(reported *Crash, now time.Time) {
+	if reported.Age >= crashTTL {
 		return
 	}
-	c := t.findOrAddCrash(told.Upstream, now.Add(-told.Age))
-	for _, mark := range told.Marks {
+	c := t.findOrAddCrash(reported.Upstream, now.Add(-reported.Age))
+	for _, mark := range reported.Marks {
 		t.addMark(c, mark)
 	}
 }
 
-// mergeVerdict takes the later of two verdicts.
-func (t *Tracker) mergeVerdict(told *Verdict, now time.Time) {
-	if told.Idle >= ForgetAfter {
+// mergeVerdict applies another gateway's verdict if it supersedes the known one.
+func (t *Tracker) mergeVerdict(reported *Verdict, now time.Time) {
+	if reported.Idle >= ForgetAfter {
 		return
 	}
-	at, seen := now.Add(-told.Age), now.Add(-told.Idle)
-	known := t.verdicts[told.Content]
+	at, lastSeen := now.Add(-reported.Age), now.Add(-reported.Idle)
+	known := t.verdicts[reported.Content]
 	if known != nil {
-		known.lastSeen = boottime.Later(known.lastSeen, seen)
-		if !supersedes(told.Cleared, at, known.cleared, known.at) {
+		known.lastSeen = boottime.Later(known.lastSeen, lastSeen)
+		if !supersedes(reported.Cleared, at, known.cleared, known.at) {
 			return
 		}
-		seen = known.lastSeen
+		lastSeen = known.lastSeen
 	}
-	t.verdicts[told.Content] = &verdict{at: at, lastSeen: seen, cleared: told.Cleared, shared: true}
+	t.verdicts[reported.Content] = &verdict{at: at, lastSeen: lastSeen, cleared: reported.Cleared, shared: true}
 	t.limitVerdicts()
 	t.dirty = true
-	if !told.Cleared || known != nil && !known.cleared {
-		t.cfg.Log.Info("told of a request that ends upstreams", "content", told.Content, "cleared", told.Cleared,
-			"age_ms", told.Age.Milliseconds(), "idle_ms", told.Idle.Milliseconds())
+	if !reported.Cleared || known != nil && !known.cleared {
+		t.cfg.Log.Info("received a verdict on a request content", "content", reported.Content, "cleared", reported.Cleared,
+			"age_ms", reported.Age.Milliseconds(), "idle_ms", reported.Idle.Milliseconds())
 	}
 }
 
-// ageTolerance is by how much ages that came by way of others are off.
+// ageTolerance is the error of ages that were relayed by other gateways.
 const ageTolerance = 100 * time.Millisecond
 
-// supersedes reports whether a verdict replaces a known one. Of two at about the same time
-// the one that clears stands: an answer proves more than ends do, and further ends speak
-// for themselves.
+// supersedes reports whether a verdict replaces a known one. Of two at about the same time the
+// clearance prevails: a complete answer proves more than crashes do, and if the content is
+// harmful, further crashes will convict it again.
 func supersedes(cleared bool, at time.Time, knownCleared bool, knownAt time.Time) bool {
 	switch {
 	case cleared && !knownCleared:
@@ -348,7 +355,7 @@
 	return false
 }
 
-// expire drops what is too old to matter.
+// expire drops old crashes and clearances, and verdicts on contents that have not arrived for long.
 func (t *Tracker) expire(now time.Time) {
 	kept := t.crashes[:0]
 	for _, c := range t.crashes {
@@ -356,21 +363,22 @@
 			kept = append(kept, c)
 		}
 	}
-	forgot := len(kept) < len(t.crashes)
+	expired := len(kept) < len(t.crashes)
 	clear(t.crashes[len(kept):])
 	t.crashes = kept
 	for content, v := range t.verdicts {
 		if now.Sub(v.lastSeen) >= ForgetAfter || v.cleared && now.Sub(v.at) >= crashTTL {
 			delete(t.verdicts, content)
-			forgot = true
+			expired = true
 		}
 	}
-	if forgot {
+	if expired {
 		t.dirty = true
 	}
 }
 
-// limitVerdicts drops the verdict whose content stayed away for longest.
+// limitVerdicts drops verdicts beyond maxVerdicts: clearances first, then those on the contents
+// that have not arrived for longest.
 func (t *Tracker) limitVerdicts() {
 	for len(t.verdicts) > maxVerdicts {
 		var oldest ident.Content
@@ -383,7 +391,7 @@
 	}
 }
 
-// Counters returns what was counted so far.
+// Counters returns the current counts.
 func (t *Tracker) Counters() Counters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -12,7 +12,7 @@
 // testTracker is one gateway's tracker with a clock of its own.
 type testTracker struct {
 	*Tracker
-	now time.Time
+	now    time.Time
 	lastID int
 }
 
