--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -8,28 +8,28 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// BenchmarkAsk is what a request costs at its gateway: while nothing is known, and while as
-// much is remembered as can be.
+// BenchmarkAsk measures the cost of the checks of one request while the Tracker is empty, and
+// while it remembers as many crashes as it can; and the cost of Refresh.
 func BenchmarkAsk(b *testing.B) {
 	b.Run("quiet", func(b *testing.B) {
-		d := newTestTracker()
+		tr := newTestTracker()
 		for b.Loop() {
-			if !d.Quiet() {
-				b.Fatal("something is known")
+			if !tr.Quiet() {
+				b.Fatal("a new tracker is not empty")
 			}
 		}
 	})
-	d := newTestTracker()
+	tr := newTestTracker()
 	for i := range maxCrashes {
 		for k := range 64 {
-			d.crashWith(fmt.Sprint("u", i), content(i*64+k+1))
+			tr.crashWith(fmt.Sprint("u", i), content(i*64+k+1))
 		}
 	}
-	d.advance(settleTime)
+	tr.advance(settleTime)
 	b.Run("unlike any", func(b *testing.B) {
 		for b.Loop() {
-			if d.Quiet() || d.Knows(content(1<<30).Outline()) {
-				b.Fatal("known")
+			if tr.Quiet() || tr.Knows(content(1<<30).Outline()) {
+				b.Fatal("a content with no crash is known")
 			}
 		}
 	})
@@ -40,17 +40,17 @@
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if d.Admit(c.content, 0).Step != Send {
-					b.Fatal("not sent")
+				if tr.Admit(c.content, 0).Step != Send {
+					b.Fatal("request not admitted")
 				}
-				d.Started("u", c.content)()
+				tr.Started("u", c.content)()
 			}
 		})
 	}
 	b.Run("refresh", func(b *testing.B) {
 		for b.Loop() {
-			d.dirty = true
-			d.advance(time.Microsecond)
+			tr.dirty = true
+			tr.advance(time.Microsecond)
 		}
 	})
 }
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -15,8 +15,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// A fleet plays requests that end upstreams beside ordinary ones, in virtual time: gateways
-// with the real Tracker, the exchange with its delays, upstreams that end and come back.
+// A fleet simulates requests that crash upstreams among ordinary ones, in virtual time: gateways
+// with the real Tracker, the exchange of reports with its delays, upstreams that crash and
+// restart.
 
 const (
 	exchangePeriod           = 250 * time.Millisecond
@@ -29,43 +30,44 @@
 	restoreDelay             = 50 * time.Millisecond
 )
 
-// killer is a content that ends each upstream that runs it.
+// killer is a content that crashes every upstream that runs it.
 type killer struct {
-	// meanInterval is the mean time between its arrivals, and burst how many come at once.
+	// meanInterval is the mean time between its arrivals, and burst how many requests arrive at
+	// a time; 0 means one.
 	meanInterval time.Duration
 	burst        int
-	// crashDelay is when, of the run, it ends the upstream.
+	// crashDelay is the time from the start at an upstream to the crash.
 	crashDelay time.Duration
-	// maxSends is how often a gateway may send one arrival.
+	// maxSends is how often a gateway may send one arrival to upstreams.
 	maxSends int
-	// from is when it begins to come.
-	from time.Duration
-	// group is what other requests have the same home.
+	// startsAt is the time of its first arrival.
+	startsAt time.Duration
+	// group chooses the preferred upstream, which all requests of the group share.
 	group int
 }
 
-// story is a fleet with what happens to it.
+// story describes a fleet and what happens to it.
 type story struct {
 	name              string
 	gateways, domains int
 	upstreams, slots  int
-	knownWithin       time.Duration
+	knownWithin       time.Duration // after a killer's third crash, sends by a connected gateway are late
 	rate              float64
 	meanDuration      time.Duration
 	killers           []killer
-	hotShare          float64 // the part of ordinary requests that have one content
-	crashRate         float64 // ends a second of upstreams by themselves, under load
-	flappingUpstreams int     // upstreams that end by themselves, again and again
-	domainReclaimed   bool    // a domain's upstreams leave as announced
-	domainLost        bool    // a domain's upstreams end at once, unannounced
-	domainCutOff      bool    // a domain is cut off by resets for some seconds
-	keepsIDs          bool    // upstreams come back under their name
-	rollingRestart    bool    // gateways are started anew, one after the other
-	withoutTracker    bool    // without the tracker
+	hotShare          float64 // share of ordinary requests that have one common content
+	crashRate         float64 // crashes per second of random upstreams without a cause
+	flappingUpstreams int     // number of upstreams that crash repeatedly without a cause
+	domainReclaimed   bool    // one domain's upstreams leave after an announcement
+	domainLost        bool    // one domain's upstreams crash at the same time
+	domainCutOff      bool    // one domain's connections are reset and refused for 5 s
+	keepsIDs          bool    // upstreams restart under the same ID
+	rollingRestart    bool    // every gateway restarts at a random time
+	withoutTracker    bool    // no gateway asks its Tracker, for comparison
 	burst             bool
-	// maxRetries is how often the caller of an ordinary request that failed comes again; 0 is once.
+	// maxRetries is how often the client of a failed ordinary request retries it; 0 means once.
 	maxRetries int
-	// massRestarts are when all gateways are started anew at once.
+	// massRestarts are the times at which all gateways restart together.
 	massRestarts []time.Duration
 }
 
@@ -74,11 +76,11 @@
 	content ident.Content
 	killer  *killer
 	gateway *gateway
-	// retries of the client, runs of this arrival.
+	// retries counts the client's retries; sends counts how often this arrival was sent.
 	retries, sends, maxSends int
 	crashed                  bool
 	group                    int
-	waitedFrom               time.Duration
+	waitingSince             time.Duration
 	upstream                 *upstream
 	finished                 func()
 }
@@ -98,8 +100,8 @@
 	return ident.Instance("u" + strconv.Itoa(u.i) + "/" + strconv.Itoa(u.life))
 }
 
-// sortedInFlight returns the requests in progress in the order of their coming, so that a seed
-// plays alike each time.
+// sortedInFlight returns the requests in progress by ID, so that a seed always gives the same
+// play.
 func (u *upstream) sortedInFlight() []*request {
 	return slices.SortedFunc(maps.Keys(u.inFlight), func(a, b *request) int { return a.id - b.id })
 }
@@ -107,46 +109,46 @@
 type gateway struct {
 	i, domain int
 	tracker   *Tracker
-	// connectedSince is since when it is in touch with the others.
+	// connectedSince is when its latest restart or disconnection ended.
 	connectedSince time.Duration
 }
 
 type result struct {
-	// mostLateSends is the most sends of one content that were too late.
+	// mostLateSends is the highest number of late sends of one killer.
 	mostLateSends, crashes, ordinary, refused, lost int
-	// knownAfter is the longest time from a content's third end to the last gateway's knowing.
+	// knownAfter is the longest time from a killer's third crash until all gateways bar it.
 	knownAfter   time.Duration
 	knownToAll   bool
-	mostReported int // the most contents and verdicts in one report
+	mostReported int // highest number of marks and verdicts in one report
 }
 
 type fleet struct {
 	testkit.Timeline
-	s         story
-	rng       *rand.Rand
-	gateways  []*gateway
-	upstreams []*upstream
-	received  []receivedReport
-	sums      []receivedReport
-	lastID    int
-	result    result
-	// ends of each killer's content, and late sends.
+	s          story
+	rng        *rand.Rand
+	gateways   []*gateway
+	upstreams  []*upstream
+	received   []receivedReport
+	domainSums []receivedReport
+	lastID     int
+	result     result
+	// thirdCrashAt, kills and lateSends are by the killer's content.
 	thirdCrashAt map[ident.Content]time.Duration
 	kills        map[ident.Content]int
 	lateSends    map[ident.Content]int
 	cutOffDomain int
 	checkedAt    time.Duration
-	// storedRecord is what the lease's record holds.
+	// storedRecord is the content of the lease's record, which outlives all gateways.
 	storedRecord json.RawMessage
 }
 
-// receivedReport is what came from a gateway or a collector last, and since when it is so old.
+// receivedReport is the latest report of a gateway or a collector, and when it was sent.
 type receivedReport struct {
-	words Words
-	at    time.Duration
+	report Words
+	sentAt time.Duration
 }
 
-func (f *fleet) aged(h receivedReport) Words { return h.words.Aged(f.Now() - h.at) }
+func (f *fleet) aged(h receivedReport) Words { return h.report.Aged(f.Now() - h.sentAt) }
 
 var epoch = time.Unix(1_000_000, 0)
 
@@ -167,7 +169,7 @@
 	for i := range s.upstreams {
 		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, up: true, inFlight: make(map[*request]bool)})
 	}
-	f.received, f.sums = make([]receivedReport, s.gateways), make([]receivedReport, s.domains)
+	f.received, f.domainSums = make([]receivedReport, s.gateways), make([]receivedReport, s.domains)
 	f.schedule()
 	f.Play(playLength)
 	for _, n := range f.lateSends {
@@ -188,7 +190,7 @@
 	for i := range s.killers {
 		k := &s.killers[i]
 		content := ident.ContentOf(ident.Outline(1+i), 0)
-		f.In(k.from, func() { f.killerArrives(k, content) })
+		f.In(k.startsAt, func() { f.killerArrives(k, content) })
 	}
 	for _, g := range f.gateways {
 		f.In(time.Duration(f.rng.Int64N(int64(exchangePeriod))), func() { f.exchange(g) })
@@ -243,7 +245,7 @@
 	f.received[g.i] = receivedReport{}
 }
 
-// renewLease writes the lease's record.
+// renewLease writes the first gateway's verdicts to the lease's record.
 func (f *fleet) renewLease() {
 	f.storedRecord = f.gateways[0].tracker.Keep()
 	f.In(leaseRenewalPeriod, f.renewLease)
@@ -264,7 +266,7 @@
 	})
 }
 
-// cutDomain resets all connections between a domain and the others, and refuses new ones.
+// cutDomain resets all connections between a domain and the others and refuses new ones for 5 s.
 func (f *fleet) cutDomain(domain int) {
 	f.cutOffDomain = domain
 	for _, u := range f.upstreams {
@@ -302,7 +304,7 @@
 	f.In(5*time.Second, func() { f.flap(u) })
 }
 
-// ordinaryArrives brings an ordinary request, and schedules the next.
+// ordinaryArrives sends an ordinary request to a gateway and schedules the next one.
 func (f *fleet) ordinaryArrives() {
 	rate := f.s.rate
 	if f.s.burst && f.Now() > 5*time.Second && f.Now() < 10*time.Second {
@@ -326,7 +328,7 @@
 	f.In(f.randomExp(k.meanInterval), func() { f.killerArrives(k, content) })
 }
 
-// receive brings a request to some gateway.
+// receive has a random gateway receive a request.
 func (f *fleet) receive(r *request) {
 	r.gateway = f.gateways[f.rng.IntN(len(f.gateways))]
 	f.lastID++
@@ -335,7 +337,7 @@
 		f.refuse(r)
 		return
 	}
-	r.waitedFrom = f.Now()
+	r.waitingSince = f.Now()
 	f.admit(r)
 }
 
@@ -348,7 +350,7 @@
 func (f *fleet) admit(r *request) {
 	var avoid []ident.Instance
 	if t := r.gateway.tracker; !f.s.withoutTracker && !t.Quiet() && t.Knows(r.content.Outline()) {
-		d := t.Admit(r.content, f.Now()-r.waitedFrom)
+		d := t.Admit(r.content, f.Now()-r.waitingSince)
 		switch d.Step {
 		case Bar:
 			f.refuse(r)
@@ -362,8 +364,8 @@
 	f.place(r, avoid)
 }
 
-// place sends a request to the home of its group if that has room, and else to the one of
-// two that has less.
+// place sends a request to an upstream with a free slot: half of the time to its group's
+// preferred one if possible, otherwise to the less busy one of two.
 func (f *fleet) place(r *request, avoid []ident.Instance) {
 	var open []*upstream
 	for _, u := range f.upstreams {
@@ -432,7 +434,7 @@
 	}
 }
 
-// crash ends an upstream's process; it is back some seconds later.
+// crash ends an upstream's process and restarts it 2 to 4 s later.
 func (f *fleet) crash(u *upstream) {
 	if !u.up {
 		return
@@ -448,17 +450,18 @@
 	})
 }
 
-// interrupt goes on with a request whose upstream ended, or seemed to.
-func (f *fleet) interrupt(r *request, u *upstream, noted bool) {
+// interrupt resends or fails a request whose upstream crashed or became unreachable. The Tracker
+// is told if asCrash is set.
+func (f *fleet) interrupt(r *request, u *upstream, asCrash bool) {
 	delete(u.inFlight, r)
 	r.finished()
 	t := r.gateway.tracker
-	if noted && !f.s.withoutTracker {
+	if asCrash && !f.s.withoutTracker {
 		t.Crashed(u.id(f.s.keepsIDs), ident.MarkOf(r.content, ident.Request(strconv.Itoa(r.id))))
 		r.crashed = true
 	}
 	if r.sends < r.maxSends && (f.s.withoutTracker || !r.crashed || t.Resend(r.content)) {
-		r.waitedFrom = f.Now()
+		r.waitingSince = f.Now()
 		f.In(time.Millisecond, func() { f.admit(r) })
 		return
 	}
@@ -467,7 +470,7 @@
 	}
 }
 
-// retryByClient has the client of an ordinary request come once more.
+// retryByClient has the client of a failed ordinary request retry it, or counts it as lost.
 func (f *fleet) retryByClient(r *request) {
 	if r.retries++; r.retries > max(1, f.s.maxRetries) {
 		f.result.lost++
@@ -476,20 +479,20 @@
 	f.In(clientRetryDelay, func() { f.receive(r) })
 }
 
-// exchange tells what one gateway has to say.
+// exchange sends one gateway's report.
 func (f *fleet) exchange(g *gateway) {
 	f.In(exchangePeriod, func() { f.exchange(g) })
 	w := g.tracker.Words()
-	told := len(w.Verdicts)
+	reported := len(w.Verdicts)
 	for _, c := range w.Crashes {
-		told += len(c.Marks)
+		reported += len(c.Marks)
 	}
-	f.result.mostReported = max(f.result.mostReported, told)
+	f.result.mostReported = max(f.result.mostReported, reported)
 	at := f.Now()
 	f.In(exchangeDelay, func() { f.received[g.i] = receivedReport{w, at} })
 }
 
-// collect adds up a domain's words, as of now.
+// collect merges the reports of a domain's gateways.
 func (f *fleet) collect(d int) {
 	f.In(exchangePeriod/2, func() { f.collect(d) })
 	var sum Words
@@ -499,10 +502,10 @@
 		}
 	}
 	at := f.Now()
-	f.In(exchangeDelay, func() { f.sums[d] = receivedReport{sum, at} })
+	f.In(exchangeDelay, func() { f.domainSums[d] = receivedReport{sum, at} })
 }
 
-// refresh takes in what the others said.
+// refresh has a gateway merge the reports of the gateways that it can reach.
 func (f *fleet) refresh(g *gateway) {
 	f.In(exchangePeriod/2, func() { f.refresh(g) })
 	var words Words
@@ -515,7 +518,7 @@
 	} else {
 		for d := range f.s.domains {
 			if f.cutOffDomain < 0 || (d == f.cutOffDomain) == (g.domain == f.cutOffDomain) {
-				words = words.Plus(f.aged(f.sums[d]))
+				words = words.Plus(f.aged(f.domainSums[d]))
 			}
 		}
 	}
@@ -526,7 +529,8 @@
 	}
 }
 
-// checkKnownToAll notes when the last gateway has found the content of all that it must know.
+// checkKnownToAll records, once, how long it took until all gateways bar every killer that has
+// crashed three upstreams.
 func (f *fleet) checkKnownToAll() {
 	if f.result.knownToAll {
 		return
--- a/internal/poison/stories_test.go
+++ b/internal/poison/stories_test.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	seeds = flag.Int("poison.seeds", 2, "plays of each story")
-	large = flag.Bool("poison.large", false, "also fleets of over a hundred gateways")
-	table = flag.String("poison.table", "", "file for the table of all stories")
+	seeds = flag.Int("poison.seeds", 2, "plays per story")
+	large = flag.Bool("poison.large", false, "also play fleets of over 100 gateways")
+	table = flag.String("poison.table", "", "file to write the table of all stories to")
 )
 
-// small is what most customers have.
-func small(name string, killers ...killer) story {
+// smallFleet is a fleet of the size that most customers have.
+func smallFleet(name string, killers ...killer) story {
 	return story{
 		name: name, gateways: 8, domains: 4, upstreams: 9, slots: 64, knownWithin: 3 * time.Second, rate: 60, meanDuration: 1500 * time.Millisecond, killers: killers,
 	}
@@ -31,100 +31,100 @@
 }
 
 var (
-	often  = killer{meanInterval: 300 * time.Millisecond, crashDelay: 80 * time.Millisecond, maxSends: 1}
-	seldom = killer{meanInterval: 1500 * time.Millisecond, crashDelay: 80 * time.Millisecond, maxSends: 1}
+	frequentKiller = killer{meanInterval: 300 * time.Millisecond, crashDelay: 80 * time.Millisecond, maxSends: 1}
+	rareKiller     = killer{meanInterval: 1500 * time.Millisecond, crashDelay: 80 * time.Millisecond, maxSends: 1}
 )
 
 func stories() []story {
-	laterOften, laterSeldom := often, seldom
-	laterOften.from, laterSeldom.from = 3*time.Second, 4*time.Second
-	second := seldom
-	second.from, second.group = time.Second, 3
-	third := often
-	third.from, third.group = 3*time.Second, 5
+	laterOften, laterSeldom := frequentKiller, rareKiller
+	laterOften.startsAt, laterSeldom.startsAt = 3*time.Second, 4*time.Second
+	second := rareKiller
+	second.startsAt, second.group = time.Second, 3
+	third := frequentKiller
+	third.startsAt, third.group = 3*time.Second, 5
 	return []story{
-		small("none, upstreams end by themselves").with(func(s *story) { s.crashRate = 0.5 }),
-		small("none, upstreams go down and up").with(func(s *story) { s.flappingUpstreams = 3 }),
-		small("none, a domain cut off by resets").with(func(s *story) { s.domainCutOff = true }),
-		small("none, hot content, ends by themselves").with(func(s *story) { s.hotShare, s.crashRate = 0.3, 0.5 }),
-		small("often", often),
-		small("seldom", seldom),
-		small("at the start of the run", killer{meanInterval: 500 * time.Millisecond, maxSends: 1}),
-		small("late in a stream", killer{meanInterval: time.Second, crashDelay: 3 * time.Second, maxSends: 1}),
-		small("resumed by the gateway", killer{meanInterval: time.Second, crashDelay: 200 * time.Millisecond, maxSends: 3}),
-		small("resumed, late", killer{meanInterval: time.Second, crashDelay: 1500 * time.Millisecond, maxSends: 3}),
-		small("ten at once", killer{meanInterval: 3 * time.Second, burst: 10, crashDelay: 80 * time.Millisecond, maxSends: 1}),
-		small("three contents", often, second, third),
-		small("hot content beside it", often).with(func(s *story) { s.hotShare = 0.3 }),
-		small("upstreams end by themselves", seldom).with(func(s *story) { s.crashRate = 0.5 }),
-		small("upstreams go down and up", seldom).with(func(s *story) { s.flappingUpstreams = 3 }),
-		small("a domain reclaimed", often).with(func(s *story) { s.domainReclaimed = true }),
-		small("a domain lost at once", often).with(func(s *story) { s.domainLost = true }),
-		small("a domain cut off by resets", seldom).with(func(s *story) { s.domainCutOff = true }),
-		small("upstreams come back under their name", seldom).with(func(s *story) { s.keepsIDs = true }),
-		small("gateways started anew", seldom).with(func(s *story) { s.rollingRestart = true }),
-		small("burst", often).with(func(s *story) { s.burst = true }),
-		small("the only upstream", seldom).with(func(s *story) { s.upstreams, s.rate = 1, 20 }),
-		small("callers come back five times", often, second, third).with(func(s *story) { s.maxRetries, s.crashRate = 5, 0.5 }),
-		small("callers come back, none", often).with(func(s *story) { s.maxRetries, s.flappingUpstreams, s.killers = 5, 4, nil }),
-		small("half of all is one hot content", laterOften, laterSeldom).with(func(s *story) { s.maxRetries, s.hotShare, s.flappingUpstreams = 5, 0.5, 2 }),
-		small("half of all is one hot content, from the start", often, seldom).with(func(s *story) { s.maxRetries, s.hotShare, s.flappingUpstreams = 5, 0.5, 2 }),
-		small("all gateways killed twice", seldom).with(func(s *story) { s.massRestarts = []time.Duration{8 * time.Second, 16 * time.Second} }),
-		small("all gateways killed, rare", killer{meanInterval: 3 * time.Second, crashDelay: 80 * time.Millisecond, maxSends: 1}).with(func(s *story) {
+		smallFleet("none, upstreams end by themselves").with(func(s *story) { s.crashRate = 0.5 }),
+		smallFleet("none, upstreams go down and up").with(func(s *story) { s.flappingUpstreams = 3 }),
+		smallFleet("none, a domain cut off by resets").with(func(s *story) { s.domainCutOff = true }),
+		smallFleet("none, hot content, ends by themselves").with(func(s *story) { s.hotShare, s.crashRate = 0.3, 0.5 }),
+		smallFleet("often", frequentKiller),
+		smallFleet("seldom", rareKiller),
+		smallFleet("at the start of the run", killer{meanInterval: 500 * time.Millisecond, maxSends: 1}),
+		smallFleet("late in a stream", killer{meanInterval: time.Second, crashDelay: 3 * time.Second, maxSends: 1}),
+		smallFleet("resumed by the gateway", killer{meanInterval: time.Second, crashDelay: 200 * time.Millisecond, maxSends: 3}),
+		smallFleet("resumed, late", killer{meanInterval: time.Second, crashDelay: 1500 * time.Millisecond, maxSends: 3}),
+		smallFleet("ten at once", killer{meanInterval: 3 * time.Second, burst: 10, crashDelay: 80 * time.Millisecond, maxSends: 1}),
+		smallFleet("three contents", frequentKiller, second, third),
+		smallFleet("hot content beside it", frequentKiller).with(func(s *story) { s.hotShare = 0.3 }),
+		smallFleet("upstreams end by themselves", rareKiller).with(func(s *story) { s.crashRate = 0.5 }),
+		smallFleet("upstreams go down and up", rareKiller).with(func(s *story) { s.flappingUpstreams = 3 }),
+		smallFleet("a domain reclaimed", frequentKiller).with(func(s *story) { s.domainReclaimed = true }),
+		smallFleet("a domain lost at once", frequentKiller).with(func(s *story) { s.domainLost = true }),
+		smallFleet("a domain cut off by resets", rareKiller).with(func(s *story) { s.domainCutOff = true }),
+		smallFleet("upstreams come back under their name", rareKiller).with(func(s *story) { s.keepsIDs = true }),
+		smallFleet("gateways started anew", rareKiller).with(func(s *story) { s.rollingRestart = true }),
+		smallFleet("burst", frequentKiller).with(func(s *story) { s.burst = true }),
+		smallFleet("the only upstream", rareKiller).with(func(s *story) { s.upstreams, s.rate = 1, 20 }),
+		smallFleet("callers come back five times", frequentKiller, second, third).with(func(s *story) { s.maxRetries, s.crashRate = 5, 0.5 }),
+		smallFleet("callers come back, none", frequentKiller).with(func(s *story) { s.maxRetries, s.flappingUpstreams, s.killers = 5, 4, nil }),
+		smallFleet("half of all is one hot content", laterOften, laterSeldom).with(func(s *story) { s.maxRetries, s.hotShare, s.flappingUpstreams = 5, 0.5, 2 }),
+		smallFleet("half of all is one hot content, from the start", frequentKiller, rareKiller).with(func(s *story) { s.maxRetries, s.hotShare, s.flappingUpstreams = 5, 0.5, 2 }),
+		smallFleet("all gateways killed twice", rareKiller).with(func(s *story) { s.massRestarts = []time.Duration{8 * time.Second, 16 * time.Second} }),
+		smallFleet("all gateways killed, rare", killer{meanInterval: 3 * time.Second, crashDelay: 80 * time.Millisecond, maxSends: 1}).with(func(s *story) {
 			s.massRestarts = []time.Duration{11 * time.Second}
 		}),
-		small("82 gateways", often, second).with(func(s *story) {
+		smallFleet("82 gateways", frequentKiller, second).with(func(s *story) {
 			s.gateways, s.upstreams, s.rate, s.knownWithin = 82, 60, 500, 4*time.Second
 		}),
-		small("195 gateways, 12 slots", often, second).with(func(s *story) {
+		smallFleet("195 gateways, 12 slots", frequentKiller, second).with(func(s *story) {
 			s.gateways, s.domains, s.upstreams, s.slots, s.rate, s.knownWithin = 195, 6, 117, 12, 800, 5*time.Second
 		}),
-		small("330 gateways", often, second).with(func(s *story) {
+		smallFleet("330 gateways", frequentKiller, second).with(func(s *story) {
 			s.gateways, s.domains, s.upstreams, s.slots, s.rate, s.knownWithin = 330, 10, 690, 12, 1500, 5*time.Second
 		}),
 	}
 }
 
-// storyTotals are those of a story's plays.
+// storyTotals sums up the plays of a story.
 type storyTotals struct {
-	plays, beyond, worst, ends, ordinary, refused, lost, told int
-	known                                                     []time.Duration
-	unknown                                                   int
+	plays, playsOverLimit, mostLateSends, crashes, ordinary, refused, lost, mostReported int
+	knownAfter                                                                           []time.Duration
+	neverKnown                                                                           int
 }
 
 func (s *storyTotals) add(r result, killers int) {
 	s.plays++
-	s.worst = max(s.worst, r.mostLateSends)
+	s.mostLateSends = max(s.mostLateSends, r.mostLateSends)
 	if r.mostLateSends > 3 {
-		s.beyond++
+		s.playsOverLimit++
 	}
-	s.ends += r.crashes
+	s.crashes += r.crashes
 	s.ordinary += r.ordinary
 	s.refused += r.refused
 	s.lost += r.lost
-	s.told = max(s.told, r.mostReported)
+	s.mostReported = max(s.mostReported, r.mostReported)
 	switch {
 	case r.knownToAll:
-		s.known = append(s.known, r.knownAfter)
+		s.knownAfter = append(s.knownAfter, r.knownAfter)
 	case killers > 0:
-		s.unknown++
+		s.neverKnown++
 	}
 }
 
-func (s *storyTotals) line(name string) string {
+func (s *storyTotals) tableLine(name string) string {
 	known := "-"
-	if len(s.known) > 0 {
-		slices.Sort(s.known)
-		known = fmt.Sprintf("%.2f %.2f", s.known[len(s.known)/2].Seconds(), s.known[len(s.known)-1].Seconds())
+	if len(s.knownAfter) > 0 {
+		slices.Sort(s.knownAfter)
+		known = fmt.Sprintf("%.2f %.2f", s.knownAfter[len(s.knownAfter)/2].Seconds(), s.knownAfter[len(s.knownAfter)-1].Seconds())
 	}
-	return fmt.Sprintf("%-40s %6d %6d %6d %8.1f %9d %8d %8.2f %6d  %s", name, s.plays, s.beyond, s.worst, float64(s.ends)/float64(s.plays),
-		s.ordinary, s.refused, 100*float64(s.lost)/float64(max(1, s.ordinary)), s.told, known)
+	return fmt.Sprintf("%-40s %6d %6d %6d %8.1f %9d %8d %8.2f %6d  %s", name, s.plays, s.playsOverLimit, s.mostLateSends, float64(s.crashes)/float64(s.plays),
+		s.ordinary, s.refused, 100*float64(s.lost)/float64(max(1, s.ordinary)), s.mostReported, known)
 }
 
-const heading = "story                                     plays beyond  worst ends/play  ordinary  refused  lost/100   told  known: median, longest s"
+const tableHeading = "story                                     plays beyond  worst ends/play  ordinary  refused  lost/100   told  known: median, longest s"
 
-// Guards against a request that ends upstreams being sent on, and against ordinary ones
-// being taken for it.
+// Guards against gateways that go on sending a request that crashes upstreams, and that bar
+// ordinary requests instead.
 func TestStories(t *testing.T) {
 	var lines []string
 	for _, s := range stories() {
@@ -139,33 +139,33 @@
 		if *table != "" {
 			variants = []bool{true, false}
 		}
-		for _, none := range variants {
+		for _, withoutTracker := range variants {
 			s := s
-			s.withoutTracker = none
+			s.withoutTracker = withoutTracker
 			plays := n
-			if none {
+			if withoutTracker {
 				plays = min(n, 20)
 			}
-			t.Run(fmt.Sprintf("%s/%v", s.name, none), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%v", s.name, withoutTracker), func(t *testing.T) {
 				var all storyTotals
 				for i, r := range testkit.Plays(plays, func(seed uint64) result { return playStory(s, seed) }) {
 					all.add(r, len(s.killers))
-					if r.mostLateSends > 3 && !none {
-						t.Errorf("seed %d: sent %d times more, at most 3", i+1, r.mostLateSends)
+					if r.mostLateSends > 3 && !withoutTracker {
+						t.Errorf("seed %d: sent %d times after all gateways had to bar it, want at most 3", i+1, r.mostLateSends)
 					}
 				}
-				if !none && all.refused*1000 > all.ordinary {
-					t.Errorf("%d of %d ordinary requests refused, under 1 in 1,000 is asked", all.refused, all.ordinary)
+				if !withoutTracker && all.refused*1000 > all.ordinary {
+					t.Errorf("%d of %d ordinary requests refused, want at most 1 in 1,000", all.refused, all.ordinary)
 				}
 				name := s.name
-				if none {
+				if withoutTracker {
 					name = "  without: " + name
 				}
-				lines = append(lines, all.line(name))
+				lines = append(lines, all.tableLine(name))
 			})
 		}
 	}
-	text := heading + "\n" + strings.Join(lines, "\n") + "\n"
+	text := tableHeading + "\n" + strings.Join(lines, "\n") + "\n"
 	t.Log("\n" + text)
 	if *table != "" {
 		if err := os.WriteFile(*table, []byte(text), 0o644); err != nil {
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -9,7 +9,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// testTracker is one gateway's tracker with a clock of its own.
+// testTracker is one gateway's Tracker with its own clock.
 type testTracker struct {
 	*Tracker
 	now    time.Time
@@ -17,140 +17,141 @@
 }
 
 func newTestTracker() *testTracker {
-	d := &testTracker{now: epoch}
-	d.Tracker = newTracker(func() time.Time { return d.now })
-	return d
+	tr := &testTracker{now: epoch}
+	tr.Tracker = newTracker(func() time.Time { return tr.now })
+	return tr
 }
 
 func content(n int) ident.Content { return ident.ContentOf(ident.Outline(n), 0) }
 
-// crashWith ends an upstream under a new request of each content.
-func (d *testTracker) crashWith(upstream string, contents ...ident.Content) {
+// crashWith records a crash of an upstream under one new request per content.
+func (tr *testTracker) crashWith(upstream string, contents ...ident.Content) {
 	for _, c := range contents {
-		d.lastID++
-		d.Crashed(ident.Instance(upstream), ident.MarkOf(c, ident.Request(fmt.Sprint(d.lastID))))
+		tr.lastID++
+		tr.Crashed(ident.Instance(upstream), ident.MarkOf(c, ident.Request(fmt.Sprint(tr.lastID))))
 	}
 }
 
-// advance lets time pass and takes in what others told.
-func (d *testTracker) advance(by time.Duration, words ...Words) {
-	d.now = d.now.Add(by)
+// advance lets time pass and merges the reports of other gateways.
+func (tr *testTracker) advance(by time.Duration, reports ...Words) {
+	tr.now = tr.now.Add(by)
 	var all Words
-	for _, w := range words {
-		all = all.Plus(w)
+	for _, r := range reports {
+		all = all.Plus(r)
 	}
-	d.Refresh(all)
+	tr.Refresh(all)
 }
 
-func (d *testTracker) isBarred(c ident.Content) bool {
-	_, barred := d.Barred(c)
+func (tr *testTracker) isBarred(c ident.Content) bool {
+	_, barred := tr.Barred(c)
 	return barred
 }
 
-// Guards against a content that is barred too soon, too late or in place of another.
+// Guards against a content that is barred too early, too late or instead of the real cause.
 func TestWhatIsFound(t *testing.T) {
 	cause, beside, other := content(1), content(2), content(3)
 	for _, c := range []struct {
 		name   string
-		happen func(d *testTracker)
+		happen func(tr *testTracker)
 		barred []ident.Content
 		free   []ident.Content
 	}{
-		{"two ends are not enough", func(d *testTracker) {
-			d.crashWith("a", cause)
-			d.crashWith("b", cause)
-			d.advance(settleTime)
+		{"two ends are not enough", func(tr *testTracker) {
+			tr.crashWith("a", cause)
+			tr.crashWith("b", cause)
+			tr.advance(settleTime)
 		}, nil, []ident.Content{cause}},
-		{"three ends, of which all have told", func(d *testTracker) {
-			d.crashWith("a", cause, beside)
-			d.crashWith("b", cause)
-			d.crashWith("c", cause, beside)
-			d.advance(settleTime)
+		{"three ends, of which all have told", func(tr *testTracker) {
+			tr.crashWith("a", cause, beside)
+			tr.crashWith("b", cause)
+			tr.crashWith("c", cause, beside)
+			tr.advance(settleTime)
 		}, []ident.Content{cause}, []ident.Content{beside}},
-		{"others may yet tell of what else was there", func(d *testTracker) {
-			d.crashWith("a", cause)
-			d.crashWith("b", cause)
-			d.crashWith("c", cause)
-			d.advance(settleTime - time.Millisecond)
+		{"others may yet tell of what else was there", func(tr *testTracker) {
+			tr.crashWith("a", cause)
+			tr.crashWith("b", cause)
+			tr.crashWith("c", cause)
+			tr.advance(settleTime - time.Millisecond)
 		}, nil, []ident.Content{cause}},
-		{"a whole answer between the ends", func(d *testTracker) {
-			d.crashWith("a", cause)
-			d.crashWith("b", cause)
-			d.advance(time.Second)
-			d.Completed(cause)
-			d.now = d.now.Add(time.Second)
-			d.crashWith("c", cause)
-			d.advance(settleTime)
+		{"a whole answer between the ends", func(tr *testTracker) {
+			tr.crashWith("a", cause)
+			tr.crashWith("b", cause)
+			tr.advance(time.Second)
+			tr.Completed(cause)
+			tr.now = tr.now.Add(time.Second)
+			tr.crashWith("c", cause)
+			tr.advance(settleTime)
 		}, nil, []ident.Content{cause}},
-		{"a whole answer of a request that was on its way", func(d *testTracker) {
-			d.crashWith("a", cause)
-			d.crashWith("b", cause)
-			d.crashWith("c", cause)
-			d.advance(settleTime)
-			d.Completed(cause)
+		{"a whole answer of a request that was on its way", func(tr *testTracker) {
+			tr.crashWith("a", cause)
+			tr.crashWith("b", cause)
+			tr.crashWith("c", cause)
+			tr.advance(settleTime)
+			tr.Completed(cause)
 		}, nil, []ident.Content{cause}},
-		{"one request that its gateway sent on", func(d *testTracker) {
+		{"one request that its gateway sent on", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c", "d"} {
-				d.Crashed(ident.Instance(u), ident.MarkOf(beside, "one"))
+				tr.Crashed(ident.Instance(u), ident.MarkOf(beside, "one"))
 			}
-			d.advance(settleTime)
+			tr.advance(settleTime)
 		}, nil, []ident.Content{beside}},
-		{"two at the same ends", func(d *testTracker) {
+		{"two at the same ends", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c"} {
-				d.crashWith(u, cause, beside)
+				tr.crashWith(u, cause, beside)
 			}
-			d.advance(settleTime)
+			tr.advance(settleTime)
 		}, nil, []ident.Content{cause, beside}},
-		{"two at the same ends, and then one alone", func(d *testTracker) {
+		{"two at the same ends, and then one alone", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c"} {
-				d.crashWith(u, cause, beside)
+				tr.crashWith(u, cause, beside)
 			}
-			d.crashWith("d", cause)
-			d.advance(settleTime)
+			tr.crashWith("d", cause)
+			tr.advance(settleTime)
 		}, []ident.Content{cause}, []ident.Content{beside}},
-		{"two causes", func(d *testTracker) {
+		{"two causes", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c"} {
-				d.crashWith(u, cause, beside)
-				d.crashWith(u+"2", other, beside)
+				tr.crashWith(u, cause, beside)
+				tr.crashWith(u+"2", other, beside)
 			}
-			d.crashWith("d", cause)
-			d.crashWith("d2", other)
-			d.advance(settleTime)
-			// What ran beside both was at more ends than either, until it is answered.
-			d.Completed(beside)
-			d.advance(0)
+			tr.crashWith("d", cause)
+			tr.crashWith("d2", other)
+			tr.advance(settleTime)
+			// The content that ran beside both causes has more crashes than either, until it is
+			// answered.
+			tr.Completed(beside)
+			tr.advance(0)
 		}, []ident.Content{cause, other}, []ident.Content{beside}},
-		{"a life that ends twice under one name", func(d *testTracker) {
+		{"a life that ends twice under one name", func(tr *testTracker) {
 			for range 3 {
-				d.crashWith("a", cause)
-				d.advance(3 * time.Second)
+				tr.crashWith("a", cause)
+				tr.advance(3 * time.Second)
 			}
 		}, []ident.Content{cause}, nil},
-		{"forgotten once it stays away", func(d *testTracker) {
+		{"forgotten once it stays away", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c"} {
-				d.crashWith(u, cause)
+				tr.crashWith(u, cause)
 			}
-			d.advance(settleTime)
-			d.advance(ForgetAfter)
+			tr.advance(settleTime)
+			tr.advance(ForgetAfter)
 		}, nil, []ident.Content{cause}},
 	} {
-		d := newTestTracker()
-		c.happen(d)
+		tr := newTestTracker()
+		c.happen(tr)
 		for _, x := range c.barred {
-			if !d.isBarred(x) {
+			if !tr.isBarred(x) {
 				t.Errorf("%s: content %d is not barred", c.name, x.Outline())
 			}
 		}
 		for _, x := range c.free {
-			if d.isBarred(x) {
+			if tr.isBarred(x) {
 				t.Errorf("%s: content %d is barred", c.name, x.Outline())
 			}
 		}
 	}
 }
 
-// Guards against a gateway that has just started, or was out of touch, and sends on what
-// the others found.
+// Guards against a gateway that has just started, or was disconnected, and still sends what the
+// others bar.
 func TestWhatOthersFoundIsBarred(t *testing.T) {
 	a, b := newTestTracker(), newTestTracker()
 	for _, u := range []string{"a", "b", "c"} {
@@ -161,25 +162,25 @@
 	b.now = a.now
 	b.advance(0, a.Words())
 	if !b.isBarred(content(1)) {
-		t.Fatal("what another gateway found is not barred")
+		t.Fatal("content convicted by another gateway is not barred")
 	}
-	// A word that is late by a round changes nothing.
+	// A report that arrives a round late has no effect.
 	late := b.Words()
 	if !b.Clear(content(1)) {
-		t.Fatal("it was not barred")
+		t.Fatal("Clear reports that the content was not barred")
 	}
 	b.advance(250*time.Millisecond, a.Words(), late.Aged(250*time.Millisecond))
 	if b.isBarred(content(1)) {
-		t.Error("barred again by an older word")
+		t.Error("barred again by an older report")
 	}
 	a.now = b.now
 	a.advance(0, b.Words())
 	if a.isBarred(content(1)) {
-		t.Error("the operator's word did not reach the gateway that found it")
+		t.Error("the operator's clearance did not reach the gateway that convicted the content")
 	}
 }
 
-// Guards against ends that are counted once for each gateway that tells of them.
+// Guards against counting a crash once per gateway that reports it.
 func TestOneEndIsCountedOnce(t *testing.T) {
 	a, b := newTestTracker(), newTestTracker()
 	a.crashWith("u", content(1))
@@ -191,66 +192,66 @@
 		b.now = a.now
 	}
 	if n, _ := a.crashesAgainst(content(1), a.now); n != 1 {
-		t.Errorf("%d ends", n)
+		t.Errorf("%d crashes counted, want 1", n)
 	}
 	if a.isBarred(content(1)) {
-		t.Error("barred after one end")
+		t.Error("barred after one crash")
 	}
 }
 
-// Guards against memory, messages and records that grow with the number of different
-// requests that end upstreams.
+// Guards against memory, messages and records that grow with the number of different requests
+// that crash upstreams.
 func TestManyDifferentOnesAreBounded(t *testing.T) {
-	d := newTestTracker()
+	tr := newTestTracker()
 	for i := range 2000 {
 		for k := range 3 {
-			d.crashWith(fmt.Sprintf("u%d-%d", i, k), content(i+1))
+			tr.crashWith(fmt.Sprintf("u%d-%d", i, k), content(i+1))
 		}
-		d.advance(settleTime)
+		tr.advance(settleTime)
 	}
-	if len(d.crashes) > maxCrashes || len(d.verdicts) > maxVerdicts {
-		t.Errorf("%d ends and %d verdicts", len(d.crashes), len(d.verdicts))
+	if len(tr.crashes) > maxCrashes || len(tr.verdicts) > maxVerdicts {
+		t.Errorf("%d crashes and %d verdicts remembered", len(tr.crashes), len(tr.verdicts))
 	}
-	w := d.Words()
+	w := tr.Words()
 	marks := 0
 	for _, c := range w.Crashes {
 		marks += len(c.Marks)
 	}
 	if marks > maxReportedMarks || len(w.Verdicts) > maxReportedVerdicts {
-		t.Errorf("%d marks and %d verdicts told", marks, len(w.Verdicts))
+		t.Errorf("%d marks and %d verdicts in one report", marks, len(w.Verdicts))
 	}
-	var kept []storedVerdict
-	if err := json.Unmarshal(d.Keep(), &kept); err != nil || len(kept) != maxStoredVerdicts {
-		t.Errorf("%d kept, %v", len(kept), err)
+	var stored []storedVerdict
+	if err := json.Unmarshal(tr.Keep(), &stored); err != nil || len(stored) != maxStoredVerdicts {
+		t.Errorf("%d verdicts stored, want %d; error %v", len(stored), maxStoredVerdicts, err)
 	}
-	d.advance(ForgetAfter)
-	if !d.Quiet() {
-		t.Error("not forgotten")
+	tr.advance(ForgetAfter)
+	if !tr.Quiet() {
+		t.Error("crashes or verdicts remembered after ForgetAfter")
 	}
 }
 
-// Guards against verdicts that wait for their turn for good.
+// Guards against verdicts whose turn to be reported never comes.
 func TestAllVerdictsAreToldInTurn(t *testing.T) {
-	d, other := newTestTracker(), newTestTracker()
+	tr, other := newTestTracker(), newTestTracker()
 	for i := range 10 {
 		for k := range 3 {
-			d.crashWith(fmt.Sprintf("u%d-%d", i, k), content(i+1))
+			tr.crashWith(fmt.Sprintf("u%d-%d", i, k), content(i+1))
 		}
 	}
-	d.advance(settleTime)
+	tr.advance(settleTime)
 	for range 12 {
-		other.advance(250*time.Millisecond, d.Words())
-		d.now = other.now
+		other.advance(250*time.Millisecond, tr.Words())
+		tr.now = other.now
 	}
 	for i := range 10 {
 		if !other.isBarred(content(i + 1)) {
-			t.Errorf("content %d was not told of", i+1)
+			t.Errorf("the verdict on content %d was not reported", i+1)
 		}
 	}
 }
 
-// Guards against a start after which all that was found must be found again, and against
-// records that cannot be.
+// Guards against convictions that are lost when all gateways restart, and against invalid
+// stored records that bar something.
 func TestKeptVerdicts(t *testing.T) {
 	a, b := newTestTracker(), newTestTracker()
 	for _, u := range []string{"a", "b", "c"} {
@@ -260,28 +261,28 @@
 	b.now = a.now
 	b.Learn(a.Keep())
 	if b.Quiet() || !b.isBarred(content(1)) {
-		t.Error("what was kept is not barred")
+		t.Error("stored content is not barred")
 	}
 	c := newTestTracker()
 	for _, data := range []string{"", "null", "[]", "{}", "7", `[{"content":0}]`, `[{"content":256,"age_ms":-1}]`} {
 		c.Learn(json.RawMessage(data))
 	}
 	if !c.Quiet() {
-		t.Error("a record that names nothing barred something")
+		t.Error("an invalid record left crashes or verdicts")
 	}
 }
 
-// Guards against a request that is let by unasked although others like it are known.
+// Guards against a suspected request that skips the checks because its outline is not known.
 func TestKnownOutlines(t *testing.T) {
 	a, b := newTestTracker(), newTestTracker()
 	known := content(1).Outline()
 	a.crashWith("a", content(1))
 	if !a.Knows(known) || a.Knows(content(2).Outline()) {
-		t.Error("not what was just at an end")
+		t.Error("outlines do not match this gateway's crash")
 	}
 	b.advance(0, a.Words())
 	if !b.Knows(known) {
-		t.Error("not what another gateway had at an end")
+		t.Error("outline of another gateway's crash is not known")
 	}
 	a.crashWith("b", content(1))
 	a.crashWith("c", content(1))
@@ -289,54 +290,54 @@
 	c := newTestTracker()
 	c.Learn(a.Keep())
 	if !c.Knows(known) {
-		t.Error("not what was kept")
+		t.Error("outline of a stored verdict is not known")
 	}
 	a.advance(ForgetAfter)
 	if a.Knows(known) {
-		t.Error("known after it was forgotten")
+		t.Error("outline is known after the verdict expired")
 	}
 }
 
-// Guards against a request that is sent on while it is open whether it ends upstreams, and
-// against one that waits for good.
+// Guards against a request that is sent before it is decided whether it crashes upstreams, and
+// against one that waits forever.
 func TestAdmission(t *testing.T) {
-	d := newTestTracker()
+	tr := newTestTracker()
 	c := content(1)
-	if !d.Quiet() {
-		t.Fatal("something is known at the start")
+	if !tr.Quiet() {
+		t.Fatal("a new tracker is not empty")
 	}
-	d.crashWith("a", c)
-	if got := d.Admit(c, 0); got.Step != Send {
-		t.Errorf("after one end: %+v", got)
+	tr.crashWith("a", c)
+	if got := tr.Admit(c, 0); got.Step != Send {
+		t.Errorf("after one crash: %+v", got)
 	}
-	d.crashWith("b", c)
-	ended := d.Started("c", c)
-	if got := d.Admit(c, 0); got.Step != Wait {
-		t.Errorf("after two ends, one in progress: %+v", got)
+	tr.crashWith("b", c)
+	ended := tr.Started("c", c)
+	if got := tr.Admit(c, 0); got.Step != Wait {
+		t.Errorf("after two crashes, one request in progress: %+v", got)
 	}
-	if got := d.Admit(c, settleTime); got.Step != Send {
-		t.Errorf("it waits for good: %+v", got)
+	if got := tr.Admit(c, settleTime); got.Step != Send {
+		t.Errorf("still waits after settleTime: %+v", got)
 	}
-	if got := d.Admit(content(2), 0); got.Step != Send || len(got.Avoid) != 0 {
-		t.Errorf("another request: %+v", got)
+	if got := tr.Admit(content(2), 0); got.Step != Send || len(got.Avoid) != 0 {
+		t.Errorf("another content: %+v", got)
 	}
-	d.crashWith("x", content(2))
-	if got := d.Admit(content(2), 0); got.Step != Send || len(got.Avoid) != 1 || got.Avoid[0] != "c" {
-		t.Errorf("a second suspect runs beside the first: %+v", got)
+	tr.crashWith("x", content(2))
+	if got := tr.Admit(content(2), 0); got.Step != Send || len(got.Avoid) != 1 || got.Avoid[0] != "c" {
+		t.Errorf("a second suspect does not avoid the upstream of the first: %+v", got)
 	}
-	if !d.Resend(c) {
-		t.Error("not sent once more after two ends")
+	if !tr.Resend(c) {
+		t.Error("no resend after two crashes")
 	}
 	ended()
-	d.crashWith("c", c)
-	if d.Resend(c) {
-		t.Error("sent once more after three ends")
+	tr.crashWith("c", c)
+	if tr.Resend(c) {
+		t.Error("resend after three crashes")
 	}
-	if got := d.Admit(c, 0); got.Step != Wait {
-		t.Errorf("others have not told yet: %+v", got)
+	if got := tr.Admit(c, 0); got.Step != Wait {
+		t.Errorf("after three crashes that others may not have reported yet: %+v", got)
 	}
-	d.advance(settleTime)
-	if got := d.Admit(c, 0); got.Step != Bar || got.After != ForgetAfter {
-		t.Errorf("after three ends of which all told: %+v", got)
+	tr.advance(settleTime)
+	if got := tr.Admit(c, 0); got.Step != Bar || got.After != ForgetAfter {
+		t.Errorf("after three settled crashes: %+v", got)
 	}
 }
