--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -45,7 +45,7 @@
 
 // NewController returns a controller that knows nothing.
 func NewController(cfg ControllerConfig) *Controller {
-	return &Controller{cfg: cfg, ledger: ledger{store: cfg.Store, reports: cfg.Reports}}
+	return &Controller{cfg: cfg, ledger: ledger{store: cfg.Store, status: cfg.Reports}}
 }
 
 // Step does what is due.
@@ -57,7 +57,7 @@
 	}
 	if grant.Fence != c.fence {
 		c.fence = grant.Fence
-		c.ledger.forget()
+		c.ledger.invalidate()
 	}
 	err := c.ledger.load(ctx)
 	if err != nil {
@@ -72,27 +72,27 @@
 // stopped.
 func (c *Controller) step(ctx context.Context, s *Status, known bool) {
 	service, order := s.Order.Service, s.Order.Offset
-	if known && c.adopt(ctx, s) {
+	if known && c.adoptRecord(ctx, s) {
 		return
 	}
 	next := Next(c.situation(s))
 	switch {
 	case next.Phase == RolledBack && s.Phase != RolledBack:
-		c.cfg.Tracker.Advance(service, order, RolledBack, next.Why)
+		c.cfg.Tracker.Advance(service, order, RolledBack, next.Reason)
 	case !known:
 	case next.Phase == Completed && s.Phase != Completed:
 		// The platform stops the old version at this word, so that it is on record, and
 		// no other holder can decide otherwise, before anybody acts on it.
-		if c.write(ctx, s, Completed) {
-			c.cfg.Tracker.Advance(service, order, Completed, next.Why)
+		if c.recordOutcome(ctx, s, Completed) {
+			c.cfg.Tracker.Advance(service, order, Completed, next.Reason)
 		}
 		return
 	default:
-		c.cfg.Tracker.Advance(service, order, next.Phase, next.Why)
+		c.cfg.Tracker.Advance(service, order, next.Phase, next.Reason)
 		c.cfg.Tracker.Confirm(service, order)
 	}
 	if known && next.Phase != Waiting {
-		c.write(ctx, s, outcomeOf(next.Phase))
+		c.recordOutcome(ctx, s, outcomeOf(next.Phase))
 	}
 }
 
@@ -103,9 +103,9 @@
 	return Canary
 }
 
-// adopt takes over what earlier holders decided of an order, and reports whether it has
+// adoptRecord takes over what earlier holders decided of an order, and reports whether it has
 // ended.
-func (c *Controller) adopt(ctx context.Context, s *Status) bool {
+func (c *Controller) adoptRecord(ctx context.Context, s *Status) bool {
 	r, some := c.ledger.records[s.Order.Service]
 	if !some || r.Order != s.Order.Offset {
 		return false
@@ -115,26 +115,26 @@
 		return false
 	}
 	c.cfg.Tracker.Advance(s.Order.Service, r.Order, r.Outcome, "it was decided before")
-	c.report(ctx, s)
+	c.reportStatus(ctx, s)
 	return true
 }
 
-// write records and reports an outcome, and reports whether it stands.
-func (c *Controller) write(ctx context.Context, s *Status, outcome Phase) bool {
+// recordOutcome records and reports an outcome, and reports whether it stands.
+func (c *Controller) recordOutcome(ctx context.Context, s *Status, outcome Phase) bool {
 	r := Record{Order: s.Order.Offset, To: s.Order.To, Outcome: outcome, OrderedMillis: c.cfg.TrueTime().Add(-s.Age).UnixMilli()}
 	if last, some := c.ledger.records[s.Order.Service]; some && last.Order == r.Order {
 		r.OrderedMillis = last.OrderedMillis
 	}
-	if err := c.ledger.record(ctx, s.Order.Service, r); err != nil {
+	if err := c.ledger.writeRecord(ctx, s.Order.Service, r); err != nil {
 		c.cfg.Log.Warn("rollout not recorded", "service", s.Order.Service, "order", r.Order, "outcome", outcome.String(), "fence", c.fence, "error", err)
 		return false
 	}
-	c.report(ctx, s)
+	c.reportStatus(ctx, s)
 	return true
 }
 
-func (c *Controller) report(ctx context.Context, s *Status) {
-	if err := c.ledger.report(ctx, s.Order.Service); err != nil {
+func (c *Controller) reportStatus(ctx context.Context, s *Status) {
+	if err := c.ledger.writeStatus(ctx, s.Order.Service); err != nil {
 		c.cfg.Log.Warn("rollout not reported", "service", s.Order.Service, "order", s.Order.Offset, "fence", c.fence, "error", err)
 	}
 }
@@ -146,11 +146,11 @@
 	}
 	running := c.cfg.Running(s.Order.Service)
 	return &Situation{
-		Phase: s.Phase, Age: s.Age, PhaseAge: s.PhaseAge, Length: s.Order.Length, NewReady: s.NewReady, OldLeft: s.OldLeft,
-		Room:    s.NewSlots == 0 && s.NewReady > 0 || float64(s.NewSlots) >= roomFor*float64(running),
-		Verdict: s.Verdict, Stopped: s.Stopped, Settled: settled, Gateways: c.cfg.Gateways(), Drain: c.cfg.Drain(s.Order.Service),
+		Phase: s.Phase, Age: s.Age, PhaseAge: s.PhaseAge, TimeLimit: s.Order.Length, NewReady: s.NewReady, OldLeft: s.OldLeft,
+		HasCapacity: s.NewSlots == 0 && s.NewReady > 0 || float64(s.NewSlots) >= requiredHeadroom*float64(running),
+		Verdict:     s.Verdict, Stopped: s.Stopped, Settled: settled, Gateways: c.cfg.Gateways(), DrainTime: c.cfg.Drain(s.Order.Service),
 	}
 }
 
-// roomFor times the requests in progress must fit into the new version's slots.
-const roomFor = 1.2
+// requiredHeadroom times the requests in progress must fit into the new version's slots.
+const requiredHeadroom = 1.2
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -21,7 +21,7 @@
 	Old Side = iota
 	NewA
 	NewB
-	sides
+	numSides
 )
 
 // Tally counts requests and their answers.
@@ -39,22 +39,22 @@
 // Class of a time grows by two with each doubling.
 type Class int
 
-// mostClass bounds classes: a factor of a million either way.
-const mostClass = 40
+// maxClass bounds classes: a factor of a million either way.
+const maxClass = 40
 
 // Valid reports whether a class can be.
-func (c Class) Valid() bool { return -mostClass <= c && c <= mostClass }
+func (c Class) Valid() bool { return -maxClass <= c && c <= maxClass }
 
 // ClassOf returns the class of a time, in any unit that all gateways share.
 func ClassOf(x float64) Class {
 	if x <= 0 {
-		return -mostClass
+		return -maxClass
 	}
-	return Class(min(max(math.Round(2*math.Log2(x)), -mostClass), mostClass))
+	return Class(min(max(math.Round(2*math.Log2(x)), -maxClass), maxClass))
 }
 
 // Evidence is what a route's requests saw of both versions.
-type Evidence [sides]Tally
+type Evidence [numSides]Tally
 
 // Seen is what gateways saw of an order's versions, by route.
 type Seen map[RouteKey]*Evidence
@@ -68,8 +68,8 @@
 	Time  float64
 }
 
-// of returns what was seen of a route and a side.
-func (s Seen) of(route RouteKey, side Side) *Tally {
+// tally returns what was seen of a route and a side.
+func (s Seen) tally(route RouteKey, side Side) *Tally {
 	e := s[route]
 	if e == nil {
 		e = new(Evidence)
@@ -79,12 +79,12 @@
 }
 
 // Send counts a request, and Withdraw takes one back whose end says nothing.
-func (s Seen) Send(route RouteKey, side Side)     { s.of(route, side).Sent++ }
-func (s Seen) Withdraw(route RouteKey, side Side) { s.of(route, side).Sent-- }
+func (s Seen) Send(route RouteKey, side Side)        { s.tally(route, side).Sent++ }
+func (s Seen) UncountSent(route RouteKey, side Side) { s.tally(route, side).Sent-- }
 
 // Add counts an answer to a request that was counted.
 func (s Seen) Add(route RouteKey, side Side, a Answer) {
-	t := s.of(route, side)
+	t := s.tally(route, side)
 	t.Answers++
 	if a.Failed {
 		t.Failures++
@@ -101,12 +101,12 @@
 func (s Seen) Join(o Seen) {
 	for route, evidence := range o {
 		for side := range evidence {
-			s.of(route, Side(side)).join(&evidence[side])
+			s.tally(route, Side(side)).merge(&evidence[side])
 		}
 	}
 }
 
-func (t *Tally) join(o *Tally) {
+func (t *Tally) merge(o *Tally) {
 	t.Sent += o.Sent
 	t.Answers += o.Answers
 	t.Failures += o.Failures
@@ -125,8 +125,8 @@
 	return out
 }
 
-// answers counts what the new version answered.
-func (s Seen) answers() int {
+// newVersionAnswers counts what the new version answered.
+func (s Seen) newVersionAnswers() int {
 	n := 0
 	for _, e := range s {
 		n += e[NewA].Answers + e[NewB].Answers
--- a/internal/rollout/fisher_test.go
+++ b/internal/rollout/fisher_test.go
@@ -7,44 +7,44 @@
 	"gonum.org/v1/gonum/stat/combin"
 )
 
-// looks is how often an order is judged at the most, among which the sequential test
+// maxJudgements is how often an order is judged at the most, among which the sequential test
 // divides its error.
-const looks = 100
+const maxJudgements = 100
 
 // judgeByFisher compares by Fisher's exact test, its error divided among the looks and the
 // comparisons: the way beside which Judge was weighed.
 func judgeByFisher(seen Seen, both bool) Verdict {
-	v := Verdict{Answers: seen.answers()}
+	v := Verdict{Answers: seen.newVersionAnswers()}
 	least, comparisons := 1.0, 1
 	var all Evidence
 	for _, e := range seen {
 		for side := range e {
-			all[side].join(&e[side])
+			all[side].merge(&e[side])
 		}
-		comparisons += 1 + len(slower)
-		least = min(least, fisherOf(counts(e, failures), both))
+		comparisons += 1 + len(slowThresholds)
+		least = min(least, fisherOfSides(trialsBySide(e, failures), both))
 		if median, known := medianOf(e[Old].Times); known {
-			for _, step := range slower {
-				least = min(least, fisherOf(counts(e, func(t *Tally) trials { return slowFrom(t, median+step) }), both))
+			for _, step := range slowThresholds {
+				least = min(least, fisherOfSides(trialsBySide(e, func(t *Tally) trials { return slowFrom(t, median+step) }), both))
 			}
 		}
 	}
-	least = min(least, fisherOf(counts(&all, failures), both))
-	v.Against = 1 / (least * looks * float64(comparisons))
+	least = min(least, fisherOfSides(trialsBySide(&all, failures), both))
+	v.Against = 1 / (least * maxJudgements * float64(comparisons))
 	return v
 }
 
-// fisherOf is the probability of the new version's bad answers if both versions are alike.
+// fisherOfSides is the probability of the new version's bad answers if both versions are alike.
 // Of two halves the one that speaks less against it counts for its part.
-func fisherOf(c [sides]trials, both bool) float64 {
+func fisherOfSides(c [numSides]trials, both bool) float64 {
 	joint := trials{c[NewA].n + c[NewB].n, c[NewA].bad + c[NewB].bad}
-	if both && max(fisher(c[Old], c[NewA]), fisher(c[Old], c[NewB])) > 1.0/eachHalf {
+	if both && max(fisherExact(c[Old], c[NewA]), fisherExact(c[Old], c[NewB])) > 1.0/minEvidencePerHalf {
 		return 1
 	}
-	return fisher(c[Old], joint)
+	return fisherExact(c[Old], joint)
 }
 
-func fisher(old, fresh trials) float64 {
+func fisherExact(old, fresh trials) float64 {
 	bad, n := old.bad+fresh.bad, old.n+fresh.n
 	if fresh.n == 0 || bad == 0 || bad > n {
 		return 1
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -22,97 +22,97 @@
 // upstreams that behave as told.
 
 const (
-	service    ident.Service = "svc"
-	tick                     = 25 * time.Millisecond
-	round                    = 250 * time.Millisecond
-	stepPeriod               = 250 * time.Millisecond
+	service        ident.Service = "svc"
+	tick                         = 25 * time.Millisecond
+	exchangePeriod               = 250 * time.Millisecond
+	stepPeriod                   = 250 * time.Millisecond
 )
 
 var limits = Limits{Share: 0.1, Slack: 50, StopDue: 5 * time.Second}
 
-// behaviour is how a version's upstreams answer.
-type behaviour struct {
-	// fail is the part of answers that fail, and slow the part that takes times as long.
-	fail, slow, times float64
+// fault is how a version's upstreams answer.
+type fault struct {
+	// failFraction is the part of answers that fail, and slow the part that takes times as long.
+	failFraction, slowFraction, slowFactor float64
 	// from is when it begins, as a part of the order's length.
 	from float64
-	// above is the number of requests in progress at an upstream above which it shows.
-	above int
+	// aboveLoad is the number of requests in progress at an upstream above which it shows.
+	aboveLoad int
 	// route is the only one where it shows; all where negative.
 	route int
 }
 
 // story is one order and what happens beside it.
 type story struct {
-	name     string
-	gateways int
-	rate     float64
-	length   time.Duration
-	old, new int
-	slots    int
-	// took is the mean time of an answer by route, and parts how often each is asked.
-	took  []time.Duration
-	parts []float64
-	bad   *behaviour
-	// errs is the part of answers that fail at both versions.
-	errs float64
-	// grey is a new upstream that fails part of its answers by itself.
-	grey float64
+	name                       string
+	gateways                   int
+	rate                       float64
+	length                     time.Duration
+	oldUpstreams, newUpstreams int
+	slots                      int
+	// meanTimes is the mean time of an answer by route, and parts how often each is asked.
+	meanTimes      []time.Duration
+	routeFractions []float64
+	fault          *fault
+	// failFraction is the part of answers that fail at both versions.
+	failFraction float64
+	// greyFailFraction is a new upstream that fails part of its answers by itself.
+	greyFailFraction float64
 	// burst multiplies the rate in the middle third.
 	burst float64
 	// holderDies is when the holder of the lease dies, as a part of the length; a
 	// successor takes over 4 s later. 0 for never.
 	holderDies float64
-	// storeAway is since when the store does not answer, as a part of the length.
-	storeAway float64
-	// cut is since when the last quarter of the gateways hears nobody.
-	cut float64
-	// cold is for how long the new upstreams are slow after their start.
-	cold time.Duration
-	// late is when the new upstreams come.
-	late time.Duration
+	// storeUnavailable is since when the store does not answer, as a part of the length.
+	storeUnavailable float64
+	// cutOff is since when the last quarter of the gateways hears nobody.
+	cutOff float64
+	// coldFor is for how long the new upstreams are slow after their start.
+	coldFor time.Duration
+	// newUpstreamsAt is when the new upstreams come.
+	newUpstreamsAt time.Duration
 	// judge replaces the product's.
 	judge func(Seen, bool) Verdict
-	// beyond says why the share's evidence, or the time, cannot always tell.
-	beyond string
+	// undecidable says why the share's evidence, or the time, cannot always tell.
+	undecidable string
 	// reclaimed is when all but one of the new version's upstreams leave.
 	reclaimed float64
 }
 
 // result is what a play showed.
 type result struct {
-	phase     Phase
-	endedAt   time.Duration
-	sent, new int
-	newByEnd  int
-	sentByEnd int
-	badCount  int
-	// late counts the requests to a bad version that were sent after it had to be stopped.
-	late int
+	phase           Phase
+	endedAt         time.Duration
+	sent, sentToNew int
+	sentToNewInTime int
+	sentInTime      int
+	badAnswers      int
+	// lateSends counts the requests to a bad version that were sent after it had to be stopped.
+	lateSends int
 	// lost counts the requests that were at the old version when it was stopped.
 	lost    int
-	failed  int
+	refused int
 	against float64
 }
 
 type fleet struct {
-	s        story
-	rng      *rand.Rand
-	now      time.Time
-	start    time.Time
-	gateways []*simGateway
-	upstream []*simUpstream
-	store    *memoryStore
-	pending  endings
-	r        result
-	badAt    time.Time
-	holder   int
-	fence    ident.Fence
-	words    []Words
-	toldAt   time.Time
-	view     *directory.View
-	// usual is the mean time of an answer by route, in seconds, as gateways learn it.
-	usual []float64
+	s          story
+	rng        *rand.Rand
+	now        time.Time
+	start      time.Time
+	gateways   []*simGateway
+	upstreams  []*simUpstream
+	store      *memoryStore
+	pending    pendingAnswers
+	result     result
+	badAt      time.Time
+	holder     int
+	fence      ident.Fence
+	reports    []Words
+	reportedAt time.Time
+	view       *directory.View
+	// meanTimes is the mean time of an answer by route, in seconds, as gateways learn it.
+	meanTimes []float64
 }
 
 type simGateway struct {
@@ -120,17 +120,17 @@
 	i          int
 	tracker    *Tracker
 	controller *Controller
-	own        map[ident.Instance]int
-	words      Words
+	inFlight   map[ident.Instance]int
+	received   Words
 }
 
 type simUpstream struct {
 	directory.Upstream
-	running int
-	fails   float64
+	inFlight     int
+	failFraction float64
 }
 
-type ending struct {
+type pendingAnswer struct {
 	at       time.Time
 	gateway  *simGateway
 	upstream *simUpstream
@@ -142,13 +142,13 @@
 	side     Side
 }
 
-type endings []ending
+type pendingAnswers []pendingAnswer
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
+func (e pendingAnswers) Len() int           { return len(e) }
+func (e pendingAnswers) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e pendingAnswers) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *pendingAnswers) Push(x any)        { *e = append(*e, x.(pendingAnswer)) }
+func (e *pendingAnswers) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -163,14 +163,14 @@
 func newFleet(s story, seed uint64) *fleet {
 	f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 7)), start: time.Unix(1_000_000, 0), store: newMemoryStore(), fence: 1}
 	f.now = f.start
-	for _, took := range s.took {
-		f.usual = append(f.usual, took.Seconds())
+	for _, took := range s.meanTimes {
+		f.meanTimes = append(f.meanTimes, took.Seconds())
 	}
 	for i := range s.gateways {
 		f.gateways = append(f.gateways, f.newGateway(i))
 	}
-	for i := range s.old {
-		f.upstream = append(f.upstream, f.newUpstream("old", i, "v1"))
+	for i := range s.oldUpstreams {
+		f.upstreams = append(f.upstreams, f.newUpstream("old", i, "v1"))
 	}
 	f.observe()
 	return f
@@ -179,13 +179,13 @@
 func (f *fleet) clock() time.Time { return f.now }
 
 func (f *fleet) newGateway(i int) *simGateway {
-	g := &simGateway{f: f, i: i, own: make(map[ident.Instance]int)}
+	g := &simGateway{f: f, i: i, inFlight: make(map[ident.Instance]int)}
 	g.tracker = New(Config{
 		Limits: limits, Now: f.clock, Log: hclog.NewNullLogger(), Life: fmt.Sprint("gw", i), Gateways: func() int { return f.s.gateways },
 		OrdersKnown: f.clock,
 	})
 	if f.s.judge != nil {
-		g.tracker.judgeBy = f.s.judge
+		g.tracker.judgeFunc = f.s.judge
 	}
 	g.controller = NewController(ControllerConfig{
 		Tracker: g.tracker, Leases: g, Store: f.store, TrueTime: f.clock, Log: hclog.NewNullLogger(),
@@ -193,12 +193,12 @@
 		Gateways: func() int { return f.s.gateways },
 		Settled:  func(service ident.Service) bool { return g.tracker.Settled(service, g.idle) },
 		Drain: func(ident.Service) time.Duration {
-			return time.Duration(3 * slices.Max(f.usual) * float64(time.Second))
+			return time.Duration(3 * slices.Max(f.meanTimes) * float64(time.Second))
 		},
 		Running: func(ident.Service) int {
 			sum := 0
-			for _, u := range f.upstream {
-				sum += u.running
+			for _, u := range f.upstreams {
+				sum += u.inFlight
 			}
 			return sum
 		},
@@ -211,8 +211,8 @@
 }
 
 func (g *simGateway) idle(_ ident.Service, is func(*directory.Upstream) bool) bool {
-	for _, u := range g.f.upstream {
-		if g.own[u.ID] > 0 && is(&u.Upstream) {
+	for _, u := range g.f.upstreams {
+		if g.inFlight[u.ID] > 0 && is(&u.Upstream) {
 			return false
 		}
 	}
@@ -223,11 +223,11 @@
 	id := ident.Instance(fmt.Sprint(kind, "-", i))
 	u := &simUpstream{Upstream: directory.Upstream{ID: id, Name: id, Service: service, Version: version, State: directory.Ready, Slots: f.s.slots}}
 	if version == "v2" {
-		if f.s.cold > 0 {
-			u.WarmAt = f.now.Add(f.s.cold)
+		if f.s.coldFor > 0 {
+			u.WarmAt = f.now.Add(f.s.coldFor)
 		}
 		if i == 0 {
-			u.fails = f.s.grey
+			u.failFraction = f.s.greyFailFraction
 		}
 	}
 	return u
@@ -235,7 +235,7 @@
 
 func (f *fleet) observe() {
 	var list []directory.Upstream
-	for _, u := range f.upstream {
+	for _, u := range f.upstreams {
 		list = append(list, u.Upstream)
 	}
 	f.view = directory.NewView(list)
@@ -246,7 +246,7 @@
 
 func (f *fleet) age() time.Duration { return f.now.Sub(f.start) }
 
-func (f *fleet) part() float64 { return f.age().Seconds() / f.s.length.Seconds() }
+func (f *fleet) progress() float64 { return f.age().Seconds() / f.s.length.Seconds() }
 
 // play runs the order to some time after its deadline.
 func (f *fleet) play() result {
@@ -256,48 +256,48 @@
 	}
 	carry, came, dead, taken, shrunk := 0.0, false, false, false, false
 	for end := f.start.Add(f.s.length + 20*time.Second); f.now.Before(end); f.now = f.now.Add(tick) {
-		if !came && f.age() >= f.s.late {
+		if !came && f.age() >= f.s.newUpstreamsAt {
 			came = true
-			for i := range f.s.new {
-				f.upstream = append(f.upstream, f.newUpstream("new", i, "v2"))
+			for i := range f.s.newUpstreams {
+				f.upstreams = append(f.upstreams, f.newUpstream("new", i, "v2"))
 			}
 			f.observe()
 		}
-		if f.s.holderDies > 0 && !dead && f.part() >= f.s.holderDies {
+		if f.s.holderDies > 0 && !dead && f.progress() >= f.s.holderDies {
 			dead, f.holder = true, -1
 		}
 		if dead && !taken && f.age() >= time.Duration(f.s.holderDies*float64(f.s.length))+4*time.Second {
 			taken, f.holder = true, 1%f.s.gateways
 			f.fence++
 		}
-		if f.s.reclaimed > 0 && !shrunk && f.part() >= f.s.reclaimed {
+		if f.s.reclaimed > 0 && !shrunk && f.progress() >= f.s.reclaimed {
 			shrunk = true
 			f.reclaim()
 		}
-		f.store.away = f.s.storeAway > 0 && f.part() >= f.s.storeAway
+		f.store.unavailable = f.s.storeUnavailable > 0 && f.progress() >= f.s.storeUnavailable
 		rate := f.s.rate
-		if f.s.burst > 0 && f.part() > 1.0/3 && f.part() < 2.0/3 {
+		if f.s.burst > 0 && f.progress() > 1.0/3 && f.progress() < 2.0/3 {
 			rate *= f.s.burst
 		}
 		for carry += rate * tick.Seconds(); carry >= 1; carry-- {
-			f.request()
+			f.sendRequest()
 		}
-		f.end()
+		f.finishDue()
 		f.exchange()
 		if f.age()%stepPeriod == 0 && f.holder >= 0 {
 			f.gateways[f.holder].controller.Step(context.Background())
-			f.noteEnd()
+			f.checkEnded()
 		}
-		if f.r.endedAt > 0 && f.age() > f.r.endedAt+6*time.Second {
+		if f.result.endedAt > 0 && f.age() > f.result.endedAt+6*time.Second {
 			break
 		}
 	}
-	return f.r
+	return f.result
 }
 
 func (f *fleet) reclaim() {
 	kept := false
-	for _, u := range f.upstream {
+	for _, u := range f.upstreams {
 		if u.Version == "v2" && kept {
 			u.State = directory.Leaving
 		}
@@ -306,34 +306,34 @@
 	f.observe()
 }
 
-// noteEnd notes the end of the order, when the old version is stopped.
-func (f *fleet) noteEnd() {
-	if f.s.storeAway > 0 && f.r.endedAt == 0 && f.gateways[f.holder].tracker.Orders()[0].Phase == RolledBack {
-		f.r.phase, f.r.endedAt = RolledBack, f.age()
+// checkEnded notes the end of the order, when the old version is stopped.
+func (f *fleet) checkEnded() {
+	if f.s.storeUnavailable > 0 && f.result.endedAt == 0 && f.gateways[f.holder].tracker.Orders()[0].Phase == RolledBack {
+		f.result.phase, f.result.endedAt = RolledBack, f.age()
 	}
-	r, some := f.store.record(service)
-	if !some || !r.Outcome.Ended() || f.r.phase.Ended() {
+	r, some := f.store.newestRecord(service)
+	if !some || !r.Outcome.Ended() || f.result.phase.Ended() {
 		return
 	}
-	f.r.phase, f.r.endedAt = r.Outcome, f.age()
-	f.r.against = f.gateways[f.holder].tracker.Orders()[0].Verdict.Against
+	f.result.phase, f.result.endedAt = r.Outcome, f.age()
+	f.result.against = f.gateways[f.holder].tracker.Orders()[0].Verdict.Against
 	if r.Outcome != Completed {
 		return
 	}
-	for _, u := range f.upstream {
+	for _, u := range f.upstreams {
 		if u.Version == "v1" {
-			f.r.lost += u.running
+			f.result.lost += u.inFlight
 		}
 	}
-	f.upstream = slices.DeleteFunc(f.upstream, func(u *simUpstream) bool { return u.Version == "v1" })
+	f.upstreams = slices.DeleteFunc(f.upstreams, func(u *simUpstream) bool { return u.Version == "v1" })
 	f.observe()
 }
 
-func (f *fleet) request() {
+func (f *fleet) sendRequest() {
 	g := f.gateways[f.rng.IntN(len(f.gateways))]
 	route, x := 0, f.rng.Float64()
-	for ; route < len(f.s.parts)-1 && x > f.s.parts[route]; route++ {
-		x -= f.s.parts[route]
+	for ; route < len(f.s.routeFractions)-1 && x > f.s.routeFractions[route]; route++ {
+		x -= f.s.routeFractions[route]
 	}
 	id := ident.Request(fmt.Sprint(f.rng.Uint64()))
 	split := g.tracker.Of(service)
@@ -346,16 +346,16 @@
 		u = f.choose(lists.Then)
 	}
 	if u == nil {
-		f.r.failed++
+		f.result.refused++
 		return
 	}
-	e := ending{gateway: g, upstream: u, route: route, sent: f.now, split: split}
+	e := pendingAnswer{gateway: g, upstream: u, route: route, sent: f.now, split: split}
 	if split != nil {
 		e.side = split.Sent(&u.Upstream, routeName(route))
 	}
 	f.count(u)
-	g.own[u.ID]++
-	u.running++
+	g.inFlight[u.ID]++
+	u.inFlight++
 	e.failed, e.took = f.answer(u, route)
 	e.at = f.now.Add(e.took)
 	heap.Push(&f.pending, e)
@@ -371,8 +371,8 @@
 			return nil
 		}
 		id := list[f.rng.IntN(len(list))].ID
-		for _, u := range f.upstream {
-			if u.ID == id && u.State == directory.Ready && u.running < 2*u.Slots && (best == nil || u.running < best.running) {
+		for _, u := range f.upstreams {
+			if u.ID == id && u.State == directory.Ready && u.inFlight < 2*u.Slots && (best == nil || u.inFlight < best.inFlight) {
 				best = u
 			}
 		}
@@ -381,37 +381,37 @@
 }
 
 func (f *fleet) count(u *simUpstream) {
-	f.r.sent++
+	f.result.sent++
 	if f.age() <= f.s.length {
-		f.r.sentByEnd++
+		f.result.sentInTime++
 	}
 	if u.Version != "v2" {
 		return
 	}
-	f.r.new++
+	f.result.sentToNew++
 	if f.age() <= f.s.length {
-		f.r.newByEnd++
+		f.result.sentToNewInTime++
 	}
-	if f.s.bad != nil && !f.badAt.IsZero() && f.now.Sub(f.badAt) > limits.StopDue {
-		f.r.late++
+	if f.s.fault != nil && !f.badAt.IsZero() && f.now.Sub(f.badAt) > limits.StopDue {
+		f.result.lateSends++
 	}
 }
 
 // answer is how an upstream answers now.
 func (f *fleet) answer(u *simUpstream, route int) (failed bool, took time.Duration) {
-	mean := f.s.took[route].Seconds()
-	load := 1 + max(0, float64(u.running)/float64(u.Slots)-0.5)
+	mean := f.s.meanTimes[route].Seconds()
+	load := 1 + max(0, float64(u.inFlight)/float64(u.Slots)-0.5)
 	x := mean * load * math.Exp(0.35*f.rng.NormFloat64())
 	if f.now.Before(u.WarmAt) {
 		x *= 4
 	}
-	failed = f.rng.Float64() < f.s.errs || f.rng.Float64() < u.fails
-	if b := f.s.bad; b != nil && u.Version == "v2" && f.part() >= b.from && u.running > b.above && (b.route < 0 || b.route == route) {
-		if f.rng.Float64() < b.fail {
+	failed = f.rng.Float64() < f.s.failFraction || f.rng.Float64() < u.failFraction
+	if b := f.s.fault; b != nil && u.Version == "v2" && f.progress() >= b.from && u.inFlight > b.aboveLoad && (b.route < 0 || b.route == route) {
+		if f.rng.Float64() < b.failFraction {
 			failed = true
 		}
-		if f.rng.Float64() < b.slow {
-			x *= b.times
+		if f.rng.Float64() < b.slowFraction {
+			x *= b.slowFactor
 		}
 	}
 	if failed {
@@ -420,17 +420,17 @@
 	return failed, time.Duration(x * float64(time.Second))
 }
 
-// end ends the requests whose time has come.
-func (f *fleet) end() {
+// finishDue ends the requests whose time has come.
+func (f *fleet) finishDue() {
 	for len(f.pending) > 0 && !f.pending[0].at.After(f.now) {
-		e := heap.Pop(&f.pending).(ending)
-		e.gateway.own[e.upstream.ID]--
-		e.upstream.running--
-		usual := f.s.took[e.route].Seconds()
-		f.usual[e.route] += (e.took.Seconds() - f.usual[e.route]) / 200
-		slowed := f.s.bad != nil && f.s.bad.slow > 0 && e.took.Seconds() > 1.8*usual
-		if f.s.bad != nil && e.upstream.Version == "v2" && (e.failed || slowed) {
-			if f.r.badCount++; f.r.badCount == 50 {
+		e := heap.Pop(&f.pending).(pendingAnswer)
+		e.gateway.inFlight[e.upstream.ID]--
+		e.upstream.inFlight--
+		usual := f.s.meanTimes[e.route].Seconds()
+		f.meanTimes[e.route] += (e.took.Seconds() - f.meanTimes[e.route]) / 200
+		slowed := f.s.fault != nil && f.s.fault.slowFraction > 0 && e.took.Seconds() > 1.8*usual
+		if f.s.fault != nil && e.upstream.Version == "v2" && (e.failed || slowed) {
+			if f.result.badAnswers++; f.result.badAnswers == 50 {
 				f.badAt = f.now
 			}
 		}
@@ -443,41 +443,41 @@
 // exchange tells every gateway what all others said a round before.
 func (f *fleet) exchange() {
 	switch {
-	case f.age()%round == 0:
+	case f.age()%exchangePeriod == 0:
 		for i, g := range f.gateways {
-			if f.words == nil {
-				f.words = make([]Words, len(f.gateways))
+			if f.reports == nil {
+				f.reports = make([]Words, len(f.gateways))
 			}
-			f.words[i] = g.tracker.Words(g.idle)
+			f.reports[i] = g.tracker.Words(g.idle)
 		}
-		f.toldAt = f.now
-	case f.age()%round == round-2*tick:
-		f.tell()
-	case f.age()%(round/2) == 0:
+		f.reportedAt = f.now
+	case f.age()%exchangePeriod == exchangePeriod-2*tick:
+		f.deliver()
+	case f.age()%(exchangePeriod/2) == 0:
 		for _, g := range f.gateways {
-			g.tracker.Refresh(g.words.Aged(f.now.Sub(f.toldAt)))
+			g.tracker.Refresh(g.received.Aged(f.now.Sub(f.reportedAt)))
 		}
 	}
 }
 
-func (f *fleet) tell() {
+func (f *fleet) deliver() {
 	connected := len(f.gateways)
-	if f.s.cut > 0 && f.part() >= f.s.cut {
+	if f.s.cutOff > 0 && f.progress() >= f.s.cutOff {
 		connected -= connected / 4
 	}
 	before := make([]Words, connected+1)
 	for i := range connected {
-		before[i+1] = before[i].Plus(f.words[i])
+		before[i+1] = before[i].Plus(f.reports[i])
 	}
 	var after Words
 	for i := connected - 1; i >= 0; i-- {
 		g := f.gateways[i]
-		g.words = before[i].Plus(after)
-		after = after.Plus(f.words[i])
-		g.tracker.Refresh(g.words.Aged(f.now.Sub(f.toldAt)))
+		g.received = before[i].Plus(after)
+		after = after.Plus(f.reports[i])
+		g.tracker.Refresh(g.received.Aged(f.now.Sub(f.reportedAt)))
 	}
 	for _, g := range f.gateways[connected:] {
-		g.words = nil
+		g.received = nil
 		g.tracker.Refresh(nil)
 	}
 }
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -13,7 +13,7 @@
 func init() { testkit.FixSeed() }
 
 func TestNext(t *testing.T) {
-	clean, bad := Verdict{Against: 0.01, Answers: 100}, Verdict{Against: condemned, Answers: 100}
+	clean, bad := Verdict{Against: 0.01, Answers: 100}, Verdict{Against: badEvidence, Answers: 100}
 	const length = 20 * time.Second
 	late := length - time.Second
 	for _, c := range []struct {
@@ -25,17 +25,17 @@
 		{"none in time", Situation{Phase: Waiting, Age: length, OldLeft: 4}, RolledBack},
 		{"the first ones", Situation{Phase: Waiting, NewReady: 1, OldLeft: 4}, Canary},
 		{"nothing but the version is there", Situation{Phase: Waiting, NewReady: 4}, Completed},
-		{"early", Situation{Phase: Canary, Age: 2 * time.Second, Room: true, Verdict: clean}, Canary},
-		{"bad", Situation{Phase: Canary, Age: 2 * time.Second, Room: true, Verdict: bad}, RolledBack},
-		{"another gateway found it bad", Situation{Phase: Canary, Age: 2 * time.Second, Room: true, Verdict: clean, Stopped: true}, RolledBack},
-		{"not found bad", Situation{Phase: Canary, Age: late - 3*time.Second, Drain: 3 * time.Second, Room: true, Verdict: clean}, Shifting},
-		{"in doubt, and there is time", Situation{Phase: Canary, Age: length - 4*time.Second, Drain: 3 * time.Second, Room: true, Verdict: Verdict{Against: 50, Answers: 50}}, Canary},
-		{"in doubt at the end", Situation{Phase: Canary, Age: late, Room: true, Verdict: Verdict{Against: 50, Answers: 50}}, RolledBack},
-		{"hardly asked", Situation{Phase: Canary, Age: late, Room: true, Verdict: Verdict{Answers: 3}}, RolledBack},
+		{"early", Situation{Phase: Canary, Age: 2 * time.Second, HasCapacity: true, Verdict: clean}, Canary},
+		{"bad", Situation{Phase: Canary, Age: 2 * time.Second, HasCapacity: true, Verdict: bad}, RolledBack},
+		{"another gateway found it bad", Situation{Phase: Canary, Age: 2 * time.Second, HasCapacity: true, Verdict: clean, Stopped: true}, RolledBack},
+		{"not found bad", Situation{Phase: Canary, Age: late - 3*time.Second, DrainTime: 3 * time.Second, HasCapacity: true, Verdict: clean}, Shifting},
+		{"in doubt, and there is time", Situation{Phase: Canary, Age: length - 4*time.Second, DrainTime: 3 * time.Second, HasCapacity: true, Verdict: Verdict{Against: 50, Answers: 50}}, Canary},
+		{"in doubt at the end", Situation{Phase: Canary, Age: late, HasCapacity: true, Verdict: Verdict{Against: 50, Answers: 50}}, RolledBack},
+		{"hardly asked", Situation{Phase: Canary, Age: late, HasCapacity: true, Verdict: Verdict{Answers: 3}}, RolledBack},
 		{"too few upstreams", Situation{Phase: Canary, Age: late, Verdict: clean}, RolledBack},
-		{"being moved", Situation{Phase: Shifting, PhaseAge: rampFor / 2, Verdict: clean}, Shifting},
-		{"moved", Situation{Phase: Shifting, PhaseAge: rampFor, Verdict: clean}, Draining},
-		{"turns bad while it is moved", Situation{Phase: Shifting, PhaseAge: rampFor, Verdict: bad}, RolledBack},
+		{"being moved", Situation{Phase: Shifting, PhaseAge: rampTime / 2, Verdict: clean}, Shifting},
+		{"moved", Situation{Phase: Shifting, PhaseAge: rampTime, Verdict: clean}, Draining},
+		{"turns bad while it is moved", Situation{Phase: Shifting, PhaseAge: rampTime, Verdict: bad}, RolledBack},
 		{"one gateway is not heard", Situation{Phase: Draining, Age: late, Settled: 7, Gateways: 8, Verdict: clean}, Draining},
 		{"drained early", Situation{Phase: Draining, Age: length / 2, Settled: 8, Gateways: 8, Verdict: clean}, Draining},
 		{"drained", Situation{Phase: Draining, Age: late, Settled: 8, Gateways: 8, Verdict: clean}, Completed},
@@ -45,9 +45,9 @@
 		{"rolled back", Situation{Phase: RolledBack, Age: late, Settled: 8, Gateways: 8, Verdict: clean}, RolledBack},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.s.Length = length
+			c.s.TimeLimit = length
 			if got := Next(&c.s); got.Phase != c.want {
-				t.Errorf("%v (%s), want %v", got.Phase, got.Why, c.want)
+				t.Errorf("%v (%s), want %v", got.Phase, got.Reason, c.want)
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 		for range rapid.IntRange(1, 6).Draw(t, "gateways") {
 			seen := make(Seen)
 			for range rapid.IntRange(0, 5).Draw(t, "answers") {
-				side := Side(rapid.IntRange(0, int(sides)-1).Draw(t, "side"))
+				side := Side(rapid.IntRange(0, int(numSides)-1).Draw(t, "side"))
 				seen.Send(KeyOf("r"), side)
 				seen.Add(KeyOf("r"), side, Answer{Failed: rapid.Bool().Draw(t, "failed"), Timed: true, Time: rapid.Float64Range(0.001, 100).Draw(t, "time")})
 			}
@@ -93,19 +93,19 @@
 // it back; the first one writes. Cause: a write that does not depend on what was read.
 func TestAHolderThatStoodStillDecidesNothing(t *testing.T) {
 	store := newMemoryStore()
-	first, second := ledger{store: store, reports: Reports{Topic: "reports", Encode: encodeForTest}}, ledger{store: store, reports: Reports{Topic: "reports", Encode: encodeForTest}}
+	first, second := ledger{store: store, status: Reports{Topic: "reports", Encode: encodeForTest}}, ledger{store: store, status: Reports{Topic: "reports", Encode: encodeForTest}}
 	for _, l := range []*ledger{&first, &second} {
 		if err := l.load(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := second.record(t.Context(), service, Record{Order: 5, To: "v2", Outcome: RolledBack}); err != nil {
+	if err := second.writeRecord(t.Context(), service, Record{Order: 5, To: "v2", Outcome: RolledBack}); err != nil {
 		t.Fatal(err)
 	}
-	if err := second.report(t.Context(), service); err != nil {
+	if err := second.writeStatus(t.Context(), service); err != nil {
 		t.Fatal(err)
 	}
-	if err := first.record(t.Context(), service, Record{Order: 5, To: "v2", Outcome: Completed}); err == nil {
+	if err := first.writeRecord(t.Context(), service, Record{Order: 5, To: "v2", Outcome: Completed}); err == nil {
 		t.Fatal("the first holder's decision was written")
 	}
 	if err := first.load(t.Context()); err != nil {
@@ -114,7 +114,7 @@
 	if r := first.records[service]; r.Outcome != RolledBack {
 		t.Errorf("the first holder knows %v", r)
 	}
-	if got := store.reports(); len(got) != 1 || got[0] != "v2 rolled_back" {
+	if got := store.statuses(); len(got) != 1 || got[0] != "v2 rolled_back" {
 		t.Errorf("reports %q", got)
 	}
 }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -34,25 +34,25 @@
 
 // ledger is what the holder knows of the two topics.
 type ledger struct {
-	store   platform.KeyedLog
-	reports Reports
+	store  platform.KeyedLog
+	status Reports
 
-	known                  bool
-	recordsEnd, reportsEnd ident.Offset
-	records                map[ident.Service]Record
+	loaded                bool
+	recordsEnd, statusEnd ident.Offset
+	records               map[ident.Service]Record
 	// reported is the order and phase that was reported last.
 	reported map[ident.Service]Record
 }
 
-// forget lets everything be read again.
-func (l *ledger) forget() { l.known = false }
+// invalidate lets everything be read again.
+func (l *ledger) invalidate() { l.loaded = false }
 
 // load reads the records, unless they are known.
 func (l *ledger) load(ctx context.Context) error {
-	if l.known {
+	if l.loaded {
 		return nil
 	}
-	reports, err := l.store.Newest(ctx, l.reports.Topic, nil)
+	reports, err := l.store.Newest(ctx, l.status.Topic, nil)
 	if err != nil {
 		return err
 	}
@@ -73,12 +73,12 @@
 		}
 		l.records[ident.Service(record.Key)] = decoded
 	}
-	l.recordsEnd, l.reportsEnd, l.known = batch.End, reports.End, true
+	l.recordsEnd, l.statusEnd, l.loaded = batch.End, reports.End, true
 	return nil
 }
 
-// record writes what was decided.
-func (l *ledger) record(ctx context.Context, service ident.Service, r Record) error {
+// writeRecord writes what was decided.
+func (l *ledger) writeRecord(ctx context.Context, service ident.Service, r Record) error {
 	if l.records[service] == r {
 		return nil
 	}
@@ -93,17 +93,17 @@
 	return nil
 }
 
-// report tells the operators what was recorded.
-func (l *ledger) report(ctx context.Context, service ident.Service) error {
+// writeStatus tells the operators what was recorded.
+func (l *ledger) writeStatus(ctx context.Context, service ident.Service) error {
 	r := l.records[service]
 	if l.reported[service] == r {
 		return nil
 	}
-	key, value, err := l.reports.Encode(service, r.To, r.Outcome)
+	key, value, err := l.status.Encode(service, r.To, r.Outcome)
 	if err != nil {
 		return err
 	}
-	if l.reportsEnd, err = l.put(ctx, l.reports.Topic, key, value, l.reportsEnd); err != nil {
+	if l.statusEnd, err = l.put(ctx, l.status.Topic, key, value, l.statusEnd); err != nil {
 		return err
 	}
 	l.reported[service] = r
@@ -115,7 +115,7 @@
 func (l *ledger) put(ctx context.Context, topic, key string, value []byte, end ident.Offset) (ident.Offset, error) {
 	offset, err := l.store.Put(ctx, topic, key, value, &end)
 	if err != nil {
-		l.forget()
+		l.invalidate()
 		return end, err
 	}
 	return offset + 1, nil
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -13,22 +13,22 @@
 // Split is a service's upstreams by version, while not all of them may take any request.
 // Its lists do not change.
 type Split struct {
-	t *Tracker
-	// running is nil where a version is held back of which no order is known yet.
-	running *running
-	to      ident.Version
-	old     []directory.Upstream
-	// new are the ready upstreams of the new version, in halves by their names.
-	new    []directory.Upstream
-	halves [2][]directory.Upstream
+	tracker *Tracker
+	// tracked is nil where a version is held back of which no order is known yet.
+	tracked      *trackedOrder
+	to           ident.Version
+	oldUpstreams []directory.Upstream
+	// newUpstreams are the ready upstreams of the new version, in halves by their names.
+	newUpstreams []directory.Upstream
+	halves       [2][]directory.Upstream
 }
 
 // Lists are the upstreams that may take a request: those of First, and those of Then where
 // none of First can.
 type Lists struct{ First, Then []directory.Upstream }
 
-// split works out the splits anew; t.mu is held.
-func (t *Tracker) split() {
+// rebuildSplits works out the splits anew; t.mu is held.
+func (t *Tracker) rebuildSplits() {
 	splits := make(map[ident.Service]*Split)
 	for service := range t.mixed {
 		if s := t.splitOf(service); s != nil {
@@ -38,18 +38,18 @@
 	t.splits.Store(&splits)
 }
 
-// completedFor is for how long after the end of an order the old version's upstreams may
+// staleEntriesFor is for how long after the end of an order the old version's upstreams may
 // still be listed, though they are stopped: their entries lapse sooner.
-const completedFor = 10 * time.Second
+const staleEntriesFor = 10 * time.Second
 
 func (t *Tracker) splitOf(service ident.Service) *Split {
 	r := t.rollouts[service]
-	if r != nil && r.phase == Completed && t.cfg.Now().Sub(r.phaseAt) > completedFor {
+	if r != nil && r.phase == Completed && t.cfg.Now().Sub(r.phaseSince) > staleEntriesFor {
 		// Whatever stands beside the version now came later.
 		r = nil
 	}
 	list := t.view.Of(service)
-	s := &Split{t: t, running: r}
+	s := &Split{tracker: t, tracked: r}
 	if r != nil {
 		s.to = r.order.To
 	}
@@ -57,123 +57,123 @@
 		switch {
 		case r != nil && u.Version == r.order.To:
 			if u.State == directory.Ready {
-				s.new = append(s.new, u)
+				s.newUpstreams = append(s.newUpstreams, u)
 			}
-		case !t.rejected[service][u.Version] && !t.held(service, u.Version, list):
-			s.old = append(s.old, u)
+		case !t.rejected[service][u.Version] && !t.isWithheld(service, u.Version, list):
+			s.oldUpstreams = append(s.oldUpstreams, u)
 		}
 	}
-	if len(s.old) == len(list) || len(s.old) == 0 {
+	if len(s.oldUpstreams) == len(list) || len(s.oldUpstreams) == 0 {
 		// Nothing is held back, or there is nothing beside it.
 		return nil
 	}
-	s.halve()
+	s.assignHalves()
 	return s
 }
 
-// held reports whether a version came so lately that an order that names it may not be
+// isWithheld reports whether a version came so lately that an order that names it may not be
 // known here yet, while another one has been there for longer. What goes wrong without it:
 // upstreams of a bad version are listed before this gateway hears of the order, and get
 // their full part of all requests.
-func (t *Tracker) held(service ident.Service, version ident.Version, list []directory.Upstream) bool {
-	first := t.seen[service][version]
+func (t *Tracker) isWithheld(service ident.Service, version ident.Version, list []directory.Upstream) bool {
+	first := t.firstSeen[service][version]
 	since, frozen := t.frozen[service]
 	if !first.After(t.cfg.OrdersKnown()) && !(frozen && first.After(since)) {
 		return false
 	}
 	for i := range list {
-		if t.seen[service][list[i].Version].Before(first) {
+		if t.firstSeen[service][list[i].Version].Before(first) {
 			return true
 		}
 	}
 	return false
 }
 
-// halve divides the new version's upstreams by a hash of their names that all gateways
+// assignHalves divides the new version's upstreams by a hash of their names that all gateways
 // share.
-func (s *Split) halve() {
-	if s.running == nil {
+func (s *Split) assignHalves() {
+	if s.tracked == nil {
 		return
 	}
-	order := s.running.order.Offset
-	byHash := slices.Clone(s.new)
+	order := s.tracked.order.Offset
+	byHash := slices.Clone(s.newUpstreams)
 	slices.SortFunc(byHash, func(a, b directory.Upstream) int {
-		return cmp.Compare(hash(order, string(a.Name)), hash(order, string(b.Name)))
+		return cmp.Compare(hashFraction(order, string(a.Name)), hashFraction(order, string(b.Name)))
 	})
 	for i, u := range byHash {
 		s.halves[i%2] = append(s.halves[i%2], u)
 	}
 }
 
-// both reports whether both halves have upstreams.
-func (s *Split) both() bool { return len(s.halves[1]) > 0 }
+// hasBothHalves reports whether both halves have upstreams.
+func (s *Split) hasBothHalves() bool { return len(s.halves[1]) > 0 }
 
 // serves reports whether a version carries the service's work for good.
 func (s *Split) serves(version ident.Version) bool {
-	s.t.mu.Lock()
-	defer s.t.mu.Unlock()
-	r := s.running
+	s.tracker.mu.Lock()
+	defer s.tracker.mu.Unlock()
+	r := s.tracked
 	if r == nil {
 		return true
 	}
-	return (version == s.to) == !r.sendsToOld(s.t.cfg.Now())
+	return (version == s.to) == !r.maySendToOld(s.tracker.cfg.Now())
 }
 
 // Lists returns where a request may go. One that is sent again goes to the old version
 // where that may take it: nobody is to suffer from the new one twice.
 func (s *Split) Lists(id ident.Request, route string, again bool, now time.Time) Lists {
-	t := s.t
+	t := s.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := s.running
+	r := s.tracked
 	if r == nil {
-		return Lists{First: s.old}
+		return Lists{First: s.oldUpstreams}
 	}
 	switch {
-	case !r.sendsToOld(now):
-		if len(s.new) > 0 {
-			return Lists{First: s.new}
+	case !r.maySendToOld(now):
+		if len(s.newUpstreams) > 0 {
+			return Lists{First: s.newUpstreams}
 		}
-	case r.stopped || now.Sub(r.confirmedAt) > t.confirmedFor():
+	case r.stopped || now.Sub(r.confirmedAt) > t.confirmationTTL():
 	case r.phase == Canary:
-		return s.canary(r, KeyOf(route), again, now)
+		return s.canaryLists(r, KeyOf(route), again, now)
 	case r.phase == Shifting:
-		if !again && hash(r.order.Offset, string(id)) < now.Sub(r.phaseAt).Seconds()/rampFor.Seconds() {
-			return Lists{First: s.new, Then: s.old}
+		if !again && hashFraction(r.order.Offset, string(id)) < now.Sub(r.phaseSince).Seconds()/rampTime.Seconds() {
+			return Lists{First: s.newUpstreams, Then: s.oldUpstreams}
 		}
-		return Lists{First: s.old, Then: s.new}
+		return Lists{First: s.oldUpstreams, Then: s.newUpstreams}
 	}
-	return Lists{First: s.old}
+	return Lists{First: s.oldUpstreams}
 }
 
-func (s *Split) canary(r *running, key RouteKey, again bool, now time.Time) Lists {
+func (s *Split) canaryLists(r *trackedOrder, key RouteKey, again bool, now time.Time) Lists {
 	if again {
-		return Lists{First: s.old}
+		return Lists{First: s.oldUpstreams}
 	}
-	r.share.begin(s.t.cfg.Limits, s.t.cfg.Gateways(), hash(r.order.Offset, s.t.cfg.Life))
-	if !r.share.allows(key, s.t.cfg.Limits) {
-		return Lists{First: s.old}
+	r.budget.setSlack(s.tracker.cfg.Limits, s.tracker.cfg.Gateways(), hashFraction(r.order.Offset, s.tracker.cfg.Life))
+	if !r.budget.allows(key, s.tracker.cfg.Limits) {
+		return Lists{First: s.oldUpstreams}
 	}
-	return Lists{First: s.tried(r, now), Then: s.old}
+	return Lists{First: s.canaryUpstreams(r, now), Then: s.oldUpstreams}
 }
 
 const (
-	// halfPart of the order's length is for how long the requests that are spared for a
+	// halfFraction of the order's length is for how long the requests that are spared for a
 	// version go to one half of its upstreams, mostHalf at the most: long enough for a
 	// few upstreams to become as busy as one of the old version's.
-	halfPart = 1.0 / 8
-	mostHalf = 2 * time.Second
+	halfFraction = 1.0 / 8
+	maxHalfTime  = 2 * time.Second
 )
 
-// tried returns the upstreams that are tried now: as few as carry the canary's requests
+// canaryUpstreams returns the upstreams that are tried now: as few as carry the canary's requests
 // when each has as much as one of the old version's.
-func (s *Split) tried(r *running, now time.Time) []directory.Upstream {
+func (s *Split) canaryUpstreams(r *trackedOrder, now time.Time) []directory.Upstream {
 	half := s.halves[0]
-	if s.both() {
-		each := min(time.Duration(halfPart*float64(r.order.Length)), mostHalf)
-		half = s.halves[int(now.Sub(r.heardAt)/max(each, 1))%2]
+	if s.hasBothHalves() {
+		each := min(time.Duration(halfFraction*float64(r.order.Length)), maxHalfTime)
+		half = s.halves[int(now.Sub(r.orderedAt)/max(each, 1))%2]
 	}
-	width := int(math.Round(canaryPart * s.t.cfg.Limits.Share * float64(len(s.old))))
+	width := int(math.Round(canaryFraction * s.tracker.cfg.Limits.Share * float64(len(s.oldUpstreams))))
 	return half[:min(len(half), max(1, width))]
 }
 
@@ -181,41 +181,41 @@
 // first time or again, and returns the side that its end belongs to. Ended or Withdrawn
 // must follow.
 func (s *Split) Sent(u *directory.Upstream, route string) Side {
-	t := s.t
+	t := s.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	side := s.side(u)
-	if r := s.running; r != nil {
-		r.share.count(KeyOf(route), side != Old)
-		r.seen.Send(KeyOf(route), side)
+	side := s.sideOf(u)
+	if r := s.tracked; r != nil {
+		r.budget.count(KeyOf(route), side != Old)
+		r.ownEvidence.Send(KeyOf(route), side)
 	}
 	return side
 }
 
 // Withdrawn notes that the end of a request says nothing of its upstream's version.
 func (s *Split) Withdrawn(route string, side Side) {
-	s.t.mu.Lock()
-	defer s.t.mu.Unlock()
-	if s.running != nil {
-		s.running.seen.Withdraw(KeyOf(route), side)
+	s.tracker.mu.Lock()
+	defer s.tracker.mu.Unlock()
+	if s.tracked != nil {
+		s.tracked.ownEvidence.UncountSent(KeyOf(route), side)
 	}
 }
 
 // Ended notes what a request saw that was sent to an upstream at an instant.
 func (s *Split) Ended(u *directory.Upstream, route string, side Side, sent time.Time, a Answer) {
-	s.t.mu.Lock()
-	defer s.t.mu.Unlock()
-	if s.running == nil {
+	s.tracker.mu.Lock()
+	defer s.tracker.mu.Unlock()
+	if s.tracked == nil {
 		return
 	}
 	if sent.Before(u.WarmAt) {
 		// It is slow after its start, whatever its version.
 		a.Timed = false
 	}
-	s.running.seen.Add(KeyOf(route), side, a)
+	s.tracked.ownEvidence.Add(KeyOf(route), side, a)
 }
 
-func (s *Split) side(u *directory.Upstream) Side {
+func (s *Split) sideOf(u *directory.Upstream) Side {
 	if u.Version != s.to {
 		return Old
 	}
@@ -230,5 +230,5 @@
 // Unproven reports whether a version is tried, so that its figures say nothing of the
 // others.
 func (s *Split) Unproven(version ident.Version) bool {
-	return s.running != nil && version == s.to
+	return s.tracked != nil && version == s.to
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -31,8 +31,8 @@
 	for _, service := range slices.Sorted(maps.Keys(t.rollouts)) {
 		r := t.rollouts[service]
 		s := Status{
-			Order: r.order, Phase: r.phase, Age: now.Sub(r.heardAt), PhaseAge: now.Sub(r.phaseAt), Verdict: r.verdict, Stopped: r.stopped,
-			SettledOthers: r.settled, Sent: r.share.total, Exposed: r.share.exposed,
+			Order: r.order, Phase: r.phase, Age: now.Sub(r.orderedAt), PhaseAge: now.Sub(r.phaseSince), Verdict: r.verdict, Stopped: r.stopped,
+			SettledOthers: r.settledOthers, Sent: r.budget.sent, Exposed: r.budget.exposed,
 		}
 		if t.view != nil {
 			for _, u := range t.view.Of(service) {
@@ -59,9 +59,9 @@
 	if r == nil || r.order.Offset != order || next <= r.phase {
 		return
 	}
-	t.enter(r, next, why)
+	t.enterPhase(r, next, why)
 	r.confirmedAt = t.cfg.Now()
-	t.split()
+	t.rebuildSplits()
 }
 
 // Confirm notes that the holder of the duties, at this gateway, keeps to the phase.
@@ -78,7 +78,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.rollouts[service]; r != nil && r.order.Offset == order {
-		t.take(r.order, age, "record")
+		t.applyOrder(r.order, age, "record")
 	}
 }
 
--- a/internal/rollout/store_test.go
+++ b/internal/rollout/store_test.go
@@ -11,10 +11,10 @@
 
 // memoryStore keeps topics of the platform's store in memory.
 type memoryStore struct {
-	topics map[string][]platform.KeyedRecord
-	away   bool
-	// lose makes the next write take effect without an answer.
-	lose bool
+	topics      map[string][]platform.KeyedRecord
+	unavailable bool
+	// loseAnswer makes the next write take effect without an answer.
+	loseAnswer bool
 }
 
 func newMemoryStore() *memoryStore {
@@ -23,7 +23,7 @@
 
 // Put implements platform.KeyedLog.
 func (s *memoryStore) Put(_ context.Context, topic, key string, value []byte, condition *ident.Offset) (ident.Offset, error) {
-	if s.away {
+	if s.unavailable {
 		return 0, platform.ErrUnavailable
 	}
 	end := ident.Offset(len(s.topics[topic]))
@@ -31,8 +31,8 @@
 		return 0, platform.ErrConflict
 	}
 	s.topics[topic] = append(s.topics[topic], platform.KeyedRecord{Offset: end, Key: key, Value: value})
-	if s.lose {
-		s.lose = false
+	if s.loseAnswer {
+		s.loseAnswer = false
 		return 0, platform.ErrAnswerLost
 	}
 	return end, nil
@@ -45,7 +45,7 @@
 
 // Newest implements platform.KeyedLog.
 func (s *memoryStore) Newest(_ context.Context, topic string, each func([]platform.KeyedRecord)) (platform.KeyedBatch, error) {
-	if s.away {
+	if s.unavailable {
 		return platform.KeyedBatch{}, platform.ErrUnavailable
 	}
 	newest := make(map[string]platform.KeyedRecord)
@@ -62,8 +62,8 @@
 	return batch, nil
 }
 
-// record is the newest one of a service.
-func (s *memoryStore) record(service ident.Service) (Record, bool) {
+// newestRecord is the newest one of a service.
+func (s *memoryStore) newestRecord(service ident.Service) (Record, bool) {
 	for i := len(s.topics[Topic]) - 1; i >= 0; i-- {
 		var r Record
 		if each := s.topics[Topic][i]; each.Key == string(service) && json.Unmarshal(each.Value, &r) == nil {
@@ -73,8 +73,8 @@
 	return Record{}, false
 }
 
-// reports are what the operators read, in order.
-func (s *memoryStore) reports() []string {
+// statuses are what the operators read, in order.
+func (s *memoryStore) statuses() []string {
 	var out []string
 	for _, r := range s.topics["reports"] {
 		out = append(out, string(r.Value))
--- a/internal/rollout/stories_test.go
+++ b/internal/rollout/stories_test.go
@@ -12,37 +12,37 @@
 )
 
 var (
-	seeds   = flag.Int("seeds", 1, "plays of each story")
-	tables  = flag.String("table", "", "file for the table of all stories")
-	compare = flag.Bool("compare", false, "also the other test of versions")
-	only    = flag.String("only", "", "stories whose names contain it")
-	large   = flag.Bool("large", false, "also 195 and 330 gateways")
+	seeds     = flag.Int("seeds", 1, "plays of each story")
+	tableFile = flag.String("table", "", "file for the table of all stories")
+	compare   = flag.Bool("compare", false, "also the other test of versions")
+	only      = flag.String("only", "", "stories whose names contain it")
+	large     = flag.Bool("large", false, "also 195 and 330 gateways")
 )
 
 // engineStory is a service of engines whose answers take seconds, at a size.
 func engineStory(name string) story {
 	return story{
-		name: name, gateways: 8, rate: 360, length: 15 * time.Second, old: 20, new: 20, slots: 64,
-		took: []time.Duration{1500 * time.Millisecond, 800 * time.Millisecond, 300 * time.Millisecond}, parts: []float64{0.2, 0.45, 0.35},
+		name: name, gateways: 8, rate: 360, length: 15 * time.Second, oldUpstreams: 20, newUpstreams: 20, slots: 64,
+		meanTimes: []time.Duration{1500 * time.Millisecond, 800 * time.Millisecond, 300 * time.Millisecond}, routeFractions: []float64{0.2, 0.45, 0.35},
 	}
 }
 
 // appStory is an application with a few upstreams whose answers take milliseconds.
 func appStory(name string) story {
 	return story{
-		name: name, gateways: 8, rate: 156, length: 15 * time.Second, old: 4, new: 4, slots: 6,
-		took:  []time.Duration{15 * time.Millisecond, 20 * time.Millisecond, 12 * time.Millisecond, 18 * time.Millisecond, 30 * time.Millisecond},
-		parts: []float64{0.5, 0.2, 0.15, 0.1, 0.05},
+		name: name, gateways: 8, rate: 156, length: 15 * time.Second, oldUpstreams: 4, newUpstreams: 4, slots: 6,
+		meanTimes:      []time.Duration{15 * time.Millisecond, 20 * time.Millisecond, 12 * time.Millisecond, 18 * time.Millisecond, 30 * time.Millisecond},
+		routeFractions: []float64{0.5, 0.2, 0.15, 0.1, 0.05},
 	}
 }
 
-func with(s story, change func(*story)) story {
+func modified(s story, change func(*story)) story {
 	change(&s)
 	return s
 }
 
-func badness(b behaviour) func(*story) {
-	return func(s *story) { s.bad = &b }
+func withFault(b fault) func(*story) {
+	return func(s *story) { s.fault = &b }
 }
 
 func stories() []story {
@@ -53,117 +53,117 @@
 			kind = "application: "
 		}
 		add := func(name string, change func(*story)) {
-			out = append(out, with(base(kind+name), change))
+			out = append(out, modified(base(kind+name), change))
 		}
 		add("good", func(*story) {})
-		add("good, answers fail by themselves, 14 in 100", func(s *story) { s.errs = 0.14 })
+		add("good, answers fail by themselves, 14 in 100", func(s *story) { s.failFraction = 0.14 })
 		add("good, burst of 2.5", func(s *story) {
 			s.burst = 2.5
 			if s.slots > 6 {
-				s.beyond = "streams that began under the burst end after the deadline, and are not cut off"
+				s.undecidable = "streams that began under the burst end after the deadline, and are not cut off"
 			}
 		})
-		add("good, slow after the start", func(s *story) { s.cold = 3 * time.Second })
-		add("good, one upstream fails half", func(s *story) { s.grey = 0.5 })
-		add("good, comes 3 s late", func(s *story) { s.late = 3 * time.Second })
+		add("good, slow after the start", func(s *story) { s.coldFor = 3 * time.Second })
+		add("good, one upstream fails half", func(s *story) { s.greyFailFraction = 0.5 })
+		add("good, comes 3 s late", func(s *story) { s.newUpstreamsAt = 3 * time.Second })
 		add("good, holder dies early", func(s *story) { s.holderDies, s.length = 0.1, 30*time.Second })
 		for _, part := range []float64{0.7, 0.8} {
 			add(fmt.Sprintf("good, holder dies at %.1f of 30 s", part), func(s *story) {
 				s.holderDies, s.length = part, 30*time.Second
 				if s.slots > 6 {
-					s.beyond = "streams take the time that is left when a successor has the lease"
+					s.undecidable = "streams take the time that is left when a successor has the lease"
 				}
 			})
 		}
 		add("fails 30 in 100, all but one of its upstreams leave", func(s *story) {
-			s.bad, s.reclaimed = &behaviour{fail: 0.3, route: -1}, 0.05
+			s.fault, s.reclaimed = &fault{failFraction: 0.3, route: -1}, 0.05
 		})
 		add("good, 60 s", func(s *story) { s.length = time.Minute })
 		for _, fail := range []float64{0.05, 0.1, 0.2, 0.5, 1} {
 			add(fmt.Sprintf("fails %.0f in 100", 100*fail), func(s *story) {
-				s.bad = &behaviour{fail: fail, route: -1}
+				s.fault = &fault{failFraction: fail, route: -1}
 				if fail < 0.1 {
-					s.beyond = "seven failures are expected in the share"
+					s.undecidable = "seven failures are expected in the share"
 				}
 			})
 		}
 		for _, slow := range []float64{0.3, 1} {
 			for _, times := range []float64{3, 10} {
 				add(fmt.Sprintf("%.0f in 100 take %.0f times as long", 100*slow, times), func(s *story) {
-					s.bad = &behaviour{slow: slow, times: times, route: -1}
+					s.fault = &fault{slowFraction: slow, slowFactor: times, route: -1}
 					if slow < 1 && times < 10 {
-						s.beyond = "of a third of the answers some are within what the old version's vary by"
+						s.undecidable = "of a third of the answers some are within what the old version's vary by"
 					}
 				})
 			}
 		}
 		for _, from := range []float64{0.25, 0.5, 0.75} {
 			add(fmt.Sprintf("fails 30 in 100 from %.2f on", from), func(s *story) {
-				s.bad = &behaviour{fail: 0.3, from: from, route: -1}
+				s.fault = &fault{failFraction: 0.3, from: from, route: -1}
 				if from > 0.7 && s.slots > 6 {
-					s.beyond = "streams need the time to end, so that all requests were moved before it turned bad"
+					s.undecidable = "streams need the time to end, so that all requests were moved before it turned bad"
 				}
 			})
 		}
 		add("fails 50 in 100 above half load", func(s *story) {
-			s.bad = &behaviour{fail: 0.5, above: s.slots / 4, route: -1}
+			s.fault = &fault{failFraction: 0.5, aboveLoad: s.slots / 4, route: -1}
 		})
-		last := len(base("").parts) - 1
+		last := len(base("").routeFractions) - 1
 		add("fails 30 in 100 on the last route", func(s *story) {
-			s.bad = &behaviour{fail: 0.3, route: last}
+			s.fault = &fault{failFraction: 0.3, route: last}
 			if s.slots == 6 {
-				s.beyond = "the route is asked 8 times a second, and its part of the share is 2"
+				s.undecidable = "the route is asked 8 times a second, and its part of the share is 2"
 			}
 		})
-		add("fails 100 in 100 on the last route", badness(behaviour{fail: 1, route: last}))
+		add("fails 100 in 100 on the last route", withFault(fault{failFraction: 1, route: last}))
 		add("fails 30 in 100, holder dies early", func(s *story) {
-			s.bad, s.holderDies = &behaviour{fail: 0.3, route: -1}, 0.05
+			s.fault, s.holderDies = &fault{failFraction: 0.3, route: -1}, 0.05
 		})
 		add("fails 30 in 100, store away", func(s *story) {
-			s.bad, s.storeAway = &behaviour{fail: 0.3, route: -1}, 0.05
+			s.fault, s.storeUnavailable = &fault{failFraction: 0.3, route: -1}, 0.05
 		})
 		add("fails 50 in 100, a quarter cut off", func(s *story) {
-			s.bad, s.cut = &behaviour{fail: 0.5, route: -1}, 0.05
+			s.fault, s.cutOff = &fault{failFraction: 0.5, route: -1}, 0.05
 		})
 		add("fails 30 in 100, beside 14 in 100 of both", func(s *story) {
-			s.bad, s.errs = &behaviour{fail: 0.3, route: -1}, 0.14
+			s.fault, s.failFraction = &fault{failFraction: 0.3, route: -1}, 0.14
 		})
 	}
-	small := with(appStory("10 a second: fails 50 in 100"), func(s *story) { s.rate, s.bad = 10, &behaviour{fail: 0.5, route: -1} })
-	out = append(out, small, with(appStory("10 a second: good"), func(s *story) { s.rate = 10 }))
+	small := modified(appStory("10 a second: fails 50 in 100"), func(s *story) { s.rate, s.fault = 10, &fault{failFraction: 0.5, route: -1} })
+	out = append(out, small, modified(appStory("10 a second: good"), func(s *story) { s.rate = 10 }))
 	for _, gateways := range []int{82, 195, 330} {
 		if gateways > 82 && !*large {
 			continue
 		}
-		for _, b := range []*behaviour{nil, {fail: 0.3, route: -1}} {
+		for _, b := range []*fault{nil, {failFraction: 0.3, route: -1}} {
 			name := fmt.Sprintf("%d gateways, 2,000 a second: good", gateways)
 			if b != nil {
 				name = fmt.Sprintf("%d gateways, 2,000 a second: fails 30 in 100", gateways)
 			}
-			out = append(out, with(engineStory(name), func(s *story) {
-				s.gateways, s.rate, s.old, s.new, s.bad = gateways, 2000, 60, 60, b
+			out = append(out, modified(engineStory(name), func(s *story) {
+				s.gateways, s.rate, s.oldUpstreams, s.newUpstreams, s.fault = gateways, 2000, 60, 60, b
 			}))
 		}
 	}
 	return out
 }
 
-// row is what all plays of a story showed.
-type row struct {
-	story                    story
-	plays                    int
-	right, exposed, late     int
-	lost, failed             int
-	most                     float64
-	verdictAt, worstDeadline time.Duration
+// storySummary is what all plays of a story showed.
+type storySummary struct {
+	story                   story
+	plays                   int
+	right, exposed, late    int
+	lost, failed            int
+	maxExposure             float64
+	endedAtSum, lastEndedAt time.Duration
 	// wrong are the plays that ended otherwise than they should, or late.
 	wrong []string
 }
 
-func (r *row) add(s story, seed int, x result) {
+func (r *storySummary) add(s story, seed int, x result) {
 	r.plays++
 	want := Completed
-	if s.bad != nil {
+	if s.fault != nil {
 		want = RolledBack
 	}
 	inTime := x.endedAt > 0 && x.endedAt <= s.length
@@ -172,36 +172,36 @@
 	} else {
 		r.wrong = append(r.wrong, fmt.Sprintf("seed %d: %v at %.1f s, against %.3g", seed, x.phase, x.endedAt.Seconds(), x.against))
 	}
-	bound := limits.Share*float64(x.sentByEnd) + limits.Slack
-	if s.bad != nil {
-		r.most = max(r.most, float64(x.newByEnd)/bound)
-		if float64(x.newByEnd) > bound {
+	bound := limits.Share*float64(x.sentInTime) + limits.Slack
+	if s.fault != nil {
+		r.maxExposure = max(r.maxExposure, float64(x.sentToNewInTime)/bound)
+		if float64(x.sentToNewInTime) > bound {
 			r.exposed++
 		}
-		if x.late > 0 {
+		if x.lateSends > 0 {
 			r.late++
 		}
 	}
 	r.lost += x.lost
-	r.failed += x.failed
-	r.verdictAt += x.endedAt
-	r.worstDeadline = max(r.worstDeadline, x.endedAt)
+	r.failed += x.refused
+	r.endedAtSum += x.endedAt
+	r.lastEndedAt = max(r.lastEndedAt, x.endedAt)
 }
 
-func (r *row) String() string {
-	return fmt.Sprintf("%-62s %6d %6d %8d %6.2f %6d %6d %7.1f %7.1f", r.story.name, r.plays, r.right, r.exposed, r.most, r.late, r.lost,
-		r.verdictAt.Seconds()/float64(r.plays), r.worstDeadline.Seconds())
+func (r *storySummary) String() string {
+	return fmt.Sprintf("%-62s %6d %6d %8d %6.2f %6d %6d %7.1f %7.1f", r.story.name, r.plays, r.right, r.exposed, r.maxExposure, r.late, r.lost,
+		r.endedAtSum.Seconds()/float64(r.plays), r.lastEndedAt.Seconds())
 }
 
-// mostWrong plays of a story are told one by one.
-const mostWrong = 8
+// maxListedWrong plays of a story are told one by one.
+const maxListedWrong = 8
 
 // check checks what must always hold, and what must where the evidence can tell.
-func (r *row) check(t *testing.T) {
+func (r *storySummary) check(t *testing.T) {
 	if r.lost > 0 {
 		t.Errorf("%s: %d requests were at the old version when it was stopped", r.story.name, r.lost)
 	}
-	if r.story.beyond != "" {
+	if r.story.undecidable != "" {
 		return
 	}
 	if r.exposed > 0 || r.late > 0 {
@@ -212,14 +212,14 @@
 	}
 }
 
-const tableHead = "story                                                           plays  right  exposed   most   late   lost  mean s  last s"
+const tableHeading = "story                                                           plays  right  exposed   most   late   lost  mean s  last s"
 
-func playAll(list []story, n int) []*row {
-	rows := make([]*row, len(list))
+func playAll(list []story, n int) []*storySummary {
+	rows := make([]*storySummary, len(list))
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, 4)
 	for i, s := range list {
-		rows[i] = &row{story: s}
+		rows[i] = &storySummary{story: s}
 		wait.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
@@ -239,10 +239,10 @@
 func TestStories(t *testing.T) {
 	rows := playAll(slices.DeleteFunc(stories(), func(s story) bool { return !strings.Contains(s.name, *only) }), *seeds)
 	var b strings.Builder
-	fmt.Fprintln(&b, tableHead)
+	fmt.Fprintln(&b, tableHeading)
 	for _, r := range rows {
 		fmt.Fprintln(&b, r)
-		for _, w := range r.wrong[:min(len(r.wrong), mostWrong)] {
+		for _, w := range r.wrong[:min(len(r.wrong), maxListedWrong)] {
 			t.Log(r.story.name, w)
 		}
 	}
@@ -250,8 +250,8 @@
 	for _, r := range rows {
 		r.check(t)
 	}
-	if *tables != "" {
-		if err := os.WriteFile(*tables, []byte(b.String()), 0o644); err != nil {
+	if *tableFile != "" {
+		if err := os.WriteFile(*tableFile, []byte(b.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -30,8 +30,8 @@
 // its answers show. It is safe for concurrent use.
 type Tracker struct {
 	cfg Config
-	// judgeBy is Judge, but where a test compares it with another one.
-	judgeBy func(Seen, bool) Verdict
+	// judgeFunc is Judge, but where a test compares it with another one.
+	judgeFunc func(Seen, bool) Verdict
 	// splits are by service; a service without one has nothing to hold back.
 	splits atomic.Pointer[map[ident.Service]*Split]
 
@@ -39,9 +39,9 @@
 	view *directory.View
 	// mixed services have upstreams of several versions.
 	mixed    map[ident.Service]bool
-	rollouts map[ident.Service]*running
-	// seen is when a version of a service was first seen.
-	seen map[ident.Service]map[ident.Version]time.Time
+	rollouts map[ident.Service]*trackedOrder
+	// firstSeen is when a version of a service was first seen.
+	firstSeen map[ident.Service]map[ident.Version]time.Time
 	// rejected are versions that earlier orders named and did not complete.
 	rejected map[ident.Service]map[ident.Version]bool
 	// frozen services have an order that nobody can read, since when: versions that
@@ -49,30 +49,30 @@
 	frozen map[ident.Service]time.Time
 }
 
-// running is an order at this gateway.
-type running struct {
-	order   Order
-	heardAt time.Time
-	phase   Phase
-	phaseAt time.Time
+// trackedOrder is an order at this gateway.
+type trackedOrder struct {
+	order      Order
+	orderedAt  time.Time
+	phase      Phase
+	phaseSince time.Time
 	// confirmedAt is when the holder of the duties was in this phase.
 	confirmedAt time.Time
 	stopped     bool
 	stoppedAt   time.Time
 	// said: the others were told that nothing is at the old version any more.
-	said bool
-	// seen is this gateway's evidence, and joint that of all.
-	seen, joint Seen
-	verdict     Verdict
-	// settled counts the other gateways that are.
-	settled int
-	share   share
+	reportedSettled bool
+	// ownEvidence is this gateway's evidence, and joint that of all.
+	ownEvidence, othersEvidence Seen
+	verdict                     Verdict
+	// settledOthers counts the other gateways that are.
+	settledOthers int
+	budget        exposureBudget
 }
 
 // New returns a Tracker that knows of no order.
 func New(cfg Config) *Tracker {
 	t := &Tracker{
-		cfg: cfg, judgeBy: Judge, rollouts: make(map[ident.Service]*running), seen: make(map[ident.Service]map[ident.Version]time.Time),
+		cfg: cfg, judgeFunc: Judge, rollouts: make(map[ident.Service]*trackedOrder), firstSeen: make(map[ident.Service]map[ident.Version]time.Time),
 		rejected: make(map[ident.Service]map[ident.Version]bool), frozen: make(map[ident.Service]time.Time),
 	}
 	t.splits.Store(&map[ident.Service]*Split{})
@@ -86,8 +86,8 @@
 func (t *Tracker) Order(o Order, age time.Duration, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.take(o, age, from) {
-		t.split()
+	if t.applyOrder(o, age, from) {
+		t.rebuildSplits()
 	}
 }
 
@@ -99,27 +99,27 @@
 	if _, known := t.frozen[service]; !known {
 		t.frozen[service] = t.cfg.Now()
 	}
-	t.split()
+	t.rebuildSplits()
 }
 
-// take reports whether an order is a new one.
-func (t *Tracker) take(o Order, age time.Duration, from string) bool {
+// applyOrder reports whether an order is a new one.
+func (t *Tracker) applyOrder(o Order, age time.Duration, from string) bool {
 	now := t.cfg.Now()
 	last := t.rollouts[o.Service]
 	if last != nil && o.Offset <= last.order.Offset {
-		if o.Offset == last.order.Offset && now.Add(-age).Before(last.heardAt) {
-			last.heardAt = now.Add(-age)
+		if o.Offset == last.order.Offset && now.Add(-age).Before(last.orderedAt) {
+			last.orderedAt = now.Add(-age)
 		}
 		return false
 	}
-	next := &running{order: o, heardAt: now.Add(-age), phaseAt: now, seen: make(Seen)}
+	next := &trackedOrder{order: o, orderedAt: now.Add(-age), phaseSince: now, ownEvidence: make(Seen)}
 	switch {
 	case last == nil:
 	case last.order.To == o.To && !last.phase.Ended():
 		// The same order once more, perhaps with another time: what is known stays.
-		next.phase, next.phaseAt, next.confirmedAt = last.phase, last.phaseAt, last.confirmedAt
+		next.phase, next.phaseSince, next.confirmedAt = last.phase, last.phaseSince, last.confirmedAt
 		next.stopped, next.stoppedAt = last.stopped, last.stoppedAt
-		next.seen, next.share = last.seen, last.share
+		next.ownEvidence, next.budget = last.ownEvidence, last.budget
 	case last.phase != Completed:
 		t.reject(o.Service, last.order.To)
 	}
@@ -148,16 +148,16 @@
 		if u.Version != view.Of(u.Service)[0].Version {
 			t.mixed[u.Service] = true
 		}
-		versions := t.seen[u.Service]
+		versions := t.firstSeen[u.Service]
 		if versions == nil {
 			versions = make(map[ident.Version]time.Time)
-			t.seen[u.Service] = versions
+			t.firstSeen[u.Service] = versions
 		}
 		if _, known := versions[u.Version]; !known {
 			versions[u.Version] = now
 		}
 	})
-	t.split()
+	t.rebuildSplits()
 }
 
 // Learn takes another gateway's words of orders and of their phases.
@@ -169,22 +169,22 @@
 	defer t.mu.Unlock()
 	changed := false
 	for _, w := range words {
-		changed = t.learn(w) || changed
+		changed = t.mergeWord(w) || changed
 	}
 	if changed {
-		t.split()
+		t.rebuildSplits()
 	}
 }
 
-func (t *Tracker) learn(w Word) bool {
-	changed := t.take(w.Order, w.Age, "gateway")
+func (t *Tracker) mergeWord(w Word) bool {
+	changed := t.applyOrder(w.Order, w.Age, "gateway")
 	r := t.rollouts[w.Order.Service]
 	if r == nil || r.order.Offset != w.Order.Offset {
 		return changed
 	}
 	confirmed := t.cfg.Now().Add(-w.Confirmed)
 	if w.Phase > r.phase {
-		t.enter(r, w.Phase, "another gateway's word")
+		t.enterPhase(r, w.Phase, "another gateway's word")
 		r.confirmedAt = confirmed
 		changed = true
 	} else if w.Phase == r.phase && confirmed.After(r.confirmedAt) {
@@ -198,12 +198,12 @@
 	return changed
 }
 
-// enter changes an order's phase.
-func (t *Tracker) enter(r *running, next Phase, why string) {
+// enterPhase changes an order's phase.
+func (t *Tracker) enterPhase(r *trackedOrder, next Phase, why string) {
 	t.cfg.Log.Info("rollout", "service", r.order.Service, "to", r.order.To, "order", r.order.Offset, "phase", next.String(), "before", r.phase.String(),
-		"why", why, "age_ms", t.cfg.Now().Sub(r.heardAt).Milliseconds(), "answers", r.verdict.Answers, "against", r.verdict.Against,
-		"sent", r.share.total, "sent_new", r.share.exposed)
-	r.phase, r.phaseAt = next, t.cfg.Now()
+		"why", why, "age_ms", t.cfg.Now().Sub(r.orderedAt).Milliseconds(), "answers", r.verdict.Answers, "against", r.verdict.Against,
+		"sent", r.budget.sent, "sent_new", r.budget.exposed)
+	r.phase, r.phaseSince = next, t.cfg.Now()
 }
 
 // Refresh takes what all other gateways say now, and judges what all saw.
@@ -211,14 +211,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.rollouts {
-		r.settled = 0
-		r.joint = nil
+		r.settledOthers = 0
+		r.othersEvidence = nil
 	}
 	for _, w := range others {
-		t.learn(w)
+		t.mergeWord(w)
 		if r := t.rollouts[w.Order.Service]; r != nil && r.order.Offset == w.Order.Offset {
-			r.settled = w.Settled
-			r.joint = w.Seen
+			r.settledOthers = w.Settled
+			r.othersEvidence = w.Seen
 		}
 	}
 	for service, r := range t.rollouts {
@@ -226,44 +226,44 @@
 			t.judge(service, r)
 		}
 	}
-	t.split()
+	t.rebuildSplits()
 }
 
-func (t *Tracker) judge(service ident.Service, r *running) {
-	all := r.seen.Clone()
-	all.Join(r.joint)
+func (t *Tracker) judge(service ident.Service, r *trackedOrder) {
+	all := r.ownEvidence.Clone()
+	all.Join(r.othersEvidence)
 	split := t.Of(service)
-	r.verdict = t.judgeBy(all, split != nil && split.both())
+	r.verdict = t.judgeFunc(all, split != nil && split.hasBothHalves())
 	if r.stopped || !r.verdict.Bad() {
 		return
 	}
 	r.stopped, r.stoppedAt = true, t.cfg.Now()
 	t.cfg.Log.Warn("rollout stopped", "service", service, "to", r.order.To, "order", r.order.Offset, "why", "the evidence is against the version",
-		"answers", r.verdict.Answers, "against", r.verdict.Against, "age_ms", t.cfg.Now().Sub(r.heardAt).Milliseconds())
+		"answers", r.verdict.Answers, "against", r.verdict.Against, "age_ms", t.cfg.Now().Sub(r.orderedAt).Milliseconds())
 }
 
-// returnAfter is how long a gateway that said that nothing is at the old version sends
+// returnDelay is how long a gateway that said that nothing is at the old version sends
 // nothing there after the new one was found bad. What goes wrong without it: the holder has
 // counted it, does not know yet of the finding, and lets the old version be stopped with
 // requests in progress. Within this time its word and the holder's decision have come.
-const returnAfter = time.Second
+const returnDelay = time.Second
 
-// sendsToOld reports whether the old version may get requests.
-func (r *running) sendsToOld(now time.Time) bool {
+// maySendToOld reports whether the old version may get requests.
+func (r *trackedOrder) maySendToOld(now time.Time) bool {
 	switch r.phase {
 	case Completed:
 		return false
 	case Draining:
-		return r.stopped && !(r.said && now.Sub(r.stoppedAt) < returnAfter)
+		return r.stopped && !(r.reportedSettled && now.Sub(r.stoppedAt) < returnDelay)
 	}
 	return true
 }
 
-// confirmedFor is for how long the holder's word lets requests go to a version that is
+// confirmationTTL is for how long the holder's word lets requests go to a version that is
 // tried: a gateway that is cut off from the others does not hear that it is bad.
-func (t *Tracker) confirmedFor() time.Duration { return t.cfg.Limits.StopDue / 3 }
+func (t *Tracker) confirmationTTL() time.Duration { return t.cfg.Limits.StopDue / 3 }
 
-func hash(order ident.Offset, s string) float64 {
+func hashFraction(order ident.Offset, s string) float64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(order))
 	// Writing to a digest never fails.
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -13,27 +13,27 @@
 }
 
 const (
-	// condemned is the evidence at which a version is found bad: one good one in 200.
-	condemned = 200
-	// doubted is the evidence at which a version is not promoted yet.
-	doubted = 10
-	// fewestAnswers of a version that nobody tried more are no proof that it is good.
-	fewestAnswers = 10
-	// eachHalf is the evidence that each half of the new version's upstreams must give
+	// badEvidence is the evidence at which a version is found bad: one good one in 200.
+	badEvidence = 200
+	// doubtfulEvidence is the evidence at which a version is not promoted yet.
+	doubtfulEvidence = 10
+	// minAnswers of a version that nobody tried more are no proof that it is good.
+	minAnswers = 10
+	// minEvidencePerHalf is the evidence that each half of the new version's upstreams must give
 	// by itself, so that one upstream that fails by itself condemns no version.
-	eachHalf = 3
+	minEvidencePerHalf = 3
 )
 
 // Bad reports whether the version must get nothing any more.
-func (v Verdict) Bad() bool { return v.Against >= condemned }
+func (v Verdict) Bad() bool { return v.Against >= badEvidence }
 
-// Clear reports whether nothing speaks against the version.
-func (v Verdict) Clear() bool { return v.Against < doubted && v.Answers >= fewestAnswers }
+// Good reports whether nothing speaks against the version.
+func (v Verdict) Good() bool { return v.Against < doubtfulEvidence && v.Answers >= minAnswers }
 
-// slower are by how much an answer counts as slow, as classes above the old version's
+// slowThresholds are by how much an answer counts as slow, as classes above the old version's
 // median: twice and four times its time. Most versions that are slow in part of their
 // answers show at one of the two.
-var slower = [...]Class{2, 4}
+var slowThresholds = [...]Class{2, 4}
 
 // Judge compares a new version with the old one, route by route and all together, by
 // failures and by slow answers. What the old version fails as well is no fault of the new
@@ -44,7 +44,7 @@
 // answers allow. Such a ratio exceeds x with probability 1/x at most, at whichever moment
 // one looks, and so does a weighted mean of several.
 func Judge(seen Seen, both bool) Verdict {
-	v := Verdict{Answers: seen.answers()}
+	v := Verdict{Answers: seen.newVersionAnswers()}
 	if len(seen) == 0 {
 		return v
 	}
@@ -52,25 +52,25 @@
 	perRoute := 0.0
 	for _, e := range seen {
 		for side := range e {
-			all[side].join(&e[side])
+			all[side].merge(&e[side])
 		}
 		perRoute += judgeRoute(e, both)
 	}
 	// Times of different routes are not compared, so that the sum counts failures alone.
-	overall := against(counts(&all, failures), both)
+	overall := evidenceAgainst(trialsBySide(&all, failures), both)
 	v.Against = (overall + perRoute/float64(len(seen))) / 2
 	return v
 }
 
 // judgeRoute is the mean of a route's comparisons.
 func judgeRoute(e *Evidence, both bool) float64 {
-	sum := against(counts(e, failures), both)
+	sum := evidenceAgainst(trialsBySide(e, failures), both)
 	if median, known := medianOf(e[Old].Times); known {
-		for _, step := range slower {
-			sum += against(counts(e, func(t *Tally) trials { return slowFrom(t, median+step) }), both)
+		for _, step := range slowThresholds {
+			sum += evidenceAgainst(trialsBySide(e, func(t *Tally) trials { return slowFrom(t, median+step) }), both)
 		}
 	}
-	return sum / float64(1+len(slower))
+	return sum / float64(1+len(slowThresholds))
 }
 
 // trials are answers, and how many of them were bad.
@@ -89,71 +89,71 @@
 	return out
 }
 
-func counts(e *Evidence, of func(*Tally) trials) [sides]trials {
-	var out [sides]trials
+func trialsBySide(e *Evidence, of func(*Tally) trials) [numSides]trials {
+	var out [numSides]trials
 	for side := range e {
 		out[side] = of(&e[side])
 	}
 	return out
 }
 
-// fewestTimes of the old version tell what its median is.
-const fewestTimes = 8
+// minTimes of the old version tell what its median is.
+const minTimes = 8
 
 func medianOf(times map[Class]int) (Class, bool) {
 	total := 0
 	for _, n := range times {
 		total += n
 	}
-	if total < fewestTimes {
+	if total < minTimes {
 		return 0, false
 	}
 	below := 0
-	for class := Class(-mostClass); class <= mostClass; class++ {
+	for class := Class(-maxClass); class <= maxClass; class++ {
 		below += times[class]
 		if 2*below >= total {
 			return class, true
 		}
 	}
-	return mostClass, true
+	return maxClass, true
 }
 
-// against is the evidence of one comparison.
-func against(c [sides]trials, both bool) float64 {
+// evidenceAgainst is the evidence of one comparison.
+func evidenceAgainst(c [numSides]trials, both bool) float64 {
 	rate := highestRate(c[Old])
-	a, b := likelihood(c[NewA], rate), likelihood(c[NewB], rate)
+	a, b := likelihoodRatio(c[NewA], rate), likelihoodRatio(c[NewB], rate)
 	joint := a * b
-	if both && min(a, b) < eachHalf {
+	if both && min(a, b) < minEvidencePerHalf {
 		return min(joint, 1)
 	}
 	return joint
 }
 
-// deviations above the old version's rate lies the rate that the new one is held to.
-const deviations = 2
+// rateDeviations above the old version's rate lies the rate that the new one is held to.
+const rateDeviations = 2
 
 // highestRate is the highest rate of bad answers that the old version's answers allow.
 func highestRate(old trials) float64 {
 	n := float64(old.n + 2)
 	mean := float64(old.bad+1) / n
-	return min(mean+deviations*math.Sqrt(mean*(1-mean)/n), mostRate)
+	return min(mean+rateDeviations*math.Sqrt(mean*(1-mean)/n), maxRate)
 }
 
-// mostRate keeps a rate from being certain.
-const mostRate = 0.99
+// maxRate keeps a rate from being certain.
+const maxRate = 0.99
 
-// worse are the rates that a bad version may have, as parts of the way from the old one's
+// worseFractions are the rates that a bad version may have, as parts of the way from the old one's
 // rate to 1.
-var worse = [...]float64{0.03, 0.1, 0.25, 0.5, 0.95}
+var worseFractions = [...]float64{0.03, 0.1, 0.25, 0.5, 0.95}
 
-// likelihood is the mean over the worse rates of how much likelier the trials are under
+// likelihoodRatio is the mean over the worse rates of how much likelier the trials are under
 // one of them than under a rate.
-func likelihood(t trials, rate float64) float64 {
+func likelihoodRatio(t trials, rate float64) float64 {
 	good := float64(t.n - t.bad)
 	sum := 0.0
-	for _, part := range worse {
+	for _, part := range worseFractions {
 		higher := rate + part*(1-rate)
 		sum += math.Exp(float64(t.bad)*math.Log(higher/rate) + good*math.Log((1-higher)/(1-rate)))
 	}
-	return sum / float64(len(worse))
+	return sum / float64(len(worseFractions))
 }
