--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -16,22 +16,22 @@
 	Grant() (duty.Grant, bool)
 }
 
-// ControllerConfig is what a Controller works with. All fields are required.
+// ControllerConfig configures a Controller. All fields are required.
 type ControllerConfig struct {
 	Tracker *Tracker
 	Leases  Leases
 	Store   platform.KeyedLog
 	Reports Reports
-	// TrueTime is the time of day.
+	// TrueTime returns the time of day.
 	TrueTime func() time.Time
-	// Gateways is how many gateways there may be, with this one.
+	// Gateways returns the number of gateways that may exist, including this one.
 	Gateways func() int
-	// Settled reports whether this gateway has nothing at a service's old version, and
-	// sends nothing there.
+	// Settled reports whether this gateway has no requests at a service's old version and sends
+	// none there.
 	Settled func(service ident.Service) bool
-	// Drain is how long nearly all answers of a service take.
+	// Drain returns the duration within which nearly all answers of a service end.
 	Drain func(ident.Service) time.Duration
-	// Running is how many requests all gateways have at a service.
+	// Running returns the number of requests that all gateways have in progress at a service.
 	Running func(ident.Service) int
 	Log     hclog.Logger
 }
@@ -43,12 +43,12 @@
 	fence  ident.Fence
 }
 
-// NewController returns a controller that knows nothing.
+// NewController returns a controller that has read no records yet.
 func NewController(cfg ControllerConfig) *Controller {
 	return &Controller{cfg: cfg, ledger: ledger{store: cfg.Store, status: cfg.Reports}}
 }
 
-// Step does what is due.
+// Step advances all orders if this gateway holds the lease. It must be called regularly.
 func (c *Controller) Step(ctx context.Context) {
 	orders := c.cfg.Tracker.Orders()
 	grant, holds := c.cfg.Leases.Grant()
@@ -61,28 +61,28 @@
 	}
 	err := c.ledger.load(ctx)
 	if err != nil {
-		c.cfg.Log.Info("records of rollouts not read", "error", err)
+		c.cfg.Log.Info("rollout records could not be read", "error", err)
 	}
 	for i := range orders {
 		c.step(ctx, &orders[i], err == nil)
 	}
 }
 
-// step takes one order further. While the records are not known, a version can only be
-// stopped.
-func (c *Controller) step(ctx context.Context, s *Status, known bool) {
+// step advances one order. While the records could not be read (recordsKnown is false), it can
+// only roll back.
+func (c *Controller) step(ctx context.Context, s *Status, recordsKnown bool) {
 	service, order := s.Order.Service, s.Order.Offset
-	if known && c.adoptRecord(ctx, s) {
+	if recordsKnown && c.adoptRecord(ctx, s) {
 		return
 	}
 	next := Next(c.situation(s))
 	switch {
 	case next.Phase == RolledBack && s.Phase != RolledBack:
 		c.cfg.Tracker.Advance(service, order, RolledBack, next.Reason)
-	case !known:
+	case !recordsKnown:
 	case next.Phase == Completed && s.Phase != Completed:
-		// The platform stops the old version at this word, so that it is on record, and
-		// no other holder can decide otherwise, before anybody acts on it.
+		// The platform stops the old version once this outcome is reported. It is recorded
+		// first, so that no other holder can decide otherwise before anybody acts on it.
 		if c.recordOutcome(ctx, s, Completed) {
 			c.cfg.Tracker.Advance(service, order, Completed, next.Reason)
 		}
@@ -91,11 +91,12 @@
 		c.cfg.Tracker.Advance(service, order, next.Phase, next.Reason)
 		c.cfg.Tracker.Confirm(service, order)
 	}
-	if known && next.Phase != Waiting {
+	if recordsKnown && next.Phase != Waiting {
 		c.recordOutcome(ctx, s, outcomeOf(next.Phase))
 	}
 }
 
+// outcomeOf returns the outcome to record for a phase: Canary for all phases that are not final.
 func outcomeOf(p Phase) Phase {
 	if p.Ended() {
 		return p
@@ -103,11 +104,11 @@
 	return Canary
 }
 
-// adoptRecord takes over what earlier holders decided of an order, and reports whether it has
-// ended.
+// adoptRecord adopts what earlier holders recorded about an order, and reports whether the order
+// has ended.
 func (c *Controller) adoptRecord(ctx context.Context, s *Status) bool {
-	r, some := c.ledger.records[s.Order.Service]
-	if !some || r.Order != s.Order.Offset {
+	r, found := c.ledger.records[s.Order.Service]
+	if !found || r.Order != s.Order.Offset {
 		return false
 	}
 	c.cfg.Tracker.Began(s.Order.Service, r.Order, c.cfg.TrueTime().Sub(time.UnixMilli(r.OrderedMillis)))
@@ -119,23 +120,25 @@
 	return true
 }
 
-// recordOutcome records and reports an outcome, and reports whether it stands.
+// recordOutcome writes an outcome to the records and to the operators' status. It returns whether
+// the outcome is recorded.
 func (c *Controller) recordOutcome(ctx context.Context, s *Status, outcome Phase) bool {
 	r := Record{Order: s.Order.Offset, To: s.Order.To, Outcome: outcome, OrderedMillis: c.cfg.TrueTime().Add(-s.Age).UnixMilli()}
-	if last, some := c.ledger.records[s.Order.Service]; some && last.Order == r.Order {
+	if last, found := c.ledger.records[s.Order.Service]; found && last.Order == r.Order {
 		r.OrderedMillis = last.OrderedMillis
 	}
 	if err := c.ledger.writeRecord(ctx, s.Order.Service, r); err != nil {
-		c.cfg.Log.Warn("rollout not recorded", "service", s.Order.Service, "order", r.Order, "outcome", outcome.String(), "fence", c.fence, "error", err)
+		c.cfg.Log.Warn("rollout outcome could not be recorded", "service", s.Order.Service, "order", r.Order, "outcome", outcome.String(), "fence", c.fence, "error", err)
 		return false
 	}
 	c.reportStatus(ctx, s)
 	return true
 }
 
+// reportStatus writes the recorded outcome to the operators' status topic.
 func (c *Controller) reportStatus(ctx context.Context, s *Status) {
 	if err := c.ledger.writeStatus(ctx, s.Order.Service); err != nil {
-		c.cfg.Log.Warn("rollout not reported", "service", s.Order.Service, "order", s.Order.Offset, "fence", c.fence, "error", err)
+		c.cfg.Log.Warn("rollout status could not be reported to the operators", "service", s.Order.Service, "order", s.Order.Offset, "fence", c.fence, "error", err)
 	}
 }
 
@@ -144,13 +147,13 @@
 	if c.cfg.Settled(s.Order.Service) {
 		settled++
 	}
-	running := c.cfg.Running(s.Order.Service)
+	inFlight := c.cfg.Running(s.Order.Service)
 	return &Situation{
 		Phase: s.Phase, Age: s.Age, PhaseAge: s.PhaseAge, TimeLimit: s.Order.Length, NewReady: s.NewReady, OldLeft: s.OldLeft,
-		HasCapacity: s.NewSlots == 0 && s.NewReady > 0 || float64(s.NewSlots) >= requiredHeadroom*float64(running),
+		HasCapacity: s.NewSlots == 0 && s.NewReady > 0 || float64(s.NewSlots) >= requiredHeadroom*float64(inFlight),
 		Verdict:     s.Verdict, Stopped: s.Stopped, Settled: settled, Gateways: c.cfg.Gateways(), DrainTime: c.cfg.Drain(s.Order.Service),
 	}
 }
 
-// requiredHeadroom times the requests in progress must fit into the new version's slots.
+// requiredHeadroom is the number of slots that the new version needs per request in progress.
 const requiredHeadroom = 1.2
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -6,17 +6,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RouteKey stands for a route's name between gateways.
+// RouteKey is the hash of a route's name that gateways exchange.
 type RouteKey uint32
 
-// KeyOf returns a route's key.
+// KeyOf returns the key of a route's name.
 func KeyOf(route string) RouteKey { return RouteKey(xxhash.Sum64String(route)) }
 
-// Side is which upstreams of a service a request went to.
+// Side is the group of a service's upstreams that a request went to.
 type Side int
 
-// The sides. The new version's upstreams are judged in two halves: one upstream that
-// fails by itself must not condemn a version.
+// The new version's upstreams are judged in two halves, so that a single faulty upstream does
+// not make the version look bad.
 const (
 	Old Side = iota
 	NewA
@@ -26,26 +26,26 @@
 
 // Tally counts requests and their answers.
 type Tally struct {
-	// Sent counts the requests, but those of which nothing can be said: failures come
-	// sooner than answers, and of a version that gets more and more of the requests the
-	// answered ones alone would seem to fail more often.
+	// Sent counts the requests, without those whose end says nothing about the version. Failure
+	// rates are relative to it, not to Answers: failures end sooner than successes, so that a
+	// version with a growing number of requests would seem to fail more often than it does.
 	Sent int
-	// Answers are those that ended, Failures those of them that failed.
+	// Answers counts the requests that ended, Failures those of them that failed.
 	Answers, Failures int
-	// Times counts the answers whose time tells something, by its class.
+	// Times counts the answers whose duration is meaningful, by its class.
 	Times map[Class]int
 }
 
-// Class of a time grows by two with each doubling.
+// Class is a logarithmic class of durations. It grows by two with each doubling.
 type Class int
 
-// maxClass bounds classes: a factor of a million either way.
+// maxClass bounds the absolute value of a class: a factor of a million either way.
 const maxClass = 40
 
-// Valid reports whether a class can be.
+// Valid reports whether a class is within its bounds.
 func (c Class) Valid() bool { return -maxClass <= c && c <= maxClass }
 
-// ClassOf returns the class of a time, in any unit that all gateways share.
+// ClassOf returns the class of a duration, in any unit that all gateways share.
 func ClassOf(x float64) Class {
 	if x <= 0 {
 		return -maxClass
@@ -53,22 +53,22 @@
 	return Class(min(max(math.Round(2*math.Log2(x)), -maxClass), maxClass))
 }
 
-// Evidence is what a route's requests saw of both versions.
+// Evidence holds the tallies of one route, by side.
 type Evidence [numSides]Tally
 
-// Seen is what gateways saw of an order's versions, by route.
+// Seen is the evidence about an order's versions, by route.
 type Seen map[RouteKey]*Evidence
 
-// Answer is what one request saw of its upstream.
+// Answer is the outcome of one request.
 type Answer struct {
 	Failed bool
-	// Timed: Time tells something. It is relative to what is expected, or absolute, but
-	// the same for all answers of a route.
+	// Timed means that Time is meaningful. Time is relative to the expected duration or
+	// absolute, in the same way for all answers of a route.
 	Timed bool
 	Time  float64
 }
 
-// tally returns what was seen of a route and a side.
+// tally returns the tally of a route and a side, and adds it if there is none.
 func (s Seen) tally(route RouteKey, side Side) *Tally {
 	e := s[route]
 	if e == nil {
@@ -78,11 +78,13 @@
 	return &e[side]
 }
 
-// Send counts a request, and Withdraw takes one back whose end says nothing.
-func (s Seen) Send(route RouteKey, side Side)        { s.tally(route, side).Sent++ }
+// Send counts a request that was sent.
+func (s Seen) Send(route RouteKey, side Side) { s.tally(route, side).Sent++ }
+
+// UncountSent takes back a request whose end says nothing about the version.
 func (s Seen) UncountSent(route RouteKey, side Side) { s.tally(route, side).Sent-- }
 
-// Add counts an answer to a request that was counted.
+// Add counts the answer to a request that Send counted.
 func (s Seen) Add(route RouteKey, side Side, a Answer) {
 	t := s.tally(route, side)
 	t.Answers++
@@ -97,7 +99,7 @@
 	}
 }
 
-// Join adds what others saw.
+// Join adds other evidence.
 func (s Seen) Join(o Seen) {
 	for route, evidence := range o {
 		for side := range evidence {
@@ -118,14 +120,14 @@
 	}
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (s Seen) Clone() Seen {
 	out := make(Seen, len(s))
 	out.Join(s)
 	return out
 }
 
-// newVersionAnswers counts what the new version answered.
+// newVersionAnswers counts the answers of the new version on all routes.
 func (s Seen) newVersionAnswers() int {
 	n := 0
 	for _, e := range s {
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -1,15 +1,16 @@
 // Package rollout moves a service's requests from one version of its upstreams to
 // another, as operators order it.
 //
-// A new version may fail part of its requests, or answer several times slower: at once,
-// after a while, under load or on one route only. So it gets a bounded share first, the
-// canary. Every gateway spends its own part of that share and tells the others what the
-// answers were; every gateway judges the sum of that evidence alike, so that all stop
-// within a round of their exchange also where the store is away or the holder of the
-// duties is dead. Only the holder promotes: it moves all requests, waits until no gateway
-// has anything at the old version, and reports the end.
+// A new version may fail some of its requests, or answer several times slower: at once,
+// after a while, under load or on one route only. So it first gets a bounded share of the
+// requests, the canary. Every gateway spends its own part of that share and reports the answers
+// to the others. Every gateway judges the sum of that evidence by the same rule, so that all
+// stop within one round of the exchange, even if the store is unavailable or the holder of the
+// duties (the gateway with the lease) is dead. Only the holder promotes a version: it moves all
+// requests, waits until no gateway has a request at the old version, and reports the outcome.
 //
-// Tracker is one gateway's part of it, Controller the holder's. Verdict and Next are pure.
+// Tracker does the work of every gateway, Controller that of the holder. Judge and Next are pure
+// functions.
 package rollout
 
 import (
@@ -22,36 +23,37 @@
 type Order struct {
 	Service ident.Service
 	To      ident.Version
-	// Length is within which time after the order it must have ended.
+	// Length is the time limit: the order must have ended this long after it was given.
 	Length time.Duration
-	// Offset is that of the order's record. It names the order: a later one replaces it.
+	// Offset is the position of the order's record in its topic. It identifies the order; an
+	// order with a higher offset replaces it.
 	Offset ident.Offset
 }
 
-// Phase is how far an order is. Gateways that differ take the later one.
+// Phase is the progress of an order. Gateways that differ adopt the later phase.
 type Phase int
 
-// The phases.
 const (
-	// Waiting: the new version gets nothing.
+	// Waiting means that the new version gets no requests yet.
 	Waiting Phase = iota
-	// Canary: it gets a bounded share.
+	// Canary means that the new version gets a bounded share.
 	Canary
-	// Shifting: it was not found bad, and gets a growing part of all requests.
+	// Shifting means that the new version was not found bad and gets a growing part of all
+	// requests.
 	Shifting
-	// Draining: the old version gets nothing any more, and finishes what it has.
+	// Draining means that the old version gets no more requests and finishes those in progress.
 	Draining
-	// RolledBack: the new version gets nothing any more.
+	// RolledBack means that the new version gets no more requests.
 	RolledBack
-	// Completed: the old version's upstreams are stopped. It comes last, because it is on
-	// record before anybody hears of it, while a holder whose lease has just run out may
-	// still say that it rolls back.
+	// Completed means that the old version's upstreams are stopped. It is the last phase and
+	// prevails over RolledBack, because it is recorded before any gateway is told, while a
+	// holder whose lease has just expired may still announce a rollback.
 	Completed
 )
 
 var phaseNames = [...]string{"waiting", "canary", "shifting", "draining", "rolled_back", "completed"}
 
-// String is the phase's name in logs.
+// String returns the phase's name in logs.
 func (p Phase) String() string {
 	if p < 0 || int(p) >= len(phaseNames) {
 		return "unknown"
@@ -59,16 +61,16 @@
 	return phaseNames[p]
 }
 
-// Ended reports whether nothing follows.
+// Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p >= RolledBack }
 
-// Limits bound what an unproven version gets.
+// Limits bounds the requests to an unproven version.
 type Limits struct {
-	// Share of a service's requests, from the order to its deadline, and Slack requests
-	// beside it, of all gateways together.
+	// Share is the fraction of a service's requests, from the order to its deadline, that all
+	// gateways together may send to the version, and Slack a number of further requests.
 	Share float64
 	Slack float64
-	// StopDue is within which time after its bad answers showed a version must get
-	// nothing any more.
+	// StopDue is the longest time from a version's first bad answers until no gateway sends it
+	// requests.
 	StopDue time.Duration
 }
--- a/internal/rollout/orderstate.go
+++ b/internal/rollout/orderstate.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Word is what gateways tell each other of an order. All of it only grows, so that words
-// may come in any order and more than once.
+// Word is the state of an order that gateways exchange. Its fields only ever grow, so that
+// states may arrive in any order and more than once.
 type Word struct {
 	Order Order
-	// Age is how long ago the order was first heard.
+	// Age is the time since any gateway first heard of the order.
 	Age   time.Duration
 	Phase Phase
-	// Confirmed is how long ago the holder of the duties was in this phase.
+	// Confirmed is the time since the holder of the duties last confirmed the phase.
 	Confirmed time.Duration
-	// Stopped: a gateway found the version to be bad.
+	// Stopped means that some gateway found the new version bad.
 	Stopped bool
-	// Settled counts gateways that have nothing at the old version and send nothing there.
+	// Settled counts the gateways that have no requests at the old version and send none there.
 	Settled int
 	Seen    Seen
 }
 
-// Aged returns the word as of some time later.
+// Aged returns a copy of the state with all ages increased.
 func (w Word) Aged(by time.Duration) Word {
 	w.Age += by
 	w.Confirmed += by
 	return w
 }
 
-// Join returns the words of two groups of gateways as one. Of two orders of a service the
-// later one stays.
+// Join merges the states of one service's order from two groups of gateways. Of two different
+// orders the later one prevails.
 func (w Word) Join(o Word) Word {
 	switch {
 	case o.Order.Offset > w.Order.Offset:
@@ -50,10 +50,10 @@
 	return w
 }
 
-// Words are those of several services.
+// Words holds at most one state for each service.
 type Words []Word
 
-// Plus returns the words of two groups of gateways as one list.
+// Plus merges the states from two groups of gateways.
 func (w Words) Plus(o Words) Words {
 	out := append(Words(nil), w...)
 	for _, next := range o {
@@ -72,7 +72,7 @@
 	return append(w, next)
 }
 
-// Aged returns the words as of some time later.
+// Aged returns a copy of the states with all ages increased.
 func (w Words) Aged(by time.Duration) Words {
 	out := make(Words, len(w))
 	for i := range w {
--- a/internal/rollout/outgoing.go
+++ b/internal/rollout/outgoing.go
@@ -9,12 +9,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Idle reports whether this gateway has no request at a service's upstreams for which a
-// condition is true.
+// Idle reports whether this gateway has no requests in progress at those of a service's
+// upstreams for which is returns true.
 type Idle func(service ident.Service, is func(*directory.Upstream) bool) bool
 
-// Settled reports whether this gateway has nothing at the old version of a service, and
-// sends nothing there.
+// Settled reports whether this gateway has no requests at the old version of a service and
+// sends none there.
 func (t *Tracker) Settled(service ident.Service, idle Idle) bool {
 	t.mu.Lock()
 	r := t.rollouts[service]
@@ -27,20 +27,21 @@
 	return true
 }
 
-// markReportedSettled notes that the others are told that nothing is at the old version.
+// markReportedSettled records that this gateway reports to be settled.
 func (t *Tracker) markReportedSettled(r *trackedOrder) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r.reportedSettled = true
 }
 
-// idleAtOld asks whoever has the requests, who may be choosing an upstream at the same
-// time: the tracker's lock must not be held.
+// idleAtOld reports whether this gateway has no requests in progress at the old version. The
+// Tracker's lock must not be held: the callee may hold a lock of its own while it chooses an
+// upstream by this Tracker.
 func (r *trackedOrder) idleAtOld(idle Idle) bool {
 	return idle(r.order.Service, func(u *directory.Upstream) bool { return u.Version != r.order.To })
 }
 
-// Words are what this gateway tells the others. What an ended order showed is not told on.
+// Words returns this gateway's report to the others. It contains no evidence about ended orders.
 func (t *Tracker) Words(idle Idle) Words {
 	words, draining := t.unsettledWords()
 	for i, r := range draining {
@@ -52,7 +53,8 @@
 	return words
 }
 
-// unsettledWords are those of all orders, each with the order where nothing goes to the old version.
+// unsettledWords returns the report without Settled. The second result has the order at the same
+// index if this gateway sends nothing to its old version, otherwise nil.
 func (t *Tracker) unsettledWords() (Words, []*trackedOrder) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,5 +79,5 @@
 	return out, draining
 }
 
-// reportEndedFor is for how long the end of an order is told where no other version is left.
+// reportEndedFor is how long the end of an order is reported once no other version is left.
 const reportEndedFor = time.Minute
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -2,57 +2,59 @@
 
 import "time"
 
-// Situation is what the holder of the duties knows of a running order.
+// Situation is what the holder of the duties knows about an order that it decides on.
 type Situation struct {
 	Phase Phase
-	// Age is the time since the order, PhaseAge since the phase began here.
+	// Age is the time since the order was given, PhaseAge since its phase began at this gateway.
 	Age, PhaseAge time.Duration
-	TimeLimit     time.Duration
-	// NewReady counts the new version's upstreams that take work, OldLeft the others
+	// TimeLimit is when the order must have ended, as an age.
+	TimeLimit time.Duration
+	// NewReady counts the ready upstreams of the new version, OldLeft those of other versions
 	// that still run.
 	NewReady, OldLeft int
-	// Room: the new version's upstreams can take the work of all.
+	// HasCapacity means that the new version's upstreams can take all requests.
 	HasCapacity bool
 	Verdict     Verdict
-	// Stopped: a gateway found the version to be bad.
+	// Stopped means that some gateway found the new version bad.
 	Stopped bool
-	// Settled counts the gateways that have nothing at the old version and send nothing
-	// there, of Gateways that there may be.
+	// Settled counts the gateways that have no requests at the old version and send none there;
+	// Gateways is the number of gateways that may exist.
 	Settled, Gateways int
-	// DrainTime is how long nearly all answers take.
+	// DrainTime is the duration within which nearly all answers end.
 	DrainTime time.Duration
 }
 
 const (
-	// rampTime is over how long all requests are moved: work that comes all at once to
-	// upstreams without any of its prompts cached makes queues everywhere.
+	// rampTime is the time over which all requests are moved. Moved at once, they would queue
+	// everywhere, because the new upstreams have none of their prompts cached.
 	rampTime = time.Second
-	// completionTime is what the word to all gateways and the two writes of the end take.
+	// completionTime is the time to reach all gateways and to make the two writes that complete
+	// an order.
 	completionTime = 1200 * time.Millisecond
-	// maxDrainFraction of the time is kept for answers to end: the rest must show whether the
-	// version is good.
+	// maxDrainFraction is the largest fraction of the time limit that is kept for requests to
+	// finish. The rest is needed to find out whether the version is good.
 	maxDrainFraction = 0.4
 )
 
-// promoteAt is when a version is promoted that nothing speaks against: as late as the rest
-// can still be done in time, because a version may turn bad late.
+// promoteAt returns the age at which a good version is promoted: as late as leaves time for the
+// phases that follow, because a version may turn bad late.
 func (s *Situation) promoteAt() time.Duration {
 	drain := min(s.DrainTime, time.Duration(maxDrainFraction*float64(s.TimeLimit)))
 	return max(s.TimeLimit-drain-rampTime-completionTime, s.TimeLimit/3)
 }
 
-// decideBy is when the decision falls at the latest.
+// decideBy returns the age by which the version is promoted or rolled back.
 func (s *Situation) decideBy() time.Duration {
 	return max(s.TimeLimit-rampTime-completionTime, s.promoteAt())
 }
 
-// Step is the next phase of an order, with the reason.
+// Step is the next phase of an order. Reason is empty if the phase stays.
 type Step struct {
 	Phase  Phase
 	Reason string
 }
 
-// Next returns the phase that follows from a situation: the same one where nothing is due.
+// Next returns the phase that follows from a situation, or the present one if nothing is due.
 func Next(s *Situation) Step {
 	if s.Phase.Ended() {
 		return Step{s.Phase, ""}
@@ -71,8 +73,8 @@
 			return Step{Draining, "all requests are moved"}
 		}
 	case Draining:
-		// As long as there is time the old version stays at hand: the new one now has all
-		// requests for the first time, and may turn bad under them.
+		// The old version stays available as long as time allows: the new one has all requests
+		// for the first time, and may turn bad under this load.
 		if s.Settled >= s.Gateways && s.Age >= s.TimeLimit-completionTime {
 			return Step{Completed, "no gateway has anything at the old version"}
 		}
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -10,29 +10,29 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Topic holds one record for each service: what was decided of its newest order. It is
-// written only if nothing was written since it was read, so that a holder that stood still
-// cannot decide otherwise than its successor did.
+// Topic is the keyed log with one record per service: the outcome of its newest order. A write
+// succeeds only if nothing was written since the last read, so that a holder that was paused
+// cannot contradict its successor.
 const Topic = "keyed.rollouts"
 
-// Record is what holders decided of an order.
+// Record is the stored outcome of an order.
 type Record struct {
 	Order ident.Offset  `json:"order"`
 	To    ident.Version `json:"to"`
-	// Outcome is Canary while the order runs.
+	// Outcome is Canary until the order ends.
 	Outcome Phase `json:"outcome"`
-	// OrderedMillis is when it was given, milliseconds of true time since 1970.
+	// OrderedMillis is when the order was given, in milliseconds of true time since 1970.
 	OrderedMillis int64 `json:"ordered_ms"`
 }
 
-// Reports is where the operators read how far an order is.
+// Reports is the topic where operators read the status of their orders.
 type Reports struct {
 	Topic string
-	// Encode returns the key and the value that say a phase.
+	// Encode returns the key and the value of the status record for a phase.
 	Encode func(service ident.Service, to ident.Version, phase Phase) (key string, value []byte, err error)
 }
 
-// ledger is what the holder knows of the two topics.
+// ledger reads and writes the two topics and caches what they contain.
 type ledger struct {
 	store  platform.KeyedLog
 	status Reports
@@ -40,24 +40,24 @@
 	loaded                bool
 	recordsEnd, statusEnd ident.Offset
 	records               map[ident.Service]Record
-	// reported is the order and phase that was reported last.
+	// reported is the record whose status was last written.
 	reported map[ident.Service]Record
 }
 
-// invalidate lets everything be read again.
+// invalidate makes the next load read the topics again.
 func (l *ledger) invalidate() { l.loaded = false }
 
-// load reads the records, unless they are known.
+// load reads the topics, unless they are loaded.
 func (l *ledger) load(ctx context.Context) error {
 	if l.loaded {
 		return nil
 	}
-	reports, err := l.store.Newest(ctx, l.status.Topic, nil)
+	status, err := l.store.Newest(ctx, l.status.Topic, nil)
 	if err != nil {
 		return err
 	}
-	// The records come second: whatever they decide is reported under the condition
-	// that nobody reported since.
+	// The records are read second, so that a status derived from them is only written if no
+	// status was written since.
 	batch, err := l.store.Newest(ctx, Topic, nil)
 	if err != nil {
 		return err
@@ -69,22 +69,22 @@
 		}
 		var decoded Record
 		if err := json.Unmarshal(record.Value, &decoded); err != nil {
-			return errors.Wrapf(err, "record of a rollout at %d", record.Offset)
+			return errors.Wrapf(err, "rollout record at offset %d", record.Offset)
 		}
 		l.records[ident.Service(record.Key)] = decoded
 	}
-	l.recordsEnd, l.statusEnd, l.loaded = batch.End, reports.End, true
+	l.recordsEnd, l.statusEnd, l.loaded = batch.End, status.End, true
 	return nil
 }
 
-// writeRecord writes what was decided.
+// writeRecord records an outcome, unless it is recorded already.
 func (l *ledger) writeRecord(ctx context.Context, service ident.Service, r Record) error {
 	if l.records[service] == r {
 		return nil
 	}
 	value, err := json.Marshal(r)
 	if err != nil {
-		return errors.Wrap(err, "encode record of a rollout")
+		return errors.Wrap(err, "encode rollout record")
 	}
 	if l.recordsEnd, err = l.put(ctx, Topic, string(service), value, l.recordsEnd); err != nil {
 		return err
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// writeStatus tells the operators what was recorded.
+// writeStatus writes the recorded outcome of a service's order for the operators, unless it is
+// written already.
 func (l *ledger) writeStatus(ctx context.Context, service ident.Service) error {
 	r := l.records[service]
 	if l.reported[service] == r {
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// put writes a record where the topic ends, and returns its next end. After an error
-// everything is read again: the write may have been done.
+// put writes a record if the topic still ends at end, and returns the new end. After an error
+// the topics must be read again, because the write may have taken effect.
 func (l *ledger) put(ctx context.Context, topic, key string, value []byte, end ident.Offset) (ident.Offset, error) {
 	offset, err := l.store.Put(ctx, topic, key, value, &end)
 	if err != nil {
--- a/internal/rollout/share.go
+++ b/internal/rollout/share.go
@@ -3,33 +3,34 @@
 import "math"
 
 const (
-	// canaryFraction of the share is spent while a version is tried. The rest is for a
+	// canaryFraction of the share is spent in the canary phase. The rest is a reserve for a
 	// version that turns bad while all requests are moved to it.
 	canaryFraction = 0.7
-	// slackFraction of the slack is spent; what is sent at the same time as the last allowed
-	// request, and again after a gateway's restart, must fit beside it.
+	// slackFraction of the slack is spent. The rest is a reserve for requests that are sent
+	// at the same time as the last allowed one, or again after a gateway's restart.
 	slackFraction = 0.5
-	// evenFraction of what may be spent is divided evenly among the routes, so that rare ones
-	// are seen too; the rest goes by how much each route is asked.
+	// evenFraction of the budget is divided evenly among the routes, so that rare routes are
+	// tried too; the rest is divided in proportion to their requests.
 	evenFraction = 0.7
 )
 
-// exposureBudget is one gateway's part of what an unproven version may get. Gateways need not ask
-// each other: each spends a part of the requests that it itself sends, and its part of the
-// slack, and the sum of all cannot exceed the bound.
+// exposureBudget is one gateway's part of the requests that an unproven version may get.
+// Gateways need not coordinate: each spends a fraction of the requests that it sends itself,
+// and its part of the slack, so that the sum cannot exceed the bound.
 type exposureBudget struct {
 	sent, exposed int
 	routes        map[RouteKey]*routeCounts
-	// slack is this gateway's part, once known.
+	// slack is this gateway's part of Limits.Slack, if slackKnown is set.
 	slackKnown bool
 	slack      float64
 }
 
-// routeCounts counts the requests of one route, and those of them that went to the version.
+// routeCounts counts the requests of one route, and those of them sent to the new version.
 type routeCounts struct{ sent, exposed int }
 
-// setSlack sets this gateway's part of the slack. Among more gateways than there are requests
-// in it some get one and most none, by draw, a number from 0 to 1.
+// setSlack sets this gateway's part of the slack, once. If there are more gateways than
+// requests in the slack, some gateways get one request and most get none; draw, a number from
+// 0 to 1 that is specific to the gateway, decides.
 func (s *exposureBudget) setSlack(l Limits, gateways int, draw float64) {
 	if s.slackKnown {
 		return
@@ -50,7 +51,7 @@
 	return r
 }
 
-// count counts a request that was sent to the service.
+// count counts a request to the service; exposed means that it went to the new version.
 func (s *exposureBudget) count(key RouteKey, exposed bool) {
 	r := s.route(key)
 	s.sent++
@@ -61,11 +62,11 @@
 	}
 }
 
-// allows reports whether one more request of a route may go to the version.
+// allows reports whether one more request of a route may go to the new version.
 func (s *exposureBudget) allows(key RouteKey, l Limits) bool {
 	r := s.route(key)
-	part := canaryFraction * l.Share
-	all := part*float64(s.sent) + s.slack
-	own := evenFraction*all/float64(len(s.routes)) + (1-evenFraction)*(part*float64(r.sent)+s.slack)
-	return float64(s.exposed+1) <= all && float64(r.exposed+1) <= own
+	fraction := canaryFraction * l.Share
+	total := fraction*float64(s.sent) + s.slack
+	ofRoute := evenFraction*total/float64(len(s.routes)) + (1-evenFraction)*(fraction*float64(r.sent)+s.slack)
+	return float64(s.exposed+1) <= total && float64(r.exposed+1) <= ofRoute
 }
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -10,24 +10,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Split is a service's upstreams by version, while not all of them may take any request.
-// Its lists do not change.
+// Split divides a service's upstreams by version, while not all of them may take any request.
+// The division is immutable; a changed one is a new Split. Methods are safe for concurrent use.
 type Split struct {
 	tracker *Tracker
-	// tracked is nil where a version is held back of which no order is known yet.
+	// tracked is nil if a version is withheld whose order is not known yet. It is shared with
+	// the Tracker, whose lock guards it.
 	tracked      *trackedOrder
 	to           ident.Version
 	oldUpstreams []directory.Upstream
-	// newUpstreams are the ready upstreams of the new version, in halves by their names.
+	// newUpstreams are the ready upstreams of the new version, and halves the same ones divided
+	// by a hash of their names.
 	newUpstreams []directory.Upstream
 	halves       [2][]directory.Upstream
 }
 
-// Lists are the upstreams that may take a request: those of First, and those of Then where
-// none of First can.
+// Lists holds the upstreams that may take a request: those of First and, if none of them can,
+// those of Then.
 type Lists struct{ First, Then []directory.Upstream }
 
-// rebuildSplits works out the splits anew; t.mu is held.
+// rebuildSplits recomputes all splits. t.mu must be held.
 func (t *Tracker) rebuildSplits() {
 	splits := make(map[ident.Service]*Split)
 	for service := range t.mixed {
@@ -38,14 +40,15 @@
 	t.splits.Store(&splits)
 }
 
-// staleEntriesFor is for how long after the end of an order the old version's upstreams may
-// still be listed, though they are stopped: their entries lapse sooner.
+// staleEntriesFor is how long a completed order still withholds requests from listed upstreams of
+// the old version, which are stopped. Their entries expire sooner.
 const staleEntriesFor = 10 * time.Second
 
+// splitOf returns the split of a service, or nil if all upstreams may take any request.
 func (t *Tracker) splitOf(service ident.Service) *Split {
 	r := t.rollouts[service]
 	if r != nil && r.phase == Completed && t.cfg.Now().Sub(r.phaseSince) > staleEntriesFor {
-		// Whatever stands beside the version now came later.
+		// Any other version that is listed now appeared after the order ended.
 		r = nil
 	}
 	list := t.view.Of(service)
@@ -64,17 +67,17 @@
 		}
 	}
 	if len(s.oldUpstreams) == len(list) || len(s.oldUpstreams) == 0 {
-		// Nothing is held back, or there is nothing beside it.
+		// All upstreams may take any request, or there are none to take them instead.
 		return nil
 	}
 	s.assignHalves()
 	return s
 }
 
-// isWithheld reports whether a version came so lately that an order that names it may not be
-// known here yet, while another one has been there for longer. What goes wrong without it:
-// upstreams of a bad version are listed before this gateway hears of the order, and get
-// their full part of all requests.
+// isWithheld reports whether a version appeared so recently that this gateway may not know its
+// order yet, while another version has been there for longer. Without this check, upstreams of
+// a bad version that are listed before this gateway hears of the order would get their full part
+// of all requests.
 func (t *Tracker) isWithheld(service ident.Service, version ident.Version, list []directory.Upstream) bool {
 	first := t.firstSeen[service][version]
 	since, frozen := t.frozen[service]
@@ -89,8 +92,8 @@
 	return false
 }
 
-// assignHalves divides the new version's upstreams by a hash of their names that all gateways
-// share.
+// assignHalves divides the new version's upstreams by a hash of their names, so that all gateways
+// divide them alike.
 func (s *Split) assignHalves() {
 	if s.tracked == nil {
 		return
@@ -108,7 +111,7 @@
 // hasBothHalves reports whether both halves have upstreams.
 func (s *Split) hasBothHalves() bool { return len(s.halves[1]) > 0 }
 
-// serves reports whether a version carries the service's work for good.
+// serves reports whether a version serves the service permanently, as far as is decided.
 func (s *Split) serves(version ident.Version) bool {
 	s.tracker.mu.Lock()
 	defer s.tracker.mu.Unlock()
@@ -119,8 +122,8 @@
 	return (version == s.to) == !r.maySendToOld(s.tracker.cfg.Now())
 }
 
-// Lists returns where a request may go. One that is sent again goes to the old version
-// where that may take it: nobody is to suffer from the new one twice.
+// Lists returns the upstreams that a request may go to. A request that is sent again prefers the
+// old version, so that no caller suffers twice from a bad new one.
 func (s *Split) Lists(id ident.Request, route string, again bool, now time.Time) Lists {
 	t := s.tracker
 	t.mu.Lock()
@@ -146,6 +149,8 @@
 	return Lists{First: s.oldUpstreams}
 }
 
+// canaryLists returns the lists in the canary phase: the new version first if the budget allows
+// it.
 func (s *Split) canaryLists(r *trackedOrder, key RouteKey, again bool, now time.Time) Lists {
 	if again {
 		return Lists{First: s.oldUpstreams}
@@ -158,15 +163,15 @@
 }
 
 const (
-	// halfFraction of the order's length is for how long the requests that are spared for a
-	// version go to one half of its upstreams, mostHalf at the most: long enough for a
-	// few upstreams to become as busy as one of the old version's.
+	// The canary's requests go to one half of the new version's upstreams at a time, and change
+	// halves after halfFraction of the order's time limit, at most maxHalfTime: long enough for
+	// a few upstreams to become as busy as those of the old version.
 	halfFraction = 1.0 / 8
 	maxHalfTime  = 2 * time.Second
 )
 
-// canaryUpstreams returns the upstreams that are tried now: as few as carry the canary's requests
-// when each has as much as one of the old version's.
+// canaryUpstreams returns the upstreams that get the canary's requests now: so few that each has
+// about as many requests as an upstream of the old version.
 func (s *Split) canaryUpstreams(r *trackedOrder, now time.Time) []directory.Upstream {
 	half := s.halves[0]
 	if s.hasBothHalves() {
@@ -177,9 +182,8 @@
 	return half[:min(len(half), max(1, width))]
 }
 
-// Sent notes that a request of a route was sent to an upstream of the service, for the
-// first time or again, and returns the side that its end belongs to. Ended or Withdrawn
-// must follow.
+// Sent records that a request was sent to an upstream, for the first time or again, and returns
+// the side to which its end counts. Ended or Withdrawn must follow.
 func (s *Split) Sent(u *directory.Upstream, route string) Side {
 	t := s.tracker
 	t.mu.Lock()
@@ -192,7 +196,7 @@
 	return side
 }
 
-// Withdrawn notes that the end of a request says nothing of its upstream's version.
+// Withdrawn records that the end of a request says nothing about its upstream's version.
 func (s *Split) Withdrawn(route string, side Side) {
 	s.tracker.mu.Lock()
 	defer s.tracker.mu.Unlock()
@@ -201,7 +205,7 @@
 	}
 }
 
-// Ended notes what a request saw that was sent to an upstream at an instant.
+// Ended records the answer to a request that was sent to an upstream at the given time.
 func (s *Split) Ended(u *directory.Upstream, route string, side Side, sent time.Time, a Answer) {
 	s.tracker.mu.Lock()
 	defer s.tracker.mu.Unlock()
@@ -209,12 +213,13 @@
 		return
 	}
 	if sent.Before(u.WarmAt) {
-		// It is slow after its start, whatever its version.
+		// The upstream was still slow after its start, whatever its version.
 		a.Timed = false
 	}
 	s.tracked.ownEvidence.Add(KeyOf(route), side, a)
 }
 
+// sideOf returns the side that an upstream belongs to.
 func (s *Split) sideOf(u *directory.Upstream) Side {
 	if u.Version != s.to {
 		return Old
@@ -227,8 +232,8 @@
 	return NewA
 }
 
-// Unproven reports whether a version is tried, so that its figures say nothing of the
-// others.
+// Unproven reports whether a version is the new one of the service's order. Its measurements say
+// nothing about other versions.
 func (s *Split) Unproven(version ident.Version) bool {
 	return s.tracked != nil && version == s.to
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -9,20 +9,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Status is an order as the holder of the duties sees it.
+// Status is the state of an order at one gateway, for the holder of the duties and for operators.
 type Status struct {
-	Order             Order
-	Phase             Phase
-	Age, PhaseAge     time.Duration
-	Verdict           Verdict
-	Stopped           bool
-	SettledOthers     int
-	Sent, Exposed     int
+	Order Order
+	Phase Phase
+	// Age is the time since the order was given, PhaseAge since its phase began at this gateway.
+	Age, PhaseAge time.Duration
+	Verdict       Verdict
+	// Stopped means that some gateway found the new version bad.
+	Stopped bool
+	// SettledOthers is the number of other gateways without requests at the old version.
+	SettledOthers int
+	// Sent counts this gateway's requests, Exposed those of them sent to the new version.
+	Sent, Exposed int
+	// NewReady counts the ready upstreams of the new version and NewSlots their slots; OldLeft
+	// counts the upstreams of other versions.
 	NewReady, OldLeft int
 	NewSlots          int
 }
 
-// Orders returns what is known of all orders, by service.
+// Orders returns the status of all orders, sorted by service.
 func (t *Tracker) Orders() []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,8 +56,8 @@
 	return out
 }
 
-// Advance moves an order to a later phase, by the word of the holder of the duties at this
-// gateway. An earlier phase, and another order, change nothing.
+// Advance moves an order to a later phase, as decided by this gateway as the holder of the
+// duties. It has no effect if the phase is not later or the order is not the current one.
 func (t *Tracker) Advance(service ident.Service, order ident.Offset, next Phase, why string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +70,7 @@
 	t.rebuildSplits()
 }
 
-// Confirm notes that the holder of the duties, at this gateway, keeps to the phase.
+// Confirm records that this gateway, as the holder of the duties, confirms the order's phase.
 func (t *Tracker) Confirm(service ident.Service, order ident.Offset) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,7 +79,7 @@
 	}
 }
 
-// Began notes that an order was given so long ago at the least.
+// Began records that an order was given at least age ago.
 func (t *Tracker) Began(service ident.Service, order ident.Offset, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,8 +88,8 @@
 	}
 }
 
-// Serves reports whether an upstream carries a service's work for good: scaling counts
-// neither a version that is still tried, nor one that is drained.
+// Serves reports whether an upstream has the version that serves a service permanently. Scaling
+// counts neither an unproven version nor one that is being drained.
 func (t *Tracker) Serves(u *directory.Upstream) bool {
 	split := t.Of(u.Service)
 	return split == nil || split.serves(u.Version)
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -13,63 +13,66 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Config is what a Tracker works with. All fields are required.
+// Config configures a Tracker. All fields are required.
 type Config struct {
 	Limits Limits
 	Now    boottime.Clock
 	Log    hclog.Logger
-	// Life tells this gateway's life from others, for its part of the slack.
+	// Life identifies this gateway and its current life. Whether the gateway gets a part of the
+	// slack is drawn from it.
 	Life string
-	// Gateways is how many gateways there may be, with this one.
+	// Gateways returns the number of gateways that may exist, including this one.
 	Gateways func() int
-	// OrdersKnown is as of when this gateway knows of all orders.
+	// OrdersKnown returns the time up to which this gateway knows all orders.
 	OrdersKnown func() time.Time
 }
 
-// Tracker is one gateway's part in rollouts: which upstreams a request may go to, and what
-// its answers show. It is safe for concurrent use.
+// Tracker does one gateway's part of rollouts: it decides which upstreams a request may go to,
+// and collects and judges the answers. It is safe for concurrent use.
 type Tracker struct {
 	cfg Config
-	// judgeFunc is Judge, but where a test compares it with another one.
+	// judgeFunc is Judge, unless a test replaces it for comparison.
 	judgeFunc func(Seen, bool) Verdict
-	// splits are by service; a service without one has nothing to hold back.
+	// splits are by service. All upstreams of a service without one may take any request.
 	splits atomic.Pointer[map[ident.Service]*Split]
 
 	mu   sync.Mutex
 	view *directory.View
-	// mixed services have upstreams of several versions.
+	// mixed contains the services with upstreams of several versions.
 	mixed    map[ident.Service]bool
 	rollouts map[ident.Service]*trackedOrder
-	// firstSeen is when a version of a service was first seen.
+	// firstSeen is when this gateway first saw an upstream of a service's version.
 	firstSeen map[ident.Service]map[ident.Version]time.Time
-	// rejected are versions that earlier orders named and did not complete.
+	// rejected contains the versions of earlier orders that did not complete.
 	rejected map[ident.Service]map[ident.Version]bool
-	// frozen services have an order that nobody can read, since when: versions that
-	// came later get nothing.
+	// frozen is the time since when a service has an unreadable order. Versions that appear
+	// later get no requests.
 	frozen map[ident.Service]time.Time
 }
 
-// trackedOrder is an order at this gateway.
+// trackedOrder is what this gateway knows about an order.
 type trackedOrder struct {
-	order      Order
+	order Order
+	// orderedAt is when the order was first heard of at any gateway.
 	orderedAt  time.Time
 	phase      Phase
 	phaseSince time.Time
-	// confirmedAt is when the holder of the duties was in this phase.
+	// confirmedAt is when the holder of the duties last confirmed this phase.
 	confirmedAt time.Time
 	stopped     bool
 	stoppedAt   time.Time
-	// said: the others were told that nothing is at the old version any more.
+	// reportedSettled means that this gateway has reported to have no requests at the old
+	// version.
 	reportedSettled bool
-	// ownEvidence is this gateway's evidence, and joint that of all.
+	// ownEvidence is this gateway's evidence, othersEvidence the sum of the others'.
 	ownEvidence, othersEvidence Seen
 	verdict                     Verdict
-	// settledOthers counts the other gateways that are.
+	// settledOthers is the number of other gateways that have no requests at the old version.
 	settledOthers int
 	budget        exposureBudget
 }
 
-// New returns a Tracker that knows of no order.
+// New returns a Tracker without orders.
 func New(cfg Config) *Tracker {
 	t := &Tracker{
 		cfg: cfg, judgeFunc: Judge, rollouts: make(map[ident.Service]*trackedOrder), firstSeen: make(map[ident.Service]map[ident.Version]time.Time),
@@ -79,10 +82,11 @@
 	return t
 }
 
-// Of returns how a service's upstreams are split; nil if all may take any request.
+// Of returns the split of a service's upstreams, or nil if all may take any request.
 func (t *Tracker) Of(service ident.Service) *Split { return (*t.splits.Load())[service] }
 
-// Order takes an operator's order, heard so long ago.
+// Order applies an operator's order that was given at least age ago. from names its source in
+// logs.
 func (t *Tracker) Order(o Order, age time.Duration, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,8 +95,8 @@
 	}
 }
 
-// Unreadable takes an order of a service that cannot be read: the versions that are there
-// go on serving, and any that comes gets nothing until a readable order follows.
+// Unreadable applies an order for a service that cannot be decoded: the present versions go on
+// serving, and versions that appear later get no requests until a readable order follows.
 func (t *Tracker) Unreadable(service ident.Service) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +106,8 @@
 	t.rebuildSplits()
 }
 
-// applyOrder reports whether an order is a new one.
+// applyOrder makes an order the service's current one unless that is as recent, and reports
+// whether it did. For the current order it only corrects the time at which it was given.
 func (t *Tracker) applyOrder(o Order, age time.Duration, from string) bool {
 	now := t.cfg.Now()
 	last := t.rollouts[o.Service]
@@ -116,7 +121,8 @@
 	switch {
 	case last == nil:
 	case last.order.To == o.To && !last.phase.Ended():
-		// The same order once more, perhaps with another time: what is known stays.
+		// The same version is ordered again, perhaps with another time limit: progress and
+		// evidence stay.
 		next.phase, next.phaseSince, next.confirmedAt = last.phase, last.phaseSince, last.confirmedAt
 		next.stopped, next.stoppedAt = last.stopped, last.stoppedAt
 		next.ownEvidence, next.budget = last.ownEvidence, last.budget
@@ -138,7 +144,8 @@
 	t.rejected[service][version] = true
 }
 
-// Observe takes a new view of the upstreams. It must come before the view is used.
+// Observe sets a new view of the upstreams. It must be called before the view is used for
+// requests.
 func (t *Tracker) Observe(view *directory.View) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,7 +167,7 @@
 	t.rebuildSplits()
 }
 
-// Learn takes another gateway's words of orders and of their phases.
+// Learn merges another gateway's orders and their phases.
 func (t *Tracker) Learn(words Words) {
 	if len(words) == 0 {
 		return
@@ -176,6 +183,8 @@
 	}
 }
 
+// mergeWord merges another gateway's state of an order, except its evidence, and reports whether
+// anything changed that the splits depend on.
 func (t *Tracker) mergeWord(w Word) bool {
 	changed := t.applyOrder(w.Order, w.Age, "gateway")
 	r := t.rollouts[w.Order.Service]
@@ -198,15 +207,16 @@
 	return changed
 }
 
-// enterPhase changes an order's phase.
+// enterPhase logs and sets an order's new phase.
 func (t *Tracker) enterPhase(r *trackedOrder, next Phase, why string) {
-	t.cfg.Log.Info("rollout", "service", r.order.Service, "to", r.order.To, "order", r.order.Offset, "phase", next.String(), "before", r.phase.String(),
+	t.cfg.Log.Info("rollout phase changed", "service", r.order.Service, "to", r.order.To, "order", r.order.Offset, "phase", next.String(), "before", r.phase.String(),
 		"why", why, "age_ms", t.cfg.Now().Sub(r.orderedAt).Milliseconds(), "answers", r.verdict.Answers, "against", r.verdict.Against,
 		"sent", r.budget.sent, "sent_new", r.budget.exposed)
 	r.phase, r.phaseSince = next, t.cfg.Now()
 }
 
-// Refresh takes what all other gateways say now, and judges what all saw.
+// Refresh replaces the merged state of all other gateways and judges the evidence of all
+// gateways.
 func (t *Tracker) Refresh(others Words) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -229,6 +239,7 @@
 	t.rebuildSplits()
 }
 
+// judge judges an order by the evidence of all gateways and stops it if the version is bad.
 func (t *Tracker) judge(service ident.Service, r *trackedOrder) {
 	all := r.ownEvidence.Clone()
 	all.Join(r.othersEvidence)
@@ -242,13 +253,14 @@
 		"answers", r.verdict.Answers, "against", r.verdict.Against, "age_ms", t.cfg.Now().Sub(r.orderedAt).Milliseconds())
 }
 
-// returnDelay is how long a gateway that said that nothing is at the old version sends
-// nothing there after the new one was found bad. What goes wrong without it: the holder has
-// counted it, does not know yet of the finding, and lets the old version be stopped with
-// requests in progress. Within this time its word and the holder's decision have come.
+// returnDelay is how long a gateway that has reported to be settled still sends nothing to the
+// old version after the new one was found bad. Without it, the holder, which has counted the
+// gateway as settled and does not know about the bad evidence yet, could have the old version
+// stopped with requests in progress. Within this time the gateway's report reaches the holder,
+// and the holder's decision the gateway.
 const returnDelay = time.Second
 
-// maySendToOld reports whether the old version may get requests.
+// maySendToOld reports whether this gateway may send requests to the old version.
 func (r *trackedOrder) maySendToOld(now time.Time) bool {
 	switch r.phase {
 	case Completed:
@@ -259,10 +271,12 @@
 	return true
 }
 
-// confirmationTTL is for how long the holder's word lets requests go to a version that is
-// tried: a gateway that is cut off from the others does not hear that it is bad.
+// confirmationTTL returns how long after the holder's last confirmation requests may go to an
+// unproven version. A gateway that is disconnected from the others would not learn that the
+// version is bad.
 func (t *Tracker) confirmationTTL() time.Duration { return t.cfg.Limits.StopDue / 3 }
 
+// hashFraction hashes a string, seeded by the order, to a number from 0 to 1.
 func hashFraction(order ident.Offset, s string) float64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(order))
