--- a/internal/rollout/fisher_test.go
+++ b/internal/rollout/fisher_test.go
@@ -7,12 +7,12 @@
 	"gonum.org/v1/gonum/stat/combin"
 )
 
-// maxJudgements is how often an order is judged at the most, among which the sequential test
-// divides its error.
+// maxJudgements is the assumed number of times that an order is judged. The allowed error is
+// divided among them.
 const maxJudgements = 100
 
-// judgeByFisher compares by Fisher's exact test, its error divided among the looks and the
-// comparisons: the way beside which Judge was weighed.
+// judgeByFisher is the alternative that Judge was compared with: Fisher's exact test, with the
+// error divided among maxJudgements and the comparisons.
 func judgeByFisher(seen Seen, both bool) Verdict {
 	v := Verdict{Answers: seen.newVersionAnswers()}
 	least, comparisons := 1.0, 1
@@ -34,8 +34,8 @@
 	return v
 }
 
-// fisherOfSides is the probability of the new version's bad answers if both versions are alike.
-// Of two halves the one that speaks less against it counts for its part.
+// fisherOfSides returns the probability of the new version's bad answers if both versions are
+// equally good. It is 1 if one of two halves gives too little evidence on its own.
 func fisherOfSides(c [numSides]trials, both bool) float64 {
 	joint := trials{c[NewA].n + c[NewB].n, c[NewA].bad + c[NewB].bad}
 	if both && max(fisherExact(c[Old], c[NewA]), fisherExact(c[Old], c[NewB])) > 1.0/minEvidencePerHalf {
@@ -44,6 +44,8 @@
 	return fisherExact(c[Old], joint)
 }
 
+// fisherExact returns the probability of at least as many bad answers of the new version, given
+// the total of bad answers, if both versions are equally good.
 func fisherExact(old, fresh trials) float64 {
 	bad, n := old.bad+fresh.bad, old.n+fresh.n
 	if fresh.n == 0 || bad == 0 || bad > n {
@@ -60,7 +62,7 @@
 	return min(sum, 1)
 }
 
-// TestFisher prints the table of the other test, on demand.
+// TestFisher logs the table of all stories judged by judgeByFisher, if -compare is set.
 func TestFisher(t *testing.T) {
 	if !*compare {
 		return
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -17,9 +17,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// A fleet plays one order in virtual time: gateways with the real Tracker, the real
-// Controller at the holder of the lease, an exchange with its delays, a store, and
-// upstreams that behave as told.
+// A fleet simulates one order in virtual time: gateways with the real Tracker, the real
+// Controller at the holder of the lease, the exchange between gateways with its delays, a store,
+// and upstreams that behave as the story says.
 
 const (
 	service        ident.Service = "svc"
@@ -30,19 +30,20 @@
 
 var limits = Limits{Share: 0.1, Slack: 50, StopDue: 5 * time.Second}
 
-// fault is how a version's upstreams answer.
+// fault describes how a bad version's upstreams misbehave.
 type fault struct {
-	// failFraction is the part of answers that fail, and slow the part that takes times as long.
+	// failFraction is the fraction of answers that fail, and slowFraction the fraction that
+	// takes slowFactor times as long.
 	failFraction, slowFraction, slowFactor float64
-	// from is when it begins, as a part of the order's length.
+	// from is when the fault begins, as a fraction of the time limit.
 	from float64
-	// aboveLoad is the number of requests in progress at an upstream above which it shows.
+	// aboveLoad is the number of requests in progress at an upstream above which the fault shows.
 	aboveLoad int
-	// route is the only one where it shows; all where negative.
+	// route is the index of the only route with the fault; negative means all.
 	route int
 }
 
-// story is one order and what happens beside it.
+// story describes one order and what happens during it.
 type story struct {
 	name                       string
 	gateways                   int
@@ -50,36 +51,42 @@
 	length                     time.Duration
 	oldUpstreams, newUpstreams int
 	slots                      int
-	// meanTimes is the mean time of an answer by route, and parts how often each is asked.
+	// meanTimes is the mean duration of answers by route, and routeFractions each route's
+	// fraction of the requests.
 	meanTimes      []time.Duration
 	routeFractions []float64
 	fault          *fault
-	// failFraction is the part of answers that fail at both versions.
+	// failFraction is the fraction of answers that fail at both versions.
 	failFraction float64
-	// greyFailFraction is a new upstream that fails part of its answers by itself.
+	// greyFailFraction is the fraction of answers that fail at one faulty upstream of the new
+	// version.
 	greyFailFraction float64
-	// burst multiplies the rate in the middle third.
+	// burst multiplies the rate in the middle third of the time limit; 0 means no burst.
 	burst float64
-	// holderDies is when the holder of the lease dies, as a part of the length; a
-	// successor takes over 4 s later. 0 for never.
+	// holderDies is when the holder of the lease dies, as a fraction of the time limit; a
+	// successor takes over 4 s later. 0 means never.
 	holderDies float64
-	// storeUnavailable is since when the store does not answer, as a part of the length.
+	// storeUnavailable is when the store stops answering, as a fraction of the time limit; 0
+	// means never.
 	storeUnavailable float64
-	// cutOff is since when the last quarter of the gateways hears nobody.
+	// cutOff is when the last quarter of the gateways is disconnected from the others, as a
+	// fraction of the time limit; 0 means never.
 	cutOff float64
-	// coldFor is for how long the new upstreams are slow after their start.
+	// coldFor is how long the new upstreams are slow after their start.
 	coldFor time.Duration
-	// newUpstreamsAt is when the new upstreams come.
+	// newUpstreamsAt is when the new upstreams start, as a time since the order.
 	newUpstreamsAt time.Duration
-	// judge replaces the product's.
+	// judge replaces Judge if it is set.
 	judge func(Seen, bool) Verdict
-	// undecidable says why the share's evidence, or the time, cannot always tell.
+	// undecidable says why the evidence within the share, or the time, is not always enough to
+	// decide rightly; empty if it must be.
 	undecidable string
-	// reclaimed is when all but one of the new version's upstreams leave.
+	// reclaimed is when all but one of the new version's upstreams leave, as a fraction of the
+	// time limit; 0 means never.
 	reclaimed float64
 }
 
-// result is what a play showed.
+// result is the outcome of one play of a story.
 type result struct {
 	phase           Phase
 	endedAt         time.Duration
@@ -87,9 +94,9 @@
 	sentToNewInTime int
 	sentInTime      int
 	badAnswers      int
-	// lateSends counts the requests to a bad version that were sent after it had to be stopped.
+	// lateSends counts the requests that were sent to a bad version after StopDue.
 	lateSends int
-	// lost counts the requests that were at the old version when it was stopped.
+	// lost counts the requests in progress at the old version when it was stopped.
 	lost    int
 	refused int
 	against float64
@@ -111,7 +118,7 @@
 	reports    []Words
 	reportedAt time.Time
 	view       *directory.View
-	// meanTimes is the mean time of an answer by route, in seconds, as gateways learn it.
+	// meanTimes is the moving average of answer durations by route, in seconds.
 	meanTimes []float64
 }
 
@@ -248,30 +255,30 @@
 
 func (f *fleet) progress() float64 { return f.age().Seconds() / f.s.length.Seconds() }
 
-// play runs the order to some time after its deadline.
+// play simulates the order until 6 s after its end, at most until 20 s after its time limit.
 func (f *fleet) play() result {
 	order := Order{Service: service, To: "v2", Length: f.s.length, Offset: 5}
 	for _, g := range f.gateways {
 		g.tracker.Order(order, 0, "test")
 	}
-	carry, came, dead, taken, shrunk := 0.0, false, false, false, false
+	carry, started, holderDead, takenOver, reclaimed := 0.0, false, false, false, false
 	for end := f.start.Add(f.s.length + 20*time.Second); f.now.Before(end); f.now = f.now.Add(tick) {
-		if !came && f.age() >= f.s.newUpstreamsAt {
-			came = true
+		if !started && f.age() >= f.s.newUpstreamsAt {
+			started = true
 			for i := range f.s.newUpstreams {
 				f.upstreams = append(f.upstreams, f.newUpstream("new", i, "v2"))
 			}
 			f.observe()
 		}
-		if f.s.holderDies > 0 && !dead && f.progress() >= f.s.holderDies {
-			dead, f.holder = true, -1
+		if f.s.holderDies > 0 && !holderDead && f.progress() >= f.s.holderDies {
+			holderDead, f.holder = true, -1
 		}
-		if dead && !taken && f.age() >= time.Duration(f.s.holderDies*float64(f.s.length))+4*time.Second {
-			taken, f.holder = true, 1%f.s.gateways
+		if holderDead && !takenOver && f.age() >= time.Duration(f.s.holderDies*float64(f.s.length))+4*time.Second {
+			takenOver, f.holder = true, 1%f.s.gateways
 			f.fence++
 		}
-		if f.s.reclaimed > 0 && !shrunk && f.progress() >= f.s.reclaimed {
-			shrunk = true
+		if f.s.reclaimed > 0 && !reclaimed && f.progress() >= f.s.reclaimed {
+			reclaimed = true
 			f.reclaim()
 		}
 		f.store.unavailable = f.s.storeUnavailable > 0 && f.progress() >= f.s.storeUnavailable
@@ -306,13 +313,14 @@
 	f.observe()
 }
 
-// checkEnded notes the end of the order, when the old version is stopped.
+// checkEnded records the end of the order and, if it completed, stops the old version's
+// upstreams.
 func (f *fleet) checkEnded() {
 	if f.s.storeUnavailable > 0 && f.result.endedAt == 0 && f.gateways[f.holder].tracker.Orders()[0].Phase == RolledBack {
 		f.result.phase, f.result.endedAt = RolledBack, f.age()
 	}
-	r, some := f.store.newestRecord(service)
-	if !some || !r.Outcome.Ended() || f.result.phase.Ended() {
+	r, found := f.store.newestRecord(service)
+	if !found || !r.Outcome.Ended() || f.result.phase.Ended() {
 		return
 	}
 	f.result.phase, f.result.endedAt = r.Outcome, f.age()
@@ -363,7 +371,7 @@
 
 func routeName(i int) string { return fmt.Sprint("route-", i) }
 
-// choose returns the one of two that has less to do.
+// choose returns the less busy one of two upstreams that have room.
 func (f *fleet) choose(list []directory.Upstream) *simUpstream {
 	var best *simUpstream
 	for range 2 {
@@ -397,7 +405,7 @@
 	}
 }
 
-// answer is how an upstream answers now.
+// answer returns how an upstream answers a request that it gets now.
 func (f *fleet) answer(u *simUpstream, route int) (failed bool, took time.Duration) {
 	mean := f.s.meanTimes[route].Seconds()
 	load := 1 + max(0, float64(u.inFlight)/float64(u.Slots)-0.5)
@@ -420,7 +428,7 @@
 	return failed, time.Duration(x * float64(time.Second))
 }
 
-// finishDue ends the requests whose time has come.
+// finishDue ends the requests whose answers are due.
 func (f *fleet) finishDue() {
 	for len(f.pending) > 0 && !f.pending[0].at.After(f.now) {
 		e := heap.Pop(&f.pending).(pendingAnswer)
@@ -440,7 +448,8 @@
 	}
 }
 
-// exchange tells every gateway what all others said a round before.
+// exchange collects all gateways' reports once in an exchangePeriod, delivers them two ticks
+// before the next collection, and refreshes all gateways in between.
 func (f *fleet) exchange() {
 	switch {
 	case f.age()%exchangePeriod == 0:
@@ -460,6 +469,7 @@
 	}
 }
 
+// deliver gives every connected gateway the merged reports of all others.
 func (f *fleet) deliver() {
 	connected := len(f.gateways)
 	if f.s.cutOff > 0 && f.progress() >= f.s.cutOff {
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -53,9 +53,8 @@
 	}
 }
 
-// Symptom: gateways differ for good on how far an order is, or count evidence twice.
-// Sequence: their words come in any order, and in any grouping. Cause: a join that depends
-// on either.
+// Guards against gateways that disagree forever about the phase of an order, or count evidence
+// twice, because merging depends on the order or the grouping in which reports arrive.
 func TestWordsJoinInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var words []Words
@@ -88,9 +87,9 @@
 	})
 }
 
-// Symptom: two holders decide otherwise on one order. Sequence: the first one reads the
-// records, finds that the version may be completed, and stands still; its successor rolls
-// it back; the first one writes. Cause: a write that does not depend on what was read.
+// Guards against two holders that decide differently on one order: the first one reads the
+// records, decides to complete the order and is paused; its successor rolls the order back; then
+// the first one writes, although the topic changed after its read.
 func TestAHolderThatStoodStillDecidesNothing(t *testing.T) {
 	store := newMemoryStore()
 	first, second := ledger{store: store, status: Reports{Topic: "reports", Encode: encodeForTest}}, ledger{store: store, status: Reports{Topic: "reports", Encode: encodeForTest}}
@@ -112,9 +111,9 @@
 		t.Fatal(err)
 	}
 	if r := first.records[service]; r.Outcome != RolledBack {
-		t.Errorf("the first holder knows %v", r)
+		t.Errorf("the first holder has read %v, want the rollback", r)
 	}
 	if got := store.statuses(); len(got) != 1 || got[0] != "v2 rolled_back" {
-		t.Errorf("reports %q", got)
+		t.Errorf("reported statuses %q, want only the rollback", got)
 	}
 }
--- a/internal/rollout/store_test.go
+++ b/internal/rollout/store_test.go
@@ -13,7 +13,7 @@
 type memoryStore struct {
 	topics      map[string][]platform.KeyedRecord
 	unavailable bool
-	// loseAnswer makes the next write take effect without an answer.
+	// loseAnswer makes the next write take effect but fail with ErrAnswerLost.
 	loseAnswer bool
 }
 
@@ -62,7 +62,7 @@
 	return batch, nil
 }
 
-// newestRecord is the newest one of a service.
+// newestRecord returns the newest record of a service.
 func (s *memoryStore) newestRecord(service ident.Service) (Record, bool) {
 	for i := len(s.topics[Topic]) - 1; i >= 0; i-- {
 		var r Record
@@ -73,7 +73,7 @@
 	return Record{}, false
 }
 
-// statuses are what the operators read, in order.
+// statuses returns the status values for operators, in order.
 func (s *memoryStore) statuses() []string {
 	var out []string
 	for _, r := range s.topics["reports"] {
--- a/internal/rollout/stories_test.go
+++ b/internal/rollout/stories_test.go
@@ -12,14 +12,14 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 1, "plays of each story")
-	tableFile = flag.String("table", "", "file for the table of all stories")
-	compare   = flag.Bool("compare", false, "also the other test of versions")
-	only      = flag.String("only", "", "stories whose names contain it")
-	large     = flag.Bool("large", false, "also 195 and 330 gateways")
+	seeds     = flag.Int("seeds", 1, "plays per story")
+	tableFile = flag.String("table", "", "file to write the table of all stories to")
+	compare   = flag.Bool("compare", false, "also play all stories judged by Fisher's exact test")
+	only      = flag.String("only", "", "play only stories whose names contain this")
+	large     = flag.Bool("large", false, "also play fleets of 195 and 330 gateways")
 )
 
-// engineStory is a service of engines whose answers take seconds, at a size.
+// engineStory returns a story about a service of 20 engines whose answers take 0.3 to 1.5 s.
 func engineStory(name string) story {
 	return story{
 		name: name, gateways: 8, rate: 360, length: 15 * time.Second, oldUpstreams: 20, newUpstreams: 20, slots: 64,
@@ -27,7 +27,7 @@
 	}
 }
 
-// appStory is an application with a few upstreams whose answers take milliseconds.
+// appStory returns a story about an application with 4 upstreams whose answers take milliseconds.
 func appStory(name string) story {
 	return story{
 		name: name, gateways: 8, rate: 156, length: 15 * time.Second, oldUpstreams: 4, newUpstreams: 4, slots: 6,
@@ -60,7 +60,7 @@
 		add("good, burst of 2.5", func(s *story) {
 			s.burst = 2.5
 			if s.slots > 6 {
-				s.undecidable = "streams that began under the burst end after the deadline, and are not cut off"
+				s.undecidable = "streams that began during the burst end after the deadline, and are not interrupted"
 			}
 		})
 		add("good, slow after the start", func(s *story) { s.coldFor = 3 * time.Second })
@@ -71,7 +71,7 @@
 			add(fmt.Sprintf("good, holder dies at %.1f of 30 s", part), func(s *story) {
 				s.holderDies, s.length = part, 30*time.Second
 				if s.slots > 6 {
-					s.undecidable = "streams take the time that is left when a successor has the lease"
+					s.undecidable = "streams need all the time that is left once a successor has the lease"
 				}
 			})
 		}
@@ -83,7 +83,7 @@
 			add(fmt.Sprintf("fails %.0f in 100", 100*fail), func(s *story) {
 				s.fault = &fault{failFraction: fail, route: -1}
 				if fail < 0.1 {
-					s.undecidable = "seven failures are expected in the share"
+					s.undecidable = "only seven failures are expected within the share"
 				}
 			})
 		}
@@ -92,7 +92,7 @@
 				add(fmt.Sprintf("%.0f in 100 take %.0f times as long", 100*slow, times), func(s *story) {
 					s.fault = &fault{slowFraction: slow, slowFactor: times, route: -1}
 					if slow < 1 && times < 10 {
-						s.undecidable = "of a third of the answers some are within what the old version's vary by"
+						s.undecidable = "only a third of the answers are slow, and some of them no slower than the old version's slowest"
 					}
 				})
 			}
@@ -101,7 +101,7 @@
 			add(fmt.Sprintf("fails 30 in 100 from %.2f on", from), func(s *story) {
 				s.fault = &fault{failFraction: 0.3, from: from, route: -1}
 				if from > 0.7 && s.slots > 6 {
-					s.undecidable = "streams need the time to end, so that all requests were moved before it turned bad"
+					s.undecidable = "streams need time to finish, so that all requests have to be moved before the version turns bad"
 				}
 			})
 		}
@@ -112,7 +112,7 @@
 		add("fails 30 in 100 on the last route", func(s *story) {
 			s.fault = &fault{failFraction: 0.3, route: last}
 			if s.slots == 6 {
-				s.undecidable = "the route is asked 8 times a second, and its part of the share is 2"
+				s.undecidable = "the route gets 8 requests per second, and its part of the share is 2"
 			}
 		})
 		add("fails 100 in 100 on the last route", withFault(fault{failFraction: 1, route: last}))
@@ -148,7 +148,7 @@
 	return out
 }
 
-// storySummary is what all plays of a story showed.
+// storySummary sums up the results of all plays of a story.
 type storySummary struct {
 	story                   story
 	plays                   int
@@ -156,7 +156,7 @@
 	lost, failed            int
 	maxExposure             float64
 	endedAtSum, lastEndedAt time.Duration
-	// wrong are the plays that ended otherwise than they should, or late.
+	// wrong describes the plays that ended in the wrong phase or after the time limit.
 	wrong []string
 }
 
@@ -193,22 +193,23 @@
 		r.endedAtSum.Seconds()/float64(r.plays), r.lastEndedAt.Seconds())
 }
 
-// maxListedWrong plays of a story are told one by one.
+// maxListedWrong bounds the wrong plays that are logged per story.
 const maxListedWrong = 8
 
-// check checks what must always hold, and what must where the evidence can tell.
+// check checks that no requests were lost and, unless the story is undecidable, that the bounds
+// held and that at most 1 play in 100 ended wrongly or late.
 func (r *storySummary) check(t *testing.T) {
 	if r.lost > 0 {
-		t.Errorf("%s: %d requests were at the old version when it was stopped", r.story.name, r.lost)
+		t.Errorf("%s: %d requests were in progress at the old version when it was stopped", r.story.name, r.lost)
 	}
 	if r.story.undecidable != "" {
 		return
 	}
 	if r.exposed > 0 || r.late > 0 {
-		t.Errorf("%s: over the bound in %d plays, after the stop was due in %d, of %d", r.story.name, r.exposed, r.late, r.plays)
+		t.Errorf("%s: a bad version got too many requests in %d plays, and requests after StopDue in %d, of %d plays", r.story.name, r.exposed, r.late, r.plays)
 	}
 	if wrong := r.plays - r.right; wrong > r.plays/100 {
-		t.Errorf("%s: ended wrongly or late in %d plays of %d", r.story.name, wrong, r.plays)
+		t.Errorf("%s: ended in the wrong phase or after the time limit in %d plays of %d", r.story.name, wrong, r.plays)
 	}
 }
 
@@ -232,10 +233,10 @@
 	return rows
 }
 
-// Symptoms: a bad version gets more of a service's requests than it may, or gets any 5 s
-// after it showed; a good one is rolled back; requests are cut off where the old version is
-// stopped. Sequence: an order, upstreams of the new version beside those of the old, and
-// each kind of trouble at one time or other. Causes: each play's own.
+// Guards against a bad version that gets more than its share of the requests, or any later than
+// StopDue after its faults showed; a good version that is rolled back; and requests that are
+// interrupted when the old version is stopped. Each story runs an order with upstreams of both
+// versions and one kind of trouble.
 func TestStories(t *testing.T) {
 	rows := playAll(slices.DeleteFunc(stories(), func(s story) bool { return !strings.Contains(s.name, *only) }), *seeds)
 	var b strings.Builder
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -11,7 +11,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// testGateway is one gateway's Tracker with a clock of its own.
+// testGateway is one gateway's Tracker with its own clock.
 type testGateway struct {
 	t             *testing.T
 	now           time.Time
@@ -31,7 +31,7 @@
 
 func (b *testGateway) advance(d time.Duration) { b.now = b.now.Add(d) }
 
-// observe shows upstreams of versions, two of each.
+// observe sets a view with two ready upstreams of each version.
 func (b *testGateway) observe(versions ...ident.Version) {
 	var list []directory.Upstream
 	for _, v := range versions {
@@ -47,7 +47,8 @@
 	b.tracker.Order(Order{Service: service, To: to, Length: 20 * time.Second, Offset: offset}, 0, "test")
 }
 
-// countSentTo are how many of 200 requests go to a version.
+// countSentTo sends 200 requests and returns how many go to a version, or notSplit if all
+// upstreams may take any request.
 func (b *testGateway) countSentTo(version ident.Version) int {
 	n := 0
 	for i := range 200 {
@@ -85,9 +86,8 @@
 			b.observe("v1")
 			b.wantSentTo("v1", notSplit, notSplit)
 		}},
-		// Symptom: a bad version gets half of all requests for a second. Sequence: its
-		// upstreams are listed before this gateway hears of the order. Cause: an
-		// upstream that is ready gets work.
+		// Guards against a bad version that gets half of all requests for a second, because
+		// its ready upstreams are listed before this gateway hears of the order.
 		{"upstreams come before the order", func(b *testGateway) {
 			b.observe("v1")
 			b.advance(time.Second)
@@ -115,9 +115,8 @@
 			b.tracker.Advance(service, 5, Canary, "test")
 			b.wantSentTo("v2", 1, int(limits.Share*200+slackFraction*limits.Slack))
 		}},
-		// Symptom: a version gets requests 5 s after its failures showed. Sequence: a
-		// gateway is cut off from the others, not from the upstreams. Cause: it goes on
-		// as it last heard.
+		// Guards against a version that gets requests 5 s after its failures showed, from a
+		// gateway that is disconnected from the others, but not from the upstreams.
 		{"no word of the holder any more", func(b *testGateway) {
 			b.observe("v1", "v2")
 			b.order(5, "v2")
@@ -140,10 +139,9 @@
 			b.advance(rampTime)
 			b.wantSentTo("v2", 200, 200)
 		}},
-		// Symptom: requests are cut off where the old version is stopped. Sequence: a
-		// gateway says that it has nothing there; it finds the new version bad and goes
-		// back; the holder, which has counted it, completes the order. Cause: it went
-		// back before the holder could know.
+		// Guards against requests that are interrupted when the old version is stopped: a
+		// gateway reports to be settled, then finds the new version bad and returns to the
+		// old one, and the holder, which has counted it as settled, completes the order.
 		{"found bad after the others were told that nothing is at the old one", func(b *testGateway) {
 			b.observe("v1", "v2")
 			b.order(5, "v2")
@@ -154,9 +152,9 @@
 			b.advance(returnDelay)
 			b.wantSentTo("v2", 0, 0)
 		}},
-		// Symptom: requests go to upstreams that are stopped. Sequence: a holder's lease
-		// runs out as it finds the version bad; its successor has completed the order.
-		// Cause: the later word wins, whatever is on record.
+		// Guards against requests to stopped upstreams: a holder whose lease expires finds the
+		// version bad, but its successor has recorded the order as completed, and the holder's
+		// rollback arrives last.
 		{"rolled back by an earlier holder after it was completed", func(b *testGateway) {
 			b.observe("v1", "v2")
 			b.order(5, "v2")
@@ -174,9 +172,9 @@
 			b.tracker.Advance(service, 5, RolledBack, "test")
 			b.wantSentTo("v2", 0, 0)
 		}},
-		// Symptom: upstreams of a later version never get work. Sequence: an order is
-		// completed; some time later upstreams are replaced by ones of a third version,
-		// without an order. Cause: the completed order goes on to split them.
+		// Guards against upstreams of a later version that never get requests: long after an
+		// order is completed, upstreams are replaced by ones of a third version without an
+		// order, and the completed order still splits them.
 		{"a third version long after an order was completed", func(b *testGateway) {
 			b.observe("v1", "v2")
 			b.order(5, "v2")
@@ -245,8 +243,8 @@
 	}
 }
 
-// Symptom: a caller suffers from a bad version twice. Sequence: a request fails there and is
-// sent again, while the share has room. Cause: each attempt draws anew.
+// Guards against a caller who suffers from a bad version twice: a request that failed there is
+// sent again while the budget allows more, and may go to the new version again.
 func TestWhatIsSentAgainGoesToTheOldVersion(t *testing.T) {
 	b := newTestGateway(t)
 	b.observe("v1", "v2")
@@ -254,12 +252,12 @@
 	b.tracker.Advance(service, 5, Canary, "test")
 	split := b.tracker.Of(service)
 	if first := split.Lists("q", "r", false, b.now).First; first[0].Version != "v2" {
-		t.Fatalf("the share has no room: %v", first)
+		t.Fatalf("the first attempt does not prefer the new version: %v", first)
 	}
 	lists := split.Lists("q", "r", true, b.now)
 	for _, u := range append(lists.First, lists.Then...) {
 		if u.Version != "v1" {
-			t.Errorf("sent again to %s", u.ID)
+			t.Errorf("second attempt may go to %s", u.ID)
 		}
 	}
 }
