--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -82,22 +82,22 @@
 	group                    int
 	waitingSince             time.Duration
 	upstream                 *upstream
-	finished                 func()
+	onFinished               func()
 }
 
 type upstream struct {
-	i, life  int
-	domain   int
-	up       bool
-	leaving  bool
-	inFlight map[*request]bool
+	index, life int
+	domain      int
+	up          bool
+	leaving     bool
+	inFlight    map[*request]bool
 }
 
 func (u *upstream) id(same bool) ident.Instance {
 	if same {
-		return ident.Instance("u" + strconv.Itoa(u.i))
+		return ident.Instance("u" + strconv.Itoa(u.index))
 	}
-	return ident.Instance("u" + strconv.Itoa(u.i) + "/" + strconv.Itoa(u.life))
+	return ident.Instance("u" + strconv.Itoa(u.index) + "/" + strconv.Itoa(u.life))
 }
 
 // sortedInFlight returns the requests in progress by ID, so that a seed always gives the same
@@ -107,8 +107,8 @@
 }
 
 type gateway struct {
-	i, domain int
-	tracker   *Tracker
+	index, domain int
+	tracker       *Tracker
 	// connectedSince is when its latest restart or disconnection ended.
 	connectedSince time.Duration
 }
@@ -164,10 +164,10 @@
 		kills: make(map[ident.Content]int), lateSends: make(map[ident.Content]int), cutOffDomain: -1,
 	}
 	for i := range s.gateways {
-		f.gateways = append(f.gateways, &gateway{i: i, domain: i % s.domains, tracker: newTracker(f.clock), connectedSince: -time.Hour})
+		f.gateways = append(f.gateways, &gateway{index: i, domain: i % s.domains, tracker: newTracker(f.clock), connectedSince: -time.Hour})
 	}
 	for i := range s.upstreams {
-		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, up: true, inFlight: make(map[*request]bool)})
+		f.upstreams = append(f.upstreams, &upstream{index: i, domain: i % s.domains, up: true, inFlight: make(map[*request]bool)})
 	}
 	f.received, f.domainSums = make([]receivedReport, s.gateways), make([]receivedReport, s.domains)
 	f.schedule()
@@ -242,7 +242,7 @@
 func (f *fleet) restart(g *gateway) {
 	g.tracker, g.connectedSince = newTracker(f.clock), f.Now()
 	f.In(restoreDelay, func() { g.tracker.Learn(f.storedRecord) })
-	f.received[g.i] = receivedReport{}
+	f.received[g.index] = receivedReport{}
 }
 
 // renewLease writes the first gateway's verdicts to the lease's record.
@@ -396,9 +396,9 @@
 	r.sends++
 	r.upstream = u
 	u.inFlight[r] = true
-	r.finished = func() {}
+	r.onFinished = func() {}
 	if !f.s.withoutTracker && r.gateway.tracker.Knows(r.content.Outline()) {
-		r.finished = r.gateway.tracker.Started(u.id(f.s.keepsIDs), r.content)
+		r.onFinished = r.gateway.tracker.Started(u.id(f.s.keepsIDs), r.content)
 	}
 	life := u.life
 	if r.killer == nil {
@@ -428,7 +428,7 @@
 		return
 	}
 	delete(u.inFlight, r)
-	r.finished()
+	r.onFinished()
 	if !f.s.withoutTracker && r.gateway.tracker.Knows(r.content.Outline()) {
 		r.gateway.tracker.Completed(r.content)
 	}
@@ -454,7 +454,7 @@
 // is told if asCrash is set.
 func (f *fleet) interrupt(r *request, u *upstream, asCrash bool) {
 	delete(u.inFlight, r)
-	r.finished()
+	r.onFinished()
 	t := r.gateway.tracker
 	if asCrash && !f.s.withoutTracker {
 		t.Crashed(u.id(f.s.keepsIDs), ident.MarkOf(r.content, ident.Request(strconv.Itoa(r.id))))
@@ -489,7 +489,7 @@
 	}
 	f.result.mostReported = max(f.result.mostReported, reported)
 	at := f.Now()
-	f.In(exchangeDelay, func() { f.received[g.i] = receivedReport{w, at} })
+	f.In(exchangeDelay, func() { f.received[g.index] = receivedReport{w, at} })
 }
 
 // collect merges the reports of a domain's gateways.
@@ -498,7 +498,7 @@
 	var sum Words
 	for _, g := range f.gateways {
 		if g.domain == d {
-			sum = sum.Plus(f.aged(f.received[g.i]))
+			sum = sum.Plus(f.aged(f.received[g.index]))
 		}
 	}
 	at := f.Now()
@@ -512,7 +512,7 @@
 	if f.s.gateways < minGatewaysForCollectors {
 		for _, o := range f.gateways {
 			if o != g && (f.cutOffDomain < 0 || (o.domain == f.cutOffDomain) == (g.domain == f.cutOffDomain)) {
-				words = words.Plus(f.aged(f.received[o.i]))
+				words = words.Plus(f.aged(f.received[o.index]))
 			}
 		}
 	} else {
--- a/internal/rollout/fisher_test.go
+++ b/internal/rollout/fisher_test.go
@@ -25,7 +25,7 @@
 		least = min(least, fisherOfSides(trialsBySide(e, failures), both))
 		if median, known := medianOf(e[Old].Times); known {
 			for _, step := range slowThresholds {
-				least = min(least, fisherOfSides(trialsBySide(e, func(t *Tally) trials { return slowFrom(t, median+step) }), both))
+				least = min(least, fisherOfSides(trialsBySide(e, func(t *Tally) trials { return slowTrials(t, median+step) }), both))
 			}
 		}
 	}
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -48,7 +48,7 @@
 	name                       string
 	gateways                   int
 	rate                       float64
-	length                     time.Duration
+	timeLimit                  time.Duration
 	oldUpstreams, newUpstreams int
 	slots                      int
 	// meanTimes is the mean duration of answers by route, and routeFractions each route's
@@ -81,9 +81,9 @@
 	// undecidable says why the evidence within the share, or the time, is not always enough to
 	// decide rightly; empty if it must be.
 	undecidable string
-	// reclaimed is when all but one of the new version's upstreams leave, as a fraction of the
+	// newUpstreamsLeave is when all but one of the new version's upstreams leave, as a fraction of the
 	// time limit; 0 means never.
-	reclaimed float64
+	newUpstreamsLeave float64
 }
 
 // result is the outcome of one play of a story.
@@ -145,7 +145,7 @@
 	sent     time.Time
 	split    *Split
 	failed   bool
-	took     time.Duration
+	duration time.Duration
 	side     Side
 }
 
@@ -253,16 +253,16 @@
 
 func (f *fleet) age() time.Duration { return f.now.Sub(f.start) }
 
-func (f *fleet) progress() float64 { return f.age().Seconds() / f.s.length.Seconds() }
+func (f *fleet) progress() float64 { return f.age().Seconds() / f.s.timeLimit.Seconds() }
 
 // play simulates the order until 6 s after its end, at most until 20 s after its time limit.
 func (f *fleet) play() result {
-	order := Order{Service: service, To: "v2", Length: f.s.length, Offset: 5}
+	order := Order{Service: service, To: "v2", Length: f.s.timeLimit, Offset: 5}
 	for _, g := range f.gateways {
 		g.tracker.Order(order, 0, "test")
 	}
 	carry, started, holderDead, takenOver, reclaimed := 0.0, false, false, false, false
-	for end := f.start.Add(f.s.length + 20*time.Second); f.now.Before(end); f.now = f.now.Add(tick) {
+	for end := f.start.Add(f.s.timeLimit + 20*time.Second); f.now.Before(end); f.now = f.now.Add(tick) {
 		if !started && f.age() >= f.s.newUpstreamsAt {
 			started = true
 			for i := range f.s.newUpstreams {
@@ -273,11 +273,11 @@
 		if f.s.holderDies > 0 && !holderDead && f.progress() >= f.s.holderDies {
 			holderDead, f.holder = true, -1
 		}
-		if holderDead && !takenOver && f.age() >= time.Duration(f.s.holderDies*float64(f.s.length))+4*time.Second {
+		if holderDead && !takenOver && f.age() >= time.Duration(f.s.holderDies*float64(f.s.timeLimit))+4*time.Second {
 			takenOver, f.holder = true, 1%f.s.gateways
 			f.fence++
 		}
-		if f.s.reclaimed > 0 && !reclaimed && f.progress() >= f.s.reclaimed {
+		if f.s.newUpstreamsLeave > 0 && !reclaimed && f.progress() >= f.s.newUpstreamsLeave {
 			reclaimed = true
 			f.reclaim()
 		}
@@ -364,8 +364,8 @@
 	f.count(u)
 	g.inFlight[u.ID]++
 	u.inFlight++
-	e.failed, e.took = f.answer(u, route)
-	e.at = f.now.Add(e.took)
+	e.failed, e.duration = f.answer(u, route)
+	e.at = f.now.Add(e.duration)
 	heap.Push(&f.pending, e)
 }
 
@@ -390,14 +390,14 @@
 
 func (f *fleet) count(u *simUpstream) {
 	f.result.sent++
-	if f.age() <= f.s.length {
+	if f.age() <= f.s.timeLimit {
 		f.result.sentInTime++
 	}
 	if u.Version != "v2" {
 		return
 	}
 	f.result.sentToNew++
-	if f.age() <= f.s.length {
+	if f.age() <= f.s.timeLimit {
 		f.result.sentToNewInTime++
 	}
 	if f.s.fault != nil && !f.badAt.IsZero() && f.now.Sub(f.badAt) > limits.StopDue {
@@ -435,15 +435,15 @@
 		e.gateway.inFlight[e.upstream.ID]--
 		e.upstream.inFlight--
 		usual := f.s.meanTimes[e.route].Seconds()
-		f.meanTimes[e.route] += (e.took.Seconds() - f.meanTimes[e.route]) / 200
-		slowed := f.s.fault != nil && f.s.fault.slowFraction > 0 && e.took.Seconds() > 1.8*usual
+		f.meanTimes[e.route] += (e.duration.Seconds() - f.meanTimes[e.route]) / 200
+		slowed := f.s.fault != nil && f.s.fault.slowFraction > 0 && e.duration.Seconds() > 1.8*usual
 		if f.s.fault != nil && e.upstream.Version == "v2" && (e.failed || slowed) {
 			if f.result.badAnswers++; f.result.badAnswers == 50 {
 				f.badAt = f.now
 			}
 		}
 		if e.split != nil {
-			e.split.Ended(&e.upstream.Upstream, routeName(e.route), e.side, e.sent, Answer{Failed: e.failed, Timed: !e.failed, Time: e.took.Seconds() / usual})
+			e.split.Ended(&e.upstream.Upstream, routeName(e.route), e.side, e.sent, Answer{Failed: e.failed, Timed: !e.failed, Time: e.duration.Seconds() / usual})
 		}
 	}
 }
--- a/internal/rollout/outgoing.go
+++ b/internal/rollout/outgoing.go
@@ -43,7 +43,7 @@
 
 // Words returns this gateway's report to the others. It contains no evidence about ended orders.
 func (t *Tracker) Words(idle Idle) Words {
-	words, draining := t.unsettledWords()
+	words, draining := t.draftWords()
 	for i, r := range draining {
 		if r != nil && r.idleAtOld(idle) {
 			t.markReportedSettled(r)
@@ -53,9 +53,9 @@
 	return words
 }
 
-// unsettledWords returns the report without Settled. The second result has the order at the same
+// draftWords returns the report without Settled. The second result has the order at the same
 // index if this gateway sends nothing to its old version, otherwise nil.
-func (t *Tracker) unsettledWords() (Words, []*trackedOrder) {
+func (t *Tracker) draftWords() (Words, []*trackedOrder) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
--- a/internal/rollout/share.go
+++ b/internal/rollout/share.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// allows reports whether one more request of a route may go to the new version.
-func (s *exposureBudget) allows(key RouteKey, l Limits) bool {
+// allowsExposure reports whether one more request of a route may go to the new version.
+func (s *exposureBudget) allowsExposure(key RouteKey, l Limits) bool {
 	r := s.route(key)
 	fraction := canaryFraction * l.Share
 	total := fraction*float64(s.sent) + s.slack
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -17,7 +17,7 @@
 	// tracked is nil if a version is withheld whose order is not known yet. It is shared with
 	// the Tracker, whose lock guards it.
 	tracked      *trackedOrder
-	to           ident.Version
+	newVersion   ident.Version
 	oldUpstreams []directory.Upstream
 	// newUpstreams are the ready upstreams of the new version, and halves the same ones divided
 	// by a hash of their names.
@@ -54,7 +54,7 @@
 	list := t.view.Of(service)
 	s := &Split{tracker: t, tracked: r}
 	if r != nil {
-		s.to = r.order.To
+		s.newVersion = r.order.To
 	}
 	for _, u := range list {
 		switch {
@@ -119,7 +119,7 @@
 	if r == nil {
 		return true
 	}
-	return (version == s.to) == !r.maySendToOld(s.tracker.cfg.Now())
+	return (version == s.newVersion) == !r.maySendToOld(s.tracker.cfg.Now())
 }
 
 // Lists returns the upstreams that a request may go to. A request that is sent again prefers the
@@ -156,7 +156,7 @@
 		return Lists{First: s.oldUpstreams}
 	}
 	r.budget.setSlack(s.tracker.cfg.Limits, s.tracker.cfg.Gateways(), hashFraction(r.order.Offset, s.tracker.cfg.Life))
-	if !r.budget.allows(key, s.tracker.cfg.Limits) {
+	if !r.budget.allowsExposure(key, s.tracker.cfg.Limits) {
 		return Lists{First: s.oldUpstreams}
 	}
 	return Lists{First: s.canaryUpstreams(r, now), Then: s.oldUpstreams}
@@ -221,7 +221,7 @@
 
 // sideOf returns the side that an upstream belongs to.
 func (s *Split) sideOf(u *directory.Upstream) Side {
-	if u.Version != s.to {
+	if u.Version != s.newVersion {
 		return Old
 	}
 	for i := range s.halves[1] {
@@ -235,5 +235,5 @@
 // Unproven reports whether a version is the new one of the service's order. Its measurements say
 // nothing about other versions.
 func (s *Split) Unproven(version ident.Version) bool {
-	return s.tracked != nil && version == s.to
+	return s.tracked != nil && version == s.newVersion
 }
--- a/internal/rollout/stories_test.go
+++ b/internal/rollout/stories_test.go
@@ -22,7 +22,7 @@
 // engineStory returns a story about a service of 20 engines whose answers take 0.3 to 1.5 s.
 func engineStory(name string) story {
 	return story{
-		name: name, gateways: 8, rate: 360, length: 15 * time.Second, oldUpstreams: 20, newUpstreams: 20, slots: 64,
+		name: name, gateways: 8, rate: 360, timeLimit: 15 * time.Second, oldUpstreams: 20, newUpstreams: 20, slots: 64,
 		meanTimes: []time.Duration{1500 * time.Millisecond, 800 * time.Millisecond, 300 * time.Millisecond}, routeFractions: []float64{0.2, 0.45, 0.35},
 	}
 }
@@ -30,7 +30,7 @@
 // appStory returns a story about an application with 4 upstreams whose answers take milliseconds.
 func appStory(name string) story {
 	return story{
-		name: name, gateways: 8, rate: 156, length: 15 * time.Second, oldUpstreams: 4, newUpstreams: 4, slots: 6,
+		name: name, gateways: 8, rate: 156, timeLimit: 15 * time.Second, oldUpstreams: 4, newUpstreams: 4, slots: 6,
 		meanTimes:      []time.Duration{15 * time.Millisecond, 20 * time.Millisecond, 12 * time.Millisecond, 18 * time.Millisecond, 30 * time.Millisecond},
 		routeFractions: []float64{0.5, 0.2, 0.15, 0.1, 0.05},
 	}
@@ -66,19 +66,19 @@
 		add("good, slow after the start", func(s *story) { s.coldFor = 3 * time.Second })
 		add("good, one upstream fails half", func(s *story) { s.greyFailFraction = 0.5 })
 		add("good, comes 3 s late", func(s *story) { s.newUpstreamsAt = 3 * time.Second })
-		add("good, holder dies early", func(s *story) { s.holderDies, s.length = 0.1, 30*time.Second })
+		add("good, holder dies early", func(s *story) { s.holderDies, s.timeLimit = 0.1, 30*time.Second })
 		for _, part := range []float64{0.7, 0.8} {
 			add(fmt.Sprintf("good, holder dies at %.1f of 30 s", part), func(s *story) {
-				s.holderDies, s.length = part, 30*time.Second
+				s.holderDies, s.timeLimit = part, 30*time.Second
 				if s.slots > 6 {
 					s.undecidable = "streams need all the time that is left once a successor has the lease"
 				}
 			})
 		}
 		add("fails 30 in 100, all but one of its upstreams leave", func(s *story) {
-			s.fault, s.reclaimed = &fault{failFraction: 0.3, route: -1}, 0.05
+			s.fault, s.newUpstreamsLeave = &fault{failFraction: 0.3, route: -1}, 0.05
 		})
-		add("good, 60 s", func(s *story) { s.length = time.Minute })
+		add("good, 60 s", func(s *story) { s.timeLimit = time.Minute })
 		for _, fail := range []float64{0.05, 0.1, 0.2, 0.5, 1} {
 			add(fmt.Sprintf("fails %.0f in 100", 100*fail), func(s *story) {
 				s.fault = &fault{failFraction: fail, route: -1}
@@ -150,12 +150,12 @@
 
 // storySummary sums up the results of all plays of a story.
 type storySummary struct {
-	story                   story
-	plays                   int
-	right, exposed, late    int
-	lost, failed            int
-	maxExposure             float64
-	endedAtSum, lastEndedAt time.Duration
+	story                           story
+	plays                           int
+	right, overBound, withLateSends int
+	lost, refused                   int
+	maxExposure                     float64
+	endedAtSum, lastEndedAt         time.Duration
 	// wrong describes the plays that ended in the wrong phase or after the time limit.
 	wrong []string
 }
@@ -166,7 +166,7 @@
 	if s.fault != nil {
 		want = RolledBack
 	}
-	inTime := x.endedAt > 0 && x.endedAt <= s.length
+	inTime := x.endedAt > 0 && x.endedAt <= s.timeLimit
 	if x.phase == want && inTime {
 		r.right++
 	} else {
@@ -176,20 +176,20 @@
 	if s.fault != nil {
 		r.maxExposure = max(r.maxExposure, float64(x.sentToNewInTime)/bound)
 		if float64(x.sentToNewInTime) > bound {
-			r.exposed++
+			r.overBound++
 		}
 		if x.lateSends > 0 {
-			r.late++
+			r.withLateSends++
 		}
 	}
 	r.lost += x.lost
-	r.failed += x.refused
+	r.refused += x.refused
 	r.endedAtSum += x.endedAt
 	r.lastEndedAt = max(r.lastEndedAt, x.endedAt)
 }
 
 func (r *storySummary) String() string {
-	return fmt.Sprintf("%-62s %6d %6d %8d %6.2f %6d %6d %7.1f %7.1f", r.story.name, r.plays, r.right, r.exposed, r.maxExposure, r.late, r.lost,
+	return fmt.Sprintf("%-62s %6d %6d %8d %6.2f %6d %6d %7.1f %7.1f", r.story.name, r.plays, r.right, r.overBound, r.maxExposure, r.withLateSends, r.lost,
 		r.endedAtSum.Seconds()/float64(r.plays), r.lastEndedAt.Seconds())
 }
 
@@ -205,8 +205,8 @@
 	if r.story.undecidable != "" {
 		return
 	}
-	if r.exposed > 0 || r.late > 0 {
-		t.Errorf("%s: a bad version got too many requests in %d plays, and requests after StopDue in %d, of %d plays", r.story.name, r.exposed, r.late, r.plays)
+	if r.overBound > 0 || r.withLateSends > 0 {
+		t.Errorf("%s: a bad version got too many requests in %d plays, and requests after StopDue in %d, of %d plays", r.story.name, r.overBound, r.withLateSends, r.plays)
 	}
 	if wrong := r.plays - r.right; wrong > r.plays/100 {
 		t.Errorf("%s: ended in the wrong phase or after the time limit in %d plays of %d", r.story.name, wrong, r.plays)
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -68,7 +68,7 @@
 	sum := evidenceAgainst(trialsBySide(e, failures), bothHalves)
 	if median, known := medianOf(e[Old].Times); known {
 		for _, step := range slowThresholds {
-			sum += evidenceAgainst(trialsBySide(e, func(t *Tally) trials { return slowFrom(t, median+step) }), bothHalves)
+			sum += evidenceAgainst(trialsBySide(e, func(t *Tally) trials { return slowTrials(t, median+step) }), bothHalves)
 		}
 	}
 	return sum / float64(1+len(slowThresholds))
@@ -79,7 +79,7 @@
 
 func failures(t *Tally) trials { return trials{t.Sent, t.Failures} }
 
-func slowFrom(t *Tally, from Class) trials {
+func slowTrials(t *Tally, from Class) trials {
 	var out trials
 	for class, n := range t.Times {
 		out.n += n
