--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -111,7 +111,7 @@
 	if !found || r.Order != s.Order.Offset {
 		return false
 	}
-	c.cfg.Tracker.Began(s.Order.Service, r.Order, c.cfg.TrueTime().Sub(time.UnixMilli(r.OrderedMillis)))
+	c.cfg.Tracker.SetMinAge(s.Order.Service, r.Order, c.cfg.TrueTime().Sub(time.UnixMilli(r.OrderedMillis)))
 	if !r.Outcome.Ended() {
 		return false
 	}
--- a/internal/rollout/orderstate.go
+++ b/internal/rollout/orderstate.go
@@ -57,12 +57,12 @@
 func (w Words) Plus(o Words) Words {
 	out := append(Words(nil), w...)
 	for _, next := range o {
-		out = out.merge(next)
+		out = out.mergeState(next)
 	}
 	return out
 }
 
-func (w Words) merge(next Word) Words {
+func (w Words) mergeState(next Word) Words {
 	for i := range w {
 		if w[i].Order.Service == next.Order.Service {
 			w[i] = w[i].Join(next)
--- a/internal/rollout/outgoing.go
+++ b/internal/rollout/outgoing.go
@@ -43,19 +43,19 @@
 
 // Words returns this gateway's report to the others. It contains no evidence about ended orders.
 func (t *Tracker) Words(idle Idle) Words {
-	words, draining := t.draftWords()
+	states, draining := t.draftReport()
 	for i, r := range draining {
 		if r != nil && r.idleAtOld(idle) {
 			t.markReportedSettled(r)
-			words[i].Settled = 1
+			states[i].Settled = 1
 		}
 	}
-	return words
+	return states
 }
 
-// draftWords returns the report without Settled. The second result has the order at the same
+// draftReport returns the report without Settled. The second result has the order at the same
 // index if this gateway sends nothing to its old version, otherwise nil.
-func (t *Tracker) draftWords() (Words, []*trackedOrder) {
+func (t *Tracker) draftReport() (Words, []*trackedOrder) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Began records that an order was given at least age ago.
-func (t *Tracker) Began(service ident.Service, order ident.Offset, age time.Duration) {
+// SetMinAge records that an order was given at least age ago.
+func (t *Tracker) SetMinAge(service ident.Service, order ident.Offset, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.rollouts[service]; r != nil && r.order.Offset == order {
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -168,24 +168,24 @@
 }
 
 // Learn merges another gateway's orders and their phases.
-func (t *Tracker) Learn(words Words) {
-	if len(words) == 0 {
+func (t *Tracker) Learn(states Words) {
+	if len(states) == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
-	for _, w := range words {
-		changed = t.mergeWord(w) || changed
+	for _, w := range states {
+		changed = t.mergeOrderState(w) || changed
 	}
 	if changed {
 		t.rebuildSplits()
 	}
 }
 
-// mergeWord merges another gateway's state of an order, except its evidence, and reports whether
+// mergeOrderState merges another gateway's state of an order, except its evidence, and reports whether
 // anything changed that the splits depend on.
-func (t *Tracker) mergeWord(w Word) bool {
+func (t *Tracker) mergeOrderState(w Word) bool {
 	changed := t.applyOrder(w.Order, w.Age, "gateway")
 	r := t.rollouts[w.Order.Service]
 	if r == nil || r.order.Offset != w.Order.Offset {
@@ -225,7 +225,7 @@
 		r.othersEvidence = nil
 	}
 	for _, w := range others {
-		t.mergeWord(w)
+		t.mergeOrderState(w)
 		if r := t.rollouts[w.Order.Service]; r != nil && r.order.Offset == w.Order.Offset {
 			r.settledOthers = w.Settled
 			r.othersEvidence = w.Seen
