--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -1,14 +1,15 @@
-// Package poison finds requests that end the processes of the upstreams that run them, and
-// keeps them from further ones.
+// Package poison detects requests that crash the processes of the upstreams that run them, and
+// bars them from further upstreams.
 //
-// Such a request comes again and again, at any gateway, under new IDs; what it asks for
-// stays the same (ident.Content). All that is in progress at an upstream ends with it, so
-// that each of up to its slots' number of requests may be the cause. Gateways tell each
-// other which contents they had there. A content is found to be the cause where it explains
-// at least three ends in a row better than any other does; the ends that a found content
-// explains say nothing against those that ran beside it.
+// Such a request arrives again and again, at any gateway, under new IDs; what it asks for, its
+// content (ident.Content), stays the same. A crash interrupts all requests in progress at the
+// upstream, as many as it has slots, and each of them may be the cause. Gateways report to each
+// other which contents they had there. A content is convicted as the cause if it explains at
+// least three crashes in a row, without a complete answer in between, better than any other
+// content does. Crashes that a convicted content explains do not count against the requests
+// that ran beside it.
 //
-// It is a fold without I/O; what gateways tell each other may come late, twice and in any
+// The package does no I/O. The reports of other gateways may arrive late, twice and in any
 // order.
 package poison
 
@@ -25,108 +26,111 @@
 )
 
 const (
-	// enough ends in a row say that a content is the cause.
-	enough = 3
-	// settle is how old an end must be before it counts: by then all gateways have told
-	// what they had there. What goes wrong without it: a gateway knows all of the ends that
-	// one of its own requests met by being sent again, and not yet what else was at each.
-	settle = 750 * time.Millisecond
-	// sameEnd: what two gateways say of an upstream is of one end if it is no further
-	// apart. An upstream's process takes longer to start again.
-	sameEnd = time.Second
-	// remembered is for how long an end is held against what was there.
-	remembered = 10 * time.Minute
-	// ForgetAfter is for how long a content must stay away before it is tried again.
+	// minCrashes is how many crashes in a row convict a content.
+	minCrashes = 3
+	// settleTime is how old a crash must be before it can convict: by then all gateways have
+	// reported what they had there. Counted sooner, a gateway would know every crash that one
+	// of its own requests met by being resent, but not yet what else was running in each.
+	settleTime = 750 * time.Millisecond
+	// sameCrashWindow separates crashes of one upstream: reports closer together than this
+	// are about the same crash. An upstream's process takes longer to restart.
+	sameCrashWindow = time.Second
+	// crashTTL is how long a crash counts against the contents that were running in it.
+	crashTTL = 10 * time.Minute
+	// ForgetAfter is how long a barred content must not arrive before it is let through again.
 	ForgetAfter = 10 * time.Minute
-	// mostCrashes and mostVerdicts bound what is remembered, also while someone sends
-	// many different requests that end upstreams.
-	mostCrashes  = 64
-	mostVerdicts = 256
+	// maxCrashes and maxVerdicts bound the memory even if someone sends many different
+	// requests that crash upstreams.
+	maxCrashes  = 64
+	maxVerdicts = 256
 )
 
-// Config is what a Tracker works with. All fields are required.
+// Config configures a Tracker. All fields are required.
 type Config struct {
 	Now boottime.Clock
 	Log hclog.Logger
-	// Key returns what stands for an upstream's ID between gateways.
+	// Key returns the hash of an upstream's ID that all gateways use in their reports.
 	Key func(ident.Instance) uint32
 }
 
-// Tracker is what one gateway knows of requests that end upstreams. It is safe for
+// Tracker holds what one gateway knows about requests that crash upstreams. It is safe for
 // concurrent use.
 type Tracker struct {
 	cfg Config
-	// quiet: nothing is known, so that nothing must be asked about a request.
-	quiet atomic.Bool
+	// empty is true while there are no crashes and no verdicts, so that callers can skip all
+	// other questions about a request.
+	empty atomic.Bool
 
 	mu      sync.Mutex
 	crashes []*crash
-	// suspects are the contents with the ends that count against them, unless dirty: what
-	// they follow from has changed.
+	// suspects is derived from crashes and verdicts; dirty means that these have changed since.
 	suspects map[ident.Content]*suspect
 	dirty    bool
-	// outlines are those of what was at ends and of verdicts, so that requests unlike them
-	// are let by without a look at their bodies.
+	// outlines are the outlines of all contents in crashes and verdicts. The body of a request
+	// with another outline need not be read.
 	outlinesMu sync.RWMutex
 	outlines   map[ident.Outline]bool
-	// verdicts are by content.
-	verdicts map[ident.Content]*verdict
-	// running counts the requests in progress whose content is suspected, by upstream.
-	running map[ident.Content]map[ident.Instance]int
-	// told is how many verdicts were told so far, for their turns.
-	told   int
-	counts Counters
+	verdicts   map[ident.Content]*verdict
+	// inFlight counts the requests in progress with suspected contents, by upstream.
+	inFlight map[ident.Content]map[ident.Instance]int
+	// reportCursor is the number of verdicts reported in turn so far.
+	reportCursor int
+	counts       Counters
 }
 
-// Counters count what a Tracker saw and did.
+// Counters counts what a Tracker saw and did since its start.
 type Counters struct {
-	// Crashes are ends of upstreams under requests, Found contents that were found to be
-	// the cause, Refused the requests that were kept from upstreams.
+	// Crashes counts crashes of upstreams that had requests in progress, Found convicted
+	// contents, Refused barred requests.
 	Crashes, Found, Refused int64
 }
 
-// crash is the end of an upstream's process.
+// crash is the end of an upstream's process while requests were in progress there.
 type crash struct {
 	upstream uint32
 	at       time.Time
-	// marks are of the requests that were there, and own those of this gateway, in order.
-	marks, own []ident.Mark
-	// ownAt is when the last of them was noted, for how long they are told.
-	ownAt time.Time
-	// cause is the total of the likeliest found content that was there; zero if none was.
-	cause total
+	// marks identify the interrupted requests, ownMarks those of this gateway. Both are sorted.
+	marks, ownMarks []ident.Mark
+	// lastOwnAt is when the latest own mark was added; reportCrashFor counts from it.
+	lastOwnAt time.Time
+	// topConvicted is the tally of the likeliest convicted content that was running; zero if
+	// there was none.
+	topConvicted tally
 }
 
-// verdict is what was found of a content.
+// verdict is the conviction or the clearance of a content.
 type verdict struct {
 	at time.Time
-	// seen is when a request with the content came last, at any gateway.
-	seen time.Time
-	// cleared: nothing up to at counts against the content.
+	// lastSeen is when a request with the content last arrived at any gateway.
+	lastSeen time.Time
+	// cleared means that no crash up to at counts against the content. Otherwise the content is
+	// convicted.
 	cleared bool
-	// told: the others need to know. Most contents come to one gateway alone.
-	told bool
+	// shared means that the other gateways are told. A clearance that only concerns this
+	// gateway is not: most contents arrive at one gateway alone.
+	shared bool
 }
 
-// New returns a Tracker that knows nothing.
+// New returns an empty Tracker.
 func New(cfg Config) *Tracker {
-	t := &Tracker{cfg: cfg, suspects: make(map[ident.Content]*suspect), verdicts: make(map[ident.Content]*verdict), running: make(map[ident.Content]map[ident.Instance]int), outlines: make(map[ident.Outline]bool)}
-	t.quiet.Store(true)
+	t := &Tracker{cfg: cfg, suspects: make(map[ident.Content]*suspect), verdicts: make(map[ident.Content]*verdict), inFlight: make(map[ident.Content]map[ident.Instance]int), outlines: make(map[ident.Outline]bool)}
+	t.empty.Store(true)
 	return t
 }
 
-// Quiet reports whether nothing is known, so that no request needs to be asked about.
-func (t *Tracker) Quiet() bool { return t.quiet.Load() }
+// Quiet reports whether there are no crashes and no verdicts, so that every request may be sent
+// without further questions.
+func (t *Tracker) Quiet() bool { return t.empty.Load() }
 
-// Knows reports whether anything is known of requests with an outline.
+// Knows reports whether any content with this outline is suspected or has a verdict.
 func (t *Tracker) Knows(outline ident.Outline) bool {
 	t.outlinesMu.RLock()
 	defer t.outlinesMu.RUnlock()
 	return t.outlines[outline]
 }
 
-// outline works the outlines out anew.
-func (t *Tracker) outline() {
+// rebuildOutlines recomputes the outlines and the empty flag.
+func (t *Tracker) rebuildOutlines() {
 	all := make(map[ident.Outline]bool)
 	for _, c := range t.crashes {
 		for _, mark := range c.marks {
@@ -139,59 +143,60 @@
 	t.outlinesMu.Lock()
 	t.outlines = all
 	t.outlinesMu.Unlock()
-	t.quiet.Store(len(all) == 0)
+	t.empty.Store(len(all) == 0)
 }
 
-// Crashed notes that an upstream's process ended while it had one of this gateway's
-// requests.
+// Crashed records that an upstream's process ended while one of this gateway's requests was in
+// progress there.
 func (t *Tracker) Crashed(upstream ident.Instance, mark ident.Mark) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
 	key := t.cfg.Key(upstream)
-	c := t.crash(key, now)
-	c.own, _ = insert(c.own, mark)
-	c.ownAt = now
-	t.add(c, mark)
+	c := t.findOrAddCrash(key, now)
+	c.ownMarks, _ = insertSorted(c.ownMarks, mark)
+	c.lastOwnAt = now
+	t.addMark(c, mark)
 	t.outlinesMu.Lock()
 	t.outlines[mark.Content().Outline()] = true
 	t.outlinesMu.Unlock()
-	t.quiet.Store(false)
+	t.empty.Store(false)
 }
 
-// crash returns what is known of an upstream's end at an instant.
-func (t *Tracker) crash(upstream uint32, at time.Time) *crash {
+// findOrAddCrash returns the crash of an upstream within sameCrashWindow of an instant. If there
+// is none it adds one, and drops the oldest if there are too many.
+func (t *Tracker) findOrAddCrash(upstream uint32, at time.Time) *crash {
 	for i := len(t.crashes) - 1; i >= 0; i-- {
-		if c := t.crashes[i]; c.upstream == upstream && c.at.Sub(at).Abs() < sameEnd {
+		if c := t.crashes[i]; c.upstream == upstream && c.at.Sub(at).Abs() < sameCrashWindow {
 			return c
 		}
 	}
 	c := &crash{upstream: upstream, at: at}
 	t.crashes = append(t.crashes, c)
 	t.counts.Crashes++
-	if len(t.crashes) > mostCrashes {
-		t.crashes = slices.Delete(t.crashes, 0, len(t.crashes)-mostCrashes)
+	if len(t.crashes) > maxCrashes {
+		t.crashes = slices.Delete(t.crashes, 0, len(t.crashes)-maxCrashes)
 		t.dirty = true
 	}
 	return c
 }
 
-// mostMarks bounds what is remembered of one end.
-const mostMarks = 256
+// maxMarksPerCrash bounds the memory of one crash.
+const maxMarksPerCrash = 256
 
-// add notes that a request was at an end.
-func (t *Tracker) add(c *crash, mark ident.Mark) {
-	if len(c.marks) >= mostMarks {
+// addMark records that a request was interrupted by a crash.
+func (t *Tracker) addMark(c *crash, mark ident.Mark) {
+	if len(c.marks) >= maxMarksPerCrash {
 		return
 	}
 	var isNew bool
-	if c.marks, isNew = insert(c.marks, mark); isNew {
+	if c.marks, isNew = insertSorted(c.marks, mark); isNew {
 		t.dirty = true
 	}
 }
 
-// insert puts a mark into a sorted list and reports whether it was not there.
-func insert(list []ident.Mark, mark ident.Mark) ([]ident.Mark, bool) {
+// insertSorted inserts a mark into a sorted list and reports whether the mark is new.
+func insertSorted(list []ident.Mark, mark ident.Mark) ([]ident.Mark, bool) {
 	i, found := slices.BinarySearch(list, mark)
 	if found {
 		return list, false
@@ -199,40 +204,41 @@
 	return slices.Insert(list, i, mark), true
 }
 
-// Completed notes that a request with a content was answered whole: it does not end what
-// runs it.
+// Completed records that a request was answered completely, which clears its content.
 func (t *Tracker) Completed(content ident.Content) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	barred := t.convicted(content, now)
-	if n, _ := t.ends(content, now); n == 0 && !barred {
+	barred := t.isConvicted(content, now)
+	if n, _ := t.crashesAgainst(content, now); n == 0 && !barred {
 		return
 	}
-	t.clear(content, barred || t.elsewhere(content), now)
+	t.clearContent(content, barred || t.reportedElsewhere(content), now)
 	if barred {
-		t.cfg.Log.Warn("request that was found to end upstreams was answered whole", "content", content)
+		t.cfg.Log.Warn("request content convicted of crashing upstreams was answered completely and is cleared", "content", content)
 	}
 }
 
-// elsewhere reports whether other gateways had a suspected content at an end too.
-func (t *Tracker) elsewhere(content ident.Content) bool {
-	return slices.ContainsFunc(t.suspects[content].crashes, func(c *crash) bool {
+// reportedElsewhere reports whether another gateway had a suspected content in a crash too.
+func (t *Tracker) reportedElsewhere(content ident.Content) bool {
+	return slices.ContainsFunc(t.suspects[content].unexplained, func(c *crash) bool {
 		return slices.ContainsFunc(c.marks, func(mark ident.Mark) bool {
-			_, own := slices.BinarySearch(c.own, mark)
+			_, own := slices.BinarySearch(c.ownMarks, mark)
 			return mark.Content() == content && !own
 		})
 	})
 }
 
-// clear makes all ends up to now say nothing against a content.
-func (t *Tracker) clear(content ident.Content, tell bool, now time.Time) {
-	t.verdicts[content] = &verdict{at: now, seen: now, cleared: true, told: tell}
-	t.boundVerdicts()
+// clearContent discounts all crashes up to now for a content, and tells the other gateways if
+// share is set.
+func (t *Tracker) clearContent(content ident.Content, share bool, now time.Time) {
+	t.verdicts[content] = &verdict{at: now, lastSeen: now, cleared: true, shared: share}
+	t.limitVerdicts()
 	t.dirty = true
 }
 
-// clearedAt is until when nothing counts against a content.
+// clearedAt returns when a content was last cleared, zero for never. Crashes up to then do not
+// count against it.
 func (t *Tracker) clearedAt(content ident.Content) time.Time {
 	if v := t.verdicts[content]; v != nil && v.cleared {
 		return v.at
@@ -240,142 +246,144 @@
 	return time.Time{}
 }
 
-func (t *Tracker) convicted(content ident.Content, now time.Time) bool {
+// isConvicted reports whether a content is convicted and arrived within ForgetAfter.
+func (t *Tracker) isConvicted(content ident.Content, now time.Time) bool {
 	v := t.verdicts[content]
-	return v != nil && !v.cleared && now.Sub(v.seen) < ForgetAfter
+	return v != nil && !v.cleared && now.Sub(v.lastSeen) < ForgetAfter
 }
 
-// Barred reports whether a request with a content must not run, and when it may come back.
+// Barred reports whether a request with this content must not run, and after what time its
+// caller may retry. It counts as an arrival of the content.
 func (t *Tracker) Barred(content ident.Content) (after time.Duration, barred bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.barred(content)
+	return t.barIfConvicted(content)
 }
 
-func (t *Tracker) barred(content ident.Content) (time.Duration, bool) {
+func (t *Tracker) barIfConvicted(content ident.Content) (time.Duration, bool) {
 	now := t.cfg.Now()
-	if !t.convicted(content, now) {
+	if !t.isConvicted(content, now) {
 		return 0, false
 	}
-	t.verdicts[content].seen = now
+	t.verdicts[content].lastSeen = now
 	t.counts.Refused++
 	return ForgetAfter, true
 }
 
-// Clear is an operator's word that a content is harmless; it reports whether the content
-// was barred.
+// Clear clears a content on an operator's behalf; it reports whether the content was barred.
 func (t *Tracker) Clear(content ident.Content) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	if !t.convicted(content, now) {
+	if !t.isConvicted(content, now) {
 		return false
 	}
-	t.clear(content, true, now)
-	t.cfg.Log.Warn("request cleared by an operator", "content", content)
+	t.clearContent(content, true, now)
+	t.cfg.Log.Warn("request content cleared by an operator", "content", content)
 	return true
 }
 
-// Refresh takes in what the other gateways tell, finds what is to be found, and forgets
-// what is old.
-func (t *Tracker) Refresh(words Words) {
-	if words.Empty() && t.quiet.Load() {
+// Refresh merges the reports of the other gateways, convicts causes and drops expired crashes
+// and verdicts. It must be called regularly, also with an empty report.
+func (t *Tracker) Refresh(report Words) {
+	if report.Empty() && t.empty.Load() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	for i := range words.Crashes {
-		t.hearCrash(&words.Crashes[i], now)
+	for i := range report.Crashes {
+		t.mergeCrash(&report.Crashes[i], now)
 	}
-	for i := range words.Verdicts {
-		t.hearVerdict(&words.Verdicts[i], now)
+	for i := range report.Verdicts {
+		t.mergeVerdict(&report.Verdicts[i], now)
 	}
 	changed := t.dirty
-	t.find(now)
-	t.forget(now)
+	t.convictCauses(now)
+	t.expire(now)
 	if changed || t.dirty {
-		t.outline()
+		t.rebuildOutlines()
 	}
 }
 
-func (t *Tracker) hearCrash(told *Crash, now time.Time) {
-	if told.Age >= remembered {
+func (t *Tracker) mergeCrash(reported *Crash, now time.Time) {
+	if reported.Age >= crashTTL {
 		return
 	}
-	c := t.crash(told.Upstream, now.Add(-told.Age))
-	for _, mark := range told.Marks {
-		t.add(c, mark)
+	c := t.findOrAddCrash(reported.Upstream, now.Add(-reported.Age))
+	for _, mark := range reported.Marks {
+		t.addMark(c, mark)
 	}
 }
 
-// hearVerdict takes the later of two verdicts.
-func (t *Tracker) hearVerdict(told *Verdict, now time.Time) {
-	if told.Idle >= ForgetAfter {
+// mergeVerdict applies another gateway's verdict if it supersedes the known one.
+func (t *Tracker) mergeVerdict(reported *Verdict, now time.Time) {
+	if reported.Idle >= ForgetAfter {
 		return
 	}
-	at, seen := now.Add(-told.Age), now.Add(-told.Idle)
-	known := t.verdicts[told.Content]
+	at, lastSeen := now.Add(-reported.Age), now.Add(-reported.Idle)
+	known := t.verdicts[reported.Content]
 	if known != nil {
-		known.seen = boottime.Later(known.seen, seen)
-		if !supersedes(told.Cleared, at, known.cleared, known.at) {
+		known.lastSeen = boottime.Later(known.lastSeen, lastSeen)
+		if !supersedes(reported.Cleared, at, known.cleared, known.at) {
 			return
 		}
-		seen = known.seen
+		lastSeen = known.lastSeen
 	}
-	t.verdicts[told.Content] = &verdict{at: at, seen: seen, cleared: told.Cleared, told: true}
-	t.boundVerdicts()
+	t.verdicts[reported.Content] = &verdict{at: at, lastSeen: lastSeen, cleared: reported.Cleared, shared: true}
+	t.limitVerdicts()
 	t.dirty = true
-	if !told.Cleared || known != nil && !known.cleared {
-		t.cfg.Log.Info("told of a request that ends upstreams", "content", told.Content, "cleared", told.Cleared,
-			"age_ms", told.Age.Milliseconds(), "idle_ms", told.Idle.Milliseconds())
+	if !reported.Cleared || known != nil && !known.cleared {
+		t.cfg.Log.Info("received a verdict on a request content", "content", reported.Content, "cleared", reported.Cleared,
+			"age_ms", reported.Age.Milliseconds(), "idle_ms", reported.Idle.Milliseconds())
 	}
 }
 
-// sameWord is by how much ages that came by way of others are off.
-const sameWord = 100 * time.Millisecond
+// ageTolerance is the error of ages that were relayed by other gateways.
+const ageTolerance = 100 * time.Millisecond
 
-// supersedes reports whether a verdict replaces a known one. Of two at about the same time
-// the one that clears stands: an answer proves more than ends do, and further ends speak
-// for themselves.
+// supersedes reports whether a verdict replaces a known one. Of two at about the same time the
+// clearance prevails: a complete answer proves more than crashes do, and if the content is
+// harmful, further crashes will convict it again.
 func supersedes(cleared bool, at time.Time, knownCleared bool, knownAt time.Time) bool {
 	switch {
 	case cleared && !knownCleared:
-		return at.After(knownAt.Add(-sameWord))
+		return at.After(knownAt.Add(-ageTolerance))
 	case cleared || knownCleared:
-		return at.After(knownAt.Add(sameWord))
+		return at.After(knownAt.Add(ageTolerance))
 	}
 	return false
 }
 
-// forget drops what is too old to matter.
-func (t *Tracker) forget(now time.Time) {
+// expire drops old crashes and clearances, and verdicts on contents that have not arrived for long.
+func (t *Tracker) expire(now time.Time) {
 	kept := t.crashes[:0]
 	for _, c := range t.crashes {
-		if now.Sub(c.at) < remembered {
+		if now.Sub(c.at) < crashTTL {
 			kept = append(kept, c)
 		}
 	}
-	forgot := len(kept) < len(t.crashes)
+	expired := len(kept) < len(t.crashes)
 	clear(t.crashes[len(kept):])
 	t.crashes = kept
 	for content, v := range t.verdicts {
-		if now.Sub(v.seen) >= ForgetAfter || v.cleared && now.Sub(v.at) >= remembered {
+		if now.Sub(v.lastSeen) >= ForgetAfter || v.cleared && now.Sub(v.at) >= crashTTL {
 			delete(t.verdicts, content)
-			forgot = true
+			expired = true
 		}
 	}
-	if forgot {
+	if expired {
 		t.dirty = true
 	}
 }
 
-// boundVerdicts drops the verdict whose content stayed away for longest.
-func (t *Tracker) boundVerdicts() {
-	for len(t.verdicts) > mostVerdicts {
+// limitVerdicts drops verdicts beyond maxVerdicts: clearances first, then those on the contents
+// that have not arrived for longest.
+func (t *Tracker) limitVerdicts() {
+	for len(t.verdicts) > maxVerdicts {
 		var oldest ident.Content
 		for content, v := range t.verdicts {
-			if o := t.verdicts[oldest]; o == nil || v.cleared && !o.cleared || v.cleared == o.cleared && v.seen.Before(o.seen) {
+			if o := t.verdicts[oldest]; o == nil || v.cleared && !o.cleared || v.cleared == o.cleared && v.lastSeen.Before(o.lastSeen) {
 				oldest = content
 			}
 		}
@@ -383,7 +391,7 @@
 	}
 }
 
-// Counters returns what was counted so far.
+// Counters returns the current counts.
 func (t *Tracker) Counters() Counters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -17,102 +17,109 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// A fleet plays one order in virtual time: gateways with the real Tracker, the real
-// Controller at the holder of the lease, an exchange with its delays, a store, and
-// upstreams that behave as told.
+// A fleet simulates one order in virtual time: gateways with the real Tracker, the real
+// Controller at the holder of the lease, the exchange between gateways with its delays, a store,
+// and upstreams that behave as the story says.
 
 const (
-	service    ident.Service = "svc"
-	tick                     = 25 * time.Millisecond
-	round                    = 250 * time.Millisecond
-	stepPeriod               = 250 * time.Millisecond
+	service        ident.Service = "svc"
+	tick                         = 25 * time.Millisecond
+	exchangePeriod               = 250 * time.Millisecond
+	stepPeriod                   = 250 * time.Millisecond
 )
 
 var limits = Limits{Share: 0.1, Slack: 50, StopDue: 5 * time.Second}
 
-// behaviour is how a version's upstreams answer.
-type behaviour struct {
-	// fail is the part of answers that fail, and slow the part that takes times as long.
-	fail, slow, times float64
-	// from is when it begins, as a part of the order's length.
+// fault describes how a bad version's upstreams misbehave.
+type fault struct {
+	// failFraction is the fraction of answers that fail, and slowFraction the fraction that
+	// takes slowFactor times as long.
+	failFraction, slowFraction, slowFactor float64
+	// from is when the fault begins, as a fraction of the time limit.
 	from float64
-	// above is the number of requests in progress at an upstream above which it shows.
-	above int
-	// route is the only one where it shows; all where negative.
+	// aboveLoad is the number of requests in progress at an upstream above which the fault shows.
+	aboveLoad int
+	// route is the index of the only route with the fault; negative means all.
 	route int
 }
 
-// story is one order and what happens beside it.
+// story describes one order and what happens during it.
 type story struct {
-	name     string
-	gateways int
-	rate     float64
-	length   time.Duration
-	old, new int
-	slots    int
-	// took is the mean time of an answer by route, and parts how often each is asked.
-	took  []time.Duration
-	parts []float64
-	bad   *behaviour
-	// errs is the part of answers that fail at both versions.
-	errs float64
-	// grey is a new upstream that fails part of its answers by itself.
-	grey float64
-	// burst multiplies the rate in the middle third.
+	name                       string
+	gateways                   int
+	rate                       float64
+	timeLimit                  time.Duration
+	oldUpstreams, newUpstreams int
+	slots                      int
+	// meanTimes is the mean duration of answers by route, and routeFractions each route's
+	// fraction of the requests.
+	meanTimes      []time.Duration
+	routeFractions []float64
+	fault          *fault
+	// failFraction is the fraction of answers that fail at both versions.
+	failFraction float64
+	// greyFailFraction is the fraction of answers that fail at one faulty upstream of the new
+	// version.
+	greyFailFraction float64
+	// burst multiplies the rate in the middle third of the time limit; 0 means no burst.
 	burst float64
-	// holderDies is when the holder of the lease dies, as a part of the length; a
-	// successor takes over 4 s later. 0 for never.
+	// holderDies is when the holder of the lease dies, as a fraction of the time limit; a
+	// successor takes over 4 s later. 0 means never.
 	holderDies float64
-	// storeAway is since when the store does not answer, as a part of the length.
-	storeAway float64
-	// cut is since when the last quarter of the gateways hears nobody.
-	cut float64
-	// cold is for how long the new upstreams are slow after their start.
-	cold time.Duration
-	// late is when the new upstreams come.
-	late time.Duration
-	// judge replaces the product's.
+	// storeUnavailable is when the store stops answering, as a fraction of the time limit; 0
+	// means never.
+	storeUnavailable float64
+	// cutOff is when the last quarter of the gateways is disconnected from the others, as a
+	// fraction of the time limit; 0 means never.
+	cutOff float64
+	// coldFor is how long the new upstreams are slow after their start.
+	coldFor time.Duration
+	// newUpstreamsAt is when the new upstreams start, as a time since the order.
+	newUpstreamsAt time.Duration
+	// judge replaces Judge if it is set.
 	judge func(Seen, bool) Verdict
-	// beyond says why the share's evidence, or the time, cannot always tell.
-	beyond string
-	// reclaimed is when all but one of the new version's upstreams leave.
-	reclaimed float64
+	// undecidable says why the evidence within the share, or the time, is not always enough to
+	// decide rightly; empty if it must be.
+	undecidable string
+	// newUpstreamsLeave is when all but one of the new version's upstreams leave, as a fraction of the
+	// time limit; 0 means never.
+	newUpstreamsLeave float64
 }
 
-// result is what a play showed.
+// result is the outcome of one play of a story.
 type result struct {
-	phase     Phase
-	endedAt   time.Duration
-	sent, new int
-	newByEnd  int
-	sentByEnd int
-	badCount  int
-	// late counts the requests to a bad version that were sent after it had to be stopped.
-	late int
-	// lost counts the requests that were at the old version when it was stopped.
+	phase           Phase
+	endedAt         time.Duration
+	sent, sentToNew int
+	sentToNewInTime int
+	sentInTime      int
+	badAnswers      int
+	// lateSends counts the requests that were sent to a bad version after StopDue.
+	lateSends int
+	// lost counts the requests in progress at the old version when it was stopped.
 	lost    int
-	failed  int
+	refused int
 	against float64
 }
 
 type fleet struct {
-	s        story
-	rng      *rand.Rand
-	now      time.Time
-	start    time.Time
-	gateways []*simGateway
-	upstream []*simUpstream
-	store    *memoryStore
-	pending  endings
-	r        result
-	badAt    time.Time
-	holder   int
-	fence    ident.Fence
-	words    []Words
-	toldAt   time.Time
-	view     *directory.View
-	// usual is the mean time of an answer by route, in seconds, as gateways learn it.
-	usual []float64
+	s          story
+	rng        *rand.Rand
+	now        time.Time
+	start      time.Time
+	gateways   []*simGateway
+	upstreams  []*simUpstream
+	store      *memoryStore
+	pending    pendingAnswers
+	result     result
+	badAt      time.Time
+	holder     int
+	fence      ident.Fence
+	reports    []Words
+	reportedAt time.Time
+	view       *directory.View
+	// meanTimes is the moving average of answer durations by route, in seconds.
+	meanTimes []float64
 }
 
 type simGateway struct {
@@ -120,17 +127,17 @@
 	i          int
 	tracker    *Tracker
 	controller *Controller
-	own        map[ident.Instance]int
-	words      Words
+	inFlight   map[ident.Instance]int
+	received   Words
 }
 
 type simUpstream struct {
 	directory.Upstream
-	running int
-	fails   float64
+	inFlight     int
+	failFraction float64
 }
 
-type ending struct {
+type pendingAnswer struct {
 	at       time.Time
 	gateway  *simGateway
 	upstream *simUpstream
@@ -138,17 +145,17 @@
 	sent     time.Time
 	split    *Split
 	failed   bool
-	took     time.Duration
+	duration time.Duration
 	side     Side
 }
 
-type endings []ending
+type pendingAnswers []pendingAnswer
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
+func (e pendingAnswers) Len() int           { return len(e) }
+func (e pendingAnswers) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e pendingAnswers) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *pendingAnswers) Push(x any)        { *e = append(*e, x.(pendingAnswer)) }
+func (e *pendingAnswers) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
@@ -163,14 +170,14 @@
 func newFleet(s story, seed uint64) *fleet {
 	f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 7)), start: time.Unix(1_000_000, 0), store: newMemoryStore(), fence: 1}
 	f.now = f.start
-	for _, took := range s.took {
-		f.usual = append(f.usual, took.Seconds())
+	for _, took := range s.meanTimes {
+		f.meanTimes = append(f.meanTimes, took.Seconds())
 	}
 	for i := range s.gateways {
 		f.gateways = append(f.gateways, f.newGateway(i))
 	}
-	for i := range s.old {
-		f.upstream = append(f.upstream, f.newUpstream("old", i, "v1"))
+	for i := range s.oldUpstreams {
+		f.upstreams = append(f.upstreams, f.newUpstream("old", i, "v1"))
 	}
 	f.observe()
 	return f
@@ -179,13 +186,13 @@
 func (f *fleet) clock() time.Time { return f.now }
 
 func (f *fleet) newGateway(i int) *simGateway {
-	g := &simGateway{f: f, i: i, own: make(map[ident.Instance]int)}
+	g := &simGateway{f: f, i: i, inFlight: make(map[ident.Instance]int)}
 	g.tracker = New(Config{
 		Limits: limits, Now: f.clock, Log: hclog.NewNullLogger(), Life: fmt.Sprint("gw", i), Gateways: func() int { return f.s.gateways },
 		OrdersKnown: f.clock,
 	})
 	if f.s.judge != nil {
-		g.tracker.judgeBy = f.s.judge
+		g.tracker.judgeFunc = f.s.judge
 	}
 	g.controller = NewController(ControllerConfig{
 		Tracker: g.tracker, Leases: g, Store: f.store, TrueTime: f.clock, Log: hclog.NewNullLogger(),
@@ -193,12 +200,12 @@
 		Gateways: func() int { return f.s.gateways },
 		Settled:  func(service ident.Service) bool { return g.tracker.Settled(service, g.idle) },
 		Drain: func(ident.Service) time.Duration {
-			return time.Duration(3 * slices.Max(f.usual) * float64(time.Second))
+			return time.Duration(3 * slices.Max(f.meanTimes) * float64(time.Second))
 		},
 		Running: func(ident.Service) int {
 			sum := 0
-			for _, u := range f.upstream {
-				sum += u.running
+			for _, u := range f.upstreams {
+				sum += u.inFlight
 			}
 			return sum
 		},
@@ -211,8 +218,8 @@
 }
 
 func (g *simGateway) idle(_ ident.Service, is func(*directory.Upstream) bool) bool {
-	for _, u := range g.f.upstream {
-		if g.own[u.ID] > 0 && is(&u.Upstream) {
+	for _, u := range g.f.upstreams {
+		if g.inFlight[u.ID] > 0 && is(&u.Upstream) {
 			return false
 		}
 	}
@@ -223,11 +230,11 @@
 	id := ident.Instance(fmt.Sprint(kind, "-", i))
 	u := &simUpstream{Upstream: directory.Upstream{ID: id, Name: id, Service: service, Version: version, State: directory.Ready, Slots: f.s.slots}}
 	if version == "v2" {
-		if f.s.cold > 0 {
-			u.WarmAt = f.now.Add(f.s.cold)
+		if f.s.coldFor > 0 {
+			u.WarmAt = f.now.Add(f.s.coldFor)
 		}
 		if i == 0 {
-			u.fails = f.s.grey
+			u.failFraction = f.s.greyFailFraction
 		}
 	}
 	return u
@@ -235,7 +242,7 @@
 
 func (f *fleet) observe() {
 	var list []directory.Upstream
-	for _, u := range f.upstream {
+	for _, u := range f.upstreams {
 		list = append(list, u.Upstream)
 	}
 	f.view = directory.NewView(list)
@@ -246,58 +253,58 @@
 
 func (f *fleet) age() time.Duration { return f.now.Sub(f.start) }
 
-func (f *fleet) part() float64 { return f.age().Seconds() / f.s.length.Seconds() }
+func (f *fleet) progress() float64 { return f.age().Seconds() / f.s.timeLimit.Seconds() }
 
-// play runs the order to some time after its deadline.
+// play simulates the order until 6 s after its end, at most until 20 s after its time limit.
 func (f *fleet) play() result {
-	order := Order{Service: service, To: "v2", Length: f.s.length, Offset: 5}
+	order := Order{Service: service, To: "v2", Length: f.s.timeLimit, Offset: 5}
 	for _, g := range f.gateways {
 		g.tracker.Order(order, 0, "test")
 	}
-	carry, came, dead, taken, shrunk := 0.0, false, false, false, false
-	for end := f.start.Add(f.s.length + 20*time.Second); f.now.Before(end); f.now = f.now.Add(tick) {
-		if !came && f.age() >= f.s.late {
-			came = true
-			for i := range f.s.new {
-				f.upstream = append(f.upstream, f.newUpstream("new", i, "v2"))
+	carry, started, holderDead, takenOver, reclaimed := 0.0, false, false, false, false
+	for end := f.start.Add(f.s.timeLimit + 20*time.Second); f.now.Before(end); f.now = f.now.Add(tick) {
+		if !started && f.age() >= f.s.newUpstreamsAt {
+			started = true
+			for i := range f.s.newUpstreams {
+				f.upstreams = append(f.upstreams, f.newUpstream("new", i, "v2"))
 			}
 			f.observe()
 		}
-		if f.s.holderDies > 0 && !dead && f.part() >= f.s.holderDies {
-			dead, f.holder = true, -1
+		if f.s.holderDies > 0 && !holderDead && f.progress() >= f.s.holderDies {
+			holderDead, f.holder = true, -1
 		}
-		if dead && !taken && f.age() >= time.Duration(f.s.holderDies*float64(f.s.length))+4*time.Second {
-			taken, f.holder = true, 1%f.s.gateways
+		if holderDead && !takenOver && f.age() >= time.Duration(f.s.holderDies*float64(f.s.timeLimit))+4*time.Second {
+			takenOver, f.holder = true, 1%f.s.gateways
 			f.fence++
 		}
-		if f.s.reclaimed > 0 && !shrunk && f.part() >= f.s.reclaimed {
-			shrunk = true
+		if f.s.newUpstreamsLeave > 0 && !reclaimed && f.progress() >= f.s.newUpstreamsLeave {
+			reclaimed = true
 			f.reclaim()
 		}
-		f.store.away = f.s.storeAway > 0 && f.part() >= f.s.storeAway
+		f.store.unavailable = f.s.storeUnavailable > 0 && f.progress() >= f.s.storeUnavailable
 		rate := f.s.rate
-		if f.s.burst > 0 && f.part() > 1.0/3 && f.part() < 2.0/3 {
+		if f.s.burst > 0 && f.progress() > 1.0/3 && f.progress() < 2.0/3 {
 			rate *= f.s.burst
 		}
 		for carry += rate * tick.Seconds(); carry >= 1; carry-- {
-			f.request()
+			f.sendRequest()
 		}
-		f.end()
+		f.finishDue()
 		f.exchange()
 		if f.age()%stepPeriod == 0 && f.holder >= 0 {
 			f.gateways[f.holder].controller.Step(context.Background())
-			f.noteEnd()
+			f.checkEnded()
 		}
-		if f.r.endedAt > 0 && f.age() > f.r.endedAt+6*time.Second {
+		if f.result.endedAt > 0 && f.age() > f.result.endedAt+6*time.Second {
 			break
 		}
 	}
-	return f.r
+	return f.result
 }
 
 func (f *fleet) reclaim() {
 	kept := false
-	for _, u := range f.upstream {
+	for _, u := range f.upstreams {
 		if u.Version == "v2" && kept {
 			u.State = directory.Leaving
 		}
@@ -306,34 +313,35 @@
 	f.observe()
 }
 
-// noteEnd notes the end of the order, when the old version is stopped.
-func (f *fleet) noteEnd() {
-	if f.s.storeAway > 0 && f.r.endedAt == 0 && f.gateways[f.holder].tracker.Orders()[0].Phase == RolledBack {
-		f.r.phase, f.r.endedAt = RolledBack, f.age()
+// checkEnded records the end of the order and, if it completed, stops the old version's
+// upstreams.
+func (f *fleet) checkEnded() {
+	if f.s.storeUnavailable > 0 && f.result.endedAt == 0 && f.gateways[f.holder].tracker.Orders()[0].Phase == RolledBack {
+		f.result.phase, f.result.endedAt = RolledBack, f.age()
 	}
-	r, some := f.store.record(service)
-	if !some || !r.Outcome.Ended() || f.r.phase.Ended() {
+	r, found := f.store.newestRecord(service)
+	if !found || !r.Outcome.Ended() || f.result.phase.Ended() {
 		return
 	}
-	f.r.phase, f.r.endedAt = r.Outcome, f.age()
-	f.r.against = f.gateways[f.holder].tracker.Orders()[0].Verdict.Against
+	f.result.phase, f.result.endedAt = r.Outcome, f.age()
+	f.result.against = f.gateways[f.holder].tracker.Orders()[0].Verdict.Against
 	if r.Outcome != Completed {
 		return
 	}
-	for _, u := range f.upstream {
+	for _, u := range f.upstreams {
 		if u.Version == "v1" {
-			f.r.lost += u.running
+			f.result.lost += u.inFlight
 		}
 	}
-	f.upstream = slices.DeleteFunc(f.upstream, func(u *simUpstream) bool { return u.Version == "v1" })
+	f.upstreams = slices.DeleteFunc(f.upstreams, func(u *simUpstream) bool { return u.Version == "v1" })
 	f.observe()
 }
 
-func (f *fleet) request() {
+func (f *fleet) sendRequest() {
 	g := f.gateways[f.rng.IntN(len(f.gateways))]
 	route, x := 0, f.rng.Float64()
-	for ; route < len(f.s.parts)-1 && x > f.s.parts[route]; route++ {
-		x -= f.s.parts[route]
+	for ; route < len(f.s.routeFractions)-1 && x > f.s.routeFractions[route]; route++ {
+		x -= f.s.routeFractions[route]
 	}
 	id := ident.Request(fmt.Sprint(f.rng.Uint64()))
 	split := g.tracker.Of(service)
@@ -346,24 +354,24 @@
 		u = f.choose(lists.Then)
 	}
 	if u == nil {
-		f.r.failed++
+		f.result.refused++
 		return
 	}
-	e := ending{gateway: g, upstream: u, route: route, sent: f.now, split: split}
+	e := pendingAnswer{gateway: g, upstream: u, route: route, sent: f.now, split: split}
 	if split != nil {
 		e.side = split.Sent(&u.Upstream, routeName(route))
 	}
 	f.count(u)
-	g.own[u.ID]++
-	u.running++
-	e.failed, e.took = f.answer(u, route)
-	e.at = f.now.Add(e.took)
+	g.inFlight[u.ID]++
+	u.inFlight++
+	e.failed, e.duration = f.answer(u, route)
+	e.at = f.now.Add(e.duration)
 	heap.Push(&f.pending, e)
 }
 
 func routeName(i int) string { return fmt.Sprint("route-", i) }
 
-// choose returns the one of two that has less to do.
+// choose returns the less busy one of two upstreams that have room.
 func (f *fleet) choose(list []directory.Upstream) *simUpstream {
 	var best *simUpstream
 	for range 2 {
@@ -371,8 +379,8 @@
 			return nil
 		}
 		id := list[f.rng.IntN(len(list))].ID
-		for _, u := range f.upstream {
-			if u.ID == id && u.State == directory.Ready && u.running < 2*u.Slots && (best == nil || u.running < best.running) {
+		for _, u := range f.upstreams {
+			if u.ID == id && u.State == directory.Ready && u.inFlight < 2*u.Slots && (best == nil || u.inFlight < best.inFlight) {
 				best = u
 			}
 		}
@@ -381,37 +389,37 @@
 }
 
 func (f *fleet) count(u *simUpstream) {
-	f.r.sent++
-	if f.age() <= f.s.length {
-		f.r.sentByEnd++
+	f.result.sent++
+	if f.age() <= f.s.timeLimit {
+		f.result.sentInTime++
 	}
 	if u.Version != "v2" {
 		return
 	}
-	f.r.new++
-	if f.age() <= f.s.length {
-		f.r.newByEnd++
+	f.result.sentToNew++
+	if f.age() <= f.s.timeLimit {
+		f.result.sentToNewInTime++
 	}
-	if f.s.bad != nil && !f.badAt.IsZero() && f.now.Sub(f.badAt) > limits.StopDue {
-		f.r.late++
+	if f.s.fault != nil && !f.badAt.IsZero() && f.now.Sub(f.badAt) > limits.StopDue {
+		f.result.lateSends++
 	}
 }
 
-// answer is how an upstream answers now.
+// answer returns how an upstream answers a request that it gets now.
 func (f *fleet) answer(u *simUpstream, route int) (failed bool, took time.Duration) {
-	mean := f.s.took[route].Seconds()
-	load := 1 + max(0, float64(u.running)/float64(u.Slots)-0.5)
+	mean := f.s.meanTimes[route].Seconds()
+	load := 1 + max(0, float64(u.inFlight)/float64(u.Slots)-0.5)
 	x := mean * load * math.Exp(0.35*f.rng.NormFloat64())
 	if f.now.Before(u.WarmAt) {
 		x *= 4
 	}
-	failed = f.rng.Float64() < f.s.errs || f.rng.Float64() < u.fails
-	if b := f.s.bad; b != nil && u.Version == "v2" && f.part() >= b.from && u.running > b.above && (b.route < 0 || b.route == route) {
-		if f.rng.Float64() < b.fail {
+	failed = f.rng.Float64() < f.s.failFraction || f.rng.Float64() < u.failFraction
+	if b := f.s.fault; b != nil && u.Version == "v2" && f.progress() >= b.from && u.inFlight > b.aboveLoad && (b.route < 0 || b.route == route) {
+		if f.rng.Float64() < b.failFraction {
 			failed = true
 		}
-		if f.rng.Float64() < b.slow {
-			x *= b.times
+		if f.rng.Float64() < b.slowFraction {
+			x *= b.slowFactor
 		}
 	}
 	if failed {
@@ -420,64 +428,66 @@
 	return failed, time.Duration(x * float64(time.Second))
 }
 
-// end ends the requests whose time has come.
-func (f *fleet) end() {
+// finishDue ends the requests whose answers are due.
+func (f *fleet) finishDue() {
 	for len(f.pending) > 0 && !f.pending[0].at.After(f.now) {
-		e := heap.Pop(&f.pending).(ending)
-		e.gateway.own[e.upstream.ID]--
-		e.upstream.running--
-		usual := f.s.took[e.route].Seconds()
-		f.usual[e.route] += (e.took.Seconds() - f.usual[e.route]) / 200
-		slowed := f.s.bad != nil && f.s.bad.slow > 0 && e.took.Seconds() > 1.8*usual
-		if f.s.bad != nil && e.upstream.Version == "v2" && (e.failed || slowed) {
-			if f.r.badCount++; f.r.badCount == 50 {
+		e := heap.Pop(&f.pending).(pendingAnswer)
+		e.gateway.inFlight[e.upstream.ID]--
+		e.upstream.inFlight--
+		usual := f.s.meanTimes[e.route].Seconds()
+		f.meanTimes[e.route] += (e.duration.Seconds() - f.meanTimes[e.route]) / 200
+		slowed := f.s.fault != nil && f.s.fault.slowFraction > 0 && e.duration.Seconds() > 1.8*usual
+		if f.s.fault != nil && e.upstream.Version == "v2" && (e.failed || slowed) {
+			if f.result.badAnswers++; f.result.badAnswers == 50 {
 				f.badAt = f.now
 			}
 		}
 		if e.split != nil {
-			e.split.Ended(&e.upstream.Upstream, routeName(e.route), e.side, e.sent, Answer{Failed: e.failed, Timed: !e.failed, Time: e.took.Seconds() / usual})
+			e.split.Ended(&e.upstream.Upstream, routeName(e.route), e.side, e.sent, Answer{Failed: e.failed, Timed: !e.failed, Time: e.duration.Seconds() / usual})
 		}
 	}
 }
 
-// exchange tells every gateway what all others said a round before.
+// exchange collects all gateways' reports once in an exchangePeriod, delivers them two ticks
+// before the next collection, and refreshes all gateways in between.
 func (f *fleet) exchange() {
 	switch {
-	case f.age()%round == 0:
+	case f.age()%exchangePeriod == 0:
 		for i, g := range f.gateways {
-			if f.words == nil {
-				f.words = make([]Words, len(f.gateways))
+			if f.reports == nil {
+				f.reports = make([]Words, len(f.gateways))
 			}
-			f.words[i] = g.tracker.Words(g.idle)
+			f.reports[i] = g.tracker.Words(g.idle)
 		}
-		f.toldAt = f.now
-	case f.age()%round == round-2*tick:
-		f.tell()
-	case f.age()%(round/2) == 0:
+		f.reportedAt = f.now
+	case f.age()%exchangePeriod == exchangePeriod-2*tick:
+		f.deliver()
+	case f.age()%(exchangePeriod/2) == 0:
 		for _, g := range f.gateways {
-			g.tracker.Refresh(g.words.Aged(f.now.Sub(f.toldAt)))
+			g.tracker.Refresh(g.received.Aged(f.now.Sub(f.reportedAt)))
 		}
 	}
 }
 
-func (f *fleet) tell() {
+// deliver gives every connected gateway the merged reports of all others.
+func (f *fleet) deliver() {
 	connected := len(f.gateways)
-	if f.s.cut > 0 && f.part() >= f.s.cut {
+	if f.s.cutOff > 0 && f.progress() >= f.s.cutOff {
 		connected -= connected / 4
 	}
 	before := make([]Words, connected+1)
 	for i := range connected {
-		before[i+1] = before[i].Plus(f.words[i])
+		before[i+1] = before[i].Plus(f.reports[i])
 	}
 	var after Words
 	for i := connected - 1; i >= 0; i-- {
 		g := f.gateways[i]
-		g.words = before[i].Plus(after)
-		after = after.Plus(f.words[i])
-		g.tracker.Refresh(g.words.Aged(f.now.Sub(f.toldAt)))
+		g.received = before[i].Plus(after)
+		after = after.Plus(f.reports[i])
+		g.tracker.Refresh(g.received.Aged(f.now.Sub(f.reportedAt)))
 	}
 	for _, g := range f.gateways[connected:] {
-		g.words = nil
+		g.received = nil
 		g.tracker.Refresh(nil)
 	}
 }
