--- a/internal/metering/counter.go
+++ b/internal/metering/counter.go
@@ -22,9 +22,9 @@
 	return sum
 }
 
-// keptWindows is how many windows of counts a gateway keeps: the newest one, and
+// maxCounterWindows is how many windows of counts a gateway keeps: the newest one, and
 // those whose report may still be due.
-const keptWindows = 5
+const maxCounterWindows = 5
 
 // Counter counts at one gateway. It is safe for concurrent use.
 type Counter struct {
@@ -60,7 +60,7 @@
 	if counts == nil {
 		counts = make(Counts)
 		c.windows[window] = counts
-		keepNewest(c.windows, keptWindows)
+		keepNewest(c.windows, maxCounterWindows)
 	}
 	counts[account]++
 }
@@ -87,11 +87,11 @@
 // of the gateway that counted: a life is one incarnation of an instance.
 type Pending map[int64]map[string]Counts
 
-// pendingByLife is the same by life and window, so that each life is named once.
-type pendingByLife map[string]map[int64]map[ident.ClientAccount]int64
+// pendingByIncarnation is the same by life and window, so that each life is named once.
+type pendingByIncarnation map[string]map[int64]map[ident.ClientAccount]int64
 
-func (p Pending) byLife() pendingByLife {
-	out := make(pendingByLife)
+func (p Pending) byIncarnation() pendingByIncarnation {
+	out := make(pendingByIncarnation)
 	for window, lives := range p {
 		for life, counts := range lives {
 			if out[life] == nil {
@@ -119,24 +119,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for window, counts := range windows {
-		l.join(window, life, counts)
+		l.merge(window, life, counts)
 	}
-	keepNewest(l.counts, ledgerWindows)
+	keepNewest(l.counts, maxLedgerWindows)
 }
 
-// Join takes in what another ledger held.
-func (l *Ledger) Join(pending Pending) {
+// MergePending takes in what another ledger held.
+func (l *Ledger) MergePending(pending Pending) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for window, lives := range pending {
 		for life, counts := range lives {
-			l.join(window, life, counts)
+			l.merge(window, life, counts)
 		}
 	}
-	keepNewest(l.counts, ledgerWindows)
+	keepNewest(l.counts, maxLedgerWindows)
 }
 
-func (l *Ledger) join(window int64, life string, counts map[ident.ClientAccount]int64) {
+func (l *Ledger) merge(window int64, life string, counts map[ident.ClientAccount]int64) {
 	lives := l.counts[window]
 	if lives == nil {
 		lives = make(map[string]Counts)
@@ -152,8 +152,8 @@
 	}
 }
 
-// After returns a copy of the counts of the windows after one.
-func (l *Ledger) After(window int64) Pending {
+// PendingAfter returns a copy of the counts of the windows after one.
+func (l *Ledger) PendingAfter(window int64) Pending {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(Pending)
@@ -169,8 +169,8 @@
 	return out
 }
 
-// ledgerWindows bounds the ledger, also against a gateway with a wild clock.
-const ledgerWindows = 24
+// maxLedgerWindows bounds the ledger, also against a gateway with a wild clock.
+const maxLedgerWindows = 24
 
 // Sum returns a window's counts over all gateways, without accounts of none.
 func (l *Ledger) Sum(window int64) Counts {
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -48,49 +48,49 @@
 	return nil
 }
 
-// scene is a reporter at a time of day.
-type scene struct {
+// fixture is a reporter at a time of day.
+type fixture struct {
 	now time.Time
 	// unheard: some gateways were not heard since the window's end.
-	unheard bool
-	asked   int
-	ledger  *Ledger
-	holder  *holder
+	someUnheard bool
+	gathered    int
+	ledger      *Ledger
+	holder      *holder
 	*Reporter
 }
 
-const length = 5 * time.Second
+const windowLength = 5 * time.Second
 
-func newScene() *scene {
-	s := &scene{now: time.Unix(5000, 0), ledger: NewLedger(), holder: &holder{fence: 1, holds: true}}
-	s.Reporter = s.reporter(s.holder)
+func newFixture() *fixture {
+	s := &fixture{now: time.Unix(5000, 0), ledger: NewLedger(), holder: &holder{fence: 1, holds: true}}
+	s.Reporter = s.newReporter(s.holder)
 	return s
 }
 
-func (s *scene) reporter(h *holder) *Reporter {
+func (s *fixture) newReporter(h *holder) *Reporter {
 	return &Reporter{
-		Length: length, DueAfter: 2 * length, Gather: s.gather, TrueTime: func() time.Time { return s.now }, Now: func() time.Time { return s.now }, Ledger: s.ledger, Leases: h, Duties: h, Log: hclog.NewNullLogger(),
+		Length: windowLength, DueAfter: 2 * windowLength, Gather: s.gather, TrueTime: func() time.Time { return s.now }, Now: func() time.Time { return s.now }, Ledger: s.ledger, Leases: h, Duties: h, Log: hclog.NewNullLogger(),
 	}
 }
 
-func (s *scene) gather(context.Context, time.Duration) bool {
-	s.asked++
-	return !s.unheard
+func (s *fixture) gather(context.Context, time.Duration) bool {
+	s.gathered++
+	return !s.someUnheard
 }
 
-func (s *scene) began(gateway string, window int64, n int64) {
+func (s *fixture) recordBegan(gateway string, window int64, n int64) {
 	s.ledger.Hear(gateway, map[int64]map[ident.ClientAccount]int64{window: {"acct": n}})
 }
 
 func TestAWindowIsReportedOnceItHasSettled(t *testing.T) {
-	s := newScene()
-	s.began("a/1", 1000, 3)
-	s.began("b/1", 1000, 4)
+	s := newFixture()
+	s.recordBegan("a/1", 1000, 3)
+	s.recordBegan("b/1", 1000, 4)
 	s.Step(t.Context())
 	if len(s.holder.reported) != 0 {
 		t.Fatal("reported before the window ended")
 	}
-	s.now = s.now.Add(length + leastSettle)
+	s.now = s.now.Add(windowLength + minSettleTime)
 	s.Step(t.Context())
 	s.Step(t.Context())
 	want := []platform.UsageReport{{Window: 1000, Counts: Counts{"acct": 7}}}
@@ -103,15 +103,15 @@
 // for six seconds. Cause: counts that are decided before they are in, and nobody who
 // asks for them.
 func TestAWindowWaitsForCountsThatAreSlowToCome(t *testing.T) {
-	s := newScene()
-	s.unheard = true
-	s.began("a/1", 1000, 3)
-	s.now = s.now.Add(length + leastSettle)
+	s := newFixture()
+	s.someUnheard = true
+	s.recordBegan("a/1", 1000, 3)
+	s.now = s.now.Add(windowLength + minSettleTime)
 	s.Step(t.Context())
-	if len(s.holder.reported) != 0 || s.asked == 0 {
-		t.Fatalf("reported %d before all was heard, asked %d times", len(s.holder.reported), s.asked)
+	if len(s.holder.reported) != 0 || s.gathered == 0 {
+		t.Fatalf("reported %d before all was heard, asked %d times", len(s.holder.reported), s.gathered)
 	}
-	s.unheard = false
+	s.someUnheard = false
 	s.Step(t.Context())
 	if len(s.holder.reported) == 0 {
 		t.Fatal("not reported when all was heard")
@@ -121,10 +121,10 @@
 // Symptom: no report by the time it is due. Sequence: a gateway that was killed counts
 // as present for some seconds more. Cause: waiting for it.
 func TestAWindowThatIsDueWaitsForNobody(t *testing.T) {
-	s := newScene()
-	s.unheard = true
-	s.began("a/1", 1000, 3)
-	s.now = s.now.Add(length + 2*length - reportLeft)
+	s := newFixture()
+	s.someUnheard = true
+	s.recordBegan("a/1", 1000, 3)
+	s.now = s.now.Add(windowLength + 2*windowLength - reportReserve)
 	s.Step(t.Context())
 	if len(s.holder.reported) == 0 {
 		t.Fatal("not reported in time")
@@ -135,13 +135,13 @@
 // Sequence: the holder reports; more counts of the window arrive; another gateway
 // takes the duty. Cause: a successor that counts anew.
 func TestASuccessorRepeatsTheDecisionExactly(t *testing.T) {
-	s := newScene()
-	s.began("a/1", 1000, 3)
-	s.now = s.now.Add(length + leastSettle)
+	s := newFixture()
+	s.recordBegan("a/1", 1000, 3)
+	s.now = s.now.Add(windowLength + minSettleTime)
 	s.Step(t.Context())
-	s.began("b/1", 1000, 9)
+	s.recordBegan("b/1", 1000, 9)
 	next := &holder{fence: 2, holds: true, decided: s.holder.decided}
-	s.reporter(next).Step(t.Context())
+	s.newReporter(next).Step(t.Context())
 	if diff := cmp.Diff(s.holder.reported, next.reported); diff != "" {
 		t.Fatal(diff)
 	}
@@ -151,10 +151,10 @@
 // written is not known. Cause: a report that is sent before its decision stands.
 func TestNothingIsSentBeforeItsDecisionStands(t *testing.T) {
 	for _, err := range []error{platform.ErrAnswerLost, platform.ErrUnavailable, duty.ErrNotHeld} {
-		s := newScene()
-		s.began("a/1", 1000, 3)
+		s := newFixture()
+		s.recordBegan("a/1", 1000, 3)
 		s.holder.commit = err
-		s.now = s.now.Add(length + leastSettle)
+		s.now = s.now.Add(windowLength + minSettleTime)
 		s.Step(t.Context())
 		if len(s.holder.reported) != 0 {
 			t.Errorf("%v: reported", err)
@@ -166,21 +166,21 @@
 // yet when all gateways are killed at once; another one takes the duty. Cause:
 // counts that only the killed ones knew.
 func TestCountsOutliveAKillOfAllGateways(t *testing.T) {
-	s := newScene()
-	s.began("a/1", 1000, 3)
-	s.began("b/1", 1000, 4)
-	s.now = s.now.Add(length)
+	s := newFixture()
+	s.recordBegan("a/1", 1000, 3)
+	s.recordBegan("b/1", 1000, 4)
+	s.now = s.now.Add(windowLength)
 	s.Step(t.Context())
 	if len(s.holder.reported) != 0 {
 		t.Fatal("reported before it has settled")
 	}
 	next := &holder{fence: 2, holds: true, decided: s.holder.decided}
 	s.ledger = NewLedger()
-	s.began("a/2", 1001, 1)
+	s.recordBegan("a/2", 1001, 1)
 	// A gateway that lived on tells again what it told before, and more.
-	s.began("b/1", 1000, 5)
-	s.now = s.now.Add(leastSettle)
-	s.reporter(next).Step(t.Context())
+	s.recordBegan("b/1", 1000, 5)
+	s.now = s.now.Add(minSettleTime)
+	s.newReporter(next).Step(t.Context())
 	want := []platform.UsageReport{{Window: 1000, Counts: Counts{"acct": 8}}}
 	if diff := cmp.Diff(want, next.reported); diff != "" {
 		t.Fatal(diff)
@@ -190,14 +190,14 @@
 // Symptom: the lease cannot be written any more. Sequence: there are so many
 // accounts that the pending counts exceed what the platform takes as one record.
 func TestTooManyPendingCountsAreLeftOut(t *testing.T) {
-	s := newScene()
+	s := newFixture()
 	counts := make(map[ident.ClientAccount]int64)
 	for i := range 20_000 {
 		counts[ident.ClientAccount(fmt.Sprint("acct", i))] = 1
 	}
 	s.ledger.Hear("a/1", map[int64]map[ident.ClientAccount]int64{1000: counts})
 	s.Step(t.Context())
-	if n := len(s.holder.decided); n == 0 || n > mostPending {
+	if n := len(s.holder.decided); n == 0 || n > maxRecordBytes {
 		t.Errorf("recorded %d bytes", n)
 	}
 }
@@ -205,8 +205,8 @@
 // Symptom: the platform's writes double. Cause: counts that are recorded at each
 // step.
 func TestPendingCountsAreRecordedNowAndThen(t *testing.T) {
-	s := newScene()
-	s.began("a/1", 1000, 1)
+	s := newFixture()
+	s.recordBegan("a/1", 1000, 1)
 	writes := 0
 	for range 40 {
 		s.holder.decided = nil
@@ -222,10 +222,10 @@
 }
 
 func TestARefusedHolderStops(t *testing.T) {
-	s := newScene()
-	s.began("a/1", 1000, 3)
+	s := newFixture()
+	s.recordBegan("a/1", 1000, 3)
 	s.holder.report = platform.ErrOldFence
-	s.now = s.now.Add(length + leastSettle)
+	s.now = s.now.Add(windowLength + minSettleTime)
 	s.Step(t.Context())
 	if s.holder.holds {
 		t.Error("goes on after a higher fencing number was seen")
@@ -233,10 +233,10 @@
 }
 
 func TestAReportIsRepeatedUntilItIsTaken(t *testing.T) {
-	s := newScene()
-	s.began("a/1", 1000, 3)
+	s := newFixture()
+	s.recordBegan("a/1", 1000, 3)
 	s.holder.report = platform.ErrAnswerLost
-	s.now = s.now.Add(length + leastSettle)
+	s.now = s.now.Add(windowLength + minSettleTime)
 	s.Step(t.Context())
 	s.holder.report = nil
 	s.Step(t.Context())
@@ -262,17 +262,17 @@
 // windows that are never forgotten.
 func TestWindowsAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := NewCounter(length, func() time.Time { return now })
+	c := NewCounter(windowLength, func() time.Time { return now })
 	l := NewLedger()
 	for i := range 100 {
-		now = now.Add(length)
+		now = now.Add(windowLength)
 		c.Began("acct")
 		l.Hear(fmt.Sprint("a/", i%3), c.Windows())
 	}
-	if n := len(c.Windows()); n > keptWindows {
+	if n := len(c.Windows()); n > maxCounterWindows {
 		t.Errorf("%d windows kept by the counter", n)
 	}
-	if n := len(l.counts); n > ledgerWindows {
+	if n := len(l.counts); n > maxLedgerWindows {
 		t.Errorf("%d windows kept by the ledger", n)
 	}
 }
--- a/internal/metering/pending_test.go
+++ b/internal/metering/pending_test.go
@@ -15,7 +15,7 @@
 func TestPendingCountsOfALargeFleetAreRecorded(t *testing.T) {
 	for _, gateways := range []int{100, 984, 1968} {
 		random := rand.New(rand.NewPCG(1, uint64(gateways)))
-		s := newScene()
+		s := newFixture()
 		want := int64(0)
 		for gateway := range gateways {
 			windows := make(map[int64]map[ident.ClientAccount]int64)
@@ -28,12 +28,12 @@
 			}
 			s.ledger.Hear(fmt.Sprintf("edge-hall-a-%d/%d", gateway, 1_780_000_000_000_000_000+random.Int64N(1e9)), windows)
 		}
-		data, err := s.encode(Decision{Windows: map[int64]Counts{997: {"hule1": 4}}})
+		data, err := s.encode(UsageRecord{Windows: map[int64]Counts{997: {"hule1": 4}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.ledger = NewLedger()
-		next := s.reporter(&holder{fence: 2, holds: true, decided: data})
+		next := s.newReporter(&holder{fence: 2, holds: true, decided: data})
 		next.Leases.(*holder).commit = duty.ErrNotHeld
 		next.Step(t.Context())
 		got := int64(0)
@@ -50,7 +50,7 @@
 // Guards against a record that leaves out all pending counts where some have room, and against
 // a record of an older build, or one that is damaged, that ends the reporting.
 func TestPendingCountsAreTakenOverAsFarAsTheyCanBe(t *testing.T) {
-	s := newScene()
+	s := newFixture()
 	random := rand.New(rand.NewPCG(1, 2))
 	for window := int64(998); window <= 1000; window++ {
 		counts := make(map[ident.ClientAccount]int64)
@@ -59,8 +59,8 @@
 		}
 		s.ledger.Hear("a/1", map[int64]map[ident.ClientAccount]int64{window: counts})
 	}
-	data, err := s.encode(Decision{Windows: map[int64]Counts{997: {"a": 1}}})
-	if err != nil || len(data) > mostPending {
+	data, err := s.encode(UsageRecord{Windows: map[int64]Counts{997: {"a": 1}}})
+	if err != nil || len(data) > maxRecordBytes {
 		t.Fatalf("%d bytes, %v", len(data), err)
 	}
 	for _, test := range []struct {
@@ -74,7 +74,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			s.ledger = NewLedger()
 			h := &holder{fence: 2, holds: true, decided: []byte(test.record)}
-			s.reporter(h).Step(t.Context())
+			s.newReporter(h).Step(t.Context())
 			if got := s.ledger.Sum(998).total(); got != test.want {
 				t.Errorf("a new holder knows %d requests, want %d", got, test.want)
 			}
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -19,50 +19,50 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Decision is what holders decided for good: the reports of the newest windows.
+// UsageRecord is what holders decided for good: the reports of the newest windows.
 // A window's counts never change once they stand here, so that two holders never
 // report different ones.
-type Decision struct {
+type UsageRecord struct {
 	Windows map[int64]Counts `json:"windows"`
 	// Pending is what was counted of later windows, for a successor. Without it,
 	// a window is lost whose counts were heard only by gateways that were all
 	// killed or restarted before it was decided. It stands in the record compressed;
 	// older builds write it as it is.
 	Pending Pending `json:"pending,omitempty"`
-	// PackedPending is Pending by life and window as JSON, compressed by gzip: it has a
+	// CompressedPending is Pending by life and window as JSON, compressed by gzip: it has a
 	// name for each gateway and account, and grows with both.
-	PackedPending []byte `json:"pending_gzip,omitempty"`
+	CompressedPending []byte `json:"pending_gzip,omitempty"`
 }
 
 const (
-	// leastSettle is how long after a window's end its counts are decided at the
+	// minSettleTime is how long after a window's end its counts are decided at the
 	// least: a slowed gateway's reports take a second.
-	leastSettle = 2500 * time.Millisecond
+	minSettleTime = 2500 * time.Millisecond
 	// gatherAfter is how long after a window's end the gateways that were not heard
 	// since are asked: most are heard by themselves until then.
 	gatherAfter = time.Second
-	// onItsWay is how old a report may be when it comes.
-	onItsWay = 300 * time.Millisecond
-	// reportLeft is the time left for deciding and reporting before the report is
+	// maxReportTransit is how old a report may be when it comes.
+	maxReportTransit = 300 * time.Millisecond
+	// reportReserve is the time left for deciding and reporting before the report is
 	// due, also by a successor.
-	reportLeft = 3500 * time.Millisecond
-	// decidedKept is how many decided windows stay on record: the report of one
+	reportReserve = 3500 * time.Millisecond
+	// maxDecidedWindows is how many decided windows stay on record: the report of one
 	// is due 10 s after its end, and the users' windows take 5 s.
-	decidedKept = 6
-	// repeatWithin is for how many of the newest windows a new holder repeats
+	maxDecidedWindows = 6
+	// repeatedWindows is for how many of the newest windows a new holder repeats
 	// the report, because it does not know whether it was sent.
-	repeatWithin = 3
-	// recordEvery is how often the pending counts are recorded: just before the
+	repeatedWindows = 3
+	// recordInterval is how often the pending counts are recorded: just before the
 	// lease would be renewed anyway (1.65 s with the users' lease of 3 s), so that
 	// there are hardly more writes.
-	recordEvery = 1500 * time.Millisecond
-	// mostPending bounds the record with the pending counts, bytes: the platform takes
+	recordInterval = 1500 * time.Millisecond
+	// maxRecordBytes bounds the record with the pending counts, bytes: the platform takes
 	// 256 KiB a record.
-	mostPending = 128 << 10
-	// mostUnpacked bounds what a record's pending counts are when they are read.
-	mostUnpacked = 16 << 20
-	// mostBehind is how many windows a new holder reports that nobody decided.
-	mostBehind = 4
+	maxRecordBytes = 128 << 10
+	// maxUnpackedBytes bounds what a record's pending counts are when they are read.
+	maxUnpackedBytes = 16 << 20
+	// maxBacklogWindows is how many windows a new holder reports that nobody decided.
+	maxBacklogWindows = 4
 )
 
 // Leases is what a reporter needs of the lease.
@@ -102,16 +102,16 @@
 	if !holds {
 		return
 	}
-	decision, err := readDecision(r.Leases.Decided())
+	decision, err := decodeRecord(r.Leases.Decided())
 	if err != nil {
 		r.Log.Error("decided usage not readable, it is decided anew", "error", err)
 	}
 	if grant.Fence != r.fence || r.sent == nil {
 		r.fence, r.sent = grant.Fence, make(map[int64]bool)
-		r.takeOver(&decision)
+		r.mergeInherited(&decision)
 	}
 	next, changed := r.decide(ctx, decision)
-	if changed || r.Now().Sub(r.recordedAt) >= recordEvery {
+	if changed || r.Now().Sub(r.recordedAt) >= recordInterval {
 		r.recordedAt = r.Now()
 		data, err := r.encode(next)
 		if err != nil {
@@ -130,10 +130,10 @@
 	r.send(ctx, decision)
 }
 
-// takeOver joins what the holder before had counted of windows that are not decided.
-func (r *Reporter) takeOver(d *Decision) {
-	r.Ledger.Join(d.Pending)
-	lives, err := unpackPending(d.PackedPending)
+// mergeInherited joins what the holder before had counted of windows that are not decided.
+func (r *Reporter) mergeInherited(d *UsageRecord) {
+	r.Ledger.MergePending(d.Pending)
+	lives, err := decodePending(d.CompressedPending)
 	if err != nil {
 		r.Log.Error("pending usage not readable, the gateways' own counts stand", "error", err)
 	}
@@ -144,32 +144,32 @@
 
 // encode encodes a decision with the counts of the later windows, as far as they have room.
 // The newest are left out first: the gateways that count them are the likeliest to live.
-func (r *Reporter) encode(d Decision) (json.RawMessage, error) {
-	last := Window(r.TrueTime(), r.Length) - mostBehind
+func (r *Reporter) encode(d UsageRecord) (json.RawMessage, error) {
+	last := Window(r.TrueTime(), r.Length) - maxBacklogWindows
 	for window := range d.Windows {
 		last = max(last, window)
 	}
-	pending := r.Ledger.After(last)
+	pending := r.Ledger.PendingAfter(last)
 	for {
-		data, err := packDecision(d, pending)
-		if err != nil || len(data) <= mostPending || len(pending) == 0 {
+		data, err := encodeRecord(d, pending)
+		if err != nil || len(data) <= maxRecordBytes || len(pending) == 0 {
 			return data, err
 		}
 		newest := slices.Max(slices.Collect(maps.Keys(pending)))
-		r.Log.Warn("pending usage of a window not recorded, there is too much", "window", newest, "gateways", len(pending[newest]), "bytes", len(data), "most", mostPending)
+		r.Log.Warn("pending usage of a window not recorded, there is too much", "window", newest, "gateways", len(pending[newest]), "bytes", len(data), "most", maxRecordBytes)
 		delete(pending, newest)
 	}
 }
 
-// packDecision encodes a decision with pending counts.
-func packDecision(d Decision, pending Pending) (json.RawMessage, error) {
-	d.Pending, d.PackedPending = nil, nil
+// encodeRecord encodes a decision with pending counts.
+func encodeRecord(d UsageRecord, pending Pending) (json.RawMessage, error) {
+	d.Pending, d.CompressedPending = nil, nil
 	if len(pending) > 0 {
-		data, err := json.Marshal(pending.byLife())
+		data, err := json.Marshal(pending.byIncarnation())
 		if err != nil {
 			return nil, pkgerrors.Wrap(err, "encode pending usage")
 		}
-		d.PackedPending, err = gzipped.Pack(data, gzip.DefaultCompression)
+		d.CompressedPending, err = gzipped.Pack(data, gzip.DefaultCompression)
 		if err != nil {
 			return nil, pkgerrors.Wrap(err, "pending usage")
 		}
@@ -178,10 +178,10 @@
 	return data, pkgerrors.Wrap(err, "encode decided usage")
 }
 
-// readDecision reads what packDecision wrote, but for the pending counts: only a new holder
+// decodeRecord reads what packDecision wrote, but for the pending counts: only a new holder
 // needs them.
-func readDecision(data json.RawMessage) (Decision, error) {
-	d := Decision{Windows: make(map[int64]Counts)}
+func decodeRecord(data json.RawMessage) (UsageRecord, error) {
+	d := UsageRecord{Windows: make(map[int64]Counts)}
 	if len(data) == 0 {
 		return d, nil
 	}
@@ -192,37 +192,37 @@
 	return d, err
 }
 
-// unpackPending reads the pending counts of a record; it may have none.
-func unpackPending(packed []byte) (pendingByLife, error) {
+// decodePending reads the pending counts of a record; it may have none.
+func decodePending(packed []byte) (pendingByIncarnation, error) {
 	if len(packed) == 0 {
 		return nil, nil
 	}
-	data, err := gzipped.Unpack(packed, mostUnpacked)
+	data, err := gzipped.Unpack(packed, maxUnpackedBytes)
 	if err != nil {
 		return nil, pkgerrors.Wrap(err, "pending usage")
 	}
-	var lives pendingByLife
+	var lives pendingByIncarnation
 	err = json.Unmarshal(data, &lives)
 	return lives, pkgerrors.Wrap(err, "decode pending usage")
 }
 
 // decide adds the windows whose counts have settled.
-func (r *Reporter) decide(ctx context.Context, d Decision) (Decision, bool) {
+func (r *Reporter) decide(ctx context.Context, d UsageRecord) (UsageRecord, bool) {
 	now := r.TrueTime()
 	last := Window(now, r.Length) - 1
 	for !r.settled(ctx, last, now) {
 		last--
 	}
-	next := Decision{Windows: maps.Clone(d.Windows)}
+	next := UsageRecord{Windows: maps.Clone(d.Windows)}
 	changed := false
-	for window := last - mostBehind; window <= last; window++ {
+	for window := last - maxBacklogWindows; window <= last; window++ {
 		if _, decided := next.Windows[window]; decided || !r.follows(d, window) {
 			continue
 		}
 		next.Windows[window] = r.Ledger.Sum(window)
 		changed = true
 	}
-	keepNewest(next.Windows, decidedKept)
+	keepNewest(next.Windows, maxDecidedWindows)
 	return next, changed
 }
 
@@ -232,16 +232,16 @@
 func (r *Reporter) settled(ctx context.Context, window int64, now time.Time) bool {
 	end := time.Unix(0, (window+1)*int64(r.Length))
 	ago := now.Sub(end)
-	if ago >= r.DueAfter-reportLeft {
+	if ago >= r.DueAfter-reportReserve {
 		return true
 	}
-	return ago >= gatherAfter && r.Gather(ctx, ago-onItsWay) && ago >= leastSettle
+	return ago >= gatherAfter && r.Gather(ctx, ago-maxReportTransit) && ago >= minSettleTime
 }
 
 // follows reports whether a window is later than all that were decided. Earlier
 // ones may have been reported and forgotten. Before the first counts there is
 // nothing to report.
-func (r *Reporter) follows(d Decision, window int64) bool {
+func (r *Reporter) follows(d UsageRecord, window int64) bool {
 	if len(d.Windows) == 0 {
 		return len(r.Ledger.Sum(window)) > 0
 	}
@@ -250,9 +250,9 @@
 
 // send reports the newest windows that were not reported under this fence. An
 // exact repeat of an earlier holder's report changes nothing.
-func (r *Reporter) send(ctx context.Context, d Decision) {
+func (r *Reporter) send(ctx context.Context, d UsageRecord) {
 	windows := slices.Sorted(maps.Keys(d.Windows))
-	for _, window := range windows[max(0, len(windows)-repeatWithin):] {
+	for _, window := range windows[max(0, len(windows)-repeatedWindows):] {
 		if r.sent[window] {
 			continue
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// askedMemory is over how long rates are measured: long enough for a few
+	// rateAveragingTime is over how long rates are measured: long enough for a few
 	// requests at each gateway, short against a surge of an account.
-	askedMemory = 2 * time.Second
-	// leastAfter and mostAfter bound when a refused caller is told to return.
-	leastAfter = 100 * time.Millisecond
-	mostAfter  = 2 * time.Second
+	rateAveragingTime = 2 * time.Second
+	// minRetryAfter and mostAfter bound when a refused caller is told to return.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 	// leastRate, a second, is that of a part which is not known yet: this gateway's
 	// callers have only begun to ask.
-	leastRate = 1e-6
-	// settling is for how long after its start a gateway knows few of the others and
+	minFillRate = 1e-6
+	// startupPeriod is for how long after its start a gateway knows few of the others and
 	// gives a small part of the limits, and settledAfter when a caller that it refuses
 	// then is told to return: after two rounds of reports it knows them all.
-	settling     = time.Second
-	settledAfter = 300 * time.Millisecond
+	startupPeriod        = time.Second
+	startupMaxRetryAfter = 300 * time.Millisecond
 )
 
 // Tolerance is by how much an account may exceed its limit in a window before it
@@ -52,27 +52,27 @@
 // each. Seldom do all of them at once, and each by half of a request on average, so that
 // the parts' sum is above one.
 const (
-	burstTolerance = 0.25
-	rateTolerance  = 0.35
-	debtTolerance  = 1.0
-	// lagForAll is the mean age of reports at which the gateways need all of the
+	burstToleranceShare     = 0.25
+	rateToleranceShare      = 0.35
+	overdraftToleranceShare = 1.0
+	// lagWithoutTolerance is the mean age of reports at which the gateways need all of the
 	// tolerance for what they admit before they hear of each other.
-	lagForAll = time.Second
+	lagWithoutTolerance = time.Second
 )
 
 const (
-	// smallPart of a burst is a request that costs next to nothing: it passes also where
+	// smallRequestBurstShare of a burst is a request that costs next to nothing: it passes also where
 	// the bucket is overdrawn, by less than smallDebt of the burst. What goes wrong
 	// without it: a posting of 200 tokens is refused because a draft took 20,000; two in
 	// a hundred postings and status reads were. A sixth of a hot account's requests are
 	// of that kind, and cost a fiftieth of its tokens.
-	smallPart = 0.003
-	smallDebt = 0.25
+	smallRequestBurstShare   = 0.003
+	smallRequestMaxOverdraft = 0.25
 )
 
-// startPart of a bucket is filled at the start: what was admitted just before is
+// initialFillShare of a bucket is filled at the start: what was admitted just before is
 // not known, and all gateways may have started together.
-const startPart = 0.25
+const initialFillShare = 0.25
 
 // Others is what the other gateways report of one account, since their starts.
 type Others struct {
@@ -99,8 +99,8 @@
 // Keeper admits requests. It is safe for concurrent use.
 type Keeper struct {
 	tolerance Tolerance
-	// others returns the reports on an account, as of an instant.
-	others func(ident.ClientAccount, time.Time) Others
+	// otherGateways returns the reports on an account, as of an instant.
+	otherGateways func(ident.ClientAccount, time.Time) Others
 
 	mu       sync.Mutex
 	started  time.Time
@@ -110,39 +110,39 @@
 type account struct {
 	// level is what the bucket holds; negative when more was admitted.
 	level float64
-	// part is what this gateway's own part of it holds, where more is asked than there
+	// shareLevel is what this gateway's own part of it holds, where more is asked than there
 	// is. What goes wrong with the whole alone: all gateways see the same refill and
 	// admit whatever comes first, find the bucket overdrawn when they hear of each
 	// other, and refuse all for half a second at a time, postings of next to no cost
 	// with the rest (half of these, at four times the limit through nine gateways; with
 	// parts one in twelve at the most).
-	part float64
-	// filled is up to when it was filled.
-	filled time.Time
+	shareLevel float64
+	// filledAt is up to when it was filled.
+	filledAt time.Time
 	// filling and the numbers of gateways are those of the last Tick.
-	filling
+	allowance
 	heard, known int
-	// spent and asked are this gateway's totals.
-	spent, asked float64
-	own          rateOf
-	others       map[string]*other
-	// ticked is up to when the others' expected spending was taken out of others.
-	ticked time.Time
+	// admittedTotal and asked are this gateway's totals.
+	admittedTotal, requestedTotal float64
+	ownDemand                     rateMeter
+	groups                        map[string]*groupUsage
+	// refreshedAt is up to when the others' expected spending was taken out of others.
+	refreshedAt time.Time
 }
 
-// other is what is known of the account's use by another gateway, or by several.
-type other struct {
+// groupUsage is what is known of the account's use by another gateway, or by several.
+type groupUsage struct {
 	source string
-	// seen is its spending by its newest report, as of an instant.
-	seen   float64
-	seenAt time.Time
-	// expected was taken out beyond seen, at its rate until now.
-	expected      float64
-	spends, asked rateOf
+	// reportedSpent is its spending by its newest report, as of an instant.
+	reportedSpent float64
+	reportedAt    time.Time
+	// estimatedSpent was taken out beyond seen, at its rate until now.
+	estimatedSpent   float64
+	spending, demand rateMeter
 }
 
-// rateOf measures a growing total's rate.
-type rateOf struct {
+// rateMeter measures a growing total's rate.
+type rateMeter struct {
 	last float64
 	rate float64
 	at   time.Time
@@ -151,16 +151,16 @@
 }
 
 // update takes a total in and returns its rate a second.
-func (r *rateOf) update(total float64, now time.Time) float64 {
+func (r *rateMeter) update(total float64, now time.Time) float64 {
 	if r.at.IsZero() {
 		r.last, r.at = total, now
 		return 0
 	}
 	elapsed := now.Sub(r.at)
-	if elapsed < askedMemory/10 {
+	if elapsed < rateAveragingTime/10 {
 		return r.rate
 	}
-	weight := min(1, elapsed.Seconds()/askedMemory.Seconds())
+	weight := min(1, elapsed.Seconds()/rateAveragingTime.Seconds())
 	if !r.known {
 		// The first rate is all that is known: averaged with nothing, it would be taken
 		// for a small one for seconds.
@@ -173,7 +173,7 @@
 
 // NewKeeper returns a keeper that has admitted nothing.
 func NewKeeper(tolerance Tolerance, others func(ident.ClientAccount, time.Time) Others, now time.Time) *Keeper {
-	return &Keeper{tolerance: tolerance, others: others, started: now, accounts: make(map[ident.ClientAccount]*account)}
+	return &Keeper{tolerance: tolerance, otherGateways: others, started: now, accounts: make(map[ident.ClientAccount]*account)}
 }
 
 // Decision is whether a request is admitted, with what decided it.
@@ -200,64 +200,64 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	a := k.account(limit, now)
-	a.asked += cost
-	a.fill(now)
-	d := Decision{Level: a.level, Need: max(0, min(cost, a.burst)-a.debt), Asked: a.askedOfAll, Heard: a.heard, Known: a.known}
+	a.requestedTotal += cost
+	a.advance(now)
+	d := Decision{Level: a.level, Need: max(0, min(cost, a.burst)-a.overdraft), Asked: a.totalDemand, Heard: a.heard, Known: a.known}
 	rate := a.rate
 	if a.share < 1 {
 		// More is asked than there is: this gateway's part decides.
 		rate *= a.share
-		d.Level, d.Need = a.part, min(d.Need, a.burst*a.share)
+		d.Level, d.Need = a.shareLevel, min(d.Need, a.burst*a.share)
 	}
-	small := cost <= smallPart*a.burst && a.level > -smallDebt*a.burst
+	small := cost <= smallRequestBurstShare*a.burst && a.level > -smallRequestMaxOverdraft*a.burst
 	if d.Level >= d.Need || small {
 		a.level -= cost
-		a.part -= cost
-		a.spent += cost
+		a.shareLevel -= cost
+		a.admittedTotal += cost
 		d.OK = true
 		return d
 	}
-	d.After = k.after(d, rate, now)
+	d.After = k.retryAfter(d, rate, now)
 	return d
 }
 
-// after is when a refused request may be admitted, at the rate at which its bucket fills.
-func (k *Keeper) after(d Decision, rate float64, now time.Time) time.Duration {
-	if rate < leastRate {
+// retryAfter is when a refused request may be admitted, at the rate at which its bucket fills.
+func (k *Keeper) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
+	if rate < minFillRate {
 		// The next report tells this gateway its part.
-		return leastAfter
+		return minRetryAfter
 	}
-	most := mostAfter
-	if now.Sub(k.started) < settling && d.Heard < d.Known {
-		most = settledAfter
+	most := maxRetryAfter
+	if now.Sub(k.started) < startupPeriod && d.Heard < d.Known {
+		most = startupMaxRetryAfter
 	}
 	// Compared in seconds: a small rate's time is too long for a time.Duration.
 	seconds := min((d.Need-d.Level)/rate, most.Seconds())
-	return max(time.Duration(seconds*float64(time.Second)), leastAfter)
+	return max(time.Duration(seconds*float64(time.Second)), minRetryAfter)
 }
 
-// filling is what a gateway may use of an account's limit now.
-type filling struct {
+// allowance is what a gateway may use of an account's limit now.
+type allowance struct {
 	// rate and burst of the gateways that are heard, together.
 	rate, burst float64
-	// debt is by how much one request may overdraw the bucket here.
-	debt float64
-	// othersSpend is what they are expected to spend a second, without this one.
-	othersSpend float64
-	// askedOfAll of them a second.
-	askedOfAll float64
+	// overdraft is by how much one request may overdraw the bucket here.
+	overdraft float64
+	// othersSpendingRate is what they are expected to spend a second, without this one.
+	othersSpendingRate float64
+	// totalDemand of them a second.
+	totalDemand float64
 	// share is this gateway's part of what is asked, where more is asked than there
 	// is; else 1.
 	share float64
 }
 
-// limits are the rate, the burst and the debt that callers get of an account's, where
+// effectiveLimits are the rate, the burst and the debt that callers get of an account's, where
 // the gateways hear of each other within a lag.
-func (k *Keeper) limits(limit *routetable.Account, lag time.Duration) (rate, burst, debt float64) {
+func (k *Keeper) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, debt float64) {
 	t := k.tolerance
 	beyond := t.Overage*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
-	beyond *= max(0, 1-lag.Seconds()/lagForAll.Seconds())
-	return limit.Rate + rateTolerance*beyond/t.Window.Seconds(), limit.Burst + burstTolerance*beyond, debtTolerance * beyond
+	beyond *= max(0, 1-lag.Seconds()/lagWithoutTolerance.Seconds())
+	return limit.Rate + rateToleranceShare*beyond/t.Window.Seconds(), limit.Burst + burstToleranceShare*beyond, overdraftToleranceShare * beyond
 }
 
 // counts returns how many gateways are heard and how many may admit, with this one.
@@ -269,14 +269,14 @@
 	return heard, max(o.Known+1, heard)
 }
 
-// part is the part of the gateways that is heard.
-func (o Others) part() float64 {
+// heardShare is the part of the gateways that is heard.
+func (o Others) heardShare() float64 {
 	heard, known := o.counts()
 	return float64(heard) / float64(known)
 }
 
-// lag is the mean age of the reports.
-func (o Others) lag() time.Duration {
+// meanAge is the mean age of the reports.
+func (o Others) meanAge() time.Duration {
 	if len(o.Reports) == 0 {
 		return 0
 	}
@@ -296,7 +296,7 @@
 	defer k.mu.Unlock()
 	for i := range limits {
 		if limit := &limits[i]; limit.Rate > 0 {
-			k.refresh(k.account(limit, now), limit, k.others(limit.Name, now), now)
+			k.applyReports(k.account(limit, now), limit, k.otherGateways(limit.Name, now), now)
 		}
 	}
 }
@@ -306,129 +306,129 @@
 func (k *Keeper) account(limit *routetable.Account, now time.Time) *account {
 	a := k.accounts[limit.Name]
 	if a == nil {
-		others := k.others(limit.Name, now)
-		_, burst, _ := k.limits(limit, 0)
-		a = &account{level: startPart * burst * others.part(), filled: k.started, ticked: k.started, others: make(map[string]*other)}
+		others := k.otherGateways(limit.Name, now)
+		_, burst, _ := k.effectiveLimits(limit, 0)
+		a = &account{level: initialFillShare * burst * others.heardShare(), filledAt: k.started, refreshedAt: k.started, groups: make(map[string]*groupUsage)}
 		k.accounts[limit.Name] = a
-		k.refresh(a, limit, others, now)
+		k.applyReports(a, limit, others, now)
 	}
 	return a
 }
 
-// fill lets time pass: the bucket fills, and others spend as they did.
-func (a *account) fill(now time.Time) {
-	elapsed := max(now.Sub(a.filled).Seconds(), 0)
-	a.filled = now
-	a.level = min(a.level+(a.rate-a.othersSpend)*elapsed, a.burst)
+// advance lets time pass: the bucket fills, and others spend as they did.
+func (a *account) advance(now time.Time) {
+	elapsed := max(now.Sub(a.filledAt).Seconds(), 0)
+	a.filledAt = now
+	a.level = min(a.level+(a.rate-a.othersSpendingRate)*elapsed, a.burst)
 	// The whole leads the parts back to where it is neither overdrawn nor filling up.
 	lead := 1 + min(max(a.level/max(a.burst, 1), -1), 1)
-	a.part = min(a.part+a.rate*a.share*lead*elapsed, a.burst*a.share)
+	a.shareLevel = min(a.shareLevel+a.rate*a.share*lead*elapsed, a.burst*a.share)
 }
 
-// refresh takes in what others report: what they spent beyond what was expected of
+// applyReports takes in what others report: what they spent beyond what was expected of
 // them, and how fast they spend now.
-func (k *Keeper) refresh(a *account, limit *routetable.Account, others Others, now time.Time) {
-	part, lag := others.part(), others.lag()
-	rate, burst, debt := k.limits(limit, lag)
+func (k *Keeper) applyReports(a *account, limit *routetable.Account, others Others, now time.Time) {
+	part, lag := others.heardShare(), others.meanAge()
+	rate, burst, debt := k.effectiveLimits(limit, lag)
 	a.rate, a.burst = rate*part, burst*part
 	before := a.heard
 	a.heard, a.known = others.counts()
-	a.join(before)
-	a.debt = debt / float64(a.known)
-	a.fill(now)
-	elapsed := max(now.Sub(a.ticked).Seconds(), 0)
-	a.ticked = now
-	a.othersSpend, a.askedOfAll = 0, a.own.update(a.asked, now)
+	a.scaleOverdraft(before)
+	a.overdraft = debt / float64(a.known)
+	a.advance(now)
+	elapsed := max(now.Sub(a.refreshedAt).Seconds(), 0)
+	a.refreshedAt = now
+	a.othersSpendingRate, a.totalDemand = 0, a.ownDemand.update(a.requestedTotal, now)
 	for i := range others.Reports {
 		r := &others.Reports[i]
-		o := a.others[r.Name]
+		o := a.groups[r.Name]
 		if o == nil {
-			o = &other{source: r.Source, seen: r.Spent, seenAt: now.Add(-r.Age)}
-			a.others[r.Name] = o
+			o = &groupUsage{source: r.Source, reportedSpent: r.Spent, reportedAt: now.Add(-r.Age)}
+			a.groups[r.Name] = o
 		}
-		o.expected += o.spends.rate * elapsed
-		a.level -= o.hear(r, now)
-		a.othersSpend += o.spends.rate
-		a.askedOfAll += o.askedBeside(r, a.own.rate)
+		o.estimatedSpent += o.spending.rate * elapsed
+		a.level -= o.applyReport(r, now)
+		a.othersSpendingRate += o.spending.rate
+		a.totalDemand += o.demandRate(r, a.ownDemand.rate)
 	}
-	a.forgetUnheard(others)
+	a.removeUnheard(others)
 	a.level = min(a.level, a.burst)
-	a.divide()
+	a.updateShare()
 }
 
-// join takes in that more gateways, or fewer, share the bucket: what each of them overdrew
+// scaleOverdraft takes in that more gateways, or fewer, share the bucket: what each of them overdrew
 // adds up. What goes wrong otherwise: after all gateways were killed, what they overdrew
 // while they did not hear each other is forgotten when they do, and they overdraw again.
-func (a *account) join(before int) {
+func (a *account) scaleOverdraft(before int) {
 	if before > 0 && a.level < 0 {
 		a.level *= float64(a.heard) / float64(before)
 	}
 }
 
-// divide sets this gateway's part: that which its callers ask of what all ask, as soon
+// updateShare sets this gateway's part: that which its callers ask of what all ask, as soon
 // as more is asked than there is.
-func (a *account) divide() {
+func (a *account) updateShare() {
 	share := 1.0
-	if a.askedOfAll > a.rate {
-		share = a.own.rate / a.askedOfAll
+	if a.totalDemand > a.rate {
+		share = a.ownDemand.rate / a.totalDemand
 	}
 	if a.share == 1 && share < 1 {
 		// A part begins with that of what is left.
-		a.part = share * a.level
+		a.shareLevel = share * a.level
 	}
 	a.share = share
 }
 
-// hear takes a report in and returns how much more was spent than was expected.
-func (o *other) hear(r *Report, now time.Time) float64 {
+// applyReport takes a report in and returns how much more was spent than was expected.
+func (o *groupUsage) applyReport(r *Report, now time.Time) float64 {
 	at := now.Add(-r.Age)
 	if r.Source != o.source {
-		o.compareAnew(r, at)
+		o.switchSource(r, at)
 		return 0
 	}
-	if !at.After(o.seenAt) {
+	if !at.After(o.reportedAt) {
 		return 0
 	}
-	o.asked.update(r.Spent+r.Refused, at)
-	o.spends.update(r.Spent, at)
-	since := o.spends.rate * r.Age.Seconds()
-	more := r.Spent - o.seen - o.expected + since
-	o.seen, o.seenAt, o.expected = r.Spent, at, since
+	o.demand.update(r.Spent+r.Refused, at)
+	o.spending.update(r.Spent, at)
+	since := o.spending.rate * r.Age.Seconds()
+	more := r.Spent - o.reportedSpent - o.estimatedSpent + since
+	o.reportedSpent, o.reportedAt, o.estimatedSpent = r.Spent, at, since
 	return more
 }
 
-// askedBeside is what the others are asked a second. As long as that is not known, each is
+// demandRate is what the others are asked a second. As long as that is not known, each is
 // taken to be asked as much as this gateway. What goes wrong if it counts as nothing: after
 // all gateways were killed, each takes the whole refill for its part in the moment in which
 // they hear each other again.
-func (o *other) askedBeside(r *Report, own float64) float64 {
-	if !o.asked.known {
+func (o *groupUsage) demandRate(r *Report, own float64) float64 {
+	if !o.demand.known {
 		return own * float64(r.Gateways)
 	}
-	return o.asked.rate
+	return o.demand.rate
 }
 
-// compareAnew begins with another source's totals, at the rates of before: a gateway
+// switchSource begins with another source's totals, at the rates of before: a gateway
 // that hears of all others by another collector from now on would else take an account
 // far beyond its limit for one that hardly anybody uses.
-func (o *other) compareAnew(r *Report, at time.Time) {
+func (o *groupUsage) switchSource(r *Report, at time.Time) {
 	o.source = r.Source
-	o.seen, o.seenAt = r.Spent, at
-	o.expected = o.spends.rate * r.Age.Seconds()
-	o.spends.last, o.spends.at = r.Spent, at
-	o.asked.last, o.asked.at = r.Spent+r.Refused, at
+	o.reportedSpent, o.reportedAt = r.Spent, at
+	o.estimatedSpent = o.spending.rate * r.Age.Seconds()
+	o.spending.last, o.spending.at = r.Spent, at
+	o.demand.last, o.demand.at = r.Spent+r.Refused, at
 }
 
-// forgetUnheard forgets the gateways that are not heard. Their part is not filled
+// removeUnheard forgets the gateways that are not heard. Their part is not filled
 // in meanwhile; what they spend then must not be taken out a second time when they
 // are heard again.
-func (a *account) forgetUnheard(others Others) {
-	if len(a.others) == len(others.Reports) {
+func (a *account) removeUnheard(others Others) {
+	if len(a.groups) == len(others.Reports) {
 		return
 	}
-	for name := range a.others {
+	for name := range a.groups {
 		if !slices.ContainsFunc(others.Reports, func(r Report) bool { return r.Name == name }) {
-			delete(a.others, name)
+			delete(a.groups, name)
 		}
 	}
 }
@@ -442,8 +442,8 @@
 	defer k.mu.Unlock()
 	out := make(map[ident.ClientAccount]Total, len(k.accounts))
 	for name, a := range k.accounts {
-		if a.asked > 0 {
-			out[name] = Total{Spent: a.spent, Refused: a.asked - a.spent}
+		if a.requestedTotal > 0 {
+			out[name] = Total{Spent: a.admittedTotal, Refused: a.requestedTotal - a.admittedTotal}
 		}
 	}
 	return out
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -18,29 +18,29 @@
 	now       time.Time
 	limit     routetable.Account
 	tolerance Tolerance
-	// fresh is for how long a report counts.
-	fresh    time.Duration
-	rng      *rand.Rand
-	gateways []*member
+	// maxReportAge is for how long a report counts.
+	maxReportAge time.Duration
+	rng          *rand.Rand
+	gateways     []*gateway
 	// collected: gateways hear one sum of all others.
-	collected *collected
+	collector *collector
 	// hears says whether a gateway hears another one.
 	hears func(a, b int) bool
 	// admitted are the costs, by time.
-	admitted []admission
-	refused  int
-	asked    int
+	admitted  []admission
+	refused   int
+	requested int
 }
 
-type member struct {
-	keeper *Keeper
-	life   string
+type gateway struct {
+	keeper      *Keeper
+	incarnation string
 	// reports are what the others heard last, of each gateway.
 	heard map[int]report
 }
 
 type report struct {
-	life           string
+	incarnation    string
 	spent, refused float64
 	at             time.Time
 }
@@ -50,12 +50,12 @@
 	cost float64
 }
 
-// reportEvery is that of the exchange between gateways.
-const reportEvery = gossip.Interval
+// reportInterval is that of the exchange between gateways.
+const reportInterval = gossip.Interval
 
 func newFleet(n int, rate float64) *fleet {
 	f := &fleet{
-		now: time.Unix(1000, 0), fresh: time.Second, rng: rand.New(rand.NewPCG(1, 2)), hears: func(int, int) bool { return true },
+		now: time.Unix(1000, 0), maxReportAge: time.Second, rng: rand.New(rand.NewPCG(1, 2)), hears: func(int, int) bool { return true },
 		limit:     routetable.Account{Name: "acct", Rate: rate, Burst: rate, CountsTokens: true},
 		tolerance: Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 140_000},
 	}
@@ -67,20 +67,20 @@
 }
 
 func (f *fleet) restart(i int) {
-	m := &member{life: fmt.Sprint(i, "/", f.now.UnixNano()), heard: make(map[int]report)}
+	m := &gateway{incarnation: fmt.Sprint(i, "/", f.now.UnixNano()), heard: make(map[int]report)}
 	m.keeper = NewKeeper(f.tolerance, func(ident.ClientAccount, time.Time) Others { return f.others(m) }, f.now)
 	f.gateways[i] = m
 }
 
-func (f *fleet) others(m *member) Others {
-	if f.collected != nil {
-		return f.collected.others(m, f.now)
+func (f *fleet) others(m *gateway) Others {
+	if f.collector != nil {
+		return f.collector.others(m, f.now)
 	}
 	var o Others
 	for _, r := range m.heard {
 		o.Known++
-		if f.now.Sub(r.at) <= f.fresh {
-			o.Reports = append(o.Reports, Report{Name: r.life, Source: r.life, Gateways: 1, Spent: r.spent, Refused: r.refused, Age: f.now.Sub(r.at)})
+		if f.now.Sub(r.at) <= f.maxReportAge {
+			o.Reports = append(o.Reports, Report{Name: r.incarnation, Source: r.incarnation, Gateways: 1, Spent: r.spent, Refused: r.refused, Age: f.now.Sub(r.at)})
 		}
 	}
 	return o
@@ -88,14 +88,14 @@
 
 // exchange lets gateways hear each other.
 func (f *fleet) exchange() {
-	if f.collected != nil {
-		f.collected.add(f)
+	if f.collector != nil {
+		f.collector.add(f)
 	}
 	for i, from := range f.gateways {
 		total := from.keeper.Totals()["acct"]
 		for j, to := range f.gateways {
 			if i != j && f.hears(j, i) {
-				to.heard[i] = report{life: from.life, spent: total.Spent, refused: total.Refused, at: f.now}
+				to.heard[i] = report{incarnation: from.incarnation, spent: total.Spent, refused: total.Refused, at: f.now}
 			}
 		}
 	}
@@ -104,41 +104,41 @@
 	}
 }
 
-// collected is the sums that a collector makes of all gateways' totals: those of a round
+// collector is the sums that a collector makes of all gateways' totals: those of a round
 // are known in the next one.
-type collected struct {
-	told, next sums
+type collector struct {
+	published, next collectedTotals
 	// unheard gateways are known, and not heard until an instant.
 	unheard int
 	until   time.Time
 }
 
-type sums struct {
-	all   report
-	parts map[string]report
+type collectedTotals struct {
+	all       report
+	byGateway map[string]report
 }
 
-func (c *collected) add(f *fleet) {
-	c.told, c.next = c.next, sums{all: report{at: f.now}, parts: make(map[string]report)}
+func (c *collector) add(f *fleet) {
+	c.published, c.next = c.next, collectedTotals{all: report{at: f.now}, byGateway: make(map[string]report)}
 	for _, m := range f.gateways {
 		total := m.keeper.Totals()["acct"]
-		c.next.parts[m.life] = report{spent: total.Spent, refused: total.Refused}
+		c.next.byGateway[m.incarnation] = report{spent: total.Spent, refused: total.Refused}
 		c.next.all.spent += total.Spent
 		c.next.all.refused += total.Refused
 	}
 }
 
-func (c *collected) others(m *member, now time.Time) Others {
-	n := len(c.told.parts) - 1
+func (c *collector) others(m *gateway, now time.Time) Others {
+	n := len(c.published.byGateway) - 1
 	if now.Before(c.until) {
 		return Others{Known: c.unheard}
 	}
 	if n < 1 {
 		return Others{}
 	}
-	own := c.told.parts[m.life]
+	own := c.published.byGateway[m.incarnation]
 	return Others{Known: n, Reports: []Report{{
-		Name: "all", Source: "collector", Gateways: n, Spent: c.told.all.spent - own.spent, Refused: c.told.all.refused - own.refused, Age: now.Sub(c.told.all.at),
+		Name: "all", Source: "collector", Gateways: n, Spent: c.published.all.spent - own.spent, Refused: c.published.all.refused - own.refused, Age: now.Sub(c.published.all.at),
 	}}}
 }
 
@@ -155,20 +155,20 @@
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tick) {
 		if !f.now.Before(nextExchange) {
 			f.exchange()
-			nextExchange = f.now.Add(reportEvery)
+			nextExchange = f.now.Add(reportInterval)
 		}
 		for i, m := range f.gateways {
 			owed[i] += rate * tick.Seconds() * weights[i] / sum
 			for cost := size * (0.2 + 1.6*f.rng.Float64()); owed[i] >= cost; cost = size * (0.2 + 1.6*f.rng.Float64()) {
 				owed[i] -= cost
-				f.ask(m, cost)
+				f.request(m, cost)
 			}
 		}
 	}
 }
 
-func (f *fleet) ask(m *member, cost float64) {
-	f.asked++
+func (f *fleet) request(m *gateway, cost float64) {
+	f.requested++
 	if m.keeper.Admit(&f.limit, cost, f.now).OK {
 		f.admitted = append(f.admitted, admission{f.now, cost})
 	} else {
@@ -176,9 +176,9 @@
 	}
 }
 
-// most returns the most that was admitted in any window, and what the limit
+// busiestWindow returns the most that was admitted in any window, and what the limit
 // allows.
-func (f *fleet) most() (got, allowed float64) {
+func (f *fleet) busiestWindow() (got, allowed float64) {
 	w := f.tolerance.Window
 	sum, first := 0.0, 0
 	for _, a := range f.admitted {
@@ -192,15 +192,15 @@
 	return got, (f.limit.Rate*w.Seconds()+f.limit.Burst)*(1+f.tolerance.Overage) + f.tolerance.Slack
 }
 
-func (f *fleet) check(t *testing.T) {
+func (f *fleet) checkLimit(t *testing.T) {
 	t.Helper()
-	if got, allowed := f.most(); got > allowed {
+	if got, allowed := f.busiestWindow(); got > allowed {
 		t.Errorf("%.0f tokens admitted in a window, %.0f allowed", got, allowed)
 	}
 }
 
-// uneven is how a balancer that hashes callers spreads an account.
-var uneven = []float64{8, 1, 3, 0.2, 2, 5, 0, 1}
+// unevenWeights is how a balancer that hashes callers spreads an account.
+var unevenWeights = []float64{8, 1, 3, 0.2, 2, 5, 0, 1}
 
 // Symptom: callers are refused far below the account's limit. Sequence: an
 // account asks for 0.55 of its rate, through few of the gateways. Cause: an even
@@ -208,13 +208,13 @@
 func TestNobodyIsRefusedFarBelowTheLimit(t *testing.T) {
 	for _, rate := range []float64{36_000, 162_000} {
 		f := newFleet(8, rate)
-		f.run(2*time.Second, 0, 1, uneven)
-		f.refused, f.asked = 0, 0
-		f.run(50*time.Second, 0.55*rate, 5000, uneven)
+		f.run(2*time.Second, 0, 1, unevenWeights)
+		f.refused, f.requested = 0, 0
+		f.run(50*time.Second, 0.55*rate, 5000, unevenWeights)
 		if f.refused > 0 {
-			t.Errorf("rate %.0f: %d of %d requests refused", rate, f.refused, f.asked)
+			t.Errorf("rate %.0f: %d of %d requests refused", rate, f.refused, f.requested)
 		}
-		f.check(t)
+		f.checkLimit(t)
 	}
 }
 
@@ -223,12 +223,12 @@
 // same refill before they hear of each other.
 func TestAnAccountFarBeyondItsLimit(t *testing.T) {
 	for _, rate := range []float64{36_000, 162_000, 500_000} {
-		for _, weights := range [][]float64{{1, 1, 1, 1, 1, 1, 1, 1}, uneven} {
+		for _, weights := range [][]float64{{1, 1, 1, 1, 1, 1, 1, 1}, unevenWeights} {
 			f := newFleet(8, rate)
 			f.run(5*time.Second, 0.5*rate, 5000, weights)
 			f.run(30*time.Second, 4.5*rate, 5000, weights)
-			f.check(t)
-			got, _ := f.most()
+			f.checkLimit(t)
+			got, _ := f.busiestWindow()
 			if least := f.limit.Rate * f.tolerance.Window.Seconds(); got < least {
 				t.Errorf("rate %.0f: only %.0f admitted in the best window, %.0f owed", rate, got, least)
 			}
@@ -249,12 +249,12 @@
 		f.run(10*time.Second, 4.5*162_000, 5000, even)
 		f.hears = func(int, int) bool { return true }
 		f.run(2*time.Second, 4.5*162_000, 5000, even)
-		f.check(t)
-		f.refused, f.asked = 0, 0
+		f.checkLimit(t)
+		f.refused, f.requested = 0, 0
 		f.run(3*time.Second, 0, 5000, even)
 		f.run(10*time.Second, 0.5*162_000, 5000, even)
 		if f.refused > 0 {
-			t.Errorf("side of %d: %d of %d refused after the cut", side, f.refused, f.asked)
+			t.Errorf("side of %d: %d of %d refused after the cut", side, f.refused, f.requested)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 		f.restart(i)
 		f.run(time.Second, 4.5*162_000, 5000, even)
 	}
-	f.check(t)
+	f.checkLimit(t)
 }
 
 // Guards against an account of which all gateways take the whole refill when they hear each
@@ -285,16 +285,16 @@
 		rate, surge float64
 	}{{90, 410_000, 7}, {18, 160_000, 5}} {
 		f := newFleet(c.gateways, c.rate)
-		f.collected = &collected{}
+		f.collector = &collector{}
 		even := slices.Repeat([]float64{1}, c.gateways)
 		f.run(6*time.Second, 0.5*c.rate, 6000, even)
 		f.run(6*time.Second, c.surge*c.rate, 6000, even)
-		f.collected = &collected{unheard: c.gateways - 1, until: f.now.Add(1100 * time.Millisecond)}
+		f.collector = &collector{unheard: c.gateways - 1, until: f.now.Add(1100 * time.Millisecond)}
 		for i := range f.gateways {
 			f.restart(i)
 		}
 		f.run(9*time.Second, c.surge*c.rate, 6000, even)
-		f.check(t)
+		f.checkLimit(t)
 	}
 }
 
@@ -302,22 +302,22 @@
 // at each gateway until it hears that all together have overdrawn the bucket.
 func TestSmallRequestsOfASurgeStayWithinTheLimit(t *testing.T) {
 	f := newFleet(82, 900_000)
-	f.collected = &collected{}
+	f.collector = &collector{}
 	even := slices.Repeat([]float64{1}, 82)
 	f.run(6*time.Second, 0.5*900_000, 6000, even)
 	f.run(12*time.Second, 7*900_000, 6000, even)
-	f.check(t)
+	f.checkLimit(t)
 }
 
 // Symptom: a lowered limit is not kept. Sequence: the operators lower it far
 // below what the account asks. Cause: a bucket that keeps its old contents.
 func TestALoweredLimitBindsAtOnce(t *testing.T) {
 	f := newFleet(8, 162_000)
-	f.run(10*time.Second, 0.6*162_000, 5000, uneven)
+	f.run(10*time.Second, 0.6*162_000, 5000, unevenWeights)
 	f.limit.Rate, f.limit.Burst = 30_000, 30_000
 	f.admitted = nil
-	f.run(20*time.Second, 0.6*162_000, 5000, uneven)
-	f.check(t)
+	f.run(20*time.Second, 0.6*162_000, 5000, unevenWeights)
+	f.checkLimit(t)
 }
 
 // Symptom: of an account beyond its limit, large requests are hardly ever served, or
@@ -332,7 +332,7 @@
 		f := newFleet(9, c.rate)
 		f.tolerance.Slack = 110_000
 		f.run(5*time.Second, 0.55*c.rate, 5000, []float64{3, 1, 2, 1, 1, 2, 1, 1, 4})
-		served, longest := f.bySize(10*time.Second, c.beyond*c.rate)
+		served, longest := f.runMixedSizes(10*time.Second, c.beyond*c.rate)
 		t.Logf("rate %.0f, %.1f times as much asked: served %v, nothing for %v", c.rate, c.beyond, served, longest)
 		if served[200] < 0.9 {
 			t.Errorf("%.2f of the requests that cost next to nothing are served", served[200])
@@ -344,13 +344,13 @@
 		if longest > 600*time.Millisecond {
 			t.Errorf("nothing but the smallest is served for %v", longest)
 		}
-		f.check(t)
+		f.checkLimit(t)
 	}
 }
 
-// bySize lets callers ask in requests of several sizes, and returns which part of each is
+// runMixedSizes lets callers ask in requests of several sizes, and returns which part of each is
 // served, and for how long at most only the smallest were.
-func (f *fleet) bySize(d time.Duration, rate float64) (served map[float64]float64, longest time.Duration) {
+func (f *fleet) runMixedSizes(d time.Duration, rate float64) (served map[float64]float64, longest time.Duration) {
 	sizes := []float64{200, 200, 960, 960, 960, 2500, 2500, 2500, 2500, 9500, 9500, 16_000}
 	asked, admitted := make(map[float64]float64), make(map[float64]float64)
 	last := f.now
@@ -364,12 +364,12 @@
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tick) {
 		if !f.now.Before(next) {
 			f.exchange()
-			next = f.now.Add(reportEvery)
+			next = f.now.Add(reportInterval)
 		}
 		for credit += rate * tick.Seconds() / mean; credit >= 1; credit-- {
 			cost := sizes[f.rng.IntN(len(sizes))]
 			before := f.refused
-			f.ask(f.gateways[f.rng.IntN(len(f.gateways))], cost)
+			f.request(f.gateways[f.rng.IntN(len(f.gateways))], cost)
 			asked[cost]++
 			if f.refused > before {
 				continue
@@ -396,17 +396,17 @@
 	f := newFleet(1, 57_000)
 	m := f.gateways[0]
 	for i := range 9 {
-		m.heard[i+1] = report{life: fmt.Sprint(i), at: f.now.Add(-time.Minute)}
+		m.heard[i+1] = report{incarnation: fmt.Sprint(i), at: f.now.Add(-time.Minute)}
 	}
 	f.now = f.now.Add(50 * time.Millisecond)
 	// The first one overdraws the part.
 	m.keeper.Admit(&f.limit, 40_000, f.now)
-	if d := m.keeper.Admit(&f.limit, 9500, f.now); d.OK || d.After > settledAfter {
+	if d := m.keeper.Admit(&f.limit, 9500, f.now); d.OK || d.After > startupMaxRetryAfter {
 		t.Errorf("admitted %v, to return after %v", d.OK, d.After)
 	}
-	f.now = f.now.Add(settling)
+	f.now = f.now.Add(startupPeriod)
 	m.keeper.Admit(&f.limit, 40_000, f.now)
-	if d := m.keeper.Admit(&f.limit, 90_000, f.now); d.OK || d.After <= settledAfter {
+	if d := m.keeper.Admit(&f.limit, 90_000, f.now); d.OK || d.After <= startupMaxRetryAfter {
 		t.Errorf("cut off for good: admitted %v, to return after %v", d.OK, d.After)
 	}
 }
@@ -420,9 +420,9 @@
 	for _, c := range []struct {
 		rate float64
 		want time.Duration
-	}{{0, leastAfter}, {1e-9, leastAfter}, {1e-5, mostAfter}, {5000, 1900 * time.Millisecond}, {19_000, 500 * time.Millisecond}, {1e6, leastAfter}} {
+	}{{0, minRetryAfter}, {1e-9, minRetryAfter}, {1e-5, maxRetryAfter}, {5000, 1900 * time.Millisecond}, {19_000, 500 * time.Millisecond}, {1e6, minRetryAfter}} {
 		d := Decision{Need: 9500, Heard: 1, Known: 1}
-		if got := f.gateways[0].keeper.after(d, c.rate, f.now); got != c.want {
+		if got := f.gateways[0].keeper.retryAfter(d, c.rate, f.now); got != c.want {
 			t.Errorf("rate %g: %v, want %v", c.rate, got, c.want)
 		}
 	}
@@ -434,21 +434,21 @@
 	f.tolerance = Tolerance{Window: 8 * time.Second}
 	f.restart(0)
 	f.run(2*time.Second, 0, 1, []float64{1})
-	f.ask(f.gateways[0], 60_000)
+	f.request(f.gateways[0], 60_000)
 	if f.refused != 0 {
 		t.Error("refused")
 	}
-	f.ask(f.gateways[0], 1000)
+	f.request(f.gateways[0], 1000)
 	if f.refused != 1 {
 		t.Error("the request was not taken out of the bucket")
 	}
 }
 
-// manyGateways returns ninety gateways that hear of another one in one of a number of
+// newSparseFleet returns ninety gateways that hear of another one in one of a number of
 // rounds, and even weights.
-func manyGateways(rate float64, rounds int) (*fleet, []float64) {
+func newSparseFleet(rate float64, rounds int) (*fleet, []float64) {
 	f := newFleet(90, rate)
-	f.fresh = 8 * time.Second
+	f.maxReportAge = 8 * time.Second
 	f.hears = func(int, int) bool { return f.rng.IntN(rounds) == 0 }
 	return f, slices.Repeat([]float64{1}, 90)
 }
@@ -457,11 +457,11 @@
 // Sequence: it asks for many times its rate, and each gateway hears of another one
 // every few seconds. Cause: every gateway may admit a request at once.
 func TestASmallAccountOfManyGateways(t *testing.T) {
-	f, even := manyGateways(26_000, 6)
+	f, even := newSparseFleet(26_000, 6)
 	f.run(6*time.Second, 0.5*26_000, 5000, even)
 	f.run(20*time.Second, 4*26_000, 5000, even)
-	f.check(t)
-	if got, _ := f.most(); got < 26_000*8 {
+	f.checkLimit(t)
+	if got, _ := f.busiestWindow(); got < 26_000*8 {
 		t.Errorf("only %.0f admitted in the best window", got)
 	}
 }
@@ -471,14 +471,14 @@
 // probably spent since their reports is taken out of a bucket that was full to its
 // brim only because it had not been taken out before.
 func TestNobodyIsRefusedFarBelowTheLimitAtManyGateways(t *testing.T) {
-	f, even := manyGateways(160_000, 11)
+	f, even := newSparseFleet(160_000, 11)
 	f.run(10*time.Second, 0.7*160_000, 5000, even)
-	f.refused, f.asked = 0, 0
+	f.refused, f.requested = 0, 0
 	f.run(30*time.Second, 0.7*160_000, 5000, even)
-	if f.refused*100 > f.asked {
-		t.Errorf("%d of %d requests refused", f.refused, f.asked)
+	if f.refused*100 > f.requested {
+		t.Errorf("%d of %d requests refused", f.refused, f.requested)
 	}
-	f.check(t)
+	f.checkLimit(t)
 }
 
 // Symptom: a large account of sixty gateways gets 1.6 in a hundred more than its
@@ -487,7 +487,7 @@
 // get parts of the tolerance that the gateways need for what they admit before
 // they hear of each other.
 func TestASurgeOfALargeAccountOfManyGateways(t *testing.T) {
-	surges(t, 61, 540_000, 8)
+	checkSurges(t, 61, 540_000, 8)
 }
 
 // Symptom: a large account of ninety gateways gets 1.1 in a hundred more than its
@@ -496,7 +496,7 @@
 // callers until the others' reports come, and admits as if theirs still asked as
 // little as before.
 func TestASurgeOfALargeAccountOfNinetyGateways(t *testing.T) {
-	surges(t, 90, 466_000, 6)
+	checkSurges(t, 90, 466_000, 6)
 }
 
 // Symptom: an account of hundreds of gateways gets more than its limit allows when it asks
@@ -511,26 +511,26 @@
 		rate, surge float64
 	}{{195, 400_000, 7}, {195, 900_000, 3}, {330, 1_400_000, 2}} {
 		f := newFleet(c.gateways, c.rate)
-		f.collected = &collected{}
+		f.collector = &collector{}
 		weights := make([]float64, c.gateways)
 		for i := range weights {
 			weights[i] = 0.3 + f.rng.Float64()
 		}
 		f.run(6*time.Second, 0.5*c.rate, 6000, weights)
-		f.refused, f.asked = 0, 0
+		f.refused, f.requested = 0, 0
 		f.run(4*time.Second, 0.7*c.rate, 6000, weights)
-		if f.refused*50 > f.asked {
-			t.Errorf("%d gateways: %d of %d requests refused below the limit", c.gateways, f.refused, f.asked)
+		if f.refused*50 > f.requested {
+			t.Errorf("%d gateways: %d of %d requests refused below the limit", c.gateways, f.refused, f.requested)
 		}
 		f.run(9*time.Second, c.surge*c.rate, 6000, weights)
 		f.run(3*time.Second, 0.5*c.rate, 6000, weights)
-		f.check(t)
+		f.checkLimit(t)
 	}
 }
 
-// surges plays surges of an account at gateways that hear of another one in one of
+// checkSurges plays surges of an account at gateways that hear of another one in one of
 // a number of rounds.
-func surges(t *testing.T, gateways int, rate float64, rounds int) {
+func checkSurges(t *testing.T, gateways int, rate float64, rounds int) {
 	t.Helper()
 	for seed := range uint64(5) {
 		for _, surge := range []float64{2, 4.5, 7} {
@@ -540,12 +540,12 @@
 			for i := range weights {
 				weights[i] = 0.3 + f.rng.Float64()
 			}
-			f.fresh = 8 * time.Second
+			f.maxReportAge = 8 * time.Second
 			f.hears = func(int, int) bool { return f.rng.IntN(rounds) == 0 }
 			f.run(10*time.Second, 0.5*rate, 6000, weights)
 			f.run(9*time.Second, surge*rate, 6000, weights)
 			f.run(5*time.Second, 0.5*rate, 6000, weights)
-			f.check(t)
+			f.checkLimit(t)
 		}
 	}
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -16,9 +16,9 @@
 	DefaultMostStored = 10
 )
 
-// unit is one attempt in the budget's integer arithmetic, so that no rounding
+// unitsPerAttempt is one attempt in the budget's integer arithmetic, so that no rounding
 // can add up to an attempt too many.
-const unit = 1_000_000
+const unitsPerAttempt = 1_000_000
 
 // BudgetConfig sets how many extra attempts are allowed.
 type BudgetConfig struct {
@@ -51,26 +51,26 @@
 // and in whatever order. The attempts sent are then at most (1+Ratio)*f +
 // Floor*t + MostStored. It is safe for concurrent use.
 type Budget struct {
-	perTry    int64
-	perSecond int64
-	most      int64
+	perFirstTry int64
+	perSecond   int64
+	maxStored   int64
 
 	mu     sync.Mutex
 	stored int64
-	// filled is up to when the floor was paid in.
-	filled time.Time
+	// floorPaidAt is up to when the floor was paid in.
+	floorPaidAt time.Time
 }
 
 // NewBudget returns a budget that holds MostStored attempts.
 func NewBudget(config BudgetConfig, now time.Time) *Budget {
 	config = config.withDefaults()
-	most := int64(config.MostStored * unit)
+	most := int64(config.MostStored * unitsPerAttempt)
 	return &Budget{
-		perTry:    int64(config.Ratio * unit),
-		perSecond: int64(config.Floor * unit),
-		most:      most,
-		stored:    most,
-		filled:    now,
+		perFirstTry: int64(config.Ratio * unitsPerAttempt),
+		perSecond:   int64(config.Floor * unitsPerAttempt),
+		maxStored:   most,
+		stored:      most,
+		floorPaidAt: now,
 	}
 }
 
@@ -78,7 +78,7 @@
 func (b *Budget) FirstTry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stored = min(b.stored+b.perTry, b.most)
+	b.stored = min(b.stored+b.perFirstTry, b.maxStored)
 }
 
 // Spend takes one extra attempt out of the budget. It reports false, and takes
@@ -86,23 +86,23 @@
 func (b *Budget) Spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now)
-	if b.stored < unit {
+	b.payFloor(now)
+	if b.stored < unitsPerAttempt {
 		return false
 	}
-	b.stored -= unit
+	b.stored -= unitsPerAttempt
 	return true
 }
 
-// fill pays in the floor. Times that run backwards pay nothing.
-func (b *Budget) fill(now time.Time) {
-	elapsed := now.Sub(b.filled)
+// payFloor pays in the floor. Times that run backwards pay nothing.
+func (b *Budget) payFloor(now time.Time) {
+	elapsed := now.Sub(b.floorPaidAt)
 	if elapsed <= 0 {
 		return
 	}
-	longest := time.Duration(float64(b.most)/float64(max(b.perSecond, 1))*float64(time.Second)) + time.Second
+	longest := time.Duration(float64(b.maxStored)/float64(max(b.perSecond, 1))*float64(time.Second)) + time.Second
 	if elapsed >= longest {
-		b.stored, b.filled = b.most, now
+		b.stored, b.floorPaidAt = b.maxStored, now
 		return
 	}
 	paid := int64(float64(b.perSecond) * elapsed.Seconds())
@@ -110,6 +110,6 @@
 		// Too short to pay a whole unit: let the time add up.
 		return
 	}
-	b.stored = min(b.stored+paid, b.most)
-	b.filled = now
+	b.stored = min(b.stored+paid, b.maxStored)
+	b.floorPaidAt = now
 }
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -16,11 +16,11 @@
 	// hedgeWindow is how many latencies are counted before the percentile
 	// is read again; two windows are kept.
 	hedgeWindow = 200
-	// hedgeSoonest bounds how early a hedge is sent.
-	hedgeSoonest = 10 * time.Millisecond
-	// latencyMost and latencyDigits bound the histogram's memory.
-	latencyMost   = int64(time.Minute / time.Microsecond)
-	latencyDigits = 2
+	// minHedgeDelay bounds how early a hedge is sent.
+	minHedgeDelay = 10 * time.Millisecond
+	// maxLatencyMicros and latencyDigits bound the histogram's memory.
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
+	latencyDigits    = 2
 )
 
 // Latencies remembers recent latencies of one kind of request. It is safe for
@@ -29,25 +29,25 @@
 	mu     sync.Mutex
 	recent *hdrhistogram.WindowedHistogram
 	count  int
-	// after is the percentile read last; 0 is not known yet.
-	after time.Duration
+	// hedgeAfter is the percentile read last; 0 is not known yet.
+	hedgeAfter time.Duration
 }
 
 // NewLatencies returns an empty memory.
 func NewLatencies() *Latencies {
-	return &Latencies{recent: hdrhistogram.NewWindowed(2, 1, latencyMost, latencyDigits)}
+	return &Latencies{recent: hdrhistogram.NewWindowed(2, 1, maxLatencyMicros, latencyDigits)}
 }
 
 // Observe adds the latency of a first attempt.
 func (l *Latencies) Observe(latency time.Duration) {
-	micros := min(max(latency.Microseconds(), 1), latencyMost)
+	micros := min(max(latency.Microseconds(), 1), maxLatencyMicros)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// The value is within the histogram's range, the only cause of an error.
 	_ = l.recent.Current.RecordValue(micros)
 	l.count++
 	if l.count == hedgeMinSamples || l.count%hedgeWindow == 0 {
-		l.after = time.Duration(l.recent.Merge().ValueAtQuantile(hedgePercentile)) * time.Microsecond
+		l.hedgeAfter = time.Duration(l.recent.Merge().ValueAtQuantile(hedgePercentile)) * time.Microsecond
 	}
 	if l.count%hedgeWindow == 0 {
 		l.recent.Rotate()
@@ -59,7 +59,7 @@
 func (l *Latencies) HedgeAfter() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(l.after, hedgeSoonest), l.after > 0
+	return max(l.hedgeAfter, minHedgeDelay), l.hedgeAfter > 0
 }
 
 // HedgeState is what the decision to hedge depends on.
--- a/internal/retry/shared.go
+++ b/internal/retry/shared.go
@@ -17,13 +17,13 @@
 }
 
 const (
-	// sharedMargin is the part of the bound that is used: gateways that are
+	// usedBudgetShare is the part of the bound that is used: gateways that are
 	// not known yet, and arrivals that a cut delays into another window, take
 	// the rest.
-	sharedMargin = 0.6
-	// fewestGateways is how many are assumed while fewer are known, so that a
+	usedBudgetShare = 0.6
+	// minGateways is how many are assumed while fewer are known, so that a
 	// gateway that was just started does not take the whole slack.
-	fewestGateways = 4
+	minGateways = 4
 )
 
 // Shared is a retry budget of many services that gateways keep together without
@@ -40,12 +40,12 @@
 
 // window counts events in slices of a sliding window.
 type window struct {
-	firsts, extras [slices]float64
+	firsts, extras [sliceCount]float64
 	// slice numbers the newest slice.
 	slice int64
 }
 
-const slices = 10
+const sliceCount = 10
 
 // NewShared returns a budget in which nothing was spent.
 func NewShared(cfg SharedConfig, gateways func() int) *Shared {
@@ -56,25 +56,25 @@
 func (s *Shared) FirstTry(service ident.Service, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.at(service, now)
-	w.firsts[w.slice%slices]++
+	w := s.currentWindow(service, now)
+	w.firsts[w.slice%sliceCount]++
 }
 
 // Spend takes one further arrival, or reports that the budget has none left.
 func (s *Shared) Spend(service ident.Service, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.at(service, now)
-	gateways := max(s.gateways(), fewestGateways)
-	allowed := sharedMargin * (s.cfg.Ratio*sum(w.firsts) + s.cfg.Slack/float64(gateways))
+	w := s.currentWindow(service, now)
+	gateways := max(s.gateways(), minGateways)
+	allowed := usedBudgetShare * (s.cfg.Ratio*sum(w.firsts) + s.cfg.Slack/float64(gateways))
 	if sum(w.extras)+1 > allowed {
 		return false
 	}
-	w.extras[w.slice%slices]++
+	w.extras[w.slice%sliceCount]++
 	return true
 }
 
-func sum(counts [slices]float64) float64 {
+func sum(counts [sliceCount]float64) float64 {
 	total := 0.0
 	for _, n := range counts {
 		total += n
@@ -82,9 +82,9 @@
 	return total
 }
 
-// at returns a service's window, moved to the present.
-func (s *Shared) at(service ident.Service, now time.Time) *window {
-	slice := now.UnixNano() / int64(s.cfg.Window/slices)
+// currentWindow returns a service's window, moved to the present.
+func (s *Shared) currentWindow(service ident.Service, now time.Time) *window {
+	slice := now.UnixNano() / int64(s.cfg.Window/sliceCount)
 	w := s.services[service]
 	if w == nil {
 		w = &window{slice: slice}
@@ -92,9 +92,9 @@
 	}
 	for w.slice < slice {
 		w.slice++
-		w.firsts[w.slice%slices], w.extras[w.slice%slices] = 0, 0
-		if slice-w.slice > slices {
-			w.slice = slice - slices
+		w.firsts[w.slice%sliceCount], w.extras[w.slice%sliceCount] = 0, 0
+		if slice-w.slice > sliceCount {
+			w.slice = slice - sliceCount
 		}
 	}
 	return w
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -21,44 +21,44 @@
 // upstreams.
 
 const (
-	round     = 250 * time.Millisecond
-	collectAt = 18
-	hop       = 20 * time.Millisecond
-	look      = 100 * time.Millisecond
-	// fresh is for how long a report counts as the present, and knownFor for how long its
+	round                    = 250 * time.Millisecond
+	minGatewaysForCollectors = 18
+	messageDelay             = 20 * time.Millisecond
+	checkInterval            = 100 * time.Millisecond
+	// maxReportAge is for how long a report counts as the present, and knownFor for how long its
 	// gateway counts as one that may send.
-	fresh    = time.Second
-	knownFor = 15 * time.Second
-	renewal  = 1500 * time.Millisecond
-	// down is for how long a killed gateway is away.
-	down     = 800 * time.Millisecond
-	contact  = 3 * time.Second
-	window   = 4 * time.Second
-	usedOver = 10 * time.Second
-	length   = 40 * time.Second
+	maxReportAge = time.Second
+	knownFor     = 15 * time.Second
+	renewal      = 1500 * time.Millisecond
+	// restartDelay is for how long a killed gateway is away.
+	restartDelay = 800 * time.Millisecond
+	contactTime  = 3 * time.Second
+	window       = 4 * time.Second
+	usageWindow  = 10 * time.Second
+	playTime     = 40 * time.Second
 )
 
-// plan is the limit of one upstream over time.
-type plan func(at time.Duration) (rate float64, limited bool)
+// limitSchedule is the limit of one upstream over time.
+type limitSchedule func(at time.Duration) (rate float64, limited bool)
 
 // always names a rate from a time on, and between names it up to another time.
-func always(rate float64, from time.Duration) plan { return between(rate, from, time.Hour) }
+func always(rate float64, from time.Duration) limitSchedule { return between(rate, from, time.Hour) }
 
-func between(rate float64, from, to time.Duration) plan {
+func between(rate float64, from, to time.Duration) limitSchedule {
 	return func(at time.Duration) (float64, bool) { return rate, at >= from && at < to }
 }
 
-// story is a fleet with what happens to it.
-type story struct {
+// scenario is a fleet with what happens to it.
+type scenario struct {
 	name              string
 	gateways, domains int
 	upstreams         int
 	// rate is requests a second.
 	rate float64
 	// limits by upstream.
-	limits map[int]plan
-	// part of the gateways that get requests; all where 0.
-	part float64
+	limits map[int]limitSchedule
+	// gatewayShare of the gateways that get requests; all where 0.
+	gatewayShare float64
 	// burst is by how much more is asked from 12 s to 22 s; 0 for none.
 	burst float64
 	// cut: a domain is cut off from 15 s to 20 s.
@@ -69,17 +69,17 @@
 	// joins is how many gateways more start, between 10 s and 20 s.
 	joins int
 	// reborn: limited upstreams start again at 20 s, without a limit.
-	reborn bool
-	// again is how often a refused caller comes back.
-	again int
-	// wanted says when the upstreams with limits are the best choice of all requests, and
+	restarted bool
+	// retries is how often a refused caller comes back.
+	retries int
+	// preferred says when the upstreams with limits are the best choice of all requests, and
 	// when of none; nil where they are of some.
-	wanted func(at time.Duration) bool
+	preferred func(at time.Duration) bool
 	// share is another way to divide a rate; nil for the one that stands.
-	share share
+	share shareFunc
 }
 
-func (s story) with(change func(*story)) story {
+func (s scenario) with(change func(*scenario)) scenario {
 	change(&s)
 	return s
 }
@@ -92,11 +92,11 @@
 	// reports are the others' uses as they came, directly or in a collector's sum.
 	reports map[int]report
 	sums    map[int]domainReport
-	// answer is the collector's sum of all others.
-	answer domainReport
-	fleet  Fleet
-	// listAt is when it next looks which upstreams there are.
-	listAt time.Duration
+	// collected is the collector's sum of all others.
+	collected domainReport
+	fleet     Fleet
+	// nextListAt is when it next looks which upstreams there are.
+	nextListAt time.Duration
 }
 
 // report is one gateway's uses.
@@ -114,8 +114,8 @@
 }
 
 type upstream struct {
-	i, domain, life int
-	plan            plan
+	i, domain, incarnation int
+	schedule               limitSchedule
 	// named is when a limit was first named, and lifted when an answer first named none after
 	// that; negative for never.
 	named, lifted time.Duration
@@ -123,37 +123,37 @@
 }
 
 func (u *upstream) id() ident.Instance {
-	return ident.Instance("u" + strconv.Itoa(u.i) + "/" + strconv.Itoa(u.life))
+	return ident.Instance("u" + strconv.Itoa(u.i) + "/" + strconv.Itoa(u.incarnation))
 }
 
 // result is what a play showed.
 type result struct {
-	// beyond counts windows over what is allowed, and worst is the most in one as a part of
+	// windowsOver counts windows over what is allowed, and worst is the most in one as a part of
 	// what is allowed.
-	beyond int
-	worst  float64
-	// over is the most in one window as a part of the limit itself, where that allows ten.
-	over float64
-	// used are the parts of the limits that were used, over 10 s each.
-	used []float64
+	windowsOver    int
+	worstOfAllowed float64
+	// worstOfLimit is the most in one window as a part of the limit itself, where that allows ten.
+	worstOfLimit float64
+	// usedShares are the parts of the limits that were used, over 10 s each.
+	usedShares []float64
 	// refused requests had room at upstreams without a limit.
 	refused, refusedAll, requests int
-	// known is how long it took until all gateways knew a limit, and forgot how long until
+	// knownAfter is how long it took until all gateways knew a limit, and forgot how long until
 	// none had it any more after it was lifted.
-	known, forgot time.Duration
-	// said and told are the most limits and uses in one message.
-	said, told int
+	knownAfter, liftedAfter time.Duration
+	// maxLimitsInMessage and told are the most limits and uses in one message.
+	maxLimitsInMessage, maxUsesInMessage int
 }
 
 type fleet struct {
 	testkit.Timeline
-	s        story
-	rng      *rand.Rand
-	gateways []*gateway
-	ups      []*upstream
-	kept     json.RawMessage
-	cutOff   int
-	r        result
+	scenario  scenario
+	rng       *rand.Rand
+	gateways  []*gateway
+	upstreams []*upstream
+	saved     json.RawMessage
+	cutOff    int
+	result    result
 }
 
 var epoch = time.Unix(1_000_000, 0)
@@ -162,8 +162,8 @@
 
 func key(id ident.Instance) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
-func play(s story, seed uint64) result {
-	f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 11)), cutOff: -1}
+func play(s scenario, seed uint64) result {
+	f := &fleet{scenario: s, rng: rand.New(rand.NewPCG(seed, 11)), cutOff: -1}
 	for i := range s.gateways + s.joins {
 		g := &gateway{i: i, domain: i % s.domains}
 		f.gateways = append(f.gateways, g)
@@ -176,22 +176,22 @@
 		f.In(time.Duration(f.rng.Int64N(int64(round/2))), func() { f.refresh(g) })
 	}
 	for i := range s.upstreams {
-		f.ups = append(f.ups, &upstream{i: i, domain: i % s.domains, plan: s.limits[i], named: -1, lifted: -1})
+		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, schedule: s.limits[i], named: -1, lifted: -1})
 	}
 	f.schedule()
-	f.Play(length)
-	for _, u := range f.ups {
-		f.judge(u)
+	f.Play(playTime)
+	for _, u := range f.upstreams {
+		f.evaluate(u)
 	}
-	return f.r
+	return f.result
 }
 
 func (f *fleet) schedule() {
-	s := f.s
+	s := f.scenario
 	f.In(0, f.arrive)
-	f.In(renewal, f.renew)
-	f.In(look, f.noteKnown)
-	if f.many() {
+	f.In(renewal, f.saveLimits)
+	f.In(checkInterval, f.noteKnown)
+	if f.usesCollectors() {
 		for d := range s.domains {
 			f.In(time.Duration(f.rng.Int64N(int64(round/2))), func() { f.exchangeSums(d) })
 		}
@@ -205,19 +205,19 @@
 	}
 	if s.killEach {
 		for _, g := range f.gateways {
-			f.In(time.Duration(f.rng.Int64N(int64(length))), func() { f.kill(g) })
+			f.In(time.Duration(f.rng.Int64N(int64(playTime))), func() { f.kill(g) })
 		}
 	}
 	if s.cut {
 		f.In(15*time.Second, func() { f.cutOff = f.rng.IntN(s.domains) })
 		f.In(20*time.Second, func() { f.cutOff = -1 })
 	}
-	if s.reborn {
+	if s.restarted {
 		f.In(20*time.Second, func() {
-			for _, u := range f.ups {
-				if u.plan != nil {
-					f.judge(u)
-					u.life, u.plan, u.named, u.lifted, u.arrivals = u.life+1, nil, -1, -1, nil
+			for _, u := range f.upstreams {
+				if u.schedule != nil {
+					f.evaluate(u)
+					u.incarnation, u.schedule, u.named, u.lifted, u.arrivals = u.incarnation+1, nil, -1, -1, nil
 				}
 			}
 		})
@@ -226,15 +226,15 @@
 
 func (f *fleet) start(g *gateway) {
 	g.up, g.startedAt = true, f.Now()
-	g.reports, g.sums, g.answer = make(map[int]report), make(map[int]domainReport), domainReport{}
-	g.fleet = Fleet{Heard: 1, Known: f.s.gateways}
+	g.reports, g.sums, g.collected = make(map[int]report), make(map[int]domainReport), domainReport{}
+	g.fleet = Fleet{Heard: 1, Known: f.scenario.gateways}
 	g.keeper = NewKeeper(Config{Now: f.clock, Log: hclog.NewNullLogger(), Key: key, Round: round, Seed: f.rng.Uint64()})
-	if f.s.share != nil {
-		g.keeper.share = f.s.share
+	if f.scenario.share != nil {
+		g.keeper.shareOf = f.scenario.share
 	}
-	g.listAt = 0
+	g.nextListAt = 0
 	g.keeper.Refresh(nil, g.fleet)
-	g.keeper.Restore(f.kept)
+	g.keeper.Restore(f.saved)
 }
 
 func (f *fleet) kill(g *gateway) {
@@ -242,21 +242,21 @@
 		return
 	}
 	g.up = false
-	f.In(down+time.Duration(f.rng.Int64N(int64(down/2))), func() { f.start(g) })
+	f.In(restartDelay+time.Duration(f.rng.Int64N(int64(restartDelay/2))), func() { f.start(g) })
 }
 
-// renew writes the lease's record.
-func (f *fleet) renew() {
-	f.In(renewal, f.renew)
+// saveLimits writes the lease's record.
+func (f *fleet) saveLimits() {
+	f.In(renewal, f.saveLimits)
 	for _, g := range f.gateways {
 		if g.up && f.cutOff != g.domain {
-			f.kept = g.keeper.Keep()
+			f.saved = g.keeper.Keep()
 			return
 		}
 	}
 }
 
-func (f *fleet) many() bool { return f.s.gateways >= collectAt }
+func (f *fleet) usesCollectors() bool { return f.scenario.gateways >= minGatewaysForCollectors }
 
 // apart reports whether two domains are cut off from each other.
 func (f *fleet) apart(a, b int) bool { return f.cutOff >= 0 && (a == f.cutOff) != (b == f.cutOff) }
@@ -278,28 +278,28 @@
 		return
 	}
 	own := g.keeper.Uses()
-	f.r.told = max(f.r.told, len(own))
-	if f.many() {
+	f.result.maxUsesInMessage = max(f.result.maxUsesInMessage, len(own))
+	if f.usesCollectors() {
 		if c := f.collector(g.domain); c != nil {
-			f.say(g, c, func() { c.reports[g.i] = report{own, f.Now()} })
-			f.say(c, g, func() { f.answer(c, g) })
+			f.announceLimits(g, c, func() { c.reports[g.i] = report{own, f.Now()} })
+			f.announceLimits(c, g, func() { f.sendCollected(c, g) })
 		}
 		return
 	}
 	for _, o := range f.gateways {
 		if o != g && o.up && !f.apart(g.domain, o.domain) {
-			f.say(g, o, func() { o.reports[g.i] = report{own, f.Now()} })
+			f.announceLimits(g, o, func() { o.reports[g.i] = report{own, f.Now()} })
 		}
 	}
 }
 
-// say has one gateway hear what another says of limits, and then does what comes with it.
-func (f *fleet) say(from, to *gateway, then func()) {
+// announceLimits has one gateway hear what another says of limits, and then does what comes with it.
+func (f *fleet) announceLimits(from, to *gateway, then func()) {
 	said := from.keeper.Say()
-	f.r.said = max(f.r.said, len(said))
+	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(said))
 	at := f.Now()
 	keeper := to.keeper
-	f.In(hop+time.Duration(f.rng.Int64N(int64(hop))), func() {
+	f.In(messageDelay+time.Duration(f.rng.Int64N(int64(messageDelay))), func() {
 		if to.up && to.keeper == keeper {
 			to.keeper.Learn(said, epoch.Add(at))
 			then()
@@ -307,13 +307,13 @@
 	})
 }
 
-// answer gives a gateway its collector's sum of all others.
-func (f *fleet) answer(c, g *gateway) {
+// sendCollected gives a gateway its collector's sum of all others.
+func (f *fleet) sendCollected(c, g *gateway) {
 	sum := domainReport{uses: make(Uses), at: f.Now()}
 	f.addMembers(c, &sum, g.i)
 	for _, d := range slices.Sorted(maps.Keys(c.sums)) {
 		other := c.sums[d]
-		if f.Now()-other.at <= fresh {
+		if f.Now()-other.at <= maxReportAge {
 			sum.uses.Add(other.uses)
 			sum.heard += other.heard
 		}
@@ -321,7 +321,7 @@
 			sum.known += other.known
 		}
 	}
-	g.answer = sum
+	g.collected = sum
 }
 
 func (f *fleet) addMembers(c *gateway, sum *domainReport, without int) {
@@ -333,7 +333,7 @@
 		if f.Now()-r.at <= knownFor {
 			sum.known++
 		}
-		if f.Now()-r.at <= fresh {
+		if f.Now()-r.at <= maxReportAge {
 			sum.heard++
 			sum.uses.Add(r.uses)
 		}
@@ -349,9 +349,9 @@
 	}
 	sum := domainReport{uses: make(Uses), at: f.Now()}
 	f.addMembers(c, &sum, -1)
-	for d := range f.s.domains {
+	for d := range f.scenario.domains {
 		if o := f.collector(d); d != domain && o != nil && !f.apart(domain, d) {
-			f.say(c, o, func() { o.sums[domain] = sum })
+			f.announceLimits(c, o, func() { o.sums[domain] = sum })
 		}
 	}
 }
@@ -364,8 +364,8 @@
 	}
 	others := make(Uses)
 	fleet := Fleet{Heard: 1, Known: 1}
-	if f.many() {
-		if sum := g.answer; f.Now()-sum.at <= fresh && sum.at > 0 {
+	if f.usesCollectors() {
+		if sum := g.collected; f.Now()-sum.at <= maxReportAge && sum.at > 0 {
 			others, fleet = sum.uses, Fleet{1 + sum.heard, 1 + sum.known}
 		} else {
 			fleet.Known = 1 + sum.known
@@ -376,7 +376,7 @@
 				continue
 			}
 			r := g.reports[i]
-			if f.Now()-r.at <= fresh {
+			if f.Now()-r.at <= maxReportAge {
 				others.Add(r.uses)
 				fleet.Heard++
 			}
@@ -385,14 +385,14 @@
 			}
 		}
 	}
-	if f.Now()-g.startedAt < contact {
-		fleet.Known = max(fleet.Known, f.s.gateways)
+	if f.Now()-g.startedAt < contactTime {
+		fleet.Known = max(fleet.Known, f.scenario.gateways)
 	}
 	g.keeper.Refresh(others, fleet)
-	if f.Now() >= g.listAt {
-		g.listAt = f.Now() + time.Second
+	if f.Now() >= g.nextListAt {
+		g.nextListAt = f.Now() + time.Second
 		g.keeper.Listed(func(note func(ident.Instance)) {
-			for _, u := range f.ups {
+			for _, u := range f.upstreams {
 				note(u.id())
 			}
 		})
@@ -401,12 +401,12 @@
 
 // noteKnown notes when all gateways know what an upstream says of its limit.
 func (f *fleet) noteKnown() {
-	f.In(look, f.noteKnown)
-	for _, u := range f.ups {
+	f.In(checkInterval, f.noteKnown)
+	for _, u := range f.upstreams {
 		if u.named < 0 {
 			continue
 		}
-		rate, limited := u.plan(f.Now())
+		rate, limited := u.schedule(f.Now())
 		all := true
 		for _, g := range f.gateways {
 			if !all {
@@ -414,35 +414,35 @@
 			}
 			if g.up {
 				got, knows := g.keeper.Rate(u.id())
-				all = knows == limited && (!limited || got == max(rate, leastRate))
+				all = knows == limited && (!limited || got == max(rate, minRate))
 			}
 		}
 		switch {
 		case all:
 		case limited:
-			f.r.known = max(f.r.known, f.Now()-u.named)
+			f.result.knownAfter = max(f.result.knownAfter, f.Now()-u.named)
 		case u.lifted >= 0:
-			f.r.forgot = max(f.r.forgot, f.Now()-u.lifted)
+			f.result.liftedAfter = max(f.result.liftedAfter, f.Now()-u.lifted)
 		}
 	}
 }
 
 // arrive brings a request, and schedules the next.
 func (f *fleet) arrive() {
-	rate := f.s.rate
-	if f.s.burst > 0 && f.Now() > 12*time.Second && f.Now() < 22*time.Second {
-		rate *= f.s.burst
+	rate := f.scenario.rate
+	if f.scenario.burst > 0 && f.Now() > 12*time.Second && f.Now() < 22*time.Second {
+		rate *= f.scenario.burst
 	}
 	f.In(time.Duration(f.rng.ExpFloat64()*float64(time.Second)/rate), f.arrive)
-	f.r.requests++
-	f.come(0)
+	f.result.requests++
+	f.receive(0)
 }
 
-// come brings a request to some gateway that is up, for the so-manieth time.
-func (f *fleet) come(times int) {
+// receive brings a request to some gateway that is up, for the so-manieth time.
+func (f *fleet) receive(times int) {
 	n := len(f.gateways)
-	if f.s.part > 0 {
-		n = max(1, int(f.s.part*float64(n)))
+	if f.scenario.gatewayShare > 0 {
+		n = max(1, int(f.scenario.gatewayShare*float64(n)))
 	}
 	g := f.gateways[f.rng.IntN(n)]
 	for range 4 * n {
@@ -460,15 +460,15 @@
 func (f *fleet) place(g *gateway, times int) {
 	room := false
 	// A step that has no common divisor with the number of upstreams reaches all of them.
-	start, step := f.rng.IntN(len(f.ups)), 1+f.rng.IntN(len(f.ups))
-	for gcd(step, len(f.ups)) > 1 {
-		step = 1 + f.rng.IntN(len(f.ups))
-	}
-	for i := range f.ups {
-		u := f.ups[(start+i*step)%len(f.ups)]
-		if f.s.wanted != nil {
-			u = f.ups[i]
-			if u.plan != nil && !f.s.wanted(f.Now()) {
+	start, step := f.rng.IntN(len(f.upstreams)), 1+f.rng.IntN(len(f.upstreams))
+	for gcd(step, len(f.upstreams)) > 1 {
+		step = 1 + f.rng.IntN(len(f.upstreams))
+	}
+	for i := range f.upstreams {
+		u := f.upstreams[(start+i*step)%len(f.upstreams)]
+		if f.scenario.preferred != nil {
+			u = f.upstreams[i]
+			if u.schedule != nil && !f.scenario.preferred(f.Now()) {
 				continue
 			}
 		}
@@ -477,16 +477,16 @@
 		}
 		room = room || !g.keeper.Limited(u.id())
 		if g.keeper.Take(u.id()) {
-			f.send(g, u)
+			f.sendRequest(g, u)
 			return
 		}
 	}
-	f.r.refusedAll++
+	f.result.refusedAll++
 	if room {
-		f.r.refused++
+		f.result.refused++
 	}
-	if times < f.s.again {
-		f.In(200*time.Millisecond+time.Duration(f.rng.Int64N(int64(time.Second))), func() { f.come(times + 1) })
+	if times < f.scenario.retries {
+		f.In(200*time.Millisecond+time.Duration(f.rng.Int64N(int64(time.Second))), func() { f.receive(times + 1) })
 	}
 }
 
@@ -498,18 +498,18 @@
 	return a
 }
 
-func (f *fleet) send(g *gateway, u *upstream) {
+func (f *fleet) sendRequest(g *gateway, u *upstream) {
 	u.arrivals = append(u.arrivals, f.Now())
-	life, keeper := u.life, g.keeper
+	life, keeper := u.incarnation, g.keeper
 	took := 20*time.Millisecond + time.Duration(f.rng.ExpFloat64()*float64(80*time.Millisecond))
 	id := u.id()
 	f.In(took, func() {
-		if !g.up || g.keeper != keeper || u.life != life {
+		if !g.up || g.keeper != keeper || u.incarnation != life {
 			return
 		}
 		s := Statement{}
-		if u.plan != nil {
-			if rate, limited := u.plan(f.Now()); limited {
+		if u.schedule != nil {
+			if rate, limited := u.schedule(f.Now()); limited {
 				s = RateOf(rate)
 				if u.named < 0 {
 					u.named = f.Now()
@@ -523,64 +523,64 @@
 	})
 }
 
-// most is the highest rate that was named in a time; unlimited where none was in a part of
+// maxNamedRate is the highest rate that was named in a time; unlimited where none was in a part of
 // it.
-func (u *upstream) most(from, to time.Duration) (rate float64, limited bool) {
+func (u *upstream) maxNamedRate(from, to time.Duration) (rate float64, limited bool) {
 	for at := from; at <= to; at += 50 * time.Millisecond {
-		r, l := u.plan(at)
+		r, l := u.schedule(at)
 		if !l {
 			return 0, false
 		}
 		rate = max(rate, r)
 	}
-	return max(rate, leastRate), true
+	return max(rate, minRate), true
 }
 
-// judge looks at all windows of an upstream's arrivals. A rate that was named counts from
+// evaluate looks at all windows of an upstream's arrivals. A rate that was named counts from
 // the contact time after it was.
-func (f *fleet) judge(u *upstream) {
-	if u.plan == nil || u.named < 0 {
+func (f *fleet) evaluate(u *upstream) {
+	if u.schedule == nil || u.named < 0 {
 		return
 	}
 	end := f.Now()
 	first := 0
 	for i, at := range u.arrivals {
-		for at-u.arrivals[first] > window || u.arrivals[first] < u.named+contact && first < i {
+		for at-u.arrivals[first] > window || u.arrivals[first] < u.named+contactTime && first < i {
 			first++
 		}
-		if at < u.named+contact {
+		if at < u.named+contactTime {
 			continue
 		}
-		rate, limited := u.most(max(u.named, u.arrivals[first]-contact), at)
+		rate, limited := u.maxNamedRate(max(u.named, u.arrivals[first]-contactTime), at)
 		if !limited {
 			continue
 		}
 		n := float64(i - first + 1)
 		allowed := math.Floor(1.5*rate*window.Seconds() + 5)
-		f.r.worst = max(f.r.worst, n/allowed)
+		f.result.worstOfAllowed = max(f.result.worstOfAllowed, n/allowed)
 		if n > allowed {
-			f.r.beyond++
+			f.result.windowsOver++
 		}
 		if rate*window.Seconds() >= 10 {
-			f.r.over = max(f.r.over, n/(rate*window.Seconds()))
+			f.result.worstOfLimit = max(f.result.worstOfLimit, n/(rate*window.Seconds()))
 		}
 	}
-	for from := u.named + contact; from+usedOver <= end; from += usedOver {
-		least, limited := u.plan(from)
-		for at := from; at < from+usedOver; at += 100 * time.Millisecond {
-			r, l := u.plan(at)
+	for from := u.named + contactTime; from+usageWindow <= end; from += usageWindow {
+		least, limited := u.schedule(from)
+		for at := from; at < from+usageWindow; at += 100 * time.Millisecond {
+			r, l := u.schedule(at)
 			least, limited = min(least, r), limited && l
 		}
-		if !limited || least < leastRate {
+		if !limited || least < minRate {
 			continue
 		}
 		n := 0
 		for _, at := range u.arrivals {
-			if at >= from && at < from+usedOver {
+			if at >= from && at < from+usageWindow {
 				n++
 			}
 		}
-		f.r.used = append(f.r.used, float64(n)/(least*usedOver.Seconds()))
+		f.result.usedShares = append(f.result.usedShares, float64(n)/(least*usageWindow.Seconds()))
 	}
 }
 
--- a/internal/upstreamlimit/keeper.go
+++ b/internal/upstreamlimit/keeper.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// lineEvery bounds the log lines of an upstream that names another rate in each answer.
-	lineEvery = time.Second
-	// mostLimits bounds the upstreams whose limits are known.
-	mostLimits = 5000
-	// keptUnlisted is for how long the limit of an upstream is kept that is not listed: what
+	// logInterval bounds the log lines of an upstream that names another rate in each answer.
+	logInterval = time.Second
+	// maxLimits bounds the upstreams whose limits are known.
+	maxLimits = 5000
+	// unlistedRetention is for how long the limit of an upstream is kept that is not listed: what
 	// other gateways say of one that has just started may come before its entry.
-	keptUnlisted = 15 * time.Second
-	// keptLifted is for how long it is remembered that a limit was lifted: longer than an
+	unlistedRetention = 15 * time.Second
+	// liftedRetention is for how long it is remembered that a limit was lifted: longer than an
 	// older word of it can be on its way.
-	keptLifted = 30 * time.Second
+	liftedRetention = 30 * time.Second
 )
 
 // Config is what a Keeper works with. All fields are required.
@@ -43,8 +43,8 @@
 	cfg Config
 	// version grows when the set of upstreams with a limit changes, and some is whether
 	// there are any.
-	version atomic.Uint64
-	some    atomic.Bool
+	version    atomic.Uint64
+	anyLimited atomic.Bool
 
 	mu     sync.Mutex
 	limits map[uint32]*limit
@@ -53,11 +53,11 @@
 	rng   *rand.Rand
 	// order is worked out on demand; its Set is 0 until then.
 	order Order
-	// share is how a rate is divided between gateways.
-	share    share
+	// shareOf is how a rate is divided between gateways.
+	shareOf  shareFunc
 	counters Counters
-	// unreadableAt is when a line last told of a limit that could not be read.
-	unreadableAt time.Time
+	// unreadableLoggedAt is when a line last told of a limit that could not be read.
+	unreadableLoggedAt time.Time
 }
 
 // Fleet counts gateways.
@@ -72,19 +72,19 @@
 	upstream ident.Instance
 	limited  bool
 	rate     float64
-	// saidAt is when an answer last said so, to any gateway.
-	saidAt time.Time
+	// statedAt is when an answer last said so, to any gateway.
+	statedAt time.Time
 	// changedAt is when this gateway last heard a change, and since when it knows that there
 	// is a limit.
-	changedAt, since time.Time
+	changedAt, limitedSince time.Time
 	// listedAt is when the upstream was last listed.
 	listedAt time.Time
-	use
+	traffic
 	// answers counts those that came here since the limit was heard of.
 	answers int
 	// loggedAt is when a line told of it last, and unlogged how many changes came since.
-	loggedAt time.Time
-	unlogged int
+	loggedAt        time.Time
+	unloggedChanges int
 }
 
 // Counters are totals since the start.
@@ -99,13 +99,13 @@
 func NewKeeper(cfg Config) *Keeper {
 	return &Keeper{
 		cfg: cfg, limits: make(map[uint32]*limit), fleet: Fleet{Heard: 1, Known: 1},
-		rng: rand.New(rand.NewPCG(cfg.Seed, 0)), share: thinned,
+		rng: rand.New(rand.NewPCG(cfg.Seed, 0)), shareOf: demandShare,
 	}
 }
 
 // Hear takes in what an answer of an upstream to a request says.
 func (k *Keeper) Hear(upstream ident.Instance, id ident.Request, s Statement) {
-	if s.Kind == Unlimited && !k.some.Load() {
+	if s.Kind == Unlimited && !k.anyLimited.Load() {
 		return
 	}
 	k.mu.Lock()
@@ -114,7 +114,7 @@
 	key := k.cfg.Key(upstream)
 	l := k.limits[key]
 	if s.Problem != "" {
-		k.unreadable(upstream, id, s, l, now)
+		k.logUnreadable(upstream, id, s, l, now)
 	}
 	if s.Kind == Unreadable || s.Kind == Unlimited && l == nil {
 		return
@@ -124,9 +124,9 @@
 	}
 	l.upstream = upstream
 	l.answers++
-	if k.set(l, s.Kind == Limited, s.Rate, now, now) {
+	if k.setLimit(l, s.Kind == Limited, s.Rate, now, now) {
 		k.counters.Changes++
-		k.tell(l, id, now)
+		k.logChange(l, id, now)
 	}
 }
 
@@ -137,9 +137,9 @@
 	return l
 }
 
-// set takes in what was said of a limit at an instant, and reports whether that is new.
-func (k *Keeper) set(l *limit, limited bool, rate float64, at, now time.Time) bool {
-	l.saidAt = at
+// setLimit takes in what was said of a limit at an instant, and reports whether that is new.
+func (k *Keeper) setLimit(l *limit, limited bool, rate float64, at, now time.Time) bool {
+	l.statedAt = at
 	if !limited {
 		rate = 0
 	}
@@ -148,30 +148,30 @@
 	}
 	switch {
 	case limited && !l.limited:
-		l.since = now
-		l.use = use{at: now, credit: k.rng.Float64()}
+		l.limitedSince = now
+		l.traffic = traffic{decayedAt: now, credit: k.rng.Float64()}
 	case limited:
 		// What was sent within one rate says of another how far it was used.
-		l.sent *= max(rate, leastRate) / l.allowed()
+		l.sent *= max(rate, minRate) / l.allowedRate()
 	}
 	changed := l.limited != limited
 	k.order = Order{}
 	l.limited, l.rate, l.changedAt = limited, rate, now
 	if changed {
-		k.limitedChanged()
+		k.updateLimited()
 	}
 	return true
 }
 
-// limitedChanged takes in that other upstreams have limits than before.
-func (k *Keeper) limitedChanged() {
+// updateLimited takes in that other upstreams have limits than before.
+func (k *Keeper) updateLimited() {
 	k.order = Order{}
 	k.version.Add(1)
 	some := false
 	for _, l := range k.limits {
 		some = some || l.limited
 	}
-	k.some.Store(some)
+	k.anyLimited.Store(some)
 }
 
 // inForce returns an upstream's limit; nil if it has none.
@@ -182,24 +182,24 @@
 	return nil
 }
 
-// tell logs a change, once in a time.
-func (k *Keeper) tell(l *limit, id ident.Request, now time.Time) {
-	if !l.loggedAt.IsZero() && now.Sub(l.loggedAt) < lineEvery {
-		l.unlogged++
+// logChange logs a change, once in a time.
+func (k *Keeper) logChange(l *limit, id ident.Request, now time.Time) {
+	if !l.loggedAt.IsZero() && now.Sub(l.loggedAt) < logInterval {
+		l.unloggedChanges++
 		return
 	}
 	k.cfg.Log.Info("upstream's limit changed", "upstream", l.upstream, "id", id, "limited", l.limited, "per_second", l.rate,
-		"changes_unlogged", l.unlogged, "heard", k.fleet.Heard, "known", k.fleet.Known)
-	l.loggedAt, l.unlogged = now, 0
+		"changes_unlogged", l.unloggedChanges, "heard", k.fleet.Heard, "known", k.fleet.Known)
+	l.loggedAt, l.unloggedChanges = now, 0
 }
 
-// unreadable logs what could not be read, once in a time for all upstreams.
-func (k *Keeper) unreadable(upstream ident.Instance, id ident.Request, s Statement, l *limit, now time.Time) {
+// logUnreadable logs what could not be read, once in a time for all upstreams.
+func (k *Keeper) logUnreadable(upstream ident.Instance, id ident.Request, s Statement, l *limit, now time.Time) {
 	k.counters.Unreadable++
-	if k.counters.Unreadable > 1 && now.Sub(k.unreadableAt) < lineEvery {
+	if k.counters.Unreadable > 1 && now.Sub(k.unreadableLoggedAt) < logInterval {
 		return
 	}
-	k.unreadableAt = now
+	k.unreadableLoggedAt = now
 	k.cfg.Log.Warn("upstream's limit not readable", "upstream", upstream, "id", id, "problem", s.Problem,
 		"stays_limited", l != nil && l.limited, "unreadable_total", k.counters.Unreadable)
 }
@@ -212,7 +212,7 @@
 }
 
 // Some reports whether any upstream has a limit.
-func (k *Keeper) Some() bool { return k.some.Load() }
+func (k *Keeper) Some() bool { return k.anyLimited.Load() }
 
 // Version changes with the set of upstreams that have a limit.
 func (k *Keeper) Version() uint64 { return k.version.Load() }
@@ -225,7 +225,7 @@
 
 // Rate returns the rate that all gateways together may send to an upstream.
 func (k *Keeper) Rate(upstream ident.Instance) (perSecond float64, limited bool) {
-	if !k.some.Load() {
+	if !k.anyLimited.Load() {
 		return 0, false
 	}
 	k.mu.Lock()
@@ -234,7 +234,7 @@
 	if l == nil {
 		return 0, false
 	}
-	return l.allowed(), true
+	return l.allowedRate(), true
 }
 
 // Listed takes in which upstreams there are, and forgets the limits of those that are gone.
@@ -250,19 +250,19 @@
 			l.upstream, l.listedAt = upstream, now
 			if l.limited && l.loggedAt.IsZero() {
 				// It was heard of before its entry.
-				k.tell(l, "", now)
+				k.logChange(l, "", now)
 			}
 		}
 	})
 	changed := false
 	for key, l := range k.limits {
-		gone := now.Sub(l.listedAt) > keptUnlisted
-		if gone || !l.limited && now.Sub(l.saidAt) > keptLifted {
+		gone := now.Sub(l.listedAt) > unlistedRetention
+		if gone || !l.limited && now.Sub(l.statedAt) > liftedRetention {
 			delete(k.limits, key)
 			changed = changed || l.limited
 		}
 	}
 	if changed {
-		k.limitedChanged()
+		k.updateLimited()
 	}
 }
--- a/internal/upstreamlimit/keeper_test.go
+++ b/internal/upstreamlimit/keeper_test.go
@@ -35,8 +35,8 @@
 
 const u ident.Instance = "u"
 
-// listed has the keeper see upstreams.
-func (f *fixture) listed(ids ...ident.Instance) {
+// applyList has the keeper see upstreams.
+func (f *fixture) applyList(ids ...ident.Instance) {
 	f.Listed(func(note func(ident.Instance)) {
 		for _, id := range ids {
 			note(id)
@@ -63,9 +63,9 @@
 		{name: "unreadable first", said: []Statement{bad}},
 		{name: "unreadable after a limit", said: []Statement{RateOf(2), bad}, limited: true, rate: 2},
 		{name: "unreadable after it was lifted", said: []Statement{RateOf(2), none, bad}},
-		{name: "zero", said: []Statement{RateOf(0)}, limited: true, rate: leastRate},
-		{name: "tiny", said: []Statement{RateOf(1e-300)}, limited: true, rate: leastRate},
-		{name: "huge", said: []Statement{RateOf(1e300)}, limited: true, rate: mostRate},
+		{name: "zero", said: []Statement{RateOf(0)}, limited: true, rate: minRate},
+		{name: "tiny", said: []Statement{RateOf(1e-300)}, limited: true, rate: minRate},
+		{name: "huge", said: []Statement{RateOf(1e300)}, limited: true, rate: maxRate},
 		{name: "negative", said: []Statement{RateOf(-1)}},
 		{name: "no number", said: []Statement{RateOf(math.NaN())}},
 		{name: "a limit beside what cannot be read", said: []Statement{{Kind: Limited, Rate: 3, Problem: "x"}}, limited: true, rate: 3},
@@ -122,7 +122,7 @@
 	version := f.Version()
 	for range 60 {
 		f.now = f.now.Add(time.Second)
-		f.listed(u)
+		f.applyList(u)
 	}
 	if !f.Limited(u) || f.Limited("v") || len(f.limits) != 1 {
 		t.Errorf("%d limits are known: %+v", len(f.limits), f.List())
@@ -130,14 +130,14 @@
 	if f.Version() == version {
 		t.Error("a limit was forgotten, and the version stands")
 	}
-	for i := range 3 * mostLimits {
+	for i := range 3 * maxLimits {
 		f.Learn([]Said{{Upstream: uint32(i), Limited: true, Rate: 1}}, f.now)
 	}
-	if len(f.limits) > mostLimits {
+	if len(f.limits) > maxLimits {
 		t.Errorf("%d limits are known", len(f.limits))
 	}
-	f.now = f.now.Add(2 * keptUnlisted)
-	f.listed()
+	f.now = f.now.Add(2 * unlistedRetention)
+	f.applyList()
 	if f.Some() {
 		t.Error("limits of upstreams that nobody lists stay")
 	}
@@ -184,7 +184,7 @@
 	if rate, limited := later.Rate(u); !limited || rate != 0.5 || later.Limited("v") {
 		t.Errorf("restored: %v %v", rate, limited)
 	}
-	if said := later.Say(); len(said) != 1 || said[0].Age < keptAge {
+	if said := later.Say(); len(said) != 1 || said[0].Age < restoredExtraAge {
 		t.Errorf("told as %+v, younger than anything that was heard since", said)
 	}
 	// What an answer says here wins, also before the record is read.
@@ -224,12 +224,12 @@
 		all = append(all, ident.Instance(fmt.Sprint("u", i)))
 		f.Hear(all[i], "r", RateOf(1))
 	}
-	f.now = f.now.Add(newsFor)
-	f.listed(all...)
+	f.now = f.now.Add(announceChangeFor)
+	f.applyList(all...)
 	told := make(map[uint32]bool)
-	for range limits/turns + 1 {
+	for range limits/maxAnnouncedOthers + 1 {
 		said := f.Say()
-		if len(said) > turns {
+		if len(said) > maxAnnouncedOthers {
 			t.Errorf("%d limits in a message", len(said))
 		}
 		for _, s := range said {
@@ -291,7 +291,7 @@
 		}
 		ask(20)
 		f.Hear(u, "r", RateOf(c.after))
-		if got, want := float64(ask(10)), 10*c.after; got < usedAim*want || got > 1.2*want {
+		if got, want := float64(ask(10)), 10*c.after; got < minUsedShareOfLimit*want || got > 1.2*want {
 			t.Errorf("from %v to %v a second: %v requests in 10 s, %v are allowed", c.before, c.after, got, want)
 		}
 	}
--- a/internal/upstreamlimit/kept.go
+++ b/internal/upstreamlimit/kept.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// mostKept bounds the limits that outlive all gateways.
-	mostKept = 200
-	// keptAge is added to the age of a kept limit: nobody knows how old the record is, and
+	// maxSavedLimits bounds the limits that outlive all gateways.
+	maxSavedLimits = 200
+	// restoredExtraAge is added to the age of a kept limit: nobody knows how old the record is, and
 	// whatever a gateway heard of the upstream meanwhile is newer.
-	keptAge = 5 * time.Second
+	restoredExtraAge = 5 * time.Second
 )
 
-// keptLimit is a limit in a record of the platform's store.
-type keptLimit struct {
+// savedLimit is a limit in a record of the platform's store.
+type savedLimit struct {
 	Upstream uint32  `json:"upstream"`
 	Rate     float64 `json:"per_second"`
 	// AgeMillis is as of the record's writing.
@@ -27,22 +27,22 @@
 // would else send to an upstream in need until its own answers tell it. It returns nil for
 // none.
 func (k *Keeper) Keep() json.RawMessage {
-	if !k.some.Load() {
+	if !k.anyLimited.Load() {
 		return nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
-	var kept []keptLimit
+	var kept []savedLimit
 	for key, l := range k.limits {
 		if l.limited {
-			kept = append(kept, keptLimit{Upstream: key, Rate: l.rate, AgeMillis: max(0, now.Sub(l.saidAt).Milliseconds())})
+			kept = append(kept, savedLimit{Upstream: key, Rate: l.rate, AgeMillis: max(0, now.Sub(l.statedAt).Milliseconds())})
 		}
 	}
-	slices.SortFunc(kept, func(a, b keptLimit) int {
+	slices.SortFunc(kept, func(a, b savedLimit) int {
 		return cmp.Or(cmp.Compare(a.AgeMillis, b.AgeMillis), cmp.Compare(a.Upstream, b.Upstream))
 	})
-	data, err := json.Marshal(kept[:min(len(kept), mostKept)])
+	data, err := json.Marshal(kept[:min(len(kept), maxSavedLimits)])
 	if err != nil {
 		k.cfg.Log.Error("limits not encoded", "error", err)
 		return nil
@@ -56,7 +56,7 @@
 	if len(data) == 0 {
 		return
 	}
-	var kept []keptLimit
+	var kept []savedLimit
 	if err := json.Unmarshal(data, &kept); err != nil {
 		k.cfg.Log.Error("kept limits not usable", "error", err)
 		return
@@ -64,15 +64,15 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
-	for _, each := range kept[:min(len(kept), mostKept)] {
+	for _, each := range kept[:min(len(kept), maxSavedLimits)] {
 		s := RateOf(each.Rate)
 		if s.Kind != Limited || each.AgeMillis < 0 || each.AgeMillis > time.Hour.Milliseconds() {
 			k.cfg.Log.Error("a kept limit is not usable", "key", each.Upstream, "per_second", each.Rate, "age_ms", each.AgeMillis)
 			continue
 		}
-		at := now.Add(-time.Duration(each.AgeMillis)*time.Millisecond - keptAge)
-		k.learn(Said{Upstream: each.Upstream, Limited: true, Rate: s.Rate}, at, now)
-		if l := k.limits[each.Upstream]; l != nil && l.saidAt.Equal(at) {
+		at := now.Add(-time.Duration(each.AgeMillis)*time.Millisecond - restoredExtraAge)
+		k.merge(Said{Upstream: each.Upstream, Limited: true, Rate: s.Rate}, at, now)
+		if l := k.limits[each.Upstream]; l != nil && l.statedAt.Equal(at) {
 			l.changedAt = at // no news to the others
 		}
 	}
--- a/internal/upstreamlimit/list.go
+++ b/internal/upstreamlimit/list.go
@@ -26,7 +26,7 @@
 	var out []Entry
 	for _, l := range k.limits {
 		if l.limited {
-			out = append(out, Entry{Upstream: l.upstream, Rate: l.rate, Age: now.Sub(l.saidAt), Answers: l.answers})
+			out = append(out, Entry{Upstream: l.upstream, Rate: l.rate, Age: now.Sub(l.statedAt), Answers: l.answers})
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return cmp.Compare(a.Upstream, b.Upstream) })
--- a/internal/upstreamlimit/order.go
+++ b/internal/upstreamlimit/order.go
@@ -66,19 +66,19 @@
 
 // Order returns the upstreams that have limits.
 func (k *Keeper) Order() Order {
-	if !k.some.Load() {
+	if !k.anyLimited.Load() {
 		return Order{}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.order.Set == 0 {
-		k.order = k.sorted()
+		k.order = k.computeOrder()
 	}
 	return k.order
 }
 
-// sorted works the order out.
-func (k *Keeper) sorted() Order {
+// computeOrder works the order out.
+func (k *Keeper) computeOrder() Order {
 	var o Order
 	for key, l := range k.limits {
 		if l.limited {
--- a/internal/upstreamlimit/statement.go
+++ b/internal/upstreamlimit/statement.go
@@ -18,7 +18,7 @@
 
 // mostRate, requests a second, is above what any upstream serves, so that a limit beyond
 // it counts as this one.
-const mostRate = 1e6
+const maxRate = 1e6
 
 // Statement is what one answer says of its upstream's limit.
 type Statement struct {
@@ -34,5 +34,5 @@
 	if !(rate >= 0) {
 		return Statement{Kind: Unreadable}
 	}
-	return Statement{Kind: Limited, Rate: min(rate, mostRate)}
+	return Statement{Kind: Limited, Rate: min(rate, maxRate)}
 }
--- a/internal/upstreamlimit/stories_test.go
+++ b/internal/upstreamlimit/stories_test.go
@@ -21,13 +21,13 @@
 	only  = flag.String("limit.only", "", "stories whose names hold this")
 )
 
-func small(name string, limits map[int]plan) story {
-	return story{name: name, gateways: 8, domains: 4, upstreams: 13, rate: 80, limits: limits}
+func small(name string, limits map[int]limitSchedule) scenario {
+	return scenario{name: name, gateways: 8, domains: 4, upstreams: 13, rate: 80, limits: limits}
 }
 
 // each gives upstreams from 0 on the same plan.
-func each(n int, p plan) map[int]plan {
-	out := make(map[int]plan, n)
+func each(n int, p limitSchedule) map[int]limitSchedule {
+	out := make(map[int]limitSchedule, n)
 	for i := range n {
 		out[i] = p
 	}
@@ -59,61 +59,61 @@
 	return at > 4*time.Second && at < 4500*time.Millisecond || at > 20*time.Second
 }
 
-func stories() []story {
+func scenarios() []scenario {
 	const from = 4 * time.Second
-	busy := func(s *story) { s.gateways, s.domains, s.upstreams, s.rate = 3, 3, 9, 500 }
-	at82 := func(s *story) { s.gateways, s.upstreams, s.rate = 82, 60, 800 }
-	at195 := func(s *story) { s.gateways, s.domains, s.upstreams, s.rate = 195, 6, 117, 1500 }
-	at330 := func(s *story) { s.gateways, s.domains, s.upstreams, s.rate = 330, 10, 690, 4200 }
-	return []story{
+	busy := func(s *scenario) { s.gateways, s.domains, s.upstreams, s.rate = 3, 3, 9, 500 }
+	at82 := func(s *scenario) { s.gateways, s.upstreams, s.rate = 82, 60, 800 }
+	at195 := func(s *scenario) { s.gateways, s.domains, s.upstreams, s.rate = 195, 6, 117, 1500 }
+	at330 := func(s *scenario) { s.gateways, s.domains, s.upstreams, s.rate = 330, 10, 690, 4200 }
+	return []scenario{
 		small("0.2 a second", each(1, always(0.2, from))),
 		small("0.5 a second", each(1, always(0.5, from))),
 		small("1 a second", each(2, always(1, from))),
 		small("2 a second", each(1, always(2, from))),
 		small("5 a second", each(1, always(5, from))),
-		small("200 a second", each(1, always(200, from))).with(func(s *story) { s.rate = 4000 }),
+		small("200 a second", each(1, always(200, from))).with(func(s *scenario) { s.rate = 4000 }),
 		small("none", nil),
 		small("zero", each(1, always(0, from))),
 		small("half of all, 1 a second", each(6, always(1, from))),
-		small("all, 1 a second", each(13, always(1, from))).with(func(s *story) { s.again = 1 }),
-		small("half, then all", func() map[int]plan {
+		small("all, 1 a second", each(13, always(1, from))).with(func(s *scenario) { s.retries = 1 }),
+		small("half, then all", func() map[int]limitSchedule {
 			limits := each(6, always(1, from))
 			for i := 6; i < 13; i++ {
 				limits[i] = always(1, 18*time.Second)
 			}
 			return limits
 		}()),
-		small("the only upstream, 5 a second", each(1, always(5, from))).with(func(s *story) { s.upstreams, s.rate, s.again = 1, 40, 3 }),
+		small("the only upstream, 5 a second", each(1, always(5, from))).with(func(s *scenario) { s.upstreams, s.rate, s.retries = 1, 40, 3 }),
 		small("lifted after 20 s", each(2, between(1, from, 24*time.Second))),
 		small("10, then 1, then 4 a second", each(1, steps)),
 		small("another rate in each answer", each(2, changing)),
 		small("on and off each second", each(2, flapping)),
 		small("from the first second", each(2, always(1, 0))),
-		small("beside a burst of 2.5 times", each(2, always(1, from))).with(func(s *story) { s.burst = 2.5 }),
-		small("named in a burst", each(2, always(1, 13*time.Second))).with(func(s *story) { s.burst = 2.5 }),
-		small("a domain cut off for 5 s", each(3, always(1, from))).with(func(s *story) { s.cut = true }),
-		small("gateways killed one by one", each(2, always(1, from))).with(func(s *story) { s.killEach = true }),
-		small("all gateways killed twice", each(2, always(1, from))).with(func(s *story) {
+		small("beside a burst of 2.5 times", each(2, always(1, from))).with(func(s *scenario) { s.burst = 2.5 }),
+		small("named in a burst", each(2, always(1, 13*time.Second))).with(func(s *scenario) { s.burst = 2.5 }),
+		small("a domain cut off for 5 s", each(3, always(1, from))).with(func(s *scenario) { s.cut = true }),
+		small("gateways killed one by one", each(2, always(1, from))).with(func(s *scenario) { s.killEach = true }),
+		small("all gateways killed twice", each(2, always(1, from))).with(func(s *scenario) {
 			s.killed = []time.Duration{14 * time.Second, 27 * time.Second}
 		}),
-		small("gateways join", each(2, always(1, from))).with(func(s *story) { s.joins = 4 }),
-		small("callers keep to one gateway", each(2, always(1, from))).with(func(s *story) { s.part = 0.125 }),
-		small("started again without a limit", each(2, always(1, from))).with(func(s *story) { s.reborn = true }),
-		small("3 busy gateways killed one by one", each(4, always(5, from))).with(busy).with(func(s *story) { s.killEach = true }),
-		small("3 busy gateways, all killed", each(4, always(1, from))).with(busy).with(func(s *story) { s.killed = []time.Duration{14 * time.Second} }),
-		small("8 busy gateways, a domain cut off", each(4, always(2, from))).with(func(s *story) { s.rate, s.cut = 900, true }),
-		small("asked in pulses, 1 a second", each(2, always(1, from))).with(func(s *story) { s.wanted = pulses }),
-		small("3 busy gateways, asked in pulses", each(4, always(5, from))).with(busy).with(func(s *story) { s.wanted = pulses }),
-		small("82 gateways, asked in pulses", each(3, always(2, from))).with(at82).with(func(s *story) { s.wanted = pulses }),
-		small("3 busy gateways, all ask at once", each(4, always(5, from))).with(busy).with(func(s *story) { s.wanted = late }),
+		small("gateways join", each(2, always(1, from))).with(func(s *scenario) { s.joins = 4 }),
+		small("callers keep to one gateway", each(2, always(1, from))).with(func(s *scenario) { s.gatewayShare = 0.125 }),
+		small("started again without a limit", each(2, always(1, from))).with(func(s *scenario) { s.restarted = true }),
+		small("3 busy gateways killed one by one", each(4, always(5, from))).with(busy).with(func(s *scenario) { s.killEach = true }),
+		small("3 busy gateways, all killed", each(4, always(1, from))).with(busy).with(func(s *scenario) { s.killed = []time.Duration{14 * time.Second} }),
+		small("8 busy gateways, a domain cut off", each(4, always(2, from))).with(func(s *scenario) { s.rate, s.cut = 900, true }),
+		small("asked in pulses, 1 a second", each(2, always(1, from))).with(func(s *scenario) { s.preferred = pulses }),
+		small("3 busy gateways, asked in pulses", each(4, always(5, from))).with(busy).with(func(s *scenario) { s.preferred = pulses }),
+		small("82 gateways, asked in pulses", each(3, always(2, from))).with(at82).with(func(s *scenario) { s.preferred = pulses }),
+		small("3 busy gateways, all ask at once", each(4, always(5, from))).with(busy).with(func(s *scenario) { s.preferred = late }),
 		small("82 gateways, 0.5 a second", each(3, always(0.5, from))).with(at82),
-		small("82 gateways, 5 a second, all killed", each(3, always(5, from))).with(at82).with(func(s *story) { s.killed = []time.Duration{15 * time.Second} }),
-		small("82 gateways, callers at few", each(3, always(2, from))).with(at82).with(func(s *story) { s.part = 0.1 }),
-		small("82 gateways, 20 a second, a domain cut off", each(3, always(5, from))).with(at82).with(func(s *story) { s.cut = true }),
+		small("82 gateways, 5 a second, all killed", each(3, always(5, from))).with(at82).with(func(s *scenario) { s.killed = []time.Duration{15 * time.Second} }),
+		small("82 gateways, callers at few", each(3, always(2, from))).with(at82).with(func(s *scenario) { s.gatewayShare = 0.1 }),
+		small("82 gateways, 20 a second, a domain cut off", each(3, always(5, from))).with(at82).with(func(s *scenario) { s.cut = true }),
 		small("195 gateways, 1 a second", each(10, always(1, from))).with(at195),
-		small("195 gateways, callers at few, burst", each(10, always(1, from))).with(at195).with(func(s *story) { s.part, s.burst = 0.05, 2.5 }),
+		small("195 gateways, callers at few, burst", each(10, always(1, from))).with(at195).with(func(s *scenario) { s.gatewayShare, s.burst = 0.05, 2.5 }),
 		small("330 gateways, 0.5 a second", each(50, always(0.5, from))).with(at330),
-		small("330 gateways, 2 a second, all killed", each(50, always(2, from))).with(at330).with(func(s *story) { s.killed = []time.Duration{15 * time.Second} }),
+		small("330 gateways, 2 a second, all killed", each(50, always(2, from))).with(at330).with(func(s *scenario) { s.killed = []time.Duration{15 * time.Second} }),
 	}
 }
 
@@ -121,50 +121,50 @@
 // requests of a service in one moment, and gets more than its limit before gateways hear of
 // each other.
 func TestAllGatewaysAskAtOnceAfterAPause(t *testing.T) {
-	for _, s := range []story{
-		small("8 gateways, 900 requests a second", each(4, always(5, 4*time.Second))).with(func(s *story) { s.rate, s.wanted = 900, late }),
-		small("82 gateways, 800 requests a second", each(3, always(5, 4*time.Second))).with(func(s *story) {
-			s.gateways, s.upstreams, s.rate, s.wanted = 82, 60, 800, late
+	for _, s := range []scenario{
+		small("8 gateways, 900 requests a second", each(4, always(5, 4*time.Second))).with(func(s *scenario) { s.rate, s.preferred = 900, late }),
+		small("82 gateways, 800 requests a second", each(3, always(5, 4*time.Second))).with(func(s *scenario) {
+			s.gateways, s.upstreams, s.rate, s.preferred = 82, 60, 800, late
 		}),
 	} {
 		playAll(s, 20, func(seed int, r result) {
-			if r.beyond > 0 {
-				t.Errorf("%s, seed %d: %.2f of what is allowed", s.name, seed, r.worst)
+			if r.windowsOver > 0 {
+				t.Errorf("%s, seed %d: %.2f of what is allowed", s.name, seed, r.worstOfAllowed)
 			}
 		})
 	}
 }
 
-// sums are those of a story's plays.
-type sums struct {
+// totals are those of a story's plays.
+type totals struct {
 	plays, beyond, refused, refusedAll, requests, said, told int
 	worst, over                                              float64
 	used                                                     []float64
 	known, forgot                                            time.Duration
 }
 
-func (s *sums) add(r result) {
+func (s *totals) add(r result) {
 	s.plays++
-	if r.beyond > 0 {
+	if r.windowsOver > 0 {
 		s.beyond++
 	}
 	s.refused += r.refused
 	s.refusedAll += r.refusedAll
 	s.requests += r.requests
-	s.worst, s.over = max(s.worst, r.worst), max(s.over, r.over)
-	s.used = append(s.used, r.used...)
-	s.known, s.forgot = max(s.known, r.known), max(s.forgot, r.forgot)
-	s.said, s.told = max(s.said, r.said), max(s.told, r.told)
+	s.worst, s.over = max(s.worst, r.worstOfAllowed), max(s.over, r.worstOfLimit)
+	s.used = append(s.used, r.usedShares...)
+	s.known, s.forgot = max(s.known, r.knownAfter), max(s.forgot, r.liftedAfter)
+	s.said, s.told = max(s.said, r.maxLimitsInMessage), max(s.told, r.maxUsesInMessage)
 }
 
-// usedAim is the part of its limit that an upstream should get over 10 s.
-const usedAim = 0.8
+// minUsedShareOfLimit is the part of its limit that an upstream should get over 10 s.
+const minUsedShareOfLimit = 0.8
 
-func (s *sums) line(name string) string {
+func (s *totals) line(name string) string {
 	mean, low := 0.0, 0
 	for _, u := range s.used {
 		mean += u / float64(len(s.used))
-		if u < usedAim {
+		if u < minUsedShareOfLimit {
 			low++
 		}
 	}
@@ -176,15 +176,15 @@
 		mean, median(s.used), least, low, len(s.used), s.refused, s.refusedAll, s.requests, s.known.Seconds(), s.forgot.Seconds(), s.said, s.told)
 }
 
-const heading = "story                                         plays beyond  worst   over   mean   med least  under 0.8    refused      all  requests  known  forg.  said  told"
+const tableHeading = "story                                         plays beyond  worst   over   mean   med least  under 0.8    refused      all  requests  known  forg.  said  told"
 
 // Guards against upstreams that get more than the limit which they name, or far less, and
 // against requests that are refused for it while others have room.
 func TestStories(t *testing.T) {
 	var lines []string
-	for _, s := range stories() {
+	for _, s := range scenarios() {
 		n := *seeds
-		if s.gateways >= collectAt {
+		if s.gateways >= minGatewaysForCollectors {
 			n = max(1, n/10)
 		}
 		if s.gateways > 100 && !*large || !strings.Contains(s.name, *only) {
@@ -192,8 +192,8 @@
 		}
 		t.Run(s.name, func(t *testing.T) {
 			all := playAll(s, n, func(seed int, r result) {
-				if r.beyond > 0 {
-					t.Errorf("seed %d: %d windows beyond what is allowed, the worst %.2f of it", seed, r.beyond, r.worst)
+				if r.windowsOver > 0 {
+					t.Errorf("seed %d: %d windows beyond what is allowed, the worst %.2f of it", seed, r.windowsOver, r.worstOfAllowed)
 				}
 				if r.refused > 0 {
 					t.Errorf("seed %d: %d requests refused while upstreams without a limit had room", seed, r.refused)
@@ -202,13 +202,13 @@
 			lines = append(lines, all.line(s.name))
 		})
 		if *table != "" {
-			for _, w := range ways {
+			for _, w := range alternatives {
 				s := w.change(s)
 				lines = append(lines, playAll(s, min(n, 20), func(int, result) {}).line("  "+w.name))
 			}
 		}
 	}
-	text := heading + "\n" + strings.Join(lines, "\n") + "\n"
+	text := tableHeading + "\n" + strings.Join(lines, "\n") + "\n"
 	t.Log("\n" + text)
 	if *table != "" {
 		if err := os.WriteFile(*table, []byte(text), 0o644); err != nil {
@@ -218,8 +218,8 @@
 }
 
 // playAll plays a story with several seeds, and has each result looked at.
-func playAll(s story, n int, look func(seed int, r result)) *sums {
-	all := &sums{}
+func playAll(s scenario, n int, look func(seed int, r result)) *totals {
+	all := &totals{}
 	for i, r := range testkit.Plays(n, func(seed uint64) result { return play(s, seed) }) {
 		all.add(r)
 		look(i+1, r)
@@ -227,43 +227,43 @@
 	return all
 }
 
-// way is another way to divide a rate between gateways, for comparison.
-type way struct {
+// alternative is another way to divide a rate between gateways, for comparison.
+type alternative struct {
 	name   string
-	change func(story) story
+	change func(scenario) scenario
 }
 
-func by(name string, s share) way {
-	return way{name, func(x story) story { x.share = s; return x }}
+func alternativeShare(name string, s shareFunc) alternative {
+	return alternative{name, func(x scenario) scenario { x.share = s; return x }}
 }
 
-var ways = []way{
-	by("limits are not kept to", func(*limit, Fleet, time.Time) float64 { return 1 }),
-	by("each gateway takes the whole", func(l *limit, _ Fleet, now time.Time) float64 {
-		return spaced(l, l.allowed(), now)
+var alternatives = []alternative{
+	alternativeShare("limits are not kept to", func(*limit, Fleet, time.Time) float64 { return 1 }),
+	alternativeShare("each gateway takes the whole", func(l *limit, _ Fleet, now time.Time) float64 {
+		return spacedShare(l, l.allowedRate(), now)
 	}),
-	by("equal parts", func(l *limit, fleet Fleet, now time.Time) float64 {
-		return spaced(l, l.allowed()/float64(fleet.Known), now)
+	alternativeShare("equal parts", func(l *limit, fleet Fleet, now time.Time) float64 {
+		return spacedShare(l, l.allowedRate()/float64(fleet.Known), now)
 	}),
-	by("whoever comes first, by all uses", func(l *limit, fleet Fleet, _ time.Time) float64 {
-		if l.sent+l.othersSent < l.allowed()*fleet.part()*sentMemory.Seconds() {
+	alternativeShare("whoever comes first, by all uses", func(l *limit, fleet Fleet, _ time.Time) float64 {
+		if l.sent+l.othersSent < l.allowedRate()*fleet.heardShare()*sentDecayTime.Seconds() {
 			return 1
 		}
 		return 0
 	}),
-	by("thinned by what is asked alone", func(l *limit, fleet Fleet, now time.Time) float64 {
-		return min(l.allowed()*fleet.part()/l.askedOfAll(fleet, now), 1)
+	alternativeShare("thinned by what is asked alone", func(l *limit, fleet Fleet, now time.Time) float64 {
+		return min(l.allowedRate()*fleet.heardShare()/l.totalDemand(fleet, now), 1)
 	}),
 }
 
 // spacedAt is when a limit's last request was let pass by spaced.
 var spacedAt sync.Map
 
-// spaced lets a request pass when a rate's time is over since the last.
-func spaced(l *limit, rate float64, now time.Time) float64 {
+// spacedShare lets a request pass when a rate's time is over since the last.
+func spacedShare(l *limit, rate float64, now time.Time) float64 {
 	l.credit = 0
 	last, some := spacedAt.Load(l)
-	from := l.since
+	from := l.limitedSince
 	if some {
 		from = last.(time.Time)
 	}
--- a/internal/upstreamlimit/take.go
+++ b/internal/upstreamlimit/take.go
@@ -16,9 +16,9 @@
 	}
 	now := k.cfg.Now()
 	l.decay(now)
-	l.lately++
-	l.credit += k.share(l, k.fleet, now)
-	l.asked++
+	l.recentDemand++
+	l.credit += k.shareOf(l, k.fleet, now)
+	l.demand++
 	if l.credit < 1 {
 		k.counters.PassedOver++
 		return false
@@ -29,8 +29,8 @@
 	return true
 }
 
-// mostReturn bounds what a caller is told of when to return.
-const mostReturn = 30 * time.Second
+// maxRetryAfter bounds what a caller is told of when to return.
+const maxRetryAfter = 30 * time.Second
 
 // RoomIn returns after how long upstreams that all have a limit take one more request: when
 // they have taken what is asked of them in a second.
@@ -46,17 +46,17 @@
 		}
 		l.decay(now)
 		// A request that is not taken asks at each of them.
-		asked = max(asked, l.askedOfAll(k.fleet, now))
-		allowed += l.allowed()
+		asked = max(asked, l.totalDemand(k.fleet, now))
+		allowed += l.allowedRate()
 	}
 	seconds := max(asked, 1) / allowed
-	return min(time.Duration(seconds*float64(time.Second)), mostReturn)
+	return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
 }
 
 // Lacking is the part of the requests for which an upstream is the best choice that it does
 // not take.
 func (k *Keeper) Lacking(upstream ident.Instance) float64 {
-	if !k.some.Load() {
+	if !k.anyLimited.Load() {
 		return 0
 	}
 	k.mu.Lock()
@@ -66,6 +66,6 @@
 		return 0
 	}
 	l.decay(k.cfg.Now())
-	asked := (l.asked + l.othersAsked) / askedMemory.Seconds()
-	return 1 - min(l.allowed()/max(asked, l.allowed()), 1)
+	asked := (l.demand + l.othersDemand) / demandDecayTime.Seconds()
+	return 1 - min(l.allowedRate()/max(asked, l.allowedRate()), 1)
 }
--- a/internal/upstreamlimit/words.go
+++ b/internal/upstreamlimit/words.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// newsFor is for how long a change is told to the other gateways in each message, so
+	// announceChangeFor is for how long a change is told to the other gateways in each message, so
 	// that two lost ones change nothing.
-	newsFor = 3 * time.Second
-	// mostNews bounds the changes in one message, and turns is how many other limits are
+	announceChangeFor = 3 * time.Second
+	// maxAnnouncedChanges bounds the changes in one message, and turns is how many other limits are
 	// told in one. Where there are more, they are told in turns, a round each: all messages of
 	// a round tell the same, because each goes to another gateway.
-	mostNews, turns = 16, 4
-	// leastUse is the least that is told of asked and sent.
-	leastUse = 1.0 / 32
+	maxAnnouncedChanges, maxAnnouncedOthers = 16, 4
+	// minAnnouncedUse is the least that is told of asked and sent.
+	minAnnouncedUse = 1.0 / 32
 )
 
 // Said is what an upstream's answers say of its limit.
@@ -63,24 +63,24 @@
 	now := k.cfg.Now()
 	var news, others []uint32
 	for key, l := range k.limits {
-		if now.Sub(l.changedAt) < newsFor {
+		if now.Sub(l.changedAt) < announceChangeFor {
 			news = append(news, key)
 		} else {
 			others = append(others, key)
 		}
 	}
 	turn := int(now.UnixNano() / int64(k.cfg.Round))
-	told := append(inTurn(news, mostNews, turn), inTurn(others, turns, turn)...)
+	told := append(selectInTurn(news, maxAnnouncedChanges, turn), selectInTurn(others, maxAnnouncedOthers, turn)...)
 	out := make([]Said, len(told))
 	for i, key := range told {
 		l := k.limits[key]
-		out[i] = Said{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.saidAt)}
+		out[i] = Said{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.statedAt)}
 	}
 	return out
 }
 
-// inTurn returns so many keys, other ones in the next turn.
-func inTurn(keys []uint32, most, turn int) []uint32 {
+// selectInTurn returns so many keys, other ones in the next turn.
+func selectInTurn(keys []uint32, most, turn int) []uint32 {
 	slices.Sort(keys)
 	if len(keys) <= most {
 		return keys
@@ -100,30 +100,30 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range said {
-		k.learn(s, asOf.Add(-s.Age), k.cfg.Now())
+		k.merge(s, asOf.Add(-s.Age), k.cfg.Now())
 	}
 }
 
-// learn takes in what was said at an instant. That a limit was lifted is remembered of any
+// merge takes in what was said at an instant. That a limit was lifted is remembered of any
 // upstream: an older word of the limit may come later.
-func (k *Keeper) learn(s Said, at, now time.Time) {
+func (k *Keeper) merge(s Said, at, now time.Time) {
 	l := k.limits[s.Upstream]
 	switch {
-	case l == nil && len(k.limits) >= mostLimits:
+	case l == nil && len(k.limits) >= maxLimits:
 		return
 	case l == nil:
 		l = k.add(s.Upstream)
-	case !at.After(l.saidAt):
+	case !at.After(l.statedAt):
 		return
 	}
-	if k.set(l, s.Limited, s.Rate, at, now) && l.upstream != "" {
-		k.tell(l, "", now)
+	if k.setLimit(l, s.Limited, s.Rate, at, now) && l.upstream != "" {
+		k.logChange(l, "", now)
 	}
 }
 
 // Uses returns what this gateway asked and sent.
 func (k *Keeper) Uses() Uses {
-	if !k.some.Load() {
+	if !k.anyLimited.Load() {
 		return nil
 	}
 	k.mu.Lock()
@@ -135,8 +135,8 @@
 			continue
 		}
 		l.decay(now)
-		if l.asked >= leastUse || l.sent >= leastUse {
-			out[key] = Use{Asked: l.asked, Sent: l.sent}
+		if l.demand >= minAnnouncedUse || l.sent >= minAnnouncedUse {
+			out[key] = Use{Asked: l.demand, Sent: l.sent}
 		}
 	}
 	return out
@@ -149,11 +149,11 @@
 	k.fleet = fleet
 	for key, l := range k.limits {
 		u := others[key]
-		l.othersAsked, l.othersSent = u.Asked, u.Sent
+		l.othersDemand, l.othersSent = u.Asked, u.Sent
 		if l.limited {
-			l.begin(fleet)
+			l.seedSent(fleet)
 			l.decay(k.cfg.Now())
-			l.expect(l.at)
+			l.updateExpectedDemand(l.decayedAt)
 		}
 	}
 }
