--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,11 +1,11 @@
-// Package quota keeps client accounts within their limits over all gateways,
-// without a word to anyone per request.
+// Package quota enforces each client account's rate limit over all gateways together, without any
+// communication per request.
 //
-// Each gateway keeps a bucket of the whole limit. It takes its own admissions
-// out at once, those of the others as their reports come, and expects of each that
-// it goes on spending as it did until the next report. A gateway that does not
-// hear all the others fills its bucket only with the part of those that it hears,
-// so that the sides of a cut never admit more than the limit together.
+// Each gateway keeps a token bucket for the account's whole limit. It deducts what it admits at
+// once, deducts what the other gateways admit when their reports arrive, and assumes that each of
+// them keeps spending at its last known rate until its next report. A gateway that doesn't hear
+// from all others refills its bucket only with the share of the gateways that it hears, so that the
+// two sides of a network partition together never admit more than the limit.
 package quota
 
 import (
@@ -18,88 +18,92 @@
 )
 
 const (
-	// rateAveragingTime is over how long rates are measured: long enough for a few
-	// requests at each gateway, short against a surge of an account.
+	// rateAveragingTime is the time over which rates are averaged. It spans a few requests at each
+	// gateway and is short compared with a surge of an account.
 	rateAveragingTime = 2 * time.Second
-	// minRetryAfter and mostAfter bound when a refused caller is told to return.
+	// minRetryAfter and maxRetryAfter bound the retry time that a refused caller is given.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// leastRate, a second, is that of a part which is not known yet: this gateway's
-	// callers have only begun to ask.
+	// minFillRate, per second, is the refill rate below which this gateway's share counts as
+	// unknown, because its callers have only begun to send requests.
 	minFillRate = 1e-6
-	// startupPeriod is for how long after its start a gateway knows few of the others and
-	// gives a small part of the limits, and settledAfter when a caller that it refuses
-	// then is told to return: after two rounds of reports it knows them all.
+	// startupPeriod is the time after its start in which a gateway knows few of the others and
+	// admits only a small share of the limits. A caller that is refused then is told to return
+	// within startupMaxRetryAfter: after two rounds of reports the gateway knows all others.
 	startupPeriod        = time.Second
 	startupMaxRetryAfter = 300 * time.Millisecond
 )
 
-// Tolerance is by how much an account may exceed its limit in a window before it
-// counts as exceeded.
+// Tolerance is the amount by which an account may exceed its limit in a window before that counts
+// as a violation.
 type Tolerance struct {
 	Window time.Duration
-	// Overage is a part of what the limit allows in a window, Slack an amount
-	// beside it, in the account's unit.
+	// Overage is a fraction of what the limit allows in a window. Slack is an amount on top of
+	// that, in the account's unit (requests or tokens).
 	Overage, Slack float64
 }
 
-// Parts of the tolerance that are given to callers: on top of the burst, and
-// spread over the window on top of the rate. What is asked just below the limit
-// comes in bursts, and would be refused at random without them. The rest is for what
-// gateways admit before they hear of each other.
+// burstToleranceShare and rateToleranceShare are the shares of the tolerance that are given to
+// callers, on top of the burst and, spread over the window, on top of the rate. Requests that stay
+// just below the limit come in bursts, and some would be refused at random without these shares.
+// The rest covers what gateways admit before they hear of each other.
 //
-// debtTolerance is the part by which the gateways together may overdraw it by one request
-// each. Seldom do all of them at once, and each by half of a request on average, so that
-// the parts' sum is above one.
+// overdraftToleranceShare is the share by which all gateways together may overdraw the bucket, one
+// request each. They seldom all do so at once, and then by half a request on average, so the shares
+// may add up to more than 1.
 const (
 	burstToleranceShare     = 0.25
 	rateToleranceShare      = 0.35
 	overdraftToleranceShare = 1.0
-	// lagWithoutTolerance is the mean age of reports at which the gateways need all of the
-	// tolerance for what they admit before they hear of each other.
+	// lagWithoutTolerance is the mean age of reports from which on callers get no tolerance: the
+	// gateways need all of it for what they admit before they hear of each other.
 	lagWithoutTolerance = time.Second
 )
 
 const (
-	// smallRequestBurstShare of a burst is a request that costs next to nothing: it passes also where
-	// the bucket is overdrawn, by less than smallDebt of the burst. What goes wrong
-	// without it: a posting of 200 tokens is refused because a draft took 20,000; two in
-	// a hundred postings and status reads were. A sixth of a hot account's requests are
-	// of that kind, and cost a fiftieth of its tokens.
+	// A request that costs at most smallRequestBurstShare of the burst costs next to nothing. It is
+	// admitted even if the bucket is overdrawn, as long as the overdraft is below
+	// smallRequestMaxOverdraft of the burst. Without this rule a posting of 200 tokens is refused
+	// because a draft took 20,000: two in a hundred postings and status reads were. A sixth of a
+	// busy account's requests are that small, and they cost a fiftieth of its tokens.
 	smallRequestBurstShare   = 0.003
 	smallRequestMaxOverdraft = 0.25
 )
 
-// initialFillShare of a bucket is filled at the start: what was admitted just before is
-// not known, and all gateways may have started together.
+// initialFillShare is the fraction of a bucket that is filled at the start. What was admitted just
+// before the start is unknown, and all gateways may have started at once.
 const initialFillShare = 0.25
 
-// Others is what the other gateways report of one account, since their starts.
+// Others holds the other gateways' reports on one account. Their totals count from the start of
+// their sources.
 type Others struct {
-	// Known counts the gateways that may admit, without this one.
+	// Known counts the gateways that may admit requests, without this one.
 	Known int
-	// Reports of those that are heard, each of another name.
+	// Reports are those of the gateways that are heard. Each has a different Name.
 	Reports []Report
 }
 
-// Report is what another gateway, or several together, last said of an account.
+// Report is the latest report on an account from another gateway, or the sum for a group of
+// gateways.
 type Report struct {
-	// Name tells the gateways, or groups of them, apart.
+	// Name identifies the gateway or the group.
 	Name string
-	// Source is who added the totals up: those of two sources cannot be compared.
+	// Source is the process that added up the totals. Totals of different sources can't be
+	// compared.
 	Source string
-	// Gateways is how many they are of.
+	// Gateways is the number of gateways that the report covers.
 	Gateways int
-	// Spent and Refused are totals since the source's start.
+	// Spent and Refused are the admitted and the refused cost since the source started.
 	Spent, Refused float64
-	// Age is how long ago it said so.
+	// Age is the time since the report was made.
 	Age time.Duration
 }
 
-// Keeper admits requests. It is safe for concurrent use.
+// Keeper admits or refuses requests by their accounts' limits. It is safe for concurrent use.
 type Keeper struct {
 	tolerance Tolerance
-	// otherGateways returns the reports on an account, as of an instant.
+	// otherGateways returns the other gateways' reports on an account, with ages as of the given
+	// time.
 	otherGateways func(ident.ClientAccount, time.Time) Others
 
 	mu       sync.Mutex
@@ -108,49 +112,50 @@
 }
 
 type account struct {
-	// level is what the bucket holds; negative when more was admitted.
+	// level is the content of the bucket. It is negative when more than the limit was admitted.
 	level float64
-	// shareLevel is what this gateway's own part of it holds, where more is asked than there
-	// is. What goes wrong with the whole alone: all gateways see the same refill and
-	// admit whatever comes first, find the bucket overdrawn when they hear of each
-	// other, and refuse all for half a second at a time, postings of next to no cost
-	// with the rest (half of these, at four times the limit through nine gateways; with
-	// parts one in twelve at the most).
+	// shareLevel is the content of this gateway's share of the bucket. It decides while demand
+	// exceeds the rate. If the whole bucket decided then, all gateways would spend the same refill,
+	// find the bucket overdrawn when they hear of each other, and refuse everything for half a
+	// second at a time, postings that cost next to nothing included (half of those were refused at
+	// four times the limit with nine gateways; with shares, one in twelve at most).
 	shareLevel float64
-	// filledAt is up to when it was filled.
+	// filledAt is the time up to which the bucket was refilled.
 	filledAt time.Time
-	// filling and the numbers of gateways are those of the last Tick.
+	// allowance, heard and known are as of the last Tick.
 	allowance
 	heard, known int
-	// admittedTotal and asked are this gateway's totals.
+	// admittedTotal and requestedTotal are the costs that this gateway admitted and was asked for
+	// since its start.
 	admittedTotal, requestedTotal float64
 	ownDemand                     rateMeter
 	groups                        map[string]*groupUsage
-	// refreshedAt is up to when the others' expected spending was taken out of others.
+	// refreshedAt is the time up to which the groups' estimated spending was added.
 	refreshedAt time.Time
 }
 
-// groupUsage is what is known of the account's use by another gateway, or by several.
+// groupUsage is one account's usage at another gateway or a group of gateways.
 type groupUsage struct {
 	source string
-	// reportedSpent is its spending by its newest report, as of an instant.
+	// reportedSpent is the spending by the newest report, which was made at reportedAt.
 	reportedSpent float64
 	reportedAt    time.Time
-	// estimatedSpent was taken out beyond seen, at its rate until now.
+	// estimatedSpent is the estimated spending since reportedAt, which is already deducted from the
+	// bucket.
 	estimatedSpent   float64
 	spending, demand rateMeter
 }
 
-// rateMeter measures a growing total's rate.
+// rateMeter measures the rate per second at which a total grows.
 type rateMeter struct {
 	last float64
 	rate float64
 	at   time.Time
-	// known: two totals were compared.
+	// known is set once two totals were compared.
 	known bool
 }
 
-// update takes a total in and returns its rate a second.
+// update records a total and returns its rate per second.
 func (r *rateMeter) update(total float64, now time.Time) float64 {
 	if r.at.IsZero() {
 		r.last, r.at = total, now
@@ -162,8 +167,8 @@
 	}
 	weight := min(1, elapsed.Seconds()/rateAveragingTime.Seconds())
 	if !r.known {
-		// The first rate is all that is known: averaged with nothing, it would be taken
-		// for a small one for seconds.
+		// The first measurement is taken as it is. Averaged with the initial zero, the rate would
+		// be too low for seconds.
 		r.known, weight = true, 1
 	}
 	r.rate += weight * ((total-r.last)/elapsed.Seconds() - r.rate)
@@ -171,28 +176,31 @@
 	return r.rate
 }
 
-// NewKeeper returns a keeper that has admitted nothing.
+// NewKeeper returns a Keeper that has admitted nothing. The function others returns the other
+// gateways' reports on an account, as of a time.
 func NewKeeper(tolerance Tolerance, others func(ident.ClientAccount, time.Time) Others, now time.Time) *Keeper {
 	return &Keeper{tolerance: tolerance, otherGateways: others, started: now, accounts: make(map[ident.ClientAccount]*account)}
 }
 
-// Decision is whether a request is admitted, with what decided it.
+// Decision tells whether a request is admitted, and the values that decided it.
 type Decision struct {
 	OK bool
-	// After is when a refused request may be admitted.
+	// After is the time after which a refused request may be admitted.
 	After time.Duration
-	// Level is what the bucket held, and Need what the request needed of it.
+	// Level is the content of the bucket, or of this gateway's share of it. Need is the content
+	// that the request needs.
 	Level, Need float64
-	// Asked is what is asked of all gateways a second.
+	// Asked is the cost that callers request of all gateways per second.
 	Asked float64
-	// Heard and Known count the gateways, with this one.
+	// Heard counts the gateways that are heard and Known those that may admit requests, both with
+	// this one.
 	Heard, Known int
 }
 
-// Admit takes a request's cost out of its account's limit, or says when it may
-// be there. One request may overdraw the bucket by a part of the tolerance, so that
-// large ones are admitted about as often as small ones: if the whole cost had to be there,
-// the small ones of an account at its limit would leave nothing to the large.
+// Admit deducts a request's cost from its account's bucket, or refuses the request and estimates
+// when it would be admitted. One request may overdraw the bucket by a share of the tolerance, so
+// that large requests are admitted about as often as small ones. If the whole cost had to be in the
+// bucket, the small requests of an account at its limit would leave nothing for the large ones.
 func (k *Keeper) Admit(limit *routetable.Account, cost float64, now time.Time) Decision {
 	if limit.Rate <= 0 {
 		return Decision{OK: true}
@@ -205,7 +213,7 @@
 	d := Decision{Level: a.level, Need: max(0, min(cost, a.burst)-a.overdraft), Asked: a.totalDemand, Heard: a.heard, Known: a.known}
 	rate := a.rate
 	if a.share < 1 {
-		// More is asked than there is: this gateway's part decides.
+		// Demand exceeds the rate, so this gateway's share decides.
 		rate *= a.share
 		d.Level, d.Need = a.shareLevel, min(d.Need, a.burst*a.share)
 	}
@@ -221,46 +229,48 @@
 	return d
 }
 
-// retryAfter is when a refused request may be admitted, at the rate at which its bucket fills.
+// retryAfter estimates when a refused request may be admitted, from the rate at which its bucket
+// refills.
 func (k *Keeper) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
 	if rate < minFillRate {
-		// The next report tells this gateway its part.
+		// This gateway's share is known after the next report.
 		return minRetryAfter
 	}
 	most := maxRetryAfter
 	if now.Sub(k.started) < startupPeriod && d.Heard < d.Known {
 		most = startupMaxRetryAfter
 	}
-	// Compared in seconds: a small rate's time is too long for a time.Duration.
+	// The bound is applied in seconds: at a small rate the time overflows a time.Duration.
 	seconds := min((d.Need-d.Level)/rate, most.Seconds())
 	return max(time.Duration(seconds*float64(time.Second)), minRetryAfter)
 }
 
-// allowance is what a gateway may use of an account's limit now.
+// allowance is what this gateway may use of an account's limit at present.
 type allowance struct {
-	// rate and burst of the gateways that are heard, together.
+	// rate, per second, and burst are the parts of the limit for all gateways that are heard,
+	// together.
 	rate, burst float64
-	// overdraft is by how much one request may overdraw the bucket here.
+	// overdraft is the amount by which one request may overdraw the bucket at this gateway.
 	overdraft float64
-	// othersSpendingRate is what they are expected to spend a second, without this one.
+	// othersSpendingRate is the expected spending of the other gateways per second.
 	othersSpendingRate float64
-	// totalDemand of them a second.
+	// totalDemand is the cost requested per second at all gateways that are heard.
 	totalDemand float64
-	// share is this gateway's part of what is asked, where more is asked than there
-	// is; else 1.
+	// share is this gateway's fraction of the total demand while that exceeds the rate, otherwise
+	// 1.
 	share float64
 }
 
-// effectiveLimits are the rate, the burst and the debt that callers get of an account's, where
-// the gateways hear of each other within a lag.
-func (k *Keeper) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, debt float64) {
+// effectiveLimits returns an account's rate, burst and overdraft with the tolerance that callers
+// get when the gateways' reports have the given mean age.
+func (k *Keeper) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, overdraft float64) {
 	t := k.tolerance
-	beyond := t.Overage*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
-	beyond *= max(0, 1-lag.Seconds()/lagWithoutTolerance.Seconds())
-	return limit.Rate + rateToleranceShare*beyond/t.Window.Seconds(), limit.Burst + burstToleranceShare*beyond, overdraftToleranceShare * beyond
+	tolerated := t.Overage*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
+	tolerated *= max(0, 1-lag.Seconds()/lagWithoutTolerance.Seconds())
+	return limit.Rate + rateToleranceShare*tolerated/t.Window.Seconds(), limit.Burst + burstToleranceShare*tolerated, overdraftToleranceShare * tolerated
 }
 
-// counts returns how many gateways are heard and how many may admit, with this one.
+// counts returns how many gateways are heard and how many may admit requests, both with this one.
 func (o Others) counts() (heard, known int) {
 	heard = 1
 	for _, r := range o.Reports {
@@ -269,13 +279,13 @@
 	return heard, max(o.Known+1, heard)
 }
 
-// heardShare is the part of the gateways that is heard.
+// heardShare returns the fraction of the gateways that is heard.
 func (o Others) heardShare() float64 {
 	heard, known := o.counts()
 	return float64(heard) / float64(known)
 }
 
-// meanAge is the mean age of the reports.
+// meanAge returns the mean age of the reports, weighted by their gateways.
 func (o Others) meanAge() time.Duration {
 	if len(o.Reports) == 0 {
 		return 0
@@ -288,21 +298,21 @@
 	return sum / time.Duration(max(1, gateways))
 }
 
-// Tick takes in what the other gateways reported, for all accounts. Call it with
-// every round of reports: what others spend is taken out a little at a time, and a
-// request costs no walk through their reports.
+// Tick applies the other gateways' reports to the accounts with the given limits. Call it with
+// every round of reports: then other gateways' spending is deducted in small steps, and Admit
+// doesn't have to go through the reports.
 func (k *Keeper) Tick(limits []routetable.Account, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range limits {
 		if limit := &limits[i]; limit.Rate > 0 {
-			k.applyReports(k.account(limit, now), limit, k.otherGateways(limit.Name, now), now)
+			k.refreshAccount(k.account(limit, now), limit, k.otherGateways(limit.Name, now), now)
 		}
 	}
 }
 
-// account returns an account's state; one that is new to this gateway takes in
-// first what the others report.
+// account returns an account's state. If the account is new to this gateway, the other gateways'
+// reports on it are applied first.
 func (k *Keeper) account(limit *routetable.Account, now time.Time) *account {
 	a := k.accounts[limit.Name]
 	if a == nil {
@@ -310,118 +320,121 @@
 		_, burst, _ := k.effectiveLimits(limit, 0)
 		a = &account{level: initialFillShare * burst * others.heardShare(), filledAt: k.started, refreshedAt: k.started, groups: make(map[string]*groupUsage)}
 		k.accounts[limit.Name] = a
-		k.applyReports(a, limit, others, now)
+		k.refreshAccount(a, limit, others, now)
 	}
 	return a
 }
 
-// advance lets time pass: the bucket fills, and others spend as they did.
+// advance refills the bucket up to now and deducts the other gateways' expected spending.
 func (a *account) advance(now time.Time) {
 	elapsed := max(now.Sub(a.filledAt).Seconds(), 0)
 	a.filledAt = now
 	a.level = min(a.level+(a.rate-a.othersSpendingRate)*elapsed, a.burst)
-	// The whole leads the parts back to where it is neither overdrawn nor filling up.
-	lead := 1 + min(max(a.level/max(a.burst, 1), -1), 1)
-	a.shareLevel = min(a.shareLevel+a.rate*a.share*lead*elapsed, a.burst*a.share)
+	// The whole bucket's level sets how fast the share refills: not at all when the bucket is
+	// overdrawn by a burst, at twice the rate when it is full. This keeps the whole bucket from
+	// staying overdrawn or filling up.
+	fillFactor := 1 + min(max(a.level/max(a.burst, 1), -1), 1)
+	a.shareLevel = min(a.shareLevel+a.rate*a.share*fillFactor*elapsed, a.burst*a.share)
 }
 
-// applyReports takes in what others report: what they spent beyond what was expected of
-// them, and how fast they spend now.
-func (k *Keeper) applyReports(a *account, limit *routetable.Account, others Others, now time.Time) {
-	part, lag := others.heardShare(), others.meanAge()
-	rate, burst, debt := k.effectiveLimits(limit, lag)
-	a.rate, a.burst = rate*part, burst*part
-	before := a.heard
+// refreshAccount applies the other gateways' reports: it deducts what they spent beyond the
+// estimate and updates their rates.
+func (k *Keeper) refreshAccount(a *account, limit *routetable.Account, others Others, now time.Time) {
+	heardShare, lag := others.heardShare(), others.meanAge()
+	rate, burst, overdraft := k.effectiveLimits(limit, lag)
+	a.rate, a.burst = rate*heardShare, burst*heardShare
+	heardBefore := a.heard
 	a.heard, a.known = others.counts()
-	a.scaleOverdraft(before)
-	a.overdraft = debt / float64(a.known)
+	a.scaleOverdraft(heardBefore)
+	a.overdraft = overdraft / float64(a.known)
 	a.advance(now)
 	elapsed := max(now.Sub(a.refreshedAt).Seconds(), 0)
 	a.refreshedAt = now
 	a.othersSpendingRate, a.totalDemand = 0, a.ownDemand.update(a.requestedTotal, now)
 	for i := range others.Reports {
 		r := &others.Reports[i]
-		o := a.groups[r.Name]
-		if o == nil {
-			o = &groupUsage{source: r.Source, reportedSpent: r.Spent, reportedAt: now.Add(-r.Age)}
-			a.groups[r.Name] = o
+		g := a.groups[r.Name]
+		if g == nil {
+			g = &groupUsage{source: r.Source, reportedSpent: r.Spent, reportedAt: now.Add(-r.Age)}
+			a.groups[r.Name] = g
 		}
-		o.estimatedSpent += o.spending.rate * elapsed
-		a.level -= o.applyReport(r, now)
-		a.othersSpendingRate += o.spending.rate
-		a.totalDemand += o.demandRate(r, a.ownDemand.rate)
+		g.estimatedSpent += g.spending.rate * elapsed
+		a.level -= g.applyReport(r, now)
+		a.othersSpendingRate += g.spending.rate
+		a.totalDemand += g.demandRate(r, a.ownDemand.rate)
 	}
 	a.removeUnheard(others)
 	a.level = min(a.level, a.burst)
 	a.updateShare()
 }
 
-// scaleOverdraft takes in that more gateways, or fewer, share the bucket: what each of them overdrew
-// adds up. What goes wrong otherwise: after all gateways were killed, what they overdrew
-// while they did not hear each other is forgotten when they do, and they overdraw again.
-func (a *account) scaleOverdraft(before int) {
-	if before > 0 && a.level < 0 {
-		a.level *= float64(a.heard) / float64(before)
+// scaleOverdraft adapts the overdraft when the number of gateways that share the bucket changes,
+// because the gateways' overdrafts add up. Otherwise, after all gateways were killed, what they
+// overdrew before they heard each other would be forgotten when they do, and they would overdraw
+// again.
+func (a *account) scaleOverdraft(heardBefore int) {
+	if heardBefore > 0 && a.level < 0 {
+		a.level *= float64(a.heard) / float64(heardBefore)
 	}
 }
 
-// updateShare sets this gateway's part: that which its callers ask of what all ask, as soon
-// as more is asked than there is.
+// updateShare sets this gateway's share to its fraction of the total demand while that exceeds the
+// rate, otherwise to 1.
 func (a *account) updateShare() {
 	share := 1.0
 	if a.totalDemand > a.rate {
 		share = a.ownDemand.rate / a.totalDemand
 	}
 	if a.share == 1 && share < 1 {
-		// A part begins with that of what is left.
+		// The share starts with its fraction of what is left in the bucket.
 		a.shareLevel = share * a.level
 	}
 	a.share = share
 }
 
-// applyReport takes a report in and returns how much more was spent than was expected.
-func (o *groupUsage) applyReport(r *Report, now time.Time) float64 {
+// applyReport records a report and returns by how much the spending up to now exceeds what was
+// already deducted.
+func (g *groupUsage) applyReport(r *Report, now time.Time) float64 {
 	at := now.Add(-r.Age)
-	if r.Source != o.source {
-		o.switchSource(r, at)
+	if r.Source != g.source {
+		g.switchSource(r, at)
 		return 0
 	}
-	if !at.After(o.reportedAt) {
+	if !at.After(g.reportedAt) {
 		return 0
 	}
-	o.demand.update(r.Spent+r.Refused, at)
-	o.spending.update(r.Spent, at)
-	since := o.spending.rate * r.Age.Seconds()
-	more := r.Spent - o.reportedSpent - o.estimatedSpent + since
-	o.reportedSpent, o.reportedAt, o.estimatedSpent = r.Spent, at, since
-	return more
+	g.demand.update(r.Spent+r.Refused, at)
+	g.spending.update(r.Spent, at)
+	sinceReport := g.spending.rate * r.Age.Seconds()
+	excess := r.Spent - g.reportedSpent - g.estimatedSpent + sinceReport
+	g.reportedSpent, g.reportedAt, g.estimatedSpent = r.Spent, at, sinceReport
+	return excess
 }
 
-// demandRate is what the others are asked a second. As long as that is not known, each is
-// taken to be asked as much as this gateway. What goes wrong if it counts as nothing: after
-// all gateways were killed, each takes the whole refill for its part in the moment in which
-// they hear each other again.
-func (o *groupUsage) demandRate(r *Report, own float64) float64 {
-	if !o.demand.known {
-		return own * float64(r.Gateways)
+// demandRate returns the cost requested per second at the group's gateways. As long as it is
+// unknown, each of them is assumed to have the same demand as this gateway, ownRate. If unknown
+// demand counted as zero, then after all gateways were killed, each would take the whole refill as
+// its share at the moment in which they hear each other again.
+func (g *groupUsage) demandRate(r *Report, ownRate float64) float64 {
+	if !g.demand.known {
+		return ownRate * float64(r.Gateways)
 	}
-	return o.demand.rate
+	return g.demand.rate
 }
 
-// switchSource begins with another source's totals, at the rates of before: a gateway
-// that hears of all others by another collector from now on would else take an account
-// far beyond its limit for one that hardly anybody uses.
-func (o *groupUsage) switchSource(r *Report, at time.Time) {
-	o.source = r.Source
-	o.reportedSpent, o.reportedAt = r.Spent, at
-	o.estimatedSpent = o.spending.rate * r.Age.Seconds()
-	o.spending.last, o.spending.at = r.Spent, at
-	o.demand.last, o.demand.at = r.Spent+r.Refused, at
+// switchSource continues from another source's totals and keeps the measured rates. Without the
+// rates, a gateway that begins to hear the others through another collector would take an account
+// far beyond its limit for an almost unused one.
+func (g *groupUsage) switchSource(r *Report, at time.Time) {
+	g.source = r.Source
+	g.reportedSpent, g.reportedAt = r.Spent, at
+	g.estimatedSpent = g.spending.rate * r.Age.Seconds()
+	g.spending.last, g.spending.at = r.Spent, at
+	g.demand.last, g.demand.at = r.Spent+r.Refused, at
 }
 
-// removeUnheard forgets the gateways that are not heard. Their part is not filled
-// in meanwhile; what they spend then must not be taken out a second time when they
-// are heard again.
+// removeUnheard removes the groups that are no longer heard. The bucket isn't refilled with their
+// share meanwhile, so what they spend in that time must not be deducted when they are heard again.
 func (a *account) removeUnheard(others Others) {
 	if len(a.groups) == len(others.Reports) {
 		return
@@ -433,10 +446,10 @@
 	}
 }
 
-// Total is what a gateway admitted, and what it refused, since its start.
+// Total is the cost that a gateway admitted and refused for an account since its start.
 type Total struct{ Spent, Refused float64 }
 
-// Totals returns this gateway's totals by account.
+// Totals returns this gateway's totals by account, without accounts that requested nothing.
 func (k *Keeper) Totals() map[ident.ClientAccount]Total {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,21 +12,21 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// fleet is gateways that admit requests of one account and hear of each other by
-// reports that take a time.
+// fleet simulates gateways that admit requests of one account and hear of each other by delayed
+// reports.
 type fleet struct {
 	now       time.Time
 	limit     routetable.Account
 	tolerance Tolerance
-	// maxReportAge is for how long a report counts.
+	// maxReportAge is the age up to which a report counts.
 	maxReportAge time.Duration
 	rng          *rand.Rand
 	gateways     []*gateway
-	// collected: gateways hear one sum of all others.
+	// collector, if set, gives each gateway one sum of all others.
 	collector *collector
-	// hears says whether a gateway hears another one.
+	// hears reports whether gateway a hears gateway b.
 	hears func(a, b int) bool
-	// admitted are the costs, by time.
+	// admitted are the admitted requests, by time.
 	admitted  []admission
 	refused   int
 	requested int
@@ -35,7 +35,7 @@
 type gateway struct {
 	keeper      *Keeper
 	incarnation string
-	// reports are what the others heard last, of each gateway.
+	// heard are the latest reports of the other gateways, by their index.
 	heard map[int]report
 }
 
@@ -50,7 +50,7 @@
 	cost float64
 }
 
-// reportInterval is that of the exchange between gateways.
+// reportInterval is the interval at which gateways exchange reports.
 const reportInterval = gossip.Interval
 
 func newFleet(n int, rate float64) *fleet {
@@ -67,17 +67,17 @@
 }
 
 func (f *fleet) restart(i int) {
-	m := &gateway{incarnation: fmt.Sprint(i, "/", f.now.UnixNano()), heard: make(map[int]report)}
-	m.keeper = NewKeeper(f.tolerance, func(ident.ClientAccount, time.Time) Others { return f.others(m) }, f.now)
-	f.gateways[i] = m
+	g := &gateway{incarnation: fmt.Sprint(i, "/", f.now.UnixNano()), heard: make(map[int]report)}
+	g.keeper = NewKeeper(f.tolerance, func(ident.ClientAccount, time.Time) Others { return f.others(g) }, f.now)
+	f.gateways[i] = g
 }
 
-func (f *fleet) others(m *gateway) Others {
+func (f *fleet) others(g *gateway) Others {
 	if f.collector != nil {
-		return f.collector.others(m, f.now)
+		return f.collector.others(g, f.now)
 	}
 	var o Others
-	for _, r := range m.heard {
+	for _, r := range g.heard {
 		o.Known++
 		if f.now.Sub(r.at) <= f.maxReportAge {
 			o.Reports = append(o.Reports, Report{Name: r.incarnation, Source: r.incarnation, Gateways: 1, Spent: r.spent, Refused: r.refused, Age: f.now.Sub(r.at)})
@@ -86,7 +86,7 @@
 	return o
 }
 
-// exchange lets gateways hear each other.
+// exchange delivers the gateways' reports and has each gateway apply them.
 func (f *fleet) exchange() {
 	if f.collector != nil {
 		f.collector.add(f)
@@ -99,16 +99,15 @@
 			}
 		}
 	}
-	for _, m := range f.gateways {
-		m.keeper.Tick([]routetable.Account{f.limit}, f.now)
+	for _, g := range f.gateways {
+		g.keeper.Tick([]routetable.Account{f.limit}, f.now)
 	}
 }
 
-// collector is the sums that a collector makes of all gateways' totals: those of a round
-// are known in the next one.
+// collector adds up the totals of all gateways. The sums of one round are published in the next.
 type collector struct {
 	published, next collectedTotals
-	// unheard gateways are known, and not heard until an instant.
+	// Up to until, a gateway knows of this many others and hears none of them.
 	unheard int
 	until   time.Time
 }
@@ -120,15 +119,15 @@
 
 func (c *collector) add(f *fleet) {
 	c.published, c.next = c.next, collectedTotals{all: report{at: f.now}, byGateway: make(map[string]report)}
-	for _, m := range f.gateways {
-		total := m.keeper.Totals()["acct"]
-		c.next.byGateway[m.incarnation] = report{spent: total.Spent, refused: total.Refused}
+	for _, g := range f.gateways {
+		total := g.keeper.Totals()["acct"]
+		c.next.byGateway[g.incarnation] = report{spent: total.Spent, refused: total.Refused}
 		c.next.all.spent += total.Spent
 		c.next.all.refused += total.Refused
 	}
 }
 
-func (c *collector) others(m *gateway, now time.Time) Others {
+func (c *collector) others(g *gateway, now time.Time) Others {
 	n := len(c.published.byGateway) - 1
 	if now.Before(c.until) {
 		return Others{Known: c.unheard}
@@ -136,14 +135,14 @@
 	if n < 1 {
 		return Others{}
 	}
-	own := c.published.byGateway[m.incarnation]
+	own := c.published.byGateway[g.incarnation]
 	return Others{Known: n, Reports: []Report{{
 		Name: "all", Source: "collector", Gateways: n, Spent: c.published.all.spent - own.spent, Refused: c.published.all.refused - own.refused, Age: now.Sub(c.published.all.at),
 	}}}
 }
 
-// run lets callers ask for a rate of tokens, spread over the gateways by weights,
-// in requests of a mean size.
+// run sends requests for the duration d, with a total cost of rate per second and a mean cost of
+// size, spread over the gateways by weights.
 func (f *fleet) run(d time.Duration, rate, size float64, weights []float64) {
 	const tick = 10 * time.Millisecond
 	sum := 0.0
@@ -157,27 +156,27 @@
 			f.exchange()
 			nextExchange = f.now.Add(reportInterval)
 		}
-		for i, m := range f.gateways {
+		for i, g := range f.gateways {
 			owed[i] += rate * tick.Seconds() * weights[i] / sum
 			for cost := size * (0.2 + 1.6*f.rng.Float64()); owed[i] >= cost; cost = size * (0.2 + 1.6*f.rng.Float64()) {
 				owed[i] -= cost
-				f.request(m, cost)
+				f.request(g, cost)
 			}
 		}
 	}
 }
 
-func (f *fleet) request(m *gateway, cost float64) {
+func (f *fleet) request(g *gateway, cost float64) {
 	f.requested++
-	if m.keeper.Admit(&f.limit, cost, f.now).OK {
+	if g.keeper.Admit(&f.limit, cost, f.now).OK {
 		f.admitted = append(f.admitted, admission{f.now, cost})
 	} else {
 		f.refused++
 	}
 }
 
-// busiestWindow returns the most that was admitted in any window, and what the limit
-// allows.
+// busiestWindow returns the highest cost that was admitted in any window, and what the limit and
+// the tolerance allow.
 func (f *fleet) busiestWindow() (got, allowed float64) {
 	w := f.tolerance.Window
 	sum, first := 0.0, 0
@@ -199,12 +198,12 @@
 	}
 }
 
-// unevenWeights is how a balancer that hashes callers spreads an account.
+// unevenWeights is how a load balancer that hashes callers may spread an account over gateways.
 var unevenWeights = []float64{8, 1, 3, 0.2, 2, 5, 0, 1}
 
-// Symptom: callers are refused far below the account's limit. Sequence: an
-// account asks for 0.55 of its rate, through few of the gateways. Cause: an even
-// split of the limit, or spending that is taken out in one lump.
+// Guards against refusing requests far below the account's limit. An account requests 0.55 of its
+// rate, through few of the gateways. The test fails when the limit is split evenly, or when other
+// gateways' spending is deducted in one lump.
 func TestNobodyIsRefusedFarBelowTheLimit(t *testing.T) {
 	for _, rate := range []float64{36_000, 162_000} {
 		f := newFleet(8, rate)
@@ -218,9 +217,9 @@
 	}
 }
 
-// Symptom: an account gets more than its limit. Sequence: it asks for many times
-// its rate, through all gateways, or uneven ones. Cause: gateways that spend the
-// same refill before they hear of each other.
+// Guards against an account that gets more than its limit when it requests many times its rate
+// through all gateways, evenly or unevenly. The test fails when gateways spend the same refill
+// before they hear of each other.
 func TestAnAccountFarBeyondItsLimit(t *testing.T) {
 	for _, rate := range []float64{36_000, 162_000, 500_000} {
 		for _, weights := range [][]float64{{1, 1, 1, 1, 1, 1, 1, 1}, unevenWeights} {
@@ -236,10 +235,11 @@
 	}
 }
 
-// Symptom: an account gets more than its limit during a cut. Sequence: the
-// gateways fall into two sides that do not hear each other, and the account asks
-// for many times its rate on both; then they hear each other again. Cause: both
-// sides use the whole limit, or the other side's spending is taken out twice.
+// Guards against an account that gets more than its limit during a network partition. The gateways
+// fall into two sides that don't hear each other, and the account requests many times its rate on
+// both; then they hear each other again. The test fails when both sides use the whole limit.
+// Requests far below the limit are refused afterwards when the other side's spending is deducted
+// twice.
 func TestBothSidesOfACutKeepTheLimitTogether(t *testing.T) {
 	for _, side := range []int{1, 3, 4} {
 		f := newFleet(8, 162_000)
@@ -254,14 +254,13 @@
 		f.run(3*time.Second, 0, 5000, even)
 		f.run(10*time.Second, 0.5*162_000, 5000, even)
 		if f.refused > 0 {
-			t.Errorf("side of %d: %d of %d refused after the cut", side, f.refused, f.requested)
+			t.Errorf("side of %d gateways: %d of %d requests refused after the partition", side, f.refused, f.requested)
 		}
 	}
 }
 
-// Symptom: an account gets more than its limit after restarts. Sequence: all
-// gateways start again at once, or one after the other, while the account asks
-// for many times its rate. Cause: buckets that begin full.
+// Guards against an account that gets more than its limit when all gateways restart at once, or one
+// after the other, while it requests many times its rate. The test fails when buckets start full.
 func TestRestartsGiveNothingAway(t *testing.T) {
 	even := []float64{1, 1, 1, 1, 1, 1, 1, 1}
 	f := newFleet(8, 162_000)
@@ -277,8 +276,9 @@
 	f.checkLimit(t)
 }
 
-// Guards against an account of which all gateways take the whole refill when they hear each
-// other again after all were killed, because none of them knows yet what the others are asked.
+// Guards against an account that gets more than its limit because all gateways take the whole
+// refill when they hear each other again after all were killed: none of them knows yet what the
+// others are asked for.
 func TestAllGatewaysStartAgainInASurge(t *testing.T) {
 	for _, c := range []struct {
 		gateways    int
@@ -298,8 +298,8 @@
 	}
 }
 
-// Guards against an account whose small requests alone take it beyond its limit: they pass
-// at each gateway until it hears that all together have overdrawn the bucket.
+// Guards against an account whose small requests alone exceed its limit. Each gateway admits them
+// until it hears that all together have overdrawn the bucket.
 func TestSmallRequestsOfASurgeStayWithinTheLimit(t *testing.T) {
 	f := newFleet(82, 900_000)
 	f.collector = &collector{}
@@ -309,8 +309,8 @@
 	f.checkLimit(t)
 }
 
-// Symptom: a lowered limit is not kept. Sequence: the operators lower it far
-// below what the account asks. Cause: a bucket that keeps its old contents.
+// Guards against a lowered limit that isn't enforced because the bucket keeps its old content. The
+// operators lower the limit far below what the account requests.
 func TestALoweredLimitBindsAtOnce(t *testing.T) {
 	f := newFleet(8, 162_000)
 	f.run(10*time.Second, 0.6*162_000, 5000, unevenWeights)
@@ -320,27 +320,26 @@
 	f.checkLimit(t)
 }
 
-// Symptom: of an account beyond its limit, large requests are hardly ever served, or
-// postings that cost next to nothing are refused with the drafts; and for a second at a
-// time nothing is served at all. Sequence: an account asks for two to four times its
-// limit, in requests of all sizes. Cause: a bucket that must hold a request's whole cost;
-// gateways that all draw on the same refill, and find it overdrawn when they hear of each
-// other. The load is the users': a few large drafts among many small ones, a sixth of the
-// requests of 200 tokens.
+// Guards against three faults for an account that requests two to four times its limit in requests
+// of all sizes: large requests are hardly ever served, because the bucket must hold their whole
+// cost; postings that cost next to nothing are refused along with the drafts; and nothing is served
+// for a second at a time, because all gateways spend the same refill and find it overdrawn when
+// they hear of each other. The load is like the users': a few large drafts among many small ones,
+// and a sixth of the requests cost 200 tokens.
 func TestBeyondTheLimitAllSizesAreServedAllTheTime(t *testing.T) {
-	for _, c := range []struct{ rate, beyond float64 }{{86_000, 4.2}, {160_000, 4.2}, {86_000, 2}} {
+	for _, c := range []struct{ rate, overload float64 }{{86_000, 4.2}, {160_000, 4.2}, {86_000, 2}} {
 		f := newFleet(9, c.rate)
 		f.tolerance.Slack = 110_000
 		f.run(5*time.Second, 0.55*c.rate, 5000, []float64{3, 1, 2, 1, 1, 2, 1, 1, 4})
-		served, longest := f.runMixedSizes(10*time.Second, c.beyond*c.rate)
-		t.Logf("rate %.0f, %.1f times as much asked: served %v, nothing for %v", c.rate, c.beyond, served, longest)
+		served, longest := f.runMixedSizes(10*time.Second, c.overload*c.rate)
+		t.Logf("rate %.0f, %.1f times as much requested: served %v, nothing for %v", c.rate, c.overload, served, longest)
 		if served[200] < 0.9 {
-			t.Errorf("%.2f of the requests that cost next to nothing are served", served[200])
+			t.Errorf("only %.2f of the requests that cost next to nothing are served", served[200])
 		}
 		if least, most := min(served[960], served[16_000]), max(served[960], served[16_000]); least < 0.75*most {
-			t.Errorf("served by size: %v", served)
+			t.Errorf("large and small requests are not served about equally often: %v", served)
 		}
-		// Two rounds of reports after the surge all gateways know of it.
+		// All gateways know of the surge two rounds of reports after it began.
 		if longest > 600*time.Millisecond {
 			t.Errorf("nothing but the smallest is served for %v", longest)
 		}
@@ -348,73 +347,72 @@
 	}
 }
 
-// runMixedSizes lets callers ask in requests of several sizes, and returns which part of each is
-// served, and for how long at most only the smallest were.
+// runMixedSizes sends requests of several costs. It returns the served fraction of each, and the
+// longest time in which none but the smallest was served.
 func (f *fleet) runMixedSizes(d time.Duration, rate float64) (served map[float64]float64, longest time.Duration) {
 	sizes := []float64{200, 200, 960, 960, 960, 2500, 2500, 2500, 2500, 9500, 9500, 16_000}
-	asked, admitted := make(map[float64]float64), make(map[float64]float64)
-	last := f.now
+	requested, admitted := make(map[float64]float64), make(map[float64]float64)
+	lastServed := f.now
 	mean := 0.0
 	for _, s := range sizes {
 		mean += s / float64(len(sizes))
 	}
 	const tick = 5 * time.Millisecond
 	credit := 0.0
-	next := f.now
+	nextExchange := f.now
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tick) {
-		if !f.now.Before(next) {
+		if !f.now.Before(nextExchange) {
 			f.exchange()
-			next = f.now.Add(reportInterval)
+			nextExchange = f.now.Add(reportInterval)
 		}
 		for credit += rate * tick.Seconds() / mean; credit >= 1; credit-- {
 			cost := sizes[f.rng.IntN(len(sizes))]
-			before := f.refused
+			refusedBefore := f.refused
 			f.request(f.gateways[f.rng.IntN(len(f.gateways))], cost)
-			asked[cost]++
-			if f.refused > before {
+			requested[cost]++
+			if f.refused > refusedBefore {
 				continue
 			}
 			admitted[cost]++
 			if cost > 200 {
-				longest = max(longest, f.now.Sub(last))
-				last = f.now
+				longest = max(longest, f.now.Sub(lastServed))
+				lastServed = f.now
 			}
 		}
 	}
 	served = make(map[float64]float64)
-	for size, n := range asked {
+	for size, n := range requested {
 		served[size] = admitted[size] / n
 	}
 	return served, longest
 }
 
-// Symptom: a caller that may be served within its objective returns after a second and a
-// half, too late. Sequence: all gateways start again; one that has heard of none of the
-// others has a small part of the limit, and works out from it when there is room. Cause:
-// a part that stands for two rounds of reports only.
+// Guards against a caller that could be served within its objective but is told to return after 1.5
+// s, too late. All gateways restart, and one that has heard none of the others has a small share of
+// the limit. The test fails when the retry time is computed from that share, which lasts only for
+// two rounds of reports.
 func TestAfterAStartCallersReturnWhenTheOthersAreKnown(t *testing.T) {
 	f := newFleet(1, 57_000)
-	m := f.gateways[0]
+	g := f.gateways[0]
 	for i := range 9 {
-		m.heard[i+1] = report{incarnation: fmt.Sprint(i), at: f.now.Add(-time.Minute)}
+		g.heard[i+1] = report{incarnation: fmt.Sprint(i), at: f.now.Add(-time.Minute)}
 	}
 	f.now = f.now.Add(50 * time.Millisecond)
-	// The first one overdraws the part.
-	m.keeper.Admit(&f.limit, 40_000, f.now)
-	if d := m.keeper.Admit(&f.limit, 9500, f.now); d.OK || d.After > startupMaxRetryAfter {
-		t.Errorf("admitted %v, to return after %v", d.OK, d.After)
+	// The first request overdraws the share.
+	g.keeper.Admit(&f.limit, 40_000, f.now)
+	if d := g.keeper.Admit(&f.limit, 9500, f.now); d.OK || d.After > startupMaxRetryAfter {
+		t.Errorf("after the start: admitted %v, retry after %v", d.OK, d.After)
 	}
 	f.now = f.now.Add(startupPeriod)
-	m.keeper.Admit(&f.limit, 40_000, f.now)
-	if d := m.keeper.Admit(&f.limit, 90_000, f.now); d.OK || d.After <= startupMaxRetryAfter {
-		t.Errorf("cut off for good: admitted %v, to return after %v", d.OK, d.After)
+	g.keeper.Admit(&f.limit, 40_000, f.now)
+	if d := g.keeper.Admit(&f.limit, 90_000, f.now); d.OK || d.After <= startupMaxRetryAfter {
+		t.Errorf("others still unheard after the startup period: admitted %v, retry after %v", d.OK, d.After)
 	}
 }
 
-// Symptom: a caller is told to return after a time that is none. Sequence: an account
-// asks for many times its limit through other gateways; its first request comes to this
-// one, whose part is not known yet, or next to nothing. Cause: a time that is longer than
-// its type holds.
+// Guards against a meaningless retry time. An account requests many times its limit through other
+// gateways, and its first request reaches this one, whose share is unknown yet or next to zero. The
+// test fails when the computed time overflows a time.Duration.
 func TestAPartOfNothingTellsAReturnTime(t *testing.T) {
 	f := newFleet(1, 57_000)
 	for _, c := range []struct {
@@ -428,7 +426,7 @@
 	}
 }
 
-// A request larger than the whole burst must still pass at times.
+// Guards against a request that is larger than the whole burst and never admitted.
 func TestALargeRequestPassesWhenTheBucketIsFull(t *testing.T) {
 	f := newFleet(1, 10_000)
 	f.tolerance = Tolerance{Window: 8 * time.Second}
@@ -436,16 +434,16 @@
 	f.run(2*time.Second, 0, 1, []float64{1})
 	f.request(f.gateways[0], 60_000)
 	if f.refused != 0 {
-		t.Error("refused")
+		t.Error("a request larger than the burst is refused though the bucket is full")
 	}
 	f.request(f.gateways[0], 1000)
 	if f.refused != 1 {
-		t.Error("the request was not taken out of the bucket")
+		t.Error("the large request was not deducted from the bucket")
 	}
 }
 
-// newSparseFleet returns ninety gateways that hear of another one in one of a number of
-// rounds, and even weights.
+// newSparseFleet returns 90 gateways that each hear another one in one of so many rounds on
+// average, and even weights.
 func newSparseFleet(rate float64, rounds int) (*fleet, []float64) {
 	f := newFleet(90, rate)
 	f.maxReportAge = 8 * time.Second
@@ -453,9 +451,9 @@
 	return f, slices.Repeat([]float64{1}, 90)
 }
 
-// Symptom: a small account of ninety gateways gets several times its limit.
-// Sequence: it asks for many times its rate, and each gateway hears of another one
-// every few seconds. Cause: every gateway may admit a request at once.
+// Guards against a small account of 90 gateways that gets several times its limit. It requests many
+// times its rate, and each gateway hears another one every few seconds. The test fails when every
+// gateway may admit a request at once.
 func TestASmallAccountOfManyGateways(t *testing.T) {
 	f, even := newSparseFleet(26_000, 6)
 	f.run(6*time.Second, 0.5*26_000, 5000, even)
@@ -466,10 +464,10 @@
 	}
 }
 
-// Symptom: one request in five is refused at ninety gateways, far below the limit.
-// Sequence: gateways hear of each other every few seconds. Cause: what others have
-// probably spent since their reports is taken out of a bucket that was full to its
-// brim only because it had not been taken out before.
+// Guards against refusing one request in five far below the limit at 90 gateways that hear of each
+// other every few seconds. The test fails when the spending that others have probably had since
+// their reports is deducted from a bucket that was full only because it hadn't been deducted
+// before.
 func TestNobodyIsRefusedFarBelowTheLimitAtManyGateways(t *testing.T) {
 	f, even := newSparseFleet(160_000, 11)
 	f.run(10*time.Second, 0.7*160_000, 5000, even)
@@ -481,30 +479,29 @@
 	f.checkLimit(t)
 }
 
-// Symptom: a large account of sixty gateways gets 1.6 in a hundred more than its
-// limit allows. Sequence: from half of its rate it asks for several times as much
-// at once, at gateways that hear of each other every two seconds. Cause: callers
-// get parts of the tolerance that the gateways need for what they admit before
-// they hear of each other.
+// Guards against a large account of 60 gateways that gets 1.6 % more than its limit allows. From
+// half of its rate it goes to several times the rate at once, at gateways that hear of each other
+// every two seconds. The test fails when callers get shares of the tolerance that the gateways need
+// for what they admit before they hear of each other.
 func TestASurgeOfALargeAccountOfManyGateways(t *testing.T) {
 	checkSurges(t, 61, 540_000, 8)
 }
 
-// Symptom: a large account of ninety gateways gets 1.1 in a hundred more than its
-// limit allows. Sequence: as above, at gateways that hear of each other every 2.8
-// seconds. Cause: gateways that meet too seldom. Each knows the surge only by its own
-// callers until the others' reports come, and admits as if theirs still asked as
-// little as before.
+// Guards against a large account of 90 gateways that gets 1.1 % more than its limit allows in a
+// surge as above, at gateways that hear of each other every 2.8 seconds. The test fails when the
+// gateways hear of each other too seldom: each knows the surge only by its own callers until the
+// others' reports arrive, and admits as if the others' callers still requested as little as before.
 func TestASurgeOfALargeAccountOfNinetyGateways(t *testing.T) {
 	checkSurges(t, 90, 466_000, 6)
 }
 
-// Symptom: an account of hundreds of gateways gets more than its limit allows when it asks
-// for several times as much at once. Sequence: each gateway hears one sum of all others, as
-// old as the collectors make it. Cause: views that grow older with the number of gateways.
-// Larger surges of the larger accounts are open (7 in a hundred too much at 195 gateways
-// and seven times 900,000 tokens a second): all gateways admit at once what each of them
-// has saved up for one request.
+// Guards against an account of hundreds of gateways that gets more than its limit allows when it
+// requests several times as much at once. Each gateway hears one sum of all others, with the delay
+// that the collectors add. The test fails when reports get older with the number of gateways.
+//
+// Larger surges of larger accounts still exceed the limit (by 7 % at 195 gateways and seven times
+// 900,000 tokens a second): all gateways admit at once what each of them has saved up for one
+// request.
 func TestASurgeOfAnAccountOfHundredsOfGateways(t *testing.T) {
 	for _, c := range []struct {
 		gateways    int
@@ -528,8 +525,8 @@
 	}
 }
 
-// checkSurges plays surges of an account at gateways that hear of another one in one of
-// a number of rounds.
+// checkSurges runs surges of an account at gateways that each hear another one in one of so many
+// rounds on average.
 func checkSurges(t *testing.T, gateways int, rate float64, rounds int) {
 	t.Helper()
 	for seed := range uint64(5) {
