--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -10,17 +10,17 @@
 
 // Backoff is the pause before an extra attempt.
 type Backoff struct {
-	// Base is the longest pause before the second attempt. It doubles with
-	// each attempt up to Max.
+	// Base is the longest pause before the second attempt. It doubles with each further attempt, up
+	// to Max.
 	Base, Max time.Duration
 }
 
-// DefaultBackoff suits upstreams a millisecond away.
+// DefaultBackoff suits upstreams that are a millisecond away.
 var DefaultBackoff = Backoff{Base: 20 * time.Millisecond, Max: time.Second}
 
-// Delay returns the pause after an attempt, counted from 1, has failed. It
-// lies between half and all of the doubled base, fixed by the request's ID
-// and the attempt, so that requests that failed together part.
+// Delay returns the pause after the given attempt, counted from 1, has failed. It lies between half
+// the doubled base and the whole. The request's ID and the attempt determine it, so that requests
+// that failed together are not retried together.
 func (b Backoff) Delay(attempt int, id ident.Request) time.Duration {
 	longest := b.Max
 	if shift := max(attempt-1, 0); shift < 30 && b.Base<<shift < b.Max {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,7 +1,7 @@
-// Package retry decides when a request may be tried again: from a budget that
-// makes a retry storm impossible, after a backoff, and only where a second
-// attempt can do no harm. Hedges (a second attempt while the first still runs)
-// pay from the same budget. Time is passed in; nothing here waits.
+// Package retry decides when a request may be attempted again: only within a budget that rules out
+// retry storms, after a backoff, and only if a second attempt can do no harm. Hedges (a second
+// attempt while the first still runs) are paid from the same budget. Callers pass the time in;
+// nothing here waits.
 package retry
 
 import (
@@ -16,18 +16,18 @@
 	DefaultMostStored = 10
 )
 
-// unitsPerAttempt is one attempt in the budget's integer arithmetic, so that no rounding
-// can add up to an attempt too many.
+// unitsPerAttempt is how many integer units the budget counts an attempt as. Integers keep rounding
+// errors from adding up to an extra attempt.
 const unitsPerAttempt = 1_000_000
 
 // BudgetConfig sets how many extra attempts are allowed.
 type BudgetConfig struct {
-	// Ratio of extra attempts to first tries.
+	// Ratio is the number of extra attempts that each first attempt allows.
 	Ratio float64
-	// Floor is extra attempts a second that are allowed even without first
-	// tries, so that a quiet service can retry at all.
+	// Floor is the number of extra attempts per second that are allowed even without first
+	// attempts, so that a service with few requests can retry at all.
 	Floor float64
-	// MostStored bounds the attempts saved up in quiet times.
+	// MostStored bounds the extra attempts that are saved up while none are made.
 	MostStored float64
 }
 
@@ -44,12 +44,11 @@
 	return c
 }
 
-// Budget is shared by all retries and hedges of one service at one gateway.
+// Budget limits the retries and hedges of one service at one gateway.
 //
-// Bound: from the budget's creation on, after f first tries and t seconds, the
-// extra attempts are at most Ratio*f + Floor*t + MostStored, whatever fails
-// and in whatever order. The attempts sent are then at most (1+Ratio)*f +
-// Floor*t + MostStored. It is safe for concurrent use.
+// From the budget's creation on, after f first attempts and t seconds, there are at most Ratio*f +
+// Floor*t + MostStored extra attempts, whatever fails in whatever order. All attempts together are
+// then at most (1+Ratio)*f + Floor*t + MostStored. A Budget is safe for concurrent use.
 type Budget struct {
 	perFirstTry int64
 	perSecond   int64
@@ -57,32 +56,32 @@
 
 	mu     sync.Mutex
 	stored int64
-	// floorPaidAt is up to when the floor was paid in.
+	// floorPaidAt is the time up to which the floor was added.
 	floorPaidAt time.Time
 }
 
-// NewBudget returns a budget that holds MostStored attempts.
+// NewBudget returns a budget that holds MostStored extra attempts.
 func NewBudget(config BudgetConfig, now time.Time) *Budget {
 	config = config.withDefaults()
-	most := int64(config.MostStored * unitsPerAttempt)
+	maxStored := int64(config.MostStored * unitsPerAttempt)
 	return &Budget{
 		perFirstTry: int64(config.Ratio * unitsPerAttempt),
 		perSecond:   int64(config.Floor * unitsPerAttempt),
-		maxStored:   most,
-		stored:      most,
+		maxStored:   maxStored,
+		stored:      maxStored,
 		floorPaidAt: now,
 	}
 }
 
-// FirstTry pays in for a request's first attempt.
+// FirstTry records a request's first attempt, which allows Ratio extra attempts.
 func (b *Budget) FirstTry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stored = min(b.stored+b.perFirstTry, b.maxStored)
 }
 
-// Spend takes one extra attempt out of the budget. It reports false, and takes
-// nothing, when the budget does not allow one.
+// Spend takes one extra attempt from the budget. If the budget doesn't allow one, it returns false
+// and takes nothing.
 func (b *Budget) Spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,20 +93,21 @@
 	return true
 }
 
-// payFloor pays in the floor. Times that run backwards pay nothing.
+// payFloor adds the floor for the time since it was last added. If the clock went back, it adds
+// nothing.
 func (b *Budget) payFloor(now time.Time) {
 	elapsed := now.Sub(b.floorPaidAt)
 	if elapsed <= 0 {
 		return
 	}
-	longest := time.Duration(float64(b.maxStored)/float64(max(b.perSecond, 1))*float64(time.Second)) + time.Second
-	if elapsed >= longest {
+	fullAfter := time.Duration(float64(b.maxStored)/float64(max(b.perSecond, 1))*float64(time.Second)) + time.Second
+	if elapsed >= fullAfter {
 		b.stored, b.floorPaidAt = b.maxStored, now
 		return
 	}
 	paid := int64(float64(b.perSecond) * elapsed.Seconds())
 	if paid == 0 {
-		// Too short to pay a whole unit: let the time add up.
+		// The time is too short for a whole unit, so it is left to add up.
 		return
 	}
 	b.stored = min(b.stored+paid, b.maxStored)
--- a/internal/retry/classify.go
+++ b/internal/retry/classify.go
@@ -8,20 +8,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Retryable reports whether a failed attempt may be made again. Sent says
-// that bytes of the request left the process.
+// Retryable reports whether a failed attempt may be repeated. sent means that bytes of the request
+// have left the process.
 //
-// A call that is not idempotent is only repeated when it is certain that it
-// did not run: the upstream refused it, or nothing was sent. An error that
-// says "not sent" for a request that was sent contradicts itself and counts
-// as sent. Otherwise a bid that ran and whose answer was lost would be placed
-// twice.
+// A call that isn't idempotent is repeated only if it certainly did not run: the upstream refused
+// it, or nothing was sent. An ErrNotSent for a request that was sent contradicts itself, and the
+// request counts as sent. Otherwise a bid that ran and whose answer was lost would be placed twice.
 func Retryable(err error, idempotent, sent bool) bool {
 	switch {
 	case err == nil, errors.Is(err, context.Canceled):
 		return false
 	case errors.Is(err, upstream.ErrOldFence):
-		// Another holder is ahead; the same number is refused everywhere.
+		// Another holder has a newer fencing token, so every upstream refuses this one.
 		return false
 	case certainlyNotRun(err, sent):
 		return true
@@ -38,8 +36,7 @@
 	return !upstream.Ran(err)
 }
 
-// worthRepeating reports whether the same request can get another answer
-// elsewhere.
+// worthRepeating reports whether another upstream may answer the same request differently.
 func worthRepeating(code errcode.Code) bool {
 	switch code {
 	case errcode.Cancelled, errcode.InvalidArgument, errcode.NotFound,
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -8,42 +8,41 @@
 )
 
 const (
-	// hedgePercentile of the observed latency after which a hedge is sent:
-	// about one request in twenty is hedged in normal times.
+	// hedgePercentile is the percentile of the latencies after which a hedge is sent. Normally
+	// about one request in twenty is hedged.
 	hedgePercentile = 95
-	// hedgeMinSamples are needed before a percentile means anything.
+	// hedgeMinSamples is the number of latencies below which a percentile means nothing.
 	hedgeMinSamples = 50
-	// hedgeWindow is how many latencies are counted before the percentile
-	// is read again; two windows are kept.
+	// hedgeWindow is the number of latencies after which the percentile is read again and a new
+	// window begins. Two windows are kept.
 	hedgeWindow = 200
-	// minHedgeDelay bounds how early a hedge is sent.
+	// minHedgeDelay is the shortest time before a hedge is sent.
 	minHedgeDelay = 10 * time.Millisecond
-	// maxLatencyMicros and latencyDigits bound the histogram's memory.
+	// maxLatencyMicros and latencyDigits (significant decimal digits) bound the histogram's memory.
 	maxLatencyMicros = int64(time.Minute / time.Microsecond)
 	latencyDigits    = 2
 )
 
-// Latencies remembers recent latencies of one kind of request. It is safe for
-// concurrent use.
+// Latencies holds recent latencies of one kind of request. It is safe for concurrent use.
 type Latencies struct {
 	mu     sync.Mutex
 	recent *hdrhistogram.WindowedHistogram
 	count  int
-	// hedgeAfter is the percentile read last; 0 is not known yet.
+	// hedgeAfter is the percentile as last read, or 0 while it is unknown.
 	hedgeAfter time.Duration
 }
 
-// NewLatencies returns an empty memory.
+// NewLatencies returns a Latencies without any latencies.
 func NewLatencies() *Latencies {
 	return &Latencies{recent: hdrhistogram.NewWindowed(2, 1, maxLatencyMicros, latencyDigits)}
 }
 
-// Observe adds the latency of a first attempt.
+// Observe records the latency of a first attempt.
 func (l *Latencies) Observe(latency time.Duration) {
 	micros := min(max(latency.Microseconds(), 1), maxLatencyMicros)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// The value is within the histogram's range, the only cause of an error.
+	// RecordValue fails only for a value outside the histogram's range, and this one is inside.
 	_ = l.recent.Current.RecordValue(micros)
 	l.count++
 	if l.count == hedgeMinSamples || l.count%hedgeWindow == 0 {
@@ -54,33 +53,33 @@
 	}
 }
 
-// HedgeAfter returns how long to wait for a first attempt before a hedge, and
-// false while too little is known.
+// HedgeAfter returns how long to wait for a first attempt before sending a hedge. It returns false
+// while too few latencies are known.
 func (l *Latencies) HedgeAfter() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(l.hedgeAfter, minHedgeDelay), l.hedgeAfter > 0
 }
 
-// HedgeState is what the decision to hedge depends on.
+// HedgeState is the state of a request on which the decision to hedge depends.
 type HedgeState struct {
 	Idempotent bool
-	// Short: the request's class is a short one, whose second attempt costs
+	// Short is set if the request is of a short latency class, for which a second attempt costs
 	// little.
 	Short bool
-	// Answered: a first token or byte has arrived.
+	// Answered is set once a first token or byte has arrived.
 	Answered bool
-	// Hedged: this request has had its hedge.
+	// Hedged is set once a hedge was sent for this request.
 	Hedged bool
-	// Waited since the first attempt was sent.
+	// Waited is the time since the first attempt was sent.
 	Waited time.Duration
-	// Left until the deadline.
+	// Left is the time until the deadline.
 	Left time.Duration
 }
 
-// ShouldHedge reports whether a second attempt is worth making now; its sender
-// has to Spend it from the budget. A hedge that cannot be answered in the time
-// left would only add load.
+// ShouldHedge reports whether to send a second attempt now, where after is the result of
+// HedgeAfter. The caller must take the attempt from the budget with Spend. There is no hedge when
+// too little time is left for an answer: it would only add load.
 func ShouldHedge(s HedgeState, after time.Duration) bool {
 	if !s.Idempotent || !s.Short || s.Answered || s.Hedged {
 		return false
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -18,12 +18,11 @@
 
 func init() { testkit.FixSeed() }
 
-// TestBudgetBound: no order of first tries, extra attempts and pauses gets more
-// extra attempts out of a budget than its stated bound.
+// TestBudgetBound checks that no order of first attempts, extra attempts and pauses gets more extra
+// attempts out of a budget than its documented bound.
 //
-// Symptom: a brown-out turns into an outage, with several times the usual load.
-// Sequence: everything fails and everything is retried. Cause: retries that
-// are not paid for by first tries.
+// Guards against a brown-out that turns into an outage with several times the usual load, because
+// everything fails and is retried without regard to the number of first attempts.
 func TestBudgetBound(t *testing.T) { rapid.Check(t, checkBudgetBound) }
 
 func checkBudgetBound(t *rapid.T) {
@@ -58,20 +57,20 @@
 		}
 		bound := config.Ratio*float64(first) + config.Floor*latest.Sub(start).Seconds() + config.MostStored
 		if float64(extra) > bound {
-			t.Fatalf("%d extra attempts after %d first tries, at most %.2f", extra, first, bound)
+			t.Fatalf("%d extra attempts after %d first attempts, at most %.2f allowed", extra, first, bound)
 		}
 	}
 }
 
-// TestBudgetSuffices: a tenth of failures is retried in full, and a quiet
-// service can retry.
+// TestBudgetSuffices checks that all retries are allowed when a tenth of the requests fail, and
+// that a service with few requests can retry.
 func TestBudgetSuffices(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(BudgetConfig{}, now)
 	for i := range 1000 {
 		b.FirstTry()
 		if i%10 == 9 && !b.Spend(now) {
-			t.Fatalf("no retry after %d first tries", i+1)
+			t.Fatalf("no retry after %d first attempts", i+1)
 		}
 	}
 	for b.Spend(now) {
@@ -81,19 +80,18 @@
 	}
 }
 
-// TestRetryable holds the classifier against the one rule that must not break:
-// a call that may have run is not repeated unless it is idempotent.
+// TestRetryable checks that a call that may have run is never repeated unless it is idempotent.
 //
-// Symptom: a trader is charged twice. Sequence: the upstream runs a bid, the
-// connection breaks before the answer, the gateway tries again. Cause: an
-// error that only says that no answer came is taken for a refusal.
+// Guards against a trader who is charged twice: the upstream runs a bid, the connection breaks
+// before the answer, and the gateway tries again because it takes an error that only says that no
+// answer came for a refusal.
 func TestRetryable(t *testing.T) {
 	cases := []struct {
 		story      string
 		err        error
 		sent       bool
-		idempotent bool // wanted if the call is idempotent
-		other      bool // wanted if it is not
+		idempotent bool // expected if the call is idempotent
+		other      bool // expected if it is not
 	}{
 		{"success", nil, true, false, false},
 		{"no connection", upstream.ErrNotSent, false, true, true},
@@ -113,10 +111,10 @@
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
 			if got := Retryable(c.err, true, c.sent); got != c.idempotent {
-				t.Errorf("idempotent: %v", got)
+				t.Errorf("idempotent: retryable %v, want %v", got, c.idempotent)
 			}
 			if got := Retryable(c.err, false, c.sent); got != c.other {
-				t.Errorf("not idempotent: %v", got)
+				t.Errorf("not idempotent: retryable %v, want %v", got, c.other)
 			}
 		})
 	}
@@ -141,25 +139,25 @@
 	}
 }
 
-// TestHedge: a hedge is sent after the usual latency, for idempotent short
-// calls, once, and only if it can still be answered.
+// TestHedge checks that a hedge is sent after the usual latency, only for idempotent requests of a
+// short class, only once, and only if it can still be answered.
 func TestHedge(t *testing.T) {
 	l := NewLatencies()
 	if _, known := l.HedgeAfter(); known {
-		t.Error("a percentile of nothing")
+		t.Error("HedgeAfter is known without any latency")
 	}
 	for i := range 1000 {
 		l.Observe(time.Duration(i%100+1) * time.Millisecond)
 	}
 	after, known := l.HedgeAfter()
 	if !known || after < 90*time.Millisecond || after > 100*time.Millisecond {
-		t.Fatalf("hedge after %v, want the 95th percentile of 1 to 100 ms", after)
+		t.Fatalf("hedge after %v (known %v), want the 95th percentile of 1 to 100 ms", after, known)
 	}
 	for range 2 * hedgeWindow {
 		l.Observe(500 * time.Millisecond)
 	}
 	if slower, _ := l.HedgeAfter(); slower < 450*time.Millisecond {
-		t.Errorf("hedge after %v when all take 500ms now", slower)
+		t.Errorf("hedge after %v though all requests take 500ms now", slower)
 	}
 	ready := HedgeState{Idempotent: true, Short: true, Waited: after, Left: time.Second}
 	cases := []struct {
--- a/internal/retry/shared.go
+++ b/internal/retry/shared.go
@@ -7,52 +7,52 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// SharedConfig bounds what arrives at a service beyond first attempts, over all
-// gateways together, in any window.
+// SharedConfig limits the extra attempts that arrive at a service from all gateways together, in
+// any window.
 type SharedConfig struct {
-	// Ratio of further arrivals to the service's requests in a window, and
-	// Slack beside it.
+	// Ratio is the number of extra attempts that each request in the window allows. Slack is a
+	// number of extra attempts allowed on top of that.
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
 const (
-	// usedBudgetShare is the part of the bound that is used: gateways that are
-	// not known yet, and arrivals that a cut delays into another window, take
-	// the rest.
+	// usedBudgetShare is the fraction of the limit that is used. The rest is for gateways that are
+	// not known yet, and for attempts that a network partition delays into another window.
 	usedBudgetShare = 0.6
-	// minGateways is how many are assumed while fewer are known, so that a
-	// gateway that was just started does not take the whole slack.
+	// minGateways is the number of gateways assumed while fewer are known, so that a gateway that
+	// has just started doesn't take the whole slack.
 	minGateways = 4
 )
 
-// Shared is a retry budget of many services that gateways keep together without
-// talking: each has its requests' part of the ratio, and an even part of the
-// slack. It is safe for concurrent use.
+// Shared is a retry budget for many services that all gateways keep together without communication:
+// each gateway uses the ratio of its own requests and an even share of the slack. It is safe for
+// concurrent use.
 type Shared struct {
 	cfg SharedConfig
-	// gateways returns how many gateways there may be.
+	// gateways returns how many gateways there may be, with this one.
 	gateways func() int
 
 	mu       sync.Mutex
 	services map[ident.Service]*window
 }
 
-// window counts events in slices of a sliding window.
+// window counts first and extra attempts in time slices of a sliding window.
 type window struct {
 	firsts, extras [sliceCount]float64
-	// slice numbers the newest slice.
+	// slice is the number of the newest slice.
 	slice int64
 }
 
 const sliceCount = 10
 
-// NewShared returns a budget in which nothing was spent.
+// NewShared returns a budget of which nothing is spent. gateways returns how many gateways there
+// may be, with this one.
 func NewShared(cfg SharedConfig, gateways func() int) *Shared {
 	return &Shared{cfg: cfg, gateways: gateways, services: make(map[ident.Service]*window)}
 }
 
-// FirstTry notes a request's first attempt.
+// FirstTry records a request's first attempt.
 func (s *Shared) FirstTry(service ident.Service, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,7 @@
 	w.firsts[w.slice%sliceCount]++
 }
 
-// Spend takes one further arrival, or reports that the budget has none left.
+// Spend takes one extra attempt from the service's budget, or returns false if none is left.
 func (s *Shared) Spend(service ident.Service, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	return total
 }
 
-// currentWindow returns a service's window, moved to the present.
+// currentWindow returns a service's window, advanced to now.
 func (s *Shared) currentWindow(service ident.Service, now time.Time) *window {
 	slice := now.UnixNano() / int64(s.cfg.Window/sliceCount)
 	w := s.services[service]
--- a/internal/retry/shared_test.go
+++ b/internal/retry/shared_test.go
@@ -9,9 +9,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Symptom: a service gets more further arrivals in some window than its budget.
-// Sequence: any first tries and any wish for further ones, at all gateways, at any
-// times. Cause: a budget that each gateway takes for itself, or that is saved up.
+// Guards against a service that gets more extra attempts in some window than its budget. Gateways
+// make first attempts and ask for extra ones at any time and in any order. The test fails when each
+// gateway takes the whole budget, or when budget is saved up.
 func TestGatewaysKeepTheBudgetTogether(t *testing.T) {
 	cfg := SharedConfig{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	type event struct {
@@ -54,7 +54,7 @@
 				}
 			}
 			if allowed := cfg.Ratio*firsts + cfg.Slack; extras > allowed {
-				t.Fatalf("%.0f further arrivals, %.1f allowed", extras, allowed)
+				t.Fatalf("%.0f extra attempts in a window, %.1f allowed", extras, allowed)
 			}
 		}
 	})
@@ -71,9 +71,9 @@
 		}
 		now = now.Add(100 * time.Millisecond)
 	}
-	// 0.6 of a fifth of 100 requests, and of an eighth of 56.
+	// 0.6 of (a fifth of 100 requests + an eighth of 56).
 	if granted != 16 {
-		t.Errorf("%d of 100 repeated, want 16", granted)
+		t.Errorf("%d of 100 requests were granted an extra attempt, want 16", granted)
 	}
 	if !b.Spend("other", now) {
 		t.Error("another service's budget is used up")
