--- a/internal/metering/counter.go
+++ b/internal/metering/counter.go
@@ -1,5 +1,6 @@
-// Package metering counts the requests that began to run, by client account and
-// window of true time, over all gateways, and reports them once a window.
+// Package metering counts the requests that began to run, by client account and time window, over
+// all gateways, and reports the counts once a window. Windows are in true time: the time of day as
+// most gateways have it.
 package metering
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Counts is how many requests of each account began to run.
+// Counts is the number of requests of each account that began to run.
 type Counts map[ident.ClientAccount]int64
 
 func (c Counts) total() int64 {
@@ -22,11 +23,11 @@
 	return sum
 }
 
-// maxCounterWindows is how many windows of counts a gateway keeps: the newest one, and
-// those whose report may still be due.
+// maxCounterWindows is how many windows a Counter keeps: the current one, and earlier ones whose
+// report may still be due.
 const maxCounterWindows = 5
 
-// Counter counts at one gateway. It is safe for concurrent use.
+// Counter counts requests at one gateway. It is safe for concurrent use.
 type Counter struct {
 	length time.Duration
 	// trueTime returns the time of day as most gateways have it.
@@ -36,19 +37,19 @@
 	windows map[int64]Counts
 }
 
-// NewCounter returns a counter of windows of a length.
+// NewCounter returns a Counter with windows of the given length.
 func NewCounter(length time.Duration, trueTime func() time.Time) *Counter {
 	return &Counter{length: length, trueTime: trueTime, windows: make(map[int64]Counts)}
 }
 
-// Window numbers the window that holds an instant: window k begins k times its
-// length after the start of 1970.
+// Window returns the number of the window that contains a time. Window k begins k window lengths
+// after the start of 1970 (UTC).
 func Window(at time.Time, length time.Duration) int64 {
 	return at.UnixNano() / int64(length)
 }
 
-// Began implements forward.Meter. It counts by the true time of day: what a clock
-// shows wrongly is corrected by the other gateways'.
+// Began implements forward.Meter. The window is chosen by true time, so that a gateway whose clock
+// is wrong counts in the same window as the others.
 func (c *Counter) Began(account ident.ClientAccount) {
 	if account == "" {
 		return
@@ -65,14 +66,14 @@
 	counts[account]++
 }
 
-// keepNewest drops the oldest windows beyond a number.
+// keepNewest deletes the oldest windows until at most the given number is left.
 func keepNewest[V any](windows map[int64]V, most int) {
 	for len(windows) > most {
 		delete(windows, slices.Min(slices.Collect(maps.Keys(windows))))
 	}
 }
 
-// Windows returns a copy of the counts.
+// Windows returns a copy of the counts by window.
 func (c *Counter) Windows() map[int64]map[ident.ClientAccount]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,96 +84,97 @@
 	return out
 }
 
-// Pending are counts of windows that are not decided yet, by window and by the life
-// of the gateway that counted: a life is one incarnation of an instance.
+// Pending holds the counts of windows that are not decided yet, by window and by the incarnation of
+// the gateway that counted.
 type Pending map[int64]map[string]Counts
 
-// pendingByIncarnation is the same by life and window, so that each life is named once.
+// pendingByIncarnation holds the same by incarnation and window, so that each incarnation's ID is
+// written once.
 type pendingByIncarnation map[string]map[int64]map[ident.ClientAccount]int64
 
 func (p Pending) byIncarnation() pendingByIncarnation {
 	out := make(pendingByIncarnation)
-	for window, lives := range p {
-		for life, counts := range lives {
-			if out[life] == nil {
-				out[life] = make(map[int64]map[ident.ClientAccount]int64)
+	for window, incarnations := range p {
+		for incarnation, counts := range incarnations {
+			if out[incarnation] == nil {
+				out[incarnation] = make(map[int64]map[ident.ClientAccount]int64)
 			}
-			out[life][window] = counts
+			out[incarnation][window] = counts
 		}
 	}
 	return out
 }
 
-// Ledger joins the gateways' counts. A gateway that is gone keeps its part, so
-// that what it began is not forgotten with it. It is safe for concurrent use.
+// Ledger merges the gateways' counts. The counts of a gateway that is gone are kept, so that the
+// requests it began stay counted. It is safe for concurrent use.
 type Ledger struct {
 	mu     sync.Mutex
 	counts Pending
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{counts: make(Pending)} }
 
-// Hear takes in one life's counts. They only grow, so that the largest is the
-// newest, whichever way it came.
-func (l *Ledger) Hear(life string, windows map[int64]map[ident.ClientAccount]int64) {
+// Hear merges the counts of one incarnation of a gateway. Its counts only grow, so the larger of
+// two is the newer, in whatever order they arrive.
+func (l *Ledger) Hear(incarnation string, windows map[int64]map[ident.ClientAccount]int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for window, counts := range windows {
-		l.merge(window, life, counts)
+		l.merge(window, incarnation, counts)
 	}
 	keepNewest(l.counts, maxLedgerWindows)
 }
 
-// MergePending takes in what another ledger held.
+// MergePending merges the counts of another ledger.
 func (l *Ledger) MergePending(pending Pending) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for window, lives := range pending {
-		for life, counts := range lives {
-			l.merge(window, life, counts)
+	for window, incarnations := range pending {
+		for incarnation, counts := range incarnations {
+			l.merge(window, incarnation, counts)
 		}
 	}
 	keepNewest(l.counts, maxLedgerWindows)
 }
 
-func (l *Ledger) merge(window int64, life string, counts map[ident.ClientAccount]int64) {
-	lives := l.counts[window]
-	if lives == nil {
-		lives = make(map[string]Counts)
-		l.counts[window] = lives
+func (l *Ledger) merge(window int64, incarnation string, counts map[ident.ClientAccount]int64) {
+	incarnations := l.counts[window]
+	if incarnations == nil {
+		incarnations = make(map[string]Counts)
+		l.counts[window] = incarnations
 	}
-	known := lives[life]
+	known := incarnations[incarnation]
 	if known == nil {
 		known = make(Counts, len(counts))
-		lives[life] = known
+		incarnations[incarnation] = known
 	}
 	for account, n := range counts {
 		known[account] = max(known[account], n)
 	}
 }
 
-// PendingAfter returns a copy of the counts of the windows after one.
+// PendingAfter returns a copy of the counts of all windows after the given one.
 func (l *Ledger) PendingAfter(window int64) Pending {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make(Pending)
-	for w, lives := range l.counts {
+	for w, incarnations := range l.counts {
 		if w <= window {
 			continue
 		}
-		out[w] = make(map[string]Counts, len(lives))
-		for life, counts := range lives {
-			out[w][life] = maps.Clone(counts)
+		out[w] = make(map[string]Counts, len(incarnations))
+		for incarnation, counts := range incarnations {
+			out[w][incarnation] = maps.Clone(counts)
 		}
 	}
 	return out
 }
 
-// maxLedgerWindows bounds the ledger, also against a gateway with a wild clock.
+// maxLedgerWindows bounds the ledger's size, also if a gateway's clock is far off.
 const maxLedgerWindows = 24
 
-// Sum returns a window's counts over all gateways, without accounts of none.
+// Sum returns a window's counts over all gateways. It has no entry for accounts without requests.
 func (l *Ledger) Sum(window int64) Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// holder is a lease, and the platform that takes reports.
+// holder simulates the lease and the platform that accepts usage reports.
 type holder struct {
 	fence    ident.Fence
 	holds    bool
@@ -48,10 +48,11 @@
 	return nil
 }
 
-// fixture is a reporter at a time of day.
+// fixture is a Reporter with a clock that the test sets.
 type fixture struct {
 	now time.Time
-	// unheard: some gateways were not heard since the window's end.
+	// someUnheard is set if some gateways were not heard since the window's end. gathered counts
+	// the calls of Gather.
 	someUnheard bool
 	gathered    int
 	ledger      *Ledger
@@ -62,204 +63,201 @@
 const windowLength = 5 * time.Second
 
 func newFixture() *fixture {
-	s := &fixture{now: time.Unix(5000, 0), ledger: NewLedger(), holder: &holder{fence: 1, holds: true}}
-	s.Reporter = s.newReporter(s.holder)
-	return s
+	f := &fixture{now: time.Unix(5000, 0), ledger: NewLedger(), holder: &holder{fence: 1, holds: true}}
+	f.Reporter = f.newReporter(f.holder)
+	return f
 }
 
-func (s *fixture) newReporter(h *holder) *Reporter {
+func (f *fixture) newReporter(h *holder) *Reporter {
 	return &Reporter{
-		Length: windowLength, DueAfter: 2 * windowLength, Gather: s.gather, TrueTime: func() time.Time { return s.now }, Now: func() time.Time { return s.now }, Ledger: s.ledger, Leases: h, Duties: h, Log: hclog.NewNullLogger(),
+		Length: windowLength, DueAfter: 2 * windowLength, Gather: f.gather, TrueTime: func() time.Time { return f.now }, Now: func() time.Time { return f.now }, Ledger: f.ledger, Leases: h, Duties: h, Log: hclog.NewNullLogger(),
 	}
 }
 
-func (s *fixture) gather(context.Context, time.Duration) bool {
-	s.gathered++
-	return !s.someUnheard
+func (f *fixture) gather(context.Context, time.Duration) bool {
+	f.gathered++
+	return !f.someUnheard
 }
 
-func (s *fixture) recordBegan(gateway string, window int64, n int64) {
-	s.ledger.Hear(gateway, map[int64]map[ident.ClientAccount]int64{window: {"acct": n}})
+func (f *fixture) recordBegan(gateway string, window int64, n int64) {
+	f.ledger.Hear(gateway, map[int64]map[ident.ClientAccount]int64{window: {"acct": n}})
 }
 
 func TestAWindowIsReportedOnceItHasSettled(t *testing.T) {
-	s := newFixture()
-	s.recordBegan("a/1", 1000, 3)
-	s.recordBegan("b/1", 1000, 4)
-	s.Step(t.Context())
-	if len(s.holder.reported) != 0 {
+	f := newFixture()
+	f.recordBegan("a/1", 1000, 3)
+	f.recordBegan("b/1", 1000, 4)
+	f.Step(t.Context())
+	if len(f.holder.reported) != 0 {
 		t.Fatal("reported before the window ended")
 	}
-	s.now = s.now.Add(windowLength + minSettleTime)
-	s.Step(t.Context())
-	s.Step(t.Context())
+	f.now = f.now.Add(windowLength + minSettleTime)
+	f.Step(t.Context())
+	f.Step(t.Context())
 	want := []platform.UsageReport{{Window: 1000, Counts: Counts{"acct": 7}}}
-	if diff := cmp.Diff(want, s.holder.reported); diff != "" {
+	if diff := cmp.Diff(want, f.holder.reported); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// Symptom: reports are off by a tenth. Sequence: among ninety gateways some are not met
-// for six seconds. Cause: counts that are decided before they are in, and nobody who
-// asks for them.
+// Guards against reports that are wrong by a tenth. Among ninety gateways some aren't heard for six
+// seconds, and a window is decided before their counts have arrived and without asking for them.
 func TestAWindowWaitsForCountsThatAreSlowToCome(t *testing.T) {
-	s := newFixture()
-	s.someUnheard = true
-	s.recordBegan("a/1", 1000, 3)
-	s.now = s.now.Add(windowLength + minSettleTime)
-	s.Step(t.Context())
-	if len(s.holder.reported) != 0 || s.gathered == 0 {
-		t.Fatalf("reported %d before all was heard, asked %d times", len(s.holder.reported), s.gathered)
+	f := newFixture()
+	f.someUnheard = true
+	f.recordBegan("a/1", 1000, 3)
+	f.now = f.now.Add(windowLength + minSettleTime)
+	f.Step(t.Context())
+	if len(f.holder.reported) != 0 || f.gathered == 0 {
+		t.Fatalf("%d windows reported before all gateways were heard, gateways asked %d times", len(f.holder.reported), f.gathered)
 	}
-	s.someUnheard = false
-	s.Step(t.Context())
-	if len(s.holder.reported) == 0 {
-		t.Fatal("not reported when all was heard")
+	f.someUnheard = false
+	f.Step(t.Context())
+	if len(f.holder.reported) == 0 {
+		t.Fatal("not reported once all gateways were heard")
 	}
 }
 
-// Symptom: no report by the time it is due. Sequence: a gateway that was killed counts
-// as present for some seconds more. Cause: waiting for it.
+// Guards against a report that is late because the reporter waits for a gateway that was killed and
+// counts as present for some seconds more.
 func TestAWindowThatIsDueWaitsForNobody(t *testing.T) {
-	s := newFixture()
-	s.someUnheard = true
-	s.recordBegan("a/1", 1000, 3)
-	s.now = s.now.Add(windowLength + 2*windowLength - reportReserve)
-	s.Step(t.Context())
-	if len(s.holder.reported) == 0 {
+	f := newFixture()
+	f.someUnheard = true
+	f.recordBegan("a/1", 1000, 3)
+	f.now = f.now.Add(windowLength + 2*windowLength - reportReserve)
+	f.Step(t.Context())
+	if len(f.holder.reported) == 0 {
 		t.Fatal("not reported in time")
 	}
 }
 
-// Symptom: the platform gets two reports of one window with different counts.
-// Sequence: the holder reports; more counts of the window arrive; another gateway
-// takes the duty. Cause: a successor that counts anew.
+// Guards against two reports of one window with different counts. The holder reports, more counts
+// of the window arrive, another gateway takes over the lease and counts again.
 func TestASuccessorRepeatsTheDecisionExactly(t *testing.T) {
-	s := newFixture()
-	s.recordBegan("a/1", 1000, 3)
-	s.now = s.now.Add(windowLength + minSettleTime)
-	s.Step(t.Context())
-	s.recordBegan("b/1", 1000, 9)
-	next := &holder{fence: 2, holds: true, decided: s.holder.decided}
-	s.newReporter(next).Step(t.Context())
-	if diff := cmp.Diff(s.holder.reported, next.reported); diff != "" {
+	f := newFixture()
+	f.recordBegan("a/1", 1000, 3)
+	f.now = f.now.Add(windowLength + minSettleTime)
+	f.Step(t.Context())
+	f.recordBegan("b/1", 1000, 9)
+	next := &holder{fence: 2, holds: true, decided: f.holder.decided}
+	f.newReporter(next).Step(t.Context())
+	if diff := cmp.Diff(f.holder.reported, next.reported); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// Symptom: as above. Sequence: the decision cannot be written, or whether it was
-// written is not known. Cause: a report that is sent before its decision stands.
+// Guards against the same fault when the record can't be committed, or when it is unknown whether
+// it was: the report is sent before its decision is stored.
 func TestNothingIsSentBeforeItsDecisionStands(t *testing.T) {
 	for _, err := range []error{platform.ErrAnswerLost, platform.ErrUnavailable, duty.ErrNotHeld} {
-		s := newFixture()
-		s.recordBegan("a/1", 1000, 3)
-		s.holder.commit = err
-		s.now = s.now.Add(windowLength + minSettleTime)
-		s.Step(t.Context())
-		if len(s.holder.reported) != 0 {
-			t.Errorf("%v: reported", err)
+		f := newFixture()
+		f.recordBegan("a/1", 1000, 3)
+		f.holder.commit = err
+		f.now = f.now.Add(windowLength + minSettleTime)
+		f.Step(t.Context())
+		if len(f.holder.reported) != 0 {
+			t.Errorf("reported though committing the decision failed: %v", err)
 		}
 	}
 }
 
-// Symptom: a window is reported as empty. Sequence: it has ended and is not decided
-// yet when all gateways are killed at once; another one takes the duty. Cause:
-// counts that only the killed ones knew.
+// Guards against a window that is reported as empty. It has ended and isn't decided yet when all
+// gateways are killed at once, another gateway takes over the lease, and only the killed ones knew
+// the counts.
 func TestCountsOutliveAKillOfAllGateways(t *testing.T) {
-	s := newFixture()
-	s.recordBegan("a/1", 1000, 3)
-	s.recordBegan("b/1", 1000, 4)
-	s.now = s.now.Add(windowLength)
-	s.Step(t.Context())
-	if len(s.holder.reported) != 0 {
-		t.Fatal("reported before it has settled")
+	f := newFixture()
+	f.recordBegan("a/1", 1000, 3)
+	f.recordBegan("b/1", 1000, 4)
+	f.now = f.now.Add(windowLength)
+	f.Step(t.Context())
+	if len(f.holder.reported) != 0 {
+		t.Fatal("reported before the window settled")
 	}
-	next := &holder{fence: 2, holds: true, decided: s.holder.decided}
-	s.ledger = NewLedger()
-	s.recordBegan("a/2", 1001, 1)
-	// A gateway that lived on tells again what it told before, and more.
-	s.recordBegan("b/1", 1000, 5)
-	s.now = s.now.Add(minSettleTime)
-	s.newReporter(next).Step(t.Context())
+	next := &holder{fence: 2, holds: true, decided: f.holder.decided}
+	f.ledger = NewLedger()
+	f.recordBegan("a/2", 1001, 1)
+	// A gateway that wasn't killed sends its earlier counts again, and more.
+	f.recordBegan("b/1", 1000, 5)
+	f.now = f.now.Add(minSettleTime)
+	f.newReporter(next).Step(t.Context())
 	want := []platform.UsageReport{{Window: 1000, Counts: Counts{"acct": 8}}}
 	if diff := cmp.Diff(want, next.reported); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// Symptom: the lease cannot be written any more. Sequence: there are so many
-// accounts that the pending counts exceed what the platform takes as one record.
+// Guards against a lease that can't be renewed any more, because there are so many accounts that
+// the pending counts exceed the platform's limit for a record.
 func TestTooManyPendingCountsAreLeftOut(t *testing.T) {
-	s := newFixture()
+	f := newFixture()
 	counts := make(map[ident.ClientAccount]int64)
 	for i := range 20_000 {
 		counts[ident.ClientAccount(fmt.Sprint("acct", i))] = 1
 	}
-	s.ledger.Hear("a/1", map[int64]map[ident.ClientAccount]int64{1000: counts})
-	s.Step(t.Context())
-	if n := len(s.holder.decided); n == 0 || n > maxRecordBytes {
-		t.Errorf("recorded %d bytes", n)
+	f.ledger.Hear("a/1", map[int64]map[ident.ClientAccount]int64{1000: counts})
+	f.Step(t.Context())
+	if n := len(f.holder.decided); n == 0 || n > maxRecordBytes {
+		t.Errorf("recorded %d bytes, want 1 to %d", n, maxRecordBytes)
 	}
 }
 
-// Symptom: the platform's writes double. Cause: counts that are recorded at each
-// step.
+// Guards against twice as many writes to the platform, because counts are recorded at each step.
 func TestPendingCountsAreRecordedNowAndThen(t *testing.T) {
-	s := newFixture()
-	s.recordBegan("a/1", 1000, 1)
+	f := newFixture()
+	f.recordBegan("a/1", 1000, 1)
 	writes := 0
 	for range 40 {
-		s.holder.decided = nil
-		s.Step(t.Context())
-		if s.holder.decided != nil {
+		f.holder.decided = nil
+		f.Step(t.Context())
+		if f.holder.decided != nil {
 			writes++
 		}
-		s.now = s.now.Add(100 * time.Millisecond)
+		f.now = f.now.Add(100 * time.Millisecond)
 	}
 	if writes != 3 {
-		t.Errorf("%d writes in 4 s", writes)
+		t.Errorf("%d writes in 4 s, want 3", writes)
 	}
 }
 
 func TestARefusedHolderStops(t *testing.T) {
-	s := newFixture()
-	s.recordBegan("a/1", 1000, 3)
-	s.holder.report = platform.ErrOldFence
-	s.now = s.now.Add(windowLength + minSettleTime)
-	s.Step(t.Context())
-	if s.holder.holds {
-		t.Error("goes on after a higher fencing number was seen")
+	f := newFixture()
+	f.recordBegan("a/1", 1000, 3)
+	f.holder.report = platform.ErrOldFence
+	f.now = f.now.Add(windowLength + minSettleTime)
+	f.Step(t.Context())
+	if f.holder.holds {
+		t.Error("the holder keeps its grant after a report was refused for an old fencing token")
 	}
 }
 
 func TestAReportIsRepeatedUntilItIsTaken(t *testing.T) {
-	s := newFixture()
-	s.recordBegan("a/1", 1000, 3)
-	s.holder.report = platform.ErrAnswerLost
-	s.now = s.now.Add(windowLength + minSettleTime)
-	s.Step(t.Context())
-	s.holder.report = nil
-	s.Step(t.Context())
-	if len(s.holder.reported) != 1 {
-		t.Errorf("taken %d times", len(s.holder.reported))
+	f := newFixture()
+	f.recordBegan("a/1", 1000, 3)
+	f.holder.report = platform.ErrAnswerLost
+	f.now = f.now.Add(windowLength + minSettleTime)
+	f.Step(t.Context())
+	f.holder.report = nil
+	f.Step(t.Context())
+	if len(f.holder.reported) != 1 {
+		t.Errorf("the report was accepted %d times, want once", len(f.holder.reported))
 	}
 }
 
-// Symptom: counts of a gateway that died are missing, or counted twice after its
-// restart. Sequence: it reports, dies, and begins anew from zero. Cause: one entry
-// a gateway, whatever its life.
+// Guards against counts of a dead gateway that are missing, or counted twice after its restart. The
+// gateway reports, dies, and starts again from zero. The test fails when the ledger has one entry
+// per gateway for all its incarnations.
 func TestTheDeadCount(t *testing.T) {
 	l := NewLedger()
 	l.Hear("a/1", map[int64]map[ident.ClientAccount]int64{7: {"acct": 5}})
 	l.Hear("a/1", map[int64]map[ident.ClientAccount]int64{7: {"acct": 6}})
 	l.Hear("a/2", map[int64]map[ident.ClientAccount]int64{7: {"acct": 1}})
 	if got := l.Sum(7); got["acct"] != 7 {
-		t.Errorf("counted %v", got)
+		t.Errorf("counted %v, want 7", got)
 	}
 }
 
-// Symptom: memory grows with time, or with a gateway whose clock is wild. Cause:
-// windows that are never forgotten.
+// Guards against memory that grows with time, or through a gateway whose clock is far off, because
+// windows are never dropped.
 func TestWindowsAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewCounter(windowLength, func() time.Time { return now })
--- a/internal/metering/pending_test.go
+++ b/internal/metering/pending_test.go
@@ -9,13 +9,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Guards against a fleet whose pending counts do not fit into the lease's record: none would
-// be recorded, and a new holder would report windows without them. The counts are those of a
+// Guards against a fleet whose pending counts don't fit into the lease's record: none would be
+// recorded, and a new holder would report windows without them. The counts are those of up to a
 // thousand gateways with a request a second each, and of twice as many.
 func TestPendingCountsOfALargeFleetAreRecorded(t *testing.T) {
 	for _, gateways := range []int{100, 984, 1968} {
 		random := rand.New(rand.NewPCG(1, uint64(gateways)))
-		s := newFixture()
+		f := newFixture()
 		want := int64(0)
 		for gateway := range gateways {
 			windows := make(map[int64]map[ident.ClientAccount]int64)
@@ -26,42 +26,42 @@
 					want++
 				}
 			}
-			s.ledger.Hear(fmt.Sprintf("edge-hall-a-%d/%d", gateway, 1_780_000_000_000_000_000+random.Int64N(1e9)), windows)
+			f.ledger.Hear(fmt.Sprintf("edge-hall-a-%d/%d", gateway, 1_780_000_000_000_000_000+random.Int64N(1e9)), windows)
 		}
-		data, err := s.encode(UsageRecord{Windows: map[int64]Counts{997: {"hule1": 4}}})
+		data, err := f.encode(UsageRecord{Windows: map[int64]Counts{997: {"hule1": 4}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.ledger = NewLedger()
-		next := s.newReporter(&holder{fence: 2, holds: true, decided: data})
+		f.ledger = NewLedger()
+		next := f.newReporter(&holder{fence: 2, holds: true, decided: data})
 		next.Leases.(*holder).commit = duty.ErrNotHeld
 		next.Step(t.Context())
 		got := int64(0)
 		for window := int64(998); window <= 1000; window++ {
-			got += s.ledger.Sum(window).total()
+			got += f.ledger.Sum(window).total()
 		}
 		t.Logf("%d gateways: %d bytes", gateways, len(data))
 		if got != want {
-			t.Errorf("%d gateways: a new holder knows %d of %d requests, by %d bytes", gateways, got, want, len(data))
+			t.Errorf("%d gateways: a new holder knows %d of %d requests from a record of %d bytes", gateways, got, want, len(data))
 		}
 	}
 }
 
-// Guards against a record that leaves out all pending counts where some have room, and against
-// a record of an older build, or one that is damaged, that ends the reporting.
+// Guards against a record that leaves out all pending counts though some would fit, and against a
+// record of an older build, or a damaged one, that stops the reporting.
 func TestPendingCountsAreTakenOverAsFarAsTheyCanBe(t *testing.T) {
-	s := newFixture()
+	f := newFixture()
 	random := rand.New(rand.NewPCG(1, 2))
 	for window := int64(998); window <= 1000; window++ {
 		counts := make(map[ident.ClientAccount]int64)
 		for range 5_000 {
 			counts[ident.ClientAccount(fmt.Sprintf("%x", random.Uint64()))] = 1
 		}
-		s.ledger.Hear("a/1", map[int64]map[ident.ClientAccount]int64{window: counts})
+		f.ledger.Hear("a/1", map[int64]map[ident.ClientAccount]int64{window: counts})
 	}
-	data, err := s.encode(UsageRecord{Windows: map[int64]Counts{997: {"a": 1}}})
+	data, err := f.encode(UsageRecord{Windows: map[int64]Counts{997: {"a": 1}}})
 	if err != nil || len(data) > maxRecordBytes {
-		t.Fatalf("%d bytes, %v", len(data), err)
+		t.Fatalf("encoded %d bytes, at most %d allowed; error %v", len(data), maxRecordBytes, err)
 	}
 	for _, test := range []struct {
 		name, record string
@@ -72,10 +72,10 @@
 		{"damaged", `{"windows":{"997":{"a":1}},"pending_gzip":"AAAA"}`, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s.ledger = NewLedger()
+			f.ledger = NewLedger()
 			h := &holder{fence: 2, holds: true, decided: []byte(test.record)}
-			s.newReporter(h).Step(t.Context())
-			if got := s.ledger.Sum(998).total(); got != test.want {
+			f.newReporter(h).Step(t.Context())
+			if got := f.ledger.Sum(998).total(); got != test.want {
 				t.Errorf("a new holder knows %d requests, want %d", got, test.want)
 			}
 		})
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -19,53 +19,52 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// UsageRecord is what holders decided for good: the reports of the newest windows.
-// A window's counts never change once they stand here, so that two holders never
-// report different ones.
+// UsageRecord is stored with the lease. It holds the final counts of the newest decided windows. A
+// window's counts never change once they are in it, so that two holders of the lease never report
+// different ones.
 type UsageRecord struct {
 	Windows map[int64]Counts `json:"windows"`
-	// Pending is what was counted of later windows, for a successor. Without it,
-	// a window is lost whose counts were heard only by gateways that were all
-	// killed or restarted before it was decided. It stands in the record compressed;
-	// older builds write it as it is.
+	// Pending holds the counts of later windows as older builds write them: uncompressed. This
+	// build only reads it. Without the pending counts, a window is lost if its counts were heard
+	// only by gateways that were all killed or restarted before it was decided.
 	Pending Pending `json:"pending,omitempty"`
-	// CompressedPending is Pending by life and window as JSON, compressed by gzip: it has a
-	// name for each gateway and account, and grows with both.
+	// CompressedPending holds the pending counts as gzipped JSON, by incarnation and window. They
+	// are compressed because they have an entry for each gateway and account, and grow with both.
 	CompressedPending []byte `json:"pending_gzip,omitempty"`
 }
 
 const (
-	// minSettleTime is how long after a window's end its counts are decided at the
-	// least: a slowed gateway's reports take a second.
+	// minSettleTime is the shortest time between a window's end and its decision: the reports of a
+	// slow gateway take a second.
 	minSettleTime = 2500 * time.Millisecond
-	// gatherAfter is how long after a window's end the gateways that were not heard
-	// since are asked: most are heard by themselves until then.
+	// gatherAfter is the time after a window's end at which gateways that weren't heard since are
+	// asked for their counts. Most are heard by then without asking.
 	gatherAfter = time.Second
-	// maxReportTransit is how old a report may be when it comes.
+	// maxReportTransit is the age that a report may have when it arrives.
 	maxReportTransit = 300 * time.Millisecond
-	// reportReserve is the time left for deciding and reporting before the report is
-	// due, also by a successor.
+	// reportReserve is the time kept free before a report is due, for deciding and sending it, also
+	// by a successor.
 	reportReserve = 3500 * time.Millisecond
-	// maxDecidedWindows is how many decided windows stay on record: the report of one
-	// is due 10 s after its end, and the users' windows take 5 s.
+	// maxDecidedWindows is how many decided windows the record keeps: a window's report is due 10 s
+	// after its end, and the users' windows are 5 s long.
 	maxDecidedWindows = 6
-	// repeatedWindows is for how many of the newest windows a new holder repeats
-	// the report, because it does not know whether it was sent.
+	// repeatedWindows is how many of the newest windows a new holder reports again, because it
+	// doesn't know whether they were reported.
 	repeatedWindows = 3
-	// recordInterval is how often the pending counts are recorded: just before the
-	// lease would be renewed anyway (1.65 s with the users' lease of 3 s), so that
-	// there are hardly more writes.
+	// recordInterval is the interval at which the pending counts are recorded. It is just below the
+	// interval at which the lease is renewed anyway (1.65 s with the users' lease of 3 s), so that
+	// there are hardly any additional writes.
 	recordInterval = 1500 * time.Millisecond
-	// maxRecordBytes bounds the record with the pending counts, bytes: the platform takes
-	// 256 KiB a record.
+	// maxRecordBytes bounds the record with the pending counts: the platform accepts 256 KiB per
+	// record.
 	maxRecordBytes = 128 << 10
-	// maxUnpackedBytes bounds what a record's pending counts are when they are read.
+	// maxUnpackedBytes bounds the size of a record's pending counts after decompression.
 	maxUnpackedBytes = 16 << 20
-	// maxBacklogWindows is how many windows a new holder reports that nobody decided.
+	// maxBacklogWindows is how many undecided past windows a new holder decides and reports.
 	maxBacklogWindows = 4
 )
 
-// Leases is what a reporter needs of the lease.
+// Leases is the part of the lease that a Reporter needs.
 type Leases interface {
 	Grant() (duty.Grant, bool)
 	Refused(ident.Fence)
@@ -73,150 +72,154 @@
 	Commit(context.Context, json.RawMessage) error
 }
 
-// Reporter reports usage while this gateway holds the lease.
+// Reporter reports usage while this gateway holds the lease. Its fields are set before the first
+// Step, and Step must not be called concurrently.
 type Reporter struct {
 	Length time.Duration
-	// DueAfter is how long after a window's end its report is due.
+	// DueAfter is the time after a window's end at which its report is due.
 	DueAfter time.Duration
-	// Gather reports whether all gateways were heard within a time, and asks those
-	// that were not.
+	// Gather reports whether all gateways were heard in the last within, and asks those that
+	// were not for their counts.
 	Gather   func(ctx context.Context, within time.Duration) bool
 	TrueTime func() time.Time
-	// Now counts suspensions.
+	// Now is a monotonic clock that keeps counting while the machine is suspended.
 	Now    boottime.Clock
 	Ledger *Ledger
 	Leases Leases
 	Duties platform.Duties
 	Log    hclog.Logger
 
-	// sent are the windows reported under a fence.
+	// sent holds the windows that were reported under the fencing token in fence.
 	sent  map[int64]bool
 	fence ident.Fence
-	// recordedAt is when the pending counts were last written.
+	// recordedAt is when the pending counts were last recorded.
 	recordedAt time.Time
 }
 
-// Step decides and reports what is due.
+// Step decides the windows whose counts are complete, records the pending counts and reports the
+// decided windows. It does nothing unless this gateway holds the lease.
 func (r *Reporter) Step(ctx context.Context) {
 	grant, holds := r.Leases.Grant()
 	if !holds {
 		return
 	}
-	decision, err := decodeRecord(r.Leases.Decided())
+	record, err := decodeRecord(r.Leases.Decided())
 	if err != nil {
-		r.Log.Error("decided usage not readable, it is decided anew", "error", err)
+		r.Log.Error("recorded usage cannot be decoded; its windows are decided again", "error", err)
 	}
 	if grant.Fence != r.fence || r.sent == nil {
 		r.fence, r.sent = grant.Fence, make(map[int64]bool)
-		r.mergeInherited(&decision)
+		r.mergeInherited(&record)
 	}
-	next, changed := r.decide(ctx, decision)
+	next, changed := r.decide(ctx, record)
 	if changed || r.Now().Sub(r.recordedAt) >= recordInterval {
 		r.recordedAt = r.Now()
 		data, err := r.encode(next)
 		if err != nil {
-			r.Log.Error("usage not encoded", "error", err)
+			r.Log.Error("usage record cannot be encoded", "error", err)
 			return
 		}
 		err = r.Leases.Commit(ctx, data)
 		if err != nil {
-			r.Log.Info("usage not recorded", "decided", changed, "error", err)
+			r.Log.Info("usage record could not be committed", "decided", changed, "error", err)
 		}
 		if err != nil && changed {
 			return
 		}
-		decision = next
+		record = next
 	}
-	r.send(ctx, decision)
+	r.send(ctx, record)
 }
 
-// mergeInherited joins what the holder before had counted of windows that are not decided.
-func (r *Reporter) mergeInherited(d *UsageRecord) {
-	r.Ledger.MergePending(d.Pending)
-	lives, err := decodePending(d.CompressedPending)
+// mergeInherited merges the pending counts that the previous holder of the lease recorded.
+func (r *Reporter) mergeInherited(record *UsageRecord) {
+	r.Ledger.MergePending(record.Pending)
+	counts, err := decodePending(record.CompressedPending)
 	if err != nil {
-		r.Log.Error("pending usage not readable, the gateways' own counts stand", "error", err)
+		r.Log.Error("recorded pending usage cannot be decoded; only counts from gateways are used", "error", err)
 	}
-	for life, windows := range lives {
-		r.Ledger.Hear(life, windows)
+	for incarnation, windows := range counts {
+		r.Ledger.Hear(incarnation, windows)
 	}
 }
 
-// encode encodes a decision with the counts of the later windows, as far as they have room.
-// The newest are left out first: the gateways that count them are the likeliest to live.
-func (r *Reporter) encode(d UsageRecord) (json.RawMessage, error) {
+// encode encodes a record with the counts of the windows after its last one, as far as they fit
+// into maxRecordBytes. The newest windows are left out first, because the gateways that counted
+// them are the most likely to be still alive.
+func (r *Reporter) encode(record UsageRecord) (json.RawMessage, error) {
 	last := Window(r.TrueTime(), r.Length) - maxBacklogWindows
-	for window := range d.Windows {
+	for window := range record.Windows {
 		last = max(last, window)
 	}
 	pending := r.Ledger.PendingAfter(last)
 	for {
-		data, err := encodeRecord(d, pending)
+		data, err := encodeRecord(record, pending)
 		if err != nil || len(data) <= maxRecordBytes || len(pending) == 0 {
 			return data, err
 		}
 		newest := slices.Max(slices.Collect(maps.Keys(pending)))
-		r.Log.Warn("pending usage of a window not recorded, there is too much", "window", newest, "gateways", len(pending[newest]), "bytes", len(data), "most", maxRecordBytes)
+		r.Log.Warn("pending usage of a window left out of the record: too large", "window", newest, "gateways", len(pending[newest]), "bytes", len(data), "most", maxRecordBytes)
 		delete(pending, newest)
 	}
 }
 
-// encodeRecord encodes a decision with pending counts.
-func encodeRecord(d UsageRecord, pending Pending) (json.RawMessage, error) {
-	d.Pending, d.CompressedPending = nil, nil
+// encodeRecord encodes a record with the given pending counts.
+func encodeRecord(record UsageRecord, pending Pending) (json.RawMessage, error) {
+	record.Pending, record.CompressedPending = nil, nil
 	if len(pending) > 0 {
 		data, err := json.Marshal(pending.byIncarnation())
 		if err != nil {
 			return nil, pkgerrors.Wrap(err, "encode pending usage")
 		}
-		d.CompressedPending, err = gzipped.Pack(data, gzip.DefaultCompression)
+		record.CompressedPending, err = gzipped.Pack(data, gzip.DefaultCompression)
 		if err != nil {
-			return nil, pkgerrors.Wrap(err, "pending usage")
+			return nil, pkgerrors.Wrap(err, "compress pending usage")
 		}
 	}
-	data, err := json.Marshal(d)
-	return data, pkgerrors.Wrap(err, "encode decided usage")
+	data, err := json.Marshal(record)
+	return data, pkgerrors.Wrap(err, "encode usage record")
 }
 
-// decodeRecord reads what packDecision wrote, but for the pending counts: only a new holder
-// needs them.
+// decodeRecord decodes what encodeRecord returned, but leaves the pending counts compressed: only a
+// new holder needs them.
 func decodeRecord(data json.RawMessage) (UsageRecord, error) {
-	d := UsageRecord{Windows: make(map[int64]Counts)}
+	record := UsageRecord{Windows: make(map[int64]Counts)}
 	if len(data) == 0 {
-		return d, nil
+		return record, nil
 	}
-	err := json.Unmarshal(data, &d)
-	if d.Windows == nil {
-		d.Windows = make(map[int64]Counts)
+	err := json.Unmarshal(data, &record)
+	if record.Windows == nil {
+		record.Windows = make(map[int64]Counts)
 	}
-	return d, err
+	return record, err
 }
 
-// decodePending reads the pending counts of a record; it may have none.
+// decodePending decodes a record's compressed pending counts. It returns nil if there are none.
 func decodePending(packed []byte) (pendingByIncarnation, error) {
 	if len(packed) == 0 {
 		return nil, nil
 	}
 	data, err := gzipped.Unpack(packed, maxUnpackedBytes)
 	if err != nil {
-		return nil, pkgerrors.Wrap(err, "pending usage")
+		return nil, pkgerrors.Wrap(err, "decompress pending usage")
 	}
-	var lives pendingByIncarnation
-	err = json.Unmarshal(data, &lives)
-	return lives, pkgerrors.Wrap(err, "decode pending usage")
+	var counts pendingByIncarnation
+	err = json.Unmarshal(data, &counts)
+	return counts, pkgerrors.Wrap(err, "decode pending usage")
 }
 
-// decide adds the windows whose counts have settled.
-func (r *Reporter) decide(ctx context.Context, d UsageRecord) (UsageRecord, bool) {
+// decide adds the windows whose counts have settled to the record, and reports whether there were
+// any.
+func (r *Reporter) decide(ctx context.Context, record UsageRecord) (UsageRecord, bool) {
 	now := r.TrueTime()
 	last := Window(now, r.Length) - 1
 	for !r.settled(ctx, last, now) {
 		last--
 	}
-	next := UsageRecord{Windows: maps.Clone(d.Windows)}
+	next := UsageRecord{Windows: maps.Clone(record.Windows)}
 	changed := false
 	for window := last - maxBacklogWindows; window <= last; window++ {
-		if _, decided := next.Windows[window]; decided || !r.follows(d, window) {
+		if _, decided := next.Windows[window]; decided || !r.follows(record, window) {
 			continue
 		}
 		next.Windows[window] = r.Ledger.Sum(window)
@@ -226,9 +229,9 @@
 	return next, changed
 }
 
-// settled reports whether a window's counts are in: all gateways were heard since its
-// end, or its report is due. What goes wrong without asking: among ninety gateways
-// some are not met for six seconds, and reports were off by a tenth.
+// settled reports whether a window's counts are complete: all gateways were heard since its end, or
+// its report is nearly due. Gateways that weren't heard are asked. Without asking, some of ninety
+// gateways aren't heard for six seconds, and reports were wrong by a tenth.
 func (r *Reporter) settled(ctx context.Context, window int64, now time.Time) bool {
 	end := time.Unix(0, (window+1)*int64(r.Length))
 	ago := now.Sub(end)
@@ -238,20 +241,20 @@
 	return ago >= gatherAfter && r.Gather(ctx, ago-maxReportTransit) && ago >= minSettleTime
 }
 
-// follows reports whether a window is later than all that were decided. Earlier
-// ones may have been reported and forgotten. Before the first counts there is
-// nothing to report.
-func (r *Reporter) follows(d UsageRecord, window int64) bool {
-	if len(d.Windows) == 0 {
+// follows reports whether a window is later than all decided ones. An earlier one may have been
+// reported and dropped from the record. If no window is decided yet, windows without counts are
+// skipped.
+func (r *Reporter) follows(record UsageRecord, window int64) bool {
+	if len(record.Windows) == 0 {
 		return len(r.Ledger.Sum(window)) > 0
 	}
-	return window > slices.Max(slices.Collect(maps.Keys(d.Windows)))
+	return window > slices.Max(slices.Collect(maps.Keys(record.Windows)))
 }
 
-// send reports the newest windows that were not reported under this fence. An
-// exact repeat of an earlier holder's report changes nothing.
-func (r *Reporter) send(ctx context.Context, d UsageRecord) {
-	windows := slices.Sorted(maps.Keys(d.Windows))
+// send reports those of the newest windows that were not reported under this fencing token.
+// Repeating an earlier holder's report exactly changes nothing.
+func (r *Reporter) send(ctx context.Context, record UsageRecord) {
+	windows := slices.Sorted(maps.Keys(record.Windows))
 	for _, window := range windows[max(0, len(windows)-repeatedWindows):] {
 		if r.sent[window] {
 			continue
@@ -260,16 +263,16 @@
 		if !holds || grant.Fence != r.fence {
 			return
 		}
-		err := r.Duties.Report(ctx, grant.Authority, platform.UsageReport{Window: window, Counts: d.Windows[window]})
+		err := r.Duties.Report(ctx, grant.Authority, platform.UsageReport{Window: window, Counts: record.Windows[window]})
 		switch {
 		case err == nil:
 			r.sent[window] = true
-			r.Log.Info("usage reported", "window", window, "accounts", len(d.Windows[window]), "requests", d.Windows[window].total(), "fence", grant.Fence)
+			r.Log.Info("usage reported", "window", window, "accounts", len(record.Windows[window]), "requests", record.Windows[window].total(), "fence", grant.Fence)
 		case errors.Is(err, platform.ErrOldFence):
 			r.Leases.Refused(grant.Fence)
 			return
 		default:
-			r.Log.Info("usage not reported, it is tried again", "window", window, "error", err)
+			r.Log.Info("usage not reported; trying again", "window", window, "error", err)
 			return
 		}
 	}
