--- a/internal/upstreamlimit/words.go
+++ b/internal/upstreamlimit/exchange.go
@@ -6,41 +6,44 @@
 )
 
 const (
-	// announceChangeFor is for how long a change is told to the other gateways in each message, so
-	// that two lost ones change nothing.
+	// announceChangeFor is the time for which a change is announced to the other gateways in every
+	// message, so that two lost messages do no harm.
 	announceChangeFor = 3 * time.Second
-	// maxAnnouncedChanges bounds the changes in one message, and turns is how many other limits are
-	// told in one. Where there are more, they are told in turns, a round each: all messages of
-	// a round tell the same, because each goes to another gateway.
+	// maxAnnouncedChanges bounds the changes in a message and maxAnnouncedOthers the limits that
+	// did not change lately. If there are more, each round announces others of them. All messages
+	// of a round announce the same ones, because each goes to another gateway.
 	maxAnnouncedChanges, maxAnnouncedOthers = 16, 4
-	// minAnnouncedUse is the least that is told of asked and sent.
+	// minAnnouncedUse is the count of demand or sent requests below which an upstream's use is not
+	// announced.
 	minAnnouncedUse = 1.0 / 32
 )
 
-// Said is what an upstream's answers say of its limit.
+// Said is an announcement between gateways: what an upstream's answers state about its limit.
 type Said struct {
-	// Upstream stands for the ID of the upstream's life.
+	// Upstream is the Config.Key of the upstream's ID, which differs after each restart.
 	Upstream uint32
 	Limited  bool
-	Rate     float64
-	// Age is how long ago an answer said so.
+	// Rate is in requests per second.
+	Rate float64
+	// Age is the time since an answer stated this.
 	Age time.Duration
 }
 
-// Use is what one or more gateways asked of an upstream and sent to it.
+// Use counts, for one or more gateways, how often an upstream was the best choice for a request
+// (Asked) and how often it was sent one (Sent). Both counts decay over seconds.
 type Use struct{ Asked, Sent float64 }
 
-// Uses are those of several upstreams, by their keys.
+// Uses are the uses of several upstreams, by their keys.
 type Uses map[uint32]Use
 
-// Add adds the uses of other gateways.
+// Add adds other uses.
 func (u Uses) Add(o Uses) {
 	for key, use := range o {
 		u[key] = Use{u[key].Asked + use.Asked, u[key].Sent + use.Sent}
 	}
 }
 
-// Subtract takes out the uses of a gateway that were added before.
+// Subtract subtracts uses that were added before.
 func (u Uses) Subtract(o Uses) {
 	for key, use := range o {
 		left := Use{max(0, u[key].Asked-use.Asked), max(0, u[key].Sent-use.Sent)}
@@ -52,8 +55,8 @@
 	}
 }
 
-// Say returns what to tell the other gateways of limits: what changed lately, and some
-// others in turn.
+// Say returns the announcements for the other gateways: the limits that changed lately, and some of
+// the others in turn.
 func (k *Keeper) Say() []Said {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,25 +64,26 @@
 		return nil
 	}
 	now := k.cfg.Now()
-	var news, others []uint32
+	var changed, others []uint32
 	for key, l := range k.limits {
 		if now.Sub(l.changedAt) < announceChangeFor {
-			news = append(news, key)
+			changed = append(changed, key)
 		} else {
 			others = append(others, key)
 		}
 	}
 	turn := int(now.UnixNano() / int64(k.cfg.Round))
-	told := append(selectInTurn(news, maxAnnouncedChanges, turn), selectInTurn(others, maxAnnouncedOthers, turn)...)
-	out := make([]Said, len(told))
-	for i, key := range told {
+	selected := append(selectInTurn(changed, maxAnnouncedChanges, turn), selectInTurn(others, maxAnnouncedOthers, turn)...)
+	out := make([]Said, len(selected))
+	for i, key := range selected {
 		l := k.limits[key]
 		out[i] = Said{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.statedAt)}
 	}
 	return out
 }
 
-// selectInTurn returns so many keys, other ones in the next turn.
+// selectInTurn returns at most the given number of keys. If there are more, each turn selects the
+// next ones.
 func selectInTurn(keys []uint32, most, turn int) []uint32 {
 	slices.Sort(keys)
 	if len(keys) <= most {
@@ -92,20 +96,21 @@
 	return out
 }
 
-// Learn takes in what another gateway says of limits, with ages as of an instant.
-func (k *Keeper) Learn(said []Said, asOf time.Time) {
-	if len(said) == 0 {
+// Learn merges another gateway's announcements, whose ages are as of the given time.
+func (k *Keeper) Learn(announced []Said, asOf time.Time) {
+	if len(announced) == 0 {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, s := range said {
+	for _, s := range announced {
 		k.merge(s, asOf.Add(-s.Age), k.cfg.Now())
 	}
 }
 
-// merge takes in what was said at an instant. That a limit was lifted is remembered of any
-// upstream: an older word of the limit may come later.
+// merge merges what an answer stated at the given time, unless a newer statement is known. A lifted
+// limit is remembered even if the limit was unknown, because an older announcement of the limit may
+// still arrive.
 func (k *Keeper) merge(s Said, at, now time.Time) {
 	l := k.limits[s.Upstream]
 	switch {
@@ -121,7 +126,7 @@
 	}
 }
 
-// Uses returns what this gateway asked and sent.
+// Uses returns this gateway's own uses of the limited upstreams.
 func (k *Keeper) Uses() Uses {
 	if !k.anyLimited.Load() {
 		return nil
@@ -142,7 +147,7 @@
 	return out
 }
 
-// Refresh takes in what the other gateways asked and sent, and how many they are.
+// Refresh sets what the other gateways use and how many gateways there are.
 func (k *Keeper) Refresh(others Uses, fleet Fleet) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/upstreamlimit/keeper.go
+++ b/internal/upstreamlimit/keeper.go
@@ -13,89 +13,96 @@
 )
 
 const (
-	// logInterval bounds the log lines of an upstream that names another rate in each answer.
+	// logInterval is the shortest time between two log lines on an upstream's changes, and between
+	// two on unreadable limits. An upstream may state another rate in each answer.
 	logInterval = time.Second
-	// maxLimits bounds the upstreams whose limits are known.
+	// maxLimits bounds the number of upstreams whose limits are known.
 	maxLimits = 5000
-	// unlistedRetention is for how long the limit of an upstream is kept that is not listed: what
-	// other gateways say of one that has just started may come before its entry.
+	// unlistedRetention is how long the limit of an unlisted upstream is kept. Other gateways may
+	// announce the limit of an upstream that has just started before it is listed here.
 	unlistedRetention = 15 * time.Second
-	// liftedRetention is for how long it is remembered that a limit was lifted: longer than an
-	// older word of it can be on its way.
+	// liftedRetention is how long a lifted limit is remembered. It is longer than an older
+	// announcement of the limit can be in flight.
 	liftedRetention = 30 * time.Second
 )
 
-// Config is what a Keeper works with. All fields are required.
+// Config configures a Keeper. All fields are required.
 type Config struct {
 	Now boottime.Clock
 	Log hclog.Logger
-	// Key stands for an upstream between gateways.
+	// Key returns the key that identifies an upstream between gateways.
 	Key func(ident.Instance) uint32
-	// Round is the time between two messages to the same gateway.
+	// Round is the interval between two messages to the same gateway.
 	Round time.Duration
-	// Seed of what is drawn; it should differ between gateways.
+	// Seed seeds the Keeper's random numbers. It should differ between gateways.
 	Seed uint64
 }
 
-// Keeper holds the limits that upstreams named, and this gateway's part in keeping to them.
-// It is safe for concurrent use.
+// Keeper holds the limits that upstreams stated, and decides which requests this gateway sends so
+// that all gateways together keep to them. It is safe for concurrent use.
 type Keeper struct {
 	cfg Config
-	// version grows when the set of upstreams with a limit changes, and some is whether
-	// there are any.
+	// version increases when the set of limited upstreams changes. anyLimited is set if there are
+	// any.
 	version    atomic.Uint64
 	anyLimited atomic.Bool
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// limits are by the upstreams' keys.
 	limits map[uint32]*limit
-	// fleet is the other gateways as of the last Refresh.
+	// fleet is as of the last Refresh.
 	fleet Fleet
 	rng   *rand.Rand
-	// order is worked out on demand; its Set is 0 until then.
+	// order is computed on demand. Its Set is 0 until then.
 	order Order
-	// shareOf is how a rate is divided between gateways.
+	// shareOf divides a rate between the gateways.
 	shareOf  shareFunc
 	counters Counters
-	// unreadableLoggedAt is when a line last told of a limit that could not be read.
+	// unreadableLoggedAt is when an unreadable limit was last logged.
 	unreadableLoggedAt time.Time
 }
 
-// Fleet counts gateways.
+// Fleet counts the gateways.
 type Fleet struct {
-	// Heard gateways are in touch, and Known ones may send to upstreams; both with this one.
+	// Heard is the number of gateways whose reports arrive, Known that of the gateways that may
+	// send to upstreams. Both include this one.
 	Heard, Known int
 }
 
-// limit is what is known of one upstream's limit.
+// limit is what is known about one upstream's limit, or that it has none any more.
 type limit struct {
-	// upstream is empty as long as only its key is known.
+	// upstream is empty while only the key is known.
 	upstream ident.Instance
 	limited  bool
-	rate     float64
-	// statedAt is when an answer last said so, to any gateway.
+	// rate, in requests per second, is 0 if limited is not set.
+	rate float64
+	// statedAt is when an answer to any gateway last stated this.
 	statedAt time.Time
-	// changedAt is when this gateway last heard a change, and since when it knows that there
-	// is a limit.
+	// changedAt is when this gateway last heard of a change, and limitedSince when it heard that
+	// there is a limit.
 	changedAt, limitedSince time.Time
 	// listedAt is when the upstream was last listed.
 	listedAt time.Time
 	traffic
-	// answers counts those that came here since the limit was heard of.
+	// answers is the number of answers received here since the limit has been known.
 	answers int
-	// loggedAt is when a line told of it last, and unlogged how many changes came since.
+	// loggedAt is when a change was last logged, and unloggedChanges the number of changes since.
 	loggedAt        time.Time
 	unloggedChanges int
 }
 
 // Counters are totals since the start.
 type Counters struct {
-	// Changes of a limit that answers named here, and answers whose limit was unreadable.
+	// Changes is the number of limit changes in answers received here, Unreadable that of answers
+	// with an unreadable limit.
 	Changes, Unreadable int
-	// Sent requests were within a limit, and PassedOver ones went elsewhere, or nowhere.
+	// Sent is the number of requests sent to limited upstreams. PassedOver is the number that a
+	// limited upstream was the best choice for but wasn't sent: they went to another upstream or to
+	// none.
 	Sent, PassedOver int
 }
 
-// NewKeeper returns a keeper that knows no limit.
+// NewKeeper returns a Keeper that knows no limits.
 func NewKeeper(cfg Config) *Keeper {
 	return &Keeper{
 		cfg: cfg, limits: make(map[uint32]*limit), fleet: Fleet{Heard: 1, Known: 1},
@@ -103,7 +110,7 @@
 	}
 }
 
-// Hear takes in what an answer of an upstream to a request says.
+// Hear records what an upstream's answer to a request states.
 func (k *Keeper) Hear(upstream ident.Instance, id ident.Request, s Statement) {
 	if s.Kind == Unlimited && !k.anyLimited.Load() {
 		return
@@ -130,14 +137,14 @@
 	}
 }
 
-// add adds an upstream of which nothing is known.
+// add adds an upstream about which nothing is known.
 func (k *Keeper) add(key uint32) *limit {
 	l := &limit{listedAt: k.cfg.Now()}
 	k.limits[key] = l
 	return l
 }
 
-// setLimit takes in what was said of a limit at an instant, and reports whether that is new.
+// setLimit records what was stated at the given time and reports whether it is a change.
 func (k *Keeper) setLimit(l *limit, limited bool, rate float64, at, now time.Time) bool {
 	l.statedAt = at
 	if !limited {
@@ -151,30 +158,30 @@
 		l.limitedSince = now
 		l.traffic = traffic{decayedAt: now, credit: k.rng.Float64()}
 	case limited:
-		// What was sent within one rate says of another how far it was used.
+		// Scale the sent count so that it means the same utilization of the new rate.
 		l.sent *= max(rate, minRate) / l.allowedRate()
 	}
-	changed := l.limited != limited
+	limitedChanged := l.limited != limited
 	k.order = Order{}
 	l.limited, l.rate, l.changedAt = limited, rate, now
-	if changed {
+	if limitedChanged {
 		k.updateLimited()
 	}
 	return true
 }
 
-// updateLimited takes in that other upstreams have limits than before.
+// updateLimited updates what depends on the set of limited upstreams.
 func (k *Keeper) updateLimited() {
 	k.order = Order{}
 	k.version.Add(1)
-	some := false
+	anyLimited := false
 	for _, l := range k.limits {
-		some = some || l.limited
+		anyLimited = anyLimited || l.limited
 	}
-	k.anyLimited.Store(some)
+	k.anyLimited.Store(anyLimited)
 }
 
-// inForce returns an upstream's limit; nil if it has none.
+// inForce returns an upstream's limit, or nil if it has none.
 func (k *Keeper) inForce(upstream ident.Instance) *limit {
 	if l := k.limits[k.cfg.Key(upstream)]; l != nil && l.limited {
 		return l
@@ -182,7 +189,7 @@
 	return nil
 }
 
-// logChange logs a change, once in a time.
+// logChange logs a change of a limit, unless one was logged within logInterval.
 func (k *Keeper) logChange(l *limit, id ident.Request, now time.Time) {
 	if !l.loggedAt.IsZero() && now.Sub(l.loggedAt) < logInterval {
 		l.unloggedChanges++
@@ -193,7 +200,8 @@
 	l.loggedAt, l.unloggedChanges = now, 0
 }
 
-// logUnreadable logs what could not be read, once in a time for all upstreams.
+// logUnreadable counts an unreadable limit and logs it, unless one of any upstream was logged
+// within logInterval.
 func (k *Keeper) logUnreadable(upstream ident.Instance, id ident.Request, s Statement, l *limit, now time.Time) {
 	k.counters.Unreadable++
 	if k.counters.Unreadable > 1 && now.Sub(k.unreadableLoggedAt) < logInterval {
@@ -204,7 +212,7 @@
 		"stays_limited", l != nil && l.limited, "unreadable_total", k.counters.Unreadable)
 }
 
-// Counters returns the totals.
+// Counters returns the totals since the start.
 func (k *Keeper) Counters() Counters {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -214,7 +222,7 @@
 // Some reports whether any upstream has a limit.
 func (k *Keeper) Some() bool { return k.anyLimited.Load() }
 
-// Version changes with the set of upstreams that have a limit.
+// Version returns a number that changes with the set of limited upstreams.
 func (k *Keeper) Version() uint64 { return k.version.Load() }
 
 // Limited reports whether an upstream has a limit.
@@ -223,7 +231,8 @@
 	return limited
 }
 
-// Rate returns the rate that all gateways together may send to an upstream.
+// Rate returns the rate that all gateways together may send to an upstream, at least minRate. It
+// returns false if there is no limit.
 func (k *Keeper) Rate(upstream ident.Instance) (perSecond float64, limited bool) {
 	if !k.anyLimited.Load() {
 		return 0, false
@@ -237,7 +246,8 @@
 	return l.allowedRate(), true
 }
 
-// Listed takes in which upstreams there are, and forgets the limits of those that are gone.
+// Listed updates which upstreams exist and drops the limits of those that are gone. each calls its
+// argument for every upstream.
 func (k *Keeper) Listed(each func(func(ident.Instance))) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -249,7 +259,7 @@
 		if l := k.limits[k.cfg.Key(upstream)]; l != nil {
 			l.upstream, l.listedAt = upstream, now
 			if l.limited && l.loggedAt.IsZero() {
-				// It was heard of before its entry.
+				// The limit was announced before the upstream was listed.
 				k.logChange(l, "", now)
 			}
 		}
--- a/internal/upstreamlimit/list.go
+++ b/internal/upstreamlimit/list.go
@@ -11,14 +11,15 @@
 // Entry is one upstream's limit, for operators.
 type Entry struct {
 	Upstream ident.Instance
-	Rate     float64
-	// Age is how long ago an answer last named it, and Answers how many came here since it
-	// was heard of.
+	// Rate is in requests per second.
+	Rate float64
+	// Age is the time since an answer last stated the limit, to any gateway. Answers is the number
+	// of answers that this gateway received from the upstream since it has known the limit.
 	Age     time.Duration
 	Answers int
 }
 
-// List returns the limits that are in force, by upstream.
+// List returns the limits in force, sorted by upstream.
 func (k *Keeper) List() []Entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/upstreamlimit/order.go
+++ b/internal/upstreamlimit/order.go
@@ -8,31 +8,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order is the upstreams that have limits, by their keys.
+// Order is the set of limited upstreams. Gateways that know the same set exchange uses by position
+// instead of by key.
 type Order struct {
-	// Set is equal where two gateways know the same limits; 0 for none.
-	Set  uint32
+	// Set is a hash of the keys and rates. It is equal at two gateways that know the same limits,
+	// and 0 if there are none.
+	Set uint32
+	// Keys are sorted.
 	Keys []uint32
 }
 
-// Columns are uses of the upstreams of an order, without their keys.
+// Columns are uses of the upstreams of an Order, without their keys.
 type Columns struct {
+	// Set is that of the Order.
 	Set uint32
-	// Positions are those of the upstreams in the order; none where all follow.
+	// Positions are the indexes of the used upstreams in Order.Keys. If empty, the uses are those
+	// of all keys in order.
 	Positions   []uint32
 	Asked, Sent []float64
 }
 
-// Columns returns the uses of an order's upstreams.
+// Columns returns the uses of an Order's upstreams. Unused ones are left out where more than half
+// are unused.
 func (u Uses) Columns(o Order) Columns {
 	c := Columns{Set: o.Set}
-	some := 2*len(u) < len(o.Keys)
+	leaveOutUnused := 2*len(u) < len(o.Keys)
 	for i, key := range o.Keys {
 		use, used := u[key]
-		if some && !used {
+		if leaveOutUnused && !used {
 			continue
 		}
-		if some {
+		if leaveOutUnused {
 			c.Positions = append(c.Positions, uint32(i))
 		}
 		c.Asked = append(c.Asked, use.Asked)
@@ -41,7 +47,7 @@
 	return c
 }
 
-// Uses returns the uses by key, if they are of this order.
+// Uses returns the uses by key. It returns false if they are not of this Order or not consistent.
 func (c Columns) Uses(o Order) (Uses, bool) {
 	n := len(o.Keys)
 	if len(c.Positions) > 0 {
@@ -64,7 +70,7 @@
 	return out, true
 }
 
-// Order returns the upstreams that have limits.
+// Order returns the set of limited upstreams.
 func (k *Keeper) Order() Order {
 	if !k.anyLimited.Load() {
 		return Order{}
@@ -77,7 +83,7 @@
 	return k.order
 }
 
-// computeOrder works the order out.
+// computeOrder collects the set of limited upstreams and its hash.
 func (k *Keeper) computeOrder() Order {
 	var o Order
 	for key, l := range k.limits {
@@ -89,7 +95,7 @@
 	var digest xxhash.Digest
 	digest.Reset()
 	for _, key := range o.Keys {
-		// As precise as a rate is told.
+		// Hash the rate with the precision with which rates are announced.
 		rate := math.Float32bits(float32(k.limits[key].rate))
 		_, _ = digest.Write(binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(nil, key), rate)) // never fails
 	}
--- a/internal/upstreamlimit/share.go
+++ b/internal/upstreamlimit/share.go
@@ -6,62 +6,64 @@
 )
 
 const (
-	// leastRate, requests a second, is what an upstream gets that takes less: it says only
-	// in an answer that it takes more again.
+	// minRate, in requests per second, is sent to an upstream even if its limit is lower: only in
+	// an answer can it state that it accepts more again.
 	minRate = 0.2
-	// demandDecayTime is over how long it is counted how often an upstream is the best choice,
-	// and sentMemory over how long what is sent to it.
+	// demandDecayTime and sentDecayTime are the times over which the counts of demand and of sent
+	// requests decay by a factor of e.
 	demandDecayTime = 3 * time.Second
 	sentDecayTime   = 4 * time.Second
-	// reportLag is by how much later the last of the other gateways begin to count, and are
-	// heard, and soon the time within which a gateway's own requests show that more is asked.
+	// reportLag is the delay until the last of the other gateways have begun to count and their
+	// counts have arrived. recentDecayTime is the time within which a gateway's own requests show a
+	// rise in demand.
 	reportLag       = 800 * time.Millisecond
 	recentDecayTime = 400 * time.Millisecond
-	// expectedDemandShare of what was asked at most is expected again at any time, less and less
-	// over expectedFor.
+	// expectedDemandShare of the highest demand so far is expected to come again at any time. The
+	// expectation decays over expectedDecayTime.
 	expectedDemandShare = 0.5
 	expectedDecayTime   = 30 * time.Second
-	// fewRequests requests lately say next to nothing of how many will come.
+	// Fewer recent requests than fewRequests hardly tell how many will come.
 	fewRequests = 3
-	// minUsedShare of what a rate allows in the memory counts as sent where less was: what
-	// was not used in a time is not all to be had at once afterwards.
+	// minUsedShare is the least share of what the rate allows in sentDecayTime that counts as sent:
+	// requests that were not sent in a pause must not all be sent at once afterwards.
 	minUsedShare = 0.5
-	// correctionGain is how much less of its part is sent where more was sent than the limit allows,
-	// and more where less was; mostGain bounds it.
+	// correctionGain is how strongly the share is lowered when more was sent than the limit allows,
+	// and raised when less was. maxCorrection bounds the factor.
 	correctionGain = 4.0
 	maxCorrection  = 2.0
-	// targetUtilization is the part of a rate that is aimed at: chance sends more than the rate in some
-	// seconds, and what many gateways do is known late.
+	// targetUtilization is the fraction of a rate that is aimed at, because in some seconds more
+	// than the rate is sent by chance, and what many gateways send is known late.
 	targetUtilization = 0.95
 )
 
-// traffic is what this gateway and the others send to an upstream with a limit.
+// traffic is what this gateway and the others send to a limited upstream.
 type traffic struct {
-	// demand counts how often the upstream was the best choice here, and sent how often it
-	// was sent a request. Both decay, up to at.
+	// demand counts the requests for which the upstream was the best choice here, and sent those
+	// that it was sent. Both have decayed up to decayedAt.
 	demand, sent float64
 	decayedAt    time.Time
-	// othersDemand and othersSent are those of the other gateways.
+	// othersDemand and othersSent are the counts of the other gateways.
 	othersDemand, othersSent float64
-	// credit grows with each request by the part of them that is sent; a whole one is spent
-	// on each that is sent.
+	// credit grows with each request by the share of requests that is sent, and falls by 1 with
+	// each request that is sent.
 	credit float64
-	// begun: sent holds this gateway's part of what was sent before it counted.
+	// sentSeeded is set once sent includes this gateway's share of what was sent before counting
+	// began.
 	sentSeeded bool
-	// recentDemand counts as asked does, over a shorter time, and settled follows asked as late as
-	// the others are heard.
+	// recentDemand counts like demand but decays over recentDecayTime. delayedDemand follows demand
+	// with a delay of reportLag, like the counts of the other gateways.
 	recentDemand, delayedDemand float64
-	// expectedDemand is how often a second all gateways may choose the upstream again, by what they
-	// asked before, as of expectedAt.
+	// expectedDemand is how many requests per second may choose the upstream again at all gateways,
+	// judged by earlier demand, as of expectedDemandAt.
 	expectedDemand   float64
 	expectedDemandAt time.Time
-	// assumedSent counts as sent beside what was, as of unusedAt; it decays.
+	// assumedSent counts as sent in addition to what was. It has decayed up to assumedSentAt.
 	assumedSent   float64
 	assumedSentAt time.Time
 }
 
-// seedSent counts an even part of what the rate allows as sent: what was sent before is not
-// known, and if it counted as nothing, all gateways would make up for it at once.
+// seedSent counts this gateway's even share of what the rate allows as sent. What was sent before
+// is unknown; if it counted as zero, all gateways would send the difference at once.
 func (l *limit) seedSent(fleet Fleet) {
 	if !l.sentSeeded {
 		l.sentSeeded = true
@@ -69,7 +71,7 @@
 	}
 }
 
-// decay lets time pass.
+// decay lets the counts decay up to now.
 func (u *traffic) decay(now time.Time) {
 	elapsed := now.Sub(u.decayedAt).Seconds()
 	if elapsed <= 0 {
@@ -82,25 +84,26 @@
 	u.decayedAt = now
 }
 
-// allowedRate is the rate that all gateways together may send.
+// allowedRate returns how many requests per second all gateways together may send.
 func (l *limit) allowedRate() float64 { return max(l.rate, minRate) }
 
-// shareFunc returns which part of the requests for which a limited upstream is the best choice
-// is sent there.
+// shareFunc returns the fraction of the requests for which a limited upstream is the best choice
+// that is sent to it.
 type shareFunc func(l *limit, fleet Fleet, now time.Time) float64
 
-// demandShare is the part that makes all gateways' requests together the rate: of what they all
-// ask for, the rate. It follows what they sent lately, so that what is sent by chance, or
-// before they hear of each other, is less afterwards. A gateway that does not hear all others
-// uses the part of the rate that those have which it hears.
+// demandShare returns the rate divided by the demand at all gateways, so that all together send the
+// rate. It is corrected by what they sent lately: if more than the rate was sent, by chance or
+// before the gateways heard of each other, less is sent afterwards. A gateway that doesn't hear all
+// others uses the heard gateways' share of the rate.
 func demandShare(l *limit, fleet Fleet, now time.Time) float64 {
 	rate := targetUtilization * l.allowedRate() * fleet.heardShare()
-	over := l.countedSent(rate, now)/(rate*sentDecayTime.Seconds()) - 1
-	factor := min(max(1-correctionGain*over, 0), maxCorrection)
+	excess := l.countedSent(rate, now)/(rate*sentDecayTime.Seconds()) - 1
+	factor := min(max(1-correctionGain*excess, 0), maxCorrection)
 	return min(rate*factor/l.totalDemand(fleet, now), 1)
 }
 
-// countedSent is what counts as sent lately, at a rate.
+// countedSent returns how many requests count as recently sent, at least minUsedShare of what the
+// rate allows.
 func (l *limit) countedSent(rate float64, now time.Time) float64 {
 	sent := l.sent + l.othersSent
 	l.assumedSent *= math.Exp(-now.Sub(l.assumedSentAt).Seconds() / sentDecayTime.Seconds())
@@ -108,30 +111,34 @@
 	return sent + l.assumedSent
 }
 
-// totalDemand is how often a second all gateways choose the upstream: what they asked lately,
-// or what this gateway's own requests show, whichever is more. What goes wrong with the first
-// alone: an upstream that was hardly asked becomes the best choice of all requests, and each
-// gateway sends all that it is asked until it hears of the others.
+// totalDemand returns how many requests per second choose the upstream at all gateways. It is the
+// highest of the recent demand of all, the demand that this gateway's latest requests suggest, and
+// the expected demand. With the recent demand alone, when an upstream that was hardly ever chosen
+// becomes the best choice for all requests, each gateway would send all of them until it hears of
+// the others.
 func (l *limit) totalDemand(fleet Fleet, now time.Time) float64 {
-	memory, known := demandDecayTime.Seconds(), float64(max(fleet.Known, 1))
-	counted := 1 - math.Exp(-max(now.Sub(l.limitedSince)-reportLag, recentDecayTime/4).Seconds()/memory)
-	asked := l.demand + l.othersDemand
-	// Where next to nothing was asked, each gateway is taken to ask once.
-	unknown := known / reportLag.Seconds() * math.Exp(-asked*asked/(fewRequests*fewRequests))
-	// A single request shows nothing: among many gateways each has one now and then.
-	part := (l.delayedDemand + 1/known) / (l.delayedDemand + l.othersDemand + 1)
-	shown := max(l.recentDemand-1, 0) / recentDecayTime.Seconds() / part
+	decaySeconds, known := demandDecayTime.Seconds(), float64(max(fleet.Known, 1))
+	counted := 1 - math.Exp(-max(now.Sub(l.limitedSince)-reportLag, recentDecayTime/4).Seconds()/decaySeconds)
+	demand := l.demand + l.othersDemand
+	// If the demand was next to nothing, each gateway is assumed to have one request within
+	// reportLag.
+	assumed := known / reportLag.Seconds() * math.Exp(-demand*demand/(fewRequests*fewRequests))
+	// The latest requests here are scaled up by this gateway's share of the demand. A single
+	// request shows nothing: among many gateways each has one now and then.
+	ownShare := (l.delayedDemand + 1/known) / (l.delayedDemand + l.othersDemand + 1)
+	suggested := max(l.recentDemand-1, 0) / recentDecayTime.Seconds() / ownShare
 	l.updateExpectedDemand(now)
-	return max(asked/counted/memory+unknown, shown, l.expectedDemand)
+	return max(demand/counted/decaySeconds+assumed, suggested, l.expectedDemand)
 }
 
-// updateExpectedDemand notes what may be asked again.
+// updateExpectedDemand lets the expected demand decay and raises it if the present demand is higher
+// than before.
 func (l *limit) updateExpectedDemand(now time.Time) {
 	l.expectedDemand *= math.Exp(-now.Sub(l.expectedDemandAt).Seconds() / expectedDecayTime.Seconds())
 	l.expectedDemand, l.expectedDemandAt = max(l.expectedDemand, expectedDemandShare*(l.demand+l.othersDemand)/demandDecayTime.Seconds()), now
 }
 
-// heardShare is that of the gateways that are heard.
+// heardShare returns the fraction of the gateways that is heard.
 func (f Fleet) heardShare() float64 {
 	return float64(max(f.Heard, 1)) / float64(max(f.Known, f.Heard, 1))
 }
--- a/internal/upstreamlimit/statement.go
+++ b/internal/upstreamlimit/statement.go
@@ -1,35 +1,38 @@
-// Package upstreamlimit keeps all gateways together within the rates that upstreams in
-// need name in their answers.
+// Package upstreamlimit keeps all gateways together within the request rates that overloaded
+// upstreams state in their answers.
 package upstreamlimit
 
-// Kind is what an answer says of its upstream's limit.
+// Kind tells what an answer says about its upstream's limit.
 type Kind int
 
-// The kinds.
+// Kinds of statements.
 const (
-	// Unlimited: it names none.
+	// Unlimited: the answer states no limit.
 	Unlimited Kind = iota
-	// Limited: it names a rate.
+	// Limited: the answer states a rate.
 	Limited
-	// Unreadable: it names something that is no rate, which says neither that there is a
-	// limit nor that there is none.
+	// Unreadable: the answer states something that is not a rate. It changes nothing: there may be
+	// a limit or none.
 	Unreadable
 )
 
-// mostRate, requests a second, is above what any upstream serves, so that a limit beyond
-// it counts as this one.
+// maxRate, in requests per second, is more than any upstream serves. A higher stated rate counts as
+// this one.
 const maxRate = 1e6
 
-// Statement is what one answer says of its upstream's limit.
+// Statement is what one answer says about its upstream's limit.
 type Statement struct {
 	Kind Kind
-	// Rate is how many requests a second the upstream takes from all gateways together.
+	// Rate is the number of requests per second that the upstream accepts from all gateways
+	// together.
 	Rate float64
-	// Problem is what could not be read, also where another part of the answer could.
+	// Problem describes what could not be read. It may be set even if another part of the answer
+	// states a rate.
 	Problem string
 }
 
-// RateOf returns a statement that names a rate. A negative one, or no number, is unreadable.
+// RateOf returns a Statement of the given rate. If the rate is negative or NaN, the Statement is
+// Unreadable.
 func RateOf(rate float64) Statement {
 	if !(rate >= 0) {
 		return Statement{Kind: Unreadable}
--- a/internal/upstreamlimit/take.go
+++ b/internal/upstreamlimit/take.go
@@ -6,7 +6,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Take reports whether a request may be sent to an upstream for which it is the best choice.
+// Take decides whether a request is sent to the upstream that is the best choice for it, and counts
+// the request. It returns true if the upstream has no limit.
 func (k *Keeper) Take(upstream ident.Instance) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -29,32 +30,32 @@
 	return true
 }
 
-// maxRetryAfter bounds what a caller is told of when to return.
+// maxRetryAfter bounds the retry time that a caller is given.
 const maxRetryAfter = 30 * time.Second
 
-// RoomIn returns after how long upstreams that all have a limit take one more request: when
-// they have taken what is asked of them in a second.
+// RoomIn estimates the time until limited upstreams can accept one more request: the time in which
+// they accept the demand of one second. It returns 0 if any of them has no limit.
 func (k *Keeper) RoomIn(upstreams []ident.Instance) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
-	asked, allowed := 0.0, 0.0
+	demand, allowed := 0.0, 0.0
 	for _, id := range upstreams {
 		l := k.inForce(id)
 		if l == nil {
 			return 0
 		}
 		l.decay(now)
-		// A request that is not taken asks at each of them.
-		asked = max(asked, l.totalDemand(k.fleet, now))
+		// A request that none of them accepts counts as demand at each.
+		demand = max(demand, l.totalDemand(k.fleet, now))
 		allowed += l.allowedRate()
 	}
-	seconds := max(asked, 1) / allowed
+	seconds := max(demand, 1) / allowed
 	return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
 }
 
-// Lacking is the part of the requests for which an upstream is the best choice that it does
-// not take.
+// Lacking returns the fraction of the requests for which an upstream is the best choice that its
+// limit excludes. It is 0 for an upstream without a limit.
 func (k *Keeper) Lacking(upstream ident.Instance) float64 {
 	if !k.anyLimited.Load() {
 		return 0
@@ -66,6 +67,6 @@
 		return 0
 	}
 	l.decay(k.cfg.Now())
-	asked := (l.demand + l.othersDemand) / demandDecayTime.Seconds()
-	return 1 - min(l.allowedRate()/max(asked, l.allowedRate()), 1)
+	demand := (l.demand + l.othersDemand) / demandDecayTime.Seconds()
+	return 1 - min(l.allowedRate()/max(demand, l.allowedRate()), 1)
 }
