--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -16,9 +16,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// A fleet plays upstreams that name limits, in virtual time: gateways with the real Keeper,
-// the exchange with its delays, directly among few and by collectors among many, callers and
-// upstreams.
+// A fleet simulates upstreams that state limits, in virtual time: gateways with the real Keeper,
+// callers, upstreams, and the exchange between gateways with its delays. A small fleet exchanges
+// directly, a large one through collectors.
 
 const (
 	round                    = 250 * time.Millisecond
--- a/internal/upstreamlimit/keeper_test.go
+++ b/internal/upstreamlimit/keeper_test.go
@@ -19,7 +19,7 @@
 
 func init() { testkit.FixSeed() }
 
-// fixture is a keeper with a clock and its log.
+// fixture is a Keeper with a clock that the test sets, and its log.
 type fixture struct {
 	*Keeper
 	now time.Time
@@ -35,7 +35,7 @@
 
 const u ident.Instance = "u"
 
-// applyList has the keeper see upstreams.
+// applyList calls Listed with the given upstreams.
 func (f *fixture) applyList(ids ...ident.Instance) {
 	f.Listed(func(note func(ident.Instance)) {
 		for _, id := range ids {
@@ -44,51 +44,51 @@
 	})
 }
 
-// Guards against a limit that is lost, or stays, because of what answers say after one
-// another.
+// Guards against a limit that is lost, or stays, when several answers in a row state different
+// things.
 func TestTheNewestReadableStatementCounts(t *testing.T) {
 	bad := Statement{Kind: Unreadable, Problem: "x"}
 	none := Statement{}
 	for _, c := range []struct {
 		name    string
-		said    []Statement
+		stated  []Statement
 		limited bool
 		rate    float64
 	}{
-		{name: "none", said: []Statement{none}},
-		{name: "a limit", said: []Statement{RateOf(2)}, limited: true, rate: 2},
-		{name: "another", said: []Statement{RateOf(2), RateOf(5)}, limited: true, rate: 5},
-		{name: "lifted", said: []Statement{RateOf(2), none}},
-		{name: "named again", said: []Statement{RateOf(2), none, RateOf(2)}, limited: true, rate: 2},
-		{name: "unreadable first", said: []Statement{bad}},
-		{name: "unreadable after a limit", said: []Statement{RateOf(2), bad}, limited: true, rate: 2},
-		{name: "unreadable after it was lifted", said: []Statement{RateOf(2), none, bad}},
-		{name: "zero", said: []Statement{RateOf(0)}, limited: true, rate: minRate},
-		{name: "tiny", said: []Statement{RateOf(1e-300)}, limited: true, rate: minRate},
-		{name: "huge", said: []Statement{RateOf(1e300)}, limited: true, rate: maxRate},
-		{name: "negative", said: []Statement{RateOf(-1)}},
-		{name: "no number", said: []Statement{RateOf(math.NaN())}},
-		{name: "a limit beside what cannot be read", said: []Statement{{Kind: Limited, Rate: 3, Problem: "x"}}, limited: true, rate: 3},
+		{name: "none", stated: []Statement{none}},
+		{name: "a limit", stated: []Statement{RateOf(2)}, limited: true, rate: 2},
+		{name: "another", stated: []Statement{RateOf(2), RateOf(5)}, limited: true, rate: 5},
+		{name: "lifted", stated: []Statement{RateOf(2), none}},
+		{name: "named again", stated: []Statement{RateOf(2), none, RateOf(2)}, limited: true, rate: 2},
+		{name: "unreadable first", stated: []Statement{bad}},
+		{name: "unreadable after a limit", stated: []Statement{RateOf(2), bad}, limited: true, rate: 2},
+		{name: "unreadable after it was lifted", stated: []Statement{RateOf(2), none, bad}},
+		{name: "zero", stated: []Statement{RateOf(0)}, limited: true, rate: minRate},
+		{name: "tiny", stated: []Statement{RateOf(1e-300)}, limited: true, rate: minRate},
+		{name: "huge", stated: []Statement{RateOf(1e300)}, limited: true, rate: maxRate},
+		{name: "negative", stated: []Statement{RateOf(-1)}},
+		{name: "no number", stated: []Statement{RateOf(math.NaN())}},
+		{name: "a limit beside what cannot be read", stated: []Statement{{Kind: Limited, Rate: 3, Problem: "x"}}, limited: true, rate: 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
-			for _, s := range c.said {
+			for _, s := range c.stated {
 				f.Hear(u, "r", s)
 				f.now = f.now.Add(time.Millisecond)
 			}
 			rate, limited := f.Rate(u)
 			if limited != c.limited || limited && rate != c.rate {
-				t.Errorf("limited %v to %v", limited, rate)
+				t.Errorf("limited %v to %v a second", limited, rate)
 			}
 			if f.Some() != c.limited || f.Limited(u) != c.limited {
-				t.Error("the fast answers differ")
+				t.Error("Some or Limited contradicts Rate")
 			}
 		})
 	}
 }
 
-// Guards against a log that an upstream fills which names another rate in each answer, and
-// against a value that cannot be read and leaves no trace.
+// Guards against a log that an upstream floods by stating another rate in each answer, and against
+// an unreadable limit that isn't logged.
 func TestLinesOfChangingLimitsAreBounded(t *testing.T) {
 	f := newFixture()
 	const answers = 5000
@@ -98,21 +98,20 @@
 		f.now = f.now.Add(time.Millisecond)
 	}
 	if lines := strings.Count(f.log.String(), "\n"); lines > 2*(answers/1000+1) {
-		t.Errorf("%d lines in 5 s", lines)
+		t.Errorf("%d log lines in 5 s", lines)
 	}
 	if !strings.Contains(f.log.String(), "few") || !strings.Contains(f.log.String(), "changes_unlogged=") {
-		t.Errorf("the log does not tell:\n%s", f.log.String())
+		t.Errorf("the log names neither the problem nor the unlogged changes:\n%s", f.log.String())
 	}
 	if c := f.Counters(); c.Changes != answers || c.Unreadable != answers {
-		t.Errorf("%+v", c)
+		t.Errorf("wrong counters: %+v", c)
 	}
 	if len(f.Say()) != 1 || len(f.List()) != 1 {
 		t.Error("an upstream has more than one limit")
 	}
 }
 
-// Guards against a limit that outlives its upstream, and against keepers that grow without
-// bound.
+// Guards against a limit that outlives its upstream, and against a Keeper that grows without bound.
 func TestLimitsOfUpstreamsThatAreGoneAreForgotten(t *testing.T) {
 	f := newFixture()
 	f.Hear(u, "r", RateOf(1))
@@ -128,7 +127,7 @@
 		t.Errorf("%d limits are known: %+v", len(f.limits), f.List())
 	}
 	if f.Version() == version {
-		t.Error("a limit was forgotten, and the version stands")
+		t.Error("a limit was dropped but the version did not change")
 	}
 	for i := range 3 * maxLimits {
 		f.Learn([]Said{{Upstream: uint32(i), Limited: true, Rate: 1}}, f.now)
@@ -139,11 +138,11 @@
 	f.now = f.now.Add(2 * unlistedRetention)
 	f.applyList()
 	if f.Some() {
-		t.Error("limits of upstreams that nobody lists stay")
+		t.Error("limits of upstreams that are not listed any more are kept")
 	}
 }
 
-// Guards against an older word that undoes a newer one, in whichever order they come.
+// Guards against an older announcement that undoes a newer one, in whatever order they arrive.
 func TestWordsComeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		said := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Said {
@@ -169,12 +168,12 @@
 	})
 }
 
-// Guards against a gateway that starts, or all of them after a kill, and sends to an
-// upstream in need until its own answers tell.
+// Guards against a gateway that starts, or all of them after all were killed, and sends to an
+// overloaded upstream until the upstream's own answers state the limit.
 func TestLimitsOutliveAllGateways(t *testing.T) {
 	f := newFixture()
 	if f.Keep() != nil {
-		t.Error("something is kept of no limit")
+		t.Error("something is saved though there is no limit")
 	}
 	f.Hear(u, "r", RateOf(0.5))
 	f.Hear("v", "r", RateOf(3))
@@ -182,12 +181,12 @@
 	later := newFixture()
 	later.Restore(f.Keep())
 	if rate, limited := later.Rate(u); !limited || rate != 0.5 || later.Limited("v") {
-		t.Errorf("restored: %v %v", rate, limited)
+		t.Errorf("restored limit: %v a second, limited %v", rate, limited)
 	}
 	if said := later.Say(); len(said) != 1 || said[0].Age < restoredExtraAge {
-		t.Errorf("told as %+v, younger than anything that was heard since", said)
+		t.Errorf("announced as %+v, newer than what the others may have heard since", said)
 	}
-	// What an answer says here wins, also before the record is read.
+	// What an answer states here takes precedence, also if it arrives before the record is read.
 	first := newFixture()
 	first.Hear(u, "r", RateOf(4))
 	first.Restore(f.Keep())
@@ -203,19 +202,19 @@
 	}
 }
 
-// Guards against a lease's record that grows with the upstreams.
+// Guards against a lease's record that grows with the number of upstreams.
 func TestWhatIsKeptIsBounded(t *testing.T) {
 	f := newFixture()
 	for i := range 2000 {
 		f.Hear(ident.Instance(fmt.Sprint("u", i)), "r", RateOf(1.25))
 	}
 	if data := f.Keep(); len(data) > 16<<10 {
-		t.Errorf("%d bytes are kept", len(data))
+		t.Errorf("%d bytes are saved", len(data))
 	}
 }
 
-// Guards against messages that grow with the limits, and against one of many that is never
-// told.
+// Guards against messages that grow with the number of limits, and against a limit that is never
+// announced because there are many.
 func TestAllLimitsAreToldInTurns(t *testing.T) {
 	f := newFixture()
 	const limits = 50
@@ -238,7 +237,7 @@
 		f.now = f.now.Add(round)
 	}
 	if len(told) != limits {
-		t.Errorf("%d of %d limits were told", len(told), limits)
+		t.Errorf("%d of %d limits were announced", len(told), limits)
 	}
 	f.Hear(all[3], "r", RateOf(2))
 	news := false
@@ -246,11 +245,11 @@
 		news = news || s.Upstream == key(all[3]) && s.Rate == 2
 	}
 	if !news {
-		t.Error("a change is not told at once")
+		t.Error("a change is not announced at once")
 	}
 }
 
-// Guards against a side of a cut that uses the whole of a limit.
+// Guards against one side of a network partition that uses the whole limit.
 func TestASideOfACutUsesItsPart(t *testing.T) {
 	sent := func(fleet Fleet) int {
 		f := newFixture()
@@ -267,15 +266,15 @@
 	}
 	whole, part := sent(Fleet{1, 1}), sent(Fleet{1, 4})
 	if whole < 320 || whole > 420 {
-		t.Errorf("%d requests in 40 s at 10 a second", whole)
+		t.Errorf("%d requests sent in 40 s at 10 a second", whole)
 	}
 	if part < 80 || part > 110 {
-		t.Errorf("%d requests in 40 s by a quarter of the gateways", part)
+		t.Errorf("%d requests sent in 40 s by a quarter of the gateways", part)
 	}
 }
 
-// Guards against a lower rate that is made up for by sending nothing, and a higher one that
-// is used with a jump.
+// Guards against sending nothing for a while after the rate was lowered, and against a jump after
+// it was raised.
 func TestAChangedRateIsUsedFromTheStart(t *testing.T) {
 	for _, c := range []struct{ before, after float64 }{{20, 2}, {2, 20}} {
 		f := newFixture()
@@ -292,7 +291,7 @@
 		ask(20)
 		f.Hear(u, "r", RateOf(c.after))
 		if got, want := float64(ask(10)), 10*c.after; got < minUsedShareOfLimit*want || got > 1.2*want {
-			t.Errorf("from %v to %v a second: %v requests in 10 s, %v are allowed", c.before, c.after, got, want)
+			t.Errorf("from %v to %v a second: %v requests sent in 10 s, %v are allowed", c.before, c.after, got, want)
 		}
 	}
 }
@@ -308,7 +307,7 @@
 	}
 }
 
-// Guards against an upstream that counts as missing though it takes all that is asked of it.
+// Guards against an upstream that counts as lacking although it accepts all its demand.
 func TestWhatAnUpstreamLacks(t *testing.T) {
 	f := newFixture()
 	f.Hear(u, "r", RateOf(2))
@@ -318,19 +317,18 @@
 		f.Take(u)
 	}
 	if got := f.Lacking(u); got < 0.95 || got > 0.99 {
-		t.Errorf("%v lacking at 2 of 100 a second", got)
+		t.Errorf("%v of the requests lacking at 2 of 100 a second", got)
 	}
 	if f.Lacking("idle") != 0 || f.Lacking("unknown") != 0 {
-		t.Error("an upstream that nobody asks counts as missing")
+		t.Error("an upstream without demand counts as lacking")
 	}
 	f.Hear(u, "r", Statement{})
 	if f.Lacking(u) != 0 {
-		t.Error("a lifted limit counts")
+		t.Error("a lifted limit counts as lacking")
 	}
 }
 
-// Guards against uses that are taken for those of other upstreams where they are told without
-// their keys.
+// Guards against uses that are attributed to the wrong upstreams when they are sent without keys.
 func TestUsesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Order{Set: 7}
@@ -344,7 +342,7 @@
 		c := uses.Columns(o)
 		got, known := c.Uses(o)
 		if !known {
-			t.Fatalf("%+v is not of its order", c)
+			t.Fatalf("the columns %+v are not accepted for their own order", c)
 		}
 		for _, key := range o.Keys {
 			if got[key] != uses[key] {
@@ -352,19 +350,19 @@
 			}
 		}
 		if _, known := c.Uses(Order{Set: 8, Keys: o.Keys}); known {
-			t.Fatal("uses of other limits are taken")
+			t.Fatal("uses for another set of limits are accepted")
 		}
 		if len(c.Positions) > 0 {
 			c.Positions[0] = uint32(len(o.Keys))
 			if _, known := c.Uses(o); known {
-				t.Fatal("a position beyond the order is taken")
+				t.Fatal("a position beyond the order is accepted")
 			}
 		}
 	})
 }
 
-// Guards against a gateway that goes on sending what its part allows where all together have
-// sent too much, and against one that leaves unused what the others do not send.
+// Guards against a gateway that keeps sending its share though all together have sent too much, and
+// against one that leaves unused what the others don't send.
 func TestWhatAllSentLatelyIsFollowed(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -380,20 +378,20 @@
 		sent := 0
 		for i := range 2000 {
 			f.now = f.now.Add(10 * time.Millisecond)
-			// Half of all that is asked comes here.
+			// Half of the demand is at this gateway.
 			f.Refresh(Uses{key(u): {Asked: 300, Sent: c.othersSent}}, Fleet{2, 2})
 			if f.Take(u) && i >= 1000 {
 				sent++
 			}
 		}
 		if sent < c.least || sent > c.most {
-			t.Errorf("%s: %d sent in 10 s at 10 a second", c.name, sent)
+			t.Errorf("%s: %d requests sent in 10 s at 10 a second", c.name, sent)
 		}
 	}
 }
 
-// Guards against gateways that all send what they are asked when a limit is heard of, or when
-// they start, because nobody has counted yet.
+// Guards against gateways that all send their whole demand when they hear of a limit or start,
+// because none of them has counted yet.
 func TestTheFirstRequestsOfManyGatewaysAreFew(t *testing.T) {
 	sent := 0
 	const gateways = 82
@@ -408,11 +406,11 @@
 		}
 	}
 	if sent > 35 {
-		t.Errorf("%d gateways send their first request at 5 a second", sent)
+		t.Errorf("%d gateways send their first request at a limit of 5 a second", sent)
 	}
 }
 
-// Guards against an upstream that is sent all at once what it was not asked for in a pause.
+// Guards against requests that are sent all at once after a pause in which there was no demand.
 func TestAPauseIsNotMadeUpFor(t *testing.T) {
 	f := newFixture()
 	f.Hear(u, "r", RateOf(5))
@@ -428,13 +426,14 @@
 	}
 	ask(10)
 	f.now = f.now.Add(10 * time.Second)
-	// The first few come before it shows how much is asked.
+	// The first few are sent before the demand shows.
 	if sent := ask(0.1); sent > 4 {
-		t.Errorf("%d of the first 10 requests are sent, at 5 a second", sent)
+		t.Errorf("%d of the first 10 requests are sent at a limit of 5 a second", sent)
 	}
 }
 
-// Guards against a gateway that begins with nothing sent and makes up for it.
+// Guards against a gateway that starts with a sent count of zero and sends too much to reach the
+// rate.
 func TestAGatewayBeginsWithItsPartSent(t *testing.T) {
 	f := newFixture()
 	f.Hear(u, "r", RateOf(20))
@@ -447,12 +446,12 @@
 		}
 	}
 	if sent > 66 {
-		t.Errorf("%d sent in the first 3 s at 20 a second", sent)
+		t.Errorf("%d requests sent in the first 3 s at 20 a second", sent)
 	}
 }
 
-// Guards against an upstream that took nothing for a while and never gets a request again: it
-// says only in an answer that it takes more.
+// Guards against an upstream that accepted nothing for a while and never gets a request again: only
+// in an answer can it state that it accepts more.
 func TestAnUpstreamThatTakesNothingIsAskedNowAndThen(t *testing.T) {
 	for _, rate := range []float64{0, 1e-300, 0.01} {
 		f := newFixture()
@@ -466,7 +465,7 @@
 			}
 		}
 		if sent < 6 || sent > 18 {
-			t.Errorf("%d requests in a minute at %v a second", sent, rate)
+			t.Errorf("%d requests sent in a minute at a limit of %v a second", sent, rate)
 		}
 	}
 }
--- a/internal/upstreamlimit/scenarios_test.go
+++ b/internal/upstreamlimit/stories_test.go
@@ -13,11 +13,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// The flags are for reports, not for CI.
+// The flags are for reports. CI uses the defaults.
 var (
 	seeds = flag.Int("limit.seeds", 3, "plays of each story, a tenth of it for large fleets")
 	large = flag.Bool("limit.large", false, "fleets of over 100 gateways too")
-	table = flag.String("limit.table", "", "file for the table, with other ways beside the one that stands")
+	table = flag.String("limit.table", "", "file for the table, which also compares alternative ways to divide a rate")
 	only  = flag.String("limit.only", "", "stories whose names hold this")
 )
 
@@ -25,7 +25,7 @@
 	return scenario{name: name, gateways: 8, domains: 4, upstreams: 13, rate: 80, limits: limits}
 }
 
-// each gives upstreams from 0 on the same plan.
+// each gives the first n upstreams the same schedule.
 func each(n int, p limitSchedule) map[int]limitSchedule {
 	out := make(map[int]limitSchedule, n)
 	for i := range n {
@@ -34,13 +34,13 @@
 	return out
 }
 
-// changing names another rate in each answer.
+// changing states another rate in each answer.
 func changing(at time.Duration) (float64, bool) { return 1 + float64(at.Milliseconds()%7)/2, true }
 
-// flapping names a limit for a second, and none for the next.
+// flapping states a limit for a second and none for the next.
 func flapping(at time.Duration) (float64, bool) { return 2, int(at.Seconds())%2 == 0 }
 
-// steps names 10 a second, then 1, then 4.
+// steps states 10 a second, then 1, then 4.
 func steps(at time.Duration) (float64, bool) {
 	switch {
 	case at < 12*time.Second:
@@ -51,10 +51,10 @@
 	return 4, true
 }
 
-// pulses last for two seconds of six.
+// pulses is true for two seconds of every six.
 func pulses(at time.Duration) bool { return at%(6*time.Second) < 2*time.Second }
 
-// late is once, so that the limit is heard of, and from 20 s on.
+// late is true once for a short time, so that the limit becomes known, and again after 20 s.
 func late(at time.Duration) bool {
 	return at > 4*time.Second && at < 4500*time.Millisecond || at > 20*time.Second
 }
@@ -117,9 +117,9 @@
 	}
 }
 
-// Guards against an upstream that was not asked for long, becomes the best choice of all
-// requests of a service in one moment, and gets more than its limit before gateways hear of
-// each other.
+// Guards against an upstream that gets more than its limit when, after a long time without demand,
+// it becomes the best choice for all requests of a service at once, before gateways hear of each
+// other.
 func TestAllGatewaysAskAtOnceAfterAPause(t *testing.T) {
 	for _, s := range []scenario{
 		small("8 gateways, 900 requests a second", each(4, always(5, 4*time.Second))).with(func(s *scenario) { s.rate, s.preferred = 900, late }),
@@ -135,7 +135,7 @@
 	}
 }
 
-// totals are those of a story's plays.
+// totals sum up the results of a scenario's runs.
 type totals struct {
 	plays, beyond, refused, refusedAll, requests, said, told int
 	worst, over                                              float64
@@ -157,7 +157,7 @@
 	s.said, s.told = max(s.said, r.maxLimitsInMessage), max(s.told, r.maxUsesInMessage)
 }
 
-// minUsedShareOfLimit is the part of its limit that an upstream should get over 10 s.
+// minUsedShareOfLimit is the fraction of its limit that an upstream should be sent over 10 s.
 const minUsedShareOfLimit = 0.8
 
 func (s *totals) line(name string) string {
@@ -178,8 +178,8 @@
 
 const tableHeading = "story                                         plays beyond  worst   over   mean   med least  under 0.8    refused      all  requests  known  forg.  said  told"
 
-// Guards against upstreams that get more than the limit which they name, or far less, and
-// against requests that are refused for it while others have room.
+// Guards against upstreams that get more than the limit they state, or far less, and against
+// requests that are refused because of a limit while upstreams without one have room.
 func TestStories(t *testing.T) {
 	var lines []string
 	for _, s := range scenarios() {
@@ -217,7 +217,7 @@
 	}
 }
 
-// playAll plays a story with several seeds, and has each result looked at.
+// playAll runs a scenario with n seeds and calls look with each result.
 func playAll(s scenario, n int, look func(seed int, r result)) *totals {
 	all := &totals{}
 	for i, r := range testkit.Plays(n, func(seed uint64) result { return play(s, seed) }) {
@@ -227,7 +227,7 @@
 	return all
 }
 
-// alternative is another way to divide a rate between gateways, for comparison.
+// alternative is another way to divide a rate between gateways, for comparison in the table.
 type alternative struct {
 	name   string
 	change func(scenario) scenario
@@ -256,15 +256,15 @@
 	}),
 }
 
-// spacedAt is when a limit's last request was let pass by spaced.
+// spacedAt holds, by limit, when spacedShare last let a request pass.
 var spacedAt sync.Map
 
-// spacedShare lets a request pass when a rate's time is over since the last.
+// spacedShare lets a request pass if the last one was at least the rate's interval ago.
 func spacedShare(l *limit, rate float64, now time.Time) float64 {
 	l.credit = 0
-	last, some := spacedAt.Load(l)
+	last, found := spacedAt.Load(l)
 	from := l.limitedSince
-	if some {
+	if found {
 		from = last.(time.Time)
 	}
 	if now.Sub(from).Seconds()*rate < 1 {
