--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -25,12 +25,12 @@
 	minGatewaysForCollectors = 18
 	messageDelay             = 20 * time.Millisecond
 	checkInterval            = 100 * time.Millisecond
-	// maxReportAge is for how long a report counts as the present, and knownFor for how long its
+	// maxReportAge is the age up to which a report counts, and knownFor the age up to which its
 	// gateway counts as one that may send.
 	maxReportAge = time.Second
 	knownFor     = 15 * time.Second
 	renewal      = 1500 * time.Millisecond
-	// restartDelay is for how long a killed gateway is away.
+	// restartDelay is the least time for which a killed gateway is down.
 	restartDelay = 800 * time.Millisecond
 	contactTime  = 3 * time.Second
 	window       = 4 * time.Second
@@ -38,44 +38,45 @@
 	playTime     = 40 * time.Second
 )
 
-// limitSchedule is the limit of one upstream over time.
+// limitSchedule is the limit that one upstream states, over time.
 type limitSchedule func(at time.Duration) (rate float64, limited bool)
 
-// always names a rate from a time on, and between names it up to another time.
+// always states a rate from a time on; between states it until another time.
 func always(rate float64, from time.Duration) limitSchedule { return between(rate, from, time.Hour) }
 
 func between(rate float64, from, to time.Duration) limitSchedule {
 	return func(at time.Duration) (float64, bool) { return rate, at >= from && at < to }
 }
 
-// scenario is a fleet with what happens to it.
+// scenario is a fleet and what happens to it.
 type scenario struct {
 	name              string
 	gateways, domains int
 	upstreams         int
-	// rate is requests a second.
+	// rate is the number of requests per second.
 	rate float64
-	// limits by upstream.
+	// limits are the schedules of the upstreams with limits, by index.
 	limits map[int]limitSchedule
-	// gatewayShare of the gateways that get requests; all where 0.
+	// gatewayShare is the fraction of the gateways that get requests; 0 means all.
 	gatewayShare float64
-	// burst is by how much more is asked from 12 s to 22 s; 0 for none.
+	// burst is the factor by which the rate is higher from 12 s to 22 s; 0 means no burst.
 	burst float64
-	// cut: a domain is cut off from 15 s to 20 s.
+	// cut: a failure domain is partitioned from the others from 15 s to 20 s.
 	cut bool
-	// killed are when all gateways are killed, and killEach whether they are one by one.
+	// killed are the times when all gateways are killed. killEach: each gateway is killed once, at
+	// a random time.
 	killed   []time.Duration
 	killEach bool
-	// joins is how many gateways more start, between 10 s and 20 s.
+	// joins is the number of additional gateways that start between 10 s and 20 s.
 	joins int
-	// reborn: limited upstreams start again at 20 s, without a limit.
+	// restarted: the limited upstreams restart at 20 s, without a limit.
 	restarted bool
-	// retries is how often a refused caller comes back.
+	// retries is how often a refused caller tries again.
 	retries int
-	// preferred says when the upstreams with limits are the best choice of all requests, and
-	// when of none; nil where they are of some.
+	// preferred reports when the limited upstreams are the best choice for all requests; otherwise
+	// they are for none. nil: they are the best choice for some.
 	preferred func(at time.Duration) bool
-	// share is another way to divide a rate; nil for the one that stands.
+	// share is an alternative way to divide a rate; nil means the Keeper's own.
 	share shareFunc
 }
 
@@ -89,23 +90,24 @@
 	keeper    *Keeper
 	up        bool
 	startedAt time.Duration
-	// reports are the others' uses as they came, directly or in a collector's sum.
+	// reports are the other gateways' uses, by gateway, if they arrive directly or this gateway is
+	// a collector. sums are the other domains' sums, at a collector.
 	reports map[int]report
 	sums    map[int]domainReport
-	// collected is the collector's sum of all others.
+	// collected is the collector's sum of all other gateways.
 	collected domainReport
 	fleet     Fleet
-	// nextListAt is when it next looks which upstreams there are.
+	// nextListAt is when the gateway next lists the upstreams.
 	nextListAt time.Duration
 }
 
-// report is one gateway's uses.
+// report holds one gateway's uses.
 type report struct {
 	uses Uses
 	at   time.Duration
 }
 
-// domainReport is a domain's sum.
+// domainReport holds the sum of a failure domain's gateways.
 type domainReport struct {
 	uses  Uses
 	heard int
@@ -116,8 +118,8 @@
 type upstream struct {
 	i, domain, incarnation int
 	schedule               limitSchedule
-	// named is when a limit was first named, and lifted when an answer first named none after
-	// that; negative for never.
+	// named is when a limit was first stated, and lifted when an answer first stated none after
+	// that. Negative means never.
 	named, lifted time.Duration
 	arrivals      []time.Duration
 }
@@ -126,22 +128,25 @@
 	return ident.Instance("u" + strconv.Itoa(u.i) + "/" + strconv.Itoa(u.incarnation))
 }
 
-// result is what a play showed.
+// result is what a run of a scenario measured.
 type result struct {
-	// windowsOver counts windows over what is allowed, and worst is the most in one as a part of
-	// what is allowed.
+	// windowsOver counts the windows with more arrivals than allowed. worstOfAllowed is the highest
+	// number of arrivals in a window, as a fraction of what is allowed.
 	windowsOver    int
 	worstOfAllowed float64
-	// worstOfLimit is the most in one window as a part of the limit itself, where that allows ten.
+	// worstOfLimit is the same as a fraction of the limit itself, in windows for which the limit
+	// allows ten or more.
 	worstOfLimit float64
-	// usedShares are the parts of the limits that were used, over 10 s each.
+	// usedShares are the used fractions of the limits, over 10 s each.
 	usedShares []float64
-	// refused requests had room at upstreams without a limit.
+	// refused counts refused requests while an upstream without a limit had room, refusedAll all
+	// refused ones.
 	refused, refusedAll, requests int
-	// knownAfter is how long it took until all gateways knew a limit, and forgot how long until
-	// none had it any more after it was lifted.
+	// knownAfter is how long it took until all gateways knew a limit, and liftedAfter until none
+	// had it any more after it was lifted.
 	knownAfter, liftedAfter time.Duration
-	// maxLimitsInMessage and told are the most limits and uses in one message.
+	// maxLimitsInMessage and maxUsesInMessage are the highest numbers of limits and uses in one
+	// message.
 	maxLimitsInMessage, maxUsesInMessage int
 }
 
@@ -258,10 +263,10 @@
 
 func (f *fleet) usesCollectors() bool { return f.scenario.gateways >= minGatewaysForCollectors }
 
-// apart reports whether two domains are cut off from each other.
+// apart reports whether two domains are on different sides of the partition.
 func (f *fleet) apart(a, b int) bool { return f.cutOff >= 0 && (a == f.cutOff) != (b == f.cutOff) }
 
-// collector is the gateway of a domain that adds up.
+// collector returns the gateway of a domain that adds up its reports.
 func (f *fleet) collector(domain int) *gateway {
 	for _, g := range f.gateways {
 		if g.domain == domain && g.up && f.Now()-g.startedAt > 500*time.Millisecond {
@@ -271,7 +276,7 @@
 	return nil
 }
 
-// exchange tells what one gateway has to say.
+// exchange sends a gateway's limits and uses to its collector, or to all others in a small fleet.
 func (f *fleet) exchange(g *gateway) {
 	f.In(round, func() { f.exchange(g) })
 	if !g.up {
@@ -293,21 +298,21 @@
 	}
 }
 
-// announceLimits has one gateway hear what another says of limits, and then does what comes with it.
+// announceLimits delivers one gateway's announcements to another and then calls then.
 func (f *fleet) announceLimits(from, to *gateway, then func()) {
-	said := from.keeper.Say()
-	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(said))
+	announced := from.keeper.Say()
+	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(announced))
 	at := f.Now()
 	keeper := to.keeper
 	f.In(messageDelay+time.Duration(f.rng.Int64N(int64(messageDelay))), func() {
 		if to.up && to.keeper == keeper {
-			to.keeper.Learn(said, epoch.Add(at))
+			to.keeper.Learn(announced, epoch.Add(at))
 			then()
 		}
 	})
 }
 
-// sendCollected gives a gateway its collector's sum of all others.
+// sendCollected gives a gateway its collector's sum of all other gateways.
 func (f *fleet) sendCollected(c, g *gateway) {
 	sum := domainReport{uses: make(Uses), at: f.Now()}
 	f.addMembers(c, &sum, g.i)
@@ -340,7 +345,7 @@
 	}
 }
 
-// exchangeSums tells a domain's sum to the collectors of the others.
+// exchangeSums sends a domain's sum to the collectors of the other domains.
 func (f *fleet) exchangeSums(domain int) {
 	f.In(round/2, func() { f.exchangeSums(domain) })
 	c := f.collector(domain)
@@ -356,7 +361,7 @@
 	}
 }
 
-// refresh takes in what the others said.
+// refresh passes what a gateway received from the others to its Keeper.
 func (f *fleet) refresh(g *gateway) {
 	f.In(round/2, func() { f.refresh(g) })
 	if !g.up {
@@ -399,7 +404,8 @@
 	}
 }
 
-// noteKnown notes when all gateways know what an upstream says of its limit.
+// noteKnown records how long it takes until all gateways know what an upstream states about its
+// limit.
 func (f *fleet) noteKnown() {
 	f.In(checkInterval, f.noteKnown)
 	for _, u := range f.upstreams {
@@ -427,7 +433,7 @@
 	}
 }
 
-// arrive brings a request, and schedules the next.
+// arrive delivers a request and schedules the next one.
 func (f *fleet) arrive() {
 	rate := f.scenario.rate
 	if f.scenario.burst > 0 && f.Now() > 12*time.Second && f.Now() < 22*time.Second {
@@ -438,7 +444,7 @@
 	f.receive(0)
 }
 
-// receive brings a request to some gateway that is up, for the so-manieth time.
+// receive delivers a request to a random gateway that is up. times is the number of earlier tries.
 func (f *fleet) receive(times int) {
 	n := len(f.gateways)
 	if f.scenario.gatewayShare > 0 {
@@ -456,7 +462,8 @@
 	}
 }
 
-// place sends a request to its best upstream that takes it.
+// place sends a request to the first upstream in its order of preference that the Keeper admits it
+// to.
 func (f *fleet) place(g *gateway, times int) {
 	room := false
 	// A step that has no common divisor with the number of upstreams reaches all of them.
@@ -490,7 +497,7 @@
 	}
 }
 
-// gcd is the greatest common divisor.
+// gcd returns the greatest common divisor.
 func gcd(a, b int) int {
 	for b > 0 {
 		a, b = b, a%b
@@ -500,11 +507,11 @@
 
 func (f *fleet) sendRequest(g *gateway, u *upstream) {
 	u.arrivals = append(u.arrivals, f.Now())
-	life, keeper := u.incarnation, g.keeper
+	incarnation, keeper := u.incarnation, g.keeper
 	took := 20*time.Millisecond + time.Duration(f.rng.ExpFloat64()*float64(80*time.Millisecond))
 	id := u.id()
 	f.In(took, func() {
-		if !g.up || g.keeper != keeper || u.incarnation != life {
+		if !g.up || g.keeper != keeper || u.incarnation != incarnation {
 			return
 		}
 		s := Statement{}
@@ -523,8 +530,8 @@
 	})
 }
 
-// maxNamedRate is the highest rate that was named in a time; unlimited where none was in a part of
-// it.
+// maxNamedRate returns the highest rate that was stated between two times, and false if none was
+// stated at some time between them.
 func (u *upstream) maxNamedRate(from, to time.Duration) (rate float64, limited bool) {
 	for at := from; at <= to; at += 50 * time.Millisecond {
 		r, l := u.schedule(at)
@@ -536,8 +543,8 @@
 	return max(rate, minRate), true
 }
 
-// evaluate looks at all windows of an upstream's arrivals. A rate that was named counts from
-// the contact time after it was.
+// evaluate checks all windows of an upstream's arrivals. A stated rate counts after contactTime has
+// passed.
 func (f *fleet) evaluate(u *upstream) {
 	if u.schedule == nil || u.named < 0 {
 		return
