--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -19,14 +19,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				f.now = f.now.Add(time.Millisecond)
-				g.keeper.Tick([]routetable.Account{f.limit}, f.now)
+				g.limiter.Tick([]routetable.Account{f.limit}, f.now)
 			}
 		})
 		b.Run(fmt.Sprintf("admit/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				f.now = f.now.Add(time.Millisecond)
-				g.keeper.Admit(&f.limit, 1, f.now)
+				g.limiter.Admit(&f.limit, 1, f.now)
 			}
 		})
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -176,7 +176,7 @@
 	return r.rate
 }
 
-// NewKeeper returns a Keeper that has admitted nothing. The function others returns the other
+// NewKeeper returns a limiter that has admitted nothing. The function others returns the other
 // gateways' reports on an account, as of a time.
 func NewKeeper(tolerance Tolerance, others func(ident.ClientAccount, time.Time) Others, now time.Time) *Keeper {
 	return &Keeper{tolerance: tolerance, otherGateways: others, started: now, accounts: make(map[ident.ClientAccount]*account)}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -33,7 +33,7 @@
 }
 
 type gateway struct {
-	keeper      *Keeper
+	limiter     *Keeper
 	incarnation string
 	// heard are the latest reports of the other gateways, by their index.
 	heard map[int]report
@@ -68,7 +68,7 @@
 
 func (f *fleet) restart(i int) {
 	g := &gateway{incarnation: fmt.Sprint(i, "/", f.now.UnixNano()), heard: make(map[int]report)}
-	g.keeper = NewKeeper(f.tolerance, func(ident.ClientAccount, time.Time) Others { return f.others(g) }, f.now)
+	g.limiter = NewKeeper(f.tolerance, func(ident.ClientAccount, time.Time) Others { return f.others(g) }, f.now)
 	f.gateways[i] = g
 }
 
@@ -92,7 +92,7 @@
 		f.collector.add(f)
 	}
 	for i, from := range f.gateways {
-		total := from.keeper.Totals()["acct"]
+		total := from.limiter.Totals()["acct"]
 		for j, to := range f.gateways {
 			if i != j && f.hears(j, i) {
 				to.heard[i] = report{incarnation: from.incarnation, spent: total.Spent, refused: total.Refused, at: f.now}
@@ -100,7 +100,7 @@
 		}
 	}
 	for _, g := range f.gateways {
-		g.keeper.Tick([]routetable.Account{f.limit}, f.now)
+		g.limiter.Tick([]routetable.Account{f.limit}, f.now)
 	}
 }
 
@@ -120,7 +120,7 @@
 func (c *collector) add(f *fleet) {
 	c.published, c.next = c.next, collectedTotals{all: report{at: f.now}, byGateway: make(map[string]report)}
 	for _, g := range f.gateways {
-		total := g.keeper.Totals()["acct"]
+		total := g.limiter.Totals()["acct"]
 		c.next.byGateway[g.incarnation] = report{spent: total.Spent, refused: total.Refused}
 		c.next.all.spent += total.Spent
 		c.next.all.refused += total.Refused
@@ -168,7 +168,7 @@
 
 func (f *fleet) request(g *gateway, cost float64) {
 	f.requested++
-	if g.keeper.Admit(&f.limit, cost, f.now).OK {
+	if g.limiter.Admit(&f.limit, cost, f.now).OK {
 		f.admitted = append(f.admitted, admission{f.now, cost})
 	} else {
 		f.refused++
@@ -399,13 +399,13 @@
 	}
 	f.now = f.now.Add(50 * time.Millisecond)
 	// The first request overdraws the share.
-	g.keeper.Admit(&f.limit, 40_000, f.now)
-	if d := g.keeper.Admit(&f.limit, 9500, f.now); d.OK || d.After > startupMaxRetryAfter {
+	g.limiter.Admit(&f.limit, 40_000, f.now)
+	if d := g.limiter.Admit(&f.limit, 9500, f.now); d.OK || d.After > startupMaxRetryAfter {
 		t.Errorf("after the start: admitted %v, retry after %v", d.OK, d.After)
 	}
 	f.now = f.now.Add(startupPeriod)
-	g.keeper.Admit(&f.limit, 40_000, f.now)
-	if d := g.keeper.Admit(&f.limit, 90_000, f.now); d.OK || d.After <= startupMaxRetryAfter {
+	g.limiter.Admit(&f.limit, 40_000, f.now)
+	if d := g.limiter.Admit(&f.limit, 90_000, f.now); d.OK || d.After <= startupMaxRetryAfter {
 		t.Errorf("others still unheard after the startup period: admitted %v, retry after %v", d.OK, d.After)
 	}
 }
@@ -420,7 +420,7 @@
 		want time.Duration
 	}{{0, minRetryAfter}, {1e-9, minRetryAfter}, {1e-5, maxRetryAfter}, {5000, 1900 * time.Millisecond}, {19_000, 500 * time.Millisecond}, {1e6, minRetryAfter}} {
 		d := Decision{Need: 9500, Heard: 1, Known: 1}
-		if got := f.gateways[0].keeper.retryAfter(d, c.rate, f.now); got != c.want {
+		if got := f.gateways[0].limiter.retryAfter(d, c.rate, f.now); got != c.want {
 			t.Errorf("rate %g: %v, want %v", c.rate, got, c.want)
 		}
 	}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -13,7 +13,7 @@
 const (
 	DefaultRatio      = 0.1
 	DefaultFloor      = 0.2
-	DefaultMostStored = 10
+	DefaultMaxStored = 10
 )
 
 // unitsPerAttempt is how many integer units the budget counts an attempt as. Integers keep rounding
@@ -39,7 +39,7 @@
 		c.Floor = DefaultFloor
 	}
 	if c.MostStored <= 0 {
-		c.MostStored = DefaultMostStored
+		c.MostStored = DefaultMaxStored
 	}
 	return c
 }
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// A fleet simulates upstreams that state limits, in virtual time: gateways with the real Keeper,
+// A fleet simulates upstreams that state limits, in virtual time: gateways with the real limiter,
 // callers, upstreams, and the exchange between gateways with its delays. A small fleet exchanges
 // directly, a large one through collectors.
 
@@ -76,7 +76,7 @@
 	// preferred reports when the limited upstreams are the best choice for all requests; otherwise
 	// they are for none. nil: they are the best choice for some.
 	preferred func(at time.Duration) bool
-	// share is an alternative way to divide a rate; nil means the Keeper's own.
+	// share is an alternative way to divide a rate; nil means the limiter's own.
 	share shareFunc
 }
 
@@ -87,7 +87,7 @@
 
 type gateway struct {
 	i, domain int
-	keeper    *Keeper
+	limiter   *Keeper
 	up        bool
 	startedAt time.Duration
 	// reports are the other gateways' uses, by gateway, if they arrive directly or this gateway is
@@ -233,13 +233,13 @@
 	g.up, g.startedAt = true, f.Now()
 	g.reports, g.sums, g.collected = make(map[int]report), make(map[int]domainReport), domainReport{}
 	g.fleet = Fleet{Heard: 1, Known: f.scenario.gateways}
-	g.keeper = NewKeeper(Config{Now: f.clock, Log: hclog.NewNullLogger(), Key: key, Round: round, Seed: f.rng.Uint64()})
+	g.limiter = NewKeeper(Config{Now: f.clock, Log: hclog.NewNullLogger(), Key: key, Round: round, Seed: f.rng.Uint64()})
 	if f.scenario.share != nil {
-		g.keeper.shareOf = f.scenario.share
+		g.limiter.shareOf = f.scenario.share
 	}
 	g.nextListAt = 0
-	g.keeper.Refresh(nil, g.fleet)
-	g.keeper.Restore(f.saved)
+	g.limiter.Refresh(nil, g.fleet)
+	g.limiter.Restore(f.saved)
 }
 
 func (f *fleet) kill(g *gateway) {
@@ -255,7 +255,7 @@
 	f.In(renewal, f.saveLimits)
 	for _, g := range f.gateways {
 		if g.up && f.cutOff != g.domain {
-			f.saved = g.keeper.Keep()
+			f.saved = g.limiter.Keep()
 			return
 		}
 	}
@@ -282,7 +282,7 @@
 	if !g.up {
 		return
 	}
-	own := g.keeper.Uses()
+	own := g.limiter.Uses()
 	f.result.maxUsesInMessage = max(f.result.maxUsesInMessage, len(own))
 	if f.usesCollectors() {
 		if c := f.collector(g.domain); c != nil {
@@ -300,13 +300,13 @@
 
 // announceLimits delivers one gateway's announcements to another and then calls then.
 func (f *fleet) announceLimits(from, to *gateway, then func()) {
-	announced := from.keeper.Say()
+	announced := from.limiter.Say()
 	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(announced))
 	at := f.Now()
-	keeper := to.keeper
+	limiter := to.limiter
 	f.In(messageDelay+time.Duration(f.rng.Int64N(int64(messageDelay))), func() {
-		if to.up && to.keeper == keeper {
-			to.keeper.Learn(announced, epoch.Add(at))
+		if to.up && to.limiter == limiter {
+			to.limiter.Learn(announced, epoch.Add(at))
 			then()
 		}
 	})
@@ -393,10 +393,10 @@
 	if f.Now()-g.startedAt < contactTime {
 		fleet.Known = max(fleet.Known, f.scenario.gateways)
 	}
-	g.keeper.Refresh(others, fleet)
+	g.limiter.Refresh(others, fleet)
 	if f.Now() >= g.nextListAt {
 		g.nextListAt = f.Now() + time.Second
-		g.keeper.Listed(func(note func(ident.Instance)) {
+		g.limiter.Listed(func(note func(ident.Instance)) {
 			for _, u := range f.upstreams {
 				note(u.id())
 			}
@@ -419,7 +419,7 @@
 				break
 			}
 			if g.up {
-				got, knows := g.keeper.Rate(u.id())
+				got, knows := g.limiter.Rate(u.id())
 				all = knows == limited && (!limited || got == max(rate, minRate))
 			}
 		}
@@ -462,7 +462,7 @@
 	}
 }
 
-// place sends a request to the first upstream in its order of preference that the Keeper admits it
+// place sends a request to the first upstream in its order of preference that the limiter admits it
 // to.
 func (f *fleet) place(g *gateway, times int) {
 	room := false
@@ -482,8 +482,8 @@
 		if f.apart(g.domain, u.domain) {
 			continue
 		}
-		room = room || !g.keeper.Limited(u.id())
-		if g.keeper.Take(u.id()) {
+		room = room || !g.limiter.Limited(u.id())
+		if g.limiter.Take(u.id()) {
 			f.sendRequest(g, u)
 			return
 		}
@@ -507,11 +507,11 @@
 
 func (f *fleet) sendRequest(g *gateway, u *upstream) {
 	u.arrivals = append(u.arrivals, f.Now())
-	incarnation, keeper := u.incarnation, g.keeper
+	incarnation, limiter := u.incarnation, g.limiter
 	took := 20*time.Millisecond + time.Duration(f.rng.ExpFloat64()*float64(80*time.Millisecond))
 	id := u.id()
 	f.In(took, func() {
-		if !g.up || g.keeper != keeper || u.incarnation != incarnation {
+		if !g.up || g.limiter != limiter || u.incarnation != incarnation {
 			return
 		}
 		s := Statement{}
@@ -526,7 +526,7 @@
 				u.lifted = f.Now()
 			}
 		}
-		g.keeper.Hear(id, "", s)
+		g.limiter.Hear(id, "", s)
 	})
 }
 
--- a/internal/upstreamlimit/keeper.go
+++ b/internal/upstreamlimit/keeper.go
@@ -26,7 +26,7 @@
 	liftedRetention = 30 * time.Second
 )
 
-// Config configures a Keeper. All fields are required.
+// Config configures a limiter. All fields are required.
 type Config struct {
 	Now boottime.Clock
 	Log hclog.Logger
@@ -34,7 +34,7 @@
 	Key func(ident.Instance) uint32
 	// Round is the interval between two messages to the same gateway.
 	Round time.Duration
-	// Seed seeds the Keeper's random numbers. It should differ between gateways.
+	// Seed seeds the limiter's random numbers. It should differ between gateways.
 	Seed uint64
 }
 
@@ -102,7 +102,7 @@
 	Sent, PassedOver int
 }
 
-// NewKeeper returns a Keeper that knows no limits.
+// NewKeeper returns a limiter that knows no limits.
 func NewKeeper(cfg Config) *Keeper {
 	return &Keeper{
 		cfg: cfg, limits: make(map[uint32]*limit), fleet: Fleet{Heard: 1, Known: 1},
--- a/internal/upstreamlimit/keeper_test.go
+++ b/internal/upstreamlimit/keeper_test.go
@@ -19,7 +19,7 @@
 
 func init() { testkit.FixSeed() }
 
-// fixture is a Keeper with a clock that the test sets, and its log.
+// fixture is a limiter with a clock that the test sets, and its log.
 type fixture struct {
 	*Keeper
 	now time.Time
@@ -111,7 +111,7 @@
 	}
 }
 
-// Guards against a limit that outlives its upstream, and against a Keeper that grows without bound.
+// Guards against a limit that outlives its upstream, and against a limiter that grows without bound.
 func TestLimitsOfUpstreamsThatAreGoneAreForgotten(t *testing.T) {
 	f := newFixture()
 	f.Hear(u, "r", RateOf(1))
--- a/internal/upstreamlimit/order.go
+++ b/internal/upstreamlimit/order.go
@@ -18,17 +18,17 @@
 	Keys []uint32
 }
 
-// Columns are uses of the upstreams of an Order, without their keys.
+// Columns are uses of the upstreams of a set, without their keys.
 type Columns struct {
-	// Set is that of the Order.
+	// Set is the hash of the set of limited upstreams.
 	Set uint32
-	// Positions are the indexes of the used upstreams in Order.Keys. If empty, the uses are those
+	// Positions are the indexes of the used upstreams in the set's Keys. If empty, the uses are those
 	// of all keys in order.
 	Positions   []uint32
 	Asked, Sent []float64
 }
 
-// Columns returns the uses of an Order's upstreams. Unused ones are left out where more than half
+// Columns returns the uses of a set's upstreams. Unused ones are left out where more than half
 // are unused.
 func (u Uses) Columns(o Order) Columns {
 	c := Columns{Set: o.Set}
@@ -47,7 +47,7 @@
 	return c
 }
 
-// Uses returns the uses by key. It returns false if they are not of this Order or not consistent.
+// Uses returns the uses by key. It returns false if they are not of this set or not consistent.
 func (c Columns) Uses(o Order) (Uses, bool) {
 	n := len(o.Keys)
 	if len(c.Positions) > 0 {
--- a/internal/upstreamlimit/share.go
+++ b/internal/upstreamlimit/share.go
@@ -118,6 +118,7 @@
 // the others.
 func (l *limit) totalDemand(fleet Fleet, now time.Time) float64 {
 	decaySeconds, known := demandDecayTime.Seconds(), float64(max(fleet.Known, 1))
+	// counted is how much of the full count has built up since the limit became known.
 	counted := 1 - math.Exp(-max(now.Sub(l.limitedSince)-reportLag, recentDecayTime/4).Seconds()/decaySeconds)
 	demand := l.demand + l.othersDemand
 	// If the demand was next to nothing, each gateway is assumed to have one request within
