--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -122,7 +122,7 @@
 	shareLevel float64
 	// filledAt is the time up to which the bucket was refilled.
 	filledAt time.Time
-	// allowance, heard and known are as of the last Tick.
+	// allowance, heard and known are as of the reports applied last.
 	allowance
 	heard, known int
 	// admittedTotal and requestedTotal are the costs that this gateway admitted and was asked for
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -60,7 +60,7 @@
 	floorPaidAt time.Time
 }
 
-// NewBudget returns a budget that holds MostStored extra attempts.
+// NewBudget returns a budget that is filled to its maximum.
 func NewBudget(config BudgetConfig, now time.Time) *Budget {
 	config = config.withDefaults()
 	maxStored := int64(config.MostStored * unitsPerAttempt)
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -361,7 +361,7 @@
 	}
 }
 
-// refresh passes what a gateway received from the others to its Keeper.
+// refresh passes what a gateway received from the others to its limiter.
 func (f *fleet) refresh(g *gateway) {
 	f.In(round/2, func() { f.refresh(g) })
 	if !g.up {
--- a/internal/upstreamlimit/limiter_test.go
+++ b/internal/upstreamlimit/limiter_test.go
@@ -35,7 +35,7 @@
 
 const u ident.Instance = "u"
 
-// applyList calls Listed with the given upstreams.
+// applyList tells the limiter that the given upstreams are listed.
 func (f *fixture) applyList(ids ...ident.Instance) {
 	f.Listed(func(note func(ident.Instance)) {
 		for _, id := range ids {
@@ -81,7 +81,7 @@
 				t.Errorf("limited %v to %v a second", limited, rate)
 			}
 			if f.Some() != c.limited || f.Limited(u) != c.limited {
-				t.Error("Some or Limited contradicts Rate")
+				t.Error("the methods that report whether there is a limit contradict Rate")
 			}
 		})
 	}
