--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -11,8 +11,8 @@
 
 // Defaults of BudgetConfig.
 const (
-	DefaultRatio      = 0.1
-	DefaultFloor      = 0.2
+	DefaultRatio     = 0.1
+	DefaultFloor     = 0.2
 	DefaultMaxStored = 10
 )
 
