--- a/internal/upstreamlimit/order.go
+++ b/internal/upstreamlimit/order.go
@@ -8,31 +8,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order is the upstreams that have limits, by their keys.
+// Order is the set of limited upstreams. Gateways that know the same set exchange uses by position
+// instead of by key.
 type Order struct {
-	// Set is equal where two gateways know the same limits; 0 for none.
-	Set  uint32
+	// Set is a hash of the keys and rates. It is equal at two gateways that know the same limits,
+	// and 0 if there are none.
+	Set uint32
+	// Keys are sorted.
 	Keys []uint32
 }
 
-// Columns are uses of the upstreams of an order, without their keys.
+// Columns are uses of the upstreams of a set, without their keys.
 type Columns struct {
+	// Set is the hash of the set of limited upstreams.
 	Set uint32
-	// Positions are those of the upstreams in the order; none where all follow.
+	// Positions are the indexes of the used upstreams in the set's Keys. If empty, the uses are those
+	// of all keys in order.
 	Positions   []uint32
 	Asked, Sent []float64
 }
 
-// Columns returns the uses of an order's upstreams.
+// Columns returns the uses of a set's upstreams. Unused ones are left out where more than half
+// are unused.
 func (u Uses) Columns(o Order) Columns {
 	c := Columns{Set: o.Set}
-	some := 2*len(u) < len(o.Keys)
+	leaveOutUnused := 2*len(u) < len(o.Keys)
 	for i, key := range o.Keys {
 		use, used := u[key]
-		if some && !used {
+		if leaveOutUnused && !used {
 			continue
 		}
-		if some {
+		if leaveOutUnused {
 			c.Positions = append(c.Positions, uint32(i))
 		}
 		c.Asked = append(c.Asked, use.Asked)
@@ -41,7 +47,7 @@
 	return c
 }
 
-// Uses returns the uses by key, if they are of this order.
+// Uses returns the uses by key. It returns false if they are not of this set or not consistent.
 func (c Columns) Uses(o Order) (Uses, bool) {
 	n := len(o.Keys)
 	if len(c.Positions) > 0 {
@@ -64,21 +70,21 @@
 	return out, true
 }
 
-// Order returns the upstreams that have limits.
+// Order returns the set of limited upstreams.
 func (k *Keeper) Order() Order {
-	if !k.some.Load() {
+	if !k.anyLimited.Load() {
 		return Order{}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.order.Set == 0 {
-		k.order = k.sorted()
+		k.order = k.computeOrder()
 	}
 	return k.order
 }
 
-// sorted works the order out.
-func (k *Keeper) sorted() Order {
+// computeOrder collects the set of limited upstreams and its hash.
+func (k *Keeper) computeOrder() Order {
 	var o Order
 	for key, l := range k.limits {
 		if l.limited {
@@ -89,7 +95,7 @@
 	var digest xxhash.Digest
 	digest.Reset()
 	for _, key := range o.Keys {
-		// As precise as a rate is told.
+		// Hash the rate with the precision with which rates are announced.
 		rate := math.Float32bits(float32(k.limits[key].rate))
 		_, _ = digest.Write(binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(nil, key), rate)) // never fails
 	}
