--- a/internal/entry/barred.go
+++ b/internal/entry/barred.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// writeBarred prints the counters of requests that end upstreams.
-func (p *Process) writeBarred(w io.Writer) {
+// writePoisonMetrics prints the counters of requests that end upstreams.
+func (p *Process) writePoisonMetrics(w io.Writer) {
 	c := p.poison.Counters()
 	fmt.Fprintf(w, "upstreams_ended_total %d\nrequests_barred_found_total %d\nrequests_barred_total %d\nrequests_barred_now %d\nrequests_suspected_now %d\n",
 		c.Crashes, c.Found, c.Refused, len(p.poison.List()), p.poison.Suspected())
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// readers is how many gateways, the first in line, always have a read waiting
+	// waitingReaders is how many gateways, the first in line, always have a read waiting
 	// at the store for the next configuration; the others hear of it from them.
 	// Two, so that one that is turned away by the store leaves one: a waiting read at
 	// each gateway would be half of the store's calls.
-	readers = 2
-	// readerPart of the time within which a change is due is how long such a read
+	waitingReaders = 2
+	// readWaitShare of the time within which a change is due is how long such a read
 	// waits: a connection to the store that went silent is noticed after it.
-	readerPart = 0.4
-	// peersPart of the same time is how old a gateway's word that its configuration
+	readWaitShare = 0.4
+	// peerConfirmationShare of the same time is how old a gateway's word that its configuration
 	// is the newest may become before the others ask the store themselves: longer
 	// than two readers' words usually become on their way, and short enough to be
 	// in time where all readers have lost the store.
-	peersPart = 0.6
-	// storeFirst is for how long a gateway leaves it to the store to bring a
+	peerConfirmationShare = 0.6
+	// storeHeadStart is for how long a gateway leaves it to the store to bring a
 	// configuration that others have: a waiting read brings 300 KB within it on a
 	// link of 10 Mbit/s, and a change is due 2 s after it is acknowledged.
-	storeFirst = 400 * time.Millisecond
-	// peersFirst is for how long a gateway that hears of a newer configuration leaves it
+	storeHeadStart = 400 * time.Millisecond
+	// peerHeadStart is for how long a gateway that hears of a newer configuration leaves it
 	// to the other gateways to bring it: a small one comes with their next answer.
-	peersFirst = 300 * time.Millisecond
-	// askAgain is the time between two reads by a gateway that hears of a newer
+	peerHeadStart = 300 * time.Millisecond
+	// minReadInterval is the time between two reads by a gateway that hears of a newer
 	// configuration which the store does not show it yet.
-	askAgain = 250 * time.Millisecond
+	minReadInterval = 250 * time.Millisecond
 )
 
-// configuration follows the operators' configuration and publishes it. It is the
+// configFollower follows the operators' configuration and publishes it. It is the
 // only writer of board.table. Revisions never go back, wherever they come from.
-type configuration struct {
+type configFollower struct {
 	ports Ports
 	board *board
 	// rollouts takes the orders that stand in the same topic.
@@ -61,28 +61,28 @@
 	// asked is when it was asked last.
 	next   ident.Offset
 	listed bool
-	// unreadable are the records that were told of; run alone uses it.
-	unreadable onceByKey
-	asked      time.Time
+	// loggedUnreadable are the records that were told of; run alone uses it.
+	loggedUnreadable onceByKey
+	lastReadAt       time.Time
 
 	mu      sync.Mutex
 	current gossip.ConfigRecord
 	// confirmed is when the store, or a peer by its word, confirmed that no newer
 	// configuration exists.
 	confirmed time.Time
-	// behind is since when others are heard to have a newer one; zero if not.
-	behind time.Time
-	// faulty is the offset after that of the newest record that could not be used,
+	// behindSince is since when others are heard to have a newer one; zero if not.
+	behindSince time.Time
+	// afterUnusable is the offset after that of the newest record that could not be used,
 	// so that it is logged once; 0 if there is none.
-	faulty ident.Offset
+	afterUnusable ident.Offset
 }
 
-func newConfiguration(ports Ports, b *board, rollouts *rollout.Tracker, now boottime.Clock, rank func() int, due time.Duration, log hclog.Logger) *configuration {
-	return &configuration{ports: ports, board: b, rollouts: rollouts, now: now, rank: rank, due: due, log: log, health: storeHealth{log: log, topic: ports.ConfigTopic}}
+func newConfigFollower(ports Ports, b *board, rollouts *rollout.Tracker, now boottime.Clock, rank func() int, due time.Duration, log hclog.Logger) *configFollower {
+	return &configFollower{ports: ports, board: b, rollouts: rollouts, now: now, rank: rank, due: due, log: log, health: storeHealth{log: log, topic: ports.ConfigTopic}}
 }
 
 // run follows the store until ctx ends.
-func (c *configuration) run(ctx context.Context) {
+func (c *configFollower) run(ctx context.Context) {
 	c.health.follow(ctx, func(ctx context.Context) (time.Duration, error) {
 		wait, idle := c.nextRead()
 		if idle > 0 {
@@ -94,25 +94,25 @@
 
 // nextRead returns after how long a read of the store is due, 0 for now, and then for how
 // long it waits for the next configuration.
-func (c *configuration) nextRead() (wait, idle time.Duration) {
+func (c *configFollower) nextRead() (wait, idle time.Duration) {
 	if !c.listed {
 		return 0, 0
 	}
-	if c.rank() < readers {
-		return part(c.due, readerPart), 0
+	if c.rank() < waitingReaders {
+		return shareOf(c.due, readWaitShare), 0
 	}
 	_, age := c.state()
-	idle = part(c.due, peersPart) + rand.N(viewJitter) - age
+	idle = shareOf(c.due, peerConfirmationShare) + rand.N(viewJitter) - age
 	if behind, is := c.behindFor(); is {
-		idle = min(idle, max(peersFirst-behind, askAgain-c.now().Sub(c.asked)))
+		idle = min(idle, max(peerHeadStart-behind, minReadInterval-c.now().Sub(c.lastReadAt)))
 	}
 	return 0, max(0, idle)
 }
 
 // read reads the newest records once, and what follows from then on.
-func (c *configuration) read(ctx context.Context, wait time.Duration) error {
+func (c *configFollower) read(ctx context.Context, wait time.Duration) error {
 	asked := c.now()
-	c.asked = asked
+	c.lastReadAt = asked
 	var batch platform.KeyedBatch
 	var err error
 	if c.listed {
@@ -128,13 +128,13 @@
 		return err
 	}
 	for _, record := range batch.Records {
-		if record.Unreadable != nil && c.unreadable.first(record.Key) {
+		if record.Unreadable != nil && c.loggedUnreadable.firstTime(record.Key) {
 			c.log.Error("record not readable", "topic", c.ports.ConfigTopic, "key", record.Key, "offset", record.Offset, "error", record.Unreadable)
 		}
 		if record.Key == c.ports.ConfigKey && record.Value != nil {
-			c.take(record.Offset, record.Value, "store")
+			c.apply(record.Offset, record.Value, "store")
 		}
-		c.takeRollout(record)
+		c.applyRollout(record)
 		c.next = max(c.next, record.Offset+1)
 	}
 	if !c.listed {
@@ -151,9 +151,9 @@
 	return nil
 }
 
-// takeRollout takes an operator's order to change a service's version. One that cannot be
+// applyRollout takes an operator's order to change a service's version. One that cannot be
 // read changes nothing but that no other version of the service gets work.
-func (c *configuration) takeRollout(record platform.KeyedRecord) {
+func (c *configFollower) applyRollout(record platform.KeyedRecord) {
 	if record.Value == nil || record.Unreadable != nil || c.ports.DecodeRollout == nil {
 		return
 	}
@@ -170,22 +170,22 @@
 }
 
 // confirmedAt is as of when all of the operators' records are known.
-func (c *configuration) confirmedAt() time.Time {
+func (c *configFollower) confirmedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.confirmed
 }
 
-// take publishes a configuration if it is newer than the one in force.
-func (c *configuration) take(offset ident.Offset, data []byte, from string) {
+// apply publishes a configuration if it is newer than the one in force.
+func (c *configFollower) apply(offset ident.Offset, data []byte, from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.faulty == offset+1 || offset < c.current.Offset || offset == c.current.Offset && c.current.Revision > 0 {
+	if c.afterUnusable == offset+1 || offset < c.current.Offset || offset == c.current.Offset && c.current.Revision > 0 {
 		return
 	}
 	table, findings := c.ports.DecodeConfig(c.ports.ConfigTopic+"/"+c.ports.ConfigKey, data)
 	if err := findings.Err(); err != nil {
-		c.faulty = offset + 1
+		c.afterUnusable = offset + 1
 		c.log.Error("configuration not usable, the last one stays", "offset", offset, "from", from, "findings", err)
 		return
 	}
@@ -193,13 +193,13 @@
 		return
 	}
 	c.current = gossip.ConfigRecord{Revision: table.Revision(), Offset: offset, Data: data}
-	c.behind = time.Time{}
+	c.behindSince = time.Time{}
 	c.board.table.Publish(table)
 	c.log.Info("configuration in force", "revision", table.Revision(), "offset", offset, "from", from, "bytes", len(data))
 }
 
-// record returns the configuration in force if it is newer than a revision.
-func (c *configuration) record(than ident.Revision) *gossip.ConfigRecord {
+// newerThan returns the configuration in force if it is newer than a revision.
+func (c *configFollower) newerThan(than ident.Revision) *gossip.ConfigRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current.Revision <= than {
@@ -211,7 +211,7 @@
 
 // confirm notes that no newer configuration than the one in force existed at an
 // instant.
-func (c *configuration) confirm(at time.Time) {
+func (c *configFollower) confirm(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at.After(c.confirmed) {
@@ -219,9 +219,9 @@
 	}
 }
 
-// confirmBy takes another gateway's word that a revision was the newest at an
+// confirmFromPeer takes another gateway's word that a revision was the newest at an
 // instant. Of a newer one than is in force it is the first news.
-func (c *configuration) confirmBy(revision ident.Revision, at time.Time) {
+func (c *configFollower) confirmFromPeer(revision ident.Revision, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -229,33 +229,33 @@
 		if c.current.Revision > 0 && at.After(c.confirmed) {
 			c.confirmed = at
 		}
-	case c.behind.IsZero():
-		c.behind = c.now()
+	case c.behindSince.IsZero():
+		c.behindSince = c.now()
 	}
 }
 
 // behindFor reports whether others are heard to have a newer configuration, and for how long.
-func (c *configuration) behindFor() (time.Duration, bool) {
+func (c *configFollower) behindFor() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.now().Sub(c.behind), !c.behind.IsZero()
+	return c.now().Sub(c.behindSince), !c.behindSince.IsZero()
 }
 
 // state returns the revision in force, and how long ago it was confirmed to be the
 // newest.
-func (c *configuration) state() (ident.Revision, time.Duration) {
+func (c *configFollower) state() (ident.Revision, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current.Revision, ageOf(c.confirmed, c.now())
 }
 
-// lacks reports whether another gateway should be asked for the configuration: only if
+// needsFetch reports whether another gateway should be asked for the configuration: only if
 // the store does not bring it.
-func (c *configuration) lacks() bool {
+func (c *configFollower) needsFetch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current.Revision == 0 {
 		return true
 	}
-	return !c.behind.IsZero() && (c.health.failing() || c.now().Sub(c.behind) >= peersFirst+storeFirst)
+	return !c.behindSince.IsZero() && (c.health.failing() || c.now().Sub(c.behindSince) >= peerHeadStart+storeHeadStart)
 }
--- a/internal/entry/configuration_test.go
+++ b/internal/entry/configuration_test.go
@@ -13,62 +13,62 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// quietStore is a store in which nothing changes. A waiting read takes its time.
-type quietStore struct {
+// unchangingStore is a store in which nothing changes. A waiting read takes its time.
+type unchangingStore struct {
 	platform.KeyedLog
 	now   *time.Time
 	waits []time.Duration
 }
 
-func (s *quietStore) Newest(context.Context, string, func([]platform.KeyedRecord)) (platform.KeyedBatch, error) {
+func (s *unchangingStore) Newest(context.Context, string, func([]platform.KeyedRecord)) (platform.KeyedBatch, error) {
 	return platform.KeyedBatch{Records: []platform.KeyedRecord{{Key: "config", Offset: 3, Value: []byte("x")}}, End: 4}, nil
 }
 
-func (s *quietStore) Follow(_ context.Context, _ string, _ ident.Offset, wait time.Duration) (platform.KeyedBatch, error) {
+func (s *unchangingStore) Follow(_ context.Context, _ string, _ ident.Offset, wait time.Duration) (platform.KeyedBatch, error) {
 	s.waits = append(s.waits, wait)
 	*s.now = s.now.Add(wait)
 	return platform.KeyedBatch{End: 4}, nil
 }
 
-// scene is a gateway's configuration at a time, with what others say of theirs.
-type scene struct {
+// configFixture is a gateway's configuration at a time, with what others say of theirs.
+type configFixture struct {
 	now   time.Time
 	rank  int
-	store *quietStore
-	*configuration
+	store *unchangingStore
+	*configFollower
 }
 
 const changeDue = 2 * time.Second
 
-func newScene(t *testing.T, rank int) *scene {
-	s := &scene{now: time.Unix(1000, 0), rank: rank}
-	s.store = &quietStore{now: &s.now}
+func newConfigFixture(t *testing.T, rank int) *configFixture {
+	s := &configFixture{now: time.Unix(1000, 0), rank: rank}
+	s.store = &unchangingStore{now: &s.now}
 	ports := Ports{
 		Store: s.store, ConfigTopic: "operators", ConfigKey: "config",
 		DecodeConfig: func(string, []byte) (*routetable.Table, finding.List) {
 			return routetable.New(routetable.Spec{Revision: 7}), nil
 		},
 	}
-	s.configuration = newConfiguration(ports, newBoard(), nil, func() time.Time { return s.now }, func() int { return s.rank }, changeDue, hclog.NewNullLogger())
+	s.configFollower = newConfigFollower(ports, newBoard(), nil, func() time.Time { return s.now }, func() int { return s.rank }, changeDue, hclog.NewNullLogger())
 	if err := s.read(t.Context(), 0); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// play lets a gateway follow for a while; others' words come each so often and are so
+// follow lets a gateway follow for a while; others' words come each so often and are so
 // old.
-func (s *scene) play(t *testing.T, d, every, age time.Duration) {
+func (s *configFixture) follow(t *testing.T, d, every, age time.Duration) {
 	t.Helper()
 	next := s.now
 	for end := s.now.Add(d); s.now.Before(end); {
 		if !s.now.Before(next) && every > 0 {
-			s.confirmBy(7, s.now.Add(-age))
+			s.confirmFromPeer(7, s.now.Add(-age))
 			next = s.now.Add(every)
 		}
 		wait, idle := s.nextRead()
 		if idle > 0 {
-			s.now = s.now.Add(min(max(idle, leastLook), lookEvery))
+			s.now = s.now.Add(min(max(idle, minPollInterval), maxPollInterval))
 			continue
 		}
 		if err := s.read(t.Context(), wait); err != nil {
@@ -80,16 +80,16 @@
 // Symptom: half of the store's calls are waiting reads of the configuration. Cause: one
 // at each gateway.
 func TestGatewaysBehindTheFirstLeaveTheStoreAlone(t *testing.T) {
-	s := newScene(t, readers)
-	s.play(t, time.Minute, 250*time.Millisecond, 900*time.Millisecond)
+	s := newConfigFixture(t, waitingReaders)
+	s.follow(t, time.Minute, 250*time.Millisecond, 900*time.Millisecond)
 	if n := len(s.store.waits); n != 0 {
 		t.Errorf("%d reads while others vouch for the configuration", n)
 	}
 }
 
 func TestTheFirstGatewaysAlwaysWaitAtTheStore(t *testing.T) {
-	s := newScene(t, readers-1)
-	s.play(t, 8*time.Second, 0, 0)
+	s := newConfigFixture(t, waitingReaders-1)
+	s.follow(t, 8*time.Second, 0, 0)
 	if n := len(s.store.waits); n != 10 {
 		t.Errorf("%d reads in 8 s", n)
 	}
@@ -102,15 +102,15 @@
 // or this one loses the others; the operators change the configuration. Cause: a
 // gateway that waits for others' word.
 func TestAGatewayWithoutOthersWordAsksTheStore(t *testing.T) {
-	s := newScene(t, readers)
+	s := newConfigFixture(t, waitingReaders)
 	from := s.now
-	s.play(t, changeDue, 0, 0)
+	s.follow(t, changeDue, 0, 0)
 	if len(s.store.waits) != 1 || s.store.waits[0] != 0 {
 		t.Errorf("reads that wait for %v within %v", s.store.waits, s.now.Sub(from))
 	}
 	// Words that become too old on their way do not count.
 	s.store.waits = nil
-	s.play(t, 10*changeDue, 250*time.Millisecond, changeDue)
+	s.follow(t, 10*changeDue, 250*time.Millisecond, changeDue)
 	if len(s.store.waits) < 10 {
 		t.Errorf("%d reads in %v", len(s.store.waits), 10*changeDue)
 	}
@@ -119,13 +119,13 @@
 // Symptom: a gateway keeps an old configuration and believes it is the newest.
 // Sequence: another one vouches for a newer revision.
 func TestAnothersWordForANewerRevisionConfirmsNothing(t *testing.T) {
-	s := newScene(t, readers)
+	s := newConfigFixture(t, waitingReaders)
 	s.now = s.now.Add(time.Second)
-	s.confirmBy(8, s.now)
+	s.confirmFromPeer(8, s.now)
 	if _, age := s.state(); age != time.Second {
 		t.Errorf("confirmed %v ago", age)
 	}
-	if s.lacks() {
+	if s.needsFetch() {
 		t.Error("asks others before the store had its time")
 	}
 	// Symptom: hundreds of gateways ask the store for each change. Cause: they ask before
@@ -134,7 +134,7 @@
 		t.Error("asks the store before the others had their time")
 	}
 	// Symptom: a change comes half a second later than the store could bring it.
-	s.now = s.now.Add(peersFirst)
+	s.now = s.now.Add(peerHeadStart)
 	if _, idle := s.nextRead(); idle > 0 {
 		t.Error("does not ask the store")
 	}
@@ -144,8 +144,8 @@
 	if _, idle := s.nextRead(); idle == 0 {
 		t.Error("asks the store again at once")
 	}
-	s.now = s.now.Add(storeFirst)
-	if !s.lacks() {
+	s.now = s.now.Add(storeHeadStart)
+	if !s.needsFetch() {
 		t.Error("does not ask others")
 	}
 }
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// dutyStep is how often the holder looks what is due.
-	dutyStep = 250 * time.Millisecond
-	// notCandidate is the rank of a gateway that must not take the lease.
-	notCandidate = 1 << 20
+	// dutyInterval is how often the holder looks what is due.
+	dutyInterval = 250 * time.Millisecond
+	// notCandidateRank is the rank of a gateway that must not take the lease.
+	notCandidateRank = 1 << 20
 )
 
 // runDuties does what one gateway at a time does under the lease, until ctx ends.
@@ -35,12 +35,12 @@
 	var steps, lease sync.WaitGroup
 	run := func(step func(context.Context)) {
 		steps.Go(func() {
-			for pause.For(stop, dutyStep) {
+			for pause.For(stop, dutyInterval) {
 				step(ctx)
 			}
 		})
 	}
-	steps.Go(func() { p.learnGateways(stop) })
+	steps.Go(func() { p.readGatewayCount(stop) })
 	run(p.newRollouts().Step)
 	if slices.Contains(p.settings.Cloud.Duties, "metering") {
 		run(p.newReporter().Step)
@@ -56,12 +56,12 @@
 	lease.Wait()
 }
 
-// learnGateways reads how many gateways there were before this process started.
-func (p *Process) learnGateways(ctx context.Context) {
-	for failures := 0; p.now().Sub(p.started) < assumedFor; failures++ {
+// readGatewayCount reads how many gateways there were before this process started.
+func (p *Process) readGatewayCount(ctx context.Context) {
+	for failures := 0; p.now().Sub(p.started) < gatewaysBeforeStartPeriod; failures++ {
 		n, err := p.lease.ReadGateways(ctx)
 		if err == nil {
-			p.assumed.Store(int64(n))
+			p.gatewaysBeforeStart.Store(int64(n))
 			p.log.Info("gateways before the start", "count", n)
 			return
 		}
@@ -74,32 +74,32 @@
 func (p *Process) newLease() *duty.Manager {
 	return duty.NewManager(duty.Config{
 		Self: p.settings.Instance.ID, Life: p.incarnation, Timing: duty.NewTiming(p.settings.Lease.Length, platform.DutyTimeout),
-		Store: p.ports.Store, Now: p.now, Log: p.log.Named("lease"), Rank: p.rank, Gateways: p.gateways,
-		GivenUp: p.givenUp, Keep: p.keep, Learn: p.learnKept,
+		Store: p.ports.Store, Now: p.now, Log: p.log.Named("lease"), Rank: p.leaseRank, Gateways: p.gatewayCount,
+		GivenUp: p.givenUpFence, Keep: p.recordsToKeep, Learn: p.restoreKept,
 		Lost: func() { go p.gossip.Say(context.Background()) },
 	})
 }
 
-// keep returns what must outlive all gateways, and learnKept takes it in.
-func (p *Process) keep() duty.Kept {
+// recordsToKeep returns what must outlive all gateways, and learnKept takes it in.
+func (p *Process) recordsToKeep() duty.Kept {
 	return duty.Kept{Requests: p.poison.Keep(), Limits: p.limits.Keep()}
 }
 
-func (p *Process) learnKept(kept duty.Kept) {
+func (p *Process) restoreKept(kept duty.Kept) {
 	p.poison.Learn(kept.Requests)
 	p.limits.Restore(kept.Limits)
 }
 
-// givenUp is the highest fencing number whose holder says that it has run out.
-func (p *Process) givenUp() ident.Fence {
+// givenUpFence is the highest fencing number whose holder says that it has run out.
+func (p *Process) givenUpFence() ident.Fence {
 	return p.view.Load().GivenUp
 }
 
-// rank is this gateway's place among those that could take the lease, and
+// leaseRank is this gateway's place among those that could take the lease, and
 // whether another one says that it holds it.
-func (p *Process) rank() (int, bool) {
+func (p *Process) leaseRank() (int, bool) {
 	if p.leaving.Load() {
-		return notCandidate, true
+		return notCandidateRank, true
 	}
 	v := p.view.Load()
 	return v.Place, v.Holds
@@ -114,7 +114,7 @@
 
 func (p *Process) newScaling() *scaling.Controller {
 	return &scaling.Controller{
-		Now: p.now, Table: p.table, View: p.board.upstreams.Value, Need: p.need, Leases: p.lease,
+		Now: p.now, Table: p.table, View: p.board.upstreams.Value, Need: p.neededUpstreams, Leases: p.lease,
 		Duties: p.ports.Duties, Log: p.log.Named("scaling"), Serves: p.rollouts.Serves, Changing: p.rollouts.Running,
 		Lacking: p.limits.Lacking,
 	}
@@ -123,14 +123,14 @@
 func (p *Process) newRollouts() *rollout.Controller {
 	return rollout.NewController(rollout.ControllerConfig{
 		Tracker: p.rollouts, Leases: p.lease, Store: p.ports.Store, Reports: p.ports.RolloutReports, TrueTime: p.trueTime,
-		Gateways: p.gateways, Drain: p.chooser.Drain, Running: p.running, Log: p.log.Named("rollout"),
-		Settled: func(service ident.Service) bool { return p.rollouts.Settled(service, p.idle) },
+		Gateways: p.gatewayCount, Drain: p.chooser.Drain, Running: p.runningRequests, Log: p.log.Named("rollout"),
+		Settled: func(service ident.Service) bool { return p.rollouts.Settled(service, p.hasNoRequests) },
 	})
 }
 
-// idle reports whether this gateway has no request at a service's upstreams for which a
+// hasNoRequests reports whether this gateway has no request at a service's upstreams for which a
 // condition is true, nor at any that is not listed any more.
-func (p *Process) idle(service ident.Service, is func(*directory.Upstream) bool) bool {
+func (p *Process) hasNoRequests(service ident.Service, is func(*directory.Upstream) bool) bool {
 	view := p.board.upstreams.Value()
 	for id := range p.chooser.Own() {
 		if u, listed := view.Upstream(id); !listed || u.Service == service && is(&u) {
@@ -140,8 +140,8 @@
 	return true
 }
 
-// running is how many requests all gateways have at a service.
-func (p *Process) running(service ident.Service) int {
+// runningRequests is how many requests all gateways have at a service.
+func (p *Process) runningRequests(service ident.Service) int {
 	sum := 0
 	own, others := p.chooser.Own(), p.view.Load()
 	for _, u := range p.board.upstreams.Value().Of(service) {
@@ -150,8 +150,8 @@
 	return sum
 }
 
-// need is how many upstreams the present work of all gateways keeps busy.
-func (p *Process) need(s *routetable.Service) float64 {
+// neededUpstreams is how many upstreams the present work of all gateways keeps busy.
+func (p *Process) neededUpstreams(s *routetable.Service) float64 {
 	if s.Engine == nil {
 		return 1
 	}
@@ -163,8 +163,8 @@
 	return scaling.Need(d, p.chooser.EngineFigures(s.Name, p.now()), s.Engine.Slots)
 }
 
-// work is what this gateway asks of each service, for its report.
-func (p *Process) work(now time.Time) map[ident.Service]placement.Demand {
+// demand is what this gateway asks of each service, for its report.
+func (p *Process) demand(now time.Time) map[ident.Service]placement.Demand {
 	table := p.table()
 	if table == nil {
 		return nil
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// noticedAfter is how long the platform may still send new connections to
+	// platformNoticeTime is how long the platform may still send new connections to
 	// a gateway that is not ready: two questions, a second apart, and its
 	// deciding.
-	noticedAfter = 3 * time.Second
-	// streamsAfter is for how long a leaving gateway still takes streams: the
+	platformNoticeTime = 3 * time.Second
+	// acceptStreamsFor is for how long a leaving gateway still takes streams: the
 	// platform stops to send new connections by then, and what begins so early
 	// has most of the grace to end.
-	streamsAfter = 2800 * time.Millisecond
-	// idleAfter is when idle connections are closed: their callers would only
+	acceptStreamsFor = 2800 * time.Millisecond
+	// closeIdleAfter is when idle connections are closed: their callers would only
 	// send what must be refused.
-	idleAfter = 2500 * time.Millisecond
+	closeIdleAfter = 2500 * time.Millisecond
 	// stopMargin is left of the grace for the last steps.
 	stopMargin = 700 * time.Millisecond
-	// stopStep is how often a leaving process looks whether it is done.
-	stopStep = 50 * time.Millisecond
+	// stopPollInterval is how often a leaving process looks whether it is done.
+	stopPollInterval = 50 * time.Millisecond
 )
 
 // readiness reports whether callers should come, and if not, why: a configuration
@@ -50,8 +50,8 @@
 	return true, ""
 }
 
-// newReadiness answers the platform's question.
-func (p *Process) newReadiness() *http.Server {
+// newReadinessServer answers the platform's question.
+func (p *Process) newReadinessServer() *http.Server {
 	return &http.Server{
 		ReadHeaderTimeout: time.Second,
 		ErrorLog:          p.log.Named("readiness").StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
@@ -69,8 +69,8 @@
 // operators.
 const metricsPath = "/metrics"
 
-// newOperators serves the metrics, what is barred, liveness, and readiness with its reason.
-func (p *Process) newOperators(listener net.Listener) *operations.Server {
+// newOperatorsServer serves the metrics, what is barred, liveness, and readiness with its reason.
+func (p *Process) newOperatorsServer(listener net.Listener) *operations.Server {
 	handlers := p.barredHandlers()
 	handlers["GET "+limitedPath] = http.HandlerFunc(p.listLimited)
 	handlers["GET "+metricsPath] = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { p.writeMetrics(w) })
@@ -91,15 +91,15 @@
 	fmt.Fprintf(w, "upstreams_offset %d\nupstreams_age_seconds %.3f\nupstreams_known %d\n", next, age.Seconds(), p.board.upstreams.Value().Count())
 	if table := p.table(); table != nil {
 		fmt.Fprintf(w, "configuration_revision %d\n", table.Revision())
-		p.writeEngines(w, table)
+		p.writeEngineMetrics(w, table)
 	}
 	for _, o := range p.rollouts.Orders() {
 		fmt.Fprintf(w, "rollout_phase{service=%q,to=%q,phase=%q} %d\nrollout_requests{service=%q} %d\nrollout_requests_new{service=%q} %d\nrollout_answers_new{service=%q} %d\nrollout_evidence_against{service=%q} %.3g\n",
 			o.Order.Service, o.Order.To, o.Phase.String(), o.Phase, o.Order.Service, o.Sent, o.Order.Service, o.Exposed,
 			o.Order.Service, o.Verdict.Answers, o.Order.Service, o.Verdict.Against)
 	}
-	p.writeBarred(w)
-	p.writeLimits(w)
+	p.writePoisonMetrics(w)
+	p.writeLimitMetrics(w)
 	v := p.view.Load()
 	fmt.Fprintf(w, "gateways_heard %d\ngateways_known %d\nclock_correction_seconds %.3f\n", v.Heard, v.Known, v.WallCorrection.Seconds())
 	fmt.Fprintf(w, "gateways_reports_age_seconds %.3f\n", v.age(p.now()).Seconds())
@@ -112,8 +112,8 @@
 	fmt.Fprintf(w, "memory_heap_bytes %d\nmemory_system_bytes %d\ngoroutines %d\n", m.HeapAlloc, m.Sys, runtime.NumGoroutine())
 }
 
-// writeEngines prints what is known of each service's engines.
-func (p *Process) writeEngines(w io.Writer, table *routetable.Table) {
+// writeEngineMetrics prints what is known of each service's engines.
+func (p *Process) writeEngineMetrics(w io.Writer, table *routetable.Table) {
 	for _, s := range table.Services() {
 		if s.Engine == nil {
 			continue
@@ -131,15 +131,15 @@
 	p.leaving.Store(true)
 	p.gossip.Leave()
 	end := began.Add(p.settings.Stop.Grace - stopMargin)
-	p.callers.Leave(began.Add(streamsAfter), end)
+	p.callers.Leave(began.Add(acceptStreamsFor), end)
 	p.log.Info("leaving", "active", p.callers.Active(), "grace_ms", p.settings.Stop.Grace.Milliseconds())
 	go p.gossip.Say(ctx)
 	for now := p.now(); now.Before(end); now = p.now() {
 		left := 1
-		if now.Sub(began) >= idleAfter {
+		if now.Sub(began) >= closeIdleAfter {
 			left = p.callers.CloseIdle()
 		}
-		if left == 0 && now.Sub(began) >= noticedAfter || !pause.For(signals.Kill, stopStep) {
+		if left == 0 && now.Sub(began) >= platformNoticeTime || !pause.For(signals.Kill, stopPollInterval) {
 			break
 		}
 	}
@@ -159,8 +159,8 @@
 	}
 }
 
-// reloadOnce reads the settings file again.
-func (p *Process) reloadOnce() {
+// reloadSettings reads the settings file again.
+func (p *Process) reloadSettings() {
 	next, findings := settings.LoadEntry(p.settings.Path)
 	if err := findings.Err(); err != nil {
 		p.log.Error("settings not usable, the last ones stay", "findings", err)
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// writeLimits prints the counters of the limits that upstreams name.
-func (p *Process) writeLimits(w io.Writer) {
+// writeLimitMetrics prints the counters of the limits that upstreams name.
+func (p *Process) writeLimitMetrics(w io.Writer) {
 	c := p.limits.Counters()
 	fmt.Fprintf(w, "upstreams_limited_now %d\nupstream_limits_changed_total %d\nupstream_limits_unreadable_total %d\n"+
 		"requests_within_limits_total %d\nrequests_passed_over_limits_total %d\n",
@@ -35,16 +35,16 @@
 	for i := range v.Groups {
 		uses.Add(v.Groups[i].LimitUses)
 	}
-	p.limits.Refresh(uses, upstreamlimit.Fleet{Heard: v.Heard + 1, Known: p.gateways()})
+	p.limits.Refresh(uses, upstreamlimit.Fleet{Heard: v.Heard + 1, Known: p.gatewayCount()})
 	p.limits.Listed(func(note func(ident.Instance)) {
 		p.board.upstreams.Value().Each(func(u *directory.Upstream) { note(u.ID) })
 	})
 }
 
-// learnLimits takes in what another gateway says of upstreams' limits, as of an instant, or
+// applyLimits takes in what another gateway says of upstreams' limits, as of an instant, or
 // of nobody knows when, where that is zero: as of now, then, because it was on its way for
 // less than gateways take to hear of each other.
-func (p *Process) learnLimits(said []upstreamlimit.Said, asOf time.Time) {
+func (p *Process) applyLimits(said []upstreamlimit.Said, asOf time.Time) {
 	if asOf.IsZero() {
 		asOf = p.now()
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -23,8 +23,8 @@
 	loads map[gossip.UpstreamKey]placement.Load
 }
 
-// follow takes over the other gateways' reports, twice a round.
-func (p *Process) follow(ctx context.Context) {
+// followPeers takes over the other gateways' reports, twice a round.
+func (p *Process) followPeers(ctx context.Context) {
 	for pause.For(ctx, gossip.Interval/2) {
 		p.refreshPeers()
 	}
@@ -33,19 +33,19 @@
 func (p *Process) refreshPeers() {
 	now := p.now()
 	v := &peerView{View: p.gossip.View(now)}
-	v.loads = loadsOf(v.Groups)
-	p.ledger.Hear(p.life, p.counter.Windows())
+	v.loads = totalLoads(v.Groups)
+	p.ledger.Hear(p.incarnationID, p.counter.Windows())
 	p.view.Store(v)
-	p.rollouts.Refresh(wordsOf(v.Groups))
-	p.poison.Refresh(poisonOf(v.Groups))
+	p.rollouts.Refresh(rolloutStatements(v.Groups))
+	p.poison.Refresh(poisonStatements(v.Groups))
 	p.refreshLimits(v)
 	if table := p.table(); table != nil {
-		p.keeper.Tick(table.Accounts(), now)
+		p.quotas.Tick(table.Accounts(), now)
 	}
 }
 
-// wordsOf joins what the groups say of rollouts.
-func wordsOf(groups []gossip.Group) rollout.Words {
+// rolloutStatements joins what the groups say of rollouts.
+func rolloutStatements(groups []gossip.Group) rollout.Words {
 	var words rollout.Words
 	for i := range groups {
 		words = words.Plus(groups[i].Rollouts)
@@ -53,8 +53,8 @@
 	return words
 }
 
-// poisonOf joins what the groups say of requests that end upstreams.
-func poisonOf(groups []gossip.Group) poison.Words {
+// poisonStatements joins what the groups say of requests that end upstreams.
+func poisonStatements(groups []gossip.Group) poison.Words {
 	var words poison.Words
 	for i := range groups {
 		words = words.Plus(groups[i].Poison)
@@ -62,8 +62,8 @@
 	return words
 }
 
-// loadsOf adds up what the groups have at each upstream.
-func loadsOf(groups []gossip.Group) map[gossip.UpstreamKey]placement.Load {
+// totalLoads adds up what the groups have at each upstream.
+func totalLoads(groups []gossip.Group) map[gossip.UpstreamKey]placement.Load {
 	if len(groups) == 1 {
 		return groups[0].Loads
 	}
@@ -89,22 +89,22 @@
 // loadOf is what the other gateways have at an upstream.
 func (v *peerView) loadOf(id ident.Instance) placement.Load { return v.loads[gossip.KeyOf(id)] }
 
-// place is this gateway's place in line among those that are heard.
-func (p *Process) place() int { return p.view.Load().Place }
+// storeRank is this gateway's place in line among those that are heard.
+func (p *Process) storeRank() int { return p.view.Load().Place }
 
-// assumedFor is for how long after its start a process counts with at least as
+// gatewaysBeforeStartPeriod is for how long after its start a process counts with at least as
 // many gateways as there were before. What goes wrong without it: many start at
 // once, each knows none of the others for some rounds of the exchange, and all of
 // them give callers the whole of each account's limit.
-const assumedFor = 3 * time.Second
+const gatewaysBeforeStartPeriod = 3 * time.Second
 
-// gateways is how many gateways there may be, with this one.
-func (p *Process) gateways() int { return p.gatewaysAt(p.now()) }
+// gatewayCount is how many gateways there may be, with this one.
+func (p *Process) gatewayCount() int { return p.gatewayCountAt(p.now()) }
 
-func (p *Process) gatewaysAt(now time.Time) int {
+func (p *Process) gatewayCountAt(now time.Time) int {
 	known := p.view.Load().Known + 1
-	if now.Sub(p.started) < assumedFor {
-		return max(known, int(p.assumed.Load()))
+	if now.Sub(p.started) < gatewaysBeforeStartPeriod {
+		return max(known, int(p.gatewaysBeforeStart.Load()))
 	}
 	return known
 }
@@ -112,11 +112,11 @@
 // trueTime is the time of day as most gateways have it.
 func (p *Process) trueTime() time.Time { return time.Now().Add(p.view.Load().WallCorrection) }
 
-// quotaOthers returns what the other gateways report of an account. It reads no clock: it is
+// quotaReports returns what the other gateways report of an account. It reads no clock: it is
 // called for each of hundreds of accounts, eight times a second.
-func (p *Process) quotaOthers(account ident.ClientAccount, now time.Time) quota.Others {
+func (p *Process) quotaReports(account ident.ClientAccount, now time.Time) quota.Others {
 	v := p.view.Load()
-	o := quota.Others{Known: p.gatewaysAt(now) - 1, Reports: make([]quota.Report, len(v.Groups))}
+	o := quota.Others{Known: p.gatewayCountAt(now) - 1, Reports: make([]quota.Report, len(v.Groups))}
 	for i := range v.Groups {
 		g := &v.Groups[i]
 		spending := g.Accounts[account]
@@ -150,7 +150,7 @@
 	r.Revision, r.RevisionAge = p.configuration.state()
 	r.Upstreams, r.UpstreamsAge = p.upstreams.state()
 	_, r.Holds = p.lease.Grant()
-	r.Rollouts = p.rollouts.Words(p.idle)
+	r.Rollouts = p.rollouts.Words(p.hasNoRequests)
 	r.Poison = p.poison.Words()
 	r.Limits = p.limits.Say()
 	r.LimitSet = p.limits.Order().Set
@@ -167,11 +167,11 @@
 		r.Loads[gossip.KeyOf(id)] = load
 	}
 	r.Accounts = make(map[ident.ClientAccount]gossip.Spending)
-	for account, total := range p.keeper.Totals() {
+	for account, total := range p.quotas.Totals() {
 		r.Accounts[account] = gossip.Spending{Spent: total.Spent, Refused: total.Refused}
 	}
 	r.LimitUses = p.limits.Uses()
-	r.Work = p.work(now)
+	r.Work = p.demand(now)
 	r.Engines = p.chooser.Engines()
 	return r
 }
@@ -185,24 +185,24 @@
 
 // Config implements gossip.Knowledge.
 func (k knowledge) Config(than ident.Revision) *gossip.ConfigRecord {
-	return k.p.configuration.record(than)
+	return k.p.configuration.newerThan(than)
 }
 
 // Upstreams implements gossip.Knowledge.
 func (k knowledge) Upstreams(from ident.Offset, all bool) *directory.News {
-	return k.p.upstreams.news(from, all)
+	return k.p.upstreams.updateSince(from, all)
 }
 
 // Lacks implements gossip.Knowledge.
-func (k knowledge) Lacks() bool { return k.p.configuration.lacks() || k.p.upstreams.lacks() }
+func (k knowledge) Lacks() bool { return k.p.configuration.needsFetch() || k.p.upstreams.needsFetch() }
 
 // Learn implements gossip.Knowledge.
 func (k knowledge) Learn(config *gossip.ConfigRecord, upstreams *directory.News) {
 	if config != nil {
-		k.p.configuration.take(config.Offset, config.Data, "gateway")
+		k.p.configuration.apply(config.Offset, config.Data, "gateway")
 	}
 	if upstreams != nil {
-		k.p.upstreams.learn(*upstreams)
+		k.p.upstreams.applyUpdate(*upstreams)
 	}
 }
 
@@ -210,10 +210,10 @@
 func (k knowledge) Heard(r *gossip.Report, asOf time.Time) {
 	// What a gateway says that it knows of the operators' records comes after what they say.
 	k.p.rollouts.Learn(r.Rollouts)
-	k.p.learnLimits(r.Limits, asOf)
+	k.p.applyLimits(r.Limits, asOf)
 	// As of long ago a report confirms nothing; a newer revision is news all the same.
-	k.p.configuration.confirmBy(r.Revision, asOf.Add(-r.RevisionAge))
-	k.p.upstreams.confirm(r.Upstreams, asOf.Add(-r.UpstreamsAge))
+	k.p.configuration.confirmFromPeer(r.Revision, asOf.Add(-r.RevisionAge))
+	k.p.upstreams.confirmFromPeer(r.Upstreams, asOf.Add(-r.UpstreamsAge))
 	k.p.ledger.Hear(gossip.LifeOf(r.Node, r.Incarnation), r.Began)
 }
 
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -22,7 +22,7 @@
 		accounts = append(accounts, routetable.Account{Name: ident.ClientAccount(fmt.Sprint("acct", i)), Rate: 36_000, Burst: 36_000})
 	}
 	now := p.now()
-	keeper := quota.NewKeeper(quota.Tolerance{Window: 8 * time.Second}, p.quotaOthers, now)
+	keeper := quota.NewKeeper(quota.Tolerance{Window: 8 * time.Second}, p.quotaReports, now)
 	for range 8 {
 		keeper.Tick(accounts, now)
 	}
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -39,16 +39,16 @@
 )
 
 const (
-	// memoryPart of the machine's memory is what Go's collector keeps to; the
+	// goMemoryShare of the machine's memory is what Go's collector keeps to; the
 	// rest is for its own structures, stacks and the kernel's buffers.
-	memoryPart = 0.7
-	// bodyPart of the memory may be callers' bodies.
-	bodyPart = 0.25
-	// callerPart of the descriptors may be callers' connections; the rest are
+	goMemoryShare = 0.7
+	// bodyMemoryShare of the memory may be callers' bodies.
+	bodyMemoryShare = 0.25
+	// callerDescriptorShare of the descriptors may be callers' connections; the rest are
 	// for upstreams, peers and files.
-	callerPart = 0.6
-	// sweepEvery is how often idle connections are looked at.
-	sweepEvery = time.Second
+	callerDescriptorShare = 0.6
+	// sweepInterval is how often idle connections are looked at.
+	sweepInterval = time.Second
 )
 
 // Process is an entry process. Create it with New and run it once.
@@ -62,18 +62,18 @@
 	started  time.Time
 	// incarnation tells this life from earlier ones of the same instance.
 	incarnation ident.Incarnation
-	// life names it, as gossip.LifeOf does.
-	life    string
-	seq     atomic.Uint64
-	leaving atomic.Bool
-	// assumed is how many gateways there were before the start; it counts for
+	// incarnationID names it, as gossip.LifeOf does.
+	incarnationID string
+	seq           atomic.Uint64
+	leaving       atomic.Bool
+	// gatewaysBeforeStart is how many gateways there were before the start; it counts for
 	// assumedFor.
-	assumed atomic.Int64
+	gatewaysBeforeStart atomic.Int64
 
 	board         *board
 	pool          *httpconn.Pool
-	configuration *configuration
-	upstreams     *upstreams
+	configuration *configFollower
+	upstreams     *upstreamsFollower
 	peers         *gossip.Table
 	gossip        *gossip.Gossip
 	chooser       *placement.Chooser
@@ -81,7 +81,7 @@
 	poison        *poison.Tracker
 	limits        *upstreamlimit.Keeper
 	lease         *duty.Manager
-	keeper        *quota.Keeper
+	quotas        *quota.Keeper
 	counter       *metering.Counter
 	ledger        *metering.Ledger
 	metrics       *ingress.Metrics
@@ -107,7 +107,7 @@
 		incarnation: ident.Incarnation(time.Now().UnixNano()), board: newBoard(), pool: httpconn.NewPool(boottime.Now),
 		ledger: metering.NewLedger(), metrics: ingress.NewMetrics(),
 	}
-	p.life = gossip.LifeOf(s.Instance.ID, p.incarnation)
+	p.incarnationID = gossip.LifeOf(s.Instance.ID, p.incarnation)
 	p.ports = makePorts(p.pool)
 	p.view.Store(&peerView{View: gossip.NoView()})
 	p.wire()
@@ -119,60 +119,60 @@
 	p.peers = gossip.NewTable(p.contact(), s.Peers.Seeds)
 	p.rollouts = rollout.New(rollout.Config{
 		Limits: rollout.Limits{Share: s.Rollout.Share, Slack: s.Rollout.Slack, StopDue: s.Rollout.StopDue}, Now: p.now, Log: p.log.Named("rollout"),
-		Life: p.life, Gateways: p.gateways, OrdersKnown: func() time.Time { return p.configuration.confirmedAt() },
+		Life: p.incarnationID, Gateways: p.gatewayCount, OrdersKnown: func() time.Time { return p.configuration.confirmedAt() },
 	})
 	key := func(id ident.Instance) uint32 { return uint32(gossip.KeyOf(id)) }
 	p.poison = poison.New(poison.Config{Now: p.now, Log: p.log.Named("poison"), Key: key})
 	p.limits = upstreamlimit.NewKeeper(upstreamlimit.Config{
 		Now: p.now, Log: p.log.Named("limits"), Key: key, Round: gossip.Interval, Seed: uint64(p.incarnation),
 	})
-	p.configuration = newConfiguration(p.ports, p.board, p.rollouts, p.now, p.place, s.Configuration.ChangeDue, p.log.Named("configuration"))
-	p.upstreams = newUpstreams(p.ports, p.board, p.rollouts, p.pool, p.now, p.place, s.Upstreams.DepartureDue, p.log.Named("upstreams"))
+	p.configuration = newConfigFollower(p.ports, p.board, p.rollouts, p.now, p.storeRank, s.Configuration.ChangeDue, p.log.Named("configuration"))
+	p.upstreams = newUpstreamsFollower(p.ports, p.board, p.rollouts, p.pool, p.now, p.storeRank, s.Upstreams.DepartureDue, p.log.Named("upstreams"))
 	p.gossip = gossip.New(gossip.Config{
 		Self: p.contact(), Incarnation: p.incarnation, Table: p.peers, Knowledge: knowledge{p},
 		Network: gossip.OverHTTP{Pool: p.pool}, Now: p.now, Log: p.log.Named("gossip"),
 	})
 	p.counter = metering.NewCounter(s.Usage.Window, p.trueTime)
-	p.keeper = quota.NewKeeper(quota.Tolerance{Window: s.Quota.Window, Overage: s.Quota.Overage, Slack: s.Quota.Slack}, p.quotaOthers, p.now())
+	p.quotas = quota.NewKeeper(quota.Tolerance{Window: s.Quota.Window, Overage: s.Quota.Overage, Slack: s.Quota.Slack}, p.quotaReports, p.now())
 	p.chooser = placement.New(placement.Config{
 		Params: placement.DefaultParams(), Self: s.Instance.ID, Domain: s.Instance.FailureDomain, Log: p.log.Named("placement"),
 		View:     func() *directory.View { return p.board.upstreams.Value() },
 		Others:   func(id ident.Instance) placement.Load { return p.view.Load().loadOf(id) },
 		Silent:   func(d ident.FailureDomain) bool { return p.view.Load().Silent[d] },
-		Gateways: p.gateways,
+		Gateways: p.gatewayCount,
 		Engines:  p.engineSums,
 		Limits:   p.limits,
 		Split:    p.rollouts.Of,
 	})
 	forwarder := forward.New(forward.Config{
 		Now: p.now, Pool: p.pool, Dialect: p.ports.Protocol, Placement: p.chooser,
-		Budget: retry.NewShared(retry.SharedConfig{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: s.Retries.Window}, p.gateways),
+		Budget: retry.NewShared(retry.SharedConfig{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: s.Retries.Window}, p.gatewayCount),
 		Guard:  p.poison, Limits: p.limits, Meter: p.counter, Log: p.log.Named("forward"), Tracer: p.tracing.Tracer, RetryAfter: p.retryAfter,
 	})
 	p.lease = p.newLease()
 	p.callers = ingress.New(ingress.Config{
-		Now: p.now, Table: p.table, Protocol: p.ports.Protocol, Quota: p.keeper, Guard: p.poison, Forwarder: forwarder,
+		Now: p.now, Table: p.table, Protocol: p.ports.Protocol, Quota: p.quotas, Guard: p.poison, Forwarder: forwarder,
 		Log: p.log.Named("ingress"), Tracer: p.tracing.Tracer, Metrics: p.metrics,
-		BodyBudget: int64(bodyPart * s.Machine.MemoryMiB * (1 << 20)),
+		BodyBudget: int64(bodyMemoryShare * s.Machine.MemoryMiB * (1 << 20)),
 	})
 }
 
-// leastReturn is the least time after which a caller comes back whose request no upstream
+// minRetryAfter is the least time after which a caller comes back whose request no upstream
 // took: slots become free all the time.
-const leastReturn = 100 * time.Millisecond
+const minRetryAfter = 100 * time.Millisecond
 
 // retryAfter is when such a caller comes back: when an engine will have read what is
 // before it, and spread, so that callers who were refused together do not return together.
 func (p *Process) retryAfter(call *forward.Call) time.Duration {
 	room := p.chooser.RoomIn(call, p.now())
-	return returntime.Spread(max(call.Route.Objective/2, room, leastReturn), call.ID)
+	return returntime.Spread(max(call.Route.Objective/2, room, minRetryAfter), call.ID)
 }
 
 func (p *Process) table() *routetable.Table { return p.board.table.Value() }
 
 // Run serves until signals.Stop ends, and then leaves within the grace.
 func (p *Process) Run(signals program.Signals, reload <-chan os.Signal) error {
-	debug.SetMemoryLimit(int64(memoryPart * p.settings.Machine.MemoryMiB * (1 << 20)))
+	debug.SetMemoryLimit(int64(goMemoryShare * p.settings.Machine.MemoryMiB * (1 << 20)))
 	p.log.Info("started", "version", program.Version(), "domain", p.settings.Instance.FailureDomain,
 		"callers", p.settings.Listen.Callers, "operators", p.settings.Listen.Operators, "seeds", p.settings.Peers.Seeds)
 	listeners, err := p.listen()
@@ -185,15 +185,15 @@
 	run := func(f func(context.Context)) { work.Go(func() { f(ctx) }) }
 	go p.serve("callers", func() error { return p.callers.Serve(listeners.callers) })
 	go p.serve("peers", func() error { return p.gossip.Serve(listeners.peers) })
-	go p.serve("readiness", func() error { return p.newReadiness().Serve(listeners.readiness) })
+	go p.serve("readiness", func() error { return p.newReadinessServer().Serve(listeners.readiness) })
 	if listeners.operators != nil {
-		go p.serve("operators", p.newOperators(listeners.operators).Serve)
+		go p.serve("operators", p.newOperatorsServer(listeners.operators).Serve)
 	}
 	run(p.configuration.run)
 	run(p.upstreams.run)
 	run(p.gossip.Run)
-	run(p.follow)
-	run(p.sweep)
+	run(p.followPeers)
+	run(p.sweepIdle)
 	run(func(ctx context.Context) { p.reload(ctx, reload) })
 	run(func(ctx context.Context) { p.runDuties(ctx, signals.Stop) })
 	<-signals.Stop.Done()
@@ -240,13 +240,13 @@
 		}
 		*each.into = listener
 	}
-	l.callers = netutil.LimitListener(l.callers, int(callerPart*float64(p.settings.Machine.Descriptors)))
+	l.callers = netutil.LimitListener(l.callers, int(callerDescriptorShare*float64(p.settings.Machine.Descriptors)))
 	return l, nil
 }
 
-// sweep closes what was idle too long.
-func (p *Process) sweep(ctx context.Context) {
-	for pause.For(ctx, sweepEvery) {
+// sweepIdle closes what was idle too long.
+func (p *Process) sweepIdle(ctx context.Context) {
+	for pause.For(ctx, sweepInterval) {
 		p.pool.Sweep()
 		p.callers.SweepIdle()
 	}
@@ -261,6 +261,6 @@
 			return
 		case <-signals:
 		}
-		p.reloadOnce()
+		p.reloadSettings()
 	}
 }
--- a/internal/entry/start_test.go
+++ b/internal/entry/start_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if rank, held := p.rank(); rank == 0 && !held {
+		if rank, held := p.leaseRank(); rank == 0 && !held {
 			t.Error("a gateway that has just started takes itself for the first in line")
 		}
 		p.refreshPeers()
--- a/internal/entry/storehealth.go
+++ b/internal/entry/storehealth.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// retryLeast and retryMost bound the pause after a failed call; the pause is
+	// minRetryPause and retryMost bound the pause after a failed call; the pause is
 	// drawn between half of it and the whole, so that gateways that lost the
 	// store together do not come back together.
-	retryLeast = 150 * time.Millisecond
-	retryMost  = 1200 * time.Millisecond
+	minRetryPause = 150 * time.Millisecond
+	maxRetryPause = 1200 * time.Millisecond
 )
 
 // retryPause returns the pause after a number of failures in a row.
 func retryPause(failures int) time.Duration {
-	pause := min(retryLeast<<min(failures, 5), retryMost)
+	pause := min(minRetryPause<<min(failures, 5), maxRetryPause)
 	return pause/2 + rand.N(pause/2+1)
 }
 
@@ -35,11 +35,11 @@
 }
 
 const (
-	// lookEvery is how often a follower looks at least whether a read is due. What
+	// maxPollInterval is how often a follower looks at least whether a read is due. What
 	// others say changes that, and mostly puts it off.
-	lookEvery = 200 * time.Millisecond
-	// leastLook is the least time between two looks: a gateway at rest mostly looks.
-	leastLook = 50 * time.Millisecond
+	maxPollInterval = 200 * time.Millisecond
+	// minPollInterval is the least time between two looks: a gateway at rest mostly looks.
+	minPollInterval = 50 * time.Millisecond
 )
 
 // follow reads whenever it is due until ctx ends. step reports after how long the next read
@@ -49,11 +49,11 @@
 		idle, err := step(ctx)
 		switch {
 		case idle > 0:
-			pause.For(ctx, min(max(idle, leastLook), lookEvery))
+			pause.For(ctx, min(max(idle, minPollInterval), maxPollInterval))
 		case err != nil:
-			h.failed(ctx, err)
+			h.recordFailure(ctx, err)
 		default:
-			h.answered()
+			h.recordAnswer()
 		}
 	}
 }
@@ -61,16 +61,16 @@
 // failing reports whether the store did not answer the last call.
 func (h *storeHealth) failing() bool { return h.failures.Load() > 0 }
 
-// answered notes a call that the store answered.
-func (h *storeHealth) answered() {
+// recordAnswer notes a call that the store answered.
+func (h *storeHealth) recordAnswer() {
 	if failures := h.failures.Swap(0); failures > 0 {
 		h.log.Info("store answers again", "topic", h.topic, "failures", failures)
 	}
 }
 
-// failed notes a call that failed, and waits until the next one is due or ctx has
+// recordFailure notes a call that failed, and waits until the next one is due or ctx has
 // ended.
-func (h *storeHealth) failed(ctx context.Context, err error) {
+func (h *storeHealth) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -25,33 +25,33 @@
 	// part of the time within which a departure is due: the second in line soon,
 	// so that it takes over where the first one is cut off from the store, the
 	// others later: when the second one's view should have come.
-	firstAge   = 350 * time.Millisecond
-	secondPart = 0.35
-	otherPart  = 0.55
+	firstMaxViewAge       = 350 * time.Millisecond
+	secondMaxViewAgeShare = 0.35
+	otherMaxViewAgeShare  = 0.55
 	// viewJitter spreads the gateways that ask for themselves.
 	viewJitter = 150 * time.Millisecond
-	// awayPart of the same time is how old the view must be for the store to
+	// storeAwayShare of the same time is how old the view must be for the store to
 	// count as away: longer than a gateway that is turned away by the store waits
 	// for the others' view, shorter than an entry lives without renewal (3.6 s).
-	awayPart = 0.9
+	storeAwayShare = 0.9
 )
 
-// viewLimit is how old the view may become at a gateway with a place in line.
-func (u *upstreams) viewLimit() time.Duration {
+// maxViewAge is how old the view may become at a gateway with a place in line.
+func (u *upstreamsFollower) maxViewAge() time.Duration {
 	switch u.rank() {
 	case 0:
-		return firstAge
+		return firstMaxViewAge
 	case 1:
-		return part(u.due, secondPart)
+		return shareOf(u.due, secondMaxViewAgeShare)
 	}
-	return part(u.due, otherPart) + rand.N(viewJitter)
+	return shareOf(u.due, otherMaxViewAgeShare) + rand.N(viewJitter)
 }
 
-func part(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
+func shareOf(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
 
-// upstreams follows the upstreams' entries and publishes them. It is the only
+// upstreamsFollower follows the upstreams' entries and publishes them. It is the only
 // writer of board.upstreams.
-type upstreams struct {
+type upstreamsFollower struct {
 	ports Ports
 	board *board
 	// rollouts sees each view before it is used.
@@ -71,44 +71,44 @@
 	confirmed time.Time
 	// listed: the newest records were read once in this life.
 	listed bool
-	// faulty are the entries that could not be used, and strange those whose service
+	// loggedUnusable are the entries that could not be used, and strange those whose service
 	// nobody knows, so that each is logged once.
-	faulty, strange onceByKey
+	loggedUnusable, loggedUnknownService onceByKey
 }
 
-func newUpstreams(ports Ports, b *board, rollouts *rollout.Tracker, pool *httpconn.Pool, now boottime.Clock, rank func() int, due time.Duration, log hclog.Logger) *upstreams {
-	return &upstreams{
+func newUpstreamsFollower(ports Ports, b *board, rollouts *rollout.Tracker, pool *httpconn.Pool, now boottime.Clock, rank func() int, due time.Duration, log hclog.Logger) *upstreamsFollower {
+	return &upstreamsFollower{
 		ports: ports, board: b, rollouts: rollouts, pool: pool, now: now, rank: rank, due: due, log: log, health: storeHealth{log: log, topic: ports.UpstreamsTopic},
 		dir: directory.New(),
 	}
 }
 
 // run keeps the view young until ctx ends.
-func (u *upstreams) run(ctx context.Context) {
+func (u *upstreamsFollower) run(ctx context.Context) {
 	u.health.follow(ctx, func(ctx context.Context) (time.Duration, error) {
-		if idle := u.viewLimit() - u.age(); idle > 0 {
+		if idle := u.maxViewAge() - u.age(); idle > 0 {
 			if u.expire() {
-				idle = min(idle, leastLook)
+				idle = min(idle, minPollInterval)
 			}
 			return idle, nil
 		}
 		err := u.read(ctx)
 		if err != nil {
-			u.away()
+			u.recordStoreAway()
 		}
 		return 0, err
 	})
 }
 
-func (u *upstreams) age() time.Duration {
+func (u *upstreamsFollower) age() time.Duration {
 	_, age := u.state()
 	return age
 }
 
-// away notes that the store did not answer. Only where no gateway hears from it
+// recordStoreAway notes that the store did not answer. Only where no gateway hears from it
 // the upstreams may be unable to renew their entries too.
-func (u *upstreams) away() {
-	if u.age() < part(u.due, awayPart) {
+func (u *upstreamsFollower) recordStoreAway() {
+	if u.age() < shareOf(u.due, storeAwayShare) {
 		return
 	}
 	u.mu.Lock()
@@ -117,7 +117,7 @@
 }
 
 // read asks the store for what is new, or for all where that is not known.
-func (u *upstreams) read(ctx context.Context) error {
+func (u *upstreamsFollower) read(ctx context.Context) error {
 	asked := u.now()
 	u.mu.Lock()
 	next, listed := u.dir.Next(), u.listed
@@ -150,8 +150,8 @@
 }
 
 // list reads the newest record of each upstream. What it does not hold is gone.
-func (u *upstreams) list(ctx context.Context, asked time.Time) error {
-	batch, err := u.ports.Store.Newest(ctx, u.ports.UpstreamsTopic, u.page)
+func (u *upstreamsFollower) list(ctx context.Context, asked time.Time) error {
+	batch, err := u.ports.Store.Newest(ctx, u.ports.UpstreamsTopic, u.applyPage)
 	if err != nil {
 		return err
 	}
@@ -169,10 +169,10 @@
 	return nil
 }
 
-// page takes a part of a listing in. What goes wrong if the upstreams become known only with
+// applyPage takes a part of a listing in. What goes wrong if the upstreams become known only with
 // its last page: a gateway that has just started beside thousands of upstreams refuses all
 // requests for seconds, though the first page names hundreds that take work.
-func (u *upstreams) page(records []platform.KeyedRecord) {
+func (u *upstreamsFollower) applyPage(records []platform.KeyedRecord) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.dir.StoreBack(u.now())
@@ -182,7 +182,7 @@
 }
 
 // applyAll takes records in and returns those that changed something, and whether any did.
-func (u *upstreams) applyAll(records []platform.KeyedRecord) (changes []directory.Record, changed bool) {
+func (u *upstreamsFollower) applyAll(records []platform.KeyedRecord) (changes []directory.Record, changed bool) {
 	for _, record := range records {
 		change, different := u.applyOne(record)
 		changed = changed || different
@@ -195,10 +195,10 @@
 
 // applyOne takes a record in and reports whether it changed something; the change has no ID
 // where the record could not be used.
-func (u *upstreams) applyOne(record platform.KeyedRecord) (directory.Record, bool) {
+func (u *upstreamsFollower) applyOne(record platform.KeyedRecord) (directory.Record, bool) {
 	name := ident.Instance(record.Key)
 	if record.Unreadable == nil && record.Value == nil {
-		u.faulty.ok(record.Key)
+		u.loggedUnusable.reset(record.Key)
 		changed := u.dir.Apply(name, record.Offset, nil, u.now())
 		return directory.Record{ID: name, Offset: record.Offset}, changed
 	}
@@ -210,12 +210,12 @@
 		err = findings.Err()
 	}
 	if err != nil {
-		if u.faulty.first(record.Key) {
+		if u.loggedUnusable.firstTime(record.Key) {
 			u.log.Error("upstream's entry not usable", "upstream", name, "offset", record.Offset, "findings", err)
 		}
 		return directory.Record{}, u.dir.Unreadable(name, record.Offset, u.now())
 	}
-	u.faulty.ok(record.Key)
+	u.loggedUnusable.reset(record.Key)
 	u.logStrange(record.Key, &entry)
 	changed := u.dir.Apply(name, record.Offset, &entry, u.now())
 	return directory.Record{ID: entry.ID, Offset: record.Offset, Upstream: &entry}, changed
@@ -223,28 +223,28 @@
 
 // logStrange tells of an upstream that no route can reach, because its service is not
 // in the configuration.
-func (u *upstreams) logStrange(key string, entry *directory.Upstream) {
+func (u *upstreamsFollower) logStrange(key string, entry *directory.Upstream) {
 	table := u.board.table.Value()
 	if table == nil {
 		return
 	}
 	if table.Service(entry.Service) != nil {
-		u.strange.ok(key)
-	} else if u.strange.first(key) {
+		u.loggedUnknownService.reset(key)
+	} else if u.loggedUnknownService.firstTime(key) {
 		u.log.Warn("upstream's service is not in the configuration", "upstream", entry.ID, "service", entry.Service)
 	}
 }
 
-// linesOfBatch is up to how many changes that come together each get a line of their own.
+// maxLinesPerBatch is up to how many changes that come together each get a line of their own.
 // What goes wrong without a bound: where thousands of upstreams start or are replaced, each
 // of a thousand gateways writes all of them, and that is most of what it does.
-const linesOfBatch = 16
+const maxLinesPerBatch = 16
 
 // logBatch tells of changes that came together: each in its own line, or where there are
 // many, how many there were, and those that left. What the store said of each stands in the
 // log of the gateway that read it there.
-func (u *upstreams) logBatch(changes []directory.Record, from string) {
-	if len(changes) <= linesOfBatch {
+func (u *upstreamsFollower) logBatch(changes []directory.Record, from string) {
+	if len(changes) <= maxLinesPerBatch {
 		for _, r := range changes {
 			u.logEntry(r.ID, r.Offset, r.Upstream, from)
 		}
@@ -262,11 +262,11 @@
 		}
 	}
 	u.log.Info("upstreams' entries", "changes", len(changes), "first_offset", first, "last_offset", last, "leaving", len(leaving), "dropped", len(dropped),
-		"some_leaving", leaving[:min(len(leaving), linesOfBatch)], "some_dropped", dropped[:min(len(dropped), linesOfBatch)], "from", from)
+		"some_leaving", leaving[:min(len(leaving), maxLinesPerBatch)], "some_dropped", dropped[:min(len(dropped), maxLinesPerBatch)], "from", from)
 }
 
 // logEntry tells of an upstream's entry that changed something.
-func (u *upstreams) logEntry(id ident.Instance, offset ident.Offset, entry *directory.Upstream, from string) {
+func (u *upstreamsFollower) logEntry(id ident.Instance, offset ident.Offset, entry *directory.Upstream, from string) {
 	if entry == nil {
 		u.log.Info("upstream's entry dropped", "upstream", id, "offset", offset, "from", from)
 		return
@@ -277,7 +277,7 @@
 }
 
 // expire ends the grace of entries that lapsed and reports whether there are more.
-func (u *upstreams) expire() (more bool) {
+func (u *upstreamsFollower) expire() (more bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	changed, more := u.dir.Expire(u.now())
@@ -287,7 +287,7 @@
 
 // publish puts a new view on the board, and closes the connections to upstreams
 // that are gone.
-func (u *upstreams) publish(changed bool) {
+func (u *upstreamsFollower) publish(changed bool) {
 	if !changed {
 		return
 	}
@@ -300,9 +300,9 @@
 	}
 }
 
-// news returns what another gateway lacks that knows all records before an offset; nil
+// updateSince returns what another gateway lacks that knows all records before an offset; nil
 // where that is all of them and these are not asked for.
-func (u *upstreams) news(from ident.Offset, all bool) *directory.News {
+func (u *upstreamsFollower) updateSince(from ident.Offset, all bool) *directory.News {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !all && !u.dir.Covers(from) {
@@ -312,13 +312,15 @@
 	return &news
 }
 
-// lacks reports whether another gateway should be asked for all entries: the store does
+// needsFetch reports whether another gateway should be asked for all entries: the store does
 // not answer this one, and what the others tell by themselves does not bring its view
 // up to date.
-func (u *upstreams) lacks() bool { return u.health.failing() && u.age() > part(u.due, otherPart) }
+func (u *upstreamsFollower) needsFetch() bool {
+	return u.health.failing() && u.age() > shareOf(u.due, otherMaxViewAgeShare)
+}
 
-// learn takes in what another gateway knows.
-func (u *upstreams) learn(news directory.News) {
+// applyUpdate takes in what another gateway knows.
+func (u *upstreamsFollower) applyUpdate(news directory.News) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	changes, changed := u.dir.Take(news, u.now())
@@ -330,15 +332,15 @@
 }
 
 // state returns the offset up to which all is known, and the view's age.
-func (u *upstreams) state() (ident.Offset, time.Duration) {
+func (u *upstreamsFollower) state() (ident.Offset, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.dir.Next(), ageOf(u.confirmed, u.now())
 }
 
-// confirm takes another gateway's word that the store confirmed a view some time
+// confirmFromPeer takes another gateway's word that the store confirmed a view some time
 // ago, where this gateway's view is at least as new.
-func (u *upstreams) confirm(next ident.Offset, at time.Time) {
+func (u *upstreamsFollower) confirmFromPeer(next ident.Offset, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if next > 0 && u.dir.Next() >= next && at.After(u.confirmed) {
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -19,7 +19,7 @@
 )
 
 // brokenListing is a store whose listing ends after its first page.
-type brokenListing struct{ quietStore }
+type brokenListing struct{ unchangingStore }
 
 // Newest implements platform.KeyedLog.
 func (s *brokenListing) Newest(_ context.Context, _ string, each func([]platform.KeyedRecord)) (platform.KeyedBatch, error) {
@@ -35,14 +35,14 @@
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	ports := Ports{
-		Store: &brokenListing{quietStore{now: &now}}, UpstreamsTopic: "upstreams",
+		Store: &brokenListing{unchangingStore{now: &now}}, UpstreamsTopic: "upstreams",
 		DecodeUpstream: func(_, name string, _ []byte) (directory.Upstream, finding.List) {
 			return directory.Upstream{ID: ident.Instance(name), Name: ident.Instance(name), Service: "svc", Address: "127.0.0.1:1", State: directory.Ready}, nil
 		},
 	}
 	b := newBoard()
 	tracker := rollout.New(rollout.Config{Now: clock, Log: hclog.NewNullLogger(), OrdersKnown: clock, Gateways: func() int { return 1 }})
-	u := newUpstreams(ports, b, tracker, nil, clock, func() int { return 0 }, 3*time.Second, hclog.NewNullLogger())
+	u := newUpstreamsFollower(ports, b, tracker, nil, clock, func() int { return 0 }, 3*time.Second, hclog.NewNullLogger())
 	if err := u.read(t.Context()); err == nil {
 		t.Fatal("the listing ended without an error")
 	}
@@ -61,7 +61,7 @@
 	clock := func() time.Time { return now }
 	var log bytes.Buffer
 	tracker := rollout.New(rollout.Config{Now: clock, Log: hclog.NewNullLogger(), OrdersKnown: clock, Gateways: func() int { return 1 }})
-	u := newUpstreams(Ports{}, newBoard(), tracker, httpconn.NewPool(clock), clock, func() int { return 0 }, 3*time.Second, hclog.New(&hclog.LoggerOptions{Output: &log}))
+	u := newUpstreamsFollower(Ports{}, newBoard(), tracker, httpconn.NewPool(clock), clock, func() int { return 0 }, 3*time.Second, hclog.New(&hclog.LoggerOptions{Output: &log}))
 	news := directory.News{UpTo: 4000}
 	for i := range 3000 {
 		up := directory.Upstream{ID: ident.Instance(fmt.Sprint("u", i)), Service: "svc", State: directory.Ready}
@@ -70,12 +70,12 @@
 		}
 		news.Records = append(news.Records, directory.Record{ID: up.ID, Offset: ident.Offset(i), Upstream: &up})
 	}
-	u.learn(news)
+	u.applyUpdate(news)
 	if lines := strings.Count(log.String(), "\n"); lines != 1 || !strings.Contains(log.String(), "some_leaving=[\"u7\"]") {
 		t.Errorf("%d lines: %.300s", lines, log.String())
 	}
 	log.Reset()
-	u.learn(directory.News{UpTo: 4001, Records: []directory.Record{{ID: "u9", Offset: 4000}}})
+	u.applyUpdate(directory.News{UpTo: 4001, Records: []directory.Record{{ID: "u9", Offset: 4000}}})
 	if !strings.Contains(log.String(), "upstream's entry dropped: upstream=u9") {
 		t.Errorf("a single change has no line of its own: %s", log.String())
 	}
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -16,8 +16,8 @@
 	return s.pending[:end]
 }
 
-// taken drops the events that add returned last.
-func (s *eventScanner) taken(n int) {
+// discard drops the events that add returned last.
+func (s *eventScanner) discard(n int) {
 	rest := copy(s.pending, s.pending[n:])
 	s.pending = s.pending[:rest]
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -20,23 +20,23 @@
 )
 
 const (
-	// mostBuffered bounds an answer that is held back until it is whole. A longer
+	// maxBufferedBytes bounds an answer that is held back until it is whole. A longer
 	// one counts as broken. The users' answers are below 5 KiB.
-	mostBuffered = 1 << 20
-	// waitPart of the objective is how long a request waits for an upstream
+	maxBufferedBytes = 1 << 20
+	// waitDivisor of the objective is how long a request waits for an upstream
 	// that takes work; after that it is refused, so that the caller can come
 	// back within its deadline. Holding is free for the users up to an eighth.
-	waitPart = 8
-	// waitStep is how often a waiting request looks again.
-	waitStep = 10 * time.Millisecond
-	// leastLeft is how much time makes a further attempt worth while: an
+	waitDivisor = 8
+	// waitInterval is how often a waiting request looks again.
+	waitInterval = 10 * time.Millisecond
+	// minTimeForAttempt is how much time makes a further attempt worth while: an
 	// upstream in another domain answers no sooner.
-	leastLeft = 20 * time.Millisecond
+	minTimeForAttempt = 20 * time.Millisecond
 )
 
 var (
 	errExpired = errors.New("the request's time is over")
-	errSlow    = errors.New("the upstream is silent")
+	errSilent  = errors.New("the upstream is silent")
 )
 
 // Config is what a Forwarder works with. All fields are required.
@@ -58,8 +58,8 @@
 // Forwarder sends calls to upstreams. It is safe for concurrent use.
 type Forwarder struct {
 	cfg Config
-	// asked joins the looks at an upstream that broke several answers off.
-	asked singleflight.Group
+	// probes joins the looks at an upstream that broke several answers off.
+	probes singleflight.Group
 }
 
 // New returns a Forwarder.
@@ -87,29 +87,29 @@
 	outcome Outcome
 
 	// began: a part of the answer was delivered.
-	began bool
+	answerBegan bool
 	// lastEvent is the ID of the last event that was delivered, and partAt when it was.
-	lastEvent string
-	partAt    time.Time
+	lastEvent  string
+	lastPartAt time.Time
 	// paid: the next attempt was taken out of the budget already.
-	paid atomic.Bool
+	nextAttemptPaid atomic.Bool
 	// counted: the first attempt was paid into the budget.
-	counted bool
+	firstAttemptCounted bool
 	// metered: a run was counted for the account; a call counts once.
 	metered bool
-	// failure is the last answer of an upstream that ran the request and
+	// buffered is the last answer of an upstream that ran the request and
 	// failed, kept to be delivered if nothing better comes.
-	failure *wholeAnswer
-	reason  string
+	buffered *bufferedAnswer
+	reason   string
 	// onlyLimits: nothing but limits that upstreams named kept the call from one.
 	onlyLimits bool
 	// ended: an upstream ended under the call. The timer of an attempt reads it too.
-	ended atomic.Bool
+	upstreamCrashed atomic.Bool
 	// barredFor is when the call may come back; 0 if it is not barred.
 	barredFor time.Duration
 }
 
-type wholeAnswer struct {
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -118,19 +118,19 @@
 // run tries upstreams until the call has ended.
 func (s *session) run() {
 	for {
-		avoid, admitted := s.admitted()
+		avoid, admitted := s.waitForAdmission()
 		if !admitted {
 			s.finish(s.giveUp())
 			return
 		}
-		choice, found := s.chooseApart(avoid)
+		choice, found := s.chooseAvoiding(avoid)
 		if !found {
-			s.finish(s.withoutUpstream())
+			s.finish(s.endWithoutUpstream())
 			return
 		}
 		result := s.attempt(choice)
 		s.f.cfg.Placement.Finished(choice, result, s.f.cfg.Now())
-		step := s.state.After(choice.Upstream, result, s.spend)
+		step := s.state.After(choice.Upstream, result, s.spendRetry)
 		if result != Done {
 			s.f.cfg.Log.Info("attempt ended", "id", s.call.ID, "upstream", choice.Upstream, "why", choice.Why,
 				"result", result.String(), "cause", s.reason, "next", step.String(), "attempt", s.state.Attempts(),
@@ -140,7 +140,7 @@
 			s.finish(step)
 			return
 		}
-		if s.call.Remaining(s.f.cfg.Now()) < leastLeft {
+		if s.call.Remaining(s.f.cfg.Now()) < minTimeForAttempt {
 			s.finish(s.giveUp())
 			return
 		}
@@ -153,16 +153,16 @@
 // giveUp ends a call for which there is no further attempt.
 func (s *session) giveUp() Step {
 	switch {
-	case s.began:
+	case s.answerBegan:
 		return Break
-	case s.failure != nil:
+	case s.buffered != nil:
 		return Deliver
 	}
 	return s.state.GiveUp()
 }
 
-// withoutUpstream ends a call for which no upstream was found.
-func (s *session) withoutUpstream() Step {
+// endWithoutUpstream ends a call for which no upstream was found.
+func (s *session) endWithoutUpstream() Step {
 	switch context.Cause(s.ctx) {
 	case nil:
 		s.reason = "no upstream takes work"
@@ -181,19 +181,19 @@
 	return s.giveUp()
 }
 
-func (s *session) spend() bool {
-	if s.ended.Load() && !s.f.cfg.Guard.Resend(s.call.Content()) {
+func (s *session) spendRetry() bool {
+	if s.upstreamCrashed.Load() && !s.f.cfg.Guard.Resend(s.call.Content()) {
 		return false
 	}
-	if s.paid.Swap(false) {
+	if s.nextAttemptPaid.Swap(false) {
 		return true
 	}
 	return s.f.cfg.Budget.Spend(s.call.Service.Name, s.f.cfg.Now())
 }
 
-// choose takes a place at an upstream. It waits a little where none takes work.
-func (s *session) choose() (Choice, bool) {
-	waitUntil := s.call.Received.Add(s.call.Route.Objective / waitPart)
+// chooseOrWait takes a place at an upstream. It waits a little where none takes work.
+func (s *session) chooseOrWait() (Choice, bool) {
+	waitUntil := s.call.Received.Add(s.call.Route.Objective / waitDivisor)
 	for {
 		now := s.f.cfg.Now()
 		choice, found := s.f.cfg.Placement.Choose(s.call, s.state.Tried, now)
@@ -204,7 +204,7 @@
 		if found || choice.OnlyLimits || !now.Before(waitUntil) || s.ctx.Err() != nil {
 			return choice, found && s.ctx.Err() == nil
 		}
-		pause.For(s.ctx, waitStep) // the next look sees whether the call has ended
+		pause.For(s.ctx, waitInterval) // the next look sees whether the call has ended
 	}
 }
 
@@ -215,10 +215,10 @@
 	defer span.End()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := s.watch(choice, cancel)
+	patience := s.watchForSilence(choice, cancel)
 	defer patience.stop()
-	if !s.counted {
-		s.counted = true
+	if !s.firstAttemptCounted {
+		s.firstAttemptCounted = true
 		s.f.cfg.Budget.FirstTry(s.call.Service.Name, s.f.cfg.Now())
 	}
 	target := httpconn.Target{ID: choice.Upstream, Address: choice.Address, MaxConnections: choice.MaxConnections}
@@ -227,8 +227,8 @@
 	}
 	result := s.exchange(ctx, choice, target, patience)
 	span.SetAttributes(attribute.String("result", result.String()))
-	if (result == Broken || result == Cut) && ctx.Err() == nil && s.f.ended(ctx, target) {
-		s.upstreamEnded(choice, result)
+	if (result == Broken || result == Cut) && ctx.Err() == nil && s.f.processEnded(ctx, target) {
+		s.recordUpstreamEnd(choice, result)
 	}
 	if result == Done && s.call.KnownTo(s.f.cfg.Guard) {
 		s.f.cfg.Guard.Completed(s.call.Content())
@@ -237,55 +237,55 @@
 }
 
 // exchange sends the call and delivers what comes.
-func (s *session) exchange(ctx context.Context, choice Choice, target httpconn.Target, patience *patience) Result {
+func (s *session) exchange(ctx context.Context, choice Choice, target httpconn.Target, patience *silenceTimer) Result {
 	answer, failure := s.f.cfg.Pool.Send(ctx, target, s.f.cfg.Dialect.Request(s.call, Attempt{
 		Upstream: choice.Name, Left: s.call.Remaining(s.f.cfg.Now()), LastEvent: s.lastEvent,
 	}))
 	if failure != nil {
-		if probablyBegan(failure) {
-			s.meter()
+		if countsAsStarted(failure) {
+			s.countForUsage()
 		}
-		return s.afterFailure(choice, failure)
+		return s.resultOfFailure(choice, failure)
 	}
 	defer answer.Close()
-	return s.read(choice, answer, patience)
+	return s.readAnswer(choice, answer, patience)
 }
 
-// probablyBegan reports whether an exchange that failed counts for usage as a run that
+// countsAsStarted reports whether an exchange that failed counts for usage as a run that
 // began: the upstream, or its end, broke it off. Of one that stayed silent it is as
 // likely that the request never arrived. That an upstream drops an idle connection at
 // the very moment is rarer by far. Without it usage would lack the runs whose answers
 // were lost.
-func probablyBegan(failure *httpconn.Failure) bool {
-	return failure.Sent && !errors.Is(failure, errSlow) && !errors.Is(failure, errExpired)
+func countsAsStarted(failure *httpconn.Failure) bool {
+	return failure.Sent && !errors.Is(failure, errSilent) && !errors.Is(failure, errExpired)
 }
 
-// afterFailure says what a failed exchange means.
-func (s *session) afterFailure(choice Choice, failure *httpconn.Failure) Result {
+// resultOfFailure says what a failed exchange means.
+func (s *session) resultOfFailure(choice Choice, failure *httpconn.Failure) Result {
 	s.reason = failure.Error()
-	over := s.over()
+	over := s.callEnded()
 	if !failure.Sent && over != CallerGone {
 		return NoConnection
 	}
 	if over != 0 {
 		return over
 	}
-	if errors.Is(failure, errSlow) {
+	if errors.Is(failure, errSilent) {
 		s.f.cfg.Pool.Distrust(choice.Upstream)
 	}
-	return s.brokenOff()
+	return s.interrupted()
 }
 
-// brokenOff is the result of an answer that did not come, or broke off.
-func (s *session) brokenOff() Result {
-	if s.began {
+// interrupted is the result of an answer that did not come, or broke off.
+func (s *session) interrupted() Result {
+	if s.answerBegan {
 		return Cut
 	}
 	return Broken
 }
 
-// over returns the result of a call that ended from the caller's side, or 0.
-func (s *session) over() Result {
+// callEnded returns the result of a call that ended from the caller's side, or 0.
+func (s *session) callEnded() Result {
 	if s.ctx.Err() == nil {
 		return 0
 	}
@@ -295,23 +295,23 @@
 	return CallerGone
 }
 
-// read takes an answer whose header has come.
-func (s *session) read(choice Choice, answer *httpconn.Answer, patience *patience) Result {
+// readAnswer takes an answer whose header has come.
+func (s *session) readAnswer(choice Choice, answer *httpconn.Answer, patience *silenceTimer) Result {
 	reading := s.f.cfg.Dialect.Read(answer.Status, answer.Header)
 	if !reading.Other {
 		s.f.cfg.Limits.Hear(choice.Upstream, s.call.ID, reading.Limit)
 	}
 	if reading.NotRun {
 		s.reason = "status " + http.StatusText(answer.Status)
-		s.drain(answer)
+		s.drainRejection(answer)
 		return Rejected
 	}
 	// Every other answer is of a run that began, whether or not it is delivered.
-	s.meter()
+	s.countForUsage()
 	if answer.Status/100 == 2 && reading.Stream && s.call.Route.Kind == routetable.Streaming {
 		return s.readStream(choice, answer, reading, patience)
 	}
-	if s.began {
+	if s.answerBegan {
 		// The rest of a stream was asked for, and something else came.
 		s.reason = "status " + http.StatusText(answer.Status) + " instead of the stream's rest"
 		return Cut
@@ -319,9 +319,9 @@
 	return s.readWhole(choice, answer, reading)
 }
 
-// drain reads the rest of a rejection, so that its connection can be kept.
-func (s *session) drain(answer *httpconn.Answer) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(answer, mostBuffered)); err != nil {
+// drainRejection reads the rest of a rejection, so that its connection can be kept.
+func (s *session) drainRejection(answer *httpconn.Answer) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes)); err != nil {
 		s.f.cfg.Log.Debug("rest of a rejection not read", "id", s.call.ID, "error", err)
 	}
 }
@@ -329,12 +329,12 @@
 // readWhole reads an answer to its end before any of it is delivered, so that
 // one that breaks off can still be replaced.
 func (s *session) readWhole(choice Choice, answer *httpconn.Answer, reading Reading) Result {
-	body, err := io.ReadAll(io.LimitReader(answer, mostBuffered+1))
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
 	if err != nil {
 		s.reason = err.Error()
-		return s.overOr(Broken)
+		return s.callEndedOr(Broken)
 	}
-	if len(body) > mostBuffered {
+	if len(body) > maxBufferedBytes {
 		s.reason = "the answer is too long to be held"
 		return Broken
 	}
@@ -342,25 +342,25 @@
 		s.reason = "a success without the upstream's signature"
 		return Broken
 	}
-	whole := &wholeAnswer{status: answer.Status, header: answer.Header, body: body}
+	whole := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	if answer.Status >= http.StatusInternalServerError || answer.Status/100 != 2 && !reading.Genuine {
-		s.failure = whole
+		s.buffered = whole
 		s.reason = "status " + http.StatusText(answer.Status)
 		return Failed
 	}
 	s.f.cfg.Placement.Began(choice, s.f.cfg.Now())
-	s.failure = whole
+	s.buffered = whole
 	return Done
 }
 
-func (s *session) overOr(result Result) Result {
-	if over := s.over(); over != 0 {
+func (s *session) callEndedOr(result Result) Result {
+	if over := s.callEnded(); over != 0 {
 		return over
 	}
 	return result
 }
 
-func (s *session) meter() {
+func (s *session) countForUsage() {
 	if !s.metered {
 		s.metered = true
 		s.f.cfg.Meter.Began(s.call.Account)
@@ -371,18 +371,18 @@
 func (s *session) finish(step Step) {
 	s.outcome.Step, s.outcome.Reason = step, s.reason
 	s.outcome.Attempts, s.outcome.Tried = s.state.Attempts(), s.state.Tried
-	if s.began {
-		s.finishParts(step)
+	if s.answerBegan {
+		s.finishStream(step)
 		return
 	}
 	switch step {
 	case Deliver:
-		s.outcome.Status = s.failure.status
+		s.outcome.Status = s.buffered.status
 		s.outcome.FirstPart = s.f.cfg.Now().Sub(s.call.Received)
-		s.caller.Answer(s.failure.status, s.failure.header, s.failure.body)
+		s.caller.Answer(s.buffered.status, s.buffered.header, s.buffered.body)
 	case Refuse:
 		s.outcome.Status = http.StatusServiceUnavailable
-		s.caller.Refuse(s.reason, s.returnAfter())
+		s.caller.Refuse(s.reason, s.retryAfter())
 	case TimeOut:
 		s.outcome.Status = http.StatusGatewayTimeout
 		s.caller.TimeOut()
@@ -394,16 +394,16 @@
 	}
 }
 
-// returnAfter is when a refused caller should come back.
-func (s *session) returnAfter() time.Duration {
+// retryAfter is when a refused caller should come back.
+func (s *session) retryAfter() time.Duration {
 	if s.barredFor > 0 {
 		return s.barredFor
 	}
 	return s.f.cfg.RetryAfter(s.call)
 }
 
-// finishParts ends an answer of which a part was delivered.
-func (s *session) finishParts(step Step) {
+// finishStream ends an answer of which a part was delivered.
+func (s *session) finishStream(step Step) {
 	if step == Deliver {
 		s.caller.End()
 		return
--- a/internal/forward/meter_test.go
+++ b/internal/forward/meter_test.go
@@ -17,11 +17,11 @@
 		want    bool
 	}{
 		{"broken off", httpconn.Failure{Sent: true, Err: errors.New("connection reset")}, true},
-		{"silent", httpconn.Failure{Sent: true, Err: errSlow}, false},
+		{"silent", httpconn.Failure{Sent: true, Err: errSilent}, false},
 		{"silent until its time was over", httpconn.Failure{Sent: true, Err: errExpired}, false},
 		{"no connection", httpconn.Failure{Err: errors.New("refused")}, false},
 	} {
-		if got := probablyBegan(&c.failure); got != c.want {
+		if got := countsAsStarted(&c.failure); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/internal/forward/state.go
+++ b/internal/forward/state.go
@@ -73,21 +73,21 @@
 func (s Step) String() string { return stepNames[s] }
 
 const (
-	// mostUnsent bounds the attempts of one request that reached no upstream.
+	// maxUnsentAttempts bounds the attempts of one request that reached no upstream.
 	// With a quarter of the upstreams down, five in a row fail for one request
 	// in a thousand.
-	mostUnsent = 5
-	// mostRejected bounds the upstreams that may turn one request down: each
+	maxUnsentAttempts = 5
+	// maxRejections bounds the upstreams that may turn one request down: each
 	// costs a part of the budget that all gateways share, and where three are
 	// full the fourth is too.
-	mostRejected = 3
+	maxRejections = 3
 )
 
 // State is what became of one request so far.
 type State struct {
 	route *routetable.Route
-	// ran counts the attempts that may have run.
-	ran int
+	// possibleRuns counts the attempts that may have run.
+	possibleRuns int
 	// unsent and rejected count those that did not.
 	unsent, rejected int
 	// Tried are the upstreams of all attempts.
@@ -98,7 +98,7 @@
 func NewState(route *routetable.Route) *State { return &State{route: route} }
 
 // MayHaveRun reports whether an upstream may have run the request.
-func (s *State) MayHaveRun() bool { return s.ran > 0 }
+func (s *State) MayHaveRun() bool { return s.possibleRuns > 0 }
 
 // Attempts returns how many attempts there were.
 func (s *State) Attempts() int { return len(s.Tried) }
@@ -114,20 +114,20 @@
 	case CallerGone:
 		return Abandon
 	case Expired:
-		s.ran++
+		s.possibleRuns++
 		return TimeOut
 	case NoConnection:
 		return s.afterNoConnection()
 	case Rejected:
 		return s.afterRejection(spend)
 	}
-	s.ran++
-	return s.afterRun(result, spend)
+	s.possibleRuns++
+	return s.afterPossibleRun(result, spend)
 }
 
 func (s *State) afterNoConnection() Step {
 	s.unsent++
-	if s.unsent < mostUnsent {
+	if s.unsent < maxUnsentAttempts {
 		return TryAnother
 	}
 	return s.GiveUp()
@@ -135,17 +135,17 @@
 
 func (s *State) afterRejection(spend func() bool) Step {
 	s.rejected++
-	if s.rejected < mostRejected && spend() {
+	if s.rejected < maxRejections && spend() {
 		return TryAnother
 	}
 	return s.GiveUp()
 }
 
-// afterRun decides after an attempt that may have run the request. Only
+// afterPossibleRun decides after an attempt that may have run the request. Only
 // idempotent requests and resumable streams may run once more, at no more
 // upstreams than the route allows, and within the budget.
-func (s *State) afterRun(result Result, spend func() bool) Step {
-	again := (s.route.Repeatable() || s.route.Resumable) && s.ran < s.route.Attempts && spend()
+func (s *State) afterPossibleRun(result Result, spend func() bool) Step {
+	again := (s.route.Repeatable() || s.route.Resumable) && s.possibleRuns < s.route.Attempts && spend()
 	switch {
 	case again && result == Cut:
 		return Resume
--- a/internal/forward/state_test.go
+++ b/internal/forward/state_test.go
@@ -42,7 +42,7 @@
 				return rapid.Bool().Draw(t, "budget")
 			})
 			if step != TryAnother && step != Resume {
-				checkEnd(t, step, result, ran, delivered)
+				checkFinalStep(t, step, result, ran, delivered)
 				return
 			}
 			if ran > 0 && !route.Repeatable() && !route.Resumable {
@@ -59,7 +59,7 @@
 	})
 }
 
-func checkEnd(t *rapid.T, step Step, result Result, ran int, delivered bool) {
+func checkFinalStep(t *rapid.T, step Step, result Result, ran int, delivered bool) {
 	if step == Refuse && ran > 0 {
 		t.Fatal("refused as not run, and may have run")
 	}
@@ -132,7 +132,7 @@
 			if last := lastID(events); last != "" {
 				id = last
 			}
-			scanner.taken(len(events))
+			scanner.discard(len(events))
 			data = data[size:]
 		}
 		if got != whole || string(scanner.pending) != rest {
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -8,64 +8,64 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/httpconn"
 )
 
-// streamBuffer is read at once from a stream; an event has some 80 bytes.
-const streamBuffer = 4 << 10
+// streamBufferBytes is read at once from a stream; an event has some 80 bytes.
+const streamBufferBytes = 4 << 10
 
-// patience ends an attempt that stays silent, where the call may go on
+// silenceTimer ends an attempt that stays silent, where the call may go on
 // elsewhere. Each sign of life starts it anew.
-type patience struct {
-	timer *time.Timer
-	gap   time.Duration
+type silenceTimer struct {
+	timer      *time.Timer
+	afterEvent time.Duration
 }
 
-// watch starts to watch an attempt. It does nothing for calls that only one
+// watchForSilence starts to watch an attempt. It does nothing for calls that only one
 // upstream may run: a silent upstream is then still the only one with an answer.
 // Nor does it end an attempt that the budget lets nobody replace.
-func (s *session) watch(choice Choice, cancel context.CancelCauseFunc) *patience {
+func (s *session) watchForSilence(choice Choice, cancel context.CancelCauseFunc) *silenceTimer {
 	route := s.call.Route
-	if !route.Repeatable() && !route.Resumable || choice.Slow <= 0 || s.state.ran+1 >= route.Attempts {
-		return &patience{}
+	if !route.Repeatable() && !route.Resumable || choice.Slow <= 0 || s.state.possibleRuns+1 >= route.Attempts {
+		return &silenceTimer{}
 	}
-	p := &patience{gap: max(silentGaps*route.GapObjective, choice.Slow)}
+	p := &silenceTimer{afterEvent: max(silentGapFactor*route.GapObjective, choice.Slow)}
 	p.timer = time.AfterFunc(choice.Slow, func() {
-		if s.call.Remaining(s.f.cfg.Now()) > choice.Slow && s.spend() {
-			s.paid.Store(true)
-			cancel(errSlow)
+		if s.call.Remaining(s.f.cfg.Now()) > choice.Slow && s.spendRetry() {
+			s.nextAttemptPaid.Store(true)
+			cancel(errSilent)
 		}
 	})
 	return p
 }
 
-// silentGaps is how many times the longest pause that is still on time makes a
+// silentGapFactor is how many times the longest pause that is still on time makes a
 // stream count as silent. The users' callers leave after eight.
-const silentGaps = 3
+const silentGapFactor = 3
 
-func (p *patience) alive() {
+func (p *silenceTimer) reset() {
 	if p.timer != nil {
-		p.timer.Reset(p.gap)
+		p.timer.Reset(p.afterEvent)
 	}
 }
 
-func (p *patience) stop() {
+func (p *silenceTimer) stop() {
 	if p.timer != nil {
 		p.timer.Stop()
 	}
 }
 
 // readStream delivers a stream's events as they come.
-func (s *session) readStream(choice Choice, answer *httpconn.Answer, reading Reading, patience *patience) Result {
-	if !reading.Genuine && !s.began {
+func (s *session) readStream(choice Choice, answer *httpconn.Answer, reading Reading, patience *silenceTimer) Result {
+	if !reading.Genuine && !s.answerBegan {
 		s.reason = "a stream without the upstream's signature"
 		return Broken
 	}
 	var scanner eventScanner
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	first := true
 	for {
 		n, err := answer.Read(buffer)
 		events := scanner.add(buffer[:n])
 		if len(events) > 0 {
-			patience.alive()
+			patience.reset()
 			if first {
 				first = false
 				s.f.cfg.Placement.Began(choice, s.f.cfg.Now())
@@ -73,14 +73,14 @@
 			if !s.deliver(answer, events) {
 				return CallerGone
 			}
-			scanner.taken(len(events))
+			scanner.discard(len(events))
 		}
 		if err == io.EOF {
 			return s.streamEnd(answer, &scanner)
 		}
 		if err != nil {
 			s.reason = err.Error()
-			return s.overOr(s.brokenOff())
+			return s.callEndedOr(s.interrupted())
 		}
 	}
 }
@@ -91,8 +91,8 @@
 	if len(scanner.pending) > 0 && !s.deliver(answer, scanner.pending) {
 		return CallerGone
 	}
-	if !s.began {
-		s.begin(answer)
+	if !s.answerBegan {
+		s.beginStream(answer)
 	}
 	return Done
 }
@@ -100,12 +100,12 @@
 // deliver passes events on and reports whether the caller still takes them.
 func (s *session) deliver(answer *httpconn.Answer, events []byte) bool {
 	now := s.f.cfg.Now()
-	if !s.began {
-		s.begin(answer)
+	if !s.answerBegan {
+		s.beginStream(answer)
 	} else {
-		s.outcome.LongestPause = max(s.outcome.LongestPause, now.Sub(s.partAt))
+		s.outcome.LongestPause = max(s.outcome.LongestPause, now.Sub(s.lastPartAt))
 	}
-	s.partAt = now
+	s.lastPartAt = now
 	if id := lastID(events); id != "" {
 		s.lastEvent = id
 	}
@@ -117,8 +117,8 @@
 	return true
 }
 
-func (s *session) begin(answer *httpconn.Answer) {
-	s.began = true
+func (s *session) beginStream(answer *httpconn.Answer) {
+	s.answerBegan = true
 	s.outcome.FirstPart = s.f.cfg.Now().Sub(s.call.Received)
 	s.outcome.Status = answer.Status
 	s.caller.Begin(answer.Status, answer.Header)
--- a/internal/ingress/caller.go
+++ b/internal/ingress/caller.go
@@ -10,27 +10,27 @@
 type caller struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// expires is how long the call may take.
-	expires time.Duration
+	// timeLimit is how long the call may take.
+	timeLimit time.Duration
 	// broken: the connection must end so that the answer looks cut off.
-	broken bool
+	abort bool
 }
 
 // Answer delivers a whole answer.
 func (c *caller) Answer(status int, header http.Header, body []byte) {
 	c.copyHeader(header)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	c.limitWriting()
+	c.setWriteDeadline()
 	c.w.WriteHeader(status)
 	if _, err := c.w.Write(body); err != nil {
-		c.broken = true
+		c.abort = true
 	}
 }
 
 // Begin starts an answer that comes in parts.
 func (c *caller) Begin(status int, header http.Header) {
 	c.copyHeader(header)
-	c.limitWriting()
+	c.setWriteDeadline()
 	c.w.WriteHeader(status)
 }
 
@@ -46,32 +46,32 @@
 func (c *caller) End() {}
 
 // Break ends the connection, so that no caller takes the answer for complete.
-func (c *caller) Break() { c.broken = true }
+func (c *caller) Break() { c.abort = true }
 
 // Refuse says that the request did not run, and when to come back.
 func (c *caller) Refuse(reason string, after time.Duration) {
-	answerError(c.w, http.StatusServiceUnavailable, reason, after)
+	writeError(c.w, http.StatusServiceUnavailable, reason, after)
 }
 
 // Fail says that the request may have run.
-func (c *caller) Fail(reason string) { answerError(c.w, http.StatusBadGateway, reason, 0) }
+func (c *caller) Fail(reason string) { writeError(c.w, http.StatusBadGateway, reason, 0) }
 
 // TimeOut says that the request's time is over.
 func (c *caller) TimeOut() {
-	answerError(c.w, http.StatusGatewayTimeout, "the request's time is over", 0)
+	writeError(c.w, http.StatusGatewayTimeout, "the request's time is over", 0)
 }
 
-// limitWriting bounds how long a caller that does not read holds the answer.
-func (c *caller) limitWriting() {
+// setWriteDeadline bounds how long a caller that does not read holds the answer.
+func (c *caller) setWriteDeadline() {
 	// net/http's connections all take deadlines.
-	_ = c.control.SetWriteDeadline(time.Now().Add(c.expires + sinceExpiry))
+	_ = c.control.SetWriteDeadline(time.Now().Add(c.timeLimit + writeGrace))
 }
 
 // copyHeader takes over the upstream's header but for what concerns its
 // connection.
 func (c *caller) copyHeader(header http.Header) {
 	own := c.w.Header()
-	for name, values := range passable(header.Clone()) {
+	for name, values := range removeHopByHop(header.Clone()) {
 		own[name] = values
 	}
 	if header.Get("Content-Type") == "" {
--- a/internal/ingress/idle.go
+++ b/internal/ingress/idle.go
@@ -28,8 +28,8 @@
 	serving bool
 	// closed while idle: bytes that come after it are not looked at.
 	closed bool
-	// since is when nothing was in progress for the last time.
-	since time.Time
+	// idleSince is when nothing was in progress for the last time.
+	idleSince time.Time
 }
 
 // Read implements net.Conn.
@@ -46,18 +46,18 @@
 	return n, err
 }
 
-// taken notes that a handler has all of the request that arrived.
-func (c *callerConn) taken() {
+// handlerStarted notes that a handler has all of the request that arrived.
+func (c *callerConn) handlerStarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.arriving, c.serving = false, true
 }
 
-// idle notes that the handler's work is over.
-func (c *callerConn) idle(now time.Time) {
+// handlerDone notes that the handler's work is over.
+func (c *callerConn) handlerDone(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving, c.since = false, now
+	c.serving, c.idleSince = false, now
 }
 
 // closeIfIdle closes the connection if nothing is in progress, and nothing was
@@ -65,7 +65,7 @@
 func (c *callerConn) closeIfIdle(since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.arriving || c.serving || c.since.After(since) {
+	if c.arriving || c.serving || c.idleSince.After(since) {
 		return c.closed
 	}
 	c.closed = true
@@ -79,31 +79,31 @@
 
 	mu    sync.Mutex
 	conns map[*callerConn]bool
-	// limits are the idle times in force lately, with when each was last seen.
-	limits map[time.Duration]time.Time
+	// recentLimits are the idle times in force lately, with when each was last seen.
+	recentLimits map[time.Duration]time.Time
 }
 
 const (
 	// idleSlack is how much longer than the limit a connection is kept, so that
 	// it is never closed under a caller that keeps to the limit.
 	idleSlack = time.Second
-	// idleUnknown is the limit while no configuration is known.
-	idleUnknown = 30 * time.Second
-	// limitKept is how long a limit counts after it was replaced: connections
+	// defaultIdleLimit is the limit while no configuration is known.
+	defaultIdleLimit = 30 * time.Second
+	// limitRetention is how long a limit counts after it was replaced: connections
 	// that went idle under it are gone by then.
-	limitKept = time.Minute
+	limitRetention = time.Minute
 )
 
 func newCallerConns(now boottime.Clock) *callerConns {
-	return &callerConns{now: now, conns: make(map[*callerConn]bool), limits: make(map[time.Duration]time.Time)}
+	return &callerConns{now: now, conns: make(map[*callerConn]bool), recentLimits: make(map[time.Duration]time.Time)}
 }
 
-// connKey finds a request's connection in its context.
-type connKey struct{}
+// connContextKey finds a request's connection in its context.
+type connContextKey struct{}
 
 // connOf returns the connection of a request; nil outside a Server.
 func connOf(ctx context.Context) *callerConn {
-	c, _ := ctx.Value(connKey{}).(*callerConn)
+	c, _ := ctx.Value(connContextKey{}).(*callerConn)
 	return c
 }
 
@@ -119,22 +119,22 @@
 	if err != nil {
 		return nil, err
 	}
-	wrapped := &callerConn{Conn: c, since: l.conns.now()}
+	wrapped := &callerConn{Conn: c, idleSince: l.conns.now()}
 	l.conns.mu.Lock()
 	l.conns.conns[wrapped] = true
 	l.conns.mu.Unlock()
 	return wrapped, nil
 }
 
-// note follows the state of a connection; it is net/http's hook.
-func (i *callerConns) note(c net.Conn, state http.ConnState) {
+// trackState follows the state of a connection; it is net/http's hook.
+func (i *callerConns) trackState(c net.Conn, state http.ConnState) {
 	wrapped, ok := c.(*callerConn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateIdle:
-		wrapped.idle(i.now())
+		wrapped.handlerDone(i.now())
 	case http.StateClosed, http.StateHijacked:
 		i.mu.Lock()
 		delete(i.conns, wrapped)
@@ -146,15 +146,15 @@
 // force while it was idle.
 func (i *callerConns) sweep(limit time.Duration) {
 	if limit <= 0 {
-		limit = idleUnknown
+		limit = defaultIdleLimit
 	}
 	now := i.now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.limits[limit] = now
-	for l, seen := range i.limits {
-		if now.Sub(seen) > limitKept {
-			delete(i.limits, l)
+	i.recentLimits[limit] = now
+	for l, seen := range i.recentLimits {
+		if now.Sub(seen) > limitRetention {
+			delete(i.recentLimits, l)
 		} else {
 			limit = max(limit, l)
 		}
@@ -162,10 +162,10 @@
 	i.closeIdleSince(now.Add(-limit - idleSlack))
 }
 
-// closeAll closes every idle connection. A request that crosses the close was
+// closeAllIdle closes every idle connection. A request that crosses the close was
 // not read, and its caller may send it again elsewhere. It returns how many are
 // left.
-func (i *callerConns) closeAll() (left int) {
+func (i *callerConns) closeAllIdle() (left int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.closeIdleSince(i.now())
--- a/internal/ingress/idle_test.go
+++ b/internal/ingress/idle_test.go
@@ -23,11 +23,11 @@
 	if c.closeIfIdle(boottime.Now()) {
 		t.Error("closed with a request arriving")
 	}
-	c.taken()
+	c.handlerStarted()
 	if c.closeIfIdle(boottime.Now()) {
 		t.Error("closed with a request being served")
 	}
-	c.idle(boottime.Now())
+	c.handlerDone(boottime.Now())
 	if c.closeIfIdle(boottime.Now().Add(-time.Second)) {
 		t.Error("closed though it was idle for less than asked")
 	}
@@ -41,17 +41,17 @@
 func TestAClosedConnectionReadsNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := &callerConn{Conn: stubborn{near}}
+	c := &callerConn{Conn: lateReadConn{near}}
 	c.closeIfIdle(boottime.Now())
 	if n, err := c.Read(make([]byte, 4)); n != 0 || err == nil {
 		t.Errorf("read %d bytes, error %v", n, err)
 	}
 }
 
-// stubborn delivers bytes that were read just before the close.
-type stubborn struct{ net.Conn }
+// lateReadConn delivers bytes that were read just before the close.
+type lateReadConn struct{ net.Conn }
 
-func (stubborn) Read(p []byte) (int, error) { return copy(p, "GET "), nil }
+func (lateReadConn) Read(p []byte) (int, error) { return copy(p, "GET "), nil }
 
 // Symptom: a caller that keeps to the idle limit finds its connection closed.
 // Sequence: the operators lower the limit while the connection is idle under the
@@ -61,7 +61,7 @@
 	conns := newCallerConns(func() time.Time { return now })
 	near, far := net.Pipe()
 	defer far.Close()
-	c := &callerConn{Conn: near, since: now}
+	c := &callerConn{Conn: near, idleSince: now}
 	conns.conns[c] = true
 	conns.sweep(15 * time.Second)
 	now = now.Add(10 * time.Second)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -81,47 +81,47 @@
 }
 
 const (
-	// mostHeader bounds what net/http reads of a header; the operators' limit
+	// maxHeaderBytes bounds what net/http reads of a header; the operators' limit
 	// is checked after it. It is twice the users' limit of 16 KiB.
-	mostHeader = 32 << 10
-	// headerTime bounds the reading of a header: the users' limit of 3 s and some
+	maxHeaderBytes = 32 << 10
+	// headerTimeout bounds the reading of a header: the users' limit of 3 s and some
 	// slack. net/http takes it when the server is made, before a configuration is
 	// known, so that the operators' own limit is not followed.
-	headerTime = 4 * time.Second
-	// loggedSuccesses a second get a line each; a flood of successes would
+	headerTimeout = 4 * time.Second
+	// loggedSuccessesPerSecond a second get a line each; a flood of successes would
 	// cost more processor time than it explains. Others always get theirs.
-	loggedSuccesses = 50
-	// comeBackSoon is told where the next moment may do: a shortage of memory
+	loggedSuccessesPerSecond = 50
+	// retryAfterShortage is told where the next moment may do: a shortage of memory
 	// or of configuration.
-	comeBackSoon = 500 * time.Millisecond
-	// comeBackNow is told where another gateway serves at once.
-	comeBackNow = 20 * time.Millisecond
-	// sinceExpiry is how long after a call's end its answer may still be
+	retryAfterShortage = 500 * time.Millisecond
+	// retryAtOnce is told where another gateway serves at once.
+	retryAtOnce = 20 * time.Millisecond
+	// writeGrace is how long after a call's end its answer may still be
 	// written to a caller that reads slowly.
-	sinceExpiry = time.Second
+	writeGrace = time.Second
 )
 
 // Server serves callers. Create it with New.
 type Server struct {
-	cfg     Config
-	http    *http.Server
-	conns   *callerConns
-	leaving atomic.Pointer[leaving]
-	bodies  atomic.Int64
-	active  atomic.Int64
-	sampled *rate.Limiter
+	cfg               Config
+	http              *http.Server
+	conns             *callerConns
+	leaving           atomic.Pointer[leaveDeadlines]
+	bodyBytes         atomic.Int64
+	active            atomic.Int64
+	successLogLimiter *rate.Limiter
 }
 
 // New returns a server; call Serve with a listener.
 func New(cfg Config) *Server {
-	s := &Server{cfg: cfg, conns: newCallerConns(cfg.Now), sampled: rate.NewLimiter(loggedSuccesses, loggedSuccesses)}
+	s := &Server{cfg: cfg, conns: newCallerConns(cfg.Now), successLogLimiter: rate.NewLimiter(loggedSuccessesPerSecond, loggedSuccessesPerSecond)}
 	s.http = &http.Server{
 		Handler:           http.HandlerFunc(s.serve),
-		ReadHeaderTimeout: headerTime,
-		MaxHeaderBytes:    mostHeader,
-		ConnState:         s.conns.note,
+		ReadHeaderTimeout: headerTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         s.conns.trackState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		},
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     cfg.Log.Named("http").StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
@@ -139,16 +139,16 @@
 // closing: streams that begin too late are refused, so that their callers go
 // elsewhere at once instead of being cut off.
 func (s *Server) Leave(streamsUntil, closing time.Time) {
-	s.leaving.Store(&leaving{streamsUntil: streamsUntil, closing: closing})
+	s.leaving.Store(&leaveDeadlines{streamsUntil: streamsUntil, closing: closing})
 }
 
-// leaving is until when a server that leaves takes what.
-type leaving struct {
+// leaveDeadlines is until when a server that leaves takes what.
+type leaveDeadlines struct {
 	streamsUntil, closing time.Time
 }
 
-// takes reports whether a request of a route can be expected to end in time.
-func (l *leaving) takes(route *routetable.Route, now time.Time) bool {
+// accepts reports whether a request of a route can be expected to end in time.
+func (l *leaveDeadlines) accepts(route *routetable.Route, now time.Time) bool {
 	if l == nil {
 		return true
 	}
@@ -160,7 +160,7 @@
 
 // CloseIdle closes the connections on which nothing is in progress, and returns
 // how many are left.
-func (s *Server) CloseIdle() int { return s.conns.closeAll() }
+func (s *Server) CloseIdle() int { return s.conns.closeAllIdle() }
 
 // Active returns how many requests are in progress.
 func (s *Server) Active() int { return int(s.active.Load()) }
@@ -192,7 +192,7 @@
 	received := s.cfg.Now()
 	call, refusal := s.accept(caller.control, r, received)
 	if conn := connOf(r.Context()); conn != nil {
-		conn.taken()
+		conn.handlerStarted()
 	}
 	if refusal != nil {
 		s.refuse(w, r, call, refusal)
@@ -201,11 +201,11 @@
 	ctx, span := s.cfg.Tracer.Start(r.Context(), "request", trace.WithAttributes(
 		attribute.String("request", string(call.ID)), attribute.String("route", call.Route.Name)))
 	defer span.End()
-	caller.expires = call.Expires.Sub(received)
+	caller.timeLimit = call.Expires.Sub(received)
 	outcome := s.cfg.Forwarder.Serve(ctx, call, caller)
-	s.bodies.Add(-int64(len(call.Body)))
-	s.note(call, outcome)
-	if caller.broken {
+	s.bodyBytes.Add(-int64(len(call.Body)))
+	s.recordOutcome(call, outcome)
+	if caller.abort {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -214,8 +214,8 @@
 type refusal struct {
 	status int
 	reason string
-	// after is when to come back; 0 says nothing.
-	after time.Duration
+	// retryAfter is when to come back; 0 says nothing.
+	retryAfter time.Duration
 	// abort closes the connection without an answer.
 	abort bool
 	// content of a request that must not run; 0 for others.
@@ -226,7 +226,7 @@
 func (s *Server) accept(control *http.ResponseController, r *http.Request, now time.Time) (*forward.Call, *refusal) {
 	table := s.cfg.Table()
 	if table == nil {
-		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration is known yet", after: comeBackSoon}
+		return nil, &refusal{status: http.StatusServiceUnavailable, reason: "no configuration is known yet", retryAfter: retryAfterShortage}
 	}
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return nil, &refusal{status: http.StatusBadRequest, reason: "the request target is not a path"}
@@ -236,7 +236,7 @@
 	}
 	parsed, findings := s.cfg.Protocol.Parse(r)
 	call := &forward.Call{
-		ID: parsed.ID, Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: passable(parsed.Header), Received: now,
+		ID: parsed.ID, Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: removeHopByHop(parsed.Header), Received: now,
 		Parts: parsed.Parts, PromptTokens: parsed.PromptTokens, MostTokens: parsed.MostTokens, LastEvent: parsed.LastEvent,
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
@@ -244,10 +244,10 @@
 	if call.Route == nil {
 		return call, &refusal{status: http.StatusNotFound, reason: "no route"}
 	}
-	if !s.leaving.Load().takes(call.Route, now) {
-		return call, &refusal{status: http.StatusServiceUnavailable, reason: "this gateway is leaving", after: comeBackNow}
+	if !s.leaving.Load().accepts(call.Route, now) {
+		return call, &refusal{status: http.StatusServiceUnavailable, reason: "this gateway is leaving", retryAfter: retryAtOnce}
 	}
-	account, refused := s.account(table, call, &parsed)
+	account, refused := s.authenticate(table, call, &parsed)
 	if refused != nil {
 		return call, refused
 	}
@@ -264,24 +264,24 @@
 	}
 	if call.KnownTo(s.cfg.Guard) {
 		if after, barred := s.cfg.Guard.Barred(call.Content()); barred {
-			s.bodies.Add(-int64(len(call.Body)))
-			return call, &refusal{status: http.StatusServiceUnavailable, reason: forward.BarredReason, after: after, content: call.Content()}
+			s.bodyBytes.Add(-int64(len(call.Body)))
+			return call, &refusal{status: http.StatusServiceUnavailable, reason: forward.BarredReason, retryAfter: after, content: call.Content()}
 		}
 	}
 	if account != nil {
 		cost := account.Cost(parsed.Declared, parsed.PromptTokens+parsed.MostTokens)
 		if d := s.cfg.Quota.Admit(account, cost, now); !d.OK {
-			s.bodies.Add(-int64(len(call.Body)))
+			s.bodyBytes.Add(-int64(len(call.Body)))
 			s.cfg.Log.Info("account at its limit", "id", call.ID, "account", account.Name, "cost", cost, "rate", account.Rate,
 				"level", d.Level, "need", d.Need, "asked", d.Asked, "heard", d.Heard, "known", d.Known)
-			return call, &refusal{status: http.StatusTooManyRequests, reason: "the account's limit is reached", after: d.After}
+			return call, &refusal{status: http.StatusTooManyRequests, reason: "the account's limit is reached", retryAfter: d.After}
 		}
 	}
 	return call, nil
 }
 
-// account finds who sends the call, and with which priority.
-func (s *Server) account(table *routetable.Table, call *forward.Call, parsed *Parsed) (*routetable.Account, *refusal) {
+// authenticate finds who sends the call, and with which priority.
+func (s *Server) authenticate(table *routetable.Table, call *forward.Call, parsed *Parsed) (*routetable.Account, *refusal) {
 	call.Priority = call.Route.Priority
 	if call.Route.Public || !table.NeedsKeys() {
 		return nil, nil
@@ -306,8 +306,8 @@
 	if limit <= 0 {
 		limit = s.cfg.BodyBudget
 	}
-	if s.bodies.Load()+max(r.ContentLength, 0) > s.cfg.BodyBudget {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "too many bodies are in memory", after: comeBackSoon}
+	if s.bodyBytes.Load()+max(r.ContentLength, 0) > s.cfg.BodyBudget {
+		return &refusal{status: http.StatusServiceUnavailable, reason: "too many bodies are in memory", retryAfter: retryAfterShortage}
 	}
 	// net/http's connections all take deadlines; without one only a silent
 	// caller is not noticed.
@@ -320,7 +320,7 @@
 	if int64(len(body)) > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too long"}
 	}
-	s.bodies.Add(int64(len(body)))
+	s.bodyBytes.Add(int64(len(body)))
 	call.Body = body
 	return nil
 }
@@ -347,20 +347,20 @@
 	return size
 }
 
-// perConnection are headers that concern one connection only.
-var perConnection = []string{
+// hopByHopHeaders are headers that concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// passable removes what concerns one connection only. It changes header.
-func passable(header http.Header) http.Header {
+// removeHopByHop removes what concerns one connection only. It changes header.
+func removeHopByHop(header http.Header) http.Header {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range perConnection {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 	return header
@@ -378,7 +378,7 @@
 		}
 	}
 	fields := []any{"id", id, "route", route, "host", r.Host, "target", r.RequestURI, "status", why.status,
-		"reason", why.reason, "after_ms", why.after.Milliseconds()}
+		"reason", why.reason, "after_ms", why.retryAfter.Milliseconds()}
 	if why.content != 0 {
 		fields = append(fields, "content", why.content, "account", call.Account)
 	}
@@ -386,11 +386,11 @@
 	if why.abort {
 		panic(http.ErrAbortHandler)
 	}
-	answerError(w, why.status, why.reason, why.after)
+	writeError(w, why.status, why.reason, why.retryAfter)
 }
 
-// answerError writes a final answer of the system's own.
-func answerError(w http.ResponseWriter, status int, reason string, after time.Duration) {
+// writeError writes a final answer of the system's own.
+func writeError(w http.ResponseWriter, status int, reason string, after time.Duration) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if after > 0 {
@@ -402,12 +402,12 @@
 	_, _ = io.WriteString(w, reason+"\n")
 }
 
-// note writes what became of a call to the log and the metrics.
-func (s *Server) note(call *forward.Call, outcome forward.Outcome) {
+// recordOutcome writes what became of a call to the log and the metrics.
+func (s *Server) recordOutcome(call *forward.Call, outcome forward.Outcome) {
 	took := s.cfg.Now().Sub(call.Received)
 	s.cfg.Metrics.Ended(call, outcome, took)
 	plain := outcome.Step == forward.Deliver && outcome.Attempts == 1 && outcome.Status/100 == 2
-	if plain && !s.sampled.Allow() {
+	if plain && !s.successLogLimiter.Allow() {
 		s.cfg.Metrics.Unlogged()
 		return
 	}
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -16,21 +16,21 @@
 // Metrics counts callers' requests by route kind and ending, and keeps their
 // times. It is safe for concurrent use.
 type Metrics struct {
-	mu       sync.Mutex
-	counts   map[string]int64
-	firsts   map[string]*hdrhistogram.Histogram
-	unlogged int64
+	mu             sync.Mutex
+	counts         map[string]int64
+	firstPartTimes map[string]*hdrhistogram.Histogram
+	unlogged       int64
 }
 
 // Bounds of the histograms: a minute in microseconds, two digits.
 const (
-	longestMicroseconds = 60_000_000
-	histogramDigits     = 2
+	maxMicroseconds = 60_000_000
+	histogramDigits = 2
 )
 
 // NewMetrics returns metrics without counts.
 func NewMetrics() *Metrics {
-	return &Metrics{counts: make(map[string]int64), firsts: make(map[string]*hdrhistogram.Histogram)}
+	return &Metrics{counts: make(map[string]int64), firstPartTimes: make(map[string]*hdrhistogram.Histogram)}
 }
 
 // Refused counts a request that was not forwarded.
@@ -58,13 +58,13 @@
 	if outcome.FirstPart <= 0 {
 		return
 	}
-	h := m.firsts[kind]
+	h := m.firstPartTimes[kind]
 	if h == nil {
-		h = hdrhistogram.New(1, longestMicroseconds, histogramDigits)
-		m.firsts[kind] = h
+		h = hdrhistogram.New(1, maxMicroseconds, histogramDigits)
+		m.firstPartTimes[kind] = h
 	}
 	// A value beyond the bounds is recorded as the bound.
-	_ = h.RecordValue(min(max(outcome.FirstPart.Microseconds(), 1), longestMicroseconds))
+	_ = h.RecordValue(min(max(outcome.FirstPart.Microseconds(), 1), maxMicroseconds))
 }
 
 // Write prints the metrics, one a line.
@@ -75,8 +75,8 @@
 		fmt.Fprintf(w, "%s %d\n", name, m.counts[name])
 	}
 	fmt.Fprintf(w, "requests_unlogged_total %d\n", m.unlogged)
-	for _, kind := range slices.Sorted(maps.Keys(m.firsts)) {
-		h := m.firsts[kind]
+	for _, kind := range slices.Sorted(maps.Keys(m.firstPartTimes)) {
+		h := m.firstPartTimes[kind]
 		for _, q := range []float64{50, 95, 99} {
 			fmt.Fprintf(w, "first_part_seconds{kind=%q,quantile=\"%g\"} %.4f\n", kind, q/100, float64(h.ValueAtQuantile(q))/1e6)
 		}
