--- a/internal/forward/content.go
+++ b/internal/forward/content.go
@@ -6,7 +6,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Outline returns what the call asks for but for its body. It is worked out once.
+// Outline returns the hash of the call's account, method, host and URI, which is
+// everything that identifies its content except the body. It is computed on the first
+// call and then cached, without a lock.
 func (c *Call) Outline() ident.Outline {
 	if c.outline != 0 {
 		return c.outline
@@ -14,27 +16,29 @@
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range [...]string{string(c.Account), c.Method, c.Host, c.URI} {
-		// Parts are ended, so that no two splits of the same text are equal.
-		_, _ = d.WriteString(part) // a digest takes everything
+		// The zero byte ends each part, so that the same text split in another way hashes differently.
+		_, _ = d.WriteString(part) // a digest never returns an error
 		_, _ = d.Write([]byte{0})
 	}
 	c.outline = ident.Outline(d.Sum64())
 	return c.outline
 }
 
-// Knowing tells which requests something is known of.
+// Knowing tells which requests may be poison requests or are suspected of it. Its
+// methods are cheap, so that the body of any other request need not be hashed.
 type Knowing interface {
-	// Quiet reports that no request needs to be asked about, and Knows whether one with
-	// an outline does.
+	// Quiet reports whether no request at all is known or suspected.
 	Quiet() bool
+	// Knows reports whether a request with this outline is known or suspected.
 	Knows(outline ident.Outline) bool
 }
 
-// KnownTo reports whether something is known of requests like the call.
+// KnownTo reports whether the guard knows or suspects a request with the call's outline.
 func (c *Call) KnownTo(guard Knowing) bool { return !guard.Quiet() && guard.Knows(c.Outline()) }
 
-// Content returns what the call asks for. It is worked out when it is first asked for,
-// because only a call that an upstream broke off, or one like it, needs it. It is never 0.
+// Content returns the hash of the call's outline and body; it is never 0. It is computed
+// on the first call and then cached, without a lock, because it is needed only for calls
+// whose attempts fail and for calls with the same outline as a known or suspected request.
 func (c *Call) Content() ident.Content {
 	if c.content == 0 {
 		c.content = ident.ContentOf(c.Outline(), xxhash.Sum64(c.Body))
--- a/internal/forward/content_test.go
+++ b/internal/forward/content_test.go
@@ -7,8 +7,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Guards against two different requests that are taken for the same, and against the same
-// one that is not known again under another ID.
+// Different requests must have different content hashes, and the same request the same
+// hash under another ID.
 func TestContent(t *testing.T) {
 	base := Call{ID: "1", Account: "a", Method: "POST", Host: "h", URI: "/p?q=1", Body: []byte("body")}
 	seen := map[ident.Content]string{base.Content(): "base"}
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -2,28 +2,30 @@
 
 import "bytes"
 
-// eventScanner cuts a stream of server-sent events into whole events, so that
-// only whole ones are delivered: an upstream may stop in the middle of one.
+// eventScanner splits a stream of server-sent events into whole events, so that
+// only whole ones are delivered: an upstream may stop in the middle of one. The zero
+// value is ready to use.
 type eventScanner struct {
+	// pending holds the bytes that were added and not yet discarded.
 	pending []byte
 }
 
-// add takes bytes and returns the whole events among them. The result is valid
-// until the next call.
+// add appends data and returns all whole events that are pending. The result is valid
+// until the next call of add or discard.
 func (s *eventScanner) add(data []byte) []byte {
 	s.pending = append(s.pending, data...)
 	end := lastEventEnd(s.pending)
 	return s.pending[:end]
 }
 
-// discard drops the events that add returned last.
+// discard removes the first n pending bytes, which the last add returned.
 func (s *eventScanner) discard(n int) {
 	rest := copy(s.pending, s.pending[n:])
 	s.pending = s.pending[:rest]
 }
 
-// lastEventEnd returns the length of all whole events: they end with an empty
-// line.
+// lastEventEnd returns the length of all whole events at the start of data. An event
+// ends with an empty line.
 func lastEventEnd(data []byte) int {
 	end := 0
 	if i := bytes.LastIndex(data, []byte("\n\n")); i >= 0 {
@@ -55,5 +57,5 @@
 	return ""
 }
 
-// countEvents returns how many events there are.
+// countEvents returns the number of whole events whose lines end with "\n".
 func countEvents(events []byte) int { return bytes.Count(events, []byte("\n\n")) }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -20,26 +20,28 @@
 )
 
 const (
-	// maxBufferedBytes bounds an answer that is held back until it is whole. A longer
+	// maxBufferedBytes bounds an answer that is buffered until it is complete. A longer
 	// one counts as broken. The users' answers are below 5 KiB.
 	maxBufferedBytes = 1 << 20
-	// waitDivisor of the objective is how long a request waits for an upstream
-	// that takes work; after that it is refused, so that the caller can come
-	// back within its deadline. Holding is free for the users up to an eighth.
+	// waitDivisor divides the route's objective: a request waits for at most an eighth of
+	// it until an upstream accepts work. After that it is refused, so that the caller can
+	// retry within its deadline. Waiting up to an eighth costs the users nothing.
 	waitDivisor = 8
-	// waitInterval is how often a waiting request looks again.
+	// waitInterval is how often a waiting request checks again.
 	waitInterval = 10 * time.Millisecond
-	// minTimeForAttempt is how much time makes a further attempt worth while: an
-	// upstream in another domain answers no sooner.
+	// minTimeForAttempt is the least remaining time that makes a further attempt
+	// worthwhile: an upstream in another failure domain does not answer faster.
 	minTimeForAttempt = 20 * time.Millisecond
 )
 
 var (
+	// errExpired cancels a call whose deadline passed.
 	errExpired = errors.New("the request's time is over")
-	errSilent  = errors.New("the upstream is silent")
+	// errSilent cancels an attempt at an upstream that was silent for too long.
+	errSilent = errors.New("the upstream is silent")
 )
 
-// Config is what a Forwarder works with. All fields are required.
+// Config holds what a Forwarder uses. All fields are required.
 type Config struct {
 	Now       boottime.Clock
 	Pool      *httpconn.Pool
@@ -51,22 +53,22 @@
 	Meter     Meter
 	Log       hclog.Logger
 	Tracer    trace.Tracer
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter returns the retry-after time of a refused call.
 	RetryAfter func(call *Call) time.Duration
 }
 
 // Forwarder sends calls to upstreams. It is safe for concurrent use.
 type Forwarder struct {
 	cfg Config
-	// probes joins the looks at an upstream that broke several answers off.
+	// probes merges the concurrent probes of one upstream that broke off several answers.
 	probes singleflight.Group
 }
 
 // New returns a Forwarder.
 func New(cfg Config) *Forwarder { return &Forwarder{cfg: cfg} }
 
-// Serve forwards one call and delivers its answer. ctx ends when the caller
-// leaves.
+// Serve forwards one call, delivers its answer and returns how it ended. ctx must end when
+// the caller closes its connection.
 func (f *Forwarder) Serve(ctx context.Context, call *Call, caller Caller) Outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -77,7 +79,7 @@
 	return s.outcome
 }
 
-// session is the work on one call.
+// session is the forwarding of one call.
 type session struct {
 	f       *Forwarder
 	call    *Call
@@ -86,36 +88,43 @@
 	state   *State
 	outcome Outcome
 
-	// began: a part of the answer was delivered.
+	// answerBegan: a part of the answer was delivered.
 	answerBegan bool
-	// lastEvent is the ID of the last event that was delivered, and partAt when it was.
-	lastEvent  string
+	// lastEvent is the ID of the last delivered event, or the ID from the call until one
+	// with an ID is delivered.
+	lastEvent string
+	// lastPartAt is when events were delivered last.
 	lastPartAt time.Time
-	// paid: the next attempt was taken out of the budget already.
+	// nextAttemptPaid: the next attempt was already taken out of the retry budget. The
+	// timer of an attempt sets it.
 	nextAttemptPaid atomic.Bool
-	// counted: the first attempt was paid into the budget.
+	// firstAttemptCounted: the first attempt was recorded in the retry budget.
 	firstAttemptCounted bool
-	// metered: a run was counted for the account; a call counts once.
+	// metered: the call was counted for the account's usage; a call counts once.
 	metered bool
-	// buffered is the last answer of an upstream that ran the request and
-	// failed, kept to be delivered if nothing better comes.
+	// buffered is the complete answer to deliver: the successful one, or the last one of
+	// an upstream that ran the request and failed, kept in case no better one follows.
 	buffered *bufferedAnswer
-	reason   string
-	// onlyLimits: nothing but limits that upstreams named kept the call from one.
+	// reason is why the last attempt failed or no further one is made.
+	reason string
+	// onlyLimits: the last choice found no upstream only because of the request rates
+	// that upstreams stated.
 	onlyLimits bool
-	// ended: an upstream ended under the call. The timer of an attempt reads it too.
+	// upstreamCrashed: an upstream crashed while it had the call. The timer of an attempt
+	// reads it too.
 	upstreamCrashed atomic.Bool
-	// barredFor is when the call may come back; 0 if it is not barred.
+	// barredFor is the retry-after time of a barred call; 0 if it is not barred.
 	barredFor time.Duration
 }
 
+// bufferedAnswer is a complete answer that has not been delivered yet.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// run tries upstreams until the call has ended.
+// run makes attempts until the call has ended.
 func (s *session) run() {
 	for {
 		avoid, admitted := s.waitForAdmission()
@@ -150,7 +159,7 @@
 	}
 }
 
-// giveUp ends a call for which there is no further attempt.
+// giveUp returns how to end a call that gets no further attempt.
 func (s *session) giveUp() Step {
 	switch {
 	case s.answerBegan:
@@ -161,7 +170,7 @@
 	return s.state.GiveUp()
 }
 
-// endWithoutUpstream ends a call for which no upstream was found.
+// endWithoutUpstream returns how to end a call for which no upstream was found.
 func (s *session) endWithoutUpstream() Step {
 	switch context.Cause(s.ctx) {
 	case nil:
@@ -181,6 +190,8 @@
 	return s.giveUp()
 }
 
+// spendRetry takes one retry out of the retry budget, unless the next attempt is already
+// paid for, and reports whether the call may be sent once more.
 func (s *session) spendRetry() bool {
 	if s.upstreamCrashed.Load() && !s.f.cfg.Guard.Resend(s.call.Content()) {
 		return false
@@ -191,7 +202,9 @@
 	return s.f.cfg.Budget.Spend(s.call.Service.Name, s.f.cfg.Now())
 }
 
-// chooseOrWait takes a place at an upstream. It waits a little where none takes work.
+// chooseOrWait reserves a slot at an upstream and reports whether it found one. While no
+// upstream accepts work, it waits for up to an eighth of the route's objective after the
+// call was received.
 func (s *session) chooseOrWait() (Choice, bool) {
 	waitUntil := s.call.Received.Add(s.call.Route.Objective / waitDivisor)
 	for {
@@ -204,19 +217,20 @@
 		if found || choice.OnlyLimits || !now.Before(waitUntil) || s.ctx.Err() != nil {
 			return choice, found && s.ctx.Err() == nil
 		}
-		pause.For(s.ctx, waitInterval) // the next look sees whether the call has ended
+		pause.For(s.ctx, waitInterval) // the loop checks whether the call has ended
 	}
 }
 
-// attempt sends the call to one upstream and delivers what comes.
+// attempt makes one attempt at an upstream: it runs the exchange, and records the attempt
+// with the retry budget, the guard and the trace.
 func (s *session) attempt(choice Choice) Result {
 	ctx, span := s.f.cfg.Tracer.Start(s.ctx, "attempt", trace.WithAttributes(
 		attribute.String("request", string(s.call.ID)), attribute.String("upstream", string(choice.Upstream))))
 	defer span.End()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := s.watchForSilence(choice, cancel)
-	defer patience.stop()
+	silence := s.watchForSilence(choice, cancel)
+	defer silence.stop()
 	if !s.firstAttemptCounted {
 		s.firstAttemptCounted = true
 		s.f.cfg.Budget.FirstTry(s.call.Service.Name, s.f.cfg.Now())
@@ -225,7 +239,7 @@
 	if s.call.KnownTo(s.f.cfg.Guard) {
 		defer s.f.cfg.Guard.Started(choice.Upstream, s.call.Content())()
 	}
-	result := s.exchange(ctx, choice, target, patience)
+	result := s.exchange(ctx, choice, target, silence)
 	span.SetAttributes(attribute.String("result", result.String()))
 	if (result == Broken || result == Cut) && ctx.Err() == nil && s.f.processEnded(ctx, target) {
 		s.recordUpstreamEnd(choice, result)
@@ -236,8 +250,9 @@
 	return result
 }
 
-// exchange sends the call and delivers what comes.
-func (s *session) exchange(ctx context.Context, choice Choice, target httpconn.Target, patience *silenceTimer) Result {
+// exchange sends the call to an upstream and reads its answer. The events of a stream are
+// delivered as they arrive.
+func (s *session) exchange(ctx context.Context, choice Choice, target httpconn.Target, silence *silenceTimer) Result {
 	answer, failure := s.f.cfg.Pool.Send(ctx, target, s.f.cfg.Dialect.Request(s.call, Attempt{
 		Upstream: choice.Name, Left: s.call.Remaining(s.f.cfg.Now()), LastEvent: s.lastEvent,
 	}))
@@ -248,27 +263,27 @@
 		return s.resultOfFailure(choice, failure)
 	}
 	defer answer.Close()
-	return s.readAnswer(choice, answer, patience)
+	return s.readAnswer(choice, answer, silence)
 }
 
-// countsAsStarted reports whether an exchange that failed counts for usage as a run that
-// began: the upstream, or its end, broke it off. Of one that stayed silent it is as
-// likely that the request never arrived. That an upstream drops an idle connection at
-// the very moment is rarer by far. Without it usage would lack the runs whose answers
-// were lost.
+// countsAsStarted reports whether a failed exchange counts for usage as a request that
+// began to run: it was sent, and the upstream or its crash broke the connection off.
+// Without these, usage would lack the runs whose answers were lost. An upstream may also
+// have closed an idle connection at that very moment, but that is far rarer. An exchange
+// that stayed silent does not count: the request may just as well never have arrived.
 func countsAsStarted(failure *httpconn.Failure) bool {
 	return failure.Sent && !errors.Is(failure, errSilent) && !errors.Is(failure, errExpired)
 }
 
-// resultOfFailure says what a failed exchange means.
+// resultOfFailure returns the result of an attempt whose exchange failed.
 func (s *session) resultOfFailure(choice Choice, failure *httpconn.Failure) Result {
 	s.reason = failure.Error()
-	over := s.callEnded()
-	if !failure.Sent && over != CallerGone {
+	ended := s.callEnded()
+	if !failure.Sent && ended != CallerGone {
 		return NoConnection
 	}
-	if over != 0 {
-		return over
+	if ended != 0 {
+		return ended
 	}
 	if errors.Is(failure, errSilent) {
 		s.f.cfg.Pool.Distrust(choice.Upstream)
@@ -276,7 +291,7 @@
 	return s.interrupted()
 }
 
-// interrupted is the result of an answer that did not come, or broke off.
+// interrupted returns the result of an attempt whose answer is missing or broke off.
 func (s *session) interrupted() Result {
 	if s.answerBegan {
 		return Cut
@@ -284,7 +299,8 @@
 	return Broken
 }
 
-// callEnded returns the result of a call that ended from the caller's side, or 0.
+// callEnded returns Expired if the call's deadline passed, CallerGone if the caller closed
+// its connection, and 0 otherwise.
 func (s *session) callEnded() Result {
 	if s.ctx.Err() == nil {
 		return 0
@@ -295,8 +311,8 @@
 	return CallerGone
 }
 
-// readAnswer takes an answer whose header has come.
-func (s *session) readAnswer(choice Choice, answer *httpconn.Answer, patience *silenceTimer) Result {
+// readAnswer reads an answer whose header was received.
+func (s *session) readAnswer(choice Choice, answer *httpconn.Answer, silence *silenceTimer) Result {
 	reading := s.f.cfg.Dialect.Read(answer.Status, answer.Header)
 	if !reading.Other {
 		s.f.cfg.Limits.Hear(choice.Upstream, s.call.ID, reading.Limit)
@@ -306,28 +322,28 @@
 		s.drainRejection(answer)
 		return Rejected
 	}
-	// Every other answer is of a run that began, whether or not it is delivered.
+	// Any other answer means that the request began to run, whether or not it is delivered.
 	s.countForUsage()
 	if answer.Status/100 == 2 && reading.Stream && s.call.Route.Kind == routetable.Streaming {
-		return s.readStream(choice, answer, reading, patience)
+		return s.readStream(choice, answer, reading, silence)
 	}
 	if s.answerBegan {
-		// The rest of a stream was asked for, and something else came.
+		// The rest of a stream was requested, but the answer is no stream.
 		s.reason = "status " + http.StatusText(answer.Status) + " instead of the stream's rest"
 		return Cut
 	}
 	return s.readWhole(choice, answer, reading)
 }
 
-// drainRejection reads the rest of a rejection, so that its connection can be kept.
+// drainRejection reads the rest of a rejection, so that its connection can be reused.
 func (s *session) drainRejection(answer *httpconn.Answer) {
 	if _, err := io.Copy(io.Discard, io.LimitReader(answer, maxBufferedBytes)); err != nil {
-		s.f.cfg.Log.Debug("rest of a rejection not read", "id", s.call.ID, "error", err)
+		s.f.cfg.Log.Debug("cannot read the rest of a rejection", "id", s.call.ID, "error", err)
 	}
 }
 
-// readWhole reads an answer to its end before any of it is delivered, so that
-// one that breaks off can still be replaced.
+// readWhole reads a complete answer before any of it is delivered, so that after an
+// answer that breaks off the request can still be sent to another upstream.
 func (s *session) readWhole(choice Choice, answer *httpconn.Answer, reading Reading) Result {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
 	if err != nil {
@@ -353,13 +369,15 @@
 	return Done
 }
 
+// callEndedOr returns the result of a call that has ended, and otherwise the given result.
 func (s *session) callEndedOr(result Result) Result {
-	if over := s.callEnded(); over != 0 {
-		return over
+	if ended := s.callEnded(); ended != 0 {
+		return ended
 	}
 	return result
 }
 
+// countForUsage counts the call for the account's usage, once.
 func (s *session) countForUsage() {
 	if !s.metered {
 		s.metered = true
@@ -367,7 +385,7 @@
 	}
 }
 
-// finish gives the caller the final answer.
+// finish ends the call with a step that is final, and delivers the answer or an error.
 func (s *session) finish(step Step) {
 	s.outcome.Step, s.outcome.Reason = step, s.reason
 	s.outcome.Attempts, s.outcome.Tried = s.state.Attempts(), s.state.Tried
@@ -387,14 +405,14 @@
 		s.outcome.Status = http.StatusGatewayTimeout
 		s.caller.TimeOut()
 	case Abandon:
-		// Nobody is there to hear an answer.
+		// The caller has gone.
 	default:
 		s.outcome.Status = http.StatusBadGateway
 		s.caller.Fail(s.reason)
 	}
 }
 
-// retryAfter is when a refused caller should come back.
+// retryAfter returns the retry-after time of a refused call.
 func (s *session) retryAfter() time.Duration {
 	if s.barredFor > 0 {
 		return s.barredFor
@@ -402,7 +420,7 @@
 	return s.f.cfg.RetryAfter(s.call)
 }
 
-// finishStream ends an answer of which a part was delivered.
+// finishStream completes a stream of which a part was delivered, or cuts it off.
 func (s *session) finishStream(step Step) {
 	if step == Deliver {
 		s.caller.End()
--- a/internal/forward/meter_test.go
+++ b/internal/forward/meter_test.go
@@ -7,9 +7,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/httpconn"
 )
 
-// Symptom: the usage of a window is off by 13 in a hundred. Sequence: half of the
-// upstreams run requests and reset the connection instead of answering. Cause: only
-// runs that were answered are counted.
+// Guards against counting only answered requests: usage was 13 % off when half of the
+// upstreams ran requests and then reset the connection instead of answering.
 func TestRunsThatWereNotAnsweredCount(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -11,15 +11,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/poison"
 )
 
-// probeTimeout is how long a look at an upstream may take that broke an answer off. One whose
-// process has ended refuses connections at once; one that is cut off says nothing.
+// probeTimeout bounds the probe of an upstream that broke an answer off. A host whose
+// process has ended refuses connections at once; one that is cut off does not respond.
 const probeTimeout = 100 * time.Millisecond
 
-// processEnded reports whether the upstream's process has ended, and not just one of its
+// processEnded probes whether the upstream's process has ended, and not just one of its
 // connections.
 func (f *Forwarder) processEnded(ctx context.Context, target httpconn.Target) bool {
 	refused, _, _ := f.probes.Do(string(target.ID), func() (any, error) {
-		// A caller that leaves meanwhile must not end the look of the others.
+		// A caller that goes away must not cancel the probe that other calls wait for.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
 		defer cancel()
 		return f.cfg.Pool.Refuses(ctx, target), nil
@@ -27,10 +27,11 @@
 	return refused.(bool)
 }
 
-// recordUpstreamEnd notes that an upstream ended while it had the call.
+// recordUpstreamEnd records that an upstream's process ended while it had the call, which
+// is a crash if it was unexpected.
 func (s *session) recordUpstreamEnd(choice Choice, result Result) {
 	unexpected := s.f.cfg.Placement.Ended(choice)
-	s.f.cfg.Log.Info("upstream ended under a request", "id", s.call.ID, "content", s.call.Content(), "account", s.call.Account,
+	s.f.cfg.Log.Info("upstream process ended during a request", "id", s.call.ID, "content", s.call.Content(), "account", s.call.Account,
 		"route", s.call.Route.Name, "upstream", choice.Upstream, "result", result.String(), "unexpected", unexpected, "again", s.upstreamCrashed.Load())
 	if unexpected {
 		s.f.cfg.Guard.Crashed(choice.Upstream, ident.MarkOf(s.call.Content(), s.call.ID))
@@ -38,13 +39,14 @@
 	}
 }
 
-// waitForAdmission reports whether the call may be sent now, and which upstreams it should avoid.
-// A request that ends whoever runs it comes under new IDs at every gateway, so that each
-// arrival alone looks like the first; its content links them.
+// waitForAdmission waits until the guard decides, and reports whether the call may be sent
+// and which upstreams it should avoid. A poison request arrives at every gateway under new
+// IDs, so that each arrival by itself looks like the first; the hash of its content links
+// them.
 func (s *session) waitForAdmission() (avoid []ident.Instance, ok bool) {
-	began := s.f.cfg.Now()
+	start := s.f.cfg.Now()
 	for s.call.KnownTo(s.f.cfg.Guard) {
-		decision := s.f.cfg.Guard.Admit(s.call.Content(), s.f.cfg.Now().Sub(began))
+		decision := s.f.cfg.Guard.Admit(s.call.Content(), s.f.cfg.Now().Sub(start))
 		switch {
 		case decision.Step == poison.Bar:
 			s.barredFor, s.reason = decision.After, BarredReason
@@ -56,10 +58,11 @@
 	return nil, true
 }
 
-// BarredReason tells callers why their request does not run.
+// BarredReason is the reason that callers are given for a barred request.
 const BarredReason = "upstreams end under this request"
 
-// chooseAvoiding takes a place at an upstream, apart from those to avoid if there are others.
+// chooseAvoiding reserves a slot at an upstream that is not in avoid, or at any upstream
+// if no other accepts work.
 func (s *session) chooseAvoiding(avoid []ident.Instance) (Choice, bool) {
 	if len(avoid) > 0 {
 		exclude := append(slices.Clone(s.state.Tried), avoid...)
--- a/internal/forward/state.go
+++ b/internal/forward/state.go
@@ -1,8 +1,8 @@
-// Package forward takes one request of a caller to the upstreams that may run
-// it, and its answer back.
+// Package forward sends a caller's request to an upstream, retries it at other
+// upstreams where that is allowed, and delivers the answer.
 //
-// What may be tried after what is decided by State, which does no I/O. Forwarder
-// sends, reads and delivers.
+// State decides after each attempt what to do next and does no I/O. Forwarder
+// sends requests, reads answers and delivers them.
 package forward
 
 import (
@@ -15,21 +15,21 @@
 
 // The results.
 const (
-	// NoConnection: nothing was sent.
+	// NoConnection: no connection to the upstream was made, and nothing was sent.
 	NoConnection Result = iota + 1
-	// Rejected: the upstream said that it did not run the request.
+	// Rejected: the upstream answered that it did not run the request.
 	Rejected
-	// Failed: the upstream ran the request and answered with a failure.
+	// Failed: the upstream ran the request and answered with an error.
 	Failed
-	// Broken: the request was sent, and no valid answer came. It may have run.
+	// Broken: the request was sent, but no valid answer was received. It may have run.
 	Broken
-	// Cut: the answer broke off after a part of it was delivered.
+	// Cut: the answer broke off after a part of it was delivered to the caller.
 	Cut
-	// Done: the whole answer came.
+	// Done: the whole answer was received.
 	Done
-	// Expired: the request's time is over.
+	// Expired: the request's deadline passed.
 	Expired
-	// CallerGone: the caller left.
+	// CallerGone: the caller closed its connection.
 	CallerGone
 )
 
@@ -38,7 +38,7 @@
 	Cut: "cut", Done: "done", Expired: "expired", CallerGone: "caller_gone",
 }
 
-// String is the result's name in logs.
+// String returns the result's name in logs.
 func (r Result) String() string { return resultNames[r] }
 
 // Step is what to do next.
@@ -46,21 +46,21 @@
 
 // The steps.
 const (
-	// Deliver the answer that came; nothing more is to be done.
+	// Deliver the answer that was received, which ends the request.
 	Deliver Step = iota + 1
-	// TryAnother upstream.
+	// TryAnother sends the request to another upstream.
 	TryAnother
 	// Resume the stream at another upstream after the last delivered event.
 	Resume
-	// Refuse: the request has not run and will not; say when to come back.
+	// Refuse: the request has not run and will not; tell the caller when to retry.
 	Refuse
-	// Fail: the request may have run, and there is no answer.
+	// Fail: the request may have run, but there is no answer to deliver.
 	Fail
-	// TimeOut: its time is over, and it may have run.
+	// TimeOut: the request's deadline passed, and it may have run.
 	TimeOut
-	// Break the caller's answer off: a part was delivered, the rest will not come.
+	// Break cuts the caller's answer off: a part was delivered, and the rest cannot be.
 	Break
-	// Abandon: nobody is there to hear an answer.
+	// Abandon: the caller has gone, so nothing is delivered.
 	Abandon
 )
 
@@ -69,43 +69,43 @@
 	Fail: "fail", TimeOut: "time_out", Break: "break", Abandon: "abandon",
 }
 
-// String is the step's name in logs.
+// String returns the step's name in logs.
 func (s Step) String() string { return stepNames[s] }
 
 const (
-	// maxUnsentAttempts bounds the attempts of one request that reached no upstream.
-	// With a quarter of the upstreams down, five in a row fail for one request
-	// in a thousand.
+	// maxUnsentAttempts bounds the attempts of one request that reach no upstream.
+	// With a quarter of the upstreams down, one request in a thousand fails to
+	// connect five times in a row.
 	maxUnsentAttempts = 5
-	// maxRejections bounds the upstreams that may turn one request down: each
-	// costs a part of the budget that all gateways share, and where three are
-	// full the fourth is too.
+	// maxRejections bounds the upstreams that may reject one request: each
+	// rejection costs a part of the retry budget that all gateways share, and where
+	// three upstreams are full, the fourth is likely to be full too.
 	maxRejections = 3
 )
 
-// State is what became of one request so far.
+// State records the attempts of one request and decides what to do after each.
 type State struct {
 	route *routetable.Route
-	// possibleRuns counts the attempts that may have run.
+	// possibleRuns counts the attempts in which the request may have run.
 	possibleRuns int
-	// unsent and rejected count those that did not.
+	// unsent and rejected count the attempts in which it did not run.
 	unsent, rejected int
-	// Tried are the upstreams of all attempts.
+	// Tried lists the upstreams of all attempts in order.
 	Tried []ident.Instance
 }
 
-// NewState returns the state of a request that was not sent yet.
+// NewState returns the state of a request that has not been sent yet.
 func NewState(route *routetable.Route) *State { return &State{route: route} }
 
 // MayHaveRun reports whether an upstream may have run the request.
 func (s *State) MayHaveRun() bool { return s.possibleRuns > 0 }
 
-// Attempts returns how many attempts there were.
+// Attempts returns the number of attempts so far.
 func (s *State) Attempts() int { return len(s.Tried) }
 
-// After takes the result of an attempt at an upstream and returns what to do.
-// spend takes one further arrival out of the retry budget; it is called only
-// where that is what decides.
+// After records the result of an attempt at an upstream and returns what to do next.
+// spend takes one retry out of the retry budget and reports whether the budget allowed
+// it; it is called only where the decision depends on it.
 func (s *State) After(upstream ident.Instance, result Result, spend func() bool) Step {
 	s.Tried = append(s.Tried, upstream)
 	switch result {
@@ -141,9 +141,9 @@
 	return s.GiveUp()
 }
 
-// afterPossibleRun decides after an attempt that may have run the request. Only
+// afterPossibleRun decides after an attempt in which the request may have run. Only
 // idempotent requests and resumable streams may run once more, at no more
-// upstreams than the route allows, and within the budget.
+// upstreams than the route allows, and within the retry budget.
 func (s *State) afterPossibleRun(result Result, spend func() bool) Step {
 	again := (s.route.Repeatable() || s.route.Resumable) && s.possibleRuns < s.route.Attempts && spend()
 	switch {
@@ -159,7 +159,7 @@
 	return Fail
 }
 
-// GiveUp returns how to end a request for which no upstream is left.
+// GiveUp returns how to end a request that no further upstream will get.
 func (s *State) GiveUp() Step {
 	if s.MayHaveRun() {
 		return Fail
--- a/internal/forward/state_test.go
+++ b/internal/forward/state_test.go
@@ -13,9 +13,10 @@
 
 func init() { testkit.FixSeed() }
 
-// Symptom: a request runs twice, at too many upstreams, or is refused as not run
-// though it may have run. Sequence: any results of attempts, with a budget that
-// runs out at any time. Cause: a step that forgets what an earlier one meant.
+// For any sequence of attempt results and a retry budget that runs out at any time, a
+// request must not run twice if that is not allowed, must not go to too many upstreams, and
+// must not be refused as not run if it may have run. Guards against a step that ignores
+// the result of an earlier attempt.
 func TestWhateverHappensTheRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := &routetable.Route{
@@ -112,8 +113,9 @@
 	}
 }
 
-// Symptom: half an event reaches the caller, or an ID is misread. Sequence: bytes
-// cut at any place. Cause: a scanner that looks at one read at a time.
+// However the bytes of a stream are split into reads, only whole events may reach the
+// caller, and IDs must be read correctly. Guards against a scanner that looks at each read
+// by itself.
 func TestEventsAreWholeWhereverTheBytesAreCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "events")
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -8,52 +8,55 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/httpconn"
 )
 
-// streamBufferBytes is read at once from a stream; an event has some 80 bytes.
+// streamBufferBytes is how much is read from a stream at a time; an event has some 80 bytes.
 const streamBufferBytes = 4 << 10
 
-// silenceTimer ends an attempt that stays silent, where the call may go on
-// elsewhere. Each sign of life starts it anew.
+// silenceTimer cancels an attempt whose upstream is silent for too long, where the call
+// may be sent to another upstream. Each event that is received restarts it. The zero value
+// never fires.
 type silenceTimer struct {
-	timer      *time.Timer
+	timer *time.Timer
+	// afterEvent is the longest silence allowed after an event.
 	afterEvent time.Duration
 }
 
-// watchForSilence starts to watch an attempt. It does nothing for calls that only one
-// upstream may run: a silent upstream is then still the only one with an answer.
-// Nor does it end an attempt that the budget lets nobody replace.
+// watchForSilence starts the silence timer of an attempt. The timer never fires for a call
+// that no further upstream may run, because then only the silent upstream can still answer,
+// or that the retry budget lets no other upstream run.
 func (s *session) watchForSilence(choice Choice, cancel context.CancelCauseFunc) *silenceTimer {
 	route := s.call.Route
 	if !route.Repeatable() && !route.Resumable || choice.Slow <= 0 || s.state.possibleRuns+1 >= route.Attempts {
 		return &silenceTimer{}
 	}
-	p := &silenceTimer{afterEvent: max(silentGapFactor*route.GapObjective, choice.Slow)}
-	p.timer = time.AfterFunc(choice.Slow, func() {
+	t := &silenceTimer{afterEvent: max(silentGapFactor*route.GapObjective, choice.Slow)}
+	t.timer = time.AfterFunc(choice.Slow, func() {
 		if s.call.Remaining(s.f.cfg.Now()) > choice.Slow && s.spendRetry() {
 			s.nextAttemptPaid.Store(true)
 			cancel(errSilent)
 		}
 	})
-	return p
+	return t
 }
 
-// silentGapFactor is how many times the longest pause that is still on time makes a
-// stream count as silent. The users' callers leave after eight.
+// silentGapFactor times the route's objective for the pause between two events is the pause
+// after which a stream counts as silent. The users' callers go away after eight times it.
 const silentGapFactor = 3
 
-func (p *silenceTimer) reset() {
-	if p.timer != nil {
-		p.timer.Reset(p.afterEvent)
+// reset restarts the timer after an event was received.
+func (t *silenceTimer) reset() {
+	if t.timer != nil {
+		t.timer.Reset(t.afterEvent)
 	}
 }
 
-func (p *silenceTimer) stop() {
-	if p.timer != nil {
-		p.timer.Stop()
+func (t *silenceTimer) stop() {
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
-// readStream delivers a stream's events as they come.
-func (s *session) readStream(choice Choice, answer *httpconn.Answer, reading Reading, patience *silenceTimer) Result {
+// readStream reads a stream and delivers its events as they arrive.
+func (s *session) readStream(choice Choice, answer *httpconn.Answer, reading Reading, silence *silenceTimer) Result {
 	if !reading.Genuine && !s.answerBegan {
 		s.reason = "a stream without the upstream's signature"
 		return Broken
@@ -65,7 +68,7 @@
 		n, err := answer.Read(buffer)
 		events := scanner.add(buffer[:n])
 		if len(events) > 0 {
-			patience.reset()
+			silence.reset()
 			if first {
 				first = false
 				s.f.cfg.Placement.Began(choice, s.f.cfg.Now())
@@ -85,8 +88,8 @@
 	}
 }
 
-// streamEnd ends a stream that its upstream ended. What follows the last whole
-// event belongs to the body too.
+// streamEnd completes a stream that the upstream completed. Bytes after the last whole
+// event are a part of the body, too, and are delivered.
 func (s *session) streamEnd(answer *httpconn.Answer, scanner *eventScanner) Result {
 	if len(scanner.pending) > 0 && !s.deliver(answer, scanner.pending) {
 		return CallerGone
@@ -97,7 +100,7 @@
 	return Done
 }
 
-// deliver passes events on and reports whether the caller still takes them.
+// deliver sends events to the caller and reports whether the caller is still there.
 func (s *session) deliver(answer *httpconn.Answer, events []byte) bool {
 	now := s.f.cfg.Now()
 	if !s.answerBegan {
@@ -117,6 +120,7 @@
 	return true
 }
 
+// beginStream starts the caller's answer with the status and header of the upstream's.
 func (s *session) beginStream(answer *httpconn.Answer) {
 	s.answerBegan = true
 	s.outcome.FirstPart = s.f.cfg.Now().Sub(s.call.Received)
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// acceptingCaller is a caller that takes all parts.
+// acceptingCaller is a caller that accepts all parts.
 type acceptingCaller struct{ Caller }
 
 func (acceptingCaller) Part([]byte) error { return nil }
 
-// Guards against a stream that stands still for a second without a trace of it: its first
-// event came in time, and it took no longer than others.
+// Guards against a stream that pauses for a second without any trace in the log: its time
+// to the first event and its whole duration look normal.
 func TestTheLongestPauseOfAStreamIsKnown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := &session{f: &Forwarder{cfg: Config{Now: func() time.Time { return now }}}, caller: acceptingCaller{}, answerBegan: true, lastPartAt: now}
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -11,181 +11,207 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// PromptPart is a part of a prompt that other requests may share.
+// PromptPart is a part of a prompt, which other requests may have in common with it.
 type PromptPart struct {
+	// ID is the same for the same part of any request.
 	ID     uint64
 	Tokens int
 }
 
-// Call is one request of a caller, checked and ready to be sent.
+// Call is one request of a caller, checked and ready to be sent. It is not safe for
+// concurrent use.
 type Call struct {
 	ID      ident.Request
 	Route   *routetable.Route
 	Service *routetable.Service
 	Account ident.ClientAccount
-	// Priority is the rank that counts, 0 first.
+	// Priority is the account's priority, or the route's where the account has none;
+	// 0 is served first.
 	Priority int
 
 	Method string
 	URI    string
 	Host   string
-	// Header is what the caller sent and may be passed on.
+	// Header holds the caller's headers that may be passed on to an upstream.
 	Header http.Header
 	Body   []byte
 
-	// Parts of the prompt in order; the last belongs to this request alone.
+	// Parts lists the prompt's parts in order; the last belongs to this request alone.
 	Parts []PromptPart
-	// PromptTokens and MostTokens are the prompt's size and the bound of the
-	// answer's; 0 if not declared.
+	// PromptTokens is the prompt's size, and MostTokens the largest size of the answer;
+	// both are 0 if the caller did not declare them.
 	PromptTokens, MostTokens int
-	// LastEvent is after which event the caller wants to resume; empty for
-	// none.
+	// LastEvent is the ID of the event after which the caller wants its stream to
+	// resume; empty for the whole stream.
 	LastEvent string
 
+	// Received is when the gateway received the request.
 	Received time.Time
-	// Expires is when the route's timeout or the caller's deadline is reached,
-	// whichever comes first.
+	// Expires is when the route's timeout or the caller's deadline ends,
+	// whichever is earlier.
 	Expires time.Time
 
-	// outline and content are worked out on demand, see there; 0 until then.
+	// outline and content cache the results of Outline and Content; 0 until computed.
 	outline ident.Outline
 	content ident.Content
 }
 
-// Remaining is the time left at an instant.
+// Remaining returns the time from now until the call expires; it is negative afterwards.
 func (c *Call) Remaining(now time.Time) time.Duration { return c.Expires.Sub(now) }
 
 // Attempt says how a call is sent to one upstream.
 type Attempt struct {
 	// Upstream is the name that the upstream answers to.
 	Upstream ident.Instance
-	// Left is the time that the upstream may take.
+	// Left is how long the upstream may take.
 	Left time.Duration
-	// LastEvent is after which event the answer shall go on; empty for all.
+	// LastEvent is the ID of the event after which the stream resumes; empty for the
+	// whole stream.
 	LastEvent string
 }
 
-// Reading is what an answer's header says.
+// Reading is what the status and header of an upstream's answer mean.
 type Reading struct {
 	// NotRun: the upstream did not run the request and never will.
 	NotRun bool
 	// Genuine: the answer carries the upstream's signature.
 	Genuine bool
-	// Stream: the body is events.
+	// Stream: the body is a stream of server-sent events.
 	Stream bool
-	// Other: another upstream than the one that was asked for answered.
+	// Other: the answer came from another upstream than the request was meant for.
 	Other bool
-	// Limit is what the answer says of the rate that its upstream takes.
+	// Limit is what the answer states about the request rate that its upstream accepts.
 	Limit upstreamlimit.Statement
 }
 
-// Dialect writes requests and reads answers in the upstreams' protocol.
+// Dialect writes requests and interprets answers in the upstreams' protocol.
 type Dialect interface {
-	// Request returns what to send for an attempt.
+	// Request returns the HTTP request to send for an attempt.
 	Request(call *Call, attempt Attempt) *httpconn.Request
-	// Read says what an answer's header means.
+	// Read interprets the status and header of an answer.
 	Read(status int, header http.Header) Reading
 }
 
-// Choice is an upstream that was chosen, with the place taken there.
+// Choice is the upstream chosen for an attempt, with the slot reserved there.
 type Choice struct {
-	// Upstream is the ID of the upstream's life, and Name what it answers to.
+	// Upstream identifies one incarnation of the upstream; Name is the name that the
+	// upstream answers to.
 	Upstream, Name ident.Instance
 	Address        string
+	// MaxConnections is how many connections this gateway may open to the upstream.
 	MaxConnections int
-	// Slow is after how long without an answer, or a first event, the
-	// upstream is slower than nearly all attempts are.
+	// Slow is the time within which nearly all attempts receive an answer, or a
+	// stream's first event. An attempt that is silent for longer is taken for stuck; 0
+	// or less if unknown.
 	Slow time.Duration
-	// Why names what decided, for the log.
+	// Why names the reason of the choice, for the log.
 	Why string
-	// AtLimit are the upstreams that would have been better but for the limits which they
-	// named. OnlyLimits: there is no upstream, and nothing but limits is in the way.
-	AtLimit    []ident.Instance
+	// AtLimit lists the upstreams that were preferable but have reached the request rate
+	// that they stated. It may be set where no upstream was found.
+	AtLimit []ident.Instance
+	// OnlyLimits: no upstream was found, and only such limits prevented it.
 	OnlyLimits bool
-	// Place must be given back with Placement.Finished.
+	// Place is the reserved slot, which Placement.Finished releases.
 	Place any
 }
 
-// Placement chooses upstreams and learns how they do.
+// Placement chooses upstreams and records how attempts at them go. It is safe for
+// concurrent use.
 type Placement interface {
-	// Choose takes a place at an upstream, or says that there is none.
+	// Choose reserves a slot at an upstream that is not in exclude, and reports whether
+	// it found one.
 	Choose(call *Call, exclude []ident.Instance, now time.Time) (Choice, bool)
-	// Began notes that a valid answer, or a stream's first event, came.
+	// Began records that a valid answer, or a stream's first event, was received.
 	Began(choice Choice, now time.Time)
-	// Ended notes that the upstream's process ended under the request, which says nothing
-	// of how it serves others. It reports whether that was unexpected. Finished follows.
+	// Ended records that the upstream's process ended while it had the request, so that
+	// the failed attempt says nothing about how the upstream serves other requests. It
+	// reports whether the end was unexpected. Finished is called after it.
 	Ended(choice Choice) bool
-	// Finished gives the place back.
+	// Finished records the result of the attempt and releases its slot.
 	Finished(choice Choice, result Result, now time.Time)
 }
 
-// Guard keeps requests from upstreams that end those which run them.
+// Guard keeps poison requests, which crash the upstreams that run them, away from
+// upstreams. It is safe for concurrent use.
 type Guard interface {
 	Knowing
-	// Admit decides about a request that has waited for so long to be sent.
+	// Admit decides whether a request that has waited for this long is sent, waits on or
+	// is barred.
 	Admit(content ident.Content, waited time.Duration) poison.Decision
-	// Started notes that a request was sent; call ended when it has ended there.
+	// Started records that a request is sent to an upstream. The caller must call ended
+	// when the attempt is over.
 	Started(upstream ident.Instance, content ident.Content) (ended func())
-	// Crashed notes that an upstream ended under a request.
+	// Crashed records that an upstream crashed while it had the request with this mark.
 	Crashed(upstream ident.Instance, mark ident.Mark)
-	// Resend reports whether a request that an end broke off may go to another upstream.
+	// Resend reports whether a request whose upstream crashed may go to another one.
 	Resend(content ident.Content) bool
-	// Completed notes that a request was answered whole.
+	// Completed records that a request was answered completely.
 	Completed(content ident.Content)
 }
 
-// Limits are the rates that upstreams name in their answers.
+// Limits keeps the request rates that upstreams state in their answers.
 type Limits interface {
-	// Hear takes in what an answer of an upstream to a request says.
+	// Hear applies the statement in an upstream's answer to a request.
 	Hear(upstream ident.Instance, id ident.Request, s upstreamlimit.Statement)
 }
 
-// Budget bounds what arrives at a service beyond the first attempts, over all
-// gateways together.
+// Budget bounds the retries that all gateways together send to a service, as a share of
+// the first attempts.
 type Budget interface {
+	// FirstTry records the first attempt of a request.
 	FirstTry(service ident.Service, now time.Time)
+	// Spend takes one retry out of the budget and reports whether the budget allowed it.
 	Spend(service ident.Service, now time.Time) bool
 }
 
-// Meter counts the requests that began to run.
+// Meter counts the requests that began to run, for each account's usage.
 type Meter interface {
+	// Began counts one request of the account.
 	Began(account ident.ClientAccount)
 }
 
-// Caller takes the answer. Its methods are called one after the other.
+// Caller receives the answer. Its methods are never called concurrently.
 type Caller interface {
 	// Answer delivers a whole answer.
 	Answer(status int, header http.Header, body []byte)
-	// Begin starts an answer that comes in parts.
+	// Begin starts an answer that is delivered in parts.
 	Begin(status int, header http.Header)
-	// Part delivers the next part; an error means that the caller left.
+	// Part delivers the next part; an error means that the caller has gone.
 	Part(data []byte) error
-	// End ends an answer that came in parts as complete.
+	// End completes an answer that was delivered in parts.
 	End()
-	// Break ends an answer that came in parts so that it looks cut off.
+	// Break cuts off an answer that was delivered in parts, so that the caller sees that
+	// it is incomplete.
 	Break()
-	// Refuse says that the request did not run, and when to come back.
+	// Refuse tells the caller that the request did not run, and after how long to retry.
 	Refuse(reason string, after time.Duration)
-	// Fail says that the request may have run.
+	// Fail tells the caller that the request failed and may have run.
 	Fail(reason string)
-	// TimeOut says that the request's time is over; it may have run.
+	// TimeOut tells the caller that the request's deadline passed; it may have run.
 	TimeOut()
 }
 
-// Outcome is what became of a call, for the log and the metrics.
+// Outcome is how a call ended, for the log and the metrics.
 type Outcome struct {
-	Step     Step
-	Reason   string
+	// Step is the last step.
+	Step Step
+	// Reason is why the last attempt failed or the call was refused; empty if neither is so.
+	Reason string
+	// Status is the HTTP status that the caller was sent; 0 if none.
 	Status   int
 	Attempts int
-	Tried    []ident.Instance
-	Resumed  int
-	// FirstPart is the time to the answer, or to a stream's first event; 0 if
-	// there was none.
+	// Tried lists the upstreams of all attempts in order.
+	Tried []ident.Instance
+	// Resumed counts how often the stream was resumed at another upstream.
+	Resumed int
+	// FirstPart is the time from receiving the call to the answer, or to a stream's first
+	// event; 0 if nothing of an answer was delivered.
 	FirstPart time.Duration
-	Events    int
-	// LongestPause is the longest time between two events of a stream that came apart.
+	// Events counts the delivered events.
+	Events int
+	// LongestPause is the longest time between two consecutive deliveries of events.
 	LongestPause time.Duration
-	// AtLimit are the upstreams that were passed over for the limits which they named.
+	// AtLimit lists the upstreams that were passed over in the last choice that passed
+	// over any, because they have reached the request rate that they stated.
 	AtLimit []ident.Instance
 }
