--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -151,7 +151,7 @@
 
 // Limits keeps the request rates that upstreams state in their answers.
 type Limits interface {
-	// Hear applies the statement in an upstream's answer to a request.
+	// Hear records what an upstream's answer to a request states.
 	Hear(upstream ident.Instance, id ident.Request, s upstreamlimit.Statement)
 }
 
--- a/internal/ingress/caller.go
+++ b/internal/ingress/caller.go
@@ -16,7 +16,7 @@
 	abort bool
 }
 
-// Answer delivers a whole answer.
+// Answer delivers a complete answer.
 func (c *caller) Answer(status int, header http.Header, body []byte) {
 	c.copyHeader(header)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -27,14 +27,14 @@
 	}
 }
 
-// Begin starts an answer that comes in parts.
+// Begin starts an answer that is delivered in parts.
 func (c *caller) Begin(status int, header http.Header) {
 	c.copyHeader(header)
 	c.setWriteDeadline()
 	c.w.WriteHeader(status)
 }
 
-// Part delivers the next part at once.
+// Part delivers the next part without buffering it.
 func (c *caller) Part(data []byte) error {
 	if _, err := c.w.Write(data); err != nil {
 		return err
@@ -42,40 +42,42 @@
 	return c.control.Flush()
 }
 
-// End ends an answer that came in parts.
+// End completes an answer that was delivered in parts; net/http does so by itself.
 func (c *caller) End() {}
 
-// Break ends the connection, so that no caller takes the answer for complete.
+// Break makes the server close the connection, so that the caller doesn't take the answer
+// for complete.
 func (c *caller) Break() { c.abort = true }
 
-// Refuse says that the request did not run, and when to come back.
+// Refuse tells the caller that the request did not run, and after how long to retry.
 func (c *caller) Refuse(reason string, after time.Duration) {
 	writeError(c.w, http.StatusServiceUnavailable, reason, after)
 }
 
-// Fail says that the request may have run.
+// Fail tells the caller that the request failed and may have run.
 func (c *caller) Fail(reason string) { writeError(c.w, http.StatusBadGateway, reason, 0) }
 
-// TimeOut says that the request's time is over.
+// TimeOut tells the caller that the request's deadline passed.
 func (c *caller) TimeOut() {
 	writeError(c.w, http.StatusGatewayTimeout, "the request's time is over", 0)
 }
 
-// setWriteDeadline bounds how long a caller that does not read holds the answer.
+// setWriteDeadline bounds how long a caller that doesn't read can block the writing of its
+// answer.
 func (c *caller) setWriteDeadline() {
-	// net/http's connections all take deadlines.
+	// The error is ignored: all connections of net/http support deadlines.
 	_ = c.control.SetWriteDeadline(time.Now().Add(c.timeLimit + writeGrace))
 }
 
-// copyHeader takes over the upstream's header but for what concerns its
-// connection.
+// copyHeader copies the upstream's header to the caller's answer, without the headers that
+// concern the upstream's connection.
 func (c *caller) copyHeader(header http.Header) {
 	own := c.w.Header()
 	for name, values := range removeHopByHop(header.Clone()) {
 		own[name] = values
 	}
 	if header.Get("Content-Type") == "" {
-		// Without it net/http would guess one from the body.
+		// A nil value keeps net/http from guessing a type from the body.
 		own["Content-Type"] = nil
 	}
 }
--- a/internal/ingress/idle.go
+++ b/internal/ingress/idle.go
@@ -10,29 +10,30 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/boottime"
 )
 
-// callerConn is a caller's connection that knows whether a request is on its way.
+// callerConn is a caller's connection that tracks whether a request is being received or
+// handled.
 //
-// What goes wrong without it: net/http calls a connection idle until it has read
-// a whole header. One that is closed by that word, because the process leaves or
-// the connection was idle for long, may have a request in the process's hands
-// already, which is then forwarded, and its answer has nowhere to go. Here bytes
-// count from the instant at which they were read, and a close and a read exclude
-// each other.
+// net/http reports a connection as idle until it has read a whole header. If connections
+// were closed by that state, because the process is leaving or because they were idle for
+// too long, one could be closed after the first bytes of a request had been read. The
+// request would then be forwarded, and its answer could not be delivered. Therefore a
+// callerConn counts as busy from the first byte that is read, and a lock keeps a close
+// from happening during a read.
 type callerConn struct {
 	net.Conn
 
 	mu sync.Mutex
-	// arriving: bytes of a request were read that no handler has taken over.
+	// arriving: bytes of a request were read that no handler has read completely yet.
 	arriving bool
-	// serving: a handler works on a request.
+	// serving: a handler is answering a request.
 	serving bool
-	// closed while idle: bytes that come after it are not looked at.
+	// closed: the connection was closed while idle, and bytes read afterwards are dropped.
 	closed bool
-	// idleSince is when nothing was in progress for the last time.
+	// idleSince is when the last request ended, or when the connection was accepted.
 	idleSince time.Time
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. It returns net.ErrClosed after the connection was closed as idle.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -46,22 +47,22 @@
 	return n, err
 }
 
-// handlerStarted notes that a handler has all of the request that arrived.
+// handlerStarted records that a handler has read the whole request.
 func (c *callerConn) handlerStarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.arriving, c.serving = false, true
 }
 
-// handlerDone notes that the handler's work is over.
+// handlerDone records that the handler has answered the request.
 func (c *callerConn) handlerDone(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving, c.idleSince = false, now
 }
 
-// closeIfIdle closes the connection if nothing is in progress, and nothing was
-// since an instant. It reports whether the connection is closed.
+// closeIfIdle closes the connection if it has been idle at least since the given time. It
+// reports whether the connection is closed now.
 func (c *callerConn) closeIfIdle(since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,28 +70,28 @@
 		return c.closed
 	}
 	c.closed = true
-	_ = c.Conn.Close() // nobody waits for an answer on it
+	_ = c.Conn.Close() // the error doesn't matter: no answer is pending on an idle connection
 	return true
 }
 
-// callerConns are all callers' connections.
+// callerConns tracks all callers' connections. It is safe for concurrent use.
 type callerConns struct {
 	now boottime.Clock
 
 	mu    sync.Mutex
 	conns map[*callerConn]bool
-	// recentLimits are the idle times in force lately, with when each was last seen.
+	// recentLimits maps each idle limit that was in force lately to when it was last so.
 	recentLimits map[time.Duration]time.Time
 }
 
 const (
-	// idleSlack is how much longer than the limit a connection is kept, so that
-	// it is never closed under a caller that keeps to the limit.
+	// idleSlack is how much longer than the limit a connection is kept, so that a caller
+	// that observes the limit never has its connection closed while sending.
 	idleSlack = time.Second
-	// defaultIdleLimit is the limit while no configuration is known.
+	// defaultIdleLimit is the idle limit while no configuration sets one.
 	defaultIdleLimit = 30 * time.Second
-	// limitRetention is how long a limit counts after it was replaced: connections
-	// that went idle under it are gone by then.
+	// limitRetention is how long a limit counts after it was replaced: connections that
+	// became idle while it was in force have been closed by then.
 	limitRetention = time.Minute
 )
 
@@ -98,16 +99,17 @@
 	return &callerConns{now: now, conns: make(map[*callerConn]bool), recentLimits: make(map[time.Duration]time.Time)}
 }
 
-// connContextKey finds a request's connection in its context.
+// connContextKey is the context key under which a request's connection is stored.
 type connContextKey struct{}
 
-// connOf returns the connection of a request; nil outside a Server.
+// connOf returns the connection of the request with this context, or nil if the request
+// doesn't come from a Server's listener.
 func connOf(ctx context.Context) *callerConn {
 	c, _ := ctx.Value(connContextKey{}).(*callerConn)
 	return c
 }
 
-// listener wraps the connections that are accepted.
+// listener wraps accepted connections as callerConns and tracks them.
 type listener struct {
 	net.Listener
 	conns *callerConns
@@ -126,57 +128,58 @@
 	return wrapped, nil
 }
 
-// trackState follows the state of a connection; it is net/http's hook.
-func (i *callerConns) trackState(c net.Conn, state http.ConnState) {
+// trackState records the state changes of a connection; it is net/http's ConnState hook.
+func (cs *callerConns) trackState(c net.Conn, state http.ConnState) {
 	wrapped, ok := c.(*callerConn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateIdle:
-		wrapped.handlerDone(i.now())
+		wrapped.handlerDone(cs.now())
 	case http.StateClosed, http.StateHijacked:
-		i.mu.Lock()
-		delete(i.conns, wrapped)
-		i.mu.Unlock()
+		cs.mu.Lock()
+		delete(cs.conns, wrapped)
+		cs.mu.Unlock()
 	}
 }
 
-// sweep closes what was idle for longer than a limit, or than any that was in
-// force while it was idle.
-func (i *callerConns) sweep(limit time.Duration) {
+// sweep closes the connections that were idle for longer than the limit and than every
+// other limit of the last minute. A limit of 0 or less means defaultIdleLimit.
+func (cs *callerConns) sweep(limit time.Duration) {
 	if limit <= 0 {
 		limit = defaultIdleLimit
 	}
-	now := i.now()
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.recentLimits[limit] = now
-	for l, seen := range i.recentLimits {
+	now := cs.now()
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.recentLimits[limit] = now
+	for l, seen := range cs.recentLimits {
 		if now.Sub(seen) > limitRetention {
-			delete(i.recentLimits, l)
+			delete(cs.recentLimits, l)
 		} else {
 			limit = max(limit, l)
 		}
 	}
-	i.closeIdleSince(now.Add(-limit - idleSlack))
+	cs.closeIdleSince(now.Add(-limit - idleSlack))
 }
 
-// closeAllIdle closes every idle connection. A request that crosses the close was
-// not read, and its caller may send it again elsewhere. It returns how many are
-// left.
-func (i *callerConns) closeAllIdle() (left int) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.closeIdleSince(i.now())
-	return len(i.conns)
+// closeAllIdle closes every idle connection and returns how many connections are left. A
+// request that arrives on a connection as it is closed is not read, so that its caller may
+// safely send it to another gateway.
+func (cs *callerConns) closeAllIdle() (left int) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.closeIdleSince(cs.now())
+	return len(cs.conns)
 }
 
-// closeIdleSince closes what is idle since an instant; i.mu is held.
-func (i *callerConns) closeIdleSince(since time.Time) {
-	for c := range i.conns {
+// closeIdleSince closes the connections that have been idle at least since the given time.
+// cs.mu must be held.
+func (cs *callerConns) closeIdleSince(since time.Time) {
+	for c := range cs.conns {
 		if c.closeIfIdle(since) {
-			delete(i.conns, c)
+			delete(cs.conns, c)
 		}
 	}
 }
--- a/internal/ingress/idle_test.go
+++ b/internal/ingress/idle_test.go
@@ -8,10 +8,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/boottime"
 )
 
-// Symptom: a leaving gateway forwards a request and closes its caller's
-// connection without an answer. Sequence: the request's bytes were read, and
-// before net/http calls the connection active, idle ones are closed. Cause: a
-// connection counts as idle until a whole header was read.
+// Guards against a leaving gateway that forwards a request and closes its caller's
+// connection without an answer: a connection must not count as idle after bytes of a
+// request were read and before net/http, which waits for the whole header, reports the
+// connection as active.
 func TestAReadConnectionIsNotClosedAsIdle(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -36,8 +36,8 @@
 	}
 }
 
-// Symptom, sequence and cause as above, the other way round: the close comes
-// first, so that what was on its way must not be read.
+// The opposite order of the test above: after a connection was closed as idle, bytes that
+// were on their way must not be read.
 func TestAClosedConnectionReadsNothing(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -48,14 +48,13 @@
 	}
 }
 
-// lateReadConn delivers bytes that were read just before the close.
+// lateReadConn is a connection that still delivers bytes after it was closed.
 type lateReadConn struct{ net.Conn }
 
 func (lateReadConn) Read(p []byte) (int, error) { return copy(p, "GET "), nil }
 
-// Symptom: a caller that keeps to the idle limit finds its connection closed.
-// Sequence: the operators lower the limit while the connection is idle under the
-// earlier one. Cause: only the newest limit counts.
+// Guards against closing the connection of a caller that observes the idle limit: if the
+// operators lower the limit while the connection is idle, the earlier limit must count.
 func TestTheLongestIdleLimitInForceCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	conns := newCallerConns(func() time.Time { return now })
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,6 @@
-// Package ingress takes callers' HTTP requests: it checks them against the
-// operators' configuration, bounds what they may use, and delivers answers.
+// Package ingress is the HTTP server for callers: it checks their requests against the
+// operators' configuration, enforces limits, hands the requests to a Forwarder and
+// delivers the answers.
 package ingress
 
 import (
@@ -25,49 +26,56 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// Parsed is what a request's headers say, in the product's terms.
+// Parsed holds what a request's headers state.
 type Parsed struct {
 	ID ident.Request
-	// Key of the client account; empty if there is none.
+	// Key is the key of the client account; empty if there is none.
 	Key string
-	// Deadline is how long the caller will wait; 0 if not said.
-	Deadline  time.Duration
+	// Deadline is how long the caller waits for the answer; 0 if it did not state that.
+	Deadline time.Duration
+	// LastEvent is the ID of the event after which the caller wants its stream to
+	// resume; empty for the whole stream.
 	LastEvent string
 	// Declared: the request declares its tokens.
-	Declared                 bool
+	Declared bool
+	// PromptTokens is the prompt's size, and MostTokens the largest size of the answer;
+	// both are 0 if not declared.
 	PromptTokens, MostTokens int
-	Parts                    []forward.PromptPart
-	// Header is what may be passed on to an upstream.
+	// Parts lists the prompt's parts in order.
+	Parts []forward.PromptPart
+	// Header holds the headers that may be passed on to an upstream.
 	Header http.Header
 }
 
-// Protocol reads callers' headers.
+// Protocol interprets callers' headers.
 type Protocol interface {
+	// Parse returns what the headers state, and the faults found in them.
 	Parse(r *http.Request) (Parsed, finding.List)
 }
 
-// Quota admits requests within their accounts' limits over all gateways.
+// Quota enforces the accounts' rate limits over all gateways.
 type Quota interface {
-	// Admit takes a cost out of an account's limit, or says when it may be
-	// there.
+	// Admit takes a cost out of an account's limit, or returns after how long it may be
+	// available.
 	Admit(account *routetable.Account, cost float64, now time.Time) quota.Decision
 }
 
-// Guard keeps requests from upstreams that end those which run them.
+// Guard knows the poison requests, which crash the upstreams that run them.
 type Guard interface {
 	forward.Knowing
-	// Barred reports whether a request must not run, and when it may come back.
+	// Barred reports whether a request must not run, and its retry-after time.
 	Barred(content ident.Content) (after time.Duration, barred bool)
 }
 
-// Forwarder takes a call to the upstreams.
+// Forwarder sends a call to an upstream and delivers the answer.
 type Forwarder interface {
 	Serve(ctx context.Context, call *forward.Call, caller forward.Caller) forward.Outcome
 }
 
-// Config is what a Server works with.
+// Config holds what a Server uses. All fields are required.
 type Config struct {
-	Now       boottime.Clock
+	Now boottime.Clock
+	// Table returns the operators' configuration, or nil while none is known.
 	Table     func() *routetable.Table
 	Protocol  Protocol
 	Quota     Quota
@@ -76,28 +84,30 @@
 	Log       hclog.Logger
 	Tracer    trace.Tracer
 	Metrics   *Metrics
-	// BodyBudget bounds the bytes of all requests' bodies together.
+	// BodyBudget bounds the bytes of all request bodies that are held in memory together.
 	BodyBudget int64
 }
 
 const (
-	// maxHeaderBytes bounds what net/http reads of a header; the operators' limit
-	// is checked after it. It is twice the users' limit of 16 KiB.
+	// maxHeaderBytes bounds what net/http reads of a header; the operators' own limit
+	// is checked afterwards. It is twice the users' limit of 16 KiB.
 	maxHeaderBytes = 32 << 10
 	// headerTimeout bounds the reading of a header: the users' limit of 3 s and some
-	// slack. net/http takes it when the server is made, before a configuration is
-	// known, so that the operators' own limit is not followed.
+	// slack. It must be set when the server is created, before a configuration is known,
+	// so the operators' own limit is not applied.
 	headerTimeout = 4 * time.Second
-	// loggedSuccessesPerSecond a second get a line each; a flood of successes would
-	// cost more processor time than it explains. Others always get theirs.
+	// loggedSuccessesPerSecond bounds the log lines about plain successes: to log a flood
+	// of them would cost processor time and explain nothing. Other outcomes are always
+	// logged.
 	loggedSuccessesPerSecond = 50
-	// retryAfterShortage is told where the next moment may do: a shortage of memory
-	// or of configuration.
+	// retryAfterShortage is the retry-after time where the same gateway may serve the
+	// request soon: it lacks memory or has no configuration yet.
 	retryAfterShortage = 500 * time.Millisecond
-	// retryAtOnce is told where another gateway serves at once.
+	// retryAtOnce is the retry-after time where another gateway can serve the request at
+	// once.
 	retryAtOnce = 20 * time.Millisecond
-	// writeGrace is how long after a call's end its answer may still be
-	// written to a caller that reads slowly.
+	// writeGrace is how long after a call expires its answer may still be written to a
+	// caller that reads slowly.
 	writeGrace = time.Second
 )
 
@@ -112,7 +122,7 @@
 	successLogLimiter *rate.Limiter
 }
 
-// New returns a server; call Serve with a listener.
+// New returns a Server. Call Serve with a listener to start it.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, conns: newCallerConns(cfg.Now), successLogLimiter: rate.NewLimiter(loggedSuccessesPerSecond, loggedSuccessesPerSecond)}
 	s.http = &http.Server{
@@ -129,25 +139,29 @@
 	return s
 }
 
-// Serve answers callers until Close.
+// Serve answers callers until Close is called or the listener fails, and returns the error
+// of net/http's Server.Serve.
 func (s *Server) Serve(l net.Listener) error {
 	return s.http.Serve(&listener{Listener: l, conns: s.conns})
 }
 
-// Leave tells callers to use their connections no further. Requests that come
-// nevertheless are served, as long as they can be expected to end by the time of
-// closing: streams that begin too late are refused, so that their callers go
-// elsewhere at once instead of being cut off.
+// Leave announces that the server will close: from now on, answers ask callers to use their
+// connections no further. New requests are still served if they can be expected to end
+// before closing; streams, whose length is not known, are served if they arrive before
+// streamsUntil. Others are refused, so that their callers go to another gateway at once
+// instead of being cut off.
 func (s *Server) Leave(streamsUntil, closing time.Time) {
 	s.leaving.Store(&leaveDeadlines{streamsUntil: streamsUntil, closing: closing})
 }
 
-// leaveDeadlines is until when a server that leaves takes what.
+// leaveDeadlines tells until when a leaving server accepts requests: streams until
+// streamsUntil, and others until then too, or as long as their timeout ends before closing.
 type leaveDeadlines struct {
 	streamsUntil, closing time.Time
 }
 
-// accepts reports whether a request of a route can be expected to end in time.
+// accepts reports whether a request of the route can be expected to end in time. A nil
+// receiver, for a server that is not leaving, accepts everything.
 func (l *leaveDeadlines) accepts(route *routetable.Route, now time.Time) bool {
 	if l == nil {
 		return true
@@ -158,18 +172,18 @@
 	return now.Add(route.Timeout).Before(l.closing) || now.Before(l.streamsUntil)
 }
 
-// CloseIdle closes the connections on which nothing is in progress, and returns
-// how many are left.
+// CloseIdle closes the connections on which no request is in progress, and returns how
+// many connections are left.
 func (s *Server) CloseIdle() int { return s.conns.closeAllIdle() }
 
-// Active returns how many requests are in progress.
+// Active returns the number of requests in progress.
 func (s *Server) Active() int { return int(s.active.Load()) }
 
-// Close ends all connections.
+// Close closes the listener and all connections at once.
 func (s *Server) Close() error { return s.http.Close() }
 
-// SweepIdle closes connections that were idle for longer than the limit in
-// force, or any that was in force while they were idle.
+// SweepIdle closes connections that were idle for longer than the limit in force and than
+// those that were in force while they were idle. It must be called regularly.
 func (s *Server) SweepIdle() {
 	limit := time.Duration(0)
 	if table := s.cfg.Table(); table != nil {
@@ -184,9 +198,9 @@
 	defer s.active.Add(-1)
 	caller := &caller{w: w, control: http.NewResponseController(w)}
 	if s.leaving.Load() != nil || len(r.TransferEncoding) > 0 {
-		// net/http hides a length beside chunks. A peer that reads such a
-		// request by its length would take the rest for a second request, so
-		// nothing more is read on this connection.
+		// net/http drops a Content-Length that stands beside a chunked body. A proxy
+		// before us that went by that length would take the rest of the body for a second
+		// request (request smuggling), so nothing more is read on this connection.
 		w.Header().Set("Connection", "close")
 	}
 	received := s.cfg.Now()
@@ -210,19 +224,20 @@
 	}
 }
 
-// refusal ends a request before it is forwarded.
+// refusal says why a request is not forwarded.
 type refusal struct {
 	status int
 	reason string
-	// retryAfter is when to come back; 0 says nothing.
+	// retryAfter is the retry-after time; 0 if the caller is given none.
 	retryAfter time.Duration
-	// abort closes the connection without an answer.
+	// abort: the connection is closed without an answer.
 	abort bool
-	// content of a request that must not run; 0 for others.
+	// content identifies a barred request; 0 for others.
 	content ident.Content
 }
 
-// accept checks a request and returns the call, or why not.
+// accept checks a request, reads its body and returns the call. If the request is refused,
+// it returns the refusal and what is known of the call, which may be nil.
 func (s *Server) accept(control *http.ResponseController, r *http.Request, now time.Time) (*forward.Call, *refusal) {
 	table := s.cfg.Table()
 	if table == nil {
@@ -280,7 +295,8 @@
 	return call, nil
 }
 
-// authenticate finds who sends the call, and with which priority.
+// authenticate sets the call's account and priority. It returns the account, or nil if the
+// request needs no key, or the refusal of a request with an unknown key.
 func (s *Server) authenticate(table *routetable.Table, call *forward.Call, parsed *Parsed) (*routetable.Account, *refusal) {
 	call.Priority = call.Route.Priority
 	if call.Route.Public || !table.NeedsKeys() {
@@ -297,8 +313,8 @@
 	return account, nil
 }
 
-// readBody reads the whole body, so that it can be sent more than once and with
-// its length.
+// readBody reads the whole body into memory, so that it can be sent more than once and with
+// its length. A limit of 0 or less means that only BodyBudget bounds the body.
 func (s *Server) readBody(control *http.ResponseController, r *http.Request, call *forward.Call, limit int64) *refusal {
 	if limit > 0 && r.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "the body is too long"}
@@ -309,8 +325,8 @@
 	if s.bodyBytes.Load()+max(r.ContentLength, 0) > s.cfg.BodyBudget {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "too many bodies are in memory", retryAfter: retryAfterShortage}
 	}
-	// net/http's connections all take deadlines; without one only a silent
-	// caller is not noticed.
+	// The error is ignored: all connections of net/http support deadlines, and without
+	// one only a caller that sends nothing would go unnoticed.
 	_ = control.SetReadDeadline(time.Now().Add(call.Remaining(call.Received)))
 	body, err := readAll(r, limit)
 	_ = control.SetReadDeadline(time.Time{})
@@ -325,6 +341,8 @@
 	return nil
 }
 
+// readAll returns the request's body. Of a body without a declared length it reads at most
+// limit+1 bytes, so that the caller can tell that it is too long.
 func readAll(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -337,6 +355,7 @@
 	return io.ReadAll(io.LimitReader(r.Body, limit+1))
 }
 
+// headerSize returns the approximate size of the request line and the headers in bytes.
 func headerSize(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -347,13 +366,15 @@
 	return size
 }
 
-// hopByHopHeaders are headers that concern one connection only.
+// hopByHopHeaders are the headers that concern one connection only. Content-Length and
+// Expect are among them because the body is buffered and sent anew.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// removeHopByHop removes what concerns one connection only. It changes header.
+// removeHopByHop removes the headers that concern one connection only, in place, and
+// returns header.
 func removeHopByHop(header http.Header) http.Header {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -366,7 +387,7 @@
 	return header
 }
 
-// refuse answers a request that is not forwarded.
+// refuse logs and answers a request that is not forwarded.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, call *forward.Call, why *refusal) {
 	s.cfg.Metrics.Refused(why.status)
 	var id ident.Request
@@ -389,20 +410,21 @@
 	writeError(w, why.status, why.reason, why.retryAfter)
 }
 
-// writeError writes a final answer of the system's own.
-func writeError(w http.ResponseWriter, status int, reason string, after time.Duration) {
+// writeError answers with a reason of the gateway's own instead of an upstream's answer.
+// retryAfter is the retry-after time; 0 for none.
+func writeError(w http.ResponseWriter, status int, reason string, retryAfter time.Duration) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	if after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
+	if retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
 	}
 	h.Set("Content-Length", strconv.Itoa(len(reason)+1))
 	w.WriteHeader(status)
-	// The caller may be gone; there is nobody left to tell.
+	// The error is ignored: it means that the caller has gone.
 	_, _ = io.WriteString(w, reason+"\n")
 }
 
-// recordOutcome writes what became of a call to the log and the metrics.
+// recordOutcome records how a call ended in the log and the metrics.
 func (s *Server) recordOutcome(call *forward.Call, outcome forward.Outcome) {
 	took := s.cfg.Now().Sub(call.Received)
 	s.cfg.Metrics.Ended(call, outcome, took)
@@ -419,7 +441,8 @@
 		fields = append(fields, "at_limit", outcome.AtLimit)
 	}
 	if !plain {
-		// A plain success's whole body would be hashed for its line alone.
+		// Of a plain success the content is left out, because its whole body would have to
+		// be hashed for the log line alone.
 		fields = append(fields, "content", call.Content())
 	}
 	s.cfg.Log.Info("request ended", fields...)
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -13,41 +13,44 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// Metrics counts callers' requests by route kind and ending, and keeps their
-// times. It is safe for concurrent use.
+// Metrics counts callers' requests by route kind and outcome, and records how long the
+// first part of their answers took. It is safe for concurrent use.
 type Metrics struct {
-	mu             sync.Mutex
-	counts         map[string]int64
+	mu sync.Mutex
+	// counts maps the name of a counter, with its labels, to its value.
+	counts map[string]int64
+	// firstPartTimes are in microseconds, by route kind.
 	firstPartTimes map[string]*hdrhistogram.Histogram
-	unlogged       int64
+	// unlogged counts the successes without a log line.
+	unlogged int64
 }
 
-// Bounds of the histograms: a minute in microseconds, two digits.
+// The histograms record up to a minute, in microseconds, with two significant digits.
 const (
 	maxMicroseconds = 60_000_000
 	histogramDigits = 2
 )
 
-// NewMetrics returns metrics without counts.
+// NewMetrics returns Metrics in which nothing is counted yet.
 func NewMetrics() *Metrics {
 	return &Metrics{counts: make(map[string]int64), firstPartTimes: make(map[string]*hdrhistogram.Histogram)}
 }
 
-// Refused counts a request that was not forwarded.
+// Refused counts a request that was not forwarded and was answered with an HTTP status.
 func (m *Metrics) Refused(status int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts[fmt.Sprintf("requests_refused_total{status=%q}", fmt.Sprint(status))]++
 }
 
-// Unlogged counts a success without a log line.
+// Unlogged counts a successful request that was not logged.
 func (m *Metrics) Unlogged() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unlogged++
 }
 
-// Ended counts a call that was forwarded.
+// Ended counts a call that was forwarded, and records the time to its first part.
 func (m *Metrics) Ended(call *forward.Call, outcome forward.Outcome, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,11 +66,11 @@
 		h = hdrhistogram.New(1, maxMicroseconds, histogramDigits)
 		m.firstPartTimes[kind] = h
 	}
-	// A value beyond the bounds is recorded as the bound.
+	// The error is ignored: the value is within the histogram's bounds.
 	_ = h.RecordValue(min(max(outcome.FirstPart.Microseconds(), 1), maxMicroseconds))
 }
 
-// Write prints the metrics, one a line.
+// Write prints the metrics as text, one per line.
 func (m *Metrics) Write(w io.Writer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
