--- a/internal/entry/barred.go
+++ b/internal/entry/barred.go
@@ -8,11 +8,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// barredPath is where operators look up the requests that must not run, because upstreams
-// end under them, and clear one.
+// barredPath is the path where operators list the requests that are barred because they
+// crash upstreams, and where they clear one.
 const barredPath = "/requests/barred"
 
-// barredHandlers serve operators.
+// barredHandlers returns the operators' handlers for barred requests, by pattern.
 func (p *Process) barredHandlers() map[string]http.Handler {
 	return map[string]http.Handler{
 		"GET " + barredPath:                http.HandlerFunc(p.listBarred),
@@ -20,14 +20,14 @@
 	}
 }
 
-// listBarred prints a line for each.
+// listBarred prints a line for each barred request.
 func (p *Process) listBarred(w http.ResponseWriter, _ *http.Request) {
 	for _, b := range p.poison.List() {
 		fmt.Fprintf(w, "%s found_s=%.0f idle_s=%.0f ends=%d\n", b.Content, b.Age.Seconds(), b.Idle.Seconds(), b.Ends)
 	}
 }
 
-// clearBarred lets one run again, at all gateways.
+// clearBarred allows one barred request to run again, at all gateways.
 func (p *Process) clearBarred(w http.ResponseWriter, r *http.Request) {
 	content, err := ident.ParseContent(r.PathValue("name"))
 	switch {
@@ -40,7 +40,7 @@
 	}
 }
 
-// writePoisonMetrics prints the counters of requests that end upstreams.
+// writePoisonMetrics prints the counters of poison requests, which crash upstreams.
 func (p *Process) writePoisonMetrics(w io.Writer) {
 	c := p.poison.Counters()
 	fmt.Fprintf(w, "upstreams_ended_total %d\nrequests_barred_found_total %d\nrequests_barred_total %d\nrequests_barred_now %d\nrequests_suspected_now %d\n",
--- a/internal/entry/board.go
+++ b/internal/entry/board.go
@@ -8,10 +8,10 @@
 
 // board is the blackboard of an entry process. Each section has one writer.
 type board struct {
-	// table is the operators' configuration; nil until one is known. The
-	// configuration follower writes it.
+	// table is the operators' configuration; nil until one is known. configFollower
+	// writes it.
 	table *blackboard.Section[*routetable.Table]
-	// upstreams are written by the upstreams' follower.
+	// upstreams is the view of all upstreams. upstreamsFollower writes it.
 	upstreams *blackboard.Section[*directory.View]
 }
 
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -17,63 +17,72 @@
 )
 
 const (
-	// waitingReaders is how many gateways, the first in line, always have a read waiting
-	// at the store for the next configuration; the others hear of it from them.
-	// Two, so that one that is turned away by the store leaves one: a waiting read at
-	// each gateway would be half of the store's calls.
+	// waitingReaders is how many gateways, those with the lowest ranks, always have a read
+	// waiting at the store for the next configuration; the others learn of it from their
+	// reports. If every gateway had one, they would be half of the store's calls. There
+	// are two, so that one is left if the store refuses the other.
 	waitingReaders = 2
-	// readWaitShare of the time within which a change is due is how long such a read
-	// waits: a connection to the store that went silent is noticed after it.
+	// readWaitShare is how long such a read waits, as a share of the time within which a
+	// change must be in force. After that time it is noticed that a connection to the
+	// store has gone silent.
 	readWaitShare = 0.4
-	// peerConfirmationShare of the same time is how old a gateway's word that its configuration
-	// is the newest may become before the others ask the store themselves: longer
-	// than two readers' words usually become on their way, and short enough to be
-	// in time where all readers have lost the store.
+	// peerConfirmationShare is how old another gateway's confirmation that the
+	// configuration is the newest may become before a gateway asks the store itself, as a
+	// share of the same time. It is longer than the reports of two readers usually take,
+	// and short enough to be in time where all readers have lost the store.
 	peerConfirmationShare = 0.6
-	// storeHeadStart is for how long a gateway leaves it to the store to bring a
-	// configuration that others have: a waiting read brings 300 KB within it on a
-	// link of 10 Mbit/s, and a change is due 2 s after it is acknowledged.
+	// storeHeadStart is how long, after peerHeadStart, a gateway waits for the store to
+	// deliver a configuration that other gateways have before it requests the
+	// configuration from them. In that time, a waiting read delivers 300 KB over a link of
+	// 10 Mbit/s. A change must be in force 2 s after it was acknowledged.
 	storeHeadStart = 400 * time.Millisecond
-	// peerHeadStart is for how long a gateway that hears of a newer configuration leaves it
-	// to the other gateways to bring it: a small one comes with their next answer.
+	// peerHeadStart is how long a gateway that learns of a newer configuration waits for
+	// the other gateways to send it before it asks the store: a small configuration comes
+	// with their next answer.
 	peerHeadStart = 300 * time.Millisecond
-	// minReadInterval is the time between two reads by a gateway that hears of a newer
-	// configuration which the store does not show it yet.
+	// minReadInterval is the shortest time between two reads by a gateway that knows of a
+	// newer configuration which the store does not deliver yet.
 	minReadInterval = 250 * time.Millisecond
 )
 
-// configFollower follows the operators' configuration and publishes it. It is the
-// only writer of board.table. Revisions never go back, wherever they come from.
+// configFollower follows the operators' configuration and publishes it. It is the only
+// writer of board.table. The published revision never decreases, whether the configuration
+// comes from the store or from another gateway.
 type configFollower struct {
 	ports Ports
 	board *board
-	// rollouts takes the orders that stand in the same topic.
+	// rollouts gets the rollout orders, which operators write to the same topic.
 	rollouts *rollout.Tracker
 	now      boottime.Clock
 	log      hclog.Logger
-	// rank is this gateway's place in line for asking the store.
+	// rank returns this gateway's rank among those that may ask the store; 0 is first.
 	rank func() int
-	// due is within which time a change must be in force.
+	// due is the time within which a change must be in force.
 	due    time.Duration
 	health storeHealth
 
-	// next is the offset up to which the store's records were read, once listed, and
-	// asked is when it was asked last.
-	next   ident.Offset
+	// Only run uses the fields up to lastReadAt.
+
+	// next is the offset of the first record that was not read yet, once listed is true.
+	next ident.Offset
+	// listed: the newest records of the topic were read.
 	listed bool
-	// loggedUnreadable are the records that were told of; run alone uses it.
+	// loggedUnreadable holds the keys of the unreadable records that were logged.
 	loggedUnreadable onceByKey
-	lastReadAt       time.Time
+	// lastReadAt is when the store was last asked.
+	lastReadAt time.Time
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// current is the configuration in force; its revision is 0 if there is none.
 	current gossip.ConfigRecord
-	// confirmed is when the store, or a peer by its word, confirmed that no newer
-	// configuration exists.
+	// confirmed is the last time at which, as the store or another gateway confirmed, no
+	// newer configuration existed.
 	confirmed time.Time
-	// behindSince is since when others are heard to have a newer one; zero if not.
+	// behindSince is since when another gateway is known to have a newer configuration;
+	// zero if none is.
 	behindSince time.Time
-	// afterUnusable is the offset after that of the newest record that could not be used,
-	// so that it is logged once; 0 if there is none.
+	// afterUnusable is the offset that follows the last configuration that could not be
+	// used, so that its findings are logged once; 0 if there is none.
 	afterUnusable ident.Offset
 }
 
@@ -92,8 +101,8 @@
 	})
 }
 
-// nextRead returns after how long a read of the store is due, 0 for now, and then for how
-// long it waits for the next configuration.
+// nextRead returns the time until the next read of the store is due, as idle, which is 0
+// for now, and for how long that read waits for the next configuration.
 func (c *configFollower) nextRead() (wait, idle time.Duration) {
 	if !c.listed {
 		return 0, 0
@@ -103,16 +112,17 @@
 	}
 	_, age := c.state()
 	idle = shareOf(c.due, peerConfirmationShare) + rand.N(viewJitter) - age
-	if behind, is := c.behindFor(); is {
+	if behind, isBehind := c.behindFor(); isBehind {
 		idle = min(idle, max(peerHeadStart-behind, minReadInterval-c.now().Sub(c.lastReadAt)))
 	}
 	return 0, max(0, idle)
 }
 
-// read reads the newest records once, and what follows from then on.
+// read reads the newest record of each key the first time, and the records that follow in
+// later calls.
 func (c *configFollower) read(ctx context.Context, wait time.Duration) error {
-	asked := c.now()
-	c.lastReadAt = asked
+	asOf := c.now()
+	c.lastReadAt = asOf
 	var batch platform.KeyedBatch
 	var err error
 	if c.listed {
@@ -129,7 +139,7 @@
 	}
 	for _, record := range batch.Records {
 		if record.Unreadable != nil && c.loggedUnreadable.firstTime(record.Key) {
-			c.log.Error("record not readable", "topic", c.ports.ConfigTopic, "key", record.Key, "offset", record.Offset, "error", record.Unreadable)
+			c.log.Error("cannot read record", "topic", c.ports.ConfigTopic, "key", record.Key, "offset", record.Offset, "error", record.Unreadable)
 		}
 		if record.Key == c.ports.ConfigKey && record.Value != nil {
 			c.apply(record.Offset, record.Value, "store")
@@ -143,22 +153,22 @@
 	if batch.End > c.next {
 		return nil
 	}
-	if len(batch.Records) == 0 && c.now().Sub(asked) >= wait {
-		// The store waited for so long, and there was nothing newer.
-		asked = asked.Add(wait)
+	if len(batch.Records) == 0 && c.now().Sub(asOf) >= wait {
+		// The store waited for the whole time, and nothing newer was written meanwhile.
+		asOf = asOf.Add(wait)
 	}
-	c.confirm(asked)
+	c.confirm(asOf)
 	return nil
 }
 
-// applyRollout takes an operator's order to change a service's version. One that cannot be
-// read changes nothing but that no other version of the service gets work.
+// applyRollout applies an operator's order to change a service's version. An order that
+// cannot be read has one effect: no other version of the service gets work.
 func (c *configFollower) applyRollout(record platform.KeyedRecord) {
 	if record.Value == nil || record.Unreadable != nil || c.ports.DecodeRollout == nil {
 		return
 	}
-	order, is, findings := c.ports.DecodeRollout(c.ports.ConfigTopic, record.Key, record.Value, record.Offset)
-	if !is {
+	order, isOrder, findings := c.ports.DecodeRollout(c.ports.ConfigTopic, record.Key, record.Value, record.Offset)
+	if !isOrder {
 		return
 	}
 	if err := findings.Err(); err != nil {
@@ -169,14 +179,16 @@
 	c.rollouts.Order(order, 0, "store")
 }
 
-// confirmedAt is as of when all of the operators' records are known.
+// confirmedAt returns the last time at which all of the operators' records then written were
+// known here, as the store or another gateway confirmed.
 func (c *configFollower) confirmedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.confirmed
 }
 
-// apply publishes a configuration if it is newer than the one in force.
+// apply publishes a configuration if it is newer than the one in force. from is its source,
+// for the log.
 func (c *configFollower) apply(offset ident.Offset, data []byte, from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,19 +210,19 @@
 	c.log.Info("configuration in force", "revision", table.Revision(), "offset", offset, "from", from, "bytes", len(data))
 }
 
-// newerThan returns the configuration in force if it is newer than a revision.
-func (c *configFollower) newerThan(than ident.Revision) *gossip.ConfigRecord {
+// newerThan returns the configuration in force if it is newer than the revision, and nil
+// otherwise.
+func (c *configFollower) newerThan(revision ident.Revision) *gossip.ConfigRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current.Revision <= than {
+	if c.current.Revision <= revision {
 		return nil
 	}
 	record := c.current
 	return &record
 }
 
-// confirm notes that no newer configuration than the one in force existed at an
-// instant.
+// confirm records that at the given time the configuration in force was the newest.
 func (c *configFollower) confirm(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,8 +231,8 @@
 	}
 }
 
-// confirmFromPeer takes another gateway's word that a revision was the newest at an
-// instant. Of a newer one than is in force it is the first news.
+// confirmFromPeer records another gateway's report that a revision was the newest at the
+// given time. If that revision is newer than the one in force, this gateway is behind.
 func (c *configFollower) confirmFromPeer(revision ident.Revision, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,7 +246,8 @@
 	}
 }
 
-// behindFor reports whether others are heard to have a newer configuration, and for how long.
+// behindFor reports whether another gateway is known to have a newer configuration, and for
+// how long that has been known.
 func (c *configFollower) behindFor() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,15 +255,16 @@
 }
 
 // state returns the revision in force, and how long ago it was confirmed to be the
-// newest.
+// newest; see ageOf.
 func (c *configFollower) state() (ident.Revision, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current.Revision, ageOf(c.confirmed, c.now())
 }
 
-// needsFetch reports whether another gateway should be asked for the configuration: only if
-// the store does not bring it.
+// needsFetch reports whether the configuration should be requested from another gateway.
+// That is so if none is in force, or if this gateway is behind and the store fails or does
+// not deliver the newer one in time.
 func (c *configFollower) needsFetch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/entry/configuration_test.go
+++ b/internal/entry/configuration_test.go
@@ -13,7 +13,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// unchangingStore is a store in which nothing changes. A waiting read takes its time.
+// unchangingStore is a store in which nothing changes. A waiting read waits for its whole
+// time, by moving the clock.
 type unchangingStore struct {
 	platform.KeyedLog
 	now   *time.Time
@@ -30,7 +31,7 @@
 	return platform.KeyedBatch{End: 4}, nil
 }
 
-// configFixture is a gateway's configuration at a time, with what others say of theirs.
+// configFixture is a configFollower with a fake clock, rank and store.
 type configFixture struct {
 	now   time.Time
 	rank  int
@@ -56,8 +57,8 @@
 	return s
 }
 
-// follow lets a gateway follow for a while; others' words come each so often and are so
-// old.
+// follow runs the follower for d. Another gateway's confirmation arrives every so often, with
+// the given age; none arrives if every is 0.
 func (s *configFixture) follow(t *testing.T, d, every, age time.Duration) {
 	t.Helper()
 	next := s.now
@@ -77,13 +78,13 @@
 	}
 }
 
-// Symptom: half of the store's calls are waiting reads of the configuration. Cause: one
-// at each gateway.
+// Guards against a waiting read of the configuration at each gateway, which was half of the
+// store's calls.
 func TestGatewaysBehindTheFirstLeaveTheStoreAlone(t *testing.T) {
 	s := newConfigFixture(t, waitingReaders)
 	s.follow(t, time.Minute, 250*time.Millisecond, 900*time.Millisecond)
 	if n := len(s.store.waits); n != 0 {
-		t.Errorf("%d reads while others vouch for the configuration", n)
+		t.Errorf("%d reads while others confirm the configuration", n)
 	}
 }
 
@@ -98,9 +99,9 @@
 	}
 }
 
-// Symptom: a change is in force too late. Sequence: the first gateways lose the store,
-// or this one loses the others; the operators change the configuration. Cause: a
-// gateway that waits for others' word.
+// Guards against a change that comes into force too late because a gateway waits for the
+// others' confirmations, while the first gateways have lost the store or this one has lost
+// the others.
 func TestAGatewayWithoutOthersWordAsksTheStore(t *testing.T) {
 	s := newConfigFixture(t, waitingReaders)
 	from := s.now
@@ -108,7 +109,7 @@
 	if len(s.store.waits) != 1 || s.store.waits[0] != 0 {
 		t.Errorf("reads that wait for %v within %v", s.store.waits, s.now.Sub(from))
 	}
-	// Words that become too old on their way do not count.
+	// Confirmations that are too old when they arrive do not count.
 	s.store.waits = nil
 	s.follow(t, 10*changeDue, 250*time.Millisecond, changeDue)
 	if len(s.store.waits) < 10 {
@@ -116,8 +117,8 @@
 	}
 }
 
-// Symptom: a gateway keeps an old configuration and believes it is the newest.
-// Sequence: another one vouches for a newer revision.
+// Guards against a gateway that keeps an old configuration and takes it for the newest
+// because another gateway confirmed a newer revision.
 func TestAnothersWordForANewerRevisionConfirmsNothing(t *testing.T) {
 	s := newConfigFixture(t, waitingReaders)
 	s.now = s.now.Add(time.Second)
@@ -126,14 +127,14 @@
 		t.Errorf("confirmed %v ago", age)
 	}
 	if s.needsFetch() {
-		t.Error("asks others before the store had its time")
+		t.Error("asks others before the store had time to deliver it")
 	}
-	// Symptom: hundreds of gateways ask the store for each change. Cause: they ask before
-	// the others' next answers, which bring it.
+	// Otherwise hundreds of gateways would ask the store for each change before the others'
+	// next answers, which contain it.
 	if _, idle := s.nextRead(); idle == 0 {
-		t.Error("asks the store before the others had their time")
+		t.Error("asks the store before the others had time to send it")
 	}
-	// Symptom: a change comes half a second later than the store could bring it.
+	// Otherwise a change would arrive half a second later than the store could deliver it.
 	s.now = s.now.Add(peerHeadStart)
 	if _, idle := s.nextRead(); idle > 0 {
 		t.Error("does not ask the store")
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// dutyInterval is how often the holder looks what is due.
+	// dutyInterval is how often each duty's step runs; it acts only under the lease.
 	dutyInterval = 250 * time.Millisecond
-	// notCandidateRank is the rank of a gateway that must not take the lease.
+	// notCandidateRank is the rank of a gateway that must not claim the lease.
 	notCandidateRank = 1 << 20
 )
 
-// runDuties does what one gateway at a time does under the lease, until ctx ends.
-// When stop ends, the lease is handed on as soon as the calls under it have ended:
-// requests may run for seconds yet, and a successor must not wait for them.
+// runDuties runs the duties, which one gateway at a time performs under a lease, until ctx
+// ends. When stop ends, the lease is released as soon as the calls under it have ended:
+// callers' requests may still run for seconds, and a successor must not wait for them.
 func (p *Process) runDuties(ctx, stop context.Context) {
 	if p.ports.Duties == nil {
 		return
@@ -56,7 +56,8 @@
 	lease.Wait()
 }
 
-// readGatewayCount reads how many gateways there were before this process started.
+// readGatewayCount reads from the store how many gateways there were before this process
+// started. It retries for as long as that number counts.
 func (p *Process) readGatewayCount(ctx context.Context) {
 	for failures := 0; p.now().Sub(p.started) < gatewaysBeforeStartPeriod; failures++ {
 		n, err := p.lease.ReadGateways(ctx)
@@ -80,23 +81,25 @@
 	})
 }
 
-// recordsToKeep returns what must outlive all gateways, and learnKept takes it in.
+// recordsToKeep returns what must survive when all gateways end at once.
 func (p *Process) recordsToKeep() duty.Kept {
 	return duty.Kept{Requests: p.poison.Keep(), Limits: p.limits.Keep()}
 }
 
+// restoreKept restores what recordsToKeep returned at an earlier holder of the lease.
 func (p *Process) restoreKept(kept duty.Kept) {
 	p.poison.Learn(kept.Requests)
 	p.limits.Restore(kept.Limits)
 }
 
-// givenUpFence is the highest fencing number whose holder says that it has run out.
+// givenUpFence returns the highest fencing number of a lease whose holder reports that the
+// lease has ended.
 func (p *Process) givenUpFence() ident.Fence {
 	return p.view.Load().GivenUp
 }
 
-// leaseRank is this gateway's place among those that could take the lease, and
-// whether another one says that it holds it.
+// leaseRank returns this gateway's rank among those that may claim the lease, 0 first, and
+// whether another gateway reports that it holds the lease.
 func (p *Process) leaseRank() (int, bool) {
 	if p.leaving.Load() {
 		return notCandidateRank, true
@@ -128,19 +131,19 @@
 	})
 }
 
-// hasNoRequests reports whether this gateway has no request at a service's upstreams for which a
-// condition is true, nor at any that is not listed any more.
-func (p *Process) hasNoRequests(service ident.Service, is func(*directory.Upstream) bool) bool {
+// hasNoRequests reports whether this gateway has no request in flight at those upstreams of
+// a service that match, nor at any upstream that is not listed any more.
+func (p *Process) hasNoRequests(service ident.Service, match func(*directory.Upstream) bool) bool {
 	view := p.board.upstreams.Value()
 	for id := range p.chooser.Own() {
-		if u, listed := view.Upstream(id); !listed || u.Service == service && is(&u) {
+		if u, listed := view.Upstream(id); !listed || u.Service == service && match(&u) {
 			return false
 		}
 	}
 	return true
 }
 
-// runningRequests is how many requests all gateways have at a service.
+// runningRequests returns how many requests all gateways have in flight at a service.
 func (p *Process) runningRequests(service ident.Service) int {
 	sum := 0
 	own, others := p.chooser.Own(), p.view.Load()
@@ -150,7 +153,8 @@
 	return sum
 }
 
-// neededUpstreams is how many upstreams the present work of all gateways keeps busy.
+// neededUpstreams returns how many upstreams of a service the present demand at all
+// gateways keeps busy; 1 for a plain service.
 func (p *Process) neededUpstreams(s *routetable.Service) float64 {
 	if s.Engine == nil {
 		return 1
@@ -163,7 +167,7 @@
 	return scaling.Need(d, p.chooser.EngineFigures(s.Name, p.now()), s.Engine.Slots)
 }
 
-// demand is what this gateway asks of each service, for its report.
+// demand returns this gateway's demand for each service that can be scaled, for its report.
 func (p *Process) demand(now time.Time) map[ident.Service]placement.Demand {
 	table := p.table()
 	if table == nil {
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -19,25 +19,27 @@
 )
 
 const (
-	// platformNoticeTime is how long the platform may still send new connections to
-	// a gateway that is not ready: two questions, a second apart, and its
-	// deciding.
+	// platformNoticeTime is how long the platform may still send new connections to a
+	// gateway that is not ready: it checks readiness twice, a second apart, and then needs
+	// time to act.
 	platformNoticeTime = 3 * time.Second
-	// acceptStreamsFor is for how long a leaving gateway still takes streams: the
-	// platform stops to send new connections by then, and what begins so early
-	// has most of the grace to end.
+	// acceptStreamsFor is how long a leaving gateway still accepts streams: by then the
+	// platform stops sending new connections, and a stream that began until then has most
+	// of the grace period to end.
 	acceptStreamsFor = 2800 * time.Millisecond
-	// closeIdleAfter is when idle connections are closed: their callers would only
-	// send what must be refused.
+	// closeIdleAfter is how long after it began to leave a gateway closes idle
+	// connections: what their callers would send soon must be refused.
 	closeIdleAfter = 2500 * time.Millisecond
-	// stopMargin is left of the grace for the last steps.
+	// stopMargin is the part of the grace period that is left for the last steps.
 	stopMargin = 700 * time.Millisecond
-	// stopPollInterval is how often a leaving process looks whether it is done.
+	// stopPollInterval is how often a leaving process checks whether its connections are
+	// closed.
 	stopPollInterval = 50 * time.Millisecond
 )
 
-// readiness reports whether callers should come, and if not, why: a configuration
-// and the upstreams must be known, and the process must not leave.
+// readiness reports whether callers should be sent to this gateway, and if not, the reason:
+// a configuration and at least one upstream must be known, and the process must not be
+// leaving.
 func (p *Process) readiness() (ready bool, reason string) {
 	switch {
 	case p.leaving.Load():
@@ -50,7 +52,7 @@
 	return true, ""
 }
 
-// newReadinessServer answers the platform's question.
+// newReadinessServer returns the server for the platform's readiness checks.
 func (p *Process) newReadinessServer() *http.Server {
 	return &http.Server{
 		ReadHeaderTimeout: time.Second,
@@ -65,11 +67,11 @@
 	}
 }
 
-// metricsPath is where the metrics are, beside what every process serves its
-// operators.
+// metricsPath is the path of the metrics on the operators' server.
 const metricsPath = "/metrics"
 
-// newOperatorsServer serves the metrics, what is barred, liveness, and readiness with its reason.
+// newOperatorsServer returns the server for operators. It serves the metrics, the barred
+// requests, the upstreams with rate limits, liveness, and readiness with its reason.
 func (p *Process) newOperatorsServer(listener net.Listener) *operations.Server {
 	handlers := p.barredHandlers()
 	handlers["GET "+limitedPath] = http.HandlerFunc(p.listLimited)
@@ -77,7 +79,7 @@
 	return operations.New(operations.Config{Listener: listener, Ready: p.readiness, Handlers: handlers})
 }
 
-// writeMetrics prints what operators watch, one a line.
+// writeMetrics prints the metrics as text, one per line.
 func (p *Process) writeMetrics(w io.Writer) {
 	p.metrics.Write(w)
 	c := p.pool.Counters()
@@ -112,7 +114,7 @@
 	fmt.Fprintf(w, "memory_heap_bytes %d\nmemory_system_bytes %d\ngoroutines %d\n", m.HeapAlloc, m.Sys, runtime.NumGoroutine())
 }
 
-// writeEngineMetrics prints what is known of each service's engines.
+// writeEngineMetrics prints the estimated speed of each service's engines.
 func (p *Process) writeEngineMetrics(w io.Writer, table *routetable.Table) {
 	for _, s := range table.Services() {
 		if s.Engine == nil {
@@ -124,42 +126,42 @@
 	}
 }
 
-// leave stops the process without cutting anything off: callers are told to go
-// elsewhere, what runs is finished, and only then the connections are closed.
+// leave drains the callers' server: callers are asked to go to other gateways, requests in
+// progress are finished, and then the connections are closed. What is still running at the
+// end of the grace period or at signals.Kill is cut off.
 func (p *Process) leave(ctx context.Context, signals program.Signals) {
-	began := p.now()
+	start := p.now()
 	p.leaving.Store(true)
 	p.gossip.Leave()
-	end := began.Add(p.settings.Stop.Grace - stopMargin)
-	p.callers.Leave(began.Add(acceptStreamsFor), end)
+	end := start.Add(p.settings.Stop.Grace - stopMargin)
+	p.callers.Leave(start.Add(acceptStreamsFor), end)
 	p.log.Info("leaving", "active", p.callers.Active(), "grace_ms", p.settings.Stop.Grace.Milliseconds())
 	go p.gossip.Say(ctx)
 	for now := p.now(); now.Before(end); now = p.now() {
 		left := 1
-		if now.Sub(began) >= closeIdleAfter {
+		if now.Sub(start) >= closeIdleAfter {
 			left = p.callers.CloseIdle()
 		}
-		if left == 0 && now.Sub(began) >= platformNoticeTime || !pause.For(signals.Kill, stopPollInterval) {
+		if left == 0 && now.Sub(start) >= platformNoticeTime || !pause.For(signals.Kill, stopPollInterval) {
 			break
 		}
 	}
-	p.log.Info("closing", "active", p.callers.Active(), "after_ms", p.now().Sub(began).Milliseconds())
+	p.log.Info("closing", "active", p.callers.Active(), "after_ms", p.now().Sub(start).Milliseconds())
 	if err := p.callers.Close(); err != nil {
-		p.log.Warn("callers' connections not closed", "error", err)
+		p.log.Warn("cannot close callers' connections", "error", err)
 	}
 }
 
-// flushSpans sends the spans that are still buffered, within what is left of the
-// grace.
+// flushSpans sends the spans that are still buffered, within half of stopMargin.
 func (p *Process) flushSpans() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopMargin/2)
 	defer cancel()
 	if err := p.tracing.Shutdown(ctx); err != nil {
-		p.log.Warn("spans not sent", "error", err)
+		p.log.Warn("cannot send the buffered spans", "error", err)
 	}
 }
 
-// reloadSettings reads the settings file again.
+// reloadSettings reads the settings file again and adds its seeds to the known peers.
 func (p *Process) reloadSettings() {
 	next, findings := settings.LoadEntry(p.settings.Path)
 	if err := findings.Err(); err != nil {
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -11,17 +11,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// limitedPath is where operators look up the upstreams that named a limit.
+// limitedPath is the path where operators list the upstreams that stated a rate limit.
 const limitedPath = "/upstreams/limited"
 
-// listLimited prints a line for each.
+// listLimited prints a line for each upstream that stated a rate limit.
 func (p *Process) listLimited(w http.ResponseWriter, _ *http.Request) {
 	for _, l := range p.limits.List() {
 		fmt.Fprintf(w, "%s per_second=%g said_s=%.1f answers=%d\n", l.Upstream, l.Rate, l.Age.Seconds(), l.Answers)
 	}
 }
 
-// writeLimitMetrics prints the counters of the limits that upstreams name.
+// writeLimitMetrics prints the counters of the rate limits that upstreams state.
 func (p *Process) writeLimitMetrics(w io.Writer) {
 	c := p.limits.Counters()
 	fmt.Fprintf(w, "upstreams_limited_now %d\nupstream_limits_changed_total %d\nupstream_limits_unreadable_total %d\n"+
@@ -29,7 +29,8 @@
 		len(p.limits.List()), c.Changes, c.Unreadable, c.Sent, c.PassedOver)
 }
 
-// refreshLimits takes in what the other gateways do with upstreams that have a limit.
+// refreshLimits applies how much of the upstreams' rate limits the other gateways use, and
+// which upstreams are listed now.
 func (p *Process) refreshLimits(v *peerView) {
 	uses := make(upstreamlimit.Uses)
 	for i := range v.Groups {
@@ -41,9 +42,9 @@
 	})
 }
 
-// applyLimits takes in what another gateway says of upstreams' limits, as of an instant, or
-// of nobody knows when, where that is zero: as of now, then, because it was on its way for
-// less than gateways take to hear of each other.
+// applyLimits merges the rate limits of upstreams that another gateway reported as of the
+// given time. A zero time means that it is unknown, and counts as now: the report was on its
+// way for less time than gateways need to learn of each other.
 func (p *Process) applyLimits(said []upstreamlimit.Said, asOf time.Time) {
 	if asOf.IsZero() {
 		asOf = p.now()
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -1,13 +1,14 @@
 package entry
 
-// maxLoggedKeys bounds what is remembered of keys that were told of: a writer that makes up
-// keys without end costs a log line a key, but no memory.
+// maxLoggedKeys bounds how many keys are remembered as logged; beyond it, all are forgotten.
+// A writer that keeps inventing keys then costs a log line per key, but no memory.
 const maxLoggedKeys = 512
 
-// onceByKey remembers which keys were told of. The zero value remembers none.
+// onceByKey remembers for which keys a fault was logged, so that it is logged once. The zero
+// value remembers none. It is not safe for concurrent use.
 type onceByKey struct{ logged map[string]bool }
 
-// firstTime reports whether a key is told of for the first time since it was all right.
+// firstTime marks the key as logged, and reports whether it was not marked before.
 func (o *onceByKey) firstTime(key string) bool {
 	if o.logged[key] {
 		return false
@@ -19,5 +20,5 @@
 	return true
 }
 
-// reset notes that a key is all right.
+// reset forgets a key that has no fault any more, so that its next fault is logged.
 func (o *onceByKey) reset(key string) { delete(o.logged, key) }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,50 +16,52 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// peerView is what the data path needs of the other gateways. It is swapped
-// whole, once a round.
+// peerView is a snapshot of the other gateways' reports for the data path. It is immutable
+// and replaced as a whole twice per round of the exchange.
 type peerView struct {
 	gossip.View
+	// loads are the total loads that the other gateways have at each upstream.
 	loads map[gossip.UpstreamKey]placement.Load
 }
 
-// followPeers takes over the other gateways' reports, twice a round.
+// followPeers applies the other gateways' reports twice per round, until ctx ends.
 func (p *Process) followPeers(ctx context.Context) {
 	for pause.For(ctx, gossip.Interval/2) {
 		p.refreshPeers()
 	}
 }
 
+// refreshPeers replaces the peerView and applies the other gateways' reports.
 func (p *Process) refreshPeers() {
 	now := p.now()
 	v := &peerView{View: p.gossip.View(now)}
 	v.loads = totalLoads(v.Groups)
 	p.ledger.Hear(p.incarnationID, p.counter.Windows())
 	p.view.Store(v)
-	p.rollouts.Refresh(rolloutStatements(v.Groups))
-	p.poison.Refresh(poisonStatements(v.Groups))
+	p.rollouts.Refresh(mergeRolloutStates(v.Groups))
+	p.poison.Refresh(mergePoisonReports(v.Groups))
 	p.refreshLimits(v)
 	if table := p.table(); table != nil {
 		p.quotas.Tick(table.Accounts(), now)
 	}
 }
 
-// rolloutStatements joins what the groups say of rollouts.
-func rolloutStatements(groups []gossip.Group) rollout.Words {
-	var words rollout.Words
+// mergeRolloutStates merges what the groups report about rollouts.
+func mergeRolloutStates(groups []gossip.Group) rollout.Words {
+	var merged rollout.Words
 	for i := range groups {
-		words = words.Plus(groups[i].Rollouts)
+		merged = merged.Plus(groups[i].Rollouts)
 	}
-	return words
+	return merged
 }
 
-// poisonStatements joins what the groups say of requests that end upstreams.
-func poisonStatements(groups []gossip.Group) poison.Words {
-	var words poison.Words
+// mergePoisonReports merges what the groups report about poison requests.
+func mergePoisonReports(groups []gossip.Group) poison.Words {
+	var merged poison.Words
 	for i := range groups {
-		words = words.Plus(groups[i].Poison)
+		merged = merged.Plus(groups[i].Poison)
 	}
-	return words
+	return merged
 }
 
 // totalLoads adds up what the groups have at each upstream.
@@ -76,7 +78,7 @@
 	return loads
 }
 
-// age is the mean age of what the other gateways reported; 0 where none is heard.
+// age returns the mean age of the other gateways' reports; 0 if there are none.
 func (v *peerView) age(now time.Time) time.Duration {
 	sum, gateways := time.Duration(0), 0
 	for i := range v.Groups {
@@ -86,21 +88,23 @@
 	return sum / time.Duration(max(1, gateways))
 }
 
-// loadOf is what the other gateways have at an upstream.
+// loadOf returns the total load that the other gateways have at an upstream.
 func (v *peerView) loadOf(id ident.Instance) placement.Load { return v.loads[gossip.KeyOf(id)] }
 
-// storeRank is this gateway's place in line among those that are heard.
+// storeRank returns this gateway's rank among the gateways whose reports it receives; 0 is
+// the first to ask the store.
 func (p *Process) storeRank() int { return p.view.Load().Place }
 
-// gatewaysBeforeStartPeriod is for how long after its start a process counts with at least as
-// many gateways as there were before. What goes wrong without it: many start at
-// once, each knows none of the others for some rounds of the exchange, and all of
-// them give callers the whole of each account's limit.
+// gatewaysBeforeStartPeriod is how long after its start a process assumes that there are at
+// least as many gateways as before. Without it, when many gateways start at once, each knows
+// none of the others for some rounds of the exchange, and each of them lets callers use the
+// whole limit of each account.
 const gatewaysBeforeStartPeriod = 3 * time.Second
 
-// gatewayCount is how many gateways there may be, with this one.
+// gatewayCount returns how many gateways there may be, including this one.
 func (p *Process) gatewayCount() int { return p.gatewayCountAt(p.now()) }
 
+// gatewayCountAt is gatewayCount for a given time.
 func (p *Process) gatewayCountAt(now time.Time) int {
 	known := p.view.Load().Known + 1
 	if now.Sub(p.started) < gatewaysBeforeStartPeriod {
@@ -109,11 +113,11 @@
 	return known
 }
 
-// trueTime is the time of day as most gateways have it.
+// trueTime returns the wall-clock time, corrected to that of most gateways.
 func (p *Process) trueTime() time.Time { return time.Now().Add(p.view.Load().WallCorrection) }
 
-// quotaReports returns what the other gateways report of an account. It reads no clock: it is
-// called for each of hundreds of accounts, eight times a second.
+// quotaReports returns what the other gateways report about an account. It reads no clock
+// because it is called for each of hundreds of accounts, eight times a second.
 func (p *Process) quotaReports(account ident.ClientAccount, now time.Time) quota.Others {
 	v := p.view.Load()
 	o := quota.Others{Known: p.gatewayCountAt(now) - 1, Reports: make([]quota.Report, len(v.Groups))}
@@ -127,7 +131,7 @@
 	return o
 }
 
-// engineSums adds up what the other gateways saw of a service's engines.
+// engineSums adds up the other gateways' measurements of a service's engines.
 func (p *Process) engineSums(service ident.Service) enginemodel.Sums {
 	var sum enginemodel.Sums
 	v := p.view.Load()
@@ -137,7 +141,8 @@
 	return sum
 }
 
-// knowledge is what a process holds and gives to the other gateways.
+// knowledge implements gossip.Knowledge with the state of a Process: what it reports to the
+// other gateways, and how it applies their reports.
 type knowledge struct{ p *Process }
 
 // Brief implements gossip.Knowledge.
@@ -176,7 +181,7 @@
 	return r
 }
 
-// contact is where the other gateways reach this one.
+// contact returns how the other gateways reach this one.
 func (p *Process) contact() gossip.Contact {
 	return gossip.Contact{
 		Node: p.settings.Instance.ID, Address: p.settings.Listen.Peers, Domain: p.settings.Instance.FailureDomain, Cores: p.settings.Machine.Cores,
@@ -184,8 +189,8 @@
 }
 
 // Config implements gossip.Knowledge.
-func (k knowledge) Config(than ident.Revision) *gossip.ConfigRecord {
-	return k.p.configuration.newerThan(than)
+func (k knowledge) Config(revision ident.Revision) *gossip.ConfigRecord {
+	return k.p.configuration.newerThan(revision)
 }
 
 // Upstreams implements gossip.Knowledge.
@@ -208,10 +213,11 @@
 
 // Heard implements gossip.Knowledge.
 func (k knowledge) Heard(r *gossip.Report, asOf time.Time) {
-	// What a gateway says that it knows of the operators' records comes after what they say.
+	// The orders in the report are applied before what it confirms, so that this gateway
+	// doesn't count its knowledge of the operators' records as complete without them.
 	k.p.rollouts.Learn(r.Rollouts)
 	k.p.applyLimits(r.Limits, asOf)
-	// As of long ago a report confirms nothing; a newer revision is news all the same.
+	// An old report confirms nothing, but it may still announce a newer revision.
 	k.p.configuration.confirmFromPeer(r.Revision, asOf.Add(-r.RevisionAge))
 	k.p.upstreams.confirmFromPeer(r.Upstreams, asOf.Add(-r.UpstreamsAge))
 	k.p.ledger.Hear(gossip.LifeOf(r.Node, r.Incarnation), r.Began)
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// Guards against a gateway at rest that reads the clock for each account of the fleet in
-// each look at the others: that was most of what it did.
+// Guards against reading the clock for each account whenever the other gateways' reports are
+// applied: that was most of what an idle gateway did.
 func TestALookAtTheOthersReadsTheClockAFewTimes(t *testing.T) {
 	reads := 0
 	p := &Process{now: func() time.Time { reads++; return time.Unix(1000, 0) }}
@@ -27,6 +27,6 @@
 		keeper.Tick(accounts, now)
 	}
 	if reads > 8 {
-		t.Errorf("the clock was read %d times in 8 looks at %d accounts", reads, len(accounts))
+		t.Errorf("the clock was read %d times by applying the reports on %d accounts 8 times", reads, len(accounts))
 	}
 }
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -1,7 +1,7 @@
-// Package entry is the process that callers reach on a platform that keeps the
-// operators' configuration and the upstreams' entries in its own store. It wires
-// the followers, the exchange between gateways, placement, quotas and the
-// callers' server together around one blackboard.
+// Package entry is the gateway process for a platform that keeps the operators'
+// configuration and the upstreams' entries in its own store. Around one blackboard, it
+// connects the followers of the store, the exchange between gateways, placement, quotas
+// and the server for callers.
 package entry
 
 import (
@@ -15,29 +15,34 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// Protocol is what callers and upstreams speak.
+// Protocol translates between the product's terms and what callers and upstreams speak.
 type Protocol interface {
 	ingress.Protocol
 	forward.Dialect
 }
 
-// Ports are the platform's side of the process.
+// Ports connect the process to the platform.
 type Ports struct {
 	Protocol Protocol
-	Store    platform.KeyedLog
-	// Duties is nil where there are none.
+	// Store holds the topics that operators and upstreams write.
+	Store platform.KeyedLog
+	// Duties is the platform's interface for what one gateway at a time does; nil where
+	// the platform has none.
 	Duties platform.Duties
-	// ConfigTopic and ConfigKey are where the operators write, UpstreamsTopic
-	// where the upstreams do.
+	// ConfigTopic and ConfigKey are where the operators write their configuration, and
+	// UpstreamsTopic is where the upstreams write their entries.
 	ConfigTopic, ConfigKey, UpstreamsTopic string
-	DecodeConfig                           func(record string, data []byte) (*routetable.Table, finding.List)
-	DecodeUpstream                         func(record, id string, data []byte) (directory.Upstream, finding.List)
-	// DecodeRollout reads an operator's order to change a service's version. It returns
-	// false for a key that names none; with findings, the service's name stands all the
-	// same.
+	// DecodeConfig decodes the operators' configuration; record is its name in findings.
+	DecodeConfig func(record string, data []byte) (*routetable.Table, finding.List)
+	// DecodeUpstream decodes the entry of the upstream with the given ID; record is its
+	// name in findings.
+	DecodeUpstream func(record, id string, data []byte) (directory.Upstream, finding.List)
+	// DecodeRollout decodes an operator's order to change a service's version. It returns
+	// false if the key is not that of an order. If there are findings, only the order's
+	// service is valid. It may be nil.
 	DecodeRollout func(topic, key string, data []byte, offset ident.Offset) (rollout.Order, bool, finding.List)
-	// RolloutReports is where the operators read how far it is.
+	// RolloutReports is where the operators read the progress of their orders.
 	RolloutReports rollout.Reports
-	// StoreCalls returns how many calls of the store were made and failed.
+	// StoreCalls returns how many calls of the store were made and how many of them failed.
 	StoreCalls func() (made, failed int64)
 }
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -39,19 +39,19 @@
 )
 
 const (
-	// goMemoryShare of the machine's memory is what Go's collector keeps to; the
-	// rest is for its own structures, stacks and the kernel's buffers.
+	// goMemoryShare is the share of the machine's memory that is set as Go's memory limit;
+	// the rest is for what the limit doesn't cover, above all the kernel's buffers.
 	goMemoryShare = 0.7
-	// bodyMemoryShare of the memory may be callers' bodies.
+	// bodyMemoryShare is the share of the machine's memory that callers' bodies may take.
 	bodyMemoryShare = 0.25
-	// callerDescriptorShare of the descriptors may be callers' connections; the rest are
-	// for upstreams, peers and files.
+	// callerDescriptorShare is the share of the file descriptors that callers' connections
+	// may take; the rest is for upstreams, peers and files.
 	callerDescriptorShare = 0.6
-	// sweepInterval is how often idle connections are looked at.
+	// sweepInterval is how often idle connections are checked.
 	sweepInterval = time.Second
 )
 
-// Process is an entry process. Create it with New and run it once.
+// Process is an entry process. Create it with New and call Run once.
 type Process struct {
 	settings *settings.Entry
 	ports    Ports
@@ -60,14 +60,15 @@
 	tracing  *telemetry.Telemetry
 	now      boottime.Clock
 	started  time.Time
-	// incarnation tells this life from earlier ones of the same instance.
+	// incarnation tells this process from earlier ones of the same instance.
 	incarnation ident.Incarnation
-	// incarnationID names it, as gossip.LifeOf does.
+	// incarnationID is the result of gossip.LifeOf for this process.
 	incarnationID string
-	seq           atomic.Uint64
-	leaving       atomic.Bool
-	// gatewaysBeforeStart is how many gateways there were before the start; it counts for
-	// assumedFor.
+	// seq is the sequence number of the last report.
+	seq     atomic.Uint64
+	leaving atomic.Bool
+	// gatewaysBeforeStart is how many gateways there were before the start. It counts for
+	// gatewaysBeforeStartPeriod.
 	gatewaysBeforeStart atomic.Int64
 
 	board         *board
@@ -90,8 +91,8 @@
 	view atomic.Pointer[peerView]
 }
 
-// New wires a process; makePorts gets the pool that all connections of the
-// process come from.
+// New creates a process. makePorts gets the pool from which all outgoing connections of the
+// process come.
 func New(s *settings.Entry, makePorts func(*httpconn.Pool) Ports, output io.Writer) (*Process, error) {
 	ring := telemetry.NewRing(output)
 	tracing, err := telemetry.Setup(telemetry.Config{
@@ -114,6 +115,7 @@
 	return p, nil
 }
 
+// wire creates the parts of the process and connects them.
 func (p *Process) wire() {
 	s := p.settings
 	p.peers = gossip.NewTable(p.contact(), s.Peers.Seeds)
@@ -157,20 +159,23 @@
 	})
 }
 
-// minRetryAfter is the least time after which a caller comes back whose request no upstream
-// took: slots become free all the time.
+// minRetryAfter is the shortest retry-after time of a request that no upstream accepted. It
+// is short because slots become free all the time.
 const minRetryAfter = 100 * time.Millisecond
 
-// retryAfter is when such a caller comes back: when an engine will have read what is
-// before it, and spread, so that callers who were refused together do not return together.
+// retryAfter returns the retry-after time of such a request: the time until an engine will
+// probably have read the prompts that are queued there, spread so that callers that were
+// refused together do not return together.
 func (p *Process) retryAfter(call *forward.Call) time.Duration {
-	room := p.chooser.RoomIn(call, p.now())
-	return returntime.Spread(max(call.Route.Objective/2, room, minRetryAfter), call.ID)
+	capacityIn := p.chooser.RoomIn(call, p.now())
+	return returntime.Spread(max(call.Route.Objective/2, capacityIn, minRetryAfter), call.ID)
 }
 
+// table returns the operators' configuration in force, or nil while none is known.
 func (p *Process) table() *routetable.Table { return p.board.table.Value() }
 
-// Run serves until signals.Stop ends, and then leaves within the grace.
+// Run serves until signals.Stop ends, and then leaves within the grace period. It returns an
+// error only if it cannot listen. Each value from reload makes it read the settings again.
 func (p *Process) Run(signals program.Signals, reload <-chan os.Signal) error {
 	debug.SetMemoryLimit(int64(goMemoryShare * p.settings.Machine.MemoryMiB * (1 << 20)))
 	p.log.Info("started", "version", program.Version(), "domain", p.settings.Instance.FailureDomain,
@@ -206,10 +211,10 @@
 	return nil
 }
 
-// serve runs one server; its end while the process runs is told.
+// serve runs one server and logs its error, unless the process is leaving.
 func (p *Process) serve(name string, serve func() error) {
 	if err := serve(); err != nil && !pkgerrors.Is(err, http.ErrServerClosed) && !p.leaving.Load() {
-		p.log.Error("a server ended", "server", name, "error", err)
+		p.log.Error("server stopped unexpectedly", "server", name, "error", err)
 	}
 }
 
@@ -217,6 +222,8 @@
 	callers, peers, readiness, operators net.Listener
 }
 
+// listen opens the listeners with an address in the settings. A failure is an error, except
+// for the operators' listener.
 func (p *Process) listen() (listeners, error) {
 	var l listeners
 	for _, each := range []struct {
@@ -231,8 +238,8 @@
 		}
 		listener, err := net.Listen("tcp", each.address)
 		if err != nil && each.into == &l.operators {
-			// Callers are served without metrics too.
-			p.log.Error("metrics are not served", "address", each.address, "error", err)
+			// Callers can be served without the operators' server.
+			p.log.Error("cannot listen for operators, metrics are not served", "address", each.address, "error", err)
 			continue
 		}
 		if err != nil {
@@ -244,7 +251,7 @@
 	return l, nil
 }
 
-// sweepIdle closes what was idle too long.
+// sweepIdle closes connections that were idle for too long, until ctx ends.
 func (p *Process) sweepIdle(ctx context.Context) {
 	for pause.For(ctx, sweepInterval) {
 		p.pool.Sweep()
@@ -252,8 +259,8 @@
 	}
 }
 
-// reload takes over a changed settings file: the seeds. Everything else in it
-// belongs to the process from its start on.
+// reload reads the settings file again at each signal until ctx ends. Only changed seeds take
+// effect; all other settings apply from the start of the process.
 func (p *Process) reload(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
--- a/internal/entry/start_test.go
+++ b/internal/entry/start_test.go
@@ -8,8 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 )
 
-// Guards against a herd of claims: gateways that start together would each write the lease
-// before they have heard of one another.
+// Guards against many claims at once: gateways that start together would each claim the lease
+// before they have received reports from one another.
 func TestAGatewayThatHasHeardNobodyIsNoCandidate(t *testing.T) {
 	s, findings := settings.ParseEntry("test.toml", []byte(`
 [instance]
@@ -32,7 +32,7 @@
 	}
 	for range 2 {
 		if rank, held := p.leaseRank(); rank == 0 && !held {
-			t.Error("a gateway that has just started takes itself for the first in line")
+			t.Error("a gateway that has just started takes itself for the first candidate")
 		}
 		p.refreshPeers()
 	}
--- a/internal/entry/storehealth.go
+++ b/internal/entry/storehealth.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	// minRetryPause and retryMost bound the pause after a failed call; the pause is
-	// drawn between half of it and the whole, so that gateways that lost the
-	// store together do not come back together.
+	// minRetryPause and maxRetryPause bound the exponential backoff after failed calls.
+	// The pause itself is random between half of the backoff and the whole, so that
+	// gateways that lost the store at the same time do not all return at the same time.
 	minRetryPause = 150 * time.Millisecond
 	maxRetryPause = 1200 * time.Millisecond
 )
 
-// retryPause returns the pause after a number of failures in a row.
+// retryPause returns the pause after the given number of consecutive failures.
 func retryPause(failures int) time.Duration {
 	pause := min(minRetryPause<<min(failures, 5), maxRetryPause)
 	return pause/2 + rand.N(pause/2+1)
 }
 
-// storeHealth follows a topic of the store. It tells when the store stops to answer and
-// when it is back, once each.
+// storeHealth drives the reading of one topic of the store with backoff. It logs once when
+// the store stops answering and once when it answers again.
 type storeHealth struct {
 	log   hclog.Logger
 	topic string
-	// failures in a row.
+	// failures is the number of consecutive failures.
 	failures atomic.Int64
 }
 
 const (
-	// maxPollInterval is how often a follower looks at least whether a read is due. What
-	// others say changes that, and mostly puts it off.
+	// maxPollInterval is the longest time between two checks whether a read is due. The
+	// reports of other gateways change that; mostly they postpone it.
 	maxPollInterval = 200 * time.Millisecond
-	// minPollInterval is the least time between two looks: a gateway at rest mostly looks.
+	// minPollInterval is the shortest time between two checks, because these checks are
+	// most of what an idle gateway does.
 	minPollInterval = 50 * time.Millisecond
 )
 
-// follow reads whenever it is due until ctx ends. step reports after how long the next read
-// is due by what is known now, 0 where it read, and how that ended.
+// follow calls step until ctx ends. step reads if a read is due, and returns idle 0 and the
+// read's error; otherwise it returns the time until the next read is due, as far as known.
 func (h *storeHealth) follow(ctx context.Context, step func(context.Context) (idle time.Duration, err error)) {
 	for ctx.Err() == nil {
 		idle, err := step(ctx)
@@ -58,18 +59,17 @@
 	}
 }
 
-// failing reports whether the store did not answer the last call.
+// failing reports whether the last call of the store failed.
 func (h *storeHealth) failing() bool { return h.failures.Load() > 0 }
 
-// recordAnswer notes a call that the store answered.
+// recordAnswer records a call that the store answered.
 func (h *storeHealth) recordAnswer() {
 	if failures := h.failures.Swap(0); failures > 0 {
 		h.log.Info("store answers again", "topic", h.topic, "failures", failures)
 	}
 }
 
-// recordFailure notes a call that failed, and waits until the next one is due or ctx has
-// ended.
+// recordFailure records a failed call, and waits for the backoff or until ctx ends.
 func (h *storeHealth) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -81,7 +81,7 @@
 	pause.For(ctx, retryPause(int(failures)))
 }
 
-// ageOf is how long ago a view was confirmed; an hour, if never.
+// ageOf returns how long ago a view was confirmed, and an hour if it never was.
 func ageOf(confirmed, now time.Time) time.Duration {
 	if confirmed.IsZero() {
 		return time.Hour
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -19,24 +19,27 @@
 )
 
 const (
-	// The first gateway in line asks the store so often that its view is never
-	// older than firstAge, and the others take it over within a round or two of
-	// their exchange. A gateway asks by itself when its view becomes older than a
-	// part of the time within which a departure is due: the second in line soon,
-	// so that it takes over where the first one is cut off from the store, the
-	// others later: when the second one's view should have come.
-	firstMaxViewAge       = 350 * time.Millisecond
+	// firstMaxViewAge is the age of its view of the upstreams at which the gateway with
+	// rank 0 asks the store. The others receive that view within one or two rounds of
+	// their exchange.
+	firstMaxViewAge = 350 * time.Millisecond
+	// secondMaxViewAgeShare and otherMaxViewAgeShare are the ages at which the gateway
+	// with rank 1 and all others ask the store themselves, as shares of the time within
+	// which a departure must be followed. The one with rank 1 asks early, so that it
+	// takes over if the first one is cut off from the store; the others ask only when the
+	// second one's view should have arrived.
 	secondMaxViewAgeShare = 0.35
 	otherMaxViewAgeShare  = 0.55
-	// viewJitter spreads the gateways that ask for themselves.
+	// viewJitter bounds the random delay that spreads the reads of those others.
 	viewJitter = 150 * time.Millisecond
-	// storeAwayShare of the same time is how old the view must be for the store to
-	// count as away: longer than a gateway that is turned away by the store waits
-	// for the others' view, shorter than an entry lives without renewal (3.6 s).
+	// storeAwayShare is how old the view must be for the store to count as unreachable for
+	// all gateways, as a share of the same time. It is longer than a gateway that the store
+	// refuses waits for the others' view, and shorter than an entry lives without renewal
+	// (3.6 s).
 	storeAwayShare = 0.9
 )
 
-// maxViewAge is how old the view may become at a gateway with a place in line.
+// maxViewAge returns the age of the view at which this gateway asks the store, by its rank.
 func (u *upstreamsFollower) maxViewAge() time.Duration {
 	switch u.rank() {
 	case 0:
@@ -47,6 +50,7 @@
 	return shareOf(u.due, otherMaxViewAgeShare) + rand.N(viewJitter)
 }
 
+// shareOf returns a share of d; a share of 1 is all of it.
 func shareOf(d time.Duration, share float64) time.Duration { return time.Duration(share * float64(d)) }
 
 // upstreamsFollower follows the upstreams' entries and publishes them. It is the only
@@ -54,25 +58,27 @@
 type upstreamsFollower struct {
 	ports Ports
 	board *board
-	// rollouts sees each view before it is used.
+	// rollouts observes each view before it is published.
 	rollouts *rollout.Tracker
 	pool     *httpconn.Pool
 	now      boottime.Clock
 	log      hclog.Logger
-	// rank is this gateway's place in line for asking the store.
+	// rank returns this gateway's rank among those that may ask the store; 0 is first.
 	rank func() int
-	// due is within which time a departure must be followed.
+	// due is the time within which the departure of an upstream must be followed.
 	due    time.Duration
 	health storeHealth
 
 	mu  sync.Mutex
 	dir *directory.Directory
-	// confirmed is when the store, or a peer by its word, confirmed the view.
+	// confirmed is the last time at which, as the store or another gateway confirmed, the
+	// view was complete.
 	confirmed time.Time
-	// listed: the newest records were read once in this life.
+	// listed: this process has read the newest record of each upstream once.
 	listed bool
-	// loggedUnusable are the entries that could not be used, and strange those whose service
-	// nobody knows, so that each is logged once.
+	// loggedUnusable and loggedUnknownService hold the keys of the entries of which it was
+	// logged that they could not be used, or that their service is not in the
+	// configuration.
 	loggedUnusable, loggedUnknownService onceByKey
 }
 
@@ -83,7 +89,7 @@
 	}
 }
 
-// run keeps the view young until ctx ends.
+// run keeps the view up to date until ctx ends.
 func (u *upstreamsFollower) run(ctx context.Context) {
 	u.health.follow(ctx, func(ctx context.Context) (time.Duration, error) {
 		if idle := u.maxViewAge() - u.age(); idle > 0 {
@@ -100,13 +106,14 @@
 	})
 }
 
+// age returns how long ago the view was confirmed; see ageOf.
 func (u *upstreamsFollower) age() time.Duration {
 	_, age := u.state()
 	return age
 }
 
-// recordStoreAway notes that the store did not answer. Only where no gateway hears from it
-// the upstreams may be unable to renew their entries too.
+// recordStoreAway records that the store did not answer, if no other gateway has confirmed
+// the view for long either. Only then may the upstreams be unable to renew their entries.
 func (u *upstreamsFollower) recordStoreAway() {
 	if u.age() < shareOf(u.due, storeAwayShare) {
 		return
@@ -116,18 +123,19 @@
 	u.dir.StoreAway()
 }
 
-// read asks the store for what is new, or for all where that is not known.
+// read reads the new records from the store, or lists all upstreams if the offset to read
+// from is not known or has expired.
 func (u *upstreamsFollower) read(ctx context.Context) error {
-	asked := u.now()
+	asOf := u.now()
 	u.mu.Lock()
 	next, listed := u.dir.Next(), u.listed
 	u.mu.Unlock()
 	if !listed {
-		return u.list(ctx, asked)
+		return u.list(ctx, asOf)
 	}
 	batch, err := u.ports.Store.Follow(ctx, u.ports.UpstreamsTopic, next, 0)
 	if errors.Is(err, platform.ErrExpired) {
-		return u.list(ctx, asked)
+		return u.list(ctx, asOf)
 	}
 	if err != nil {
 		return err
@@ -143,14 +151,15 @@
 		u.dir.Reached(batch.Records[n-1].Offset + 1)
 	}
 	if batch.End <= u.dir.Next() {
-		u.confirmed = asked
+		u.confirmed = asOf
 	}
 	u.publish(changed)
 	return nil
 }
 
-// list reads the newest record of each upstream. What it does not hold is gone.
-func (u *upstreamsFollower) list(ctx context.Context, asked time.Time) error {
+// list reads the newest record of each upstream. An upstream without a record is gone. asOf
+// is when the reading began.
+func (u *upstreamsFollower) list(ctx context.Context, asOf time.Time) error {
 	batch, err := u.ports.Store.Newest(ctx, u.ports.UpstreamsTopic, u.applyPage)
 	if err != nil {
 		return err
@@ -163,15 +172,15 @@
 		present[ident.Instance(record.Key)] = true
 	}
 	changed := u.dir.Listed(present, batch.End, u.now())
-	u.confirmed = asked
+	u.confirmed = asOf
 	u.log.Info("upstreams listed", "count", len(batch.Records), "end", batch.End)
 	u.publish(changed)
 	return nil
 }
 
-// applyPage takes a part of a listing in. What goes wrong if the upstreams become known only with
-// its last page: a gateway that has just started beside thousands of upstreams refuses all
-// requests for seconds, though the first page names hundreds that take work.
+// applyPage applies and publishes one page of a listing at once. If the upstreams became
+// known only with the last page, a gateway that starts among thousands of upstreams would
+// refuse all requests for seconds, although the first page names hundreds that accept work.
 func (u *upstreamsFollower) applyPage(records []platform.KeyedRecord) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -181,7 +190,8 @@
 	u.publish(changed)
 }
 
-// applyAll takes records in and returns those that changed something, and whether any did.
+// applyAll applies records. It returns the usable ones that changed something, and whether
+// any record did. u.mu must be held.
 func (u *upstreamsFollower) applyAll(records []platform.KeyedRecord) (changes []directory.Record, changed bool) {
 	for _, record := range records {
 		change, different := u.applyOne(record)
@@ -193,8 +203,8 @@
 	return changes, changed
 }
 
-// applyOne takes a record in and reports whether it changed something; the change has no ID
-// where the record could not be used.
+// applyOne applies a record and reports whether it changed something. The returned record
+// has no ID if the applied one could not be used. u.mu must be held.
 func (u *upstreamsFollower) applyOne(record platform.KeyedRecord) (directory.Record, bool) {
 	name := ident.Instance(record.Key)
 	if record.Unreadable == nil && record.Value == nil {
@@ -235,14 +245,14 @@
 	}
 }
 
-// maxLinesPerBatch is up to how many changes that come together each get a line of their own.
-// What goes wrong without a bound: where thousands of upstreams start or are replaced, each
-// of a thousand gateways writes all of them, and that is most of what it does.
+// maxLinesPerBatch is how many changes that arrive together are logged one by one at most.
+// Without a bound, where thousands of upstreams start or are replaced, each of a thousand
+// gateways would log all of them, and would do little else.
 const maxLinesPerBatch = 16
 
-// logBatch tells of changes that came together: each in its own line, or where there are
-// many, how many there were, and those that left. What the store said of each stands in the
-// log of the gateway that read it there.
+// logBatch logs changes that arrived together: each in its own line, or, if there are many,
+// in one line with their number and some of the upstreams that leave or were removed. Each
+// record that a gateway reads from the store after the first listing is in that gateway's log.
 func (u *upstreamsFollower) logBatch(changes []directory.Record, from string) {
 	if len(changes) <= maxLinesPerBatch {
 		for _, r := range changes {
@@ -261,22 +271,23 @@
 			leaving = append(leaving, r.ID)
 		}
 	}
-	u.log.Info("upstreams' entries", "changes", len(changes), "first_offset", first, "last_offset", last, "leaving", len(leaving), "dropped", len(dropped),
+	u.log.Info("upstream entries changed", "changes", len(changes), "first_offset", first, "last_offset", last, "leaving", len(leaving), "dropped", len(dropped),
 		"some_leaving", leaving[:min(len(leaving), maxLinesPerBatch)], "some_dropped", dropped[:min(len(dropped), maxLinesPerBatch)], "from", from)
 }
 
-// logEntry tells of an upstream's entry that changed something.
+// logEntry logs a changed upstream entry; a nil entry was removed.
 func (u *upstreamsFollower) logEntry(id ident.Instance, offset ident.Offset, entry *directory.Upstream, from string) {
 	if entry == nil {
-		u.log.Info("upstream's entry dropped", "upstream", id, "offset", offset, "from", from)
+		u.log.Info("upstream entry removed", "upstream", id, "offset", offset, "from", from)
 		return
 	}
-	u.log.Info("upstream's entry", "upstream", id, "service", entry.Service, "address", entry.Address, "domain", entry.FailureDomain,
+	u.log.Info("upstream entry changed", "upstream", id, "service", entry.Service, "address", entry.Address, "domain", entry.FailureDomain,
 		"version", entry.Version, "leaving", entry.State == directory.Leaving, "leaves_ms", entry.LeavesIn.Milliseconds(), "reclaimable", entry.Reclaimable,
 		"offset", offset, "from", from)
 }
 
-// expire ends the grace of entries that lapsed and reports whether there are more.
+// expire ends the use of dropped entries whose grace period is over, publishes the view if
+// that changed it, and reports whether the grace period of other entries still runs.
 func (u *upstreamsFollower) expire() (more bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -285,8 +296,8 @@
 	return more
 }
 
-// publish puts a new view on the board, and closes the connections to upstreams
-// that are gone.
+// publish publishes a new view if something changed, and closes the connections to upstreams
+// that are gone. u.mu must be held.
 func (u *upstreamsFollower) publish(changed bool) {
 	if !changed {
 		return
@@ -300,8 +311,8 @@
 	}
 }
 
-// updateSince returns what another gateway lacks that knows all records before an offset; nil
-// where that is all of them and these are not asked for.
+// updateSince returns the records that another gateway lacks if it knows all records before
+// the offset. If all records would have to be sent, it returns nil unless all is set.
 func (u *upstreamsFollower) updateSince(from ident.Offset, all bool) *directory.News {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -312,14 +323,14 @@
 	return &news
 }
 
-// needsFetch reports whether another gateway should be asked for all entries: the store does
-// not answer this one, and what the others tell by themselves does not bring its view
-// up to date.
+// needsFetch reports whether all entries should be requested from another gateway: the store
+// does not answer this one, and the other gateways' reports do not bring its view up to date.
 func (u *upstreamsFollower) needsFetch() bool {
 	return u.health.failing() && u.age() > shareOf(u.due, otherMaxViewAgeShare)
 }
 
-// applyUpdate takes in what another gateway knows.
+// applyUpdate applies the entries that another gateway sent, and publishes the view if they
+// change it.
 func (u *upstreamsFollower) applyUpdate(news directory.News) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -331,15 +342,16 @@
 	u.publish(changed)
 }
 
-// state returns the offset up to which all is known, and the view's age.
+// state returns the offset before which all records are known, and the view's age; see ageOf.
 func (u *upstreamsFollower) state() (ident.Offset, time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.dir.Next(), ageOf(u.confirmed, u.now())
 }
 
-// confirmFromPeer takes another gateway's word that the store confirmed a view some time
-// ago, where this gateway's view is at least as new.
+// confirmFromPeer records another gateway's report that its view, which knows all records
+// before next, was complete at the given time. It counts if this gateway's view is at least
+// as new.
 func (u *upstreamsFollower) confirmFromPeer(next ident.Offset, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -27,10 +27,10 @@
 	return platform.KeyedBatch{}, platform.ErrUnavailable
 }
 
-// Pattern: all gateways are killed at once, beside thousands of upstreams, and the crowd is
-// back before they are. Symptom: each refuses all requests for seconds, though upstreams
-// are idle. Sequence: all of them list the upstreams at the same time; each listing takes
-// several pages over a slow link. Cause: nothing of a listing is used before its last page.
+// Guards against using a listing only after its last page: when all gateways were killed at
+// once and started again among thousands of upstreams, all of them listed the upstreams at the
+// same time, each in several pages over a slow link, and each refused all requests for
+// seconds although upstreams were idle.
 func TestTheFirstPageOfAListingIsUsedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
@@ -54,8 +54,8 @@
 	}
 }
 
-// Guards against a log that is most of a gateway's work: of thousands of entries that come
-// together, a few lines tell, and name some that leave.
+// Guards against logging that is most of a gateway's work: thousands of entries that arrive
+// together are logged in a few lines, which name some of those that leave.
 func TestManyEntriesTogetherAreAFewLines(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
@@ -76,7 +76,7 @@
 	}
 	log.Reset()
 	u.applyUpdate(directory.News{UpTo: 4001, Records: []directory.Record{{ID: "u9", Offset: 4000}}})
-	if !strings.Contains(log.String(), "upstream's entry dropped: upstream=u9") {
+	if !strings.Contains(log.String(), "upstream entry removed: upstream=u9") {
 		t.Errorf("a single change has no line of its own: %s", log.String())
 	}
 }
--- a/internal/ingress/caller.go
+++ b/internal/ingress/caller.go
@@ -10,9 +10,10 @@
 type caller struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// timeLimit is how long the call may take.
+	// timeLimit is how long the call may take from when it was received.
 	timeLimit time.Duration
-	// broken: the connection must end so that the answer looks cut off.
+	// abort: the connection must be closed, so that the caller sees that the answer is
+	// incomplete.
 	abort bool
 }
 
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -1,6 +1,6 @@
-// Package routetable is the operators' configuration as the product uses it:
-// which request goes to which service, which client account may send it, and
-// how much. A Table is immutable and is swapped whole.
+// Package routetable holds the operators' configuration in the form that gateways use:
+// which request goes to which service, which client account may send it, and how much an
+// account may send. A Table is immutable; a new configuration replaces it as a whole.
 package routetable
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may be repeated, and what their answers are like.
 type Kind int
 
 // The kinds.
@@ -21,12 +21,12 @@
 	Idempotent Kind = 1
 	// NonIdempotent requests run at most once.
 	NonIdempotent Kind = 2
-	// Streaming answers are events with increasing IDs. They run at most once
-	// unless the route is resumable.
+	// Streaming requests are answered with server-sent events with increasing IDs. They
+	// run at most once unless the route is resumable.
 	Streaming Kind = 3
 )
 
-// String is the kind's name in logs.
+// String returns the kind's name in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -39,41 +39,46 @@
 	return "unknown"
 }
 
-// Route sends the requests of a host below a path prefix to services.
+// Route sends the requests for a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another upstream after the last event.
+	// Resumable: a stream that broke off may be continued by another upstream after the
+	// last delivered event.
 	Resumable bool
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the longest time that a request may take.
 	Timeout time.Duration
-	// Objective is the time to an answer, or to a stream's first event.
+	// Objective is the time within which an answer, or a stream's first event, should be
+	// delivered.
 	Objective time.Duration
-	// GapObjective is the longest pause between two events; 0 for others.
+	// GapObjective is the time within which a stream's next event should follow; 0 for
+	// routes that don't stream.
 	GapObjective time.Duration
-	// Priority is the request's rank, 0 first.
+	// Priority is the priority of the requests, unless their account has its own; 0 is
+	// served first.
 	Priority int
 	// Attempts is how many upstreams may run one request.
 	Attempts int
-	// Public routes ask for no key.
-	Public  bool
+	// Public: requests need no key.
+	Public bool
+	// Targets are the services that share the requests. There is at least one.
 	Targets []Target
 }
 
-// Repeatable reports whether a request may be sent again after it may have run.
+// Repeatable reports whether a request that may have run may be sent once more.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent }
 
 // Target is one of the services that share a route's requests.
 type Target struct {
 	Service ident.Service
-	// Weight is the target's part of the sum of all weights.
+	// Weight is the target's share of the requests, relative to the sum of all weights.
 	Weight int
 }
 
-// Pick returns the service of a request. The same request gets the same one at
-// every gateway: the share follows from the request's ID, not from a counter.
+// Pick returns the service of a request. Every gateway returns the same service for the same
+// request, because the choice depends on a hash of the request's ID and not on a counter.
 func (r *Route) Pick(id ident.Request) ident.Service {
 	sum := 0
 	for _, t := range r.Targets {
@@ -92,54 +97,56 @@
 	return r.Targets[0].Service
 }
 
-// Service is a set of upstreams with the same job.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name ident.Service
 	// MaxConnections is how many connections one upstream accepts from all
 	// gateways together.
 	MaxConnections int
-	// Engine is nil for a plain application.
+	// Engine describes the model engines; nil for a plain service.
 	Engine *Engine
-	// Scale is nil where the number of upstreams is not ours to choose.
+	// Scale is nil if the gateways do not decide on the number of upstreams.
 	Scale *Scale
 }
 
-// Engine is what a service of model engines can do.
+// Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is how many requests one engine works on at a time.
+	// Slots is how many requests one engine runs at a time.
 	Slots int
 }
 
-// Scale bounds and prices the upstreams of a service.
+// Scale holds the bounds and the prices for the number of a service's upstreams.
 type Scale struct {
-	// Least and Most bound the upstreams of one failure domain, of both
-	// kinds together.
+	// Least and Most bound the number of upstreams in each failure domain, reclaimable
+	// and other ones together.
 	Least, Most int
-	// Startup is how long a new upstream takes until it serves.
+	// Startup is the time from the start of a new upstream until it serves requests.
 	Startup time.Duration
 	// ReclaimablePrice is the price of a reclaimable upstream relative to
-	// another one; 0 where there are none.
+	// one that is not reclaimable; 0 if there are no reclaimable ones.
 	ReclaimablePrice float64
-	// Prices of an upstream's second, by failure domain.
+	// Prices holds the price of an upstream per second, by failure domain.
 	Prices map[ident.FailureDomain]float64
 }
 
 // Account is a client account.
 type Account struct {
 	Name ident.ClientAccount
+	// Keys are the keys with which callers authenticate as the account.
 	Keys []string
-	// Priority takes the place of the route's where it is set.
+	// Priority replaces the route's priority; nil keeps the route's.
 	Priority *int
-	// Rate a second and Burst limit the account over all gateways, in tokens or
-	// in requests; no limit where Rate is 0.
+	// Rate, per second, and Burst limit the account over all gateways together, in tokens
+	// or in requests. There is no limit if Rate is 0.
 	Rate, Burst float64
-	// CountsTokens: a request counts the tokens that it declares, and
-	// DefaultTokens if it declares none. Otherwise it counts 1.
+	// CountsTokens: a request costs the tokens that it declares, or DefaultTokens if it
+	// declares none. Otherwise it costs 1.
 	CountsTokens  bool
 	DefaultTokens float64
 }
 
-// Cost is what a request counts against the account's limit.
+// Cost returns what a request takes from the account's limit. declared says whether the
+// request declares its tokens, and tokens how many.
 func (a *Account) Cost(declared bool, tokens int) float64 {
 	switch {
 	case !a.CountsTokens:
@@ -150,14 +157,15 @@
 	return a.DefaultTokens
 }
 
-// Limits bound what a caller may send.
+// Limits bound what a caller may send. A limit of 0 is not set.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	IdleTime    time.Duration
+	// IdleTime is how long a connection may be idle before it is closed.
+	IdleTime time.Duration
 }
 
-// Spec is everything a Table is made from.
+// Spec is the input of New.
 type Spec struct {
 	Revision ident.Revision
 	Routes   []Route
@@ -166,7 +174,8 @@
 	Limits   Limits
 }
 
-// Table answers which route and which account a request belongs to.
+// Table finds the route and the account of a request. It is immutable, and so safe for
+// concurrent use.
 type Table struct {
 	spec     Spec
 	hosts    map[string][]*Route
@@ -174,7 +183,7 @@
 	keys     map[string]*Account
 }
 
-// New returns the table of a spec that was checked.
+// New returns the Table of a spec. The spec must be valid, and must not be changed afterwards.
 func New(spec Spec) *Table {
 	t := &Table{
 		spec:     spec,
@@ -198,14 +207,15 @@
 	return t
 }
 
-// Revision is the version of the configuration.
+// Revision returns the revision of the configuration.
 func (t *Table) Revision() ident.Revision { return t.spec.Revision }
 
-// Limits bound what a caller may send.
+// Limits returns the bounds on what a caller may send.
 func (t *Table) Limits() Limits { return t.spec.Limits }
 
-// Route returns the route with the longest prefix that begins the path, or nil.
-// The path is compared byte for byte, as the upstream will see it.
+// Route returns the host's route with the longest prefix of the path, or nil if there is
+// none. The path is compared byte for byte, without decoding or cleaning, because that is
+// how the upstream gets it.
 func (t *Table) Route(host, path string) *Route {
 	var best *Route
 	for _, r := range t.hosts[host] {
@@ -216,7 +226,7 @@
 	return best
 }
 
-// Service returns a service, or nil.
+// Service returns the service with the name, or nil if there is none.
 func (t *Table) Service(name ident.Service) *Service { return t.services[name] }
 
 // Services returns all services. They must not be changed.
@@ -225,8 +235,9 @@
 // Accounts returns all client accounts. They must not be changed.
 func (t *Table) Accounts() []Account { return t.spec.Accounts }
 
-// AccountByKey returns the account that holds a key, or nil.
+// AccountByKey returns the account with the key, or nil if there is none.
 func (t *Table) AccountByKey(key string) *Account { return t.keys[key] }
 
-// NeedsKeys reports whether requests of routes that are not public need a key.
+// NeedsKeys reports whether requests need a key, except on public routes. They need none
+// if there are no accounts.
 func (t *Table) NeedsKeys() bool { return len(t.spec.Accounts) > 0 }
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -14,7 +14,7 @@
 	}})
 	for _, c := range []struct{ host, path, want string }{
 		{"a", "/x/y/z", "xy"}, {"a", "/x/yy", "x"}, {"a", "/x", "all"}, {"a", "/q", "all"}, {"b", "/x/", "other"}, {"b", "/q", ""}, {"c", "/x/", ""},
-		// What the upstream sees decides, so that nothing is resolved here.
+		// The path that the upstream gets decides, so dots and escapes are not resolved.
 		{"a", "/x/../q", "x"}, {"a", "/x%2Fy/", "all"},
 	} {
 		got := ""
