--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -39,8 +39,9 @@
 )
 
 const (
-	// goMemoryShare is the share of the machine's memory that is set as Go's memory limit;
-	// the rest is for what the limit doesn't cover, above all the kernel's buffers.
+	// goMemoryShare is the share of the machine's memory that is set as the limit of Go's
+	// garbage collector; the rest is for its own structures, stacks and the kernel's
+	// buffers.
 	goMemoryShare = 0.7
 	// bodyMemoryShare is the share of the machine's memory that callers' bodies may take.
 	bodyMemoryShare = 0.25
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -105,7 +105,7 @@
 	// buffered is the complete answer to deliver: the successful one, or the last one of
 	// an upstream that ran the request and failed, kept in case no better one follows.
 	buffered *bufferedAnswer
-	// reason is why the last attempt failed or no further one is made.
+	// reason is why the last failed attempt failed, or why no further one is made.
 	reason string
 	// onlyLimits: the last choice found no upstream only because of the request rates
 	// that upstreams stated.
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -61,8 +61,8 @@
 // BarredReason is the reason that callers are given for a barred request.
 const BarredReason = "upstreams end under this request"
 
-// chooseAvoiding reserves a slot at an upstream that is not in avoid, or at any upstream
-// if no other accepts work.
+// chooseAvoiding reserves a slot at an upstream that is not in avoid. If none of these
+// accepts work, it falls back to chooseOrWait, which may return one in avoid.
 func (s *session) chooseAvoiding(avoid []ident.Instance) (Choice, bool) {
 	if len(avoid) > 0 {
 		exclude := append(slices.Clone(s.state.Tried), avoid...)
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -20,9 +20,9 @@
 	afterEvent time.Duration
 }
 
-// watchForSilence starts the silence timer of an attempt. The timer never fires for a call
-// that no further upstream may run, because then only the silent upstream can still answer,
-// or that the retry budget lets no other upstream run.
+// watchForSilence starts the silence timer of an attempt. A call that no further upstream may
+// run gets no timer, because then only the silent upstream can still answer. When the timer
+// fires, it cancels the attempt only if the retry budget allows another one.
 func (s *session) watchForSilence(choice Choice, cancel context.CancelCauseFunc) *silenceTimer {
 	route := s.call.Route
 	if !route.Repeatable() && !route.Resumable || choice.Slow <= 0 || s.state.possibleRuns+1 >= route.Attempts {
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -195,7 +195,8 @@
 type Outcome struct {
 	// Step is the last step.
 	Step Step
-	// Reason is why the last attempt failed or the call was refused; empty if neither is so.
+	// Reason is why the call was refused, or why the last failed attempt failed; empty if
+	// neither happened.
 	Reason string
 	// Status is the HTTP status that the caller was sent; 0 if none.
 	Status   int
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -428,8 +428,8 @@
 func (s *Server) recordOutcome(call *forward.Call, outcome forward.Outcome) {
 	took := s.cfg.Now().Sub(call.Received)
 	s.cfg.Metrics.Ended(call, outcome, took)
-	plain := outcome.Step == forward.Deliver && outcome.Attempts == 1 && outcome.Status/100 == 2
-	if plain && !s.successLogLimiter.Allow() {
+	plainSuccess := outcome.Step == forward.Deliver && outcome.Attempts == 1 && outcome.Status/100 == 2
+	if plainSuccess && !s.successLogLimiter.Allow() {
 		s.cfg.Metrics.Unlogged()
 		return
 	}
@@ -440,7 +440,7 @@
 	if len(outcome.AtLimit) > 0 {
 		fields = append(fields, "at_limit", outcome.AtLimit)
 	}
-	if !plain {
+	if !plainSuccess {
 		// Of a plain success the content is left out, because its whole body would have to
 		// be hashed for the log line alone.
 		fields = append(fields, "content", call.Content())
--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -36,7 +36,7 @@
 	return &Metrics{counts: make(map[string]int64), firstPartTimes: make(map[string]*hdrhistogram.Histogram)}
 }
 
-// Refused counts a request that was not forwarded and was answered with an HTTP status.
+// Refused counts a request that was not forwarded, by its HTTP status.
 func (m *Metrics) Refused(status int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
