--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -226,14 +226,14 @@
 		return directory.Record{}, u.dir.Unreadable(name, record.Offset, u.now())
 	}
 	u.loggedUnusable.reset(record.Key)
-	u.logStrange(record.Key, &entry)
+	u.logUnknownService(record.Key, &entry)
 	changed := u.dir.Apply(name, record.Offset, &entry, u.now())
 	return directory.Record{ID: entry.ID, Offset: record.Offset, Upstream: &entry}, changed
 }
 
-// logStrange tells of an upstream that no route can reach, because its service is not
+// logUnknownService logs an upstream that no route can reach, because its service is not
 // in the configuration.
-func (u *upstreamsFollower) logStrange(key string, entry *directory.Upstream) {
+func (u *upstreamsFollower) logUnknownService(key string, entry *directory.Upstream) {
 	table := u.board.table.Value()
 	if table == nil {
 		return
