--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -17,72 +17,81 @@
 )
 
 const (
-	// readers is how many gateways, the first in line, always have a read waiting
-	// at the store for the next configuration; the others hear of it from them.
-	// Two, so that one that is turned away by the store leaves one: a waiting read at
-	// each gateway would be half of the store's calls.
-	readers = 2
-	// readerPart of the time within which a change is due is how long such a read
-	// waits: a connection to the store that went silent is noticed after it.
-	readerPart = 0.4
-	// peersPart of the same time is how old a gateway's word that its configuration
-	// is the newest may become before the others ask the store themselves: longer
-	// than two readers' words usually become on their way, and short enough to be
-	// in time where all readers have lost the store.
-	peersPart = 0.6
-	// storeFirst is for how long a gateway leaves it to the store to bring a
-	// configuration that others have: a waiting read brings 300 KB within it on a
-	// link of 10 Mbit/s, and a change is due 2 s after it is acknowledged.
-	storeFirst = 400 * time.Millisecond
-	// peersFirst is for how long a gateway that hears of a newer configuration leaves it
-	// to the other gateways to bring it: a small one comes with their next answer.
-	peersFirst = 300 * time.Millisecond
-	// askAgain is the time between two reads by a gateway that hears of a newer
-	// configuration which the store does not show it yet.
-	askAgain = 250 * time.Millisecond
+	// waitingReaders is how many gateways, those with the lowest ranks, always have a read
+	// waiting at the store for the next configuration; the others learn of it from their
+	// reports. If every gateway had one, they would be half of the store's calls. There
+	// are two, so that one is left if the store refuses the other.
+	waitingReaders = 2
+	// readWaitShare is how long such a read waits, as a share of the time within which a
+	// change must be in force. After that time it is noticed that a connection to the
+	// store has gone silent.
+	readWaitShare = 0.4
+	// peerConfirmationShare is how old another gateway's confirmation that the
+	// configuration is the newest may become before a gateway asks the store itself, as a
+	// share of the same time. It is longer than the reports of two readers usually take,
+	// and short enough to be in time where all readers have lost the store.
+	peerConfirmationShare = 0.6
+	// storeHeadStart is how long, after peerHeadStart, a gateway waits for the store to
+	// deliver a configuration that other gateways have before it requests the
+	// configuration from them. In that time, a waiting read delivers 300 KB over a link of
+	// 10 Mbit/s. A change must be in force 2 s after it was acknowledged.
+	storeHeadStart = 400 * time.Millisecond
+	// peerHeadStart is how long a gateway that learns of a newer configuration waits for
+	// the other gateways to send it before it asks the store: a small configuration comes
+	// with their next answer.
+	peerHeadStart = 300 * time.Millisecond
+	// minReadInterval is the shortest time between two reads by a gateway that knows of a
+	// newer configuration which the store does not deliver yet.
+	minReadInterval = 250 * time.Millisecond
 )
 
-// configuration follows the operators' configuration and publishes it. It is the
-// only writer of board.table. Revisions never go back, wherever they come from.
-type configuration struct {
+// configFollower follows the operators' configuration and publishes it. It is the only
+// writer of board.table. The published revision never decreases, whether the configuration
+// comes from the store or from another gateway.
+type configFollower struct {
 	ports Ports
 	board *board
-	// rollouts takes the orders that stand in the same topic.
+	// rollouts gets the rollout orders, which operators write to the same topic.
 	rollouts *rollout.Tracker
 	now      boottime.Clock
 	log      hclog.Logger
-	// rank is this gateway's place in line for asking the store.
+	// rank returns this gateway's rank among those that may ask the store; 0 is first.
 	rank func() int
-	// due is within which time a change must be in force.
+	// due is the time within which a change must be in force.
 	due    time.Duration
 	health storeHealth
 
-	// next is the offset up to which the store's records were read, once listed, and
-	// asked is when it was asked last.
-	next   ident.Offset
+	// Only run uses the fields up to lastReadAt.
+
+	// next is the offset of the first record that was not read yet, once listed is true.
+	next ident.Offset
+	// listed: the newest records of the topic were read.
 	listed bool
-	// unreadable are the records that were told of; run alone uses it.
-	unreadable onceByKey
-	asked      time.Time
+	// loggedUnreadable holds the keys of the unreadable records that were logged.
+	loggedUnreadable onceByKey
+	// lastReadAt is when the store was last asked.
+	lastReadAt time.Time
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// current is the configuration in force; its revision is 0 if there is none.
 	current gossip.ConfigRecord
-	// confirmed is when the store, or a peer by its word, confirmed that no newer
-	// configuration exists.
+	// confirmed is the last time at which, as the store or another gateway confirmed, no
+	// newer configuration existed.
 	confirmed time.Time
-	// behind is since when others are heard to have a newer one; zero if not.
-	behind time.Time
-	// faulty is the offset after that of the newest record that could not be used,
-	// so that it is logged once; 0 if there is none.
-	faulty ident.Offset
+	// behindSince is since when another gateway is known to have a newer configuration;
+	// zero if none is.
+	behindSince time.Time
+	// afterUnusable is the offset that follows the last configuration that could not be
+	// used, so that its findings are logged once; 0 if there is none.
+	afterUnusable ident.Offset
 }
 
-func newConfiguration(ports Ports, b *board, rollouts *rollout.Tracker, now boottime.Clock, rank func() int, due time.Duration, log hclog.Logger) *configuration {
-	return &configuration{ports: ports, board: b, rollouts: rollouts, now: now, rank: rank, due: due, log: log, health: storeHealth{log: log, topic: ports.ConfigTopic}}
+func newConfigFollower(ports Ports, b *board, rollouts *rollout.Tracker, now boottime.Clock, rank func() int, due time.Duration, log hclog.Logger) *configFollower {
+	return &configFollower{ports: ports, board: b, rollouts: rollouts, now: now, rank: rank, due: due, log: log, health: storeHealth{log: log, topic: ports.ConfigTopic}}
 }
 
 // run follows the store until ctx ends.
-func (c *configuration) run(ctx context.Context) {
+func (c *configFollower) run(ctx context.Context) {
 	c.health.follow(ctx, func(ctx context.Context) (time.Duration, error) {
 		wait, idle := c.nextRead()
 		if idle > 0 {
@@ -92,27 +101,28 @@
 	})
 }
 
-// nextRead returns after how long a read of the store is due, 0 for now, and then for how
-// long it waits for the next configuration.
-func (c *configuration) nextRead() (wait, idle time.Duration) {
+// nextRead returns the time until the next read of the store is due, as idle, which is 0
+// for now, and for how long that read waits for the next configuration.
+func (c *configFollower) nextRead() (wait, idle time.Duration) {
 	if !c.listed {
 		return 0, 0
 	}
-	if c.rank() < readers {
-		return part(c.due, readerPart), 0
+	if c.rank() < waitingReaders {
+		return shareOf(c.due, readWaitShare), 0
 	}
 	_, age := c.state()
-	idle = part(c.due, peersPart) + rand.N(viewJitter) - age
-	if behind, is := c.behindFor(); is {
-		idle = min(idle, max(peersFirst-behind, askAgain-c.now().Sub(c.asked)))
+	idle = shareOf(c.due, peerConfirmationShare) + rand.N(viewJitter) - age
+	if behind, isBehind := c.behindFor(); isBehind {
+		idle = min(idle, max(peerHeadStart-behind, minReadInterval-c.now().Sub(c.lastReadAt)))
 	}
 	return 0, max(0, idle)
 }
 
-// read reads the newest records once, and what follows from then on.
-func (c *configuration) read(ctx context.Context, wait time.Duration) error {
-	asked := c.now()
-	c.asked = asked
+// read reads the newest record of each key the first time, and the records that follow in
+// later calls.
+func (c *configFollower) read(ctx context.Context, wait time.Duration) error {
+	asOf := c.now()
+	c.lastReadAt = asOf
 	var batch platform.KeyedBatch
 	var err error
 	if c.listed {
@@ -128,13 +138,13 @@
 		return err
 	}
 	for _, record := range batch.Records {
-		if record.Unreadable != nil && c.unreadable.first(record.Key) {
-			c.log.Error("record not readable", "topic", c.ports.ConfigTopic, "key", record.Key, "offset", record.Offset, "error", record.Unreadable)
+		if record.Unreadable != nil && c.loggedUnreadable.firstTime(record.Key) {
+			c.log.Error("cannot read record", "topic", c.ports.ConfigTopic, "key", record.Key, "offset", record.Offset, "error", record.Unreadable)
 		}
 		if record.Key == c.ports.ConfigKey && record.Value != nil {
-			c.take(record.Offset, record.Value, "store")
+			c.apply(record.Offset, record.Value, "store")
 		}
-		c.takeRollout(record)
+		c.applyRollout(record)
 		c.next = max(c.next, record.Offset+1)
 	}
 	if !c.listed {
@@ -143,22 +153,22 @@
 	if batch.End > c.next {
 		return nil
 	}
-	if len(batch.Records) == 0 && c.now().Sub(asked) >= wait {
-		// The store waited for so long, and there was nothing newer.
-		asked = asked.Add(wait)
+	if len(batch.Records) == 0 && c.now().Sub(asOf) >= wait {
+		// The store waited for the whole time, and nothing newer was written meanwhile.
+		asOf = asOf.Add(wait)
 	}
-	c.confirm(asked)
+	c.confirm(asOf)
 	return nil
 }
 
-// takeRollout takes an operator's order to change a service's version. One that cannot be
-// read changes nothing but that no other version of the service gets work.
-func (c *configuration) takeRollout(record platform.KeyedRecord) {
+// applyRollout applies an operator's order to change a service's version. An order that
+// cannot be read has one effect: no other version of the service gets work.
+func (c *configFollower) applyRollout(record platform.KeyedRecord) {
 	if record.Value == nil || record.Unreadable != nil || c.ports.DecodeRollout == nil {
 		return
 	}
-	order, is, findings := c.ports.DecodeRollout(c.ports.ConfigTopic, record.Key, record.Value, record.Offset)
-	if !is {
+	order, isOrder, findings := c.ports.DecodeRollout(c.ports.ConfigTopic, record.Key, record.Value, record.Offset)
+	if !isOrder {
 		return
 	}
 	if err := findings.Err(); err != nil {
@@ -169,23 +179,25 @@
 	c.rollouts.Order(order, 0, "store")
 }
 
-// confirmedAt is as of when all of the operators' records are known.
-func (c *configuration) confirmedAt() time.Time {
+// confirmedAt returns the last time at which all of the operators' records then written were
+// known here, as the store or another gateway confirmed.
+func (c *configFollower) confirmedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.confirmed
 }
 
-// take publishes a configuration if it is newer than the one in force.
-func (c *configuration) take(offset ident.Offset, data []byte, from string) {
+// apply publishes a configuration if it is newer than the one in force. from is its source,
+// for the log.
+func (c *configFollower) apply(offset ident.Offset, data []byte, from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.faulty == offset+1 || offset < c.current.Offset || offset == c.current.Offset && c.current.Revision > 0 {
+	if c.afterUnusable == offset+1 || offset < c.current.Offset || offset == c.current.Offset && c.current.Revision > 0 {
 		return
 	}
 	table, findings := c.ports.DecodeConfig(c.ports.ConfigTopic+"/"+c.ports.ConfigKey, data)
 	if err := findings.Err(); err != nil {
-		c.faulty = offset + 1
+		c.afterUnusable = offset + 1
 		c.log.Error("configuration not usable, the last one stays", "offset", offset, "from", from, "findings", err)
 		return
 	}
@@ -193,25 +205,25 @@
 		return
 	}
 	c.current = gossip.ConfigRecord{Revision: table.Revision(), Offset: offset, Data: data}
-	c.behind = time.Time{}
+	c.behindSince = time.Time{}
 	c.board.table.Publish(table)
 	c.log.Info("configuration in force", "revision", table.Revision(), "offset", offset, "from", from, "bytes", len(data))
 }
 
-// record returns the configuration in force if it is newer than a revision.
-func (c *configuration) record(than ident.Revision) *gossip.ConfigRecord {
+// newerThan returns the configuration in force if it is newer than the revision, and nil
+// otherwise.
+func (c *configFollower) newerThan(revision ident.Revision) *gossip.ConfigRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.current.Revision <= than {
+	if c.current.Revision <= revision {
 		return nil
 	}
 	record := c.current
 	return &record
 }
 
-// confirm notes that no newer configuration than the one in force existed at an
-// instant.
-func (c *configuration) confirm(at time.Time) {
+// confirm records that at the given time the configuration in force was the newest.
+func (c *configFollower) confirm(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at.After(c.confirmed) {
@@ -219,9 +231,9 @@
 	}
 }
 
-// confirmBy takes another gateway's word that a revision was the newest at an
-// instant. Of a newer one than is in force it is the first news.
-func (c *configuration) confirmBy(revision ident.Revision, at time.Time) {
+// confirmFromPeer records another gateway's report that a revision was the newest at the
+// given time. If that revision is newer than the one in force, this gateway is behind.
+func (c *configFollower) confirmFromPeer(revision ident.Revision, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -229,33 +241,35 @@
 		if c.current.Revision > 0 && at.After(c.confirmed) {
 			c.confirmed = at
 		}
-	case c.behind.IsZero():
-		c.behind = c.now()
+	case c.behindSince.IsZero():
+		c.behindSince = c.now()
 	}
 }
 
-// behindFor reports whether others are heard to have a newer configuration, and for how long.
-func (c *configuration) behindFor() (time.Duration, bool) {
+// behindFor reports whether another gateway is known to have a newer configuration, and for
+// how long that has been known.
+func (c *configFollower) behindFor() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.now().Sub(c.behind), !c.behind.IsZero()
+	return c.now().Sub(c.behindSince), !c.behindSince.IsZero()
 }
 
 // state returns the revision in force, and how long ago it was confirmed to be the
-// newest.
-func (c *configuration) state() (ident.Revision, time.Duration) {
+// newest; see ageOf.
+func (c *configFollower) state() (ident.Revision, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current.Revision, ageOf(c.confirmed, c.now())
 }
 
-// lacks reports whether another gateway should be asked for the configuration: only if
-// the store does not bring it.
-func (c *configuration) lacks() bool {
+// needsFetch reports whether the configuration should be requested from another gateway.
+// That is so if none is in force, or if this gateway is behind and the store fails or does
+// not deliver the newer one in time.
+func (c *configFollower) needsFetch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.current.Revision == 0 {
 		return true
 	}
-	return !c.behind.IsZero() && (c.health.failing() || c.now().Sub(c.behind) >= peersFirst+storeFirst)
+	return !c.behindSince.IsZero() && (c.health.failing() || c.now().Sub(c.behindSince) >= peerHeadStart+storeHeadStart)
 }
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -19,25 +19,27 @@
 )
 
 const (
-	// noticedAfter is how long the platform may still send new connections to
-	// a gateway that is not ready: two questions, a second apart, and its
-	// deciding.
-	noticedAfter = 3 * time.Second
-	// streamsAfter is for how long a leaving gateway still takes streams: the
-	// platform stops to send new connections by then, and what begins so early
-	// has most of the grace to end.
-	streamsAfter = 2800 * time.Millisecond
-	// idleAfter is when idle connections are closed: their callers would only
-	// send what must be refused.
-	idleAfter = 2500 * time.Millisecond
-	// stopMargin is left of the grace for the last steps.
+	// platformNoticeTime is how long the platform may still send new connections to a
+	// gateway that is not ready: it checks readiness twice, a second apart, and then needs
+	// time to act.
+	platformNoticeTime = 3 * time.Second
+	// acceptStreamsFor is how long a leaving gateway still accepts streams: by then the
+	// platform stops sending new connections, and a stream that began until then has most
+	// of the grace period to end.
+	acceptStreamsFor = 2800 * time.Millisecond
+	// closeIdleAfter is how long after it began to leave a gateway closes idle
+	// connections: what their callers would send soon must be refused.
+	closeIdleAfter = 2500 * time.Millisecond
+	// stopMargin is the part of the grace period that is left for the last steps.
 	stopMargin = 700 * time.Millisecond
-	// stopStep is how often a leaving process looks whether it is done.
-	stopStep = 50 * time.Millisecond
+	// stopPollInterval is how often a leaving process checks whether its connections are
+	// closed.
+	stopPollInterval = 50 * time.Millisecond
 )
 
-// readiness reports whether callers should come, and if not, why: a configuration
-// and the upstreams must be known, and the process must not leave.
+// readiness reports whether callers should be sent to this gateway, and if not, the reason:
+// a configuration and at least one upstream must be known, and the process must not be
+// leaving.
 func (p *Process) readiness() (ready bool, reason string) {
 	switch {
 	case p.leaving.Load():
@@ -50,8 +52,8 @@
 	return true, ""
 }
 
-// newReadiness answers the platform's question.
-func (p *Process) newReadiness() *http.Server {
+// newReadinessServer returns the server for the platform's readiness checks.
+func (p *Process) newReadinessServer() *http.Server {
 	return &http.Server{
 		ReadHeaderTimeout: time.Second,
 		ErrorLog:          p.log.Named("readiness").StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
@@ -65,19 +67,19 @@
 	}
 }
 
-// metricsPath is where the metrics are, beside what every process serves its
-// operators.
+// metricsPath is the path of the metrics on the operators' server.
 const metricsPath = "/metrics"
 
-// newOperators serves the metrics, what is barred, liveness, and readiness with its reason.
-func (p *Process) newOperators(listener net.Listener) *operations.Server {
+// newOperatorsServer returns the server for operators. It serves the metrics, the barred
+// requests, the upstreams with rate limits, liveness, and readiness with its reason.
+func (p *Process) newOperatorsServer(listener net.Listener) *operations.Server {
 	handlers := p.barredHandlers()
 	handlers["GET "+limitedPath] = http.HandlerFunc(p.listLimited)
 	handlers["GET "+metricsPath] = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { p.writeMetrics(w) })
 	return operations.New(operations.Config{Listener: listener, Ready: p.readiness, Handlers: handlers})
 }
 
-// writeMetrics prints what operators watch, one a line.
+// writeMetrics prints the metrics as text, one per line.
 func (p *Process) writeMetrics(w io.Writer) {
 	p.metrics.Write(w)
 	c := p.pool.Counters()
@@ -91,15 +93,15 @@
 	fmt.Fprintf(w, "upstreams_offset %d\nupstreams_age_seconds %.3f\nupstreams_known %d\n", next, age.Seconds(), p.board.upstreams.Value().Count())
 	if table := p.table(); table != nil {
 		fmt.Fprintf(w, "configuration_revision %d\n", table.Revision())
-		p.writeEngines(w, table)
+		p.writeEngineMetrics(w, table)
 	}
 	for _, o := range p.rollouts.Orders() {
 		fmt.Fprintf(w, "rollout_phase{service=%q,to=%q,phase=%q} %d\nrollout_requests{service=%q} %d\nrollout_requests_new{service=%q} %d\nrollout_answers_new{service=%q} %d\nrollout_evidence_against{service=%q} %.3g\n",
 			o.Order.Service, o.Order.To, o.Phase.String(), o.Phase, o.Order.Service, o.Sent, o.Order.Service, o.Exposed,
 			o.Order.Service, o.Verdict.Answers, o.Order.Service, o.Verdict.Against)
 	}
-	p.writeBarred(w)
-	p.writeLimits(w)
+	p.writePoisonMetrics(w)
+	p.writeLimitMetrics(w)
 	v := p.view.Load()
 	fmt.Fprintf(w, "gateways_heard %d\ngateways_known %d\nclock_correction_seconds %.3f\n", v.Heard, v.Known, v.WallCorrection.Seconds())
 	fmt.Fprintf(w, "gateways_reports_age_seconds %.3f\n", v.age(p.now()).Seconds())
@@ -112,8 +114,8 @@
 	fmt.Fprintf(w, "memory_heap_bytes %d\nmemory_system_bytes %d\ngoroutines %d\n", m.HeapAlloc, m.Sys, runtime.NumGoroutine())
 }
 
-// writeEngines prints what is known of each service's engines.
-func (p *Process) writeEngines(w io.Writer, table *routetable.Table) {
+// writeEngineMetrics prints the estimated speed of each service's engines.
+func (p *Process) writeEngineMetrics(w io.Writer, table *routetable.Table) {
 	for _, s := range table.Services() {
 		if s.Engine == nil {
 			continue
@@ -124,43 +126,43 @@
 	}
 }
 
-// leave stops the process without cutting anything off: callers are told to go
-// elsewhere, what runs is finished, and only then the connections are closed.
+// leave drains the callers' server: callers are asked to go to other gateways, requests in
+// progress are finished, and then the connections are closed. What is still running at the
+// end of the grace period or at signals.Kill is cut off.
 func (p *Process) leave(ctx context.Context, signals program.Signals) {
-	began := p.now()
+	start := p.now()
 	p.leaving.Store(true)
 	p.gossip.Leave()
-	end := began.Add(p.settings.Stop.Grace - stopMargin)
-	p.callers.Leave(began.Add(streamsAfter), end)
+	end := start.Add(p.settings.Stop.Grace - stopMargin)
+	p.callers.Leave(start.Add(acceptStreamsFor), end)
 	p.log.Info("leaving", "active", p.callers.Active(), "grace_ms", p.settings.Stop.Grace.Milliseconds())
 	go p.gossip.Say(ctx)
 	for now := p.now(); now.Before(end); now = p.now() {
 		left := 1
-		if now.Sub(began) >= idleAfter {
+		if now.Sub(start) >= closeIdleAfter {
 			left = p.callers.CloseIdle()
 		}
-		if left == 0 && now.Sub(began) >= noticedAfter || !pause.For(signals.Kill, stopStep) {
+		if left == 0 && now.Sub(start) >= platformNoticeTime || !pause.For(signals.Kill, stopPollInterval) {
 			break
 		}
 	}
-	p.log.Info("closing", "active", p.callers.Active(), "after_ms", p.now().Sub(began).Milliseconds())
+	p.log.Info("closing", "active", p.callers.Active(), "after_ms", p.now().Sub(start).Milliseconds())
 	if err := p.callers.Close(); err != nil {
-		p.log.Warn("callers' connections not closed", "error", err)
+		p.log.Warn("cannot close callers' connections", "error", err)
 	}
 }
 
-// flushSpans sends the spans that are still buffered, within what is left of the
-// grace.
+// flushSpans sends the spans that are still buffered, within half of stopMargin.
 func (p *Process) flushSpans() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopMargin/2)
 	defer cancel()
 	if err := p.tracing.Shutdown(ctx); err != nil {
-		p.log.Warn("spans not sent", "error", err)
+		p.log.Warn("cannot send the buffered spans", "error", err)
 	}
 }
 
-// reloadOnce reads the settings file again.
-func (p *Process) reloadOnce() {
+// reloadSettings reads the settings file again and adds its seeds to the known peers.
+func (p *Process) reloadSettings() {
 	next, findings := settings.LoadEntry(p.settings.Path)
 	if err := findings.Err(); err != nil {
 		p.log.Error("settings not usable, the last ones stay", "findings", err)
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -1,23 +1,24 @@
 package entry
 
-// mostOnce bounds what is remembered of keys that were told of: a writer that makes up
-// keys without end costs a log line a key, but no memory.
-const mostOnce = 512
+// maxLoggedKeys bounds how many keys are remembered as logged; beyond it, all are forgotten.
+// A writer that keeps inventing keys then costs a log line per key, but no memory.
+const maxLoggedKeys = 512
 
-// onceByKey remembers which keys were told of. The zero value remembers none.
-type onceByKey struct{ told map[string]bool }
+// onceByKey remembers for which keys a fault was logged, so that it is logged once. The zero
+// value remembers none. It is not safe for concurrent use.
+type onceByKey struct{ logged map[string]bool }
 
-// first reports whether a key is told of for the first time since it was all right.
-func (o *onceByKey) first(key string) bool {
-	if o.told[key] {
+// firstTime marks the key as logged, and reports whether it was not marked before.
+func (o *onceByKey) firstTime(key string) bool {
+	if o.logged[key] {
 		return false
 	}
-	if o.told == nil || len(o.told) >= mostOnce {
-		o.told = make(map[string]bool)
+	if o.logged == nil || len(o.logged) >= maxLoggedKeys {
+		o.logged = make(map[string]bool)
 	}
-	o.told[key] = true
+	o.logged[key] = true
 	return true
 }
 
-// ok notes that a key is all right.
-func (o *onceByKey) ok(key string) { delete(o.told, key) }
+// reset forgets a key that has no fault any more, so that its next fault is logged.
+func (o *onceByKey) reset(key string) { delete(o.logged, key) }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -16,54 +16,56 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// peerView is what the data path needs of the other gateways. It is swapped
-// whole, once a round.
+// peerView is a snapshot of the other gateways' reports for the data path. It is immutable
+// and replaced as a whole twice per round of the exchange.
 type peerView struct {
 	gossip.View
+	// loads are the total loads that the other gateways have at each upstream.
 	loads map[gossip.UpstreamKey]placement.Load
 }
 
-// follow takes over the other gateways' reports, twice a round.
-func (p *Process) follow(ctx context.Context) {
+// followPeers applies the other gateways' reports twice per round, until ctx ends.
+func (p *Process) followPeers(ctx context.Context) {
 	for pause.For(ctx, gossip.Interval/2) {
 		p.refreshPeers()
 	}
 }
 
+// refreshPeers replaces the peerView and applies the other gateways' reports.
 func (p *Process) refreshPeers() {
 	now := p.now()
 	v := &peerView{View: p.gossip.View(now)}
-	v.loads = loadsOf(v.Groups)
-	p.ledger.Hear(p.life, p.counter.Windows())
+	v.loads = totalLoads(v.Groups)
+	p.ledger.Hear(p.incarnationID, p.counter.Windows())
 	p.view.Store(v)
-	p.rollouts.Refresh(wordsOf(v.Groups))
-	p.poison.Refresh(poisonOf(v.Groups))
+	p.rollouts.Refresh(mergeRolloutStates(v.Groups))
+	p.poison.Refresh(mergePoisonReports(v.Groups))
 	p.refreshLimits(v)
 	if table := p.table(); table != nil {
-		p.keeper.Tick(table.Accounts(), now)
+		p.quotas.Tick(table.Accounts(), now)
 	}
 }
 
-// wordsOf joins what the groups say of rollouts.
-func wordsOf(groups []gossip.Group) rollout.Words {
-	var words rollout.Words
+// mergeRolloutStates merges what the groups report about rollouts.
+func mergeRolloutStates(groups []gossip.Group) rollout.Words {
+	var merged rollout.Words
 	for i := range groups {
-		words = words.Plus(groups[i].Rollouts)
+		merged = merged.Plus(groups[i].Rollouts)
 	}
-	return words
+	return merged
 }
 
-// poisonOf joins what the groups say of requests that end upstreams.
-func poisonOf(groups []gossip.Group) poison.Words {
-	var words poison.Words
+// mergePoisonReports merges what the groups report about poison requests.
+func mergePoisonReports(groups []gossip.Group) poison.Words {
+	var merged poison.Words
 	for i := range groups {
-		words = words.Plus(groups[i].Poison)
+		merged = merged.Plus(groups[i].Poison)
 	}
-	return words
+	return merged
 }
 
-// loadsOf adds up what the groups have at each upstream.
-func loadsOf(groups []gossip.Group) map[gossip.UpstreamKey]placement.Load {
+// totalLoads adds up what the groups have at each upstream.
+func totalLoads(groups []gossip.Group) map[gossip.UpstreamKey]placement.Load {
 	if len(groups) == 1 {
 		return groups[0].Loads
 	}
@@ -76,7 +78,7 @@
 	return loads
 }
 
-// age is the mean age of what the other gateways reported; 0 where none is heard.
+// age returns the mean age of the other gateways' reports; 0 if there are none.
 func (v *peerView) age(now time.Time) time.Duration {
 	sum, gateways := time.Duration(0), 0
 	for i := range v.Groups {
@@ -86,37 +88,39 @@
 	return sum / time.Duration(max(1, gateways))
 }
 
-// loadOf is what the other gateways have at an upstream.
+// loadOf returns the total load that the other gateways have at an upstream.
 func (v *peerView) loadOf(id ident.Instance) placement.Load { return v.loads[gossip.KeyOf(id)] }
 
-// place is this gateway's place in line among those that are heard.
-func (p *Process) place() int { return p.view.Load().Place }
+// storeRank returns this gateway's rank among the gateways whose reports it receives; 0 is
+// the first to ask the store.
+func (p *Process) storeRank() int { return p.view.Load().Place }
 
-// assumedFor is for how long after its start a process counts with at least as
-// many gateways as there were before. What goes wrong without it: many start at
-// once, each knows none of the others for some rounds of the exchange, and all of
-// them give callers the whole of each account's limit.
-const assumedFor = 3 * time.Second
+// gatewaysBeforeStartPeriod is how long after its start a process assumes that there are at
+// least as many gateways as before. Without it, when many gateways start at once, each knows
+// none of the others for some rounds of the exchange, and each of them lets callers use the
+// whole limit of each account.
+const gatewaysBeforeStartPeriod = 3 * time.Second
 
-// gateways is how many gateways there may be, with this one.
-func (p *Process) gateways() int { return p.gatewaysAt(p.now()) }
+// gatewayCount returns how many gateways there may be, including this one.
+func (p *Process) gatewayCount() int { return p.gatewayCountAt(p.now()) }
 
-func (p *Process) gatewaysAt(now time.Time) int {
+// gatewayCountAt is gatewayCount for a given time.
+func (p *Process) gatewayCountAt(now time.Time) int {
 	known := p.view.Load().Known + 1
-	if now.Sub(p.started) < assumedFor {
-		return max(known, int(p.assumed.Load()))
+	if now.Sub(p.started) < gatewaysBeforeStartPeriod {
+		return max(known, int(p.gatewaysBeforeStart.Load()))
 	}
 	return known
 }
 
-// trueTime is the time of day as most gateways have it.
+// trueTime returns the wall-clock time, corrected to that of most gateways.
 func (p *Process) trueTime() time.Time { return time.Now().Add(p.view.Load().WallCorrection) }
 
-// quotaOthers returns what the other gateways report of an account. It reads no clock: it is
-// called for each of hundreds of accounts, eight times a second.
-func (p *Process) quotaOthers(account ident.ClientAccount, now time.Time) quota.Others {
+// quotaReports returns what the other gateways report about an account. It reads no clock
+// because it is called for each of hundreds of accounts, eight times a second.
+func (p *Process) quotaReports(account ident.ClientAccount, now time.Time) quota.Others {
 	v := p.view.Load()
-	o := quota.Others{Known: p.gatewaysAt(now) - 1, Reports: make([]quota.Report, len(v.Groups))}
+	o := quota.Others{Known: p.gatewayCountAt(now) - 1, Reports: make([]quota.Report, len(v.Groups))}
 	for i := range v.Groups {
 		g := &v.Groups[i]
 		spending := g.Accounts[account]
@@ -127,7 +131,7 @@
 	return o
 }
 
-// engineSums adds up what the other gateways saw of a service's engines.
+// engineSums adds up the other gateways' measurements of a service's engines.
 func (p *Process) engineSums(service ident.Service) enginemodel.Sums {
 	var sum enginemodel.Sums
 	v := p.view.Load()
@@ -137,7 +141,8 @@
 	return sum
 }
 
-// knowledge is what a process holds and gives to the other gateways.
+// knowledge implements gossip.Knowledge with the state of a Process: what it reports to the
+// other gateways, and how it applies their reports.
 type knowledge struct{ p *Process }
 
 // Brief implements gossip.Knowledge.
@@ -150,7 +155,7 @@
 	r.Revision, r.RevisionAge = p.configuration.state()
 	r.Upstreams, r.UpstreamsAge = p.upstreams.state()
 	_, r.Holds = p.lease.Grant()
-	r.Rollouts = p.rollouts.Words(p.idle)
+	r.Rollouts = p.rollouts.Words(p.hasNoRequests)
 	r.Poison = p.poison.Words()
 	r.Limits = p.limits.Say()
 	r.LimitSet = p.limits.Order().Set
@@ -167,16 +172,16 @@
 		r.Loads[gossip.KeyOf(id)] = load
 	}
 	r.Accounts = make(map[ident.ClientAccount]gossip.Spending)
-	for account, total := range p.keeper.Totals() {
+	for account, total := range p.quotas.Totals() {
 		r.Accounts[account] = gossip.Spending{Spent: total.Spent, Refused: total.Refused}
 	}
 	r.LimitUses = p.limits.Uses()
-	r.Work = p.work(now)
+	r.Work = p.demand(now)
 	r.Engines = p.chooser.Engines()
 	return r
 }
 
-// contact is where the other gateways reach this one.
+// contact returns how the other gateways reach this one.
 func (p *Process) contact() gossip.Contact {
 	return gossip.Contact{
 		Node: p.settings.Instance.ID, Address: p.settings.Listen.Peers, Domain: p.settings.Instance.FailureDomain, Cores: p.settings.Machine.Cores,
@@ -184,36 +189,37 @@
 }
 
 // Config implements gossip.Knowledge.
-func (k knowledge) Config(than ident.Revision) *gossip.ConfigRecord {
-	return k.p.configuration.record(than)
+func (k knowledge) Config(revision ident.Revision) *gossip.ConfigRecord {
+	return k.p.configuration.newerThan(revision)
 }
 
 // Upstreams implements gossip.Knowledge.
 func (k knowledge) Upstreams(from ident.Offset, all bool) *directory.News {
-	return k.p.upstreams.news(from, all)
+	return k.p.upstreams.updateSince(from, all)
 }
 
 // Lacks implements gossip.Knowledge.
-func (k knowledge) Lacks() bool { return k.p.configuration.lacks() || k.p.upstreams.lacks() }
+func (k knowledge) Lacks() bool { return k.p.configuration.needsFetch() || k.p.upstreams.needsFetch() }
 
 // Learn implements gossip.Knowledge.
 func (k knowledge) Learn(config *gossip.ConfigRecord, upstreams *directory.News) {
 	if config != nil {
-		k.p.configuration.take(config.Offset, config.Data, "gateway")
+		k.p.configuration.apply(config.Offset, config.Data, "gateway")
 	}
 	if upstreams != nil {
-		k.p.upstreams.learn(*upstreams)
+		k.p.upstreams.applyUpdate(*upstreams)
 	}
 }
 
 // Heard implements gossip.Knowledge.
 func (k knowledge) Heard(r *gossip.Report, asOf time.Time) {
-	// What a gateway says that it knows of the operators' records comes after what they say.
+	// The orders in the report are applied before what it confirms, so that this gateway
+	// doesn't count its knowledge of the operators' records as complete without them.
 	k.p.rollouts.Learn(r.Rollouts)
-	k.p.learnLimits(r.Limits, asOf)
-	// As of long ago a report confirms nothing; a newer revision is news all the same.
-	k.p.configuration.confirmBy(r.Revision, asOf.Add(-r.RevisionAge))
-	k.p.upstreams.confirm(r.Upstreams, asOf.Add(-r.UpstreamsAge))
+	k.p.applyLimits(r.Limits, asOf)
+	// An old report confirms nothing, but it may still announce a newer revision.
+	k.p.configuration.confirmFromPeer(r.Revision, asOf.Add(-r.RevisionAge))
+	k.p.upstreams.confirmFromPeer(r.Upstreams, asOf.Add(-r.UpstreamsAge))
 	k.p.ledger.Hear(gossip.LifeOf(r.Node, r.Incarnation), r.Began)
 }
 
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -39,19 +39,20 @@
 )
 
 const (
-	// memoryPart of the machine's memory is what Go's collector keeps to; the
-	// rest is for its own structures, stacks and the kernel's buffers.
-	memoryPart = 0.7
-	// bodyPart of the memory may be callers' bodies.
-	bodyPart = 0.25
-	// callerPart of the descriptors may be callers' connections; the rest are
-	// for upstreams, peers and files.
-	callerPart = 0.6
-	// sweepEvery is how often idle connections are looked at.
-	sweepEvery = time.Second
+	// goMemoryShare is the share of the machine's memory that is set as the limit of Go's
+	// garbage collector; the rest is for its own structures, stacks and the kernel's
+	// buffers.
+	goMemoryShare = 0.7
+	// bodyMemoryShare is the share of the machine's memory that callers' bodies may take.
+	bodyMemoryShare = 0.25
+	// callerDescriptorShare is the share of the file descriptors that callers' connections
+	// may take; the rest is for upstreams, peers and files.
+	callerDescriptorShare = 0.6
+	// sweepInterval is how often idle connections are checked.
+	sweepInterval = time.Second
 )
 
-// Process is an entry process. Create it with New and run it once.
+// Process is an entry process. Create it with New and call Run once.
 type Process struct {
 	settings *settings.Entry
 	ports    Ports
@@ -60,20 +61,21 @@
 	tracing  *telemetry.Telemetry
 	now      boottime.Clock
 	started  time.Time
-	// incarnation tells this life from earlier ones of the same instance.
+	// incarnation tells this process from earlier ones of the same instance.
 	incarnation ident.Incarnation
-	// life names it, as gossip.LifeOf does.
-	life    string
+	// incarnationID is the result of gossip.LifeOf for this process.
+	incarnationID string
+	// seq is the sequence number of the last report.
 	seq     atomic.Uint64
 	leaving atomic.Bool
-	// assumed is how many gateways there were before the start; it counts for
-	// assumedFor.
-	assumed atomic.Int64
+	// gatewaysBeforeStart is how many gateways there were before the start. It counts for
+	// gatewaysBeforeStartPeriod.
+	gatewaysBeforeStart atomic.Int64
 
 	board         *board
 	pool          *httpconn.Pool
-	configuration *configuration
-	upstreams     *upstreams
+	configuration *configFollower
+	upstreams     *upstreamsFollower
 	peers         *gossip.Table
 	gossip        *gossip.Gossip
 	chooser       *placement.Chooser
@@ -81,7 +83,7 @@
 	poison        *poison.Tracker
 	limits        *upstreamlimit.Keeper
 	lease         *duty.Manager
-	keeper        *quota.Keeper
+	quotas        *quota.Keeper
 	counter       *metering.Counter
 	ledger        *metering.Ledger
 	metrics       *ingress.Metrics
@@ -90,8 +92,8 @@
 	view atomic.Pointer[peerView]
 }
 
-// New wires a process; makePorts gets the pool that all connections of the
-// process come from.
+// New creates a process. makePorts gets the pool from which all outgoing connections of the
+// process come.
 func New(s *settings.Entry, makePorts func(*httpconn.Pool) Ports, output io.Writer) (*Process, error) {
 	ring := telemetry.NewRing(output)
 	tracing, err := telemetry.Setup(telemetry.Config{
@@ -107,72 +109,76 @@
 		incarnation: ident.Incarnation(time.Now().UnixNano()), board: newBoard(), pool: httpconn.NewPool(boottime.Now),
 		ledger: metering.NewLedger(), metrics: ingress.NewMetrics(),
 	}
-	p.life = gossip.LifeOf(s.Instance.ID, p.incarnation)
+	p.incarnationID = gossip.LifeOf(s.Instance.ID, p.incarnation)
 	p.ports = makePorts(p.pool)
 	p.view.Store(&peerView{View: gossip.NoView()})
 	p.wire()
 	return p, nil
 }
 
+// wire creates the parts of the process and connects them.
 func (p *Process) wire() {
 	s := p.settings
 	p.peers = gossip.NewTable(p.contact(), s.Peers.Seeds)
 	p.rollouts = rollout.New(rollout.Config{
 		Limits: rollout.Limits{Share: s.Rollout.Share, Slack: s.Rollout.Slack, StopDue: s.Rollout.StopDue}, Now: p.now, Log: p.log.Named("rollout"),
-		Life: p.life, Gateways: p.gateways, OrdersKnown: func() time.Time { return p.configuration.confirmedAt() },
+		Life: p.incarnationID, Gateways: p.gatewayCount, OrdersKnown: func() time.Time { return p.configuration.confirmedAt() },
 	})
 	key := func(id ident.Instance) uint32 { return uint32(gossip.KeyOf(id)) }
 	p.poison = poison.New(poison.Config{Now: p.now, Log: p.log.Named("poison"), Key: key})
 	p.limits = upstreamlimit.NewKeeper(upstreamlimit.Config{
 		Now: p.now, Log: p.log.Named("limits"), Key: key, Round: gossip.Interval, Seed: uint64(p.incarnation),
 	})
-	p.configuration = newConfiguration(p.ports, p.board, p.rollouts, p.now, p.place, s.Configuration.ChangeDue, p.log.Named("configuration"))
-	p.upstreams = newUpstreams(p.ports, p.board, p.rollouts, p.pool, p.now, p.place, s.Upstreams.DepartureDue, p.log.Named("upstreams"))
+	p.configuration = newConfigFollower(p.ports, p.board, p.rollouts, p.now, p.storeRank, s.Configuration.ChangeDue, p.log.Named("configuration"))
+	p.upstreams = newUpstreamsFollower(p.ports, p.board, p.rollouts, p.pool, p.now, p.storeRank, s.Upstreams.DepartureDue, p.log.Named("upstreams"))
 	p.gossip = gossip.New(gossip.Config{
 		Self: p.contact(), Incarnation: p.incarnation, Table: p.peers, Knowledge: knowledge{p},
 		Network: gossip.OverHTTP{Pool: p.pool}, Now: p.now, Log: p.log.Named("gossip"),
 	})
 	p.counter = metering.NewCounter(s.Usage.Window, p.trueTime)
-	p.keeper = quota.NewKeeper(quota.Tolerance{Window: s.Quota.Window, Overage: s.Quota.Overage, Slack: s.Quota.Slack}, p.quotaOthers, p.now())
+	p.quotas = quota.NewKeeper(quota.Tolerance{Window: s.Quota.Window, Overage: s.Quota.Overage, Slack: s.Quota.Slack}, p.quotaReports, p.now())
 	p.chooser = placement.New(placement.Config{
 		Params: placement.DefaultParams(), Self: s.Instance.ID, Domain: s.Instance.FailureDomain, Log: p.log.Named("placement"),
 		View:     func() *directory.View { return p.board.upstreams.Value() },
 		Others:   func(id ident.Instance) placement.Load { return p.view.Load().loadOf(id) },
 		Silent:   func(d ident.FailureDomain) bool { return p.view.Load().Silent[d] },
-		Gateways: p.gateways,
+		Gateways: p.gatewayCount,
 		Engines:  p.engineSums,
 		Limits:   p.limits,
 		Split:    p.rollouts.Of,
 	})
 	forwarder := forward.New(forward.Config{
 		Now: p.now, Pool: p.pool, Dialect: p.ports.Protocol, Placement: p.chooser,
-		Budget: retry.NewShared(retry.SharedConfig{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: s.Retries.Window}, p.gateways),
+		Budget: retry.NewShared(retry.SharedConfig{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: s.Retries.Window}, p.gatewayCount),
 		Guard:  p.poison, Limits: p.limits, Meter: p.counter, Log: p.log.Named("forward"), Tracer: p.tracing.Tracer, RetryAfter: p.retryAfter,
 	})
 	p.lease = p.newLease()
 	p.callers = ingress.New(ingress.Config{
-		Now: p.now, Table: p.table, Protocol: p.ports.Protocol, Quota: p.keeper, Guard: p.poison, Forwarder: forwarder,
+		Now: p.now, Table: p.table, Protocol: p.ports.Protocol, Quota: p.quotas, Guard: p.poison, Forwarder: forwarder,
 		Log: p.log.Named("ingress"), Tracer: p.tracing.Tracer, Metrics: p.metrics,
-		BodyBudget: int64(bodyPart * s.Machine.MemoryMiB * (1 << 20)),
+		BodyBudget: int64(bodyMemoryShare * s.Machine.MemoryMiB * (1 << 20)),
 	})
 }
 
-// leastReturn is the least time after which a caller comes back whose request no upstream
-// took: slots become free all the time.
-const leastReturn = 100 * time.Millisecond
+// minRetryAfter is the shortest retry-after time of a request that no upstream accepted. It
+// is short because slots become free all the time.
+const minRetryAfter = 100 * time.Millisecond
 
-// retryAfter is when such a caller comes back: when an engine will have read what is
-// before it, and spread, so that callers who were refused together do not return together.
+// retryAfter returns the retry-after time of such a request: the time until an engine will
+// probably have read the prompts that are queued there, spread so that callers that were
+// refused together do not return together.
 func (p *Process) retryAfter(call *forward.Call) time.Duration {
-	room := p.chooser.RoomIn(call, p.now())
-	return returntime.Spread(max(call.Route.Objective/2, room, leastReturn), call.ID)
+	capacityIn := p.chooser.RoomIn(call, p.now())
+	return returntime.Spread(max(call.Route.Objective/2, capacityIn, minRetryAfter), call.ID)
 }
 
+// table returns the operators' configuration in force, or nil while none is known.
 func (p *Process) table() *routetable.Table { return p.board.table.Value() }
 
-// Run serves until signals.Stop ends, and then leaves within the grace.
+// Run serves until signals.Stop ends, and then leaves within the grace period. It returns an
+// error only if it cannot listen. Each value from reload makes it read the settings again.
 func (p *Process) Run(signals program.Signals, reload <-chan os.Signal) error {
-	debug.SetMemoryLimit(int64(memoryPart * p.settings.Machine.MemoryMiB * (1 << 20)))
+	debug.SetMemoryLimit(int64(goMemoryShare * p.settings.Machine.MemoryMiB * (1 << 20)))
 	p.log.Info("started", "version", program.Version(), "domain", p.settings.Instance.FailureDomain,
 		"callers", p.settings.Listen.Callers, "operators", p.settings.Listen.Operators, "seeds", p.settings.Peers.Seeds)
 	listeners, err := p.listen()
@@ -185,15 +191,15 @@
 	run := func(f func(context.Context)) { work.Go(func() { f(ctx) }) }
 	go p.serve("callers", func() error { return p.callers.Serve(listeners.callers) })
 	go p.serve("peers", func() error { return p.gossip.Serve(listeners.peers) })
-	go p.serve("readiness", func() error { return p.newReadiness().Serve(listeners.readiness) })
+	go p.serve("readiness", func() error { return p.newReadinessServer().Serve(listeners.readiness) })
 	if listeners.operators != nil {
-		go p.serve("operators", p.newOperators(listeners.operators).Serve)
+		go p.serve("operators", p.newOperatorsServer(listeners.operators).Serve)
 	}
 	run(p.configuration.run)
 	run(p.upstreams.run)
 	run(p.gossip.Run)
-	run(p.follow)
-	run(p.sweep)
+	run(p.followPeers)
+	run(p.sweepIdle)
 	run(func(ctx context.Context) { p.reload(ctx, reload) })
 	run(func(ctx context.Context) { p.runDuties(ctx, signals.Stop) })
 	<-signals.Stop.Done()
@@ -206,10 +212,10 @@
 	return nil
 }
 
-// serve runs one server; its end while the process runs is told.
+// serve runs one server and logs its error, unless the process is leaving.
 func (p *Process) serve(name string, serve func() error) {
 	if err := serve(); err != nil && !pkgerrors.Is(err, http.ErrServerClosed) && !p.leaving.Load() {
-		p.log.Error("a server ended", "server", name, "error", err)
+		p.log.Error("server stopped unexpectedly", "server", name, "error", err)
 	}
 }
 
@@ -217,6 +223,8 @@
 	callers, peers, readiness, operators net.Listener
 }
 
+// listen opens the listeners with an address in the settings. A failure is an error, except
+// for the operators' listener.
 func (p *Process) listen() (listeners, error) {
 	var l listeners
 	for _, each := range []struct {
@@ -231,8 +239,8 @@
 		}
 		listener, err := net.Listen("tcp", each.address)
 		if err != nil && each.into == &l.operators {
-			// Callers are served without metrics too.
-			p.log.Error("metrics are not served", "address", each.address, "error", err)
+			// Callers can be served without the operators' server.
+			p.log.Error("cannot listen for operators, metrics are not served", "address", each.address, "error", err)
 			continue
 		}
 		if err != nil {
@@ -240,20 +248,20 @@
 		}
 		*each.into = listener
 	}
-	l.callers = netutil.LimitListener(l.callers, int(callerPart*float64(p.settings.Machine.Descriptors)))
+	l.callers = netutil.LimitListener(l.callers, int(callerDescriptorShare*float64(p.settings.Machine.Descriptors)))
 	return l, nil
 }
 
-// sweep closes what was idle too long.
-func (p *Process) sweep(ctx context.Context) {
-	for pause.For(ctx, sweepEvery) {
+// sweepIdle closes connections that were idle for too long, until ctx ends.
+func (p *Process) sweepIdle(ctx context.Context) {
+	for pause.For(ctx, sweepInterval) {
 		p.pool.Sweep()
 		p.callers.SweepIdle()
 	}
 }
 
-// reload takes over a changed settings file: the seeds. Everything else in it
-// belongs to the process from its start on.
+// reload reads the settings file again at each signal until ctx ends. Only changed seeds take
+// effect; all other settings apply from the start of the process.
 func (p *Process) reload(ctx context.Context, signals <-chan os.Signal) {
 	for {
 		select {
@@ -261,6 +269,6 @@
 			return
 		case <-signals:
 		}
-		p.reloadOnce()
+		p.reloadSettings()
 	}
 }
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -19,7 +19,7 @@
 )
 
 // brokenListing is a store whose listing ends after its first page.
-type brokenListing struct{ quietStore }
+type brokenListing struct{ unchangingStore }
 
 // Newest implements platform.KeyedLog.
 func (s *brokenListing) Newest(_ context.Context, _ string, each func([]platform.KeyedRecord)) (platform.KeyedBatch, error) {
@@ -27,22 +27,22 @@
 	return platform.KeyedBatch{}, platform.ErrUnavailable
 }
 
-// Pattern: all gateways are killed at once, beside thousands of upstreams, and the crowd is
-// back before they are. Symptom: each refuses all requests for seconds, though upstreams
-// are idle. Sequence: all of them list the upstreams at the same time; each listing takes
-// several pages over a slow link. Cause: nothing of a listing is used before its last page.
+// Guards against using a listing only after its last page: when all gateways were killed at
+// once and started again among thousands of upstreams, all of them listed the upstreams at the
+// same time, each in several pages over a slow link, and each refused all requests for
+// seconds although upstreams were idle.
 func TestTheFirstPageOfAListingIsUsedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	ports := Ports{
-		Store: &brokenListing{quietStore{now: &now}}, UpstreamsTopic: "upstreams",
+		Store: &brokenListing{unchangingStore{now: &now}}, UpstreamsTopic: "upstreams",
 		DecodeUpstream: func(_, name string, _ []byte) (directory.Upstream, finding.List) {
 			return directory.Upstream{ID: ident.Instance(name), Name: ident.Instance(name), Service: "svc", Address: "127.0.0.1:1", State: directory.Ready}, nil
 		},
 	}
 	b := newBoard()
 	tracker := rollout.New(rollout.Config{Now: clock, Log: hclog.NewNullLogger(), OrdersKnown: clock, Gateways: func() int { return 1 }})
-	u := newUpstreams(ports, b, tracker, nil, clock, func() int { return 0 }, 3*time.Second, hclog.NewNullLogger())
+	u := newUpstreamsFollower(ports, b, tracker, nil, clock, func() int { return 0 }, 3*time.Second, hclog.NewNullLogger())
 	if err := u.read(t.Context()); err == nil {
 		t.Fatal("the listing ended without an error")
 	}
@@ -54,14 +54,14 @@
 	}
 }
 
-// Guards against a log that is most of a gateway's work: of thousands of entries that come
-// together, a few lines tell, and name some that leave.
+// Guards against logging that is most of a gateway's work: thousands of entries that arrive
+// together are logged in a few lines, which name some of those that leave.
 func TestManyEntriesTogetherAreAFewLines(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	var log bytes.Buffer
 	tracker := rollout.New(rollout.Config{Now: clock, Log: hclog.NewNullLogger(), OrdersKnown: clock, Gateways: func() int { return 1 }})
-	u := newUpstreams(Ports{}, newBoard(), tracker, httpconn.NewPool(clock), clock, func() int { return 0 }, 3*time.Second, hclog.New(&hclog.LoggerOptions{Output: &log}))
+	u := newUpstreamsFollower(Ports{}, newBoard(), tracker, httpconn.NewPool(clock), clock, func() int { return 0 }, 3*time.Second, hclog.New(&hclog.LoggerOptions{Output: &log}))
 	news := directory.News{UpTo: 4000}
 	for i := range 3000 {
 		up := directory.Upstream{ID: ident.Instance(fmt.Sprint("u", i)), Service: "svc", State: directory.Ready}
@@ -70,13 +70,13 @@
 		}
 		news.Records = append(news.Records, directory.Record{ID: up.ID, Offset: ident.Offset(i), Upstream: &up})
 	}
-	u.learn(news)
+	u.applyUpdate(news)
 	if lines := strings.Count(log.String(), "\n"); lines != 1 || !strings.Contains(log.String(), "some_leaving=[\"u7\"]") {
 		t.Errorf("%d lines: %.300s", lines, log.String())
 	}
 	log.Reset()
-	u.learn(directory.News{UpTo: 4001, Records: []directory.Record{{ID: "u9", Offset: 4000}}})
-	if !strings.Contains(log.String(), "upstream's entry dropped: upstream=u9") {
+	u.applyUpdate(directory.News{UpTo: 4001, Records: []directory.Record{{ID: "u9", Offset: 4000}}})
+	if !strings.Contains(log.String(), "upstream entry removed: upstream=u9") {
 		t.Errorf("a single change has no line of its own: %s", log.String())
 	}
 }
--- a/internal/forward/meter_test.go
+++ b/internal/forward/meter_test.go
@@ -7,9 +7,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/httpconn"
 )
 
-// Symptom: the usage of a window is off by 13 in a hundred. Sequence: half of the
-// upstreams run requests and reset the connection instead of answering. Cause: only
-// runs that were answered are counted.
+// Guards against counting only answered requests: usage was 13 % off when half of the
+// upstreams ran requests and then reset the connection instead of answering.
 func TestRunsThatWereNotAnsweredCount(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -17,11 +16,11 @@
 		want    bool
 	}{
 		{"broken off", httpconn.Failure{Sent: true, Err: errors.New("connection reset")}, true},
-		{"silent", httpconn.Failure{Sent: true, Err: errSlow}, false},
+		{"silent", httpconn.Failure{Sent: true, Err: errSilent}, false},
 		{"silent until its time was over", httpconn.Failure{Sent: true, Err: errExpired}, false},
 		{"no connection", httpconn.Failure{Err: errors.New("refused")}, false},
 	} {
-		if got := probablyBegan(&c.failure); got != c.want {
+		if got := countsAsStarted(&c.failure); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- /dev/null
+++ b/internal/forward/poison.go
@@ -0,0 +1,74 @@
+package forward
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/goldcrestspool/goldcrestspool/internal/httpconn"
+	"github.com/goldcrestspool/goldcrestspool/internal/ident"
+	"github.com/goldcrestspool/goldcrestspool/internal/pause"
+	"github.com/goldcrestspool/goldcrestspool/internal/poison"
+)
+
+// probeTimeout bounds the probe of an upstream that broke an answer off. A host whose
+// process has ended refuses connections at once; one that is cut off does not respond.
+const probeTimeout = 100 * time.Millisecond
+
+// processEnded probes whether the upstream's process has ended, and not just one of its
+// connections.
+func (f *Forwarder) processEnded(ctx context.Context, target httpconn.Target) bool {
+	refused, _, _ := f.probes.Do(string(target.ID), func() (any, error) {
+		// A caller that goes away must not cancel the probe that other calls wait for.
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), probeTimeout)
+		defer cancel()
+		return f.cfg.Pool.Refuses(ctx, target), nil
+	})
+	return refused.(bool)
+}
+
+// recordUpstreamEnd records that an upstream's process ended while it had the call, which
+// is a crash if it was unexpected.
+func (s *session) recordUpstreamEnd(choice Choice, result Result) {
+	unexpected := s.f.cfg.Placement.Ended(choice)
+	s.f.cfg.Log.Info("upstream process ended during a request", "id", s.call.ID, "content", s.call.Content(), "account", s.call.Account,
+		"route", s.call.Route.Name, "upstream", choice.Upstream, "result", result.String(), "unexpected", unexpected, "again", s.upstreamCrashed.Load())
+	if unexpected {
+		s.f.cfg.Guard.Crashed(choice.Upstream, ident.MarkOf(s.call.Content(), s.call.ID))
+		s.upstreamCrashed.Store(true)
+	}
+}
+
+// waitForAdmission waits until the guard decides, and reports whether the call may be sent
+// and which upstreams it should avoid. A poison request arrives at every gateway under new
+// IDs, so that each arrival by itself looks like the first; the hash of its content links
+// them.
+func (s *session) waitForAdmission() (avoid []ident.Instance, ok bool) {
+	start := s.f.cfg.Now()
+	for s.call.KnownTo(s.f.cfg.Guard) {
+		decision := s.f.cfg.Guard.Admit(s.call.Content(), s.f.cfg.Now().Sub(start))
+		switch {
+		case decision.Step == poison.Bar:
+			s.barredFor, s.reason = decision.After, BarredReason
+			return nil, false
+		case decision.Step == poison.Send || !pause.For(s.ctx, waitInterval):
+			return decision.Avoid, true
+		}
+	}
+	return nil, true
+}
+
+// BarredReason is the reason that callers are given for a barred request.
+const BarredReason = "upstreams end under this request"
+
+// chooseAvoiding reserves a slot at an upstream that is not in avoid. If none of these
+// accepts work, it falls back to chooseOrWait, which may return one in avoid.
+func (s *session) chooseAvoiding(avoid []ident.Instance) (Choice, bool) {
+	if len(avoid) > 0 {
+		exclude := append(slices.Clone(s.state.Tried), avoid...)
+		if choice, found := s.f.cfg.Placement.Choose(s.call, exclude, s.f.cfg.Now()); found {
+			return choice, true
+		}
+	}
+	return s.chooseOrWait()
+}
--- a/internal/forward/state_test.go
+++ b/internal/forward/state_test.go
@@ -13,9 +13,10 @@
 
 func init() { testkit.FixSeed() }
 
-// Symptom: a request runs twice, at too many upstreams, or is refused as not run
-// though it may have run. Sequence: any results of attempts, with a budget that
-// runs out at any time. Cause: a step that forgets what an earlier one meant.
+// For any sequence of attempt results and a retry budget that runs out at any time, a
+// request must not run twice if that is not allowed, must not go to too many upstreams, and
+// must not be refused as not run if it may have run. Guards against a step that ignores
+// the result of an earlier attempt.
 func TestWhateverHappensTheRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := &routetable.Route{
@@ -42,7 +43,7 @@
 				return rapid.Bool().Draw(t, "budget")
 			})
 			if step != TryAnother && step != Resume {
-				checkEnd(t, step, result, ran, delivered)
+				checkFinalStep(t, step, result, ran, delivered)
 				return
 			}
 			if ran > 0 && !route.Repeatable() && !route.Resumable {
@@ -59,7 +60,7 @@
 	})
 }
 
-func checkEnd(t *rapid.T, step Step, result Result, ran int, delivered bool) {
+func checkFinalStep(t *rapid.T, step Step, result Result, ran int, delivered bool) {
 	if step == Refuse && ran > 0 {
 		t.Fatal("refused as not run, and may have run")
 	}
@@ -112,8 +113,9 @@
 	}
 }
 
-// Symptom: half an event reaches the caller, or an ID is misread. Sequence: bytes
-// cut at any place. Cause: a scanner that looks at one read at a time.
+// However the bytes of a stream are split into reads, only whole events may reach the
+// caller, and IDs must be read correctly. Guards against a scanner that looks at each read
+// by itself.
 func TestEventsAreWholeWhereverTheBytesAreCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "events")
@@ -132,7 +134,7 @@
 			if last := lastID(events); last != "" {
 				id = last
 			}
-			scanner.taken(len(events))
+			scanner.discard(len(events))
 			data = data[size:]
 		}
 		if got != whole || string(scanner.pending) != rest {
--- a/internal/ingress/caller.go
+++ b/internal/ingress/caller.go
@@ -10,31 +10,32 @@
 type caller struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
-	// expires is how long the call may take.
-	expires time.Duration
-	// broken: the connection must end so that the answer looks cut off.
-	broken bool
+	// timeLimit is how long the call may take from when it was received.
+	timeLimit time.Duration
+	// abort: the connection must be closed, so that the caller sees that the answer is
+	// incomplete.
+	abort bool
 }
 
-// Answer delivers a whole answer.
+// Answer delivers a complete answer.
 func (c *caller) Answer(status int, header http.Header, body []byte) {
 	c.copyHeader(header)
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	c.limitWriting()
+	c.setWriteDeadline()
 	c.w.WriteHeader(status)
 	if _, err := c.w.Write(body); err != nil {
-		c.broken = true
+		c.abort = true
 	}
 }
 
-// Begin starts an answer that comes in parts.
+// Begin starts an answer that is delivered in parts.
 func (c *caller) Begin(status int, header http.Header) {
 	c.copyHeader(header)
-	c.limitWriting()
+	c.setWriteDeadline()
 	c.w.WriteHeader(status)
 }
 
-// Part delivers the next part at once.
+// Part delivers the next part without buffering it.
 func (c *caller) Part(data []byte) error {
 	if _, err := c.w.Write(data); err != nil {
 		return err
@@ -42,40 +43,42 @@
 	return c.control.Flush()
 }
 
-// End ends an answer that came in parts.
+// End completes an answer that was delivered in parts; net/http does so by itself.
 func (c *caller) End() {}
 
-// Break ends the connection, so that no caller takes the answer for complete.
-func (c *caller) Break() { c.broken = true }
+// Break makes the server close the connection, so that the caller doesn't take the answer
+// for complete.
+func (c *caller) Break() { c.abort = true }
 
-// Refuse says that the request did not run, and when to come back.
+// Refuse tells the caller that the request did not run, and after how long to retry.
 func (c *caller) Refuse(reason string, after time.Duration) {
-	answerError(c.w, http.StatusServiceUnavailable, reason, after)
+	writeError(c.w, http.StatusServiceUnavailable, reason, after)
 }
 
-// Fail says that the request may have run.
-func (c *caller) Fail(reason string) { answerError(c.w, http.StatusBadGateway, reason, 0) }
+// Fail tells the caller that the request failed and may have run.
+func (c *caller) Fail(reason string) { writeError(c.w, http.StatusBadGateway, reason, 0) }
 
-// TimeOut says that the request's time is over.
+// TimeOut tells the caller that the request's deadline passed.
 func (c *caller) TimeOut() {
-	answerError(c.w, http.StatusGatewayTimeout, "the request's time is over", 0)
+	writeError(c.w, http.StatusGatewayTimeout, "the request's time is over", 0)
 }
 
-// limitWriting bounds how long a caller that does not read holds the answer.
-func (c *caller) limitWriting() {
-	// net/http's connections all take deadlines.
-	_ = c.control.SetWriteDeadline(time.Now().Add(c.expires + sinceExpiry))
+// setWriteDeadline bounds how long a caller that doesn't read can block the writing of its
+// answer.
+func (c *caller) setWriteDeadline() {
+	// The error is ignored: all connections of net/http support deadlines.
+	_ = c.control.SetWriteDeadline(time.Now().Add(c.timeLimit + writeGrace))
 }
 
-// copyHeader takes over the upstream's header but for what concerns its
-// connection.
+// copyHeader copies the upstream's header to the caller's answer, without the headers that
+// concern the upstream's connection.
 func (c *caller) copyHeader(header http.Header) {
 	own := c.w.Header()
-	for name, values := range passable(header.Clone()) {
+	for name, values := range removeHopByHop(header.Clone()) {
 		own[name] = values
 	}
 	if header.Get("Content-Type") == "" {
-		// Without it net/http would guess one from the body.
+		// A nil value keeps net/http from guessing a type from the body.
 		own["Content-Type"] = nil
 	}
 }
