--- a/internal/directory/bench_test.go
+++ b/internal/directory/bench_test.go
@@ -12,7 +12,7 @@
 // of which one has changed.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{64, 690, 3000} {
-		d := ofTwoServices(n)
+		d := twoServiceDirectory(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for offset := ident.Offset(n); b.Loop(); offset++ {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -68,12 +68,12 @@
 type Entry struct {
 	// Offset is that of the record that gave the entry its state.
 	Offset ident.Offset
-	// dropped is the offset after the newest record that dropped the name, also
+	// dropEnd is the offset after the newest record that dropped the name, also
 	// before Offset; 0 if none did.
-	dropped ident.Offset
-	// Since is the offset of the record that said anything new: upstreams renew
+	dropEnd ident.Offset
+	// ChangeOffset is the offset of the record that said anything new: upstreams renew
 	// their entries about once a second, and a renewal says nothing new.
-	Since ident.Offset
+	ChangeOffset ident.Offset
 	// Present is false where the record dropped the entry. Upstream then
 	// holds what was known last.
 	Present  bool
@@ -92,22 +92,22 @@
 // of the drop, so that it gets no grace.
 const graceAfterOutage = 2 * time.Second
 
-// dropKept is how long a dropped entry is remembered, so that a peer that is
+// dropRetention is how long a dropped entry is remembered, so that a peer that is
 // behind cannot bring it back, and departures can be passed on.
-const dropKept = 60 * time.Second
+const dropRetention = 60 * time.Second
 
 // Directory holds the entries. It is not safe for concurrent use.
 type Directory struct {
 	entries map[ident.Instance]*Entry
 	// next is the offset up to which all records are known, and since the one from
 	// which on all drops are: a listing of the store does not tell what it lacks.
-	next, since ident.Offset
+	next, dropsKnownFrom ident.Offset
 	// outageEnded is when the store was last seen to be back; zero if never
 	// away.
 	outageEnded time.Time
-	away        bool
+	storeAway        bool
 	views       viewBuilder
-	order       changeOrder
+	changes       changeLog
 }
 
 // New returns a directory that knows nothing.
@@ -121,24 +121,24 @@
 	if known == nil || known.Present != next.Present || known.UsableUntil != next.UsableUntil || known.Upstream != next.Upstream {
 		d.views.changed[name] = true
 	}
-	if known == nil || known.Since != next.Since {
-		d.order.add(next.Since, name)
+	if known == nil || known.ChangeOffset != next.ChangeOffset {
+		d.changes.add(next.ChangeOffset, name)
 	}
 	d.entries[name] = next
-	d.order.trim(d.entries)
+	d.changes.trim(d.entries)
 }
 
 // Next is the offset up to which all records of the store are known.
 func (d *Directory) Next() ident.Offset { return d.next }
 
 // StoreAway notes that the store did not answer.
-func (d *Directory) StoreAway() { d.away = true }
+func (d *Directory) StoreAway() { d.storeAway = true }
 
 // StoreBack notes that the store answered at an instant, to this gateway or to
 // another one.
 func (d *Directory) StoreBack(at time.Time) {
-	if d.away {
-		d.away = false
+	if d.storeAway {
+		d.storeAway = false
 		d.outageEnded = at
 	}
 }
@@ -164,14 +164,14 @@
 	known := d.entries[name]
 	if u == nil {
 		if known != nil {
-			known.dropped = max(known.dropped, offset+1)
+			known.dropEnd = max(known.dropEnd, offset+1)
 			if offset <= known.Offset {
 				return false
 			}
 		}
 		return d.drop(name, offset, graceEnd, now)
 	}
-	next := &Entry{Offset: offset, Since: offset, Present: true, Upstream: *u, ChangedAt: now}
+	next := &Entry{Offset: offset, ChangeOffset: offset, Present: true, Upstream: *u, ChangedAt: now}
 	if u.ColdFor > 0 {
 		next.Upstream.WarmAt = now.Add(u.ColdFor)
 	}
@@ -179,12 +179,12 @@
 		d.set(name, next)
 		return true
 	}
-	next.dropped = known.dropped
+	next.dropEnd = known.dropEnd
 	switch {
 	case u.Born < known.Upstream.Born:
 		return false
 	case u.Born > known.Upstream.Born:
-		return d.nextLife(name, known, next)
+		return d.applyNewIncarnation(name, known, next)
 	case offset <= known.Offset:
 		return false
 	}
@@ -192,29 +192,29 @@
 		// A leaving upstream never becomes ready again in the same life.
 		next.Upstream.State = Leaving
 	}
-	same := known.Present && sameButTime(known.Upstream, next.Upstream)
+	same := known.Present && equalIgnoringTimes(known.Upstream, next.Upstream)
 	if same {
-		next.ChangedAt, next.Since = known.ChangedAt, known.Since
+		next.ChangedAt, next.ChangeOffset = known.ChangedAt, known.ChangeOffset
 	}
 	d.set(name, next)
 	return !same
 }
 
-// nextLife replaces an entry by that of a later life. The records of two lives may
+// applyNewIncarnation replaces an entry by that of a later life. The records of two lives may
 // come in any order: a drop after the later life's record concerns that life, also if
 // it was seen first.
-func (d *Directory) nextLife(name ident.Instance, known, next *Entry) bool {
-	if next.dropped <= next.Offset {
+func (d *Directory) applyNewIncarnation(name ident.Instance, known, next *Entry) bool {
+	if next.dropEnd <= next.Offset {
 		d.set(name, next)
 		return true
 	}
-	next.Offset, next.Since = next.dropped-1, next.dropped-1
+	next.Offset, next.ChangeOffset = next.dropEnd-1, next.dropEnd-1
 	next.Present = false
 	d.set(name, next)
 	return known.Present || !known.UsableUntil.IsZero()
 }
 
-func sameButTime(a, b Upstream) bool {
+func equalIgnoringTimes(a, b Upstream) bool {
 	a.LeavesIn, b.LeavesIn = 0, 0
 	a.ColdFor, b.ColdFor = 0, 0
 	a.WarmAt, b.WarmAt = time.Time{}, time.Time{}
@@ -223,7 +223,7 @@
 
 // drop notes that an entry was dropped; until graceEnd it stays usable.
 func (d *Directory) drop(id ident.Instance, offset ident.Offset, graceEnd, now time.Time) bool {
-	next := Entry{Offset: offset, Since: offset, dropped: offset + 1, ChangedAt: now}
+	next := Entry{Offset: offset, ChangeOffset: offset, dropEnd: offset + 1, ChangedAt: now}
 	known := d.entries[id]
 	wasPresent := known != nil && known.Present
 	if known != nil {
@@ -232,7 +232,7 @@
 	switch {
 	case known == nil:
 	case !wasPresent:
-		next.ChangedAt, next.Since = known.ChangedAt, known.Since
+		next.ChangedAt, next.ChangeOffset = known.ChangedAt, known.ChangeOffset
 	case known.Upstream.State == Ready && now.Before(graceEnd):
 		next.UsableUntil = graceEnd
 	}
@@ -243,7 +243,7 @@
 // graceEnd is until when entries that the store drops now stay usable; zero if
 // they get no grace.
 func (d *Directory) graceEnd(now time.Time) time.Time {
-	if d.away {
+	if d.storeAway {
 		return now.Add(graceAfterOutage)
 	}
 	if d.outageEnded.IsZero() {
@@ -264,7 +264,7 @@
 			changed = d.drop(id, end-1, d.graceEnd(now), now) || changed
 		}
 	}
-	d.next, d.since = max(d.next, end), max(d.since, end)
+	d.next, d.dropsKnownFrom = max(d.next, end), max(d.dropsKnownFrom, end)
 	return changed
 }
 
@@ -281,8 +281,8 @@
 			lapsed.UsableUntil = time.Time{}
 			d.set(id, &lapsed)
 			changed = true
-		case now.Sub(entry.ChangedAt) > dropKept:
-			d.since = max(d.since, entry.Offset+1)
+		case now.Sub(entry.ChangedAt) > dropRetention:
+			d.dropsKnownFrom = max(d.dropsKnownFrom, entry.Offset+1)
 			delete(d.entries, id)
 		}
 	}
@@ -292,5 +292,5 @@
 // usable reports whether a dropped entry is within its grace, which does not end
 // while the store is away.
 func (d *Directory) usable(entry *Entry, now time.Time) bool {
-	return !entry.UsableUntil.IsZero() && (d.away || now.Before(entry.UsableUntil))
+	return !entry.UsableUntil.IsZero() && (d.storeAway || now.Before(entry.UsableUntil))
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -234,9 +234,9 @@
 	}
 	there.Apply("u", 2, nil, at(time.Second))
 	there.Reached(3)
-	there.Expire(at(2*time.Second + dropKept))
-	here.Take(there.News(here.Next(), at(2*time.Second+dropKept)), at(2*time.Second+dropKept))
-	if usable(here, "u", at(3*time.Second+dropKept)) {
+	there.Expire(at(2*time.Second + dropRetention))
+	here.Take(there.News(here.Next(), at(2*time.Second+dropRetention)), at(2*time.Second+dropRetention))
+	if usable(here, "u", at(3*time.Second+dropRetention)) {
 		t.Error("usable")
 	}
 }
@@ -245,7 +245,7 @@
 	d := New()
 	d.Apply("u", 1, ready("u"), at(0))
 	d.Apply("u", 2, nil, at(time.Second))
-	d.Expire(at(time.Second + dropKept + 1))
+	d.Expire(at(time.Second + dropRetention + 1))
 	if n := len(d.entries); n != 0 {
 		t.Errorf("%d entries are left", n)
 	}
--- a/internal/directory/lives_test.go
+++ b/internal/directory/lives_test.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// life returns an entry of one life of the upstream "u".
-func life(born int64, state State) *Upstream {
+// incarnation returns an entry of one life of the upstream "u".
+func incarnation(born int64, state State) *Upstream {
 	u := ready("u")
 	u.Name, u.Born, u.ID, u.State = "u", born, LifeID("u", born), state
 	return u
@@ -30,47 +30,47 @@
 		want int64
 	}{
 		{"crashes and is back before its entry lapsed", func(d *Directory) {
-			d.Apply("u", 1, life(100, Ready), at(0))
-			d.Apply("u", 2, life(200, Ready), at(time.Second))
+			d.Apply("u", 1, incarnation(100, Ready), at(0))
+			d.Apply("u", 2, incarnation(200, Ready), at(time.Second))
 		}, 200},
 		{"was leaving, crashed, and is back", func(d *Directory) {
-			d.Apply("u", 1, life(100, Leaving), at(0))
-			d.Apply("u", 2, life(200, Ready), at(time.Second))
+			d.Apply("u", 1, incarnation(100, Leaving), at(0))
+			d.Apply("u", 2, incarnation(200, Ready), at(time.Second))
 		}, 200},
 		{"left, was removed, and is back", func(d *Directory) {
-			d.Apply("u", 1, life(100, Leaving), at(0))
+			d.Apply("u", 1, incarnation(100, Leaving), at(0))
 			d.Apply("u", 2, nil, at(time.Second))
-			d.Apply("u", 3, life(200, Ready), at(2*time.Second))
+			d.Apply("u", 3, incarnation(200, Ready), at(2*time.Second))
 		}, 200},
 		{"its earlier life's departure is written late", func(d *Directory) {
-			d.Apply("u", 1, life(200, Ready), at(0))
-			d.Apply("u", 2, life(100, Leaving), at(time.Second))
+			d.Apply("u", 1, incarnation(200, Ready), at(0))
+			d.Apply("u", 2, incarnation(100, Leaving), at(time.Second))
 		}, 200},
 		{"its earlier life's renewal is written late", func(d *Directory) {
-			d.Apply("u", 1, life(200, Leaving), at(0))
-			d.Apply("u", 2, life(100, Ready), at(time.Second))
+			d.Apply("u", 1, incarnation(200, Leaving), at(0))
+			d.Apply("u", 2, incarnation(100, Ready), at(time.Second))
 		}, 0},
 		{"its earlier life is told late by another gateway", func(d *Directory) {
-			d.Apply("u", 5, life(200, Ready), at(0))
-			d.Take(News{Records: []Record{{ID: "u", Offset: 4, Upstream: life(100, Leaving)}}, UpTo: 5}, at(time.Second))
+			d.Apply("u", 5, incarnation(200, Ready), at(0))
+			d.Take(News{Records: []Record{{ID: "u", Offset: 4, Upstream: incarnation(100, Leaving)}}, UpTo: 5}, at(time.Second))
 		}, 200},
 		{"its new life is told after a late record of the earlier one", func(d *Directory) {
-			d.Apply("u", 5, life(100, Ready), at(0))
-			d.Take(News{Records: []Record{{ID: "u", Offset: 4, Upstream: life(200, Ready)}}, UpTo: 5}, at(time.Second))
+			d.Apply("u", 5, incarnation(100, Ready), at(0))
+			d.Take(News{Records: []Record{{ID: "u", Offset: 4, Upstream: incarnation(200, Ready)}}, UpTo: 5}, at(time.Second))
 		}, 200},
 		{"the same life left and was removed: it does not come back", func(d *Directory) {
-			d.Apply("u", 1, life(100, Leaving), at(0))
+			d.Apply("u", 1, incarnation(100, Leaving), at(0))
 			d.Apply("u", 2, nil, at(time.Second))
-			d.Apply("u", 3, life(100, Ready), at(2*time.Second))
+			d.Apply("u", 3, incarnation(100, Ready), at(2*time.Second))
 		}, 0},
 		{"the same life lapsed in an outage and is back", func(d *Directory) {
-			d.Apply("u", 1, life(100, Ready), at(0))
+			d.Apply("u", 1, incarnation(100, Ready), at(0))
 			d.Apply("u", 2, nil, at(time.Second))
-			d.Apply("u", 3, life(100, Ready), at(2*time.Second))
+			d.Apply("u", 3, incarnation(100, Ready), at(2*time.Second))
 		}, 100},
 		{"the new life was removed too", func(d *Directory) {
 			d.Apply("u", 3, nil, at(0))
-			d.Apply("u", 2, life(200, Ready), at(time.Second))
+			d.Apply("u", 2, incarnation(200, Ready), at(time.Second))
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,11 +109,11 @@
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
 			case 1:
-				s.upstream, left[born] = life(born, Leaving), true
+				s.upstream, left[born] = incarnation(born, Leaving), true
 			default:
-				s.upstream = life(born, Ready)
+				s.upstream = incarnation(born, Ready)
 				if left[born] {
-					s.upstream = life(born, Leaving)
+					s.upstream = incarnation(born, Leaving)
 				}
 			}
 			steps = append(steps, s)
@@ -138,7 +138,7 @@
 // Cause: the last readable record is kept, which a gateway that has just started lacks.
 func TestAnUnreadableRecordNamesNoUpstream(t *testing.T) {
 	d := New()
-	d.Apply("u", 1, life(100, Ready), at(0))
+	d.Apply("u", 1, incarnation(100, Ready), at(0))
 	d.Apply("v", 2, ready("v"), at(0))
 	if !d.Unreadable("u", 3, at(time.Second)) || d.Unreadable("w", 4, at(time.Second)) {
 		t.Error("the change of a known name, and only that, is to be told")
@@ -146,7 +146,7 @@
 	if usable(d, "u/2s", at(time.Second)) || !usable(d, "v", at(time.Second)) {
 		t.Error("u takes work, or v does not")
 	}
-	d.Apply("u", 5, life(100, Ready), at(2*time.Second))
+	d.Apply("u", 5, incarnation(100, Ready), at(2*time.Second))
 	if !usable(d, "u/2s", at(2*time.Second)) {
 		t.Error("u takes no work though its entry can be read again")
 	}
--- a/internal/directory/news.go
+++ b/internal/directory/news.go
@@ -43,9 +43,9 @@
 		}
 		return news
 	}
-	for _, change := range d.order.from(from) {
+	for _, change := range d.changes.since(from) {
 		// An entry that has changed again since stands there once more.
-		if entry := d.entries[change.name]; entry != nil && entry.Since == change.since {
+		if entry := d.entries[change.name]; entry != nil && entry.ChangeOffset == change.offset {
 			news.Records = append(news.Records, recordOf(change.name, entry, now))
 		}
 	}
@@ -64,56 +64,56 @@
 	return record
 }
 
-// changeOrder is the entries in the order in which they changed. What goes wrong if all
+// changeLog is the entries in the order in which they changed. What goes wrong if all
 // entries are looked at for each gateway that lacks a few: a collector does it for each
 // gateway of its domain in each round, and its work grows as gateways times upstreams.
-type changeOrder struct {
-	changes  []change
+type changeLog struct {
+	entries  []change
 	unsorted bool
 }
 
 type change struct {
-	since ident.Offset
+	offset ident.Offset
 	name  ident.Instance
 }
 
 // add notes that an entry changed. Mostly it is the newest change; what other gateways tell
 // comes in any order.
-func (o *changeOrder) add(since ident.Offset, name ident.Instance) {
-	if n := len(o.changes); n > 0 && o.changes[n-1].since > since {
+func (o *changeLog) add(since ident.Offset, name ident.Instance) {
+	if n := len(o.entries); n > 0 && o.entries[n-1].offset > since {
 		o.unsorted = true
 	}
-	o.changes = append(o.changes, change{since, name})
+	o.entries = append(o.entries, change{since, name})
 }
 
 // trim leaves out changes after which an entry changed again, once they are most of all.
-func (o *changeOrder) trim(entries map[ident.Instance]*Entry) {
+func (o *changeLog) trim(entries map[ident.Instance]*Entry) {
 	const least = 64
-	if len(o.changes) <= 2*len(entries)+least {
+	if len(o.entries) <= 2*len(entries)+least {
 		return
 	}
-	o.changes = slices.DeleteFunc(o.changes, func(c change) bool {
+	o.entries = slices.DeleteFunc(o.entries, func(c change) bool {
 		entry := entries[c.name]
-		return entry == nil || entry.Since != c.since
+		return entry == nil || entry.ChangeOffset != c.offset
 	})
 }
 
-// from returns the changes from an offset on.
-func (o *changeOrder) from(offset ident.Offset) []change {
+// since returns the changes from an offset on.
+func (o *changeLog) since(offset ident.Offset) []change {
 	if o.unsorted {
-		slices.SortFunc(o.changes, func(a, b change) int {
-			return cmp.Or(cmp.Compare(a.since, b.since), cmp.Compare(a.name, b.name))
+		slices.SortFunc(o.entries, func(a, b change) int {
+			return cmp.Or(cmp.Compare(a.offset, b.offset), cmp.Compare(a.name, b.name))
 		})
-		o.changes = slices.Compact(o.changes)
+		o.entries = slices.Compact(o.entries)
 		o.unsorted = false
 	}
-	i, _ := slices.BinarySearchFunc(o.changes, offset, func(c change, offset ident.Offset) int { return cmp.Compare(c.since, offset) })
-	return o.changes[i:]
+	i, _ := slices.BinarySearchFunc(o.entries, offset, func(c change, offset ident.Offset) int { return cmp.Compare(c.offset, offset) })
+	return o.entries[i:]
 }
 
 // Covers reports whether the news for a directory that knows all records before an
 // offset is only what is newer, and not all entries.
-func (d *Directory) Covers(from ident.Offset) bool { return from >= d.since }
+func (d *Directory) Covers(from ident.Offset) bool { return from >= d.dropsKnownFrom }
 
 // Take takes another gateway's news and returns the records that changed something,
 // and whether anything did. A dropped entry stays usable for as long as it does
--- a/internal/directory/news_test.go
+++ b/internal/directory/news_test.go
@@ -10,15 +10,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// logged is a record of the store; a nil upstream drops the entry.
-type logged struct {
+// logRecord is a record of the store; a nil upstream drops the entry.
+type logRecord struct {
 	id       ident.Instance
 	upstream *Upstream
 }
 
 // stateAt returns which upstreams are present, and whether they are leaving, as of an
 // offset of the store.
-func stateAt(log []logged, end ident.Offset) map[ident.Instance]State {
+func stateAt(log []logRecord, end ident.Offset) map[ident.Instance]State {
 	out := make(map[ident.Instance]State)
 	for _, r := range log[:end] {
 		switch {
@@ -39,7 +39,7 @@
 		dirs := []*Directory{New(), New(), New()}
 		listed := make([]bool, len(dirs))
 		now := start
-		var log []logged
+		var log []logRecord
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(dirs)-1).Draw(t, "directory")
 			d := dirs[i]
@@ -63,7 +63,7 @@
 					d.Take(from.News(d.Next(), now), now)
 				}
 			case "forget":
-				now = now.Add(dropKept + time.Second)
+				now = now.Add(dropRetention + time.Second)
 				d.Expire(now)
 			}
 			check(t, d, log, now)
@@ -73,7 +73,7 @@
 
 // draw returns the next record: an entry, its renewal, its leaving, or its drop. IDs are
 // not used again.
-func draw(t *rapid.T, log []logged) logged {
+func draw(t *rapid.T, log []logRecord) logRecord {
 	present := stateAt(log, ident.Offset(len(log)))
 	id := ident.Instance(fmt.Sprint("u", rapid.IntRange(0, 3).Draw(t, "id")))
 	for _, r := range log {
@@ -82,22 +82,22 @@
 		}
 	}
 	if _, known := present[id]; !known {
-		return logged{id, ready(string(id))}
+		return logRecord{id, ready(string(id))}
 	}
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		return logged{id, nil}
+		return logRecord{id, nil}
 	case 1:
-		return logged{id, leavingOf(string(id))}
+		return logRecord{id, leavingOf(string(id))}
 	}
 	if present[id] == Leaving {
-		return logged{id, leavingOf(string(id))}
+		return logRecord{id, leavingOf(string(id))}
 	}
-	return logged{id, ready(string(id))}
+	return logRecord{id, ready(string(id))}
 }
 
 // list takes the store's newest record of each key, as a listing does.
-func list(d *Directory, log []logged, now time.Time) {
+func list(d *Directory, log []logRecord, now time.Time) {
 	end := ident.Offset(len(log))
 	present := make(map[ident.Instance]bool)
 	for id := range stateAt(log, end) {
@@ -115,7 +115,7 @@
 	d.Listed(present, end, now)
 }
 
-func check(t *rapid.T, d *Directory, log []logged, now time.Time) {
+func check(t *rapid.T, d *Directory, log []logRecord, now time.Time) {
 	want := stateAt(log, d.Next())
 	view := d.Snapshot(now)
 	for id, state := range want {
@@ -150,10 +150,10 @@
 		u.Slots = round
 		write(round%7, u)
 	}
-	if n := len(d.order.from(from)); n > 4*upstreams {
+	if n := len(d.changes.since(from)); n > 4*upstreams {
 		t.Errorf("%d changes are looked at", n)
 	}
-	if n := len(d.order.changes); n > 3*upstreams {
+	if n := len(d.changes.entries); n > 3*upstreams {
 		t.Errorf("%d changes are kept of %d upstreams", n, upstreams)
 	}
 	if n := len(d.News(from, start).Records); n != 7 {
@@ -161,7 +161,7 @@
 	}
 	from = d.Next()
 	write(9, leavingOf("u9"))
-	if n := len(d.order.from(from)); n != 1 {
+	if n := len(d.changes.since(from)); n != 1 {
 		t.Errorf("%d changes are looked at for one", n)
 	}
 }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -91,22 +91,22 @@
 // fleet spends most of its time on views of what has not changed.
 type viewBuilder struct {
 	newest *View
-	// shown is where the newest view has each name, and changed are the names of which it
+	// listed is where the newest view has each name, and changed are the names of which it
 	// may be wrong.
-	shown   map[ident.Instance]shown
+	listed   map[ident.Instance]viewKey
 	changed map[ident.Instance]bool
 	// inGrace are dropped names that were usable when they were looked at last.
 	inGrace map[ident.Instance]bool
 }
 
-type shown struct {
+type viewKey struct {
 	id      ident.Instance
 	service ident.Service
 }
 
 func newViewBuilder() viewBuilder {
 	return viewBuilder{
-		newest: NewView(nil), shown: make(map[ident.Instance]shown), changed: make(map[ident.Instance]bool), inGrace: make(map[ident.Instance]bool),
+		newest: NewView(nil), listed: make(map[ident.Instance]viewKey), changed: make(map[ident.Instance]bool), inGrace: make(map[ident.Instance]bool),
 	}
 }
 
@@ -122,9 +122,9 @@
 	}
 	edits := make(map[ident.Service]*edit)
 	for name := range b.changed {
-		if was, known := b.shown[name]; known {
+		if was, known := b.listed[name]; known {
 			editOf(edits, was.service).remove(was.id)
-			delete(b.shown, name)
+			delete(b.listed, name)
 		}
 		entry := d.entries[name]
 		delete(b.inGrace, name)
@@ -135,7 +135,7 @@
 			b.inGrace[name] = true
 		}
 		editOf(edits, entry.Upstream.Service).add(entry.Upstream)
-		b.shown[name] = shown{entry.Upstream.ID, entry.Upstream.Service}
+		b.listed[name] = viewKey{entry.Upstream.ID, entry.Upstream.Service}
 	}
 	clear(b.changed)
 	b.newest = b.newest.with(edits)
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -12,8 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// madeAnew returns a view that is made from all entries.
-func madeAnew(d *Directory, now time.Time) *View {
+// rebuiltView returns a view that is made from all entries.
+func rebuiltView(d *Directory, now time.Time) *View {
 	var list []Upstream
 	for _, entry := range d.entries {
 		if entry.Present || d.usable(entry, now) {
@@ -72,7 +72,7 @@
 				d.Listed(map[ident.Instance]bool{"u0": true, "u1": true}, offset, now)
 			case "view":
 				view := d.Snapshot(now)
-				if diff := cmp.Diff(listOf(madeAnew(d, now)), listOf(view)); diff != "" {
+				if diff := cmp.Diff(listOf(rebuiltView(d, now)), listOf(view)); diff != "" {
 					t.Fatal(diff)
 				}
 				if n := len(view.IDs()); n != view.Count() {
@@ -106,8 +106,8 @@
 	}
 }
 
-// ofTwoServices returns a directory of so many upstreams.
-func ofTwoServices(n int) *Directory {
+// twoServiceDirectory returns a directory of so many upstreams.
+func twoServiceDirectory(n int) *Directory {
 	d := New()
 	for i := range n {
 		up := ready(fmt.Sprintf("i-%010x", i))
@@ -121,7 +121,7 @@
 // each change.
 func TestAChangeCopiesOneListOfItsService(t *testing.T) {
 	for _, n := range []int{300, 3000, 6000} {
-		d := ofTwoServices(n)
+		d := twoServiceDirectory(n)
 		before := d.Snapshot(start)
 		offset := ident.Offset(n)
 		allocations := testing.AllocsPerRun(20, func() {
--- a/internal/duty/lease.go
+++ b/internal/duty/lease.go
@@ -18,20 +18,20 @@
 // Record is the lease as it stands in the store.
 type Record struct {
 	Holder ident.Instance    `json:"holder"`
-	Life   ident.Incarnation `json:"life"`
-	// Claim identifies the claim that the record belongs to.
-	Claim string `json:"claim"`
+	Incarnation   ident.Incarnation `json:"life"`
+	// ClaimID identifies the claim that the record belongs to.
+	ClaimID string `json:"claim"`
 	// Fence is the fencing number; 0 in the claim itself, whose offset gives it.
 	Fence ident.Fence `json:"fence,omitempty"`
 	// Released: the holder gave it up and calls no more.
 	Released bool `json:"released,omitempty"`
-	// Before is who held it before the holder.
-	Before ident.Instance `json:"before,omitempty"`
+	// PreviousHolder is who held it before the holder.
+	PreviousHolder ident.Instance `json:"before,omitempty"`
 	// Decided is what holders decided for good.
 	Decided json.RawMessage `json:"decided,omitempty"`
-	// Gateways is how many gateways the holder knew, for those that have just
+	// GatewayCount is how many gateways the holder knew, for those that have just
 	// started and know none.
-	Gateways int `json:"gateways,omitempty"`
+	GatewayCount int `json:"gateways,omitempty"`
 	Kept
 }
 
@@ -72,53 +72,53 @@
 // State is what a gateway knows of the lease. It does no I/O.
 type State struct {
 	self ident.Instance
-	life ident.Incarnation
+	incarnation ident.Incarnation
 
-	known bool
+	upToDate bool
 	// record is the newest one read, at offset; end is what a condition names.
 	record Record
-	some   bool
+	hasRecord   bool
 	offset ident.Offset
-	end    ident.Offset
-	// seenAt is when the record was first seen.
-	seenAt time.Time
-	// claim is this gateway's claim, begun at started; fence is 0 until the
+	logEnd    ident.Offset
+	// firstSeenAt is when the record was first seen.
+	firstSeenAt time.Time
+	// claimID is this gateway's claim, begun at started; fence is 0 until the
 	// claim was seen in the store.
-	claim   string
-	started time.Time
+	claimID   string
+	extendedAt time.Time
 	fence   ident.Fence
 	// over: the lease ran out, and the claim is used no more.
-	over    bool
+	expired    bool
 	dropped bool
 }
 
 // NewState returns a state that knows nothing.
 func NewState(self ident.Instance, life ident.Incarnation) *State {
-	return &State{self: self, life: life}
+	return &State{self: self, incarnation: life}
 }
 
-// Read takes in the newest record, or that there is none, as read at an instant.
-func (s *State) Read(record *Record, offset, end ident.Offset, now time.Time) {
-	changed := !s.known || s.some != (record != nil) || s.offset != offset
-	if s.known && end < s.end {
+// ApplyRead takes in the newest record, or that there is none, as read at an instant.
+func (s *State) ApplyRead(record *Record, offset, end ident.Offset, now time.Time) {
+	changed := !s.upToDate || s.hasRecord != (record != nil) || s.offset != offset
+	if s.upToDate && end < s.logEnd {
 		return // a read that was behind
 	}
-	s.known, s.end = true, end
+	s.upToDate, s.logEnd = true, end
 	if record == nil {
 		if changed {
-			s.seenAt = now
+			s.firstSeenAt = now
 		}
-		s.some = false
+		s.hasRecord = false
 		return
 	}
-	s.some, s.offset, s.record = true, offset, *record
+	s.hasRecord, s.offset, s.record = true, offset, *record
 	if changed {
-		s.seenAt = now
+		s.firstSeenAt = now
 	}
-	if s.claim != "" && record.Claim != s.claim {
+	if s.claimID != "" && record.ClaimID != s.claimID {
 		s.forgetClaim()
 	}
-	if s.claim != "" && s.fence == 0 {
+	if s.claimID != "" && s.fence == 0 {
 		s.fence = fenceOf(*record, offset)
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 func (s *State) forgetClaim() {
-	s.claim, s.fence, s.started, s.dropped, s.over = "", 0, time.Time{}, false, false
+	s.claimID, s.fence, s.extendedAt, s.dropped, s.expired = "", 0, time.Time{}, false, false
 }
 
 // Expire notes that the lease has run out without a renewal, and returns its fencing
@@ -143,7 +143,7 @@
 	if deadline := s.Deadline(t); deadline.IsZero() || now.Before(deadline) {
 		return 0, false
 	}
-	s.over = true
+	s.expired = true
 	return s.fence, true
 }
 
@@ -153,10 +153,10 @@
 // Deadline is when this gateway must stop to act; zero if it does not hold the
 // lease.
 func (s *State) Deadline(t Timing) time.Time {
-	if s.claim == "" || s.fence == 0 || s.dropped || s.over || s.record.Released {
+	if s.claimID == "" || s.fence == 0 || s.dropped || s.expired || s.record.Released {
 		return time.Time{}
 	}
-	return s.started.Add(t.Length - t.Margin)
+	return s.extendedAt.Add(t.Length - t.Margin)
 }
 
 // Action is what to write next.
@@ -172,14 +172,14 @@
 	Renew
 )
 
-// Due returns what is due now for a candidate of a rank. givenUp is the highest fencing
+// NextAction returns what is due now for a candidate of a rank. givenUp is the highest fencing
 // number whose holder says that it acts under it no more; 0 if none.
-func (s *State) Due(t Timing, rank int, givenUp ident.Fence, now time.Time) Action {
-	if !s.known {
+func (s *State) NextAction(t Timing, rank int, givenUp ident.Fence, now time.Time) Action {
+	if !s.upToDate {
 		return Wait
 	}
 	if deadline := s.Deadline(t); !deadline.IsZero() && now.Before(deadline) {
-		if now.Sub(s.started) >= t.RenewEvery {
+		if now.Sub(s.extendedAt) >= t.RenewEvery {
 			return Renew
 		}
 		return Wait
@@ -192,61 +192,61 @@
 
 // claimable reports whether nobody can act under the newest record any more.
 func (s *State) claimable(t Timing, rank int, givenUp ident.Fence, now time.Time) bool {
-	waited := now.Sub(s.seenAt)
+	waited := now.Sub(s.firstSeenAt)
 	delay := time.Duration(rank) * t.RankDelay
 	switch {
-	case !s.some:
+	case !s.hasRecord:
 		return waited >= delay
-	case (s.record.Released || givenUp == fenceOf(s.record, s.offset)) && s.record.Before != s.self && s.record.Holder != s.self:
+	case (s.record.Released || givenUp == fenceOf(s.record, s.offset)) && s.record.PreviousHolder != s.self && s.record.Holder != s.self:
 		return waited >= delay
-	case s.claim != "" && s.record.Claim == s.claim:
+	case s.claimID != "" && s.record.ClaimID == s.claimID:
 		// Its own lease, run out or refused: a new claim has a higher fence.
 		return !s.dropped || waited >= t.Length
 	}
 	return waited > t.Length+delay
 }
 
-// Next returns the record to write for an action, and the end that must not have
+// NextRecord returns the record to write for an action, and the end that must not have
 // moved. It must be called right before the write, with the present: the
 // deadline counts from here.
-func (s *State) Next(action Action, claim string, decided json.RawMessage, now time.Time) (Record, ident.Offset) {
-	r := Record{Holder: s.self, Life: s.life, Decided: decided}
+func (s *State) NextRecord(action Action, claim string, decided json.RawMessage, now time.Time) (Record, ident.Offset) {
+	r := Record{Holder: s.self, Incarnation: s.incarnation, Decided: decided}
 	if decided == nil {
 		r.Decided = s.record.Decided
 	}
 	if action == Claim {
 		s.forgetClaim()
-		s.claim = claim
-		r.Before = s.record.Holder
+		s.claimID = claim
+		r.PreviousHolder = s.record.Holder
 	} else {
-		r.Fence, r.Before = s.fence, s.record.Before
+		r.Fence, r.PreviousHolder = s.fence, s.record.PreviousHolder
 	}
-	s.started = now
-	r.Claim = s.claim
-	return r, s.end
+	s.extendedAt = now
+	r.ClaimID = s.claimID
+	return r, s.logEnd
 }
 
-// Written notes that a record was written at an offset.
-func (s *State) Written(r Record, offset ident.Offset, now time.Time) {
-	s.some, s.record, s.offset, s.end, s.seenAt = true, r, offset, offset+1, now
-	if s.claim == r.Claim && s.fence == 0 {
+// ApplyWrite notes that a record was written at an offset.
+func (s *State) ApplyWrite(r Record, offset ident.Offset, now time.Time) {
+	s.hasRecord, s.record, s.offset, s.logEnd, s.firstSeenAt = true, r, offset, offset+1, now
+	if s.claimID == r.ClaimID && s.fence == 0 {
 		s.fence = fenceOf(r, offset)
 	}
 }
 
-// Conflict notes that something else was written meanwhile: what is known is old.
-func (s *State) Conflict(before time.Time) {
-	s.known = false
-	s.started = before
+// WriteFailed notes that something else was written meanwhile: what is known is old.
+func (s *State) WriteFailed(before time.Time) {
+	s.upToDate = false
+	s.extendedAt = before
 }
 
-// Release returns the record that gives the lease up, or false where it is not
+// ReleaseRecord returns the record that gives the lease up, or false where it is not
 // held.
-func (s *State) Release(t Timing, now time.Time) (Record, ident.Offset, bool) {
+func (s *State) ReleaseRecord(t Timing, now time.Time) (Record, ident.Offset, bool) {
 	if deadline := s.Deadline(t); deadline.IsZero() || !now.Before(deadline) {
 		return Record{}, 0, false
 	}
 	r := s.record
 	r.Fence, r.Released = s.fence, true
-	return r, s.end, true
+	return r, s.logEnd, true
 }
--- a/internal/duty/lease_test.go
+++ b/internal/duty/lease_test.go
@@ -27,12 +27,12 @@
 	// fault is how the next write is treated, and late are writes that are done
 	// later if their condition still holds.
 	fault func() fault
-	late  []func()
-	// took is how long a write takes, and meanwhile what happens then.
-	took      time.Duration
+	lateWrites  []func()
+	// writeTime is how long a write takes, and meanwhile what happens then.
+	writeTime      time.Duration
 	meanwhile func()
 	// silent: holders whose lease has run out do not say so.
-	silent bool
+	expiryNotAnnounced bool
 }
 
 type fault int
@@ -41,7 +41,7 @@
 	none fault = iota
 	unavailable
 	answerLost
-	doneLate
+	appliedLate
 )
 
 func newWorld(n int) *world {
@@ -69,7 +69,7 @@
 func (w *world) givenUp(self ident.Instance) ident.Fence {
 	highest := ident.Fence(0)
 	for _, m := range w.managers {
-		if m.cfg.Self != self && !w.silent {
+		if m.cfg.Self != self && !w.expiryNotAnnounced {
 			highest = max(highest, m.GivenUp())
 		}
 	}
@@ -85,25 +85,25 @@
 		w.records = append(w.records, platform.KeyedRecord{Offset: offset, Key: key, Value: value})
 		return offset, nil
 	}
-	defer w.freeze()
+	defer w.passWriteTime()
 	switch w.fault() {
 	case unavailable:
 		return 0, platform.ErrUnavailable
 	case answerLost:
 		_, _ = write() // whether it was done is what the caller cannot know
 		return 0, platform.ErrAnswerLost
-	case doneLate:
-		w.late = append(w.late, func() { _, _ = write() })
+	case appliedLate:
+		w.lateWrites = append(w.lateWrites, func() { _, _ = write() })
 		return 0, platform.ErrAnswerLost
 	}
 	return write()
 }
 
-// freeze lets the time of a write pass, while the others go on.
-func (w *world) freeze() {
+// passWriteTime lets the time of a write pass, while the others go on.
+func (w *world) passWriteTime() {
 	others := w.meanwhile
 	w.meanwhile = nil
-	for end := w.now.Add(w.took); w.now.Before(end); w.now = w.now.Add(step) {
+	for end := w.now.Add(w.writeTime); w.now.Before(end); w.now = w.now.Add(tickInterval) {
 		if others != nil {
 			others()
 		}
@@ -124,7 +124,7 @@
 
 // run ticks all managers for a time.
 func (w *world) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(step) {
+	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tickInterval) {
 		for _, m := range w.managers {
 			m.tick(context.Background())
 		}
@@ -153,26 +153,26 @@
 		fences := make(map[ident.Fence]int)
 		last := ident.Fence(0)
 		w.fault = func() fault {
-			return rapid.SampledFrom([]fault{none, none, none, none, unavailable, answerLost, doneLate}).Draw(t, "fault")
+			return rapid.SampledFrom([]fault{none, none, none, none, unavailable, answerLost, appliedLate}).Draw(t, "fault")
 		}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			w.took = time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
+			w.writeTime = time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
 			if rapid.IntRange(0, 9).Draw(t, "frozen before the answer") == 0 {
-				w.took += 2 * testTiming.Length
+				w.writeTime += 2 * testTiming.Length
 			}
-			w.silent = rapid.Bool().Draw(t, "nobody is told")
+			w.expiryNotAnnounced = rapid.Bool().Draw(t, "nobody is told")
 			i := rapid.IntRange(0, len(w.managers)-1).Draw(t, "manager")
 			w.meanwhile = func() {
-				took := w.took
-				w.took = 0
+				took := w.writeTime
+				w.writeTime = 0
 				w.managers[(i+1)%len(w.managers)].tick(context.Background())
-				w.took = took
+				w.writeTime = took
 			}
 			w.managers[i].tick(context.Background())
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "passes")) * time.Millisecond)
-			if len(w.late) > 0 && rapid.Bool().Draw(t, "late write is done") {
-				w.late[0]()
-				w.late = w.late[1:]
+			if len(w.lateWrites) > 0 && rapid.Bool().Draw(t, "late write is done") {
+				w.lateWrites[0]()
+				w.lateWrites = w.lateWrites[1:]
 			}
 			holders := w.holders()
 			if len(holders) > 1 {
@@ -223,7 +223,7 @@
 		w.run(time.Second)
 		w.managers[0].release()
 		w.managers = w.managers[1:]
-		w.run(readEvery + 2*testTiming.RankDelay)
+		w.run(readInterval + 2*testTiming.RankDelay)
 		if got := fmt.Sprint(w.holders()); got != "[0]" {
 			t.Errorf("held by %s", got)
 		}
@@ -240,12 +240,12 @@
 		all := w.managers
 		w.managers = all[:1]
 		for holds := true; holds; _, holds = holder.Grant() {
-			w.run(step)
+			w.run(tickInterval)
 		}
-		w.run(step)
+		w.run(tickInterval)
 		w.fault = func() fault { return none }
 		w.managers = all
-		for end := w.now.Add(testTiming.RankDelay + 3*step); w.now.Before(end); w.now = w.now.Add(step) {
+		for end := w.now.Add(testTiming.RankDelay + 3*tickInterval); w.now.Before(end); w.now = w.now.Add(tickInterval) {
 			all[1].tick(t.Context())
 		}
 		grant, holds := all[1].Grant()
@@ -273,7 +273,7 @@
 			t.Errorf("may still call: %v; says that %d has run out while a call is in flight", err, holder.GivenUp())
 		}
 		ended()
-		w.run(step)
+		w.run(tickInterval)
 		if holder.GivenUp() != grant.Fence {
 			t.Errorf("says that %d has run out, want %d", holder.GivenUp(), grant.Fence)
 		}
@@ -287,7 +287,7 @@
 		w.managers[0].release()
 		first := w.managers[0]
 		w.managers = w.managers[1:]
-		w.run(testTiming.RankDelay + readEvery + time.Second)
+		w.run(testTiming.RankDelay + readInterval + time.Second)
 		w.managers[0].release()
 		restarted := w.add(first.cfg.Self, 0)
 		w.managers = []*Manager{restarted}
@@ -347,7 +347,7 @@
 	claim := func(m *Manager) {
 		for range 100 {
 			m.tick(context.Background())
-			w.now = w.now.Add(step)
+			w.now = w.now.Add(tickInterval)
 			if _, held := m.Grant(); held {
 				return
 			}
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -20,17 +20,17 @@
 const (
 	// Topic and key of the lease in the platform's store.
 	Topic = "keyed.duties"
-	key   = "entry"
-	// step is how often a candidate looks whether something is due.
-	step = 100 * time.Millisecond
-	// idleStep is the same at a gateway that is no candidate: of a thousand, nearly all.
-	idleStep = 500 * time.Millisecond
-	// readEvery is how often a candidate reads the lease when it does not hear
+	leaseKey   = "entry"
+	// tickInterval is how often a candidate looks whether something is due.
+	tickInterval = 100 * time.Millisecond
+	// idleTickInterval is the same at a gateway that is no candidate: of a thousand, nearly all.
+	idleTickInterval = 500 * time.Millisecond
+	// readInterval is how often a candidate reads the lease when it does not hear
 	// of a holder.
-	readEvery = 700 * time.Millisecond
-	// candidates is how many gateways watch the lease: enough for two that are
+	readInterval = 700 * time.Millisecond
+	// candidateCount is how many gateways watch the lease: enough for two that are
 	// lost together with the holder.
-	candidates = 3
+	candidateCount = 3
 )
 
 // ErrNotHeld: this gateway does not hold the lease now.
@@ -65,19 +65,19 @@
 type Manager struct {
 	cfg Config
 
-	// writing is held during a write, so that a commit and a renewal never
+	// writeMu is held during a write, so that a commit and a renewal never
 	// write under the same condition.
-	writing sync.Mutex
+	writeMu sync.Mutex
 
 	mu     sync.Mutex
 	state  *State
-	readAt time.Time
-	held   bool
-	// inFlight counts the calls that were begun under a lease and have not ended.
-	inFlight int
-	// runOut is the newest lease of this gateway that ran out, and givenUp the newest
+	lastReadAt time.Time
+	loggedHeld   bool
+	// callsInFlight counts the calls that were begun under a lease and have not ended.
+	callsInFlight int
+	// expiredFence is the newest lease of this gateway that ran out, and givenUp the newest
 	// one of which the others are told.
-	runOut, givenUp ident.Fence
+	expiredFence, givenUpFence ident.Fence
 }
 
 // NewManager returns a manager that holds nothing.
@@ -100,7 +100,7 @@
 	}
 	fence := m.state.fence
 	return Grant{
-		Authority: platform.Authority{Fence: fence, Begin: func() (func(), error) { return m.begin(fence) }},
+		Authority: platform.Authority{Fence: fence, Begin: func() (func(), error) { return m.beginCall(fence) }},
 		Deadline:  m.state.Deadline(m.cfg.Timing),
 	}, true
 }
@@ -111,19 +111,19 @@
 	return !deadline.IsZero() && m.cfg.Now().Before(deadline)
 }
 
-// begin counts one call under the lease, if it is still held under that number, until
+// beginCall counts one call under the lease, if it is still held under that number, until
 // ended. Errors: ErrNotHeld.
-func (m *Manager) begin(fence ident.Fence) (ended func(), err error) {
+func (m *Manager) beginCall(fence ident.Fence) (ended func(), err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.holds() || m.state.fence != fence {
 		return nil, ErrNotHeld
 	}
-	m.inFlight++
+	m.callsInFlight++
 	return func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.inFlight--
+		m.callsInFlight--
 	}, nil
 }
 
@@ -142,20 +142,20 @@
 func (m *Manager) GivenUp() ident.Fence {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.givenUp
+	return m.givenUpFence
 }
 
-// expire notes when the lease has run out. The others are told once no call under it is
+// handleExpiry notes when the lease has run out. The others are told once no call under it is
 // in flight: at its holder's word a successor calls at once, and where the platform does
 // not check fencing numbers, a call that arrives after that one would count.
-func (m *Manager) expire() {
+func (m *Manager) handleExpiry() {
 	m.mu.Lock()
 	if fence, over := m.state.Expire(m.cfg.Timing, m.cfg.Now()); over {
-		m.runOut = fence
+		m.expiredFence = fence
 	}
-	tell := m.runOut != m.givenUp && m.inFlight == 0
+	tell := m.expiredFence != m.givenUpFence && m.callsInFlight == 0
 	if tell {
-		m.givenUp = m.runOut
+		m.givenUpFence = m.expiredFence
 	}
 	m.mu.Unlock()
 	if tell {
@@ -171,10 +171,10 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.state.some {
+	if !m.state.hasRecord {
 		return 0, nil
 	}
-	return m.state.record.Gateways, nil
+	return m.state.record.GatewayCount, nil
 }
 
 // Decided returns what holders decided for good, as far as it is known here.
@@ -186,13 +186,13 @@
 
 // Run keeps the lease until ctx ends, and then releases it.
 func (m *Manager) Run(ctx context.Context) {
-	wait := step
+	wait := tickInterval
 	for pause.For(ctx, wait) {
-		wait = idleStep
+		wait = idleTickInterval
 		if m.tick(ctx) {
-			wait = step
+			wait = tickInterval
 		}
-		m.note()
+		m.logHeldChange()
 	}
 	m.release()
 }
@@ -200,20 +200,20 @@
 // tick reads what is new where that matters, and writes what is due. It reports whether this
 // gateway holds the lease or is a candidate for it.
 func (m *Manager) tick(ctx context.Context) bool {
-	m.expire()
+	m.handleExpiry()
 	rank, heard := m.cfg.Rank()
 	now := m.cfg.Now()
 	_, holding := m.Grant()
-	if !holding && (heard || rank >= candidates) {
+	if !holding && (heard || rank >= candidateCount) {
 		m.mu.Lock()
 		// A holder is heard: what was read before says nothing about how long
 		// its record has stood.
-		m.state.known = false
+		m.state.upToDate = false
 		m.mu.Unlock()
-		return rank < candidates
+		return rank < candidateCount
 	}
 	m.mu.Lock()
-	stale := !m.state.known || !holding && now.Sub(m.readAt) >= readEvery
+	stale := !m.state.upToDate || !holding && now.Sub(m.lastReadAt) >= readInterval
 	m.mu.Unlock()
 	if stale {
 		if err := m.read(ctx); err != nil {
@@ -222,7 +222,7 @@
 		}
 	}
 	m.mu.Lock()
-	action := m.state.Due(m.cfg.Timing, rank, m.cfg.GivenUp(), m.cfg.Now())
+	action := m.state.NextAction(m.cfg.Timing, rank, m.cfg.GivenUp(), m.cfg.Now())
 	m.mu.Unlock()
 	if action == Wait {
 		return true
@@ -242,7 +242,7 @@
 	var newest *Record
 	var offset ident.Offset
 	for _, r := range batch.Records {
-		if r.Key != key || r.Value == nil {
+		if r.Key != leaseKey || r.Value == nil {
 			continue
 		}
 		var record Record
@@ -256,8 +256,8 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.readAt = m.cfg.Now()
-	m.state.Read(newest, offset, batch.End, m.readAt)
+	m.lastReadAt = m.cfg.Now()
+	m.state.ApplyRead(newest, offset, batch.End, m.lastReadAt)
 	return nil
 }
 
@@ -272,17 +272,17 @@
 
 // write writes the lease's next record.
 func (m *Manager) write(ctx context.Context, action Action, decided json.RawMessage) error {
-	m.writing.Lock()
-	defer m.writing.Unlock()
+	m.writeMu.Lock()
+	defer m.writeMu.Unlock()
 	m.mu.Lock()
-	before := m.state.started
-	if action == Renew && (m.state.claim == "" || m.state.fence == 0 || !m.state.known) {
+	before := m.state.extendedAt
+	if action == Renew && (m.state.claimID == "" || m.state.fence == 0 || !m.state.upToDate) {
 		m.mu.Unlock()
 		return ErrNotHeld
 	}
-	record, condition := m.state.Next(action, uuid.NewString(), decided, m.cfg.Now())
+	record, condition := m.state.NextRecord(action, uuid.NewString(), decided, m.cfg.Now())
 	m.mu.Unlock()
-	record.Gateways = m.cfg.Gateways()
+	record.GatewayCount = m.cfg.Gateways()
 	if m.cfg.Keep != nil {
 		record.Kept = m.cfg.Keep()
 	}
@@ -291,14 +291,14 @@
 	defer m.mu.Unlock()
 	switch {
 	case err == nil:
-		m.state.Written(record, offset, m.cfg.Now())
+		m.state.ApplyWrite(record, offset, m.cfg.Now())
 	case action == Claim && errors.Is(err, platform.ErrAnswerLost):
 		// It may be there now or later: the next read tells, and the deadline
 		// counts from before the write.
-		m.state.known = false
+		m.state.upToDate = false
 	default:
 		// What was not written, or is not known to be, extends nothing.
-		m.state.Conflict(before)
+		m.state.WriteFailed(before)
 		if action == Claim {
 			m.state.forgetClaim()
 		}
@@ -312,38 +312,38 @@
 	if err != nil {
 		return 0, pkgerrors.Wrap(err, "encode lease record")
 	}
-	return m.cfg.Store.Put(ctx, Topic, key, data, &condition)
+	return m.cfg.Store.Put(ctx, Topic, leaseKey, data, &condition)
 }
 
-// note logs when the lease is taken or lost.
-func (m *Manager) note() {
+// logHeldChange logs when the lease is taken or lost.
+func (m *Manager) logHeldChange() {
 	grant, held := m.Grant()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if held == m.held {
+	if held == m.loggedHeld {
 		return
 	}
-	m.held = held
+	m.loggedHeld = held
 	if held {
-		m.cfg.Log.Info("lease held", "fence", grant.Fence, "before", m.state.record.Before)
+		m.cfg.Log.Info("lease held", "fence", grant.Fence, "before", m.state.record.PreviousHolder)
 	} else {
-		m.cfg.Log.Info("lease lost", "holder", m.state.record.Holder, "dropped", m.state.dropped, "run_out", m.runOut)
+		m.cfg.Log.Info("lease lost", "holder", m.state.record.Holder, "dropped", m.state.dropped, "run_out", m.expiredFence)
 	}
 }
 
 // release gives the lease up, so that a successor need not wait for its length.
 // Calls under it must have ended.
 func (m *Manager) release() {
-	m.writing.Lock()
-	defer m.writing.Unlock()
+	m.writeMu.Lock()
+	defer m.writeMu.Unlock()
 	m.mu.Lock()
-	record, condition, holds := m.state.Release(m.cfg.Timing, m.cfg.Now())
+	record, condition, holds := m.state.ReleaseRecord(m.cfg.Timing, m.cfg.Now())
 	m.state.Drop()
 	m.mu.Unlock()
 	if !holds {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), step*5)
+	ctx, cancel := context.WithTimeout(context.Background(), tickInterval*5)
 	defer cancel()
 	if _, err := m.put(ctx, record, condition); err != nil {
 		m.cfg.Log.Info("lease not released, it runs out", "error", err)
--- a/internal/planner/choose.go
+++ b/internal/planner/choose.go
@@ -12,9 +12,9 @@
 type domainChoice struct {
 	domain ident.FailureDomain
 	// offers are the cheapest offering of each need.
-	offers [needs]Offering
-	costs  [needs]float64
-	chosen [needs]int
+	offers [needCount]Offering
+	costs  [needCount]float64
+	chosen [needCount]int
 	// room is how many more the domain may take.
 	room int
 }
@@ -26,7 +26,7 @@
 	// anyKind may be reclaimable or on-demand, whichever costs less.
 	anyKind need = iota
 	onDemandOnly
-	needs
+	needCount
 )
 
 // choose returns count offerings of least expected cost, so many of them
@@ -39,7 +39,7 @@
 		return nil
 	}
 	for totalRoom(choices) < count {
-		raise(choices)
+		raiseLimits(choices)
 	}
 	onDemand = min(max(onDemand, 0), count)
 	placed := place(choices, onDemandOnly, onDemand)
@@ -47,20 +47,20 @@
 		placed += placeBeyondLimit(choices, onDemand-placed)
 	}
 	for totalRoom(choices) < count-placed {
-		raise(choices)
+		raiseLimits(choices)
 	}
 	place(choices, anyKind, count-placed)
 	for improve(choices) {
 		continue
 	}
-	return list(choices)
+	return chosenOfferings(choices)
 }
 
 // domainChoices returns the failure domains with an offering that may be tried now.
 func (m market) domainChoices(limit int, f fleet) []domainChoice {
 	index := make(map[ident.FailureDomain]int)
 	var choices []domainChoice
-	for _, offering := range m.ready {
+	for _, offering := range m.startable {
 		i, known := index[offering.FailureDomain]
 		if !known {
 			i = len(choices)
@@ -77,7 +77,7 @@
 }
 
 func newDomainChoice(domain ident.FailureDomain, room int) domainChoice {
-	return domainChoice{domain: domain, room: max(room, 0), costs: [needs]float64{math.Inf(1), math.Inf(1)}}
+	return domainChoice{domain: domain, room: max(room, 0), costs: [needCount]float64{math.Inf(1), math.Inf(1)}}
 }
 
 // offer keeps the first offering of a need; they come the cheapest first.
@@ -97,7 +97,7 @@
 	return total
 }
 
-func raise(choices []domainChoice) {
+func raiseLimits(choices []domainChoice) {
 	for i := range choices {
 		choices[i].room++
 	}
@@ -147,8 +147,8 @@
 // when no move of one need, no exchange, and no chain of two moves helps,
 // because a cycle of the residual network passes each need at most once.
 func improve(choices []domainChoice) bool {
-	for n := anyKind; n < needs; n++ {
-		other := needs - 1 - n
+	for n := anyKind; n < needCount; n++ {
+		other := needCount - 1 - n
 		for from := range choices {
 			for over := range choices {
 				if tryMove(choices, n, from, over) || tryChain(choices, n, other, from, over) {
@@ -160,13 +160,13 @@
 	return false
 }
 
-// worthwhile ignores gains that are rounding errors.
-const worthwhile = 1e-9
+// minGain ignores gains that are rounding errors.
+const minGain = 1e-9
 
 // tryMove moves instances of one need to a domain with room.
 func tryMove(choices []domainChoice, n need, from, to int) bool {
 	batch := min(choices[from].chosen[n], choices[to].room)
-	if from == to || batch == 0 || gain(choices, n, from, to) <= worthwhile {
+	if from == to || batch == 0 || gain(choices, n, from, to) <= minGain {
 		return false
 	}
 	move(choices, n, from, to, batch)
@@ -186,7 +186,7 @@
 			room = choices[from].chosen[n]
 		}
 		batch := min(choices[from].chosen[n], choices[over].chosen[other], room)
-		if to == over || batch == 0 || first+gain(choices, other, over, to) <= worthwhile {
+		if to == over || batch == 0 || first+gain(choices, other, over, to) <= minGain {
 			continue
 		}
 		move(choices, n, from, over, batch)
@@ -209,7 +209,7 @@
 	choices[to].room -= batch
 }
 
-func list(choices []domainChoice) []Offering {
+func chosenOfferings(choices []domainChoice) []Offering {
 	var offerings []Offering
 	for _, d := range choices {
 		for n, count := range d.chosen {
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -11,8 +11,8 @@
 type fleet struct {
 	// serving are the instances that get work.
 	serving []Instance
-	// kept are those that starting, serving and pending make.
-	kept int
+	// active are those that starting, serving and pending make.
+	active int
 	// total is kept plus those that drain: what the maximum bounds.
 	total    int
 	onDemand int
@@ -45,7 +45,7 @@
 
 // add counts an instance that does not serve yet.
 func (f *fleet) add(offering Offering) {
-	f.kept++
+	f.active++
 	f.total++
 	f.unsettled++
 	f.byDomain[offering.FailureDomain]++
@@ -56,7 +56,7 @@
 
 // remove counts a serving instance as draining.
 func (f *fleet) remove(instance Instance) {
-	f.kept--
+	f.active--
 	f.byDomain[instance.Offering.FailureDomain]--
 	if !instance.Offering.Reclaimable {
 		f.onDemand--
--- a/internal/planner/market.go
+++ b/internal/planner/market.go
@@ -35,8 +35,8 @@
 
 // Back-off of an offering whose starts fail: doubled with each failure.
 const (
-	firstBackOff   = 5 * time.Second
-	longestBackOff = 2 * time.Minute
+	initialBackOff   = 5 * time.Second
+	maxBackOff = 2 * time.Minute
 )
 
 // RetryAt is when a start may be tried again.
@@ -44,19 +44,19 @@
 	if f.Count == 0 {
 		return time.Time{}
 	}
-	wait := firstBackOff
-	for i := 1; i < f.Count && wait < longestBackOff; i++ {
+	wait := initialBackOff
+	for i := 1; i < f.Count && wait < maxBackOff; i++ {
 		wait *= 2
 	}
-	return f.Last.Add(min(wait, longestBackOff))
+	return f.Last.Add(min(wait, maxBackOff))
 }
 
 // market is what can be started now, and for how much.
 type market struct {
 	costs    map[Offering]float64
 	failures map[Offering]Failures
-	// ready are the offerings that may be tried now, the cheapest first.
-	ready []Offering
+	// startable are the offerings that may be tried now, the cheapest first.
+	startable []Offering
 }
 
 func newMarket(wanted Wanted, failures map[Offering]Failures, now time.Time) market {
@@ -65,10 +65,10 @@
 		offering := Offering{FailureDomain: price.FailureDomain, Class: price.Class, Reclaimable: price.Reclaimable}
 		m.costs[offering] = wanted.Reclaims.Expected(offering, price.CentsPerHour)
 		if !now.Before(failures[offering].RetryAt()) {
-			m.ready = append(m.ready, offering)
+			m.startable = append(m.startable, offering)
 		}
 	}
-	slices.SortFunc(m.ready, func(a, b Offering) int {
+	slices.SortFunc(m.startable, func(a, b Offering) int {
 		return cmp.Or(cmp.Compare(m.costs[a], m.costs[b]), compareOfferings(a, b))
 	})
 	return m
@@ -101,22 +101,22 @@
 			domains[domain] = true
 		}
 	}
-	for _, offering := range m.ready {
-		if m.proven(offering) {
+	for _, offering := range m.startable {
+		if m.lastStartSucceeded(offering) {
 			domains[offering.FailureDomain] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(domains))
 }
 
-func (m market) proven(offering Offering) bool { return m.failures[offering].Count == 0 }
+func (m market) lastStartSucceeded(offering Offering) bool { return m.failures[offering].Count == 0 }
 
 // cheapestProven returns the cheapest offering, on-demand or any, in a failure
 // domain below its limit whose last start worked.
 func (m market) cheapestProven(f fleet, limit int, onDemand bool) (Offering, bool) {
-	for _, offering := range m.ready {
+	for _, offering := range m.startable {
 		fits := f.byDomain[offering.FailureDomain] < limit
-		if fits && m.proven(offering) && (!onDemand || !offering.Reclaimable) {
+		if fits && m.lastStartSucceeded(offering) && (!onDemand || !offering.Reclaimable) {
 			return offering, true
 		}
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -164,12 +164,12 @@
 
 // grow starts what is missing, never beyond the maximum.
 func (p *plan) grow() {
-	missing := min(p.size.grow-p.fleet.kept, p.size.most-p.fleet.total)
+	missing := min(p.size.growBelow-p.fleet.active, p.size.most-p.fleet.total)
 	if missing <= 0 {
 		return
 	}
-	onDemand := p.size.onDemand(p.size.grow) - p.fleet.onDemand
-	limit := p.size.domainLimit(p.size.grow, len(p.market.provenDomains(p.fleet)))
+	onDemand := p.size.onDemand(p.size.growBelow) - p.fleet.onDemand
+	limit := p.size.domainLimit(p.size.growBelow, len(p.market.provenDomains(p.fleet)))
 	for _, offering := range p.market.choose(missing, onDemand, limit, p.fleet) {
 		p.start(offering, "too few upstreams")
 	}
@@ -179,14 +179,14 @@
 // is drained by a later plan, once the new one serves. At the maximum it makes
 // room first, if the others are enough.
 func (p *plan) rebalance() {
-	if len(p.actions) > 0 || p.fleet.unsettled > 0 || p.fleet.kept == 0 {
+	if len(p.actions) > 0 || p.fleet.unsettled > 0 || p.fleet.active == 0 {
 		return
 	}
-	if offering, found := p.worthTrying(); found {
+	if offering, found := p.offeringToRetry(); found {
 		p.start(offering, "see whether starts work again")
 		return
 	}
-	offering, reason, found := p.misplaced()
+	offering, reason, found := p.mixCorrection()
 	switch {
 	case !found:
 	case p.fleet.total < p.size.most:
@@ -216,21 +216,21 @@
 // target is the size that the mix is judged at: the one that the fleet has
 // once what is too much was drained. Judged at the present size, the instance
 // that mends the mix could itself call for another one, for ever.
-func (p *plan) target() int { return min(p.fleet.kept, p.size.shrink) }
+func (p *plan) target() int { return min(p.fleet.active, p.size.shrinkAbove) }
 
 // targetLimit is how many may stand in one failure domain at the target size.
 func (p *plan) targetLimit() int {
 	return p.size.domainLimit(p.target(), len(p.market.provenDomains(p.fleet)))
 }
 
-// misplaced returns what to start to mend the mix. Offerings whose last start
+// mixCorrection returns what to start to mend the mix. Offerings whose last start
 // failed do not count: waiting for them would make room again and again.
-func (p *plan) misplaced() (Offering, string, bool) {
+func (p *plan) mixCorrection() (Offering, string, bool) {
 	limit := p.targetLimit()
 	if p.fleet.onDemand < p.size.onDemand(p.target()) {
 		offering, found := p.market.cheapestProven(p.fleet, limit, true)
 		if !found {
-			offering, found = p.market.cheapestProven(p.fleet, p.fleet.kept+1, true)
+			offering, found = p.market.cheapestProven(p.fleet, p.fleet.active+1, true)
 		}
 		return offering, "too few on-demand", found
 	}
@@ -242,15 +242,15 @@
 	return Offering{}, "", false
 }
 
-// worthTrying returns an offering whose back-off is over, in a failure domain
+// offeringToRetry returns an offering whose back-off is over, in a failure domain
 // that has no upstreams because its starts failed. Nothing else would show
 // that it can be counted with again.
-func (p *plan) worthTrying() (Offering, bool) {
+func (p *plan) offeringToRetry() (Offering, bool) {
 	if p.fleet.total >= p.size.most {
 		return Offering{}, false
 	}
 	proven := p.market.provenDomains(p.fleet)
-	for _, offering := range p.market.ready {
+	for _, offering := range p.market.startable {
 		if !slices.Contains(proven, offering.FailureDomain) {
 			return offering, true
 		}
@@ -280,7 +280,7 @@
 	if len(p.actions) > 0 || p.fleet.unsettled > 0 {
 		return
 	}
-	for p.fleet.kept > p.size.shrink {
+	for p.fleet.active > p.size.shrinkAbove {
 		if !p.drainOne("too many upstreams") {
 			return
 		}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -28,14 +28,14 @@
 	changed bool
 }
 
-// fataler is a test or one check of rapid.
-type fataler interface{ Fatalf(string, ...any) }
+// fatalfer is a test or one check of rapid.
+type fatalfer interface{ Fatalf(string, ...any) }
 
 const round = 10 * time.Second
 
 // step plans once, checks the plan, and applies it. It returns how many
 // actions took effect: starts that are refused are tried for ever.
-func (w *world) step(t fataler) int {
+func (w *world) step(t fatalfer) int {
 	actions := Plan(w.actual, w.wanted, w.now)
 	before := newFleet(w.actual)
 	least, most := w.wanted.Placement.Min, w.wanted.Placement.Max
@@ -126,7 +126,7 @@
 }
 
 // settle runs until the plan is empty, which steady input must bring about.
-func (w *world) settle(t fataler) {
+func (w *world) settle(t fatalfer) {
 	const rounds = 200
 	quiet := 0
 	for range rounds {
@@ -147,17 +147,17 @@
 func (w *world) checkSettled(t *rapid.T) {
 	f := newFleet(w.actual)
 	p := w.wanted.Placement
-	if f.kept < p.Min || float64(f.kept) < min(float64(p.Max), w.actual.Demand) {
-		t.Fatalf("%d upstreams for a demand of %.1f and bounds %d to %d", f.kept, w.actual.Demand, p.Min, p.Max)
+	if f.active < p.Min || float64(f.active) < min(float64(p.Max), w.actual.Demand) {
+		t.Fatalf("%d upstreams for a demand of %.1f and bounds %d to %d", f.active, w.actual.Demand, p.Min, p.Max)
 	}
 	// At the maximum with the bare minimum there is no room for a change: the
 	// minimum comes before the mix.
 	stuck := f.total >= p.Max && len(f.serving) <= p.Min
-	if !stuck && float64(f.onDemand) < p.OnDemandShare*float64(f.kept)-roundingError {
-		t.Fatalf("%d of %d are on-demand, want a share of %.2f", f.onDemand, f.kept, p.OnDemandShare)
+	if !stuck && float64(f.onDemand) < p.OnDemandShare*float64(f.active)-roundingError {
+		t.Fatalf("%d of %d are on-demand, want a share of %.2f", f.onDemand, f.active, p.OnDemandShare)
 	}
 	domains := len(newMarket(w.wanted, nil, w.now).provenDomains(f))
-	survivors := f.kept - f.largestDomain()
+	survivors := f.active - f.largestDomain()
 	if domains > 1 && p.Max >= sizeToSurvive(p.Min, domains) && !stuck && p.OnDemandShare == 0 && survivors < p.Min {
 		t.Fatalf("the loss of a failure domain leaves %d of %d: %v", survivors, p.Min, f.byDomain)
 	}
@@ -271,15 +271,15 @@
 		if len(chosen) != count || f.onDemand < onDemand || f.largestDomain() > limit {
 			t.Fatalf("%v does not satisfy %d, %d on-demand, limit %d", chosen, count, onDemand, limit)
 		}
-		want := cheapestByTrying(m, m.domainChoices(limit, newFleet(Actual{})), count, onDemand)
+		want := cheapestByExhaustion(m, m.domainChoices(limit, newFleet(Actual{})), count, onDemand)
 		if math.Abs(got-want) > roundingError {
 			t.Fatalf("chosen costs %.2f, the cheapest %.2f", got, want)
 		}
 	})
 }
 
-// cheapestByTrying tries every split over the failure domains.
-func cheapestByTrying(m market, choices []domainChoice, count, onDemand int) float64 {
+// cheapestByExhaustion tries every split over the failure domains.
+func cheapestByExhaustion(m market, choices []domainChoice, count, onDemand int) float64 {
 	if count == 0 && onDemand <= 0 {
 		return 0
 	}
@@ -291,7 +291,7 @@
 	for total := 0; total <= min(s.room, count); total++ {
 		for dear := 0; dear <= total; dear++ {
 			here := float64(total-dear)*s.costs[anyKind] + float64(dear)*s.costs[onDemandOnly]
-			best = min(best, here+cheapestByTrying(m, choices[1:], count-total, onDemand-dear))
+			best = min(best, here+cheapestByExhaustion(m, choices[1:], count-total, onDemand-dear))
 		}
 	}
 	return best
@@ -348,12 +348,12 @@
 	w.reclaim(func(i Instance) bool { return i.Offering == lost })
 	w.settle(t)
 	f := newFleet(w.actual)
-	if survivors := f.kept - f.largestDomain(); survivors < 9 {
+	if survivors := f.active - f.largestDomain(); survivors < 9 {
 		t.Errorf("the loss of a second failure domain leaves %d of 9: %v", survivors, f.byDomain)
 	}
 	delete(w.closed, lost)
 	w.settle(t)
-	if f := newFleet(w.actual); f.byDomain["hall-d"] != 3 || f.kept != 12 {
+	if f := newFleet(w.actual); f.byDomain["hall-d"] != 3 || f.active != 12 {
 		t.Errorf("once it starts again the fleet is not as before: %v", f.byDomain)
 	}
 }
@@ -382,7 +382,7 @@
 	w.settle(t)
 	w.actual.Demand = 1
 	w.settle(t)
-	if f := newFleet(w.actual); f.kept != 2 || f.onDemand != 1 {
-		t.Errorf("%d upstreams, %d on-demand, want 2 and 1", f.kept, f.onDemand)
+	if f := newFleet(w.actual); f.active != 2 || f.onDemand != 1 {
+		t.Errorf("%d upstreams, %d on-demand, want 2 and 1", f.active, f.onDemand)
 	}
 }
--- a/internal/planner/size.go
+++ b/internal/planner/size.go
@@ -10,20 +10,20 @@
 // Above the first the service grows, below the second it shrinks. The gap
 // keeps a steady demand from moving the size to and fro.
 const (
-	growAbove   = 0.8
-	shrinkBelow = 0.6
+	growThreshold   = 0.8
+	shrinkThreshold = 0.6
 )
 
-// largestShare of a service may stand in one failure domain, so that the loss
+// maxDomainShare of a service may stand in one failure domain, so that the loss
 // of one never takes most of the capacity, however cheap it is.
-const largestShare = 0.5
+const maxDomainShare = 0.5
 
 // size says how many upstreams a service should have.
 type size struct {
 	least, most int
 	// grow: start more below this number. shrink: drain above this one.
-	grow, shrink int
-	onDemandPart float64
+	growBelow, shrinkAbove int
+	onDemandShare float64
 }
 
 // newSize decides by demand, by the document's bounds, and by the loss of a
@@ -33,12 +33,12 @@
 // whenever their back-off is over, each try would change the size that the
 // others have to make up for, and the fleet would grow and shrink for ever.
 func newSize(p document.Placement, demand float64, f fleet, m market) size {
-	s := size{least: max(p.Min, 0), most: max(p.Max, p.Min), onDemandPart: p.OnDemandShare}
+	s := size{least: max(p.Min, 0), most: max(p.Max, p.Min), onDemandShare: p.OnDemandShare}
 	survive := sizeToSurvive(s.least, len(m.provenDomains(f)))
-	up := max(survive, int(math.Ceil(demand/growAbove)))
-	down := max(up, int(math.Ceil(demand/shrinkBelow)))
-	s.grow = min(up, s.most)
-	s.shrink = min(down, s.most)
+	up := max(survive, int(math.Ceil(demand/growThreshold)))
+	down := max(up, int(math.Ceil(demand/shrinkThreshold)))
+	s.growBelow = min(up, s.most)
+	s.shrinkAbove = min(down, s.most)
 	return s
 }
 
@@ -57,7 +57,7 @@
 
 // onDemand is how many of n upstreams must be on-demand ones.
 func (s size) onDemand(n int) int {
-	return int(math.Ceil(s.onDemandPart*float64(n) - roundingError))
+	return int(math.Ceil(s.onDemandShare*float64(n) - roundingError))
 }
 
 // roundingError keeps 0.1 times 10 from counting as more than 1.
@@ -70,7 +70,7 @@
 		return n
 	}
 	even := ceilDiv(n, domains)
-	share := int(largestShare * float64(n))
+	share := int(maxDomainShare * float64(n))
 	return max(even, min(share, n-s.least))
 }
 
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -19,59 +19,59 @@
 )
 
 const (
-	// shrinkAfter is for how long less must be wanted before upstreams are given
+	// reclaimableShrinkDelay is for how long less must be wanted before upstreams are given
 	// up: as long as a wave of the users' traffic takes from its middle to its
 	// top, so that what is given up is not wanted back at once.
-	shrinkAfter = 8 * time.Second
-	// closedFor is for how long a slot counts as closed after an order was
+	reclaimableShrinkDelay = 8 * time.Second
+	// slotClosedFor is for how long a slot counts as closed after an order was
 	// turned down or its upstreams were reclaimed.
-	closedFor = 4 * time.Second
-	// pauseFor is for how long nothing else is ordered after an order was turned
+	slotClosedFor = 4 * time.Second
+	// orderPause is for how long nothing else is ordered after an order was turned
 	// down: mostly nothing is to be had anywhere then, and what is missing here
 	// must not be heaped up elsewhere.
-	pauseFor = time.Second
-	// shortFor is for how long less must be wanted before on-demand upstreams are
+	orderPause = time.Second
+	// onDemandShrinkDelay is for how long less must be wanted before on-demand upstreams are
 	// given up: a step of the need to and fro costs a start of 4 s.
-	shortFor = 3 * time.Second
-	// showSlack is how much longer than their start new upstreams may take to
+	onDemandShrinkDelay = 3 * time.Second
+	// listingSlack is how much longer than their start new upstreams may take to
 	// be listed before the order is repeated.
-	showSlack = 3 * time.Second
-	// leastWork is the need above which a service counts as used.
-	leastWork = 0.1
-	// watchFor is for how long work is watched before the number of upstreams
+	listingSlack = 3 * time.Second
+	// minUsedNeed is the need above which a service counts as used.
+	minUsedNeed = 0.1
+	// observeFor is for how long work is watched before the number of upstreams
 	// follows it: the averages take some seconds to fill.
-	watchFor = 6 * time.Second
-	// leastWatch is after how much of watchFor the averages show more than two thirds of
+	observeFor = 6 * time.Second
+	// minObserveFor is after how much of watchFor the averages show more than two thirds of
 	// the work.
-	leastWatch = 3 * time.Second
-	// surplus is how many times what is wanted are more upstreams than the users' traffic
+	minObserveFor = 3 * time.Second
+	// surplusFactor is how many times what is wanted are more upstreams than the users' traffic
 	// asks for again within a wave or a burst, and surplusFor for how long they must have
 	// been too many before those beyond it are given up. What goes wrong without it: a
 	// fleet that starts with thirty times what its first callers need pays for all of it
 	// for as long as a small system waits for a wave to come back.
-	surplus    = 3
-	surplusFor = 2 * time.Second
-	// calmAfter is for how long after a reclaim nothing is given up: the next
+	surplusFactor    = 3
+	surplusShrinkDelay = 2 * time.Second
+	// noShrinkAfterReclaim is for how long after a reclaim nothing is given up: the next
 	// domain's reclaim mostly follows within that time, and nothing can be had
 	// then.
-	calmAfter = 15 * time.Second
-	// riskFor is for how long after a reclaim the next domain's is expected before
+	noShrinkAfterReclaim = 15 * time.Second
+	// reclaimRiskPeriod is for how long after a reclaim the next domain's is expected before
 	// reclaimable upstreams can be had again and have started.
-	riskFor = 8 * time.Second
-	// nextReclaim is how many domains are expected to follow a first reclaim: mostly the
+	reclaimRiskPeriod = 8 * time.Second
+	// expectedNextReclaims is how many domains are expected to follow a first reclaim: mostly the
 	// next one does.
-	nextReclaim = 0.7
-	// noticeFor is how much longer than its start an upstream takes until it has work: the
+	expectedNextReclaims = 0.7
+	// assignmentDelay is how much longer than its start an upstream takes until it has work: the
 	// order, its entry and the gateways' views.
-	noticeFor = 1500 * time.Millisecond
-	// leastPace keeps domains that go together from counting as all of them.
-	leastPace = time.Second
-	// reclaimedPart of a domain's reclaimable upstreams leave together only where the
+	assignmentDelay = 1500 * time.Millisecond
+	// minReclaimInterval keeps domains that go together from counting as all of them.
+	minReclaimInterval = time.Second
+	// reclaimedShare of a domain's reclaimable upstreams leave together only where the
 	// domain is reclaimed: planned work takes them in turn.
-	reclaimedPart = 2.0 / 3
-	// settleAfter is how long a new holder watches before it orders less than
+	reclaimedShare = 2.0 / 3
+	// settleDelay is how long a new holder watches before it orders less than
 	// there is.
-	settleAfter = 3 * time.Second
+	settleDelay = 3 * time.Second
 )
 
 // Leases is what a controller needs of the lease.
@@ -98,58 +98,58 @@
 	Lacking func(ident.Instance) float64
 
 	fence    ident.Fence
-	since    time.Time
-	services map[ident.Service]*service
+	holderSince    time.Time
+	services map[ident.Service]*serviceState
 }
 
-// service is what a holder remembers of one service.
-type service struct {
+// serviceState is what a holder remembers of one service.
+type serviceState struct {
 	// orders are the newest ones, by slot.
 	orders map[Slot]*order
-	closed map[Slot]time.Time
-	// less is since when less than ordered was wanted, by slot.
-	less map[Slot]time.Time
-	// leaving are upstreams whose reclaim was seen.
-	leaving map[ident.Instance]bool
-	// found is how many upstreams served when this holder began, and workSince
+	closedUntil map[Slot]time.Time
+	// lessWantedSince is since when less than ordered was wanted, by slot.
+	lessWantedSince map[Slot]time.Time
+	// seenLeaving are upstreams whose reclaim was seen.
+	seenLeaving map[ident.Instance]bool
+	// servedAtStart is how many upstreams served when this holder began, and workSince
 	// when it first saw work: until it has watched the work for a while, it
 	// keeps that number.
-	found     int
+	servedAtStart     int
 	workSince time.Time
-	// reclaimed is when the newest reclaim, or an order that was turned down,
+	// lastReclaimAt is when the newest reclaim, or an order that was turned down,
 	// was seen.
-	reclaimed time.Time
-	// reclaims are when domains were seen to be reclaimed.
-	reclaims map[ident.FailureDomain]time.Time
+	lastReclaimAt time.Time
+	// domainReclaimedAt are when domains were seen to be reclaimed.
+	domainReclaimedAt map[ident.FailureDomain]time.Time
 }
 
-// atRisk is how many domains are expected to be reclaimed before an upstream that is
+// domainsAtRisk is how many domains are expected to be reclaimed before an upstream that is
 // ordered now has started: as many as the pace of the last reclaims gives. What goes wrong
 // if only the next one is expected: where they go faster than on-demand upstreams start,
 // what is ordered is always one domain behind.
-func (s *service) atRisk(startup time.Duration, now time.Time) float64 {
-	if s.reclaimed.IsZero() || now.Sub(s.reclaimed) >= riskFor {
+func (s *serviceState) domainsAtRisk(startup time.Duration, now time.Time) float64 {
+	if s.lastReclaimAt.IsZero() || now.Sub(s.lastReclaimAt) >= reclaimRiskPeriod {
 		return 0
 	}
 	var lately []time.Time
-	for _, at := range s.reclaims {
-		if now.Sub(at) < calmAfter {
+	for _, at := range s.domainReclaimedAt {
+		if now.Sub(at) < noShrinkAfterReclaim {
 			lately = append(lately, at)
 		}
 	}
 	if len(lately) < 2 {
-		return nextReclaim
+		return expectedNextReclaims
 	}
 	slices.SortFunc(lately, time.Time.Compare)
 	pace := lately[len(lately)-1].Sub(lately[0]) / time.Duration(len(lately)-1)
-	return max(nextReclaim, (startup+noticeFor).Seconds()/max(pace, leastPace).Seconds())
+	return max(expectedNextReclaims, (startup+assignmentDelay).Seconds()/max(pace, minReclaimInterval).Seconds())
 }
 
 type order struct {
 	wanted int
 	// answered: the platform took it.
-	answered bool
-	at       time.Time
+	accepted bool
+	sentAt       time.Time
 }
 
 // Step orders what is due.
@@ -161,61 +161,61 @@
 	}
 	now := c.Now()
 	if grant.Fence != c.fence || c.services == nil {
-		c.fence, c.since, c.services = grant.Fence, now, make(map[ident.Service]*service)
+		c.fence, c.holderSince, c.services = grant.Fence, now, make(map[ident.Service]*serviceState)
 	}
 	for i := range table.Services() {
 		if s := &table.Services()[i]; s.Scale != nil {
-			c.step(ctx, s, now)
+			c.stepService(ctx, s, now)
 		}
 	}
 }
 
-func (c *Controller) step(ctx context.Context, s *routetable.Service, now time.Time) {
+func (c *Controller) stepService(ctx context.Context, s *routetable.Service, now time.Time) {
 	state := c.services[s.Name]
 	if state == nil {
-		state = &service{orders: make(map[Slot]*order), closed: make(map[Slot]time.Time), less: make(map[Slot]time.Time), leaving: make(map[ident.Instance]bool), reclaims: make(map[ident.FailureDomain]time.Time)}
+		state = &serviceState{orders: make(map[Slot]*order), closedUntil: make(map[Slot]time.Time), lessWantedSince: make(map[Slot]time.Time), seenLeaving: make(map[ident.Instance]bool), domainReclaimedAt: make(map[ident.FailureDomain]time.Time)}
 		c.services[s.Name] = state
 	}
-	serving := c.count(s.Name, state, now)
-	need, keep := c.watched(state, c.Need(s), len(s.Scale.Prices), serving, now)
+	serving := c.countServing(s.Name, state, now)
+	need, keep := c.observedNeed(state, c.Need(s), len(s.Scale.Prices), serving, now)
 	closed := make(map[Slot]bool)
-	for slot, until := range state.closed {
+	for slot, until := range state.closedUntil {
 		closed[slot] = now.Before(until)
 	}
-	r := &round{service: s, state: state, serving: serving, need: need, keep: keep, now: now}
+	r := &evaluation{service: s, state: state, serving: serving, need: need, minServing: keep, now: now}
 	for _, n := range serving {
-		r.total += n
+		r.totalServing += n
 	}
-	wanted := Plan(Situation{Scale: s.Scale, Need: need, Serving: serving, Coming: coming(s, state, serving, now), Closed: closed, Lacking: c.lacking(s.Name), AtRisk: state.atRisk(s.Scale.Startup, now)})
+	wanted := Plan(PlanInput{Scale: s.Scale, Need: need, Serving: serving, PendingReclaimable: pendingReclaimable(s, state, serving, now), ClosedSlots: closed, MissingCapacity: c.missingCapacity(s.Name), DomainsAtRisk: state.domainsAtRisk(s.Scale.Startup, now)})
 	for _, n := range wanted {
-		r.wanted += n
+		r.totalWanted += n
 	}
-	for _, slot := range inOrder(wanted) {
-		count, due := c.due(r, slot, wanted[slot])
+	for _, slot := range sortedSlots(wanted) {
+		count, due := c.dueOrder(r, slot, wanted[slot])
 		if closed[slot] || !due {
 			continue
 		}
-		if !c.send(ctx, r, slot, count) {
+		if !c.sendOrder(ctx, r, slot, count) {
 			return
 		}
-		r.total -= max(0, serving[slot]-count)
+		r.totalServing -= max(0, serving[slot]-count)
 	}
 }
 
-// round is one look at a service.
-type round struct {
+// evaluation is one look at a service.
+type evaluation struct {
 	service *routetable.Service
-	state   *service
+	state   *serviceState
 	serving map[Slot]int
-	// total serve, and wanted are planned; keep must not be given up.
-	total, wanted int
+	// totalServing serve, and wanted are planned; keep must not be given up.
+	totalServing, totalWanted int
 	// need is that of the present work.
-	need, keep float64
+	need, minServing float64
 	now        time.Time
 }
 
-// inOrder returns slots in a fixed order, so that two holders act alike.
-func inOrder(wanted map[Slot]int) []Slot {
+// sortedSlots returns slots in a fixed order, so that two holders act alike.
+func sortedSlots(wanted map[Slot]int) []Slot {
 	slots := slices.Collect(maps.Keys(wanted))
 	slices.SortFunc(slots, func(a, b Slot) int {
 		if a.Reclaimable != b.Reclaimable {
@@ -229,10 +229,10 @@
 	return slots
 }
 
-// watched returns the need, and how many upstreams must not be given up. Both are
+// observedNeed returns the need, and how many upstreams must not be given up. Both are
 // unknown until some work was seen: a system that was just started, or changed its
 // holder, keeps what serves.
-func (c *Controller) watched(state *service, need float64, domains int, serving map[Slot]int, now time.Time) (wanted, keep float64) {
+func (c *Controller) observedNeed(state *serviceState, need float64, domains int, serving map[Slot]int, now time.Time) (wanted, keep float64) {
 	found := 0
 	for slot, n := range serving {
 		// What this holder ordered, to replace what it found, must not count.
@@ -240,36 +240,36 @@
 			found += n
 		}
 	}
-	state.found = max(state.found, found)
-	if state.workSince.IsZero() && need > leastWork {
+	state.servedAtStart = max(state.servedAtStart, found)
+	if state.workSince.IsZero() && need > minUsedNeed {
 		state.workSince = now
 	}
-	if !state.workSince.IsZero() && now.Sub(state.workSince) >= watchFor {
+	if !state.workSince.IsZero() && now.Sub(state.workSince) >= observeFor {
 		return need, need
 	}
-	keep = float64(state.found)
-	if !state.workSince.IsZero() && now.Sub(state.workSince) >= leastWatch {
-		keep = min(keep, surplus*need)
+	keep = float64(state.servedAtStart)
+	if !state.workSince.IsZero() && now.Sub(state.workSince) >= minObserveFor {
+		keep = min(keep, surplusFactor*need)
 	}
-	return max(need, keep/reserve(domains)), max(need, keep)
+	return max(need, keep/reserveFactor(domains)), max(need, keep)
 }
 
-// coming is how many reclaimable upstreams were ordered and may still start: not those of
+// pendingReclaimable is how many reclaimable upstreams were ordered and may still start: not those of
 // a domain that was reclaimed since.
-func coming(s *routetable.Service, state *service, serving map[Slot]int, now time.Time) int {
+func pendingReclaimable(s *routetable.Service, state *serviceState, serving map[Slot]int, now time.Time) int {
 	sum := 0
 	for slot, o := range state.orders {
-		if slot.Reclaimable && o.answered && o.at.After(state.reclaims[slot.FailureDomain]) && now.Sub(o.at) < s.Scale.Startup+showSlack {
+		if slot.Reclaimable && o.accepted && o.sentAt.After(state.domainReclaimedAt[slot.FailureDomain]) && now.Sub(o.sentAt) < s.Scale.Startup+listingSlack {
 			sum += max(0, o.wanted-serving[slot])
 		}
 	}
 	return sum
 }
 
-// lacking is how many upstreams are missing because serving ones take less than they could.
+// missingCapacity is how many upstreams are missing because serving ones take less than they could.
 // What goes wrong without it: an upstream in need counts as one that serves, the others
 // carry its work, and the reserve for the next reclaim is gone.
-func (c *Controller) lacking(name ident.Service) float64 {
+func (c *Controller) missingCapacity(name ident.Service) float64 {
 	sum := 0.0
 	for _, u := range c.View().Of(name) {
 		if u.State == directory.Ready && c.Serves(&u) {
@@ -279,13 +279,13 @@
 	return sum
 }
 
-// count counts the ready upstreams, and closes slots whose upstreams are being
+// countServing counts the ready upstreams, and closes slots whose upstreams are being
 // reclaimed: most reclaimable ones of a domain begin to leave at once, and nobody gave
 // them up. Not all of them have to: one that has crashed never says that it leaves. Their
 // entries do not say why they leave. What goes wrong if a reclaim is not noticed: within
 // two seconds of it the reserve in the other domains is given up, the next domain is
 // reclaimed, and a fifth of the engines is left until on-demand ones have started.
-func (c *Controller) count(name ident.Service, state *service, now time.Time) map[Slot]int {
+func (c *Controller) countServing(name ident.Service, state *serviceState, now time.Time) map[Slot]int {
 	serving, leaving := make(map[Slot]int), make(map[Slot][]ident.Instance)
 	for _, u := range c.View().Of(name) {
 		if !c.Serves(&u) {
@@ -295,37 +295,37 @@
 		switch {
 		case u.State == directory.Ready:
 			serving[slot]++
-		case u.Reclaimable && !state.leaving[u.ID]:
+		case u.Reclaimable && !state.seenLeaving[u.ID]:
 			leaving[slot] = append(leaving[slot], u.ID)
 		}
 	}
 	for slot, ids := range leaving {
-		c.noteLeaving(name, state, slot, ids, serving[slot], now)
+		c.recordLeaving(name, state, slot, ids, serving[slot], now)
 	}
 	return serving
 }
 
-// noteLeaving notes upstreams of a slot that began to leave, beside so many that serve: they
+// recordLeaving notes upstreams of a slot that began to leave, beside so many that serve: they
 // were given up, or leave in turn, or their domain is reclaimed.
-func (c *Controller) noteLeaving(name ident.Service, state *service, slot Slot, ids []ident.Instance, serving int, now time.Time) {
+func (c *Controller) recordLeaving(name ident.Service, state *serviceState, slot Slot, ids []ident.Instance, serving int, now time.Time) {
 	last := state.orders[slot]
 	given := last != nil && serving >= last.wanted
-	if !given && float64(len(ids)) < reclaimedPart*float64(len(ids)+serving) {
+	if !given && float64(len(ids)) < reclaimedShare*float64(len(ids)+serving) {
 		return
 	}
 	for _, id := range ids {
-		state.leaving[id] = true
+		state.seenLeaving[id] = true
 	}
 	if given {
 		return
 	}
-	state.closed[slot] = now.Add(closedFor)
-	state.reclaimed, state.reclaims[slot.FailureDomain] = now, now
+	state.closedUntil[slot] = now.Add(slotClosedFor)
+	state.lastReclaimAt, state.domainReclaimedAt[slot.FailureDomain] = now, now
 	c.Log.Info("upstreams are reclaimed", "service", name, "domain", slot.FailureDomain, "upstreams", ids)
 }
 
-// due reports whether an order must be sent for a slot, and for how many.
-func (c *Controller) due(r *round, slot Slot, wanted int) (int, bool) {
+// dueOrder reports whether an order must be sent for a slot, and for how many.
+func (c *Controller) dueOrder(r *evaluation, slot Slot, wanted int) (int, bool) {
 	last := r.state.orders[slot]
 	before := r.serving[slot]
 	if last != nil {
@@ -339,66 +339,66 @@
 	if wanted < before {
 		return c.mayShrink(r, slot, before, wanted)
 	}
-	delete(r.state.less, slot)
+	delete(r.state.lessWantedSince, slot)
 	if wanted > before {
 		return wanted, true
 	}
 	if last == nil {
 		return 0, false
 	}
-	missing := r.serving[slot] != wanted && r.now.Sub(last.at) > r.service.Scale.Startup+showSlack
-	return wanted, !last.answered || missing
+	missing := r.serving[slot] != wanted && r.now.Sub(last.sentAt) > r.service.Scale.Startup+listingSlack
+	return wanted, !last.accepted || missing
 }
 
 // mayShrink reports whether upstreams of a slot may be given up, and how many are to stay:
 // not as long as the others could not carry the work, nor reclaimable ones before less was
 // wanted for a while, or soon after a reclaim.
-func (c *Controller) mayShrink(r *round, slot Slot, before, wanted int) (int, bool) {
-	since, waiting := r.state.less[slot]
+func (c *Controller) mayShrink(r *evaluation, slot Slot, before, wanted int) (int, bool) {
+	since, waiting := r.state.lessWantedSince[slot]
 	if !waiting {
-		r.state.less[slot] = r.now
+		r.state.lessWantedSince[slot] = r.now
 		since = r.now
 	}
-	count := c.staying(r, slot, before, wanted, r.now.Sub(since))
-	left := r.total - max(r.serving[slot]-count, 0)
-	return count, count < before && r.now.Sub(c.since) >= settleAfter && float64(left) >= r.keep
+	count := c.countToKeep(r, slot, before, wanted, r.now.Sub(since))
+	left := r.totalServing - max(r.serving[slot]-count, 0)
+	return count, count < before && r.now.Sub(c.holderSince) >= settleDelay && float64(left) >= r.minServing
 }
 
-// staying is how many upstreams of a slot are to stay where less than before has been wanted
+// countToKeep is how many upstreams of a slot are to stay where less than before has been wanted
 // for so long; before itself for all of them.
-func (c *Controller) staying(r *round, slot Slot, before, wanted int, lessFor time.Duration) int {
+func (c *Controller) countToKeep(r *evaluation, slot Slot, before, wanted int, lessFor time.Duration) int {
 	if !slot.Reclaimable {
 		replaced := r.state.workSince.IsZero()
-		if replaced || lessFor >= shortFor {
+		if replaced || lessFor >= onDemandShrinkDelay {
 			return wanted
 		}
 		return before
 	}
-	calm := r.state.reclaimed.IsZero() || r.now.Sub(r.state.reclaimed) >= calmAfter
+	calm := r.state.lastReclaimAt.IsZero() || r.now.Sub(r.state.lastReclaimAt) >= noShrinkAfterReclaim
 	switch {
 	case !calm:
 		return before
-	case lessFor >= shrinkAfter:
+	case lessFor >= reclaimableShrinkDelay:
 		return wanted
-	case lessFor >= surplusFor && r.total > surplus*r.wanted:
-		return min(before, surplus*wanted)
+	case lessFor >= surplusShrinkDelay && r.totalServing > surplusFactor*r.totalWanted:
+		return min(before, surplusFactor*wanted)
 	}
 	return before
 }
 
-// pauseOthers closes all reclaimable slots for a moment.
-func (r *round) pauseOthers() {
-	until := r.now.Add(pauseFor)
+// pauseReclaimableOrders closes all reclaimable slots for a moment.
+func (r *evaluation) pauseReclaimableOrders() {
+	until := r.now.Add(orderPause)
 	for d := range r.service.Scale.Prices {
 		slot := Slot{d, true}
-		if r.state.closed[slot].Before(until) {
-			r.state.closed[slot] = until
+		if r.state.closedUntil[slot].Before(until) {
+			r.state.closedUntil[slot] = until
 		}
 	}
 }
 
-// send sends one order and reports whether to go on.
-func (c *Controller) send(ctx context.Context, r *round, slot Slot, wanted int) bool {
+// sendOrder sends one order and reports whether to go on.
+func (c *Controller) sendOrder(ctx context.Context, r *evaluation, slot Slot, wanted int) bool {
 	grant, holds := c.Leases.Grant()
 	if !holds || grant.Fence != c.fence {
 		return false
@@ -408,17 +408,17 @@
 	})
 	c.Log.Info("upstreams ordered", "service", r.service.Name, "domain", slot.FailureDomain, "reclaimable", slot.Reclaimable,
 		"wanted", wanted, "serving", r.serving[slot], "need", r.need, "fence", grant.Fence, "error", err)
-	delete(r.state.less, slot)
+	delete(r.state.lessWantedSince, slot)
 	switch {
 	case errors.Is(err, platform.ErrOldFence):
 		c.Leases.Refused(grant.Fence)
 		return false
 	case errors.Is(err, platform.ErrNoCapacity):
-		r.state.closed[slot] = r.now.Add(closedFor)
-		r.state.reclaimed = r.now
-		r.pauseOthers()
+		r.state.closedUntil[slot] = r.now.Add(slotClosedFor)
+		r.state.lastReclaimAt = r.now
+		r.pauseReclaimableOrders()
 	default:
-		r.state.orders[slot] = &order{wanted: wanted, answered: err == nil, at: r.now}
+		r.state.orders[slot] = &order{wanted: wanted, accepted: err == nil, sentAt: r.now}
 	}
 	return true
 }
--- a/internal/scaling/need_test.go
+++ b/internal/scaling/need_test.go
@@ -41,11 +41,11 @@
 // a factor instead of what a reclaim takes.
 func TestTheReserveOutlastsTwoReclaims(t *testing.T) {
 	for domains := 1; domains <= 12; domains++ {
-		got := reserve(domains)
+		got := reserveFactor(domains)
 		if domains > 4 && got*float64(domains-2)/float64(domains) < 0.999 {
 			t.Errorf("%d domains: %.2f does not outlast two", domains, got)
 		}
-		if got < 1 || got > mostReserve {
+		if got < 1 || got > maxReserveFactor {
 			t.Errorf("%d domains: %.2f", domains, got)
 		}
 	}
@@ -60,9 +60,9 @@
 	scale := standardScale()
 	scale.Most = 60
 	delete(scale.Prices, "d")
-	s := Situation{Scale: scale, Need: 60, Closed: make(map[Slot]bool), Serving: map[Slot]int{{"b", true}: 40, {"c", true}: 40}}
+	s := PlanInput{Scale: scale, Need: 60, ClosedSlots: make(map[Slot]bool), Serving: map[Slot]int{{"b", true}: 40, {"c", true}: 40}}
 	for _, d := range []ident.FailureDomain{"a", "b", "c"} {
-		s.Closed[Slot{d, true}] = true
+		s.ClosedSlots[Slot{d, true}] = true
 	}
 	count := func() int {
 		n := 0
@@ -76,7 +76,7 @@
 	if n := count(); n != 0 {
 		t.Errorf("%d on-demand upstreams without need", n)
 	}
-	s.AtRisk = nextReclaim
+	s.DomainsAtRisk = expectedNextReclaims
 	if n := count(); n < 8 || n > 20 {
 		t.Errorf("%d on-demand upstreams at risk", n)
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -33,21 +33,21 @@
 // plan that count differently.
 func TestPlanKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := Situation{Scale: standardScale(), Need: rapid.Float64Range(0, 40).Draw(t, "need"), Closed: make(map[Slot]bool)}
+		s := PlanInput{Scale: standardScale(), Need: rapid.Float64Range(0, 40).Draw(t, "need"), ClosedSlots: make(map[Slot]bool)}
 		s.Scale.Least = rapid.IntRange(0, 2).Draw(t, "least")
 		s.Scale.Most = rapid.IntRange(s.Scale.Least, 8).Draw(t, "most")
 		if rapid.Bool().Draw(t, "no reclaimable ones") {
 			s.Scale.ReclaimablePrice = 0
 		}
 		for _, d := range domains {
-			s.Closed[Slot{d, true}] = rapid.IntRange(0, 3).Draw(t, "closed") == 0
+			s.ClosedSlots[Slot{d, true}] = rapid.IntRange(0, 3).Draw(t, "closed") == 0
 		}
 		wanted := Plan(s)
 		total := 0
 		for _, d := range domains {
-			n := inDomain(wanted, d)
+			n := countInDomain(wanted, d)
 			total += n
-			if n > s.Scale.Most || n < s.Scale.Least && !s.Closed[Slot{d, true}] {
+			if n > s.Scale.Most || n < s.Scale.Least && !s.ClosedSlots[Slot{d, true}] {
 				t.Fatalf("%d in %s, want %d to %d", n, d, s.Scale.Least, s.Scale.Most)
 			}
 			if s.Scale.ReclaimablePrice == 0 && wanted[Slot{d, true}] > 0 {
@@ -82,9 +82,9 @@
 			map[Slot]int{{"b", false}: 1, {"c", true}: 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := Situation{Scale: standardScale(), Need: c.need, Serving: c.serving, Closed: make(map[Slot]bool)}
+			s := PlanInput{Scale: standardScale(), Need: c.need, Serving: c.serving, ClosedSlots: make(map[Slot]bool)}
 			for _, slot := range c.closed {
-				s.Closed[slot] = true
+				s.ClosedSlots[slot] = true
 			}
 			got := Plan(s)
 			for slot, n := range got {
@@ -101,8 +101,8 @@
 
 // cloud takes orders and holds the lease.
 type cloud struct {
-	// tried is a version that is tried; empty for none.
-	tried  ident.Version
+	// newVersion is a version that is tried; empty for none.
+	newVersion  ident.Version
 	now    time.Time
 	holds  bool
 	need   float64
@@ -133,8 +133,8 @@
 		Now: func() time.Time { return c.now }, Table: func() *routetable.Table { return table },
 		View: func() *directory.View { return c.view }, Need: func(*routetable.Service) float64 { return c.need },
 		Leases: c, Duties: c, Log: hclog.NewNullLogger(),
-		Serves:   func(u *directory.Upstream) bool { return c.tried == "" || u.Version != c.tried },
-		Changing: func(ident.Service) bool { return c.tried != "" },
+		Serves:   func(u *directory.Upstream) bool { return c.newVersion == "" || u.Version != c.newVersion },
+		Changing: func(ident.Service) bool { return c.newVersion != "" },
 		Lacking:  func(id ident.Instance) float64 { return c.lacking[id] },
 	}
 }
@@ -142,7 +142,7 @@
 // Guards against a plan that counts on upstreams which take a part of what they could serve.
 func TestUpstreamsWithLimitsAreMadeUpFor(t *testing.T) {
 	there := map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}
-	sum := func(s Situation) (reclaimable, onDemand int) {
+	sum := func(s PlanInput) (reclaimable, onDemand int) {
 		for slot, n := range Plan(s) {
 			if slot.Reclaimable {
 				reclaimable += n
@@ -158,7 +158,7 @@
 		lacking               float64
 		reclaimable, onDemand int
 	}{{0, 12, 0}, {0.4, 13, 0}, {2, 14, 0}, {7.5, 20, 2}} {
-		reclaimable, onDemand := sum(Situation{Scale: scale, Need: 6, Serving: there, Lacking: c.lacking})
+		reclaimable, onDemand := sum(PlanInput{Scale: scale, Need: 6, Serving: there, MissingCapacity: c.lacking})
 		if reclaimable != c.reclaimable || onDemand != c.onDemand {
 			t.Errorf("%v lacking: %d and %d on demand, want %d and %d", c.lacking, reclaimable, onDemand, c.reclaimable, c.onDemand)
 		}
@@ -168,7 +168,7 @@
 		{ID: "u1", Service: "svc", State: directory.Ready}, {ID: "u2", Service: "svc", State: directory.Ready}, {ID: "u3", Service: "svc", State: directory.Leaving},
 	})
 	c.lacking = map[ident.Instance]float64{"u1": 0.75, "u3": 1}
-	if got := controller.lacking("svc"); got != 0.75 {
+	if got := controller.missingCapacity("svc"); got != 0.75 {
 		t.Errorf("%v lacking, want 0.75", got)
 	}
 }
@@ -210,14 +210,14 @@
 		return sum
 	}
 	set()
-	c.steps(t, controller, 10*time.Second)
+	c.runSteps(t, controller, 10*time.Second)
 	left["a"] = 1 // the one that has crashed
 	set()
-	c.steps(t, controller, time.Second)
+	c.runSteps(t, controller, time.Second)
 	first := onDemand()
 	left["b"] = 0
 	set()
-	c.steps(t, controller, time.Second)
+	c.runSteps(t, controller, time.Second)
 	if got := onDemand(); first >= 6 || got < 6 {
 		t.Errorf("%d on-demand ones after the first reclaim, %d after the second, for a need of 8 of which 2 are on their way", first, got)
 	}
@@ -228,10 +228,10 @@
 func TestWhatIsGivenUpIsNoReclaim(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 12
-	c.serve(map[Slot]int{{"a", true}: 6, {"b", true}: 6, {"c", true}: 6, {"d", true}: 6}, directory.Ready)
-	c.steps(t, controller, 10*time.Second)
+	c.setUpstreams(map[Slot]int{{"a", true}: 6, {"b", true}: 6, {"c", true}: 6, {"d", true}: 6}, directory.Ready)
+	c.runSteps(t, controller, 10*time.Second)
 	c.need = 1
-	c.steps(t, controller, 10*time.Second)
+	c.runSteps(t, controller, 10*time.Second)
 	c.orders = nil
 	var list []directory.Upstream
 	for _, d := range []string{"a", "b", "c", "d"} {
@@ -244,10 +244,10 @@
 		}
 	}
 	c.view = directory.NewView(list)
-	c.steps(t, controller, time.Second)
+	c.runSteps(t, controller, time.Second)
 	// The load is back before they have left: more is wanted than serve.
 	c.need = 5
-	c.steps(t, controller, time.Second)
+	c.runSteps(t, controller, time.Second)
 	for _, o := range c.orders {
 		if !o.Reclaimable && o.Wanted > 0 {
 			t.Errorf("ordered: %+v", o)
@@ -261,30 +261,30 @@
 func TestNothingIsGivenUpWhileTheVersionChanges(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 6
-	c.serve(map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}, directory.Ready)
-	c.steps(t, controller, 10*time.Second)
+	c.setUpstreams(map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}, directory.Ready)
+	c.runSteps(t, controller, 10*time.Second)
 	before := len(c.orders)
-	c.tried, c.need = "v2", 1
-	c.steps(t, controller, 30*time.Second)
+	c.newVersion, c.need = "v2", 1
+	c.runSteps(t, controller, 30*time.Second)
 	if after := c.orders[before:]; len(after) > 0 {
 		t.Errorf("ordered meanwhile: %+v", after)
 	}
-	c.tried = ""
-	c.steps(t, controller, 30*time.Second)
+	c.newVersion = ""
+	c.runSteps(t, controller, 30*time.Second)
 	if len(c.orders) == before {
 		t.Error("nothing is given up after it")
 	}
 }
 
-// steps plays a time in steps of a quarter of a second.
-func (c *cloud) steps(t *testing.T, controller *Controller, d time.Duration) {
+// runSteps plays a time in steps of a quarter of a second.
+func (c *cloud) runSteps(t *testing.T, controller *Controller, d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(250 * time.Millisecond) {
 		controller.Step(t.Context())
 	}
 }
 
-// serve sets how many upstreams of each slot there are.
-func (c *cloud) serve(counts map[Slot]int, state directory.State) {
+// setUpstreams sets how many upstreams of each slot there are.
+func (c *cloud) setUpstreams(counts map[Slot]int, state directory.State) {
 	var list []directory.Upstream
 	for slot, n := range counts {
 		for i := range n {
@@ -302,8 +302,8 @@
 // Cause: no work is taken for no need.
 func TestWhatServesStaysUntilWorkWasSeen(t *testing.T) {
 	c, controller := newCloud()
-	c.serve(map[Slot]int{{"a", false}: 3, {"b", false}: 2, {"c", false}: 2, {"d", false}: 2}, directory.Ready)
-	c.steps(t, controller, 10*time.Second)
+	c.setUpstreams(map[Slot]int{{"a", false}: 3, {"b", false}: 2, {"c", false}: 2, {"d", false}: 2}, directory.Ready)
+	c.runSteps(t, controller, 10*time.Second)
 	total := 0
 	for _, o := range c.orders {
 		if o.Reclaimable {
@@ -325,7 +325,7 @@
 		serving, need    int
 		within, leftMost int
 	}{
-		{"thirty times the need", 240, 8, 6, 4 * surplus * 8},
+		{"thirty times the need", 240, 8, 6, 4 * surplusFactor * 8},
 		{"a wave's top", 24, 8, 6, 24},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -335,11 +335,11 @@
 			for _, d := range domains {
 				there[Slot{d, true}] = test.serving / len(domains)
 			}
-			c.serve(there, directory.Ready)
-			c.steps(t, controller, 5*time.Second)
+			c.setUpstreams(there, directory.Ready)
+			c.runSteps(t, controller, 5*time.Second)
 			c.orders = nil
 			c.need = float64(test.need)
-			c.steps(t, controller, time.Duration(test.within)*time.Second)
+			c.runSteps(t, controller, time.Duration(test.within)*time.Second)
 			left := make(map[ident.FailureDomain]int)
 			for slot, n := range there {
 				left[slot.FailureDomain] = n
@@ -351,7 +351,7 @@
 			for _, n := range left {
 				sum += n
 			}
-			if sum > test.leftMost || sum < min(test.serving, surplus*test.need) {
+			if sum > test.leftMost || sum < min(test.serving, surplusFactor*test.need) {
 				t.Errorf("%d are left of %d after %d s", sum, test.serving, test.within)
 			}
 		})
@@ -363,16 +363,16 @@
 func TestAnOrderIsRepeatedUntilItIsAnswered(t *testing.T) {
 	c, controller := newCloud()
 	c.need, c.err = 2, platform.ErrAnswerLost
-	c.steps(t, controller, 5*time.Second)
+	c.runSteps(t, controller, 5*time.Second)
 	first := len(c.orders)
-	c.steps(t, controller, time.Second)
+	c.runSteps(t, controller, time.Second)
 	if len(c.orders) == first {
 		t.Error("not repeated")
 	}
 	c.err = nil
-	c.steps(t, controller, time.Second)
+	c.runSteps(t, controller, time.Second)
 	answered := len(c.orders)
-	c.steps(t, controller, time.Second)
+	c.runSteps(t, controller, time.Second)
 	if len(c.orders) != answered {
 		t.Error("repeated though answered")
 	}
@@ -381,7 +381,7 @@
 func TestARefusedHolderOrdersNothingMore(t *testing.T) {
 	c, controller := newCloud()
 	c.need, c.err = 2, platform.ErrOldFence
-	c.steps(t, controller, 5*time.Second)
+	c.runSteps(t, controller, 5*time.Second)
 	if len(c.orders) != 1 {
 		t.Errorf("%d orders", len(c.orders))
 	}
@@ -393,11 +393,11 @@
 	c, controller := newCloud()
 	c.need = 4
 	full := map[Slot]int{{"a", true}: 2, {"b", true}: 2, {"c", true}: 2, {"d", true}: 2}
-	c.serve(full, directory.Ready)
-	c.steps(t, controller, 10*time.Second)
+	c.setUpstreams(full, directory.Ready)
+	c.runSteps(t, controller, 10*time.Second)
 	c.orders = nil
-	c.serve(map[Slot]int{{"b", true}: 2}, directory.Leaving)
-	c.steps(t, controller, time.Second)
+	c.setUpstreams(map[Slot]int{{"b", true}: 2}, directory.Leaving)
+	c.runSteps(t, controller, time.Second)
 	more := 0
 	for _, o := range c.orders {
 		if o.FailureDomain != "b" {
@@ -438,11 +438,11 @@
 				cl.view = directory.NewView(list)
 			}
 			set(0)
-			cl.steps(t, controller, 10*time.Second)
+			cl.runSteps(t, controller, 10*time.Second)
 			cl.need, cl.orders = 3, nil
-			cl.steps(t, controller, shrinkAfter-2*time.Second)
+			cl.runSteps(t, controller, reclaimableShrinkDelay-2*time.Second)
 			set(c.leaves)
-			cl.steps(t, controller, 4*time.Second)
+			cl.runSteps(t, controller, 4*time.Second)
 			shrunk := false
 			for _, o := range cl.orders {
 				shrunk = shrunk || o.FailureDomain != "b" && o.Wanted < 3
