--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -105,9 +105,9 @@
 	// outageEnded is when the store was last seen to be back; zero if never
 	// away.
 	outageEnded time.Time
-	storeAway        bool
+	storeAway   bool
 	views       viewBuilder
-	changes       changeLog
+	changes     changeLog
 }
 
 // New returns a directory that knows nothing.
--- a/internal/directory/news.go
+++ b/internal/directory/news.go
@@ -74,7 +74,7 @@
 
 type change struct {
 	offset ident.Offset
-	name  ident.Instance
+	name   ident.Instance
 }
 
 // add notes that an entry changed. Mostly it is the newest change; what other gateways tell
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -93,7 +93,7 @@
 	newest *View
 	// listed is where the newest view has each name, and changed are the names of which it
 	// may be wrong.
-	listed   map[ident.Instance]viewKey
+	listed  map[ident.Instance]viewKey
 	changed map[ident.Instance]bool
 	// inGrace are dropped names that were usable when they were looked at last.
 	inGrace map[ident.Instance]bool
--- a/internal/duty/lease.go
+++ b/internal/duty/lease.go
@@ -1,11 +1,11 @@
-// Package duty decides which gateway carries the duties that only one may have
-// at a time, by a lease kept in the platform's store.
+// Package duty elects the one gateway that performs the duties of which only one
+// gateway may be in charge at a time, by a lease in the platform's store.
 //
-// The lease is one record that is replaced only under the condition that nothing
-// was written since it was read, so that of two gateways that want it one
-// succeeds. The offset of a claim is its fencing number: later holders have
-// higher ones. The record also carries what the holder has decided for good, so
-// that a successor repeats decisions exactly.
+// The lease is a single record. It is replaced only on the condition that nothing
+// was written since it was read, so that of two gateways that claim it only one
+// succeeds. A claim's offset gives its fencing number: later holders have higher
+// ones. The record also carries the decisions that its holders committed, so that
+// a successor repeats them exactly.
 package duty
 
 import (
@@ -15,93 +15,107 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Record is the lease as it stands in the store.
+// Record is the lease as it is stored.
 type Record struct {
-	Holder ident.Instance    `json:"holder"`
-	Incarnation   ident.Incarnation `json:"life"`
-	// ClaimID identifies the claim that the record belongs to.
+	Holder      ident.Instance    `json:"holder"`
+	Incarnation ident.Incarnation `json:"life"`
+	// ClaimID identifies the claim that this record makes, renews or releases.
 	ClaimID string `json:"claim"`
-	// Fence is the fencing number; 0 in the claim itself, whose offset gives it.
+	// Fence is the fencing number; 0 in the claim itself, whose offset gives it
+	// (see fenceOf).
 	Fence ident.Fence `json:"fence,omitempty"`
-	// Released: the holder gave it up and calls no more.
+	// Released is set when the holder has given the lease up and makes no more
+	// calls under it.
 	Released bool `json:"released,omitempty"`
-	// PreviousHolder is who held it before the holder.
+	// PreviousHolder held the lease before Holder.
 	PreviousHolder ident.Instance `json:"before,omitempty"`
-	// Decided is what holders decided for good.
+	// Decided holds the decisions that holders have committed.
 	Decided json.RawMessage `json:"decided,omitempty"`
-	// GatewayCount is how many gateways the holder knew, for those that have just
-	// started and know none.
+	// GatewayCount is how many gateways the holder knew, for gateways that have
+	// just started and know none.
 	GatewayCount int `json:"gateways,omitempty"`
 	Kept
 }
 
-// Kept is what gateways that start need to know of those before them.
+// Kept is state that the record passes on to gateways that start.
 type Kept struct {
-	// Requests that end upstreams.
+	// Requests are the poison requests.
 	Requests json.RawMessage `json:"kept,omitempty"`
-	// Limits that upstreams named.
+	// Limits are the rate limits that upstreams announced.
 	Limits json.RawMessage `json:"kept_limits,omitempty"`
 }
 
-// Timing bounds a lease. All are measured by a clock that counts suspensions.
+// Timing holds the durations of a lease. All are measured by a clock that goes on
+// while the machine is suspended.
 type Timing struct {
-	// Length: a lease whose record did not change for so long may be claimed.
+	// Length is the time after which a lease may be claimed if its record has not
+	// changed.
 	Length time.Duration
-	// Margin is by how much a holder stops before that.
+	// Margin is how long before the end of Length the holder stops acting.
 	Margin time.Duration
 	// RenewEvery is the time between two renewals.
 	RenewEvery time.Duration
-	// RankDelay is how much longer each further candidate waits.
+	// RankDelay, times its rank, is how much longer a candidate waits before it
+	// claims the lease.
 	RankDelay time.Duration
 }
 
-// NewTiming returns the timing of a lease of a length. A holder survives one lost
-// renewal.
+// NewTiming returns the timing of a lease of the given length, where a call is in
+// flight for at most the given time. A holder keeps the lease when one renewal is
+// lost.
 func NewTiming(length, flight time.Duration) Timing {
 	const (
-		// slack covers the rounding of clocks and the process's own delays.
+		// slack covers clock rounding and the process's own delays.
 		slack = 300 * time.Millisecond
 	)
-	// The platform counts a return of the duty to its last holder within the
-	// length as a fault, so that the lease itself is longer.
+	// The platform counts it as a fault if the duty returns to its last holder
+	// within the length. The lease itself is therefore longer.
 	length += flight + slack
 	margin := flight + slack
 	return Timing{Length: length, Margin: margin, RenewEvery: (length - margin) / 2, RankDelay: 500 * time.Millisecond}
 }
 
-// State is what a gateway knows of the lease. It does no I/O.
+// State is what a gateway knows of the lease. It does no I/O and is not safe for
+// concurrent use.
 type State struct {
-	self ident.Instance
+	self        ident.Instance
 	incarnation ident.Incarnation
 
+	// upToDate is false while the store has to be read before anything is written.
 	upToDate bool
-	// record is the newest one read, at offset; end is what a condition names.
-	record Record
-	hasRecord   bool
-	offset ident.Offset
+	// record is the newest record read or written, and offset its offset, where
+	// hasRecord is set. logEnd is the end of the log then, which a conditional
+	// write names.
+	record    Record
+	hasRecord bool
+	offset    ident.Offset
 	logEnd    ident.Offset
-	// firstSeenAt is when the record was first seen.
+	// firstSeenAt is when this gateway first saw the record, or that there is none.
 	firstSeenAt time.Time
-	// claimID is this gateway's claim, begun at started; fence is 0 until the
-	// claim was seen in the store.
-	claimID   string
+	// claimID identifies this gateway's own claim; empty if it has none.
+	claimID string
+	// extendedAt is when the write of the claim or of its newest renewal began.
 	extendedAt time.Time
-	fence   ident.Fence
-	// over: the lease ran out, and the claim is used no more.
-	expired    bool
+	// fence is the claim's fencing number; 0 until the claim was seen in the store.
+	fence ident.Fence
+	// expired is set once the lease has run out: its claim is never used again.
+	expired bool
+	// dropped is set once the lease was given up early, see Drop.
 	dropped bool
 }
 
-// NewState returns a state that knows nothing.
+// NewState returns the state of a gateway that has not read the lease yet.
 func NewState(self ident.Instance, life ident.Incarnation) *State {
 	return &State{self: self, incarnation: life}
 }
 
-// ApplyRead takes in the newest record, or that there is none, as read at an instant.
+// ApplyRead applies a read of the store at the time now: the newest record and its
+// offset, or nil if there is none, and the log's end. A read that is older than the
+// newest known end is ignored.
 func (s *State) ApplyRead(record *Record, offset, end ident.Offset, now time.Time) {
 	changed := !s.upToDate || s.hasRecord != (record != nil) || s.offset != offset
 	if s.upToDate && end < s.logEnd {
-		return // a read that was behind
+		return // stale read
 	}
 	s.upToDate, s.logEnd = true, end
 	if record == nil {
@@ -123,8 +137,8 @@
 	}
 }
 
-// fenceOf returns a record's fencing number. Offsets count from 0, and 0 means
-// none.
+// fenceOf returns the fencing number of the record at an offset. Offsets begin at 0,
+// but fencing number 0 means none, so that a claim's number is its offset plus 1.
 func fenceOf(r Record, offset ident.Offset) ident.Fence {
 	if r.Fence != 0 {
 		return r.Fence
@@ -136,9 +150,10 @@
 	s.claimID, s.fence, s.extendedAt, s.dropped, s.expired = "", 0, time.Time{}, false, false
 }
 
-// Expire notes that the lease has run out without a renewal, and returns its fencing
-// number, once. From then on this gateway never acts under that number, even if a
-// renewal succeeds late, so that others may be told.
+// Expire marks the lease as expired if its deadline has passed without a renewal, and
+// then returns its fencing number, only once per claim. From then on this gateway never
+// acts under that number, even if a renewal succeeds late, so that the other gateways
+// may be told.
 func (s *State) Expire(t Timing, now time.Time) (ident.Fence, bool) {
 	if deadline := s.Deadline(t); deadline.IsZero() || now.Before(deadline) {
 		return 0, false
@@ -147,11 +162,12 @@
 	return s.fence, true
 }
 
-// Drop gives the duties up at once, because a call showed a later holder.
+// Drop gives the lease up at once, for example because a call showed that there is a
+// later holder.
 func (s *State) Drop() { s.dropped = true }
 
-// Deadline is when this gateway must stop to act; zero if it does not hold the
-// lease.
+// Deadline returns when this gateway must stop acting under the lease; zero if it does
+// not hold it.
 func (s *State) Deadline(t Timing) time.Time {
 	if s.claimID == "" || s.fence == 0 || s.dropped || s.expired || s.record.Released {
 		return time.Time{}
@@ -159,21 +175,22 @@
 	return s.extendedAt.Add(t.Length - t.Margin)
 }
 
-// Action is what to write next.
+// Action is the next write to the lease.
 type Action int
 
 // The actions.
 const (
-	// Wait: nothing is due.
+	// Wait means that no write is due.
 	Wait Action = iota
-	// Claim the lease.
+	// Claim means to claim the lease.
 	Claim
-	// Renew it.
+	// Renew means to renew the lease.
 	Renew
 )
 
-// NextAction returns what is due now for a candidate of a rank. givenUp is the highest fencing
-// number whose holder says that it acts under it no more; 0 if none.
+// NextAction returns the write that is due now for the candidate with a rank. givenUp
+// is the highest fencing number whose holder reports that it no longer acts under it;
+// 0 if none.
 func (s *State) NextAction(t Timing, rank int, givenUp ident.Fence, now time.Time) Action {
 	if !s.upToDate {
 		return Wait
@@ -190,7 +207,8 @@
 	return Wait
 }
 
-// claimable reports whether nobody can act under the newest record any more.
+// claimable reports whether no gateway can act under the newest record any more, and
+// the candidate with this rank has waited long enough to claim the lease.
 func (s *State) claimable(t Timing, rank int, givenUp ident.Fence, now time.Time) bool {
 	waited := now.Sub(s.firstSeenAt)
 	delay := time.Duration(rank) * t.RankDelay
@@ -200,15 +218,17 @@
 	case (s.record.Released || givenUp == fenceOf(s.record, s.offset)) && s.record.PreviousHolder != s.self && s.record.Holder != s.self:
 		return waited >= delay
 	case s.claimID != "" && s.record.ClaimID == s.claimID:
-		// Its own lease, run out or refused: a new claim has a higher fence.
+		// This gateway's own lease has expired or was given up. A new claim gets a
+		// higher fencing number.
 		return !s.dropped || waited >= t.Length
 	}
 	return waited > t.Length+delay
 }
 
-// NextRecord returns the record to write for an action, and the end that must not have
-// moved. It must be called right before the write, with the present: the
-// deadline counts from here.
+// NextRecord returns the record to write for an action, and the log's end that the
+// write must name as its condition. It must be called right before the write with the
+// current time, from which the deadline counts. A nil decided keeps the committed
+// decisions as they are.
 func (s *State) NextRecord(action Action, claim string, decided json.RawMessage, now time.Time) (Record, ident.Offset) {
 	r := Record{Holder: s.self, Incarnation: s.incarnation, Decided: decided}
 	if decided == nil {
@@ -226,7 +246,7 @@
 	return r, s.logEnd
 }
 
-// ApplyWrite notes that a record was written at an offset.
+// ApplyWrite applies a successful write of a record at an offset.
 func (s *State) ApplyWrite(r Record, offset ident.Offset, now time.Time) {
 	s.hasRecord, s.record, s.offset, s.logEnd, s.firstSeenAt = true, r, offset, offset+1, now
 	if s.claimID == r.ClaimID && s.fence == 0 {
@@ -234,14 +254,15 @@
 	}
 }
 
-// WriteFailed notes that something else was written meanwhile: what is known is old.
-func (s *State) WriteFailed(before time.Time) {
+// WriteFailed applies a write that failed or whose result is not known: the store has
+// to be read again, and the deadline counts from previousExtension as before the write.
+func (s *State) WriteFailed(previousExtension time.Time) {
 	s.upToDate = false
-	s.extendedAt = before
+	s.extendedAt = previousExtension
 }
 
-// ReleaseRecord returns the record that gives the lease up, or false where it is not
-// held.
+// ReleaseRecord returns the record that releases the lease and the log's end that its
+// write must name as its condition; false if the lease is not held.
 func (s *State) ReleaseRecord(t Timing, now time.Time) (Record, ident.Offset, bool) {
 	if deadline := s.Deadline(t); deadline.IsZero() || !now.Before(deadline) {
 		return Record{}, 0, false
--- a/internal/duty/lease_test.go
+++ b/internal/duty/lease_test.go
@@ -26,10 +26,10 @@
 	managers []*Manager
 	// fault is how the next write is treated, and late are writes that are done
 	// later if their condition still holds.
-	fault func() fault
-	lateWrites  []func()
+	fault      func() fault
+	lateWrites []func()
 	// writeTime is how long a write takes, and meanwhile what happens then.
-	writeTime      time.Duration
+	writeTime time.Duration
 	meanwhile func()
 	// silent: holders whose lease has run out do not say so.
 	expiryNotAnnounced bool
@@ -331,8 +331,8 @@
 // it kept, and wipes it out.
 func TestWhatIsKeptOutlivesItsHolder(t *testing.T) {
 	w := newWorld(0)
-	kept := func(m *Manager, first string) *string {
-		learned := first
+	keepState := func(m *Manager, initial string) *string {
+		learned := initial
 		m.cfg.Keep = func() Kept { return Kept{Requests: json.RawMessage(learned), Limits: json.RawMessage(learned)} }
 		m.cfg.Learn = func(kept Kept) {
 			if string(kept.Requests) != string(kept.Limits) {
@@ -343,7 +343,7 @@
 		return &learned
 	}
 	first := w.add("a", 0)
-	kept(first, `[1]`)
+	keepState(first, `[1]`)
 	claim := func(m *Manager) {
 		for range 100 {
 			m.tick(context.Background())
@@ -356,13 +356,13 @@
 	}
 	claim(first)
 	second := w.add("b", 0)
-	learned := kept(second, `null`)
+	learned := keepState(second, `null`)
 	claim(second)
 	if *learned != `[1]` {
 		t.Errorf("the second holder learned %s", *learned)
 	}
 	third := w.add("c", 0)
-	read := kept(third, `null`)
+	read := keepState(third, `null`)
 	if _, err := third.ReadGateways(context.Background()); err != nil || *read != `[1]` {
 		t.Errorf("a gateway that starts learned %s, %v", *read, err)
 	}
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -18,25 +18,26 @@
 )
 
 const (
-	// Topic and key of the lease in the platform's store.
-	Topic = "keyed.duties"
-	leaseKey   = "entry"
-	// tickInterval is how often a candidate looks whether something is due.
+	// Topic and leaseKey say where the lease is in the platform's store.
+	Topic    = "keyed.duties"
+	leaseKey = "entry"
+	// tickInterval is how often a candidate checks whether a write is due.
 	tickInterval = 100 * time.Millisecond
-	// idleTickInterval is the same at a gateway that is no candidate: of a thousand, nearly all.
+	// idleTickInterval is the same at a gateway that is no candidate: nearly all of a
+	// thousand gateways.
 	idleTickInterval = 500 * time.Millisecond
-	// readInterval is how often a candidate reads the lease when it does not hear
-	// of a holder.
+	// readInterval is how often a candidate reads the lease while no gateway reports
+	// that it holds it.
 	readInterval = 700 * time.Millisecond
-	// candidateCount is how many gateways watch the lease: enough for two that are
-	// lost together with the holder.
+	// candidateCount is how many gateways watch the lease: enough to lose two of them
+	// together with the holder.
 	candidateCount = 3
 )
 
-// ErrNotHeld: this gateway does not hold the lease now.
+// ErrNotHeld is returned when this gateway does not hold the lease.
 var ErrNotHeld = errors.New("the lease is not held")
 
-// Config is what a Manager works with.
+// Config configures a Manager.
 type Config struct {
 	Self   ident.Instance
 	Life   ident.Incarnation
@@ -44,54 +45,59 @@
 	Store  platform.KeyedLog
 	Now    boottime.Clock
 	Log    hclog.Logger
-	// Rank is this gateway's place among the candidates, from 0, and whether
-	// another gateway says that it holds the lease.
+	// Rank returns this gateway's rank among the candidates, from 0, and whether
+	// another gateway reports that it holds the lease.
 	Rank func() (rank int, held bool)
-	// Gateways is how many gateways are known.
+	// Gateways returns how many gateways are known.
 	Gateways func() int
-	// Keep returns what the record carries for gateways that start, and Learn takes in
-	// what it carried; it is called before this gateway can write one. Both may be nil.
+	// Keep returns the state that the record passes on to gateways that start. Learn
+	// merges the state of a record that was read; it is called before this gateway can
+	// write a record itself. Both may be nil.
 	Keep  func() Kept
 	Learn func(kept Kept)
-	// GivenUp is the highest fencing number whose holder says that it acts under it
-	// no more. Without its word, a holder that has lost the store, and it alone, is
-	// followed only when its record has stood for the lease's length (some 4 s).
+	// GivenUp returns the highest fencing number whose holder reports that it no longer
+	// acts under it; 0 if none. Without that report, a holder that alone cannot reach the
+	// store is replaced only after its record has not changed for the lease's length
+	// (some 4 s).
 	GivenUp func() ident.Fence
-	// Lost is called when this gateway's lease has run out, to tell the others.
+	// Lost is called when this gateway's lease has expired and no call under it is in
+	// flight, to tell the other gateways.
 	Lost func()
 }
 
-// Manager keeps the lease. It is safe for concurrent use.
+// Manager claims, renews and releases the lease. It is safe for concurrent use.
 type Manager struct {
 	cfg Config
 
 	// writeMu is held during a write, so that a commit and a renewal never
-	// write under the same condition.
+	// write with the same condition.
 	writeMu sync.Mutex
 
-	mu     sync.Mutex
-	state  *State
+	mu         sync.Mutex
+	state      *State
 	lastReadAt time.Time
-	loggedHeld   bool
-	// callsInFlight counts the calls that were begun under a lease and have not ended.
+	// loggedHeld is whether the newest log message said that the lease is held.
+	loggedHeld bool
+	// callsInFlight counts the calls that began under a lease and have not ended.
 	callsInFlight int
-	// expiredFence is the newest lease of this gateway that ran out, and givenUp the newest
-	// one of which the others are told.
+	// expiredFence is the fencing number of this gateway's newest lease that expired,
+	// and givenUpFence that of the newest one of which the other gateways are told.
 	expiredFence, givenUpFence ident.Fence
 }
 
-// NewManager returns a manager that holds nothing.
+// NewManager returns a manager that does not hold the lease.
 func NewManager(cfg Config) *Manager {
 	return &Manager{cfg: cfg, state: NewState(cfg.Self, cfg.Life)}
 }
 
-// Grant is the right to make calls. Its deadline leaves time for a call's flight.
+// Grant is the right to make calls under the lease. Its deadline leaves time for calls
+// in flight.
 type Grant struct {
 	platform.Authority
 	Deadline time.Time
 }
 
-// Grant returns the right to call now.
+// Grant returns the right to make calls, or false if the lease is not held now.
 func (m *Manager) Grant() (Grant, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -105,14 +111,14 @@
 	}, true
 }
 
-// holds reports whether this gateway may act under its lease; m.mu is held.
+// holds reports whether this gateway may act under its lease now; the caller holds m.mu.
 func (m *Manager) holds() bool {
 	deadline := m.state.Deadline(m.cfg.Timing)
 	return !deadline.IsZero() && m.cfg.Now().Before(deadline)
 }
 
-// beginCall counts one call under the lease, if it is still held under that number, until
-// ended. Errors: ErrNotHeld.
+// beginCall counts a call as in flight until ended is called. It returns ErrNotHeld if
+// the lease is not held under that fencing number any more.
 func (m *Manager) beginCall(fence ident.Fence) (ended func(), err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,27 +133,29 @@
 	}, nil
 }
 
-// Refused notes that a call was refused because a later holder has called.
+// Refused gives the lease up after a call under its fencing number was rejected because
+// a later holder has made a call. A number other than the current one is ignored.
 func (m *Manager) Refused(fence ident.Fence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state.fence == fence {
 		m.state.Drop()
-		m.cfg.Log.Warn("lease given up, a later holder has called", "fence", fence)
+		m.cfg.Log.Warn("lease given up: a later holder has made a call", "fence", fence)
 	}
 }
 
-// GivenUp returns the fencing number of this gateway's newest lease that ran out; 0 if
-// none did. It acts under that number no more.
+// GivenUp returns the fencing number of this gateway's newest lease that expired and has
+// no call in flight; 0 if there is none. The gateway never acts under that number again.
 func (m *Manager) GivenUp() ident.Fence {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.givenUpFence
 }
 
-// handleExpiry notes when the lease has run out. The others are told once no call under it is
-// in flight: at its holder's word a successor calls at once, and where the platform does
-// not check fencing numbers, a call that arrives after that one would count.
+// handleExpiry marks the lease as expired when its deadline has passed. The other gateways
+// are told once no call under it is in flight: as soon as they are told, a successor makes
+// calls, and where the platform does not check fencing numbers, an older call that arrives
+// after them would take effect.
 func (m *Manager) handleExpiry() {
 	m.mu.Lock()
 	if fence, over := m.state.Expire(m.cfg.Timing, m.cfg.Now()); over {
@@ -163,8 +171,8 @@
 	}
 }
 
-// ReadGateways reads how many gateways the newest holder knew; 0 where nothing is
-// on record.
+// ReadGateways reads from the store how many gateways the newest holder knew; 0 if there
+// is no record.
 func (m *Manager) ReadGateways(ctx context.Context) (int, error) {
 	if err := m.read(ctx); err != nil {
 		return 0, err
@@ -177,14 +185,14 @@
 	return m.state.record.GatewayCount, nil
 }
 
-// Decided returns what holders decided for good, as far as it is known here.
+// Decided returns the committed decisions of the newest record known here.
 func (m *Manager) Decided() json.RawMessage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.record.Decided
 }
 
-// Run keeps the lease until ctx ends, and then releases it.
+// Run claims and renews the lease until ctx ends, and then releases it.
 func (m *Manager) Run(ctx context.Context) {
 	wait := tickInterval
 	for pause.For(ctx, wait) {
@@ -197,17 +205,17 @@
 	m.release()
 }
 
-// tick reads what is new where that matters, and writes what is due. It reports whether this
-// gateway holds the lease or is a candidate for it.
+// tick reads the lease if this gateway holds it or may have to claim it, and makes the
+// write that is due. It reports whether this gateway holds the lease or is a candidate.
 func (m *Manager) tick(ctx context.Context) bool {
 	m.handleExpiry()
-	rank, heard := m.cfg.Rank()
+	rank, heldElsewhere := m.cfg.Rank()
 	now := m.cfg.Now()
 	_, holding := m.Grant()
-	if !holding && (heard || rank >= candidateCount) {
+	if !holding && (heldElsewhere || rank >= candidateCount) {
 		m.mu.Lock()
-		// A holder is heard: what was read before says nothing about how long
-		// its record has stood.
+		// Another gateway holds the lease, or this one is no candidate. An earlier
+		// read must not count for how long the record has not changed.
 		m.state.upToDate = false
 		m.mu.Unlock()
 		return rank < candidateCount
@@ -217,7 +225,7 @@
 	m.mu.Unlock()
 	if stale {
 		if err := m.read(ctx); err != nil {
-			m.cfg.Log.Debug("lease not read", "error", err)
+			m.cfg.Log.Debug("cannot read the lease", "error", err)
 			return true
 		}
 	}
@@ -228,12 +236,12 @@
 		return true
 	}
 	if err := m.write(ctx, action, nil); err != nil {
-		m.cfg.Log.Info("lease not written", "action", int(action), "error", err)
+		m.cfg.Log.Info("cannot write the lease", "action", int(action), "error", err)
 	}
 	return true
 }
 
-// read reads the lease's record.
+// read reads the newest lease record, and applies it.
 func (m *Manager) read(ctx context.Context) error {
 	batch, err := m.cfg.Store.Newest(ctx, Topic, nil)
 	if err != nil {
@@ -247,7 +255,7 @@
 		}
 		var record Record
 		if err := json.Unmarshal(r.Value, &record); err != nil {
-			return pkgerrors.Wrapf(err, "lease record at %d", r.Offset)
+			return pkgerrors.Wrapf(err, "decode lease record at offset %d", r.Offset)
 		}
 		newest, offset = &record, r.Offset
 	}
@@ -261,8 +269,9 @@
 	return nil
 }
 
-// Commit writes a decision under the lease. Without an error it stands, and every
-// later holder knows it. After an error it may stand or not: read Decided later.
+// Commit writes decisions into the lease's record, in place of the earlier ones. Without
+// an error they are committed, and every later holder knows them. After an error they may
+// be committed or not: Decided tells later. It returns ErrNotHeld if the lease is not held.
 func (m *Manager) Commit(ctx context.Context, decided json.RawMessage) error {
 	if _, holds := m.Grant(); !holds {
 		return ErrNotHeld
@@ -270,12 +279,12 @@
 	return m.write(ctx, Renew, decided)
 }
 
-// write writes the lease's next record.
+// write writes the lease's next record. A nil decided keeps the committed decisions.
 func (m *Manager) write(ctx context.Context, action Action, decided json.RawMessage) error {
 	m.writeMu.Lock()
 	defer m.writeMu.Unlock()
 	m.mu.Lock()
-	before := m.state.extendedAt
+	previousExtension := m.state.extendedAt
 	if action == Renew && (m.state.claimID == "" || m.state.fence == 0 || !m.state.upToDate) {
 		m.mu.Unlock()
 		return ErrNotHeld
@@ -293,12 +302,12 @@
 	case err == nil:
 		m.state.ApplyWrite(record, offset, m.cfg.Now())
 	case action == Claim && errors.Is(err, platform.ErrAnswerLost):
-		// It may be there now or later: the next read tells, and the deadline
-		// counts from before the write.
+		// The claim may be stored now or later. The next read shows it, and the
+		// deadline counts from before the write.
 		m.state.upToDate = false
 	default:
-		// What was not written, or is not known to be, extends nothing.
-		m.state.WriteFailed(before)
+		// A write that failed, or may have failed, does not extend the lease.
+		m.state.WriteFailed(previousExtension)
 		if action == Claim {
 			m.state.forgetClaim()
 		}
@@ -306,7 +315,7 @@
 	return err
 }
 
-// put writes a record if nothing was written since the one that it follows.
+// put writes a record on the condition that the log still ends at the given offset.
 func (m *Manager) put(ctx context.Context, record Record, condition ident.Offset) (ident.Offset, error) {
 	data, err := json.Marshal(record)
 	if err != nil {
@@ -315,7 +324,7 @@
 	return m.cfg.Store.Put(ctx, Topic, leaseKey, data, &condition)
 }
 
-// logHeldChange logs when the lease is taken or lost.
+// logHeldChange logs when this gateway begins or ceases to hold the lease.
 func (m *Manager) logHeldChange() {
 	grant, held := m.Grant()
 	m.mu.Lock()
@@ -331,7 +340,7 @@
 	}
 }
 
-// release gives the lease up, so that a successor need not wait for its length.
+// release releases the lease, so that a successor need not wait until it expires.
 // Calls under it must have ended.
 func (m *Manager) release() {
 	m.writeMu.Lock()
@@ -346,7 +355,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), tickInterval*5)
 	defer cancel()
 	if _, err := m.put(ctx, record, condition); err != nil {
-		m.cfg.Log.Info("lease not released, it runs out", "error", err)
+		m.cfg.Log.Info("cannot release the lease, it will expire", "error", err)
 		return
 	}
 	m.cfg.Log.Info("lease released", "fence", record.Fence)
--- a/internal/planner/market.go
+++ b/internal/planner/market.go
@@ -35,8 +35,8 @@
 
 // Back-off of an offering whose starts fail: doubled with each failure.
 const (
-	initialBackOff   = 5 * time.Second
-	maxBackOff = 2 * time.Minute
+	initialBackOff = 5 * time.Second
+	maxBackOff     = 2 * time.Minute
 )
 
 // RetryAt is when a start may be tried again.
--- a/internal/planner/size.go
+++ b/internal/planner/size.go
@@ -23,7 +23,7 @@
 	least, most int
 	// grow: start more below this number. shrink: drain above this one.
 	growBelow, shrinkAbove int
-	onDemandShare float64
+	onDemandShare          float64
 }
 
 // newSize decides by demand, by the document's bounds, and by the loss of a
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -49,7 +49,7 @@
 	// been too many before those beyond it are given up. What goes wrong without it: a
 	// fleet that starts with thirty times what its first callers need pays for all of it
 	// for as long as a small system waits for a wave to come back.
-	surplusFactor    = 3
+	surplusFactor      = 3
 	surplusShrinkDelay = 2 * time.Second
 	// noShrinkAfterReclaim is for how long after a reclaim nothing is given up: the next
 	// domain's reclaim mostly follows within that time, and nothing can be had
@@ -97,15 +97,15 @@
 	// limit.
 	Lacking func(ident.Instance) float64
 
-	fence    ident.Fence
-	holderSince    time.Time
-	services map[ident.Service]*serviceState
+	fence       ident.Fence
+	holderSince time.Time
+	services    map[ident.Service]*serviceState
 }
 
 // serviceState is what a holder remembers of one service.
 type serviceState struct {
 	// orders are the newest ones, by slot.
-	orders map[Slot]*order
+	orders      map[Slot]*order
 	closedUntil map[Slot]time.Time
 	// lessWantedSince is since when less than ordered was wanted, by slot.
 	lessWantedSince map[Slot]time.Time
@@ -114,8 +114,8 @@
 	// servedAtStart is how many upstreams served when this holder began, and workSince
 	// when it first saw work: until it has watched the work for a while, it
 	// keeps that number.
-	servedAtStart     int
-	workSince time.Time
+	servedAtStart int
+	workSince     time.Time
 	// lastReclaimAt is when the newest reclaim, or an order that was turned down,
 	// was seen.
 	lastReclaimAt time.Time
@@ -149,7 +149,7 @@
 	wanted int
 	// answered: the platform took it.
 	accepted bool
-	sentAt       time.Time
+	sentAt   time.Time
 }
 
 // Step orders what is due.
@@ -211,7 +211,7 @@
 	totalServing, totalWanted int
 	// need is that of the present work.
 	need, minServing float64
-	now        time.Time
+	now              time.Time
 }
 
 // sortedSlots returns slots in a fixed order, so that two holders act alike.
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -26,8 +26,8 @@
 	Need float64
 	// Serving counts the ready upstreams, and Coming the reclaimable ones that
 	// were ordered and can still be on their way.
-	Serving map[Slot]int
-	PendingReclaimable  int
+	Serving            map[Slot]int
+	PendingReclaimable int
 	// MissingCapacity is how many of the serving upstreams are missing because some take less than
 	// they could serve, as a real number.
 	MissingCapacity float64
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -102,13 +102,13 @@
 // cloud takes orders and holds the lease.
 type cloud struct {
 	// newVersion is a version that is tried; empty for none.
-	newVersion  ident.Version
-	now    time.Time
-	holds  bool
-	need   float64
-	err    error
-	view   *directory.View
-	orders []platform.ScaleOrder
+	newVersion ident.Version
+	now        time.Time
+	holds      bool
+	need       float64
+	err        error
+	view       *directory.View
+	orders     []platform.ScaleOrder
 	// lacking is the part that an upstream does not take.
 	lacking map[ident.Instance]float64
 }
