--- a/internal/duty/lease_test.go
+++ b/internal/duty/lease_test.go
@@ -18,20 +18,21 @@
 
 func init() { testkit.FixSeed() }
 
-// world is a store and several managers in virtual time: nothing runs unless the
-// test calls it.
+// world is a store and several managers in virtual time. Nothing runs unless the test
+// calls it.
 type world struct {
 	now      time.Time
 	records  []platform.KeyedRecord
 	managers []*Manager
-	// fault is how the next write is treated, and late are writes that are done
-	// later if their condition still holds.
+	// fault returns what happens to the next write. lateWrites are writes that are
+	// applied later if their condition still holds.
 	fault      func() fault
 	lateWrites []func()
-	// writeTime is how long a write takes, and meanwhile what happens then.
+	// writeTime is how long a write takes. meanwhile, if set, is called repeatedly during
+	// the next write.
 	writeTime time.Duration
 	meanwhile func()
-	// silent: holders whose lease has run out do not say so.
+	// expiryNotAnnounced is set where holders do not report that their lease expired.
 	expiryNotAnnounced bool
 }
 
@@ -65,7 +66,7 @@
 	return m
 }
 
-// givenUp is what the other managers say.
+// givenUp returns the highest fencing number that the other managers report as given up.
 func (w *world) givenUp(self ident.Instance) ident.Fence {
 	highest := ident.Fence(0)
 	for _, m := range w.managers {
@@ -90,7 +91,7 @@
 	case unavailable:
 		return 0, platform.ErrUnavailable
 	case answerLost:
-		_, _ = write() // whether it was done is what the caller cannot know
+		_, _ = write() // the caller cannot know whether it was applied
 		return 0, platform.ErrAnswerLost
 	case appliedLate:
 		w.lateWrites = append(w.lateWrites, func() { _, _ = write() })
@@ -99,7 +100,7 @@
 	return write()
 }
 
-// passWriteTime lets the time of a write pass, while the others go on.
+// passWriteTime lets the time of a write pass while the other managers run.
 func (w *world) passWriteTime() {
 	others := w.meanwhile
 	w.meanwhile = nil
@@ -111,7 +112,7 @@
 }
 
 func (w *world) Follow(context.Context, string, ident.Offset, time.Duration) (platform.KeyedBatch, error) {
-	panic("the lease is read as a whole")
+	panic("the lease is read with Newest, not followed")
 }
 
 func (w *world) Newest(context.Context, string, func([]platform.KeyedRecord)) (platform.KeyedBatch, error) {
@@ -122,7 +123,7 @@
 	return batch, nil
 }
 
-// run ticks all managers for a time.
+// run ticks all managers for the given time.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tickInterval) {
 		for _, m := range w.managers {
@@ -131,7 +132,7 @@
 	}
 }
 
-// holders returns the managers that may call now.
+// holders returns the indices of the managers that may make calls now.
 func (w *world) holders() []int {
 	var out []int
 	for i, m := range w.managers {
@@ -142,11 +143,11 @@
 	return out
 }
 
-// Symptom: two gateways carry a duty at the same time, or one number is used by
-// two. Sequence: gateways that stop for any time at any place, writes that are
-// refused, whose answers are lost, or that are done seconds later. Cause: a
-// deadline that counts from the answer, a claim taken for held before it was read
-// back, or a condition that is not checked.
+// Guards against two gateways that perform a duty at the same time, or use the same
+// fencing number. Gateways freeze at any point and for any time; writes are rejected, lose
+// their answers, or are applied seconds later. Possible causes: a deadline that counts from
+// the answer, a claim that counts as held before it was read back, or a condition that is
+// not checked.
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(3)
@@ -228,15 +229,15 @@
 			t.Errorf("held by %s", got)
 		}
 	})
-	// Symptom: a usage report comes too late, and nothing is scaled for 4 s. Sequence:
-	// the store turns away the holder, and no other gateway. Cause: successors that
-	// wait for the lease's length from when they first read its record.
+	// Guards against a late usage report and 4 s without scaling, when the store rejects
+	// the holder and no other gateway: successors waited for the lease's length from when
+	// they first read its record.
 	t.Run("one that has run out is taken at its holder's word", func(t *testing.T) {
 		w := newWorld(3)
 		w.run(time.Second)
 		holder := w.managers[0]
 		w.fault = func() fault { return unavailable }
-		// The others hear of a holder, and do not look at the record.
+		// The other gateways receive reports of a holder and do not read the record.
 		all := w.managers
 		w.managers = all[:1]
 		for holds := true; holds; _, holds = holder.Grant() {
@@ -253,10 +254,10 @@
 			t.Errorf("held: %v, fence %d after %d", holds, grant.Fence, holder.GivenUp())
 		}
 	})
-	// Symptom: the platform gets a call under an older fencing number after one under
-	// a newer number. Sequence: the holder calls just before its lease runs out, and
-	// says that it has run out; its successor calls before that call arrives. Cause: the
-	// lease's margin for a call in flight does not count where the holder gives its word.
+	// Guards against a call under an older fencing number that reaches the platform after
+	// one under a newer number. The holder makes a call just before its lease expires and
+	// reports the expiry; its successor makes a call before the first one arrives. The
+	// lease's margin for calls in flight does not help where the holder reports expiry.
 	t.Run("its holder's word waits for calls in flight", func(t *testing.T) {
 		w := newWorld(2)
 		w.run(time.Second)
@@ -270,17 +271,17 @@
 		w.managers = w.managers[:1]
 		w.run(testTiming.Length)
 		if _, err := grant.Begin(); !errors.Is(err, ErrNotHeld) || holder.GivenUp() != 0 {
-			t.Errorf("may still call: %v; says that %d has run out while a call is in flight", err, holder.GivenUp())
+			t.Errorf("Begin returns %v, want ErrNotHeld; reports that %d expired while a call is in flight", err, holder.GivenUp())
 		}
 		ended()
 		w.run(tickInterval)
 		if holder.GivenUp() != grant.Fence {
-			t.Errorf("says that %d has run out, want %d", holder.GivenUp(), grant.Fence)
+			t.Errorf("reports that %d expired, want %d", holder.GivenUp(), grant.Fence)
 		}
 	})
-	// Symptom: the duty goes from one gateway to another and back within the
-	// length of a lease. Sequence: the holder releases it and is started again;
-	// its successor releases it too. Cause: a released lease is free for all.
+	// Guards against a duty that goes from one gateway to another and back within the
+	// length of a lease. The holder releases the lease and restarts; its successor releases
+	// it too. The cause would be a released lease that any gateway may claim.
 	t.Run("it does not come back at once", func(t *testing.T) {
 		w := newWorld(2)
 		w.run(time.Second)
@@ -327,8 +328,8 @@
 	})
 }
 
-// Guards against a holder that writes its record before it has taken in what the one before
-// it kept, and wipes it out.
+// Guards against a holder that writes its record before it has merged the state that the
+// previous holder passed on, and so erases it.
 func TestWhatIsKeptOutlivesItsHolder(t *testing.T) {
 	w := newWorld(0)
 	keepState := func(m *Manager, initial string) *string {
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -158,7 +158,7 @@
 // after them would take effect.
 func (m *Manager) handleExpiry() {
 	m.mu.Lock()
-	if fence, over := m.state.Expire(m.cfg.Timing, m.cfg.Now()); over {
+	if fence, expired := m.state.Expire(m.cfg.Timing, m.cfg.Now()); expired {
 		m.expiredFence = fence
 	}
 	tell := m.expiredFence != m.givenUpFence && m.callsInFlight == 0
