--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -19,140 +19,151 @@
 )
 
 const (
-	// reclaimableShrinkDelay is for how long less must be wanted before upstreams are given
-	// up: as long as a wave of the users' traffic takes from its middle to its
-	// top, so that what is given up is not wanted back at once.
+	// reclaimableShrinkDelay is how long fewer reclaimable upstreams must be wanted before
+	// some are removed: as long as a wave of the users' traffic takes from its mean to its
+	// peak, so that what was removed is not needed again at once.
 	reclaimableShrinkDelay = 8 * time.Second
-	// slotClosedFor is for how long a slot counts as closed after an order was
-	// turned down or its upstreams were reclaimed.
+	// slotClosedFor is how long a slot counts as closed after an order was rejected for lack
+	// of capacity or its upstreams were reclaimed.
 	slotClosedFor = 4 * time.Second
-	// orderPause is for how long nothing else is ordered after an order was turned
-	// down: mostly nothing is to be had anywhere then, and what is missing here
-	// must not be heaped up elsewhere.
+	// orderPause is how long no other reclaimable upstreams are ordered after an order was
+	// rejected for lack of capacity: usually there is no capacity anywhere then, and what is
+	// missing in one domain must not be piled up in another.
 	orderPause = time.Second
-	// onDemandShrinkDelay is for how long less must be wanted before on-demand upstreams are
-	// given up: a step of the need to and fro costs a start of 4 s.
+	// onDemandShrinkDelay is how long fewer on-demand upstreams must be wanted before some
+	// are removed: a need that changes to and fro by one costs a start of 4 s each time.
 	onDemandShrinkDelay = 3 * time.Second
-	// listingSlack is how much longer than their start new upstreams may take to
-	// be listed before the order is repeated.
+	// listingSlack is how much longer than their startup time new upstreams may take to be
+	// listed before the order is repeated.
 	listingSlack = 3 * time.Second
-	// minUsedNeed is the need above which a service counts as used.
+	// minUsedNeed is the need, in upstreams, above which a service counts as used.
 	minUsedNeed = 0.1
-	// observeFor is for how long work is watched before the number of upstreams
+	// observeFor is how long a service's work is observed before the number of upstreams
 	// follows it: the averages take some seconds to fill.
 	observeFor = 6 * time.Second
-	// minObserveFor is after how much of watchFor the averages show more than two thirds of
-	// the work.
+	// minObserveFor is the part of observeFor after which the averages show more than two
+	// thirds of the work.
 	minObserveFor = 3 * time.Second
-	// surplusFactor is how many times what is wanted are more upstreams than the users' traffic
-	// asks for again within a wave or a burst, and surplusFor for how long they must have
-	// been too many before those beyond it are given up. What goes wrong without it: a
-	// fleet that starts with thirty times what its first callers need pays for all of it
-	// for as long as a small system waits for a wave to come back.
+	// surplusFactor times what is wanted is more upstreams than the users' traffic needs
+	// again within a wave or a burst. What is beyond that is removed after
+	// surplusShrinkDelay already. Otherwise a fleet that starts with thirty times what its
+	// first callers need pays for all of it for as long as a small system waits for the next
+	// wave.
 	surplusFactor      = 3
 	surplusShrinkDelay = 2 * time.Second
-	// noShrinkAfterReclaim is for how long after a reclaim nothing is given up: the next
-	// domain's reclaim mostly follows within that time, and nothing can be had
-	// then.
+	// noShrinkAfterReclaim is how long after a reclaim no reclaimable upstreams are removed:
+	// the next domain is usually reclaimed within that time, and there is no capacity then.
 	noShrinkAfterReclaim = 15 * time.Second
-	// reclaimRiskPeriod is for how long after a reclaim the next domain's is expected before
-	// reclaimable upstreams can be had again and have started.
+	// reclaimRiskPeriod is how long after a reclaim the next domain's reclaim is expected
+	// before reclaimable upstreams are available again and have started.
 	reclaimRiskPeriod = 8 * time.Second
-	// expectedNextReclaims is how many domains are expected to follow a first reclaim: mostly the
-	// next one does.
+	// expectedNextReclaims is how many domains are expected to be reclaimed after a first
+	// one: usually one more is.
 	expectedNextReclaims = 0.7
-	// assignmentDelay is how much longer than its start an upstream takes until it has work: the
-	// order, its entry and the gateways' views.
+	// assignmentDelay is how much longer than its startup time an upstream takes until it
+	// gets work: for the order, its entry and the gateways' views.
 	assignmentDelay = 1500 * time.Millisecond
-	// minReclaimInterval keeps domains that go together from counting as all of them.
+	// minReclaimInterval is the shortest time assumed between the reclaims of two domains.
+	// Without it, domains that are reclaimed together would put all domains at risk.
 	minReclaimInterval = time.Second
-	// reclaimedShare of a domain's reclaimable upstreams leave together only where the
-	// domain is reclaimed: planned work takes them in turn.
+	// reclaimedShare is the share of a domain's reclaimable upstreams that leave together
+	// only when the domain is reclaimed: planned work stops them one after the other.
 	reclaimedShare = 2.0 / 3
-	// settleDelay is how long a new holder watches before it orders less than
-	// there is.
+	// settleDelay is how long a new holder observes before it orders fewer upstreams than
+	// there are.
 	settleDelay = 3 * time.Second
 )
 
-// Leases is what a controller needs of the lease.
+// Leases gives the right to order upstreams. Grant returns it, or false if the lease is
+// not held, and Refused gives the lease up after an order under that fencing number was
+// rejected.
 type Leases interface {
 	Grant() (duty.Grant, bool)
 	Refused(ident.Fence)
 }
 
-// Controller orders upstreams of the services that have a scale.
+// Controller orders upstreams for the services that have a Scale. It is not safe for
+// concurrent use.
 type Controller struct {
-	Now    boottime.Clock
-	Table  func() *routetable.Table
-	View   func() *directory.View
+	Now   boottime.Clock
+	Table func() *routetable.Table
+	View  func() *directory.View
+	// Need returns how many upstreams a service's present work keeps as busy as they
+	// should be.
 	Need   func(*routetable.Service) float64
 	Leases Leases
 	Duties platform.Duties
 	Log    hclog.Logger
-	// Serves reports whether an upstream carries its service's work for good, and Changing
-	// whether a service's upstreams are being changed for those of another version.
+	// Serves reports whether an upstream counts as its service's permanent capacity, which
+	// those of a version that is being tried do not. Changing reports whether a service's
+	// upstreams are being replaced by those of another version.
 	Serves   func(*directory.Upstream) bool
 	Changing func(ident.Service) bool
-	// Lacking is the part of an upstream's work that it does not take, because it named a
-	// limit.
+	// Lacking returns the share of its work, from 0 to 1, that an upstream does not accept
+	// because of a rate limit that it announced.
 	Lacking func(ident.Instance) float64
 
+	// fence is the fencing number of the newest lease, and holderSince when this gateway
+	// was first seen to hold it. services is what was recorded under it.
 	fence       ident.Fence
 	holderSince time.Time
 	services    map[ident.Service]*serviceState
 }
 
-// serviceState is what a holder remembers of one service.
+// serviceState is what the holder of the lease records about one service.
 type serviceState struct {
-	// orders are the newest ones, by slot.
-	orders      map[Slot]*order
+	// orders are the newest orders by slot.
+	orders map[Slot]*order
+	// closedUntil is when a closed slot is open again.
 	closedUntil map[Slot]time.Time
-	// lessWantedSince is since when less than ordered was wanted, by slot.
+	// lessWantedSince is since when fewer upstreams than ordered are wanted, by slot.
 	lessWantedSince map[Slot]time.Time
-	// seenLeaving are upstreams whose reclaim was seen.
+	// seenLeaving are the reclaimable upstreams whose leaving has been explained, by an
+	// order or a reclaim.
 	seenLeaving map[ident.Instance]bool
-	// servedAtStart is how many upstreams served when this holder began, and workSince
-	// when it first saw work: until it has watched the work for a while, it
-	// keeps that number.
+	// servedAtStart is how many upstreams served when this holder took the lease, and
+	// workSince when it first saw work. It keeps that number of upstreams until it has
+	// observed the work for a while.
 	servedAtStart int
 	workSince     time.Time
-	// lastReclaimAt is when the newest reclaim, or an order that was turned down,
-	// was seen.
+	// lastReclaimAt is when a reclaim was last seen, or an order was last rejected for
+	// lack of capacity, which is a sign of one.
 	lastReclaimAt time.Time
-	// domainReclaimedAt are when domains were seen to be reclaimed.
+	// domainReclaimedAt is when each domain was last seen to be reclaimed.
 	domainReclaimedAt map[ident.FailureDomain]time.Time
 }
 
-// domainsAtRisk is how many domains are expected to be reclaimed before an upstream that is
-// ordered now has started: as many as the pace of the last reclaims gives. What goes wrong
-// if only the next one is expected: where they go faster than on-demand upstreams start,
-// what is ordered is always one domain behind.
+// domainsAtRisk returns how many domains are expected to be reclaimed before an upstream
+// that is ordered now has started, at the pace of the latest reclaims. If it were at most
+// one, orders would always be one domain behind where domains are reclaimed faster than
+// on-demand upstreams start.
 func (s *serviceState) domainsAtRisk(startup time.Duration, now time.Time) float64 {
 	if s.lastReclaimAt.IsZero() || now.Sub(s.lastReclaimAt) >= reclaimRiskPeriod {
 		return 0
 	}
-	var lately []time.Time
+	var recent []time.Time
 	for _, at := range s.domainReclaimedAt {
 		if now.Sub(at) < noShrinkAfterReclaim {
-			lately = append(lately, at)
+			recent = append(recent, at)
 		}
 	}
-	if len(lately) < 2 {
+	if len(recent) < 2 {
 		return expectedNextReclaims
 	}
-	slices.SortFunc(lately, time.Time.Compare)
-	pace := lately[len(lately)-1].Sub(lately[0]) / time.Duration(len(lately)-1)
-	return max(expectedNextReclaims, (startup+assignmentDelay).Seconds()/max(pace, minReclaimInterval).Seconds())
+	slices.SortFunc(recent, time.Time.Compare)
+	interval := recent[len(recent)-1].Sub(recent[0]) / time.Duration(len(recent)-1)
+	return max(expectedNextReclaims, (startup+assignmentDelay).Seconds()/max(interval, minReclaimInterval).Seconds())
 }
 
+// order is the newest order for a slot.
 type order struct {
 	wanted int
-	// answered: the platform took it.
+	// accepted is set once the platform has accepted the order.
 	accepted bool
 	sentAt   time.Time
 }
 
-// Step orders what is due.
+// Step sends the orders that are due if this gateway holds the lease.
 func (c *Controller) Step(ctx context.Context) {
 	grant, holds := c.Leases.Grant()
 	table := c.Table()
@@ -177,12 +188,12 @@
 		c.services[s.Name] = state
 	}
 	serving := c.countServing(s.Name, state, now)
-	need, keep := c.observedNeed(state, c.Need(s), len(s.Scale.Prices), serving, now)
+	need, minServing := c.observedNeed(state, c.Need(s), len(s.Scale.Prices), serving, now)
 	closed := make(map[Slot]bool)
 	for slot, until := range state.closedUntil {
 		closed[slot] = now.Before(until)
 	}
-	r := &evaluation{service: s, state: state, serving: serving, need: need, minServing: keep, now: now}
+	r := &evaluation{service: s, state: state, serving: serving, need: need, minServing: minServing, now: now}
 	for _, n := range serving {
 		r.totalServing += n
 	}
@@ -202,19 +213,20 @@
 	}
 }
 
-// evaluation is one look at a service.
+// evaluation holds the figures of one step for a service.
 type evaluation struct {
 	service *routetable.Service
 	state   *serviceState
 	serving map[Slot]int
-	// totalServing serve, and wanted are planned; keep must not be given up.
+	// totalServing upstreams serve, and totalWanted are planned, over all slots.
 	totalServing, totalWanted int
-	// need is that of the present work.
+	// need is how many upstreams the present work needs, and minServing how many must
+	// stay.
 	need, minServing float64
 	now              time.Time
 }
 
-// sortedSlots returns slots in a fixed order, so that two holders act alike.
+// sortedSlots returns the slots in a fixed order, so that any two holders act alike.
 func sortedSlots(wanted map[Slot]int) []Slot {
 	slots := slices.Collect(maps.Keys(wanted))
 	slices.SortFunc(slots, func(a, b Slot) int {
@@ -229,13 +241,13 @@
 	return slots
 }
 
-// observedNeed returns the need, and how many upstreams must not be given up. Both are
-// unknown until some work was seen: a system that was just started, or changed its
-// holder, keeps what serves.
-func (c *Controller) observedNeed(state *serviceState, need float64, domains int, serving map[Slot]int, now time.Time) (wanted, keep float64) {
+// observedNeed returns the need to plan for, and how many upstreams must stay. Until the
+// work has been observed for a while, both count what served at the start, so that a system
+// that has just started or changed its holder keeps its upstreams.
+func (c *Controller) observedNeed(state *serviceState, need float64, domains int, serving map[Slot]int, now time.Time) (wanted, minServing float64) {
 	found := 0
 	for slot, n := range serving {
-		// What this holder ordered, to replace what it found, must not count.
+		// What this holder ordered to replace the upstreams that it found must not count.
 		if state.orders[slot] == nil {
 			found += n
 		}
@@ -247,15 +259,15 @@
 	if !state.workSince.IsZero() && now.Sub(state.workSince) >= observeFor {
 		return need, need
 	}
-	keep = float64(state.servedAtStart)
+	minServing = float64(state.servedAtStart)
 	if !state.workSince.IsZero() && now.Sub(state.workSince) >= minObserveFor {
-		keep = min(keep, surplusFactor*need)
+		minServing = min(minServing, surplusFactor*need)
 	}
-	return max(need, keep/reserveFactor(domains)), max(need, keep)
+	return max(need, minServing/reserveFactor(domains)), max(need, minServing)
 }
 
-// pendingReclaimable is how many reclaimable upstreams were ordered and may still start: not those of
-// a domain that was reclaimed since.
+// pendingReclaimable returns how many reclaimable upstreams were ordered and may still
+// start. Those of a domain that was reclaimed since the order are not counted.
 func pendingReclaimable(s *routetable.Service, state *serviceState, serving map[Slot]int, now time.Time) int {
 	sum := 0
 	for slot, o := range state.orders {
@@ -266,9 +278,10 @@
 	return sum
 }
 
-// missingCapacity is how many upstreams are missing because serving ones take less than they could.
-// What goes wrong without it: an upstream in need counts as one that serves, the others
-// carry its work, and the reserve for the next reclaim is gone.
+// missingCapacity returns how many upstreams are missing because ready ones accept less
+// work than they could do. Without it, an upstream that limits its rate would count as a
+// whole one, the others would do its work, and the reserve for the next reclaim would be
+// used up.
 func (c *Controller) missingCapacity(name ident.Service) float64 {
 	sum := 0.0
 	for _, u := range c.View().Of(name) {
@@ -279,12 +292,13 @@
 	return sum
 }
 
-// countServing counts the ready upstreams, and closes slots whose upstreams are being
-// reclaimed: most reclaimable ones of a domain begin to leave at once, and nobody gave
-// them up. Not all of them have to: one that has crashed never says that it leaves. Their
-// entries do not say why they leave. What goes wrong if a reclaim is not noticed: within
-// two seconds of it the reserve in the other domains is given up, the next domain is
-// reclaimed, and a fifth of the engines is left until on-demand ones have started.
+// countServing counts the ready upstreams by slot, and closes the slots whose upstreams are
+// being reclaimed. The entries of upstreams do not say why they leave: it is taken for a
+// reclaim if most reclaimable upstreams of a domain begin to leave at once and no order
+// removed them. Not all need to leave, since an upstream that has crashed never reports that
+// it leaves. If a reclaim went unnoticed, the reserve in the other domains would be removed
+// within two seconds, the next domain would be reclaimed, and a fifth of the engines would
+// be left until on-demand ones have started.
 func (c *Controller) countServing(name ident.Service, state *serviceState, now time.Time) map[Slot]int {
 	serving, leaving := make(map[Slot]int), make(map[Slot][]ident.Instance)
 	for _, u := range c.View().Of(name) {
@@ -305,18 +319,19 @@
 	return serving
 }
 
-// recordLeaving notes upstreams of a slot that began to leave, beside so many that serve: they
-// were given up, or leave in turn, or their domain is reclaimed.
+// recordLeaving decides why the upstreams ids of a slot began to leave, while serving
+// others of the slot are ready: an order removed them, they leave one after the other, or
+// their domain is reclaimed.
 func (c *Controller) recordLeaving(name ident.Service, state *serviceState, slot Slot, ids []ident.Instance, serving int, now time.Time) {
 	last := state.orders[slot]
-	given := last != nil && serving >= last.wanted
-	if !given && float64(len(ids)) < reclaimedShare*float64(len(ids)+serving) {
+	removed := last != nil && serving >= last.wanted
+	if !removed && float64(len(ids)) < reclaimedShare*float64(len(ids)+serving) {
 		return
 	}
 	for _, id := range ids {
 		state.seenLeaving[id] = true
 	}
-	if given {
+	if removed {
 		return
 	}
 	state.closedUntil[slot] = now.Add(slotClosedFor)
@@ -324,7 +339,8 @@
 	c.Log.Info("upstreams are reclaimed", "service", name, "domain", slot.FailureDomain, "upstreams", ids)
 }
 
-// dueOrder reports whether an order must be sent for a slot, and for how many.
+// dueOrder reports whether an order must be sent for a slot, and returns how many upstreams
+// to order.
 func (c *Controller) dueOrder(r *evaluation, slot Slot, wanted int) (int, bool) {
 	last := r.state.orders[slot]
 	before := r.serving[slot]
@@ -332,8 +348,9 @@
 		before = last.wanted
 	}
 	if wanted <= before && c.Changing(r.service.Name) {
-		// An order counts the upstreams of both versions, or of one: nobody says which.
-		// Less, or the same once more, might take away those that serve.
+		// It is not specified whether an order counts the upstreams of both versions or of
+		// one. An order for fewer, or for the same number again, might remove those that
+		// serve.
 		return 0, false
 	}
 	if wanted < before {
@@ -350,12 +367,12 @@
 	return wanted, !last.accepted || missing
 }
 
-// mayShrink reports whether upstreams of a slot may be given up, and how many are to stay:
-// not as long as the others could not carry the work, nor reclaimable ones before less was
-// wanted for a while, or soon after a reclaim.
+// mayShrink returns how many upstreams of a slot are to stay, and reports whether the others
+// may be removed: not if those left could not do the work, nor before fewer have been wanted
+// for a while, nor reclaimable ones soon after a reclaim.
 func (c *Controller) mayShrink(r *evaluation, slot Slot, before, wanted int) (int, bool) {
-	since, waiting := r.state.lessWantedSince[slot]
-	if !waiting {
+	since, known := r.state.lessWantedSince[slot]
+	if !known {
 		r.state.lessWantedSince[slot] = r.now
 		since = r.now
 	}
@@ -364,12 +381,12 @@
 	return count, count < before && r.now.Sub(c.holderSince) >= settleDelay && float64(left) >= r.minServing
 }
 
-// countToKeep is how many upstreams of a slot are to stay where less than before has been wanted
-// for so long; before itself for all of them.
+// countToKeep returns how many upstreams of a slot are to stay where fewer than before, the
+// number ordered last, have been wanted for the time lessFor.
 func (c *Controller) countToKeep(r *evaluation, slot Slot, before, wanted int, lessFor time.Duration) int {
 	if !slot.Reclaimable {
-		replaced := r.state.workSince.IsZero()
-		if replaced || lessFor >= onDemandShrinkDelay {
+		noWorkYet := r.state.workSince.IsZero()
+		if noWorkYet || lessFor >= onDemandShrinkDelay {
 			return wanted
 		}
 		return before
@@ -386,7 +403,7 @@
 	return before
 }
 
-// pauseReclaimableOrders closes all reclaimable slots for a moment.
+// pauseReclaimableOrders closes all reclaimable slots for orderPause.
 func (r *evaluation) pauseReclaimableOrders() {
 	until := r.now.Add(orderPause)
 	for d := range r.service.Scale.Prices {
@@ -397,7 +414,8 @@
 	}
 }
 
-// sendOrder sends one order and reports whether to go on.
+// sendOrder sends one order and reports whether more may be sent: false if the lease is not
+// held any more.
 func (c *Controller) sendOrder(ctx context.Context, r *evaluation, slot Slot, wanted int) bool {
 	grant, holds := c.Leases.Grant()
 	if !holds || grant.Fence != c.fence {
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -1,5 +1,5 @@
-// Package scaling decides how many upstreams of each kind a service has in each
-// failure domain, and orders them while this gateway holds the lease.
+// Package scaling decides how many reclaimable and on-demand upstreams a service has
+// in each failure domain, and orders them while this gateway holds the lease.
 package scaling
 
 import (
@@ -12,49 +12,51 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// Slot is a kind of upstream in a failure domain.
+// Slot is a kind of upstream, reclaimable or on-demand, in a failure domain.
 type Slot struct {
 	FailureDomain ident.FailureDomain
 	Reclaimable   bool
 }
 
-// PlanInput is what a plan is made from.
+// PlanInput is the input of Plan for one service.
 type PlanInput struct {
 	Scale *routetable.Scale
-	// Need is how many upstreams the present work keeps as busy as they should
-	// be, as a real number.
+	// Need is how many upstreams, with fractions, the present work keeps as busy as
+	// they should be.
 	Need float64
-	// Serving counts the ready upstreams, and Coming the reclaimable ones that
-	// were ordered and can still be on their way.
+	// Serving counts the ready upstreams, and PendingReclaimable the reclaimable ones
+	// that were ordered and may still start.
 	Serving            map[Slot]int
 	PendingReclaimable int
-	// MissingCapacity is how many of the serving upstreams are missing because some take less than
-	// they could serve, as a real number.
+	// MissingCapacity is how many upstreams, with fractions, are missing because some of
+	// the serving ones accept less work than they could do.
 	MissingCapacity float64
-	// DomainsAtRisk is how many domains are expected to be reclaimed before an on-demand upstream
-	// that is ordered now has started.
+	// DomainsAtRisk is how many domains, with fractions, are expected to be reclaimed
+	// before an on-demand upstream that is ordered now has started.
 	DomainsAtRisk float64
-	// ClosedSlots are slots in which nothing more can be had at the moment.
+	// ClosedSlots are the slots in which no more capacity is available at the moment.
 	ClosedSlots map[Slot]bool
 }
 
 const (
-	// maxReserveFactor bounds the reserve of reclaimable upstreams over the need, where two
-	// domains are most of all there are. The reserve costs less than on-demand upstreams
-	// in the gap, and these less than the work that would be lost in it.
+	// maxReserveFactor limits the reclaimable upstreams for each that is needed, where two
+	// domains are most of those there are. Up to this factor the reserve costs less than
+	// on-demand upstreams until reclaimed ones are replaced, and these cost less than the
+	// work that would be lost without them.
 	maxReserveFactor = 2
-	// minReclaimablePerDomain reclaimable upstreams of a service in each domain, as far as the
-	// operators allow it: a domain's single upstream would be lost to one crash,
-	// and a service at one a domain is half gone after two reclaims.
+	// minReclaimablePerDomain is how many reclaimable upstreams a service has in each domain
+	// at least, as far as the operators' maximum allows. A domain with one upstream would
+	// lose it to one crash, and a service with one per domain loses half of them after two
+	// reclaims.
 	minReclaimablePerDomain = 2
-	// maxAboveEvenShare is how many more than an even part a domain may get where others are
-	// closed: what stands in one domain is reclaimed together.
+	// maxAboveEvenShare is how many upstreams above an even share a domain may get where
+	// others are closed. A domain's upstreams are reclaimed together.
 	maxAboveEvenShare = 1
 )
 
-// reserveFactor is how many reclaimable upstreams there are for each that is needed. Reclaims
-// come one domain after the other, with nothing to be had in between: without two of them
-// the others carry the need.
+// reserveFactor returns how many reclaimable upstreams to have for each that is needed.
+// Domains are reclaimed one after the other, and no capacity is available in between, so
+// that the upstreams of all domains but two must meet the need.
 func reserveFactor(domains int) float64 {
 	const lost = 2
 	if domains <= lost {
@@ -63,10 +65,10 @@
 	return min(maxReserveFactor, float64(domains)/float64(domains-lost))
 }
 
-// Plan returns how many upstreams each slot should have. Reclaimable ones are
-// preferred wherever there are any, spread evenly over the domains, so that a
-// reclaim takes as few as possible at once. On-demand ones only fill what is
-// missing for the need itself, for as long as it is missing.
+// Plan returns how many upstreams each slot should have. Reclaimable upstreams are
+// preferred wherever they are offered, and spread evenly over the domains so that a
+// reclaim takes as few as possible at once. On-demand upstreams only make up for what
+// is missing for the need itself, without the reserve, and only while it is missing.
 func Plan(s PlanInput) map[Slot]int {
 	domains := slices.Sorted(maps.Keys(s.Scale.Prices))
 	if len(domains) == 0 {
@@ -88,25 +90,28 @@
 	return wanted
 }
 
+// atLeastOne rounds a need up to whole upstreams.
 func (s PlanInput) atLeastOne(need float64) int { return max(1, int(math.Ceil(need))) }
 
-// onDemandNeeded is how many on-demand upstreams are needed beside the reclaimable ones
-// that are there or on their way. What goes wrong if some shortage is put up with: they
-// take seconds to start, and of three domains the second is reclaimed meanwhile.
+// onDemandNeeded returns how many on-demand upstreams are needed beside the reclaimable
+// ones that serve or are pending, less those of the domains at risk. No shortage is
+// tolerated: on-demand upstreams take seconds to start, and of three domains the second
+// is reclaimed meanwhile.
 func (s PlanInput) onDemandNeeded() int {
-	there := s.PendingReclaimable
-	var domains []int
+	reclaimable := s.PendingReclaimable
+	var perDomain []int
 	for slot, n := range s.Serving {
 		if slot.Reclaimable {
-			there += n
-			domains = append(domains, n)
+			reclaimable += n
+			perDomain = append(perDomain, n)
 		}
 	}
-	there -= int(sumOfLargest(domains, s.DomainsAtRisk))
-	return max(0, int(math.Ceil(s.Need+s.MissingCapacity))-max(0, there))
+	reclaimable -= int(sumOfLargest(perDomain, s.DomainsAtRisk))
+	return max(0, int(math.Ceil(s.Need+s.MissingCapacity))-max(0, reclaimable))
 }
 
-// sumOfLargest adds up so many of the largest numbers, the last of them in part.
+// sumOfLargest adds up the count largest numbers. If count is not whole, the last one
+// counts in part. It sorts numbers.
 func sumOfLargest(numbers []int, count float64) float64 {
 	slices.SortFunc(numbers, func(a, b int) int { return cmp.Compare(b, a) })
 	sum := 0.0
@@ -118,8 +123,9 @@
 	return sum
 }
 
-// fill adds so many upstreams of a kind, each in the domain that has the least,
-// the cheapest first among equals, and at most so many of the kind in a domain.
+// fill adds up to count upstreams of a kind to wanted, each in the open domain that has
+// the fewest of the kind, or the cheapest of those, and at most most of the kind in a
+// domain.
 func (s PlanInput) fill(wanted map[Slot]int, domains []ident.FailureDomain, count, most int, reclaimable bool) {
 	for range count {
 		open := slices.DeleteFunc(slices.Clone(domains), func(d ident.FailureDomain) bool {
@@ -144,8 +150,8 @@
 	return wanted[Slot{d, true}] + wanted[Slot{d, false}]
 }
 
-// ensureMinimum brings each domain up to the least that the operators want there, as
-// far as anything can be had.
+// ensureMinimum brings each domain up to the operators' minimum, unless its slot is
+// closed.
 func (s PlanInput) ensureMinimum(wanted map[Slot]int, domains []ident.FailureDomain, reclaimable bool) {
 	for _, d := range domains {
 		if missing := s.Scale.Least - countInDomain(wanted, d); missing > 0 && !s.ClosedSlots[Slot{d, reclaimable}] {
