--- a/internal/scaling/need_test.go
+++ b/internal/scaling/need_test.go
@@ -9,14 +9,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routing/placement"
 )
 
-// figuresOf are those of engines that read so many tokens a second.
+// figuresOf returns the figures of engines that read prompts at the given rate, in tokens
+// per second.
 func figuresOf(rate float64) enginemodel.Figures {
 	return enginemodel.Figures{Base: 60 * time.Millisecond, Token: 1 / rate}
 }
 
-// Symptom: a large fleet orders all the upstreams that it may, at a tenth of its worth.
-// Sequence: engines of 12 slots take the place of engines of 64. Cause: a part of the
-// slots that was found on one kind of engine decides how many another kind needs.
+// Guards against a large fleet that orders all the upstreams that it may, at a tenth of its
+// value, when engines of 12 slots take the place of engines of 64. The cause was a share of
+// free slots that suits one kind of engine and decided how many of another kind are needed.
 func TestNeedFollowsTheSlotsOfTheEngines(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -37,25 +38,25 @@
 	}
 }
 
-// Symptom: the same reserve of upstreams among six failure domains as among four. Cause:
-// a factor instead of what a reclaim takes.
+// Guards against the same reserve of upstreams for six failure domains as for four: a fixed
+// factor was used instead of what a reclaim takes away.
 func TestTheReserveOutlastsTwoReclaims(t *testing.T) {
 	for domains := 1; domains <= 12; domains++ {
 		got := reserveFactor(domains)
 		if domains > 4 && got*float64(domains-2)/float64(domains) < 0.999 {
-			t.Errorf("%d domains: %.2f does not outlast two", domains, got)
+			t.Errorf("%d domains: a reserve factor of %.2f does not outlast two reclaims", domains, got)
 		}
 		if got < 1 || got > maxReserveFactor {
-			t.Errorf("%d domains: %.2f", domains, got)
+			t.Errorf("%d domains: a reserve factor of %.2f is out of bounds", domains, got)
 		}
 	}
 }
 
-// Symptom: of three domains the second and third are reclaimed within seconds, a third of
-// the engines is left, and every tenth request of a quiet day is refused. Sequence: after
-// the first reclaim the others still carry the need; on-demand upstreams are ordered when
-// the second is gone, and take longer to start than the third lasts. Cause: only what is
-// missing already is ordered.
+// Guards against orders only for what is missing already. Of three domains, the second and
+// third are reclaimed within seconds. After the first reclaim the others still meet the need;
+// on-demand upstreams are ordered only when the second domain is gone, and take longer to
+// start than the third lasts. A third of the engines is left, and every tenth request of a
+// quiet day is refused.
 func TestWhatTheNextReclaimTakesIsOrderedBeforeIt(t *testing.T) {
 	scale := standardScale()
 	scale.Most = 60
@@ -74,10 +75,10 @@
 		return n
 	}
 	if n := count(); n != 0 {
-		t.Errorf("%d on-demand upstreams without need", n)
+		t.Errorf("%d on-demand upstreams are planned with no domain at risk, want 0", n)
 	}
 	s.DomainsAtRisk = expectedNextReclaims
 	if n := count(); n < 8 || n > 20 {
-		t.Errorf("%d on-demand upstreams at risk", n)
+		t.Errorf("%d on-demand upstreams are planned with a domain at risk, want 8 to 20", n)
 	}
 }
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -124,8 +124,8 @@
 }
 
 // fill adds up to count upstreams of a kind to wanted, each in the open domain that has
-// the fewest of the kind, or the cheapest of those, and at most most of the kind in a
-// domain.
+// the fewest of the kind (the cheapest of these first), and no more than most of the kind
+// in a domain.
 func (s PlanInput) fill(wanted map[Slot]int, domains []ident.FailureDomain, count, most int, reclaimable bool) {
 	for range count {
 		open := slices.DeleteFunc(slices.Clone(domains), func(d ident.FailureDomain) bool {
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Symptom: an order beyond what the operators allow, or a plan that leaves the
-// work to too few. Sequence: any need, with any slots closed. Cause: parts of the
-// plan that count differently.
+// Guards against an order beyond the operators' bounds and a plan with too few upstreams for
+// the work, for any need and any closed slots. The cause would be steps of the plan that
+// count differently.
 func TestPlanKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := PlanInput{Scale: standardScale(), Need: rapid.Float64Range(0, 40).Draw(t, "need"), ClosedSlots: make(map[Slot]bool)}
@@ -51,11 +51,11 @@
 				t.Fatalf("%d in %s, want %d to %d", n, d, s.Scale.Least, s.Scale.Most)
 			}
 			if s.Scale.ReclaimablePrice == 0 && wanted[Slot{d, true}] > 0 {
-				t.Fatal("reclaimable ones where there are none")
+				t.Fatalf("reclaimable upstreams are planned in %s, where none are offered", d)
 			}
 		}
 		if room := s.Scale.Most * len(domains); float64(total) < min(s.Need, float64(room)) {
-			t.Fatalf("%d for a need of %.1f", total, s.Need)
+			t.Fatalf("%d upstreams are planned for a need of %.1f", total, s.Need)
 		}
 	})
 }
@@ -65,7 +65,7 @@
 		name   string
 		need   float64
 		closed []Slot
-		// serving are those that are there.
+		// serving counts the ready upstreams.
 		serving map[Slot]int
 		want    map[Slot]int
 	}{
@@ -99,9 +99,9 @@
 	}
 }
 
-// cloud takes orders and holds the lease.
+// cloud stands in for the platform, the lease and everything else that a Controller reads.
 type cloud struct {
-	// newVersion is a version that is tried; empty for none.
+	// newVersion is the version that is being rolled out; empty for none.
 	newVersion ident.Version
 	now        time.Time
 	holds      bool
@@ -109,7 +109,7 @@
 	err        error
 	view       *directory.View
 	orders     []platform.ScaleOrder
-	// lacking is the part that an upstream does not take.
+	// lacking is the share of its work that an upstream does not accept.
 	lacking map[ident.Instance]float64
 }
 
@@ -139,7 +139,8 @@
 	}
 }
 
-// Guards against a plan that counts on upstreams which take a part of what they could serve.
+// Guards against a plan that counts upstreams as whole ones although they accept only a part
+// of the work that they could do.
 func TestUpstreamsWithLimitsAreMadeUpFor(t *testing.T) {
 	there := map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}
 	sum := func(s PlanInput) (reclaimable, onDemand int) {
@@ -160,7 +161,7 @@
 	}{{0, 12, 0}, {0.4, 13, 0}, {2, 14, 0}, {7.5, 20, 2}} {
 		reclaimable, onDemand := sum(PlanInput{Scale: scale, Need: 6, Serving: there, MissingCapacity: c.lacking})
 		if reclaimable != c.reclaimable || onDemand != c.onDemand {
-			t.Errorf("%v lacking: %d and %d on demand, want %d and %d", c.lacking, reclaimable, onDemand, c.reclaimable, c.onDemand)
+			t.Errorf("missing capacity %v: %d reclaimable and %d on-demand upstreams, want %d and %d", c.lacking, reclaimable, onDemand, c.reclaimable, c.onDemand)
 		}
 	}
 	c, controller := newCloud()
@@ -169,16 +170,16 @@
 	})
 	c.lacking = map[ident.Instance]float64{"u1": 0.75, "u3": 1}
 	if got := controller.missingCapacity("svc"); got != 0.75 {
-		t.Errorf("%v lacking, want 0.75", got)
+		t.Errorf("missing capacity %v, want 0.75", got)
 	}
 }
 
-// Pattern: one domain after the other is reclaimed, with nothing to be had, beside upstreams
-// that crash. Symptom: a third of the work's upstreams is left for ten seconds. Sequence: an
-// upstream crashes without a word; its domain is reclaimed, then a second one, then the
-// rest. Causes: the first reclaim is not noticed, because the crashed upstream seems to
-// serve on; and after the second one the rest is still counted on, though on-demand ones
-// take longer to start than the next domain takes to go.
+// Guards against a third of the needed upstreams for ten seconds, when one domain after the
+// other is reclaimed, no capacity is available, and upstreams crash. An upstream crashes
+// without a report; its domain is reclaimed, then a second one, then the rest. Two causes:
+// the first reclaim is not noticed, because the crashed upstream still seems to serve; and
+// after the second one the remaining domains are still relied on, although on-demand
+// upstreams take longer to start than the next domain lasts.
 func TestDomainsReclaimedInARowBesideACrash(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 8
@@ -211,7 +212,7 @@
 	}
 	set()
 	c.runSteps(t, controller, 10*time.Second)
-	left["a"] = 1 // the one that has crashed
+	left["a"] = 1 // the one that has crashed still seems to serve
 	set()
 	c.runSteps(t, controller, time.Second)
 	first := onDemand()
@@ -219,12 +220,12 @@
 	set()
 	c.runSteps(t, controller, time.Second)
 	if got := onDemand(); first >= 6 || got < 6 {
-		t.Errorf("%d on-demand ones after the first reclaim, %d after the second, for a need of 8 of which 2 are on their way", first, got)
+		t.Errorf("%d on-demand upstreams after the first reclaim, want fewer than 6; %d after the second, want 6 or more, for a need of 8 of which 2 are pending", first, got)
 	}
 }
 
-// Symptom: on-demand upstreams are ordered where the load has fallen. Sequence: a
-// controller gives most of a domain's upstreams up. Cause: that looks like a reclaim.
+// Guards against on-demand upstreams that are ordered after the load has fallen: when a
+// controller removes most of a domain's upstreams, that looks like a reclaim.
 func TestWhatIsGivenUpIsNoReclaim(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 12
@@ -245,19 +246,19 @@
 	}
 	c.view = directory.NewView(list)
 	c.runSteps(t, controller, time.Second)
-	// The load is back before they have left: more is wanted than serve.
+	// The load rises again before they have left: more are wanted than serve.
 	c.need = 5
 	c.runSteps(t, controller, time.Second)
 	for _, o := range c.orders {
 		if !o.Reclaimable && o.Wanted > 0 {
-			t.Errorf("ordered: %+v", o)
+			t.Errorf("on-demand upstreams are ordered: %+v", o)
 		}
 	}
 }
 
-// Symptom: the upstreams that serve are taken away beside a new version of theirs.
-// Sequence: as many upstreams of the new version come; the load falls. Cause: both
-// versions are counted, and an order for fewer does not say which of them.
+// Guards against an order that removes the serving upstreams during a rollout. As many
+// upstreams of the new version start, and the load falls. Both versions are counted, and an
+// order for fewer does not say which of them to remove.
 func TestNothingIsGivenUpWhileTheVersionChanges(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 6
@@ -267,23 +268,23 @@
 	c.newVersion, c.need = "v2", 1
 	c.runSteps(t, controller, 30*time.Second)
 	if after := c.orders[before:]; len(after) > 0 {
-		t.Errorf("ordered meanwhile: %+v", after)
+		t.Errorf("ordered during the rollout: %+v", after)
 	}
 	c.newVersion = ""
 	c.runSteps(t, controller, 30*time.Second)
 	if len(c.orders) == before {
-		t.Error("nothing is given up after it")
+		t.Error("no upstreams are removed after the rollout")
 	}
 }
 
-// runSteps plays a time in steps of a quarter of a second.
+// runSteps lets the given time pass and runs the controller every 250 ms.
 func (c *cloud) runSteps(t *testing.T, controller *Controller, d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(250 * time.Millisecond) {
 		controller.Step(t.Context())
 	}
 }
 
-// setUpstreams sets how many upstreams of each slot there are.
+// setUpstreams sets how many upstreams there are in each slot, all in the given state.
 func (c *cloud) setUpstreams(counts map[Slot]int, state directory.State) {
 	var list []directory.Upstream
 	for slot, n := range counts {
@@ -297,9 +298,8 @@
 	c.view = directory.NewView(list)
 }
 
-// Symptom: a system that was just started gives its upstreams up before callers
-// come, and is too small for them. Sequence: the duty is taken with no work yet.
-// Cause: no work is taken for no need.
+// Guards against a system that has just started, removes its upstreams before callers arrive,
+// and is too small for them: a holder took no work so far for no need.
 func TestWhatServesStaysUntilWorkWasSeen(t *testing.T) {
 	c, controller := newCloud()
 	c.setUpstreams(map[Slot]int{{"a", false}: 3, {"b", false}: 2, {"c", false}: 2, {"d", false}: 2}, directory.Ready)
@@ -309,16 +309,16 @@
 		if o.Reclaimable {
 			total += o.Wanted
 		} else {
-			t.Errorf("gives up what serves, with nothing in its place: %+v", o)
+			t.Errorf("removes serving upstreams before others replace them: %+v", o)
 		}
 	}
 	if total < 9 {
-		t.Errorf("%d reclaimable ones ordered in the place of 9", total)
+		t.Errorf("%d reclaimable upstreams are ordered to replace 9 on-demand ones, want at least 9", total)
 	}
 }
 
-// Pattern: a fleet starts with thirty times what its callers need. Guards against paying for
-// all of it for as long as a wave of traffic takes, and against giving up what a wave takes.
+// A fleet starts with thirty times what its callers need. Guards against paying for all of it
+// for as long as a wave of traffic lasts, and against removing what a wave needs.
 func TestAManifoldSurplusIsGivenUpSoon(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -352,14 +352,14 @@
 				sum += n
 			}
 			if sum > test.leftMost || sum < min(test.serving, surplusFactor*test.need) {
-				t.Errorf("%d are left of %d after %d s", sum, test.serving, test.within)
+				t.Errorf("%d of %d upstreams are left after %d s", sum, test.serving, test.within)
 			}
 		})
 	}
 }
 
-// Symptom: an order is lost for good. Sequence: its answer is lost. Cause: an
-// order that counts as given.
+// Guards against an order that is never repeated after its answer was lost, because it counts
+// as accepted.
 func TestAnOrderIsRepeatedUntilItIsAnswered(t *testing.T) {
 	c, controller := newCloud()
 	c.need, c.err = 2, platform.ErrAnswerLost
@@ -367,14 +367,14 @@
 	first := len(c.orders)
 	c.runSteps(t, controller, time.Second)
 	if len(c.orders) == first {
-		t.Error("not repeated")
+		t.Error("an order without an answer is not repeated")
 	}
 	c.err = nil
 	c.runSteps(t, controller, time.Second)
 	answered := len(c.orders)
 	c.runSteps(t, controller, time.Second)
 	if len(c.orders) != answered {
-		t.Error("repeated though answered")
+		t.Error("an order is repeated although it was accepted")
 	}
 }
 
@@ -383,12 +383,12 @@
 	c.need, c.err = 2, platform.ErrOldFence
 	c.runSteps(t, controller, 5*time.Second)
 	if len(c.orders) != 1 {
-		t.Errorf("%d orders", len(c.orders))
+		t.Errorf("%d orders are sent, want 1", len(c.orders))
 	}
 }
 
-// Symptom: too few upstreams for a dozen seconds after a reclaim. Sequence: the
-// upstreams of a domain are told to leave. Cause: they count until they are gone.
+// Guards against too few upstreams for a dozen seconds after a reclaim: the upstreams of a
+// domain are told to leave, but count as serving until they are gone.
 func TestAReclaimIsMadeUpForAtItsNotice(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 4
@@ -405,15 +405,15 @@
 		}
 	}
 	if more < 4 {
-		t.Errorf("orders %+v", c.orders)
+		t.Errorf("%d upstreams are ordered in the other domains, want 4 or more: %+v", more, c.orders)
 	}
 }
 
-// Symptom: a fifth of the engines is left for four seconds, and half of what is asked is
-// late. Sequence: the load ebbs; a domain's reclaimable upstreams are told to leave; the
-// others' reserve is given up within two seconds; the next domain is reclaimed, with
-// nothing to be had. Cause: a reclaim that is not noticed, since the entries do not say
-// that it is one.
+// Guards against a reclaim that is not noticed, since the upstreams' entries do not say that
+// it is one. The load falls; a domain's reclaimable upstreams are told to leave; the other
+// domains' reserve is removed within two seconds; the next domain is reclaimed, and no
+// capacity is available. A fifth of the engines is left for four seconds, and half of the
+// requests are late.
 func TestAReclaimKeepsTheReserveOfTheOtherDomains(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -448,7 +448,7 @@
 				shrunk = shrunk || o.FailureDomain != "b" && o.Wanted < 3
 			}
 			if shrunk != c.shrink {
-				t.Errorf("the other domains' reserve is given up: %v, want %v: %+v", shrunk, c.shrink, cl.orders)
+				t.Errorf("the other domains' reserve is removed: %v, want %v: %+v", shrunk, c.shrink, cl.orders)
 			}
 		})
 	}
