--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// BenchmarkPlan gives the slope of docs/capacity-control.md: one plan of a fleet
-// at rest, and one that has to replace a whole failure domain.
+// BenchmarkPlan measures one plan of a fleet at rest, and one that has to replace a whole
+// failure domain. Its figures are the slopes in docs/capacity-control.md.
 func BenchmarkPlan(b *testing.B) {
 	for _, upstreams := range []int{9, 100, 330, 690} {
 		at, wanted := restingFleet(upstreams, 10)
--- a/internal/planner/choose.go
+++ b/internal/planner/choose.go
@@ -8,31 +8,35 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// domainChoice is what one failure domain offers, and how much of it is chosen.
+// domainChoice holds what one failure domain offers, and how many instances are chosen
+// in it.
 type domainChoice struct {
 	domain ident.FailureDomain
-	// offers are the cheapest offering of each need.
+	// offers holds the cheapest offering for each need, and costs its cost; infinite if
+	// there is none.
 	offers [needCount]Offering
 	costs  [needCount]float64
 	chosen [needCount]int
-	// room is how many more the domain may take.
+	// room is how many more instances may be chosen in the domain.
 	room int
 }
 
-// need is what an instance has to be.
+// need says which kind of instance is required.
 type need int
 
 const (
-	// anyKind may be reclaimable or on-demand, whichever costs less.
+	// anyKind is a reclaimable or on-demand instance, whichever costs less.
 	anyKind need = iota
+	// onDemandOnly is an on-demand instance.
 	onDemandOnly
 	needCount
 )
 
-// choose returns count offerings of least expected cost, so many of them
-// on-demand, and no failure domain beyond its limit with what it has already.
-// Where that cannot be, the limit is raised first, and then on-demand ones are
-// replaced by others: too dear or too close together is better than too few.
+// choose returns the count offerings of least expected cost of which onDemand are
+// on-demand, with at most limit upstreams in each failure domain, including those that
+// it has already. Where that is impossible, the limit is raised first, and then other
+// offerings replace on-demand ones: too expensive or too many in one domain is better
+// than too few.
 func (m market) choose(count, onDemand, limit int, f fleet) []Offering {
 	choices := m.domainChoices(limit, f)
 	if len(choices) == 0 {
@@ -80,7 +84,7 @@
 	return domainChoice{domain: domain, room: max(room, 0), costs: [needCount]float64{math.Inf(1), math.Inf(1)}}
 }
 
-// offer keeps the first offering of a need; they come the cheapest first.
+// offer records the first offering for a need. The caller gives the cheapest first.
 func (d *domainChoice) offer(n need, offering Offering, cost float64) {
 	if math.IsInf(d.costs[n], 1) {
 		d.offers[n], d.costs[n] = offering, cost
@@ -97,14 +101,15 @@
 	return total
 }
 
+// raiseLimits allows one more instance in each failure domain.
 func raiseLimits(choices []domainChoice) {
 	for i := range choices {
 		choices[i].room++
 	}
 }
 
-// place puts count instances where they cost least, and returns for how many
-// there was room.
+// place chooses count instances in the domains where they cost least, and returns for
+// how many there was room.
 func place(choices []domainChoice, n need, count int) int {
 	placed := 0
 	for placed < count {
@@ -120,8 +125,9 @@
 	return placed
 }
 
-// placeBeyondLimit puts on-demand instances where they cost least: the share
-// of on-demand ones is the document's word, the limit is only ours.
+// placeBeyondLimit chooses on-demand instances in the domain where they cost least,
+// above its limit: the document demands the on-demand share, while the limit is only
+// the planner's own. It returns how many were chosen.
 func placeBeyondLimit(choices []domainChoice, count int) int {
 	i := cheapest(choices, onDemandOnly, func(*domainChoice) bool { return true })
 	if i < 0 {
@@ -131,6 +137,8 @@
 	return count
 }
 
+// cheapest returns the index of the choice that fits and costs least for a need; -1 if
+// there is none.
 func cheapest(choices []domainChoice, n need, fits func(*domainChoice) bool) int {
 	best := -1
 	for i := range choices {
@@ -142,16 +150,16 @@
 	return best
 }
 
-// improve makes one change that lowers the cost, and reports whether there was
-// one. The choice is a transportation problem with two needs: it is optimal
-// when no move of one need, no exchange, and no chain of two moves helps,
-// because a cycle of the residual network passes each need at most once.
+// improve makes one change that lowers the cost, and reports whether it found one. The
+// choice is a transportation problem with two needs. It is optimal when no move of one
+// need, no exchange and no chain of two moves lowers the cost, because a cycle of the
+// residual network passes through each need at most once.
 func improve(choices []domainChoice) bool {
 	for n := anyKind; n < needCount; n++ {
 		other := needCount - 1 - n
 		for from := range choices {
-			for over := range choices {
-				if tryMove(choices, n, from, over) || tryChain(choices, n, other, from, over) {
+			for via := range choices {
+				if tryMove(choices, n, from, via) || tryChain(choices, n, other, from, via) {
 					return true
 				}
 			}
@@ -160,10 +168,11 @@
 	return false
 }
 
-// minGain ignores gains that are rounding errors.
+// minGain is the smallest gain that is no rounding error.
 const minGain = 1e-9
 
-// tryMove moves instances of one need to a domain with room.
+// tryMove moves as many instances of one need as fit to another domain, if that lowers the
+// cost.
 func tryMove(choices []domainChoice, n need, from, to int) bool {
 	batch := min(choices[from].chosen[n], choices[to].room)
 	if from == to || batch == 0 || gain(choices, n, from, to) <= minGain {
@@ -173,31 +182,31 @@
 	return true
 }
 
-// tryChain moves instances of one need from a domain over another one, which
-// passes as many of the other need on: to a third one, or back in exchange.
-func tryChain(choices []domainChoice, n, other need, from, over int) bool {
-	if from == over || choices[from].chosen[n] == 0 || choices[over].chosen[other] == 0 {
+// tryChain moves instances of one need to the domain via, and as many of the other need
+// from there to a third domain or back in exchange, if that lowers the cost.
+func tryChain(choices []domainChoice, n, other need, from, via int) bool {
+	if from == via || choices[from].chosen[n] == 0 || choices[via].chosen[other] == 0 {
 		return false
 	}
-	first := gain(choices, n, from, over)
+	first := gain(choices, n, from, via)
 	for to := range choices {
 		room := choices[to].room
 		if to == from {
 			room = choices[from].chosen[n]
 		}
-		batch := min(choices[from].chosen[n], choices[over].chosen[other], room)
-		if to == over || batch == 0 || first+gain(choices, other, over, to) <= minGain {
+		batch := min(choices[from].chosen[n], choices[via].chosen[other], room)
+		if to == via || batch == 0 || first+gain(choices, other, via, to) <= minGain {
 			continue
 		}
-		move(choices, n, from, over, batch)
-		move(choices, other, over, to, batch)
+		move(choices, n, from, via, batch)
+		move(choices, other, via, to, batch)
 		return true
 	}
 	return false
 }
 
-// gain is what moving one instance saves. It is minus infinity where the
-// target has no such offering.
+// gain returns how much cost moving one instance saves; minus infinity if the target has
+// no offering for the need.
 func gain(choices []domainChoice, n need, from, to int) float64 {
 	return choices[from].costs[n] - choices[to].costs[n]
 }
--- a/internal/planner/fleet.go
+++ b/internal/planner/fleet.go
@@ -7,19 +7,21 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// fleet counts what is there.
+// fleet counts the upstreams of a service, as far as the plan has changed them.
 type fleet struct {
-	// serving are the instances that get work.
+	// serving are the instances that receive work.
 	serving []Instance
-	// active are those that starting, serving and pending make.
+	// active counts the starting, serving and pending instances.
 	active int
-	// total is kept plus those that drain: what the maximum bounds.
-	total    int
+	// total counts the active and the draining instances, which the maximum bounds.
+	total int
+	// onDemand counts the active on-demand instances.
 	onDemand int
-	// unsettled are starting, pending or draining: while there are any, the
-	// mix is not judged.
+	// unsettled counts the starting, pending and draining instances. The plan neither
+	// shrinks nor rebalances a fleet that has any.
 	unsettled int
-	byDomain  map[ident.FailureDomain]int
+	// byDomain counts the active instances by failure domain.
+	byDomain map[ident.FailureDomain]int
 }
 
 func newFleet(actual Actual) fleet {
@@ -43,7 +45,7 @@
 	return f
 }
 
-// add counts an instance that does not serve yet.
+// add counts an instance of an offering that does not serve yet.
 func (f *fleet) add(offering Offering) {
 	f.active++
 	f.total++
@@ -72,9 +74,10 @@
 	return largest
 }
 
-// nextToDrain returns the serving instance to drain first: one of the largest
-// failure domain where that is beyond its limit, then the one that costs most,
-// then the one with the least work. On-demand ones stay while they are needed.
+// nextToDrain returns the serving instance to drain first, if there is one: of the
+// failure domain that is furthest above its limit, then the one that costs most, then
+// the one with the fewest running requests. On-demand instances are left out while the
+// share of on-demand ones needs them.
 func (p *plan) nextToDrain() (Instance, bool) {
 	limit := p.targetLimit()
 	needOnDemand := p.fleet.onDemand <= p.size.onDemand(p.target())
--- a/internal/planner/market.go
+++ b/internal/planner/market.go
@@ -9,19 +9,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Reclaims is what a reclaim costs.
+// Reclaims says how often instances are reclaimed and how much work that costs.
 type Reclaims struct {
-	// PerHour is how often a reclaimable instance is reclaimed. Offerings
-	// that are not listed have Default.
+	// PerHour is how often a reclaimable instance is reclaimed in an hour. Offerings
+	// that are not listed have the rate Default.
 	PerHour map[Offering]float64
 	Default float64
-	// Lost is the work of one upstream that a reclaim costs: the tokens that
-	// others compute again, and the time until a replacement serves.
+	// Lost is how long an upstream would have worked for what a reclaim costs: for the
+	// tokens that others compute again, and until a replacement serves.
 	Lost time.Duration
 }
 
-// Expected returns what an hour of useful work costs on an offering: its price
-// for the hour, and for the work lost to reclaims in that hour.
+// Expected returns what an hour of useful work costs on an offering, in cents: the
+// price of the hour and that of the work that is lost to reclaims in it.
 func (r Reclaims) Expected(offering Offering, centsPerHour float64) float64 {
 	if !offering.Reclaimable {
 		return centsPerHour
@@ -33,13 +33,14 @@
 	return centsPerHour * (1 + rate*r.Lost.Hours())
 }
 
-// Back-off of an offering whose starts fail: doubled with each failure.
+// An offering whose starts fail is retried after a back-off that doubles with each
+// failure in a row, between these bounds.
 const (
 	initialBackOff = 5 * time.Second
 	maxBackOff     = 2 * time.Minute
 )
 
-// RetryAt is when a start may be tried again.
+// RetryAt returns when a start may be tried again; zero if at once.
 func (f Failures) RetryAt() time.Time {
 	if f.Count == 0 {
 		return time.Time{}
@@ -51,11 +52,12 @@
 	return f.Last.Add(min(wait, maxBackOff))
 }
 
-// market is what can be started now, and for how much.
+// market holds the offerings that can be started now, and their costs.
 type market struct {
+	// costs are the expected cents for an hour of useful work.
 	costs    map[Offering]float64
 	failures map[Offering]Failures
-	// startable are the offerings that may be tried now, the cheapest first.
+	// startable are the offerings whose back-off is over, the cheapest first.
 	startable []Offering
 }
 
@@ -89,11 +91,12 @@
 	return 0
 }
 
-// cost of an offering; one without a price counts as free, so that it is
-// drained last: nobody said that it is dear.
+// cost returns the expected cost of an offering. One without a price counts as free,
+// so that it is drained last: nothing shows that it is expensive.
 func (m market) cost(offering Offering) float64 { return m.costs[offering] }
 
-// provenDomains have upstreams, or an offering whose last start worked.
+// provenDomains returns the failure domains that have active upstreams, or an offering
+// whose last start did not fail.
 func (m market) provenDomains(f fleet) []ident.FailureDomain {
 	domains := make(map[ident.FailureDomain]bool)
 	for domain, count := range f.byDomain {
@@ -109,10 +112,12 @@
 	return slices.Sorted(maps.Keys(domains))
 }
 
+// lastStartSucceeded reports whether the latest start of an offering did not fail. It is
+// also true of one that was never tried.
 func (m market) lastStartSucceeded(offering Offering) bool { return m.failures[offering].Count == 0 }
 
-// cheapestProven returns the cheapest offering, on-demand or any, in a failure
-// domain below its limit whose last start worked.
+// cheapestProven returns the cheapest offering whose last start succeeded, in a failure
+// domain with fewer upstreams than limit; with onDemand set, only of on-demand ones.
 func (m market) cheapestProven(f fleet, limit int, onDemand bool) (Offering, bool) {
 	for _, offering := range m.startable {
 		fits := f.byDomain[offering.FailureDomain] < limit
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,7 +1,7 @@
-// Package planner decides which upstreams of a service to start, to drain and
-// to stop. It is a pure function of what is there, what the document wants and
-// the time: a new lease holder calls it with what it finds and needs to know
-// nothing of what an earlier holder did.
+// Package planner decides which upstreams of a service to start, to drain and to stop.
+// Its plan is a pure function of the actual fleet, the document and the time, so that a
+// new lease holder can plan from what it observes, without knowing what an earlier
+// holder did.
 package planner
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Offering is a kind of instance that can be started.
+// Offering is a kind of instance that the cloud can start.
 type Offering struct {
 	FailureDomain ident.FailureDomain
 	Class         ident.MachineClass
@@ -27,11 +27,11 @@
 const (
 	// Starting instances exist but do not serve yet.
 	Starting State = 1
-	// Serving instances get work.
+	// Serving instances receive work.
 	Serving State = 2
-	// Draining instances get no new work because the plan will stop them.
+	// Draining instances receive no new work because the plan will stop them.
 	Draining State = 3
-	// Leaving instances end by themselves; they count for nothing.
+	// Leaving instances end by themselves. The planner ignores them.
 	Leaving State = 4
 )
 
@@ -40,45 +40,49 @@
 	ID       ident.Instance
 	Offering Offering
 	State    State
-	// Running is how many requests it serves.
+	// Running is how many requests it is serving.
 	Running int
-	// Idle: it drains, and certainly has no request in progress nor on the
-	// way to it.
+	// Idle is set for a draining instance that certainly has no request, neither in
+	// progress nor on its way to it.
 	Idle bool
 }
 
-// Pending is an instance that this holder asked for and that is not listed
-// yet.
+// Pending is an instance that this holder asked the cloud to start and that is not
+// listed yet.
 type Pending struct {
 	StartID  string
 	Offering Offering
-	// Answered: the cloud said that it started. Otherwise the answer was
-	// lost, and the same start is asked for again.
+	// Answered is set when the cloud confirmed the start. Otherwise the answer was
+	// lost, and the same start is requested again.
 	Answered bool
 }
 
-// Failures are the latest starts that failed in a row.
+// Failures counts the newest starts that failed in a row, and says when the last one
+// did.
 type Failures struct {
 	Count int
 	Last  time.Time
 }
 
-// Actual is what is there.
+// Actual is the actual state of a service's fleet.
 type Actual struct {
 	Service   ident.Service
 	Instances []Instance
 	Pending   []Pending
-	// Failures by offering; an offering whose last start worked has none.
+	// Failures holds the failed starts by offering. An offering whose last start
+	// succeeded is not in it.
 	Failures map[Offering]Failures
-	// Demand is the work in upstreams: 2.5 keeps two and a half busy.
+	// Demand is the work, as the number of upstreams that it keeps busy: 2.5 is the work
+	// of two and a half.
 	Demand float64
-	// Holder and Starts make start IDs: the holder's fencing number, and
-	// how many starts it has asked for.
+	// Holder and Starts make start IDs unique: the holder's fencing number, and how many
+	// starts it has requested.
 	Holder ident.Fence
 	Starts int
 }
 
-// Wanted is what the document asks for, with what decides between offerings.
+// Wanted is what the document demands, and the reclaim costs that decide between
+// offerings.
 type Wanted struct {
 	Placement document.Placement
 	Reclaims  Reclaims
@@ -89,8 +93,8 @@
 
 // The kinds.
 const (
-	// Start asks the cloud for an instance. A repeat with the same start ID
-	// starts nothing new.
+	// Start asks the cloud to start an instance. Repeated with the same start ID, it
+	// starts no second one.
 	Start Kind = "start"
 	// Drain tells all gateways to send no new work to an instance.
 	Drain Kind = "drain"
@@ -98,19 +102,19 @@
 	Stop Kind = "stop"
 )
 
-// Action is one thing to do. Start has StartID and Offering, the others have
+// Action is one step of a plan. A Start has StartID and Offering, the others have
 // Instance.
 type Action struct {
 	Kind     Kind
 	StartID  string
 	Offering Offering
 	Instance ident.Instance
-	// Reason tells operators why.
+	// Reason is a short explanation for operators.
 	Reason string
 }
 
-// Plan returns what to do now. Applying it and planning again at once gives
-// only what is not answered yet.
+// Plan returns the actions to take now. Planning again right after they were applied
+// returns only the starts that have not been answered yet.
 func Plan(actual Actual, wanted Wanted, now time.Time) []Action {
 	p := newPlan(actual, wanted, now)
 	p.stopIdle()
@@ -121,7 +125,7 @@
 	return p.actions
 }
 
-// plan is one run of Plan.
+// plan is the state of one run of Plan.
 type plan struct {
 	actual Actual
 	wanted Wanted
@@ -142,7 +146,7 @@
 	return p
 }
 
-// stopIdle stops what has drained.
+// stopIdle stops the instances that have drained.
 func (p *plan) stopIdle() {
 	for _, instance := range p.actual.Instances {
 		if instance.State == Draining && instance.Idle {
@@ -151,7 +155,7 @@
 	}
 }
 
-// repeatUnanswered asks again for starts whose answer was lost.
+// repeatUnanswered repeats the starts whose answer was lost.
 func (p *plan) repeatUnanswered() {
 	for _, pending := range p.actual.Pending {
 		if !pending.Answered {
@@ -162,7 +166,7 @@
 	}
 }
 
-// grow starts what is missing, never beyond the maximum.
+// grow starts the missing upstreams, up to the maximum.
 func (p *plan) grow() {
 	missing := min(p.size.growBelow-p.fleet.active, p.size.most-p.fleet.total)
 	if missing <= 0 {
@@ -175,9 +179,9 @@
 	}
 }
 
-// rebalance starts one instance that mends the mix. What is too much after it
-// is drained by a later plan, once the new one serves. At the maximum it makes
-// room first, if the others are enough.
+// rebalance starts one instance to correct the mix of failure domains and kinds. A later
+// plan drains the surplus once the new instance serves. At the maximum, one instance is
+// drained first, provided that the others are enough.
 func (p *plan) rebalance() {
 	if len(p.actions) > 0 || p.fleet.unsettled > 0 || p.fleet.active == 0 {
 		return
@@ -196,11 +200,10 @@
 	}
 }
 
-// makesRoomFor reports whether draining the next instance at the maximum
-// brings the mix nearer to what is wanted. Where the domains beyond their limit
-// hold only on-demand instances that are needed, the next one to drain stands
-// elsewhere; the room is then filled by a start of the cheapest kind, and the
-// plan would drain and start that one for ever.
+// makesRoomFor reports whether draining the next instance at the maximum improves the
+// mix. If the domains above their limit have only on-demand instances that are needed,
+// the next instance to drain is in another domain. A start of the cheapest kind would
+// then fill its place, and the plan would drain and start that one forever.
 func (p *plan) makesRoomFor(reason string) bool {
 	if reason != tooManyInDomain {
 		return true
@@ -209,22 +212,23 @@
 	return found && p.fleet.byDomain[next.Offering.FailureDomain] > p.targetLimit()
 }
 
-// tooManyInDomain is the reason of a move out of a failure domain that holds
-// more than its limit.
+// tooManyInDomain is the reason for a move out of a failure domain that has more
+// upstreams than its limit.
 const tooManyInDomain = "too many in one failure domain"
 
-// target is the size that the mix is judged at: the one that the fleet has
-// once what is too much was drained. Judged at the present size, the instance
-// that mends the mix could itself call for another one, for ever.
+// target returns the size for which the mix is checked: the size of the fleet after the
+// surplus was drained. If it were checked for the present size, the instance that corrects
+// the mix could itself require another one, forever.
 func (p *plan) target() int { return min(p.fleet.active, p.size.shrinkAbove) }
 
-// targetLimit is how many may stand in one failure domain at the target size.
+// targetLimit returns how many upstreams may be in one failure domain at the target size.
 func (p *plan) targetLimit() int {
 	return p.size.domainLimit(p.target(), len(p.market.provenDomains(p.fleet)))
 }
 
-// mixCorrection returns what to start to mend the mix. Offerings whose last start
-// failed do not count: waiting for them would make room again and again.
+// mixCorrection returns the offering to start to correct the mix, and the reason.
+// Offerings whose last start failed are left out: instances would be drained to make room
+// for them again and again.
 func (p *plan) mixCorrection() (Offering, string, bool) {
 	limit := p.targetLimit()
 	if p.fleet.onDemand < p.size.onDemand(p.target()) {
@@ -242,9 +246,9 @@
 	return Offering{}, "", false
 }
 
-// offeringToRetry returns an offering whose back-off is over, in a failure domain
-// that has no upstreams because its starts failed. Nothing else would show
-// that it can be counted with again.
+// offeringToRetry returns an offering whose back-off is over, in a failure domain that
+// has no upstreams because its starts failed. Only such a start shows that the domain can
+// be used again.
 func (p *plan) offeringToRetry() (Offering, bool) {
 	if p.fleet.total >= p.size.most {
 		return Offering{}, false
@@ -258,9 +262,9 @@
 	return Offering{}, false
 }
 
-// onlyNeededOnDemandAbove reports whether the domains beyond their limit have
-// only on-demand instances, none of which can be missed. A reclaimable one
-// elsewhere would not replace any of them, and be drained again.
+// onlyNeededOnDemandAbove reports whether the domains above their limit have only
+// on-demand instances, all of which are needed. A reclaimable instance in another domain
+// could not replace any of them, and would be drained again.
 func (p *plan) onlyNeededOnDemandAbove(limit int) bool {
 	if p.fleet.onDemand > p.size.onDemand(p.target()) {
 		return false
@@ -274,8 +278,8 @@
 	return true
 }
 
-// shrink drains what is too much. All that is kept serves then, and the size
-// is never below the minimum.
+// shrink drains the surplus. It acts only while all active instances serve, and the
+// size that is left is never below the minimum.
 func (p *plan) shrink() {
 	if len(p.actions) > 0 || p.fleet.unsettled > 0 {
 		return
@@ -287,7 +291,7 @@
 	}
 }
 
-// drainOne drains the instance that comes first, see nextToDrain.
+// drainOne drains the instance that nextToDrain returns, and reports whether there is one.
 func (p *plan) drainOne(reason string) bool {
 	instance, found := p.nextToDrain()
 	if !found {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -15,27 +15,27 @@
 
 func init() { testkit.FixSeed() }
 
-// world applies plans at once: starts are listed and serve a round later,
-// drained instances are idle a round later and then stop.
+// world simulates a fleet that applies plans at once. Started instances are listed one
+// round later and serve after another one; drained instances are idle one round later.
 type world struct {
 	actual Actual
 	wanted Wanted
 	now    time.Time
 	closed map[Offering]bool
 	ids    int
-	// changed: the latest plan met a start that failed or that works again,
-	// or made room by a stop. Each calls for another plan at once.
+	// changed is set when the latest plan started an offering whose start failed, or
+	// succeeds again, or when it stopped an instance. Each requires another plan at once.
 	changed bool
 }
 
-// fatalfer is a test or one check of rapid.
-type fatalfer interface{ Fatalf(string, ...any) }
+// failer is a *testing.T or a *rapid.T.
+type failer interface{ Fatalf(string, ...any) }
 
 const round = 10 * time.Second
 
-// step plans once, checks the plan, and applies it. It returns how many
-// actions took effect: starts that are refused are tried for ever.
-func (w *world) step(t fatalfer) int {
+// step plans once, checks the plan, and applies it. It returns how many actions took
+// effect. Failed starts are not counted, because they are retried forever.
+func (w *world) step(t failer) int {
 	actions := Plan(w.actual, w.wanted, w.now)
 	before := newFleet(w.actual)
 	least, most := w.wanted.Placement.Min, w.wanted.Placement.Max
@@ -52,18 +52,18 @@
 	}
 	after := newFleet(w.actual)
 	if after.total > max(most, before.total) {
-		t.Fatalf("%d instances are more than the maximum %d: %v", after.total, most, actions)
+		t.Fatalf("%d instances exceed the maximum of %d: %v", after.total, most, actions)
 	}
 	if drains > 0 && len(after.serving) < least {
-		t.Fatalf("draining leaves %d of at least %d: %v", len(after.serving), least, actions)
+		t.Fatalf("draining leaves %d serving instances, want at least %d: %v", len(after.serving), least, actions)
 	}
 	if again := Plan(w.actual, w.wanted, w.now); len(again) > 0 && !w.changed {
-		t.Fatalf("planning again gives %v after %v", again, actions)
+		t.Fatalf("planning again returns %v after %v", again, actions)
 	}
 	return effects
 }
 
-// apply reports whether the action took effect.
+// apply applies an action and reports whether it took effect.
 func (w *world) apply(action Action) bool {
 	switch action.Kind {
 	case Start:
@@ -99,10 +99,10 @@
 			return &w.actual.Instances[i]
 		}
 	}
-	panic("the plan names an instance that is not there: " + string(id))
+	panic("the plan names an unknown instance: " + string(id))
 }
 
-// tick lets time pass: what was asked for is there.
+// tick lets one round pass, and lists the instances that were started before.
 func (w *world) tick() {
 	w.now = w.now.Add(round)
 	var kept []Instance
@@ -125,8 +125,9 @@
 	w.actual.Instances, w.actual.Pending = kept, nil
 }
 
-// settle runs until the plan is empty, which steady input must bring about.
-func (w *world) settle(t fatalfer) {
+// settle runs rounds until the plan stays empty. It fails if that does not come about,
+// as it must with constant input.
+func (w *world) settle(t failer) {
 	const rounds = 200
 	quiet := 0
 	for range rounds {
@@ -140,21 +141,21 @@
 		}
 		w.tick()
 	}
-	t.Fatalf("the plan does not come to rest: %v of %+v", Plan(w.actual, w.wanted, w.now), newFleet(w.actual))
+	t.Fatalf("the plan does not settle: %v for %+v", Plan(w.actual, w.wanted, w.now), newFleet(w.actual))
 }
 
-// checkSettled is the oracle of a fleet at rest while all offerings start.
+// checkSettled checks a settled fleet, all of whose offerings can be started.
 func (w *world) checkSettled(t *rapid.T) {
 	f := newFleet(w.actual)
 	p := w.wanted.Placement
 	if f.active < p.Min || float64(f.active) < min(float64(p.Max), w.actual.Demand) {
-		t.Fatalf("%d upstreams for a demand of %.1f and bounds %d to %d", f.active, w.actual.Demand, p.Min, p.Max)
+		t.Fatalf("%d upstreams for a demand of %.1f with bounds %d to %d", f.active, w.actual.Demand, p.Min, p.Max)
 	}
-	// At the maximum with the bare minimum there is no room for a change: the
-	// minimum comes before the mix.
+	// At the maximum and with no more than the minimum serving, nothing can be replaced:
+	// the minimum has priority over the mix.
 	stuck := f.total >= p.Max && len(f.serving) <= p.Min
 	if !stuck && float64(f.onDemand) < p.OnDemandShare*float64(f.active)-roundingError {
-		t.Fatalf("%d of %d are on-demand, want a share of %.2f", f.onDemand, f.active, p.OnDemandShare)
+		t.Fatalf("%d of %d upstreams are on-demand, want a share of %.2f", f.onDemand, f.active, p.OnDemandShare)
 	}
 	domains := len(newMarket(w.wanted, nil, w.now).provenDomains(f))
 	survivors := f.active - f.largestDomain()
@@ -175,7 +176,7 @@
 	return w
 }
 
-// drawPrices offers both kinds everywhere, at prices of all orders.
+// drawPrices draws prices for both kinds in each failure domain, in any order.
 func drawPrices(t *rapid.T) []document.Price {
 	var prices []document.Price
 	for i := range rapid.IntRange(1, 4).Draw(t, "domains") {
@@ -208,20 +209,19 @@
 	}
 }
 
-// Symptom: a fleet above its maximum, below its minimum, or that starts and
-// stops instances for ever. Sequence: reclaims of instances and of whole
-// failure domains, starts that fail, changes of demand, in any order. Cause: a
-// plan that forgets what it asked for, or whose parts disagree on the goal.
+// Guards against a fleet above its maximum or below its minimum, and one that starts and
+// stops instances forever, after reclaims of instances and of whole failure domains, failed
+// starts and changes of demand in any order. The cause would be a plan that forgets which
+// starts it requested, or whose steps aim at different sizes.
 func TestPlanKeepsItsBoundsAndComesToRest(t *testing.T) {
 	rapid.Check(t, planKeepsItsBoundsAndComesToRest)
 }
 
-// Symptom: one upstream is drained and started again for ever as "too many in
-// one failure domain". Sequence: starts fail everywhere but in one failure
-// domain, so that it holds all on-demand instances; the others are reclaimed
-// and come back as reclaimable ones, up to the maximum. Cause: the plan made
-// room by draining an instance of another domain, because those beyond the
-// limit could not be missed, and the next plan filled the room with the same
+// Guards against one upstream that is drained and started again forever as "too many in one
+// failure domain". Starts fail in all failure domains but one, which therefore has all
+// on-demand instances; the other domains are reclaimed and filled again with reclaimable
+// instances, up to the maximum. The plan drained an instance of another domain to make room,
+// because those above the limit were needed, and the next plan filled the room with the same
 // kind.
 func TestPlanRestsWhereOnlyNeededOnDemandStandsTooClose(t *testing.T) {
 	testkit.UseSeed(t, "619588655", "50")
@@ -251,8 +251,8 @@
 	w.checkSettled(t)
 }
 
-// Symptom: the fleet costs more than it needs to. Sequence: none. Cause: a
-// greedy choice that spends a cheap domain's room on the wrong need.
+// Guards against a fleet that costs more than necessary, because a greedy choice fills a cheap
+// domain's room with instances for the wrong need.
 func TestChoiceIsTheCheapestThatSatisfies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wanted := Wanted{Placement: document.Placement{Prices: drawPrices(t)}}
@@ -273,12 +273,13 @@
 		}
 		want := cheapestByExhaustion(m, m.domainChoices(limit, newFleet(Actual{})), count, onDemand)
 		if math.Abs(got-want) > roundingError {
-			t.Fatalf("chosen costs %.2f, the cheapest %.2f", got, want)
+			t.Fatalf("the choice costs %.2f, the cheapest one %.2f", got, want)
 		}
 	})
 }
 
-// cheapestByExhaustion tries every split over the failure domains.
+// cheapestByExhaustion returns the least cost over all ways to distribute count instances
+// over the failure domains; infinite if there is none.
 func cheapestByExhaustion(m market, choices []domainChoice, count, onDemand int) float64 {
 	if count == 0 && onDemand <= 0 {
 		return 0
@@ -289,9 +290,9 @@
 	best := math.Inf(1)
 	s := choices[0]
 	for total := 0; total <= min(s.room, count); total++ {
-		for dear := 0; dear <= total; dear++ {
-			here := float64(total-dear)*s.costs[anyKind] + float64(dear)*s.costs[onDemandOnly]
-			best = min(best, here+cheapestByExhaustion(m, choices[1:], count-total, onDemand-dear))
+		for onDemandHere := 0; onDemandHere <= total; onDemandHere++ {
+			here := float64(total-onDemandHere)*s.costs[anyKind] + float64(onDemandHere)*s.costs[onDemandOnly]
+			best = min(best, here+cheapestByExhaustion(m, choices[1:], count-total, onDemand-onDemandHere))
 		}
 	}
 	return best
@@ -309,21 +310,21 @@
 	w.step(t)
 	w.step(t)
 	if got := w.actual.Failures[cheap].Count; got != 1 {
-		t.Errorf("the closed offering was tried %d times at one instant, want once", got)
+		t.Errorf("the closed offering was tried %d times at the same time, want once", got)
 	}
 	if got := newFleet(w.actual).byDomain["hall-b"]; got != 2 {
-		t.Errorf("%d were started in the other failure domain, want 2", got)
+		t.Errorf("%d instances were started in the other failure domain, want 2", got)
 	}
 	var waits []time.Duration
 	for count := range 7 {
 		waits = append(waits, Failures{Count: count + 1, Last: w.now}.RetryAt().Sub(w.now))
 	}
 	if fmt.Sprint(waits) != "[5s 10s 20s 40s 1m20s 2m0s 2m0s]" {
-		t.Errorf("waits are %v", waits)
+		t.Errorf("the back-offs are %v", waits)
 	}
 }
 
-// largeFleet is at rest with 9 at least, spread over four failure domains.
+// largeFleet returns a settled fleet with a minimum of 9 upstreams in four failure domains.
 func largeFleet(t *testing.T) *world {
 	t.Helper()
 	w := &world{now: time.Unix(0, 0), closed: make(map[Offering]bool)}
@@ -338,9 +339,8 @@
 	return w
 }
 
-// Symptom: the fleet stands below its minimum after a second failure domain is
-// lost. Sequence: one is reclaimed whole and refuses every new start. Cause: a
-// size that goes on counting with the failure domain that refuses.
+// Guards against a fleet below its minimum after the loss of a second failure domain, when
+// all starts fail in a first one that was reclaimed: the size still counted on that domain.
 func TestRefusingFailureDomainIsMadeUpFor(t *testing.T) {
 	w := largeFleet(t)
 	lost := Offering{FailureDomain: "hall-d", Class: "gpu", Reclaimable: true}
@@ -354,7 +354,7 @@
 	delete(w.closed, lost)
 	w.settle(t)
 	if f := newFleet(w.actual); f.byDomain["hall-d"] != 3 || f.active != 12 {
-		t.Errorf("once it starts again the fleet is not as before: %v", f.byDomain)
+		t.Errorf("once starts succeed again the fleet is not as before: %v", f.byDomain)
 	}
 }
 
@@ -370,8 +370,8 @@
 	}
 }
 
-// Symptom: on-demand instances are started and drained for ever. Sequence: a
-// rush ends. Cause: the dearest are drained first, and on-demand ones are.
+// Guards against on-demand instances that are started and drained forever after a load spike:
+// the most expensive instances are drained first, which are on-demand ones.
 func TestShrinkingKeepsTheOnDemandShare(t *testing.T) {
 	w := &world{now: time.Unix(0, 0), closed: make(map[Offering]bool)}
 	w.actual = Actual{Service: "spool-llm", Failures: make(map[Offering]Failures), Demand: 8}
