--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,8 +1,8 @@
-// Package directory keeps which upstreams there are, from the entries that they
-// write to the platform's store, and from departures that peers tell of.
+// Package directory keeps the list of upstreams, from the entries that they write to the
+// platform's store and from the updates that other gateways send.
 //
-// It is a fold without I/O. Entries carry the offset of their record, so that
-// views from the store and from peers join in any order and never go back.
+// It does no I/O. Entries carry the offset of their record, so that records from the store
+// and from other gateways can be merged in any order, and a stale one changes nothing.
 package directory
 
 import (
@@ -12,51 +12,52 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// State is what an upstream says of itself.
+// State is the state that an upstream reports.
 type State int
 
 // The states.
 const (
-	// Ready upstreams take work.
+	// Ready upstreams accept work.
 	Ready State = 1
-	// Leaving upstreams finish what they have.
+	// Leaving upstreams accept no new work and finish what they have.
 	Leaving State = 2
 )
 
 // Upstream is one upstream's entry.
 type Upstream struct {
-	// ID names one life of an upstream, so that whatever is kept by ID (loads,
-	// connections, failures, what it holds in memory) ends with that life. See
-	// LifeID.
+	// ID identifies one incarnation of an upstream, so that whatever is kept by ID (loads,
+	// connections, failures, what its cache holds) ends with the incarnation. See LifeID.
 	ID ident.Instance
-	// Name is the upstream's key in the store, and what it answers to. A later life
-	// may have the name of an earlier one.
+	// Name is the upstream's key in the store, by which requests address it. A later
+	// incarnation may have the same name.
 	Name ident.Instance
-	// Born is the upstream's own time of its start, milliseconds since 1970, and
-	// higher in a later life; 0 if not said.
+	// Born is when the upstream started by its own clock, in milliseconds since 1970. It
+	// is higher in a later incarnation; 0 if not reported.
 	Born          int64
 	Service       ident.Service
 	Address       string
 	FailureDomain ident.FailureDomain
-	// Slots is how many requests it works on at a time.
+	// Slots is how many requests it processes at the same time.
 	Slots int
 	State State
-	// Reclaimable upstreams can be taken away, all of a failure domain at once.
+	// Reclaimable upstreams can be reclaimed, all of a failure domain at once.
 	Reclaimable bool
-	// LeavesIn is the time left when the entry was written; 0 if not said.
+	// LeavesIn is the time that a leaving upstream had left when the entry was written; 0
+	// if not reported.
 	LeavesIn time.Duration
-	// Version is that of its software; empty if not said.
+	// Version is the version of its software; empty if not reported.
 	Version ident.Version
-	// ColdFor is how much longer it is slow after its start, as of when the entry was
-	// written, and WarmAt when this process takes it to be over; zero if it was warm.
+	// ColdFor is how much longer the upstream was slow after its start when the entry was
+	// written, and WarmAt when this process assumes that it no longer is. Both are zero if
+	// it was warm.
 	ColdFor time.Duration
 	WarmAt  time.Time
 }
 
-// LifeID returns the ID of an upstream's life. What goes wrong if lives share an ID:
-// an upstream that was leaving, crashed and came back under its name never gets work
-// again, or its next life gets the blame, the load and the believed memory of the one
-// before.
+// LifeID returns the ID of the incarnation that started at born. If incarnations shared an
+// ID, an upstream that was leaving, crashed and came back under its name would never get
+// work again, or the new incarnation would be given the failures, the load and the assumed
+// cache content of the one before.
 func LifeID(name ident.Instance, born int64) ident.Instance {
 	if born == 0 {
 		return name
@@ -64,58 +65,58 @@
 	return name + ident.Instance("/"+strconv.FormatInt(born, 36))
 }
 
-// Entry is the newest known record of one upstream's newest life.
+// Entry is the newest known record of an upstream's newest incarnation.
 type Entry struct {
-	// Offset is that of the record that gave the entry its state.
+	// Offset is the offset of the record that gave the entry its state.
 	Offset ident.Offset
-	// dropEnd is the offset after the newest record that dropped the name, also
-	// before Offset; 0 if none did.
+	// dropEnd is the offset after the newest record that dropped the name, which may be
+	// before Offset; 0 if there is none.
 	dropEnd ident.Offset
-	// ChangeOffset is the offset of the record that said anything new: upstreams renew
-	// their entries about once a second, and a renewal says nothing new.
+	// ChangeOffset is the offset of the newest record that changed the entry. Upstreams
+	// renew their entries about once a second, and a renewal changes nothing.
 	ChangeOffset ident.Offset
-	// Present is false where the record dropped the entry. Upstream then
-	// holds what was known last.
+	// Present is false if the record dropped the entry. Upstream then holds what was
+	// last known.
 	Present  bool
 	Upstream Upstream
 	// ChangedAt is when this process learned of the state.
 	ChangedAt time.Time
-	// UsableUntil is until when a dropped entry may still be used, because it may
-	// have lapsed only while the store was away; zero for a departure.
+	// UsableUntil is until when a dropped entry may still be used, in case it expired only
+	// because the store was unavailable; zero for a departure.
 	UsableUntil time.Time
 }
 
-// graceAfterOutage is until when after the end of an outage of the platform's
-// store a dropped entry stays usable: entries lapse while upstreams cannot renew
-// them, and are back within two seconds (the platform's word) of the store's
-// return. What is dropped later is a departure, which is due within two seconds
-// of the drop, so that it gets no grace.
+// graceAfterOutage is how long after an outage of the platform's store a dropped entry
+// stays usable. Entries expire while upstreams cannot renew them, and the platform
+// guarantees that they are back within two seconds of the outage's end. An entry that is
+// dropped later is a departure, which must be applied within two seconds of the drop, and
+// gets no grace.
 const graceAfterOutage = 2 * time.Second
 
-// dropRetention is how long a dropped entry is remembered, so that a peer that is
-// behind cannot bring it back, and departures can be passed on.
+// dropRetention is how long a dropped entry is remembered, so that a gateway with a stale
+// view cannot bring it back, and departures can be passed on.
 const dropRetention = 60 * time.Second
 
-// Directory holds the entries. It is not safe for concurrent use.
+// Directory holds the entries of all upstreams. It is not safe for concurrent use.
 type Directory struct {
+	// entries are by the upstreams' names.
 	entries map[ident.Instance]*Entry
-	// next is the offset up to which all records are known, and since the one from
-	// which on all drops are: a listing of the store does not tell what it lacks.
+	// All records before the offset next are known, and all drops from the offset
+	// dropsKnownFrom on: a listing of the store does not show earlier drops.
 	next, dropsKnownFrom ident.Offset
-	// outageEnded is when the store was last seen to be back; zero if never
-	// away.
+	// outageEnded is when the store's last outage ended; zero if there was none.
 	outageEnded time.Time
 	storeAway   bool
 	views       viewBuilder
 	changes     changeLog
 }
 
-// New returns a directory that knows nothing.
+// New returns an empty directory that knows no records.
 func New() *Directory {
 	return &Directory{entries: make(map[ident.Instance]*Entry), views: newViewBuilder()}
 }
 
-// set replaces an entry.
+// set replaces an entry, and records the change for views and updates.
 func (d *Directory) set(name ident.Instance, next *Entry) {
 	known := d.entries[name]
 	if known == nil || known.Present != next.Present || known.UsableUntil != next.UsableUntil || known.Upstream != next.Upstream {
@@ -128,14 +129,14 @@
 	d.changes.trim(d.entries)
 }
 
-// Next is the offset up to which all records of the store are known.
+// Next returns the offset up to which all records of the store are known.
 func (d *Directory) Next() ident.Offset { return d.next }
 
-// StoreAway notes that the store did not answer.
+// StoreAway records that the store did not answer.
 func (d *Directory) StoreAway() { d.storeAway = true }
 
-// StoreBack notes that the store answered at an instant, to this gateway or to
-// another one.
+// StoreBack records that the store answered this gateway or another one at the given
+// time. It ends an outage that StoreAway began.
 func (d *Directory) StoreBack(at time.Time) {
 	if d.storeAway {
 		d.storeAway = false
@@ -143,16 +144,16 @@
 	}
 }
 
-// Apply takes one record of the store and reports whether something changed beyond
-// its offset; a nil upstream drops the name. A record that is not newer than what is
-// known changes nothing, nor does one of an earlier life, however late it was written.
+// Apply applies one record of the store and reports whether it changed more than the
+// entry's offset. A nil upstream drops the name. A record that is not newer than the known
+// one changes nothing, nor does one of an earlier incarnation, however late it was written.
 func (d *Directory) Apply(name ident.Instance, offset ident.Offset, u *Upstream, now time.Time) bool {
 	return d.apply(name, offset, u, d.graceEnd(now), now)
 }
 
-// Unreadable takes a record that names no upstream to use. Whoever wrote it, the name
-// gets no work until a readable record follows: another gateway that lists the store
-// now sees nothing else of it.
+// Unreadable applies a record that cannot be decoded, and reports whether it changed
+// something. Whoever wrote it, the upstream gets no work until a readable record follows,
+// because a gateway that lists the store now sees no other record of it.
 func (d *Directory) Unreadable(name ident.Instance, offset ident.Offset, now time.Time) bool {
 	if _, known := d.entries[name]; !known {
 		return false
@@ -189,7 +190,7 @@
 		return false
 	}
 	if known.Upstream.State == Leaving && u.State == Ready && (known.Present || u.Born != 0) {
-		// A leaving upstream never becomes ready again in the same life.
+		// A leaving upstream never becomes ready again in the same incarnation.
 		next.Upstream.State = Leaving
 	}
 	same := known.Present && equalIgnoringTimes(known.Upstream, next.Upstream)
@@ -200,9 +201,10 @@
 	return !same
 }
 
-// applyNewIncarnation replaces an entry by that of a later life. The records of two lives may
-// come in any order: a drop after the later life's record concerns that life, also if
-// it was seen first.
+// applyNewIncarnation replaces an entry by that of a later incarnation, and reports whether
+// something changed. The records of two incarnations may arrive in any order: a drop whose
+// offset is after the later incarnation's record applies to it, even if the drop arrived
+// first.
 func (d *Directory) applyNewIncarnation(name ident.Instance, known, next *Entry) bool {
 	if next.dropEnd <= next.Offset {
 		d.set(name, next)
@@ -214,6 +216,8 @@
 	return known.Present || !known.UsableUntil.IsZero()
 }
 
+// equalIgnoringTimes compares two entries without the remaining times, which differ in
+// each renewal.
 func equalIgnoringTimes(a, b Upstream) bool {
 	a.LeavesIn, b.LeavesIn = 0, 0
 	a.ColdFor, b.ColdFor = 0, 0
@@ -221,7 +225,8 @@
 	return a == b
 }
 
-// drop notes that an entry was dropped; until graceEnd it stays usable.
+// drop records that an entry was dropped, and reports whether it was present. A ready
+// upstream's entry stays usable until graceEnd.
 func (d *Directory) drop(id ident.Instance, offset ident.Offset, graceEnd, now time.Time) bool {
 	next := Entry{Offset: offset, ChangeOffset: offset, dropEnd: offset + 1, ChangedAt: now}
 	known := d.entries[id]
@@ -240,8 +245,8 @@
 	return wasPresent
 }
 
-// graceEnd is until when entries that the store drops now stay usable; zero if
-// they get no grace.
+// graceEnd returns until when entries that the store drops now stay usable; zero if they
+// get no grace.
 func (d *Directory) graceEnd(now time.Time) time.Time {
 	if d.storeAway {
 		return now.Add(graceAfterOutage)
@@ -252,11 +257,12 @@
 	return d.outageEnded.Add(graceAfterOutage)
 }
 
-// Reached notes that all records before an offset were applied.
+// Reached records that all records before an offset were applied.
 func (d *Directory) Reached(next ident.Offset) { d.next = max(d.next, next) }
 
-// Listed takes a complete listing of the store's newest records as of an offset:
-// what it does not hold, and was not written since, is gone.
+// Listed applies a complete listing of the store's newest records before the offset end,
+// and reports whether something changed. Entries that are not in it and were not written
+// since are dropped.
 func (d *Directory) Listed(present map[ident.Instance]bool, end ident.Offset, now time.Time) bool {
 	changed := false
 	for id, entry := range d.entries {
@@ -268,8 +274,8 @@
 	return changed
 }
 
-// Expire forgets what was dropped long ago and ends the grace of lapsed entries.
-// It reports whether an entry stopped to be usable, and whether the grace of others goes on.
+// Expire forgets entries that were dropped long ago and ends the grace of expired ones. It
+// reports whether an entry stopped being usable, and whether the grace of others goes on.
 func (d *Directory) Expire(now time.Time) (changed, more bool) {
 	for id, entry := range d.entries {
 		switch {
@@ -277,9 +283,9 @@
 		case d.usable(entry, now):
 			more = true
 		case !entry.UsableUntil.IsZero():
-			lapsed := *entry
-			lapsed.UsableUntil = time.Time{}
-			d.set(id, &lapsed)
+			expired := *entry
+			expired.UsableUntil = time.Time{}
+			d.set(id, &expired)
 			changed = true
 		case now.Sub(entry.ChangedAt) > dropRetention:
 			d.dropsKnownFrom = max(d.dropsKnownFrom, entry.Offset+1)
@@ -289,8 +295,8 @@
 	return changed, more
 }
 
-// usable reports whether a dropped entry is within its grace, which does not end
-// while the store is away.
+// usable reports whether a dropped entry is within its grace, which does not end while the
+// store is unavailable.
 func (d *Directory) usable(entry *Entry, now time.Time) bool {
 	return !entry.UsableUntil.IsZero() && (d.storeAway || now.Before(entry.UsableUntil))
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -28,15 +28,15 @@
 	return u
 }
 
-// usable returns whether a view lets new work go to an upstream.
+// usable reports whether an upstream may receive new work.
 func usable(d *Directory, id string, now time.Time) bool {
 	u, known := d.Snapshot(now).Upstream(ident.Instance(id))
 	return known && u.State == Ready
 }
 
-// Symptom: a departed upstream gets work again, or gateways differ for good.
-// Sequence: the same records, by the store and by other gateways, in any order
-// and more than once. Cause: a view that takes whatever comes last.
+// Guards against a departed upstream that gets work again, and gateways whose views differ
+// forever, when the same records arrive from the store and other gateways in any order and
+// more than once: the record that arrived last would win.
 func TestRecordsJoinInAnyOrder(t *testing.T) {
 	type step struct {
 		id       string
@@ -82,19 +82,17 @@
 		now  time.Duration
 		want bool
 	}{
-		// Symptom: work is sent to an upstream 2.1 s after it left. Sequence: a
-		// gateway hears from the store again; three seconds later an upstream
-		// leaves without a word. Cause: the drop was taken for an entry that
-		// lapsed because of the outage, and got the outage's grace.
+		// Guards against work for an upstream 2.1 s after it left. The store answers
+		// again, and three seconds later an upstream leaves without a report. The drop
+		// was taken for an entry that expired because of the outage, and got its grace.
 		{"leaves some seconds after an outage", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
 			d.StoreBack(at(time.Second))
 			d.Apply("u", 2, nil, at(4*time.Second))
 		}, 4100 * time.Millisecond, false},
-		// Symptom: no upstream is left when the store comes back. Sequence: the
-		// store is away for longer than entries live. Cause: lapsed entries are
-		// taken for departures.
+		// Guards against a view without upstreams after the store was unavailable for
+		// longer than entries live: expired entries were taken for departures.
 		{"lapses while the store is away", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
@@ -116,26 +114,25 @@
 			d.StoreAway()
 			d.Apply("u", 2, nil, at(time.Second))
 		}, 1100 * time.Millisecond, false},
-		// Symptom: requests reach an upstream 3 s after it left. Sequence: a gateway
-		// alone does not hear from the store for a while, and then hears of the
-		// departure from another one. Cause: the drop was taken for an entry that
-		// lapsed in an outage.
+		// Guards against requests for an upstream 3 s after it left. This gateway alone
+		// gets no answer from the store for a while, and then receives the departure from
+		// another gateway. The drop was taken for an entry that expired in an outage.
 		{"leaves while this gateway alone is away from the store", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
 			d.Take(News{Records: []Record{{ID: "u", Offset: 2}}, UpTo: 3}, at(2*time.Second))
 		}, 2100 * time.Millisecond, false},
-		// Symptom and cause: as above. Sequence: the gateway hears late that the store
-		// confirmed the others' views, and then reads the departure itself.
+		// As above, but the gateway learns late that the store answered the others, and
+		// then reads the departure itself.
 		{"leaves after the store was back for the others", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
 			d.StoreBack(at(time.Second))
 			d.Apply("u", 2, nil, at(3100*time.Millisecond))
 		}, 3200 * time.Millisecond, false},
-		// Symptom: no upstream is left when the store comes back. Sequence: another
-		// gateway hears first that the entries lapsed, and tells this one. Cause: its
-		// word is taken for departures.
+		// Guards against a view without upstreams after an outage of the store. Another
+		// gateway sees first that the entries expired, and sends that to this one, which
+		// took it for departures.
 		{"lapsed while the store was away for all", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
@@ -172,10 +169,10 @@
 	}
 }
 
-// Symptom: requests reach an upstream 2.3 s after it left, by one gateway of six.
-// Sequence: an entry is dropped; a gateway that has just started lists the store, and
-// tells this one all that is newer than what this one knows. Cause: the listing has
-// no trace of the drop, and this gateway took over the offset that goes with it.
+// Guards against requests from one gateway of six to an upstream 2.3 s after it left. An entry
+// is dropped; a gateway that has just started lists the store, and sends this one all records
+// that are newer than its own. The listing does not show the drop, but this gateway adopted
+// its offset.
 func TestADropBeforeAnotherGatewaysListing(t *testing.T) {
 	here, started := New(), New()
 	for _, d := range []*Directory{here, started} {
@@ -188,17 +185,17 @@
 	here.Take(started.News(here.Next(), at(time.Second)), at(time.Second))
 	for id, want := range map[string]bool{"u": false, "stays": true, "new": true} {
 		if got := usable(here, id, at(1100*time.Millisecond)); got != want {
-			t.Errorf("%s usable: %v, want %v", id, got, want)
+			t.Errorf("%s is usable: %v, want %v", id, got, want)
 		}
 	}
 	if here.Next() != 5 {
-		t.Errorf("known up to %d", here.Next())
+		t.Errorf("records are known up to offset %d, want 5", here.Next())
 	}
 }
 
-// Symptom: the last of 99 gateways with 1,000 upstreams hears of a departure 1.3 s after
-// it. Cause: each renewal of an entry is told to all. What is new must still be told,
-// also of an entry that was renewed since.
+// Guards against updates with all renewals of entries: the last of 99 gateways with 1,000
+// upstreams received a departure only after 1.3 s. A change must still be sent, even if the
+// entry was renewed since.
 func TestRenewalsAreNoNews(t *testing.T) {
 	here, there := New(), New()
 	for _, d := range []*Directory{here, there} {
@@ -211,7 +208,7 @@
 	there.Reached(5)
 	news := there.News(here.Next(), at(time.Second))
 	if len(news.Records) != 1 || news.Records[0].ID != "v" || news.UpTo != 5 || news.Complete {
-		t.Fatalf("news: %+v", news)
+		t.Fatalf("want one record, of v, up to offset 5: %+v", news)
 	}
 	here.Take(news, at(time.Second))
 	there.Apply("u", 5, leavingOf("u"), at(2*time.Second))
@@ -220,12 +217,12 @@
 	there.Reached(8)
 	here.Take(there.News(here.Next(), at(2*time.Second)), at(2*time.Second))
 	if usable(here, "u", at(3*time.Second)) || usable(here, "v", at(3*time.Second)) {
-		t.Error("upstreams that left are usable")
+		t.Error("u or v is usable after it left")
 	}
 }
 
-// Symptom and cause: as above. Sequence: the other gateway has forgotten a drop that
-// is a minute old, and this one was cut off for longer.
+// Guards against a gateway that was cut off for more than a minute and keeps an upstream that
+// left, because the gateway that updates it has forgotten the drop by then.
 func TestADropThatAnotherGatewayHasForgotten(t *testing.T) {
 	here, there := New(), New()
 	for _, d := range []*Directory{here, there} {
@@ -237,7 +234,7 @@
 	there.Expire(at(2*time.Second + dropRetention))
 	here.Take(there.News(here.Next(), at(2*time.Second+dropRetention)), at(2*time.Second+dropRetention))
 	if usable(here, "u", at(3*time.Second+dropRetention)) {
-		t.Error("usable")
+		t.Error("u is usable after it was dropped")
 	}
 }
 
@@ -247,6 +244,6 @@
 	d.Apply("u", 2, nil, at(time.Second))
 	d.Expire(at(time.Second + dropRetention + 1))
 	if n := len(d.entries); n != 0 {
-		t.Errorf("%d entries are left", n)
+		t.Errorf("%d entries are left, want 0", n)
 	}
 }
--- a/internal/directory/lives_test.go
+++ b/internal/directory/incarnations_test.go
@@ -11,22 +11,22 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// incarnation returns an entry of one life of the upstream "u".
+// incarnation returns an entry of the incarnation of upstream "u" that started at born.
 func incarnation(born int64, state State) *Upstream {
 	u := ready("u")
 	u.Name, u.Born, u.ID, u.State = "u", born, LifeID("u", born), state
 	return u
 }
 
-// Symptom: an upstream that came back never gets work again, or its earlier life gets
-// some. Sequence: an upstream leaves or crashes, and starts again under its name; the
-// records of both lives come in some order, from the store and from other gateways.
-// Cause: what is kept by name outlives the life that it is about.
+// Guards against an upstream that came back and never gets work again, and against work for
+// its earlier incarnation. An upstream leaves or crashes, and starts again under its name; the
+// records of both incarnations arrive in any order, from the store and from other gateways.
+// The cause would be state kept by name that outlives its incarnation.
 func TestAnUpstreamStartsAgainUnderItsName(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play func(d *Directory)
-		// want is the life that takes work; 0 for none.
+		// want is the incarnation that gets work, by the time of its start; 0 for none.
 		want int64
 	}{
 		{"crashes and is back before its entry lapsed", func(d *Directory) {
@@ -84,17 +84,17 @@
 				}
 			}
 			if got != c.want {
-				t.Errorf("life %d takes work, want %d", got, c.want)
+				t.Errorf("incarnation %d gets work, want %d", got, c.want)
 			}
 			if _, known := view.Upstream(LifeID("u", 100)); known && c.want == 200 {
-				t.Error("the earlier life is still listed")
+				t.Error("the earlier incarnation is still in the view")
 			}
 		})
 	}
 }
 
-// Symptom and cause: as above, for any records of several lives, in any order and more
-// than once.
+// As above, for any records of several incarnations that arrive in any order and more than
+// once.
 func TestLivesJoinInAnyOrder(t *testing.T) {
 	type step struct {
 		offset   ident.Offset
@@ -133,21 +133,21 @@
 	})
 }
 
-// Symptom: requests go to an upstream of which the store says nothing that can be read.
-// Sequence: another writer's record takes the place of an entry; the upstream renews it.
-// Cause: the last readable record is kept, which a gateway that has just started lacks.
+// Guards against requests for an upstream whose newest record in the store cannot be decoded.
+// Another writer's record replaces an entry; the upstream renews it later. Meanwhile a gateway
+// would use the last readable record, which a gateway that has just started does not have.
 func TestAnUnreadableRecordNamesNoUpstream(t *testing.T) {
 	d := New()
 	d.Apply("u", 1, incarnation(100, Ready), at(0))
 	d.Apply("v", 2, ready("v"), at(0))
 	if !d.Unreadable("u", 3, at(time.Second)) || d.Unreadable("w", 4, at(time.Second)) {
-		t.Error("the change of a known name, and only that, is to be told")
+		t.Error("Unreadable must report a change for the known name u, and none for the unknown w")
 	}
 	if usable(d, "u/2s", at(time.Second)) || !usable(d, "v", at(time.Second)) {
-		t.Error("u takes work, or v does not")
+		t.Error("u is usable, or v is not")
 	}
 	d.Apply("u", 5, incarnation(100, Ready), at(2*time.Second))
 	if !usable(d, "u/2s", at(2*time.Second)) {
-		t.Error("u takes no work though its entry can be read again")
+		t.Error("u is not usable although its entry can be read again")
 	}
 }
--- a/internal/directory/news_test.go
+++ b/internal/directory/updates_test.go
@@ -10,14 +10,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// logRecord is a record of the store; a nil upstream drops the entry.
+// logRecord is a record of the store. A nil upstream drops the entry.
 type logRecord struct {
 	id       ident.Instance
 	upstream *Upstream
 }
 
-// stateAt returns which upstreams are present, and whether they are leaving, as of an
-// offset of the store.
+// stateAt returns the states of the upstreams that are present after all records before an
+// offset.
 func stateAt(log []logRecord, end ident.Offset) map[ident.Instance]State {
 	out := make(map[ident.Instance]State)
 	for _, r := range log[:end] {
@@ -31,9 +31,9 @@
 	return out
 }
 
-// Symptom: a gateway keeps an upstream that left, or lacks one. Sequence: any of reading
-// the store's next records, listing it, telling each other, and forgetting. Cause:
-// an offset that is taken over without all that goes with it.
+// Guards against a gateway that keeps an upstream that left, or lacks one, after it read the
+// store's next records, listed the store, exchanged updates and forgot old drops in any
+// sequence: it would have adopted an offset without all records before it.
 func TestAnOffsetStandsForAllBeforeIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dirs := []*Directory{New(), New(), New()}
@@ -71,8 +71,8 @@
 	})
 }
 
-// draw returns the next record: an entry, its renewal, its leaving, or its drop. IDs are
-// not used again.
+// draw returns the next record of the log: an entry, its renewal, its leaving, or its drop.
+// IDs are not reused.
 func draw(t *rapid.T, log []logRecord) logRecord {
 	present := stateAt(log, ident.Offset(len(log)))
 	id := ident.Instance(fmt.Sprint("u", rapid.IntRange(0, 3).Draw(t, "id")))
@@ -96,7 +96,7 @@
 	return logRecord{id, ready(string(id))}
 }
 
-// list takes the store's newest record of each key, as a listing does.
+// list applies a listing of the store, with the newest record of each key.
 func list(d *Directory, log []logRecord, now time.Time) {
 	end := ident.Offset(len(log))
 	present := make(map[ident.Instance]bool)
@@ -115,23 +115,24 @@
 	d.Listed(present, end, now)
 }
 
+// check checks the directory against the log, as of the offset that it claims to know.
 func check(t *rapid.T, d *Directory, log []logRecord, now time.Time) {
 	want := stateAt(log, d.Next())
 	view := d.Snapshot(now)
 	for id, state := range want {
 		if got, known := view.Upstream(id); !known && d.entries[id].Offset < d.Next() || known && got.State != state && d.entries[id].Offset < d.Next() {
-			t.Fatalf("%s: known %v, state %v, want state %v as of %d", id, known, got.State, state, d.Next())
+			t.Fatalf("%s: known: %v, state %v, want state %v as of offset %d", id, known, got.State, state, d.Next())
 		}
 	}
 	for _, id := range view.IDs() {
 		if _, present := want[id]; !present && d.entries[id].Offset < d.Next() {
-			t.Fatalf("%s is kept as of %d", id, d.Next())
+			t.Fatalf("%s is still in the view as of offset %d", id, d.Next())
 		}
 	}
 }
 
-// Guards against a collector that looks at all upstreams for each gateway that lacks a few,
-// and against an order of changes that grows without end.
+// Guards against a collector that examines all upstreams for each gateway that lacks a few
+// changes, and against a change log that grows without bound.
 func TestNewsLookAtWhatChanged(t *testing.T) {
 	d := New()
 	const upstreams = 3000
@@ -151,22 +152,22 @@
 		write(round%7, u)
 	}
 	if n := len(d.changes.since(from)); n > 4*upstreams {
-		t.Errorf("%d changes are looked at", n)
+		t.Errorf("%d changes are examined, want at most %d", n, 4*upstreams)
 	}
 	if n := len(d.changes.entries); n > 3*upstreams {
-		t.Errorf("%d changes are kept of %d upstreams", n, upstreams)
+		t.Errorf("%d changes are kept for %d upstreams", n, upstreams)
 	}
 	if n := len(d.News(from, start).Records); n != 7 {
-		t.Errorf("%d entries are told, 7 have changed", n)
+		t.Errorf("%d entries are sent, 7 have changed", n)
 	}
 	from = d.Next()
 	write(9, leavingOf("u9"))
 	if n := len(d.changes.since(from)); n != 1 {
-		t.Errorf("%d changes are looked at for one", n)
+		t.Errorf("%d changes are examined, want 1", n)
 	}
 }
 
-// Guards against a gateway that passes a part of the news on, where it heard of the changes in
+// Guards against a gateway that passes on only a part of the changes when it received them in
 // another order than they were written in.
 func TestNewsAreWholeAfterChangesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -183,7 +184,7 @@
 		}
 		for offset := from; offset < 9; offset++ {
 			if !got[offset] {
-				t.Errorf("news from %d lack the change at %d", from, offset)
+				t.Errorf("the update from offset %d lacks the change at %d", from, offset)
 			}
 		}
 	})
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -11,12 +11,13 @@
 
 // View is an immutable snapshot of the upstreams, by service.
 type View struct {
-	// services are in the order of the upstreams' IDs.
+	// services holds each service's upstreams in the order of their IDs.
 	services map[ident.Service][]Upstream
-	count    int
+	// count is the number of all upstreams.
+	count int
 }
 
-// NewView returns a view of upstreams, for tests and fixed settings.
+// NewView returns a view of the given upstreams, for tests and fixed settings.
 func NewView(upstreams []Upstream) *View {
 	v := &View{services: make(map[ident.Service][]Upstream), count: len(upstreams)}
 	for _, u := range upstreams {
@@ -28,10 +29,11 @@
 	return v
 }
 
-// Of returns a service's upstreams in the order of their IDs, also leaving ones.
+// Of returns a service's upstreams in the order of their IDs, including leaving ones. The
+// caller must not change them.
 func (v *View) Of(service ident.Service) []Upstream { return v.services[service] }
 
-// Upstream returns one upstream.
+// Upstream returns the upstream with an ID, or false if the view does not have it.
 func (v *View) Upstream(id ident.Instance) (Upstream, bool) {
 	for _, list := range v.services {
 		if i, found := find(list, id); found {
@@ -45,10 +47,10 @@
 	return slices.BinarySearchFunc(list, id, func(u Upstream, id ident.Instance) int { return cmp.Compare(u.ID, id) })
 }
 
-// Count returns how many upstreams run.
+// Count returns how many upstreams the view has.
 func (v *View) Count() int { return v.count }
 
-// Each calls f for each upstream that runs, in no order.
+// Each calls f for each upstream, in no particular order. f must not change it.
 func (v *View) Each(f func(*Upstream)) {
 	for _, list := range v.services {
 		for i := range list {
@@ -57,7 +59,7 @@
 	}
 }
 
-// IDs returns all upstreams that run, sorted.
+// IDs returns the sorted IDs of all upstreams.
 func (v *View) IDs() []ident.Instance {
 	ids := make([]ident.Instance, 0, v.count)
 	v.Each(func(u *Upstream) { ids = append(ids, u.ID) })
@@ -65,7 +67,7 @@
 	return ids
 }
 
-// Gone returns the upstreams of this view that a later one lacks.
+// Gone returns the IDs of the upstreams in this view that a later view does not have.
 func (v *View) Gone(later *View) []ident.Instance {
 	var gone []ident.Instance
 	for service, list := range v.services {
@@ -86,19 +88,20 @@
 	return gone
 }
 
-// viewBuilder makes views from the one before. What goes wrong if each is made anew: among
-// thousands of upstreams something changes several times a second, and each gateway of a
-// fleet spends most of its time on views of what has not changed.
+// viewBuilder builds each view from the one before. With thousands of upstreams, something
+// changes several times a second. If each view were built from all entries, every gateway of
+// a fleet would spend most of its time on copying what has not changed.
 type viewBuilder struct {
 	newest *View
-	// listed is where the newest view has each name, and changed are the names of which it
-	// may be wrong.
+	// listed says under which service and ID the newest view has each name. changed are the
+	// names whose upstreams in it may be stale.
 	listed  map[ident.Instance]viewKey
 	changed map[ident.Instance]bool
-	// inGrace are dropped names that were usable when they were looked at last.
+	// inGrace are the dropped names that were in their grace in the newest view.
 	inGrace map[ident.Instance]bool
 }
 
+// viewKey identifies an upstream in a view.
 type viewKey struct {
 	id      ident.Instance
 	service ident.Service
@@ -110,8 +113,8 @@
 	}
 }
 
-// Snapshot returns a view of the upstreams that still run: ready, leaving, and
-// lapsed ones within their grace.
+// Snapshot returns a view of the upstreams that are present, ready or leaving, and of the
+// dropped ones within their grace.
 func (d *Directory) Snapshot(now time.Time) *View {
 	b := &d.views
 	for name := range b.inGrace {
@@ -142,7 +145,8 @@
 	return b.newest
 }
 
-// with returns a view with edits. Services without any share their upstreams with this one.
+// with returns a view with edits applied. Services without edits share their list with this
+// view.
 func (v *View) with(edits map[ident.Service]*edit) *View {
 	next := &View{services: maps.Clone(v.services), count: v.count}
 	for service, e := range edits {
@@ -157,12 +161,14 @@
 	return next
 }
 
-// edit is what changes among a service's upstreams.
+// edit holds the changes to a service's list of upstreams. It may remove and add the same
+// ID.
 type edit struct {
 	removed []ident.Instance
 	added   []Upstream
 }
 
+// editOf returns the edit of a service, which it adds to edits if it is missing.
 func editOf(edits map[ident.Service]*edit, service ident.Service) *edit {
 	e := edits[service]
 	if e == nil {
@@ -176,7 +182,8 @@
 
 func (e *edit) add(u Upstream) { e.added = append(e.added, u) }
 
-// applyTo returns a new list in order.
+// applyTo returns a new list with the changes, in the order of the IDs. It leaves the given
+// list as it is.
 func (e *edit) applyTo(list []Upstream) []Upstream {
 	slices.Sort(e.removed)
 	slices.SortFunc(e.added, func(a, b Upstream) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// rebuiltView returns a view that is made from all entries.
+// rebuiltView returns a view that is built from all entries.
 func rebuiltView(d *Directory, now time.Time) *View {
 	var list []Upstream
 	for _, entry := range d.entries {
@@ -23,7 +23,7 @@
 	return NewView(list)
 }
 
-// listOf is all upstreams of a view, for comparing.
+// listOf returns a copy of all upstreams of a view, for comparison.
 func listOf(v *View) map[ident.Service][]Upstream {
 	out := make(map[ident.Service][]Upstream)
 	for service, list := range v.services {
@@ -32,8 +32,8 @@
 	return out
 }
 
-// Guards against a view that is made from the one before and lacks a change, or that changes
-// an earlier view under those that use it.
+// Guards against a view that is built from the one before and lacks a change, or that modifies
+// an earlier view which others still use.
 func TestAViewMadeFromTheOneBeforeIsThatOfAllEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, now := New(), start
@@ -76,11 +76,11 @@
 					t.Fatal(diff)
 				}
 				if n := len(view.IDs()); n != view.Count() {
-					t.Fatalf("%d upstreams are counted as %d", n, view.Count())
+					t.Fatalf("the view has %d upstreams, but counts %d", n, view.Count())
 				}
 				if before != nil {
 					if diff := cmp.Diff(kept, listOf(before)); diff != "" {
-						t.Fatalf("an earlier view has changed: %s", diff)
+						t.Fatalf("an earlier view was modified: %s", diff)
 					}
 					checkGone(t, before, view)
 				}
@@ -102,11 +102,11 @@
 	slices.Sort(got)
 	slices.Sort(want)
 	if !slices.Equal(got, want) {
-		t.Fatalf("gone are %v, want %v", got, want)
+		t.Fatalf("Gone returns %v, want %v", got, want)
 	}
 }
 
-// twoServiceDirectory returns a directory of so many upstreams.
+// twoServiceDirectory returns a directory of n upstreams in two services.
 func twoServiceDirectory(n int) *Directory {
 	d := New()
 	for i := range n {
@@ -117,8 +117,8 @@
 	return d
 }
 
-// Guards against views that cost as much as all upstreams: a thousand gateways make one for
-// each change.
+// Guards against views whose cost grows with the number of all upstreams: each of a thousand
+// gateways builds one for each change.
 func TestAChangeCopiesOneListOfItsService(t *testing.T) {
 	for _, n := range []int{300, 3000, 6000} {
 		d := twoServiceDirectory(n)
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -21,8 +21,9 @@
 	actual Actual
 	wanted Wanted
 	now    time.Time
-	closed map[Offering]bool
-	ids    int
+	// startsFail are the offerings whose starts fail.
+	startsFail map[Offering]bool
+	ids        int
 	// changed is set when the latest plan started an offering whose start failed, or
 	// succeeds again, or when it stopped an instance. Each requires another plan at once.
 	changed bool
@@ -79,7 +80,7 @@
 
 func (w *world) start(action Action) bool {
 	w.actual.Starts++
-	if w.closed[action.Offering] {
+	if w.startsFail[action.Offering] {
 		w.changed = true
 		f := w.actual.Failures[action.Offering]
 		w.actual.Failures[action.Offering] = Failures{Count: f.Count + 1, Last: w.now}
@@ -165,7 +166,7 @@
 }
 
 func drawWorld(t *rapid.T) *world {
-	w := &world{now: time.Unix(0, 0), closed: make(map[Offering]bool)}
+	w := &world{now: time.Unix(0, 0), startsFail: make(map[Offering]bool)}
 	w.actual = Actual{Service: "spool-llm", Holder: 7, Failures: make(map[Offering]Failures)}
 	w.wanted.Reclaims = Reclaims{Default: 0.1, Lost: 10 * time.Minute}
 	w.wanted.Placement.Min = rapid.IntRange(1, 12).Draw(t, "min")
@@ -233,8 +234,8 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"round":  func(t *rapid.T) { w.step(t); w.tick() },
 		"demand": w.drawDemand,
-		"close":  func(t *rapid.T) { w.closed[w.drawOffering(t)] = true },
-		"open":   func(t *rapid.T) { delete(w.closed, w.drawOffering(t)) },
+		"close":  func(t *rapid.T) { w.startsFail[w.drawOffering(t)] = true },
+		"open":   func(t *rapid.T) { delete(w.startsFail, w.drawOffering(t)) },
 		"reclaim one": func(t *rapid.T) {
 			n := rapid.IntRange(0, w.ids).Draw(t, "instance")
 			w.reclaim(func(i Instance) bool { return string(i.ID) == fmt.Sprintf("i%04d", n) })
@@ -245,7 +246,7 @@
 		},
 		"settle": func(t *rapid.T) { w.settle(t) },
 	})
-	clear(w.closed)
+	clear(w.startsFail)
 	clear(w.actual.Failures)
 	w.settle(t)
 	w.checkSettled(t)
@@ -299,18 +300,18 @@
 }
 
 func TestFailingStartsBackOffAndAnotherIsTried(t *testing.T) {
-	w := &world{now: time.Unix(0, 0), closed: make(map[Offering]bool)}
+	w := &world{now: time.Unix(0, 0), startsFail: make(map[Offering]bool)}
 	w.actual = Actual{Service: "spool-llm", Failures: make(map[Offering]Failures)}
 	cheap := Offering{FailureDomain: "hall-a", Class: "gpu", Reclaimable: true}
 	w.wanted.Placement = document.Placement{Min: 2, Max: 2, Prices: []document.Price{
 		{FailureDomain: "hall-a", Class: "gpu", Reclaimable: true, CentsPerHour: 1},
 		{FailureDomain: "hall-b", Class: "gpu", Reclaimable: true, CentsPerHour: 9},
 	}}
-	w.closed[cheap] = true
+	w.startsFail[cheap] = true
 	w.step(t)
 	w.step(t)
 	if got := w.actual.Failures[cheap].Count; got != 1 {
-		t.Errorf("the closed offering was tried %d times at the same time, want once", got)
+		t.Errorf("the failing offering was tried %d times at the same time, want once", got)
 	}
 	if got := newFleet(w.actual).byDomain["hall-b"]; got != 2 {
 		t.Errorf("%d instances were started in the other failure domain, want 2", got)
@@ -327,7 +328,7 @@
 // largeFleet returns a settled fleet with a minimum of 9 upstreams in four failure domains.
 func largeFleet(t *testing.T) *world {
 	t.Helper()
-	w := &world{now: time.Unix(0, 0), closed: make(map[Offering]bool)}
+	w := &world{now: time.Unix(0, 0), startsFail: make(map[Offering]bool)}
 	w.actual = Actual{Service: "spool-llm", Failures: make(map[Offering]Failures), Demand: 6}
 	w.wanted.Placement = document.Placement{Min: 9, Max: 20}
 	for i := range 4 {
@@ -344,14 +345,14 @@
 func TestRefusingFailureDomainIsMadeUpFor(t *testing.T) {
 	w := largeFleet(t)
 	lost := Offering{FailureDomain: "hall-d", Class: "gpu", Reclaimable: true}
-	w.closed[lost] = true
+	w.startsFail[lost] = true
 	w.reclaim(func(i Instance) bool { return i.Offering == lost })
 	w.settle(t)
 	f := newFleet(w.actual)
 	if survivors := f.active - f.largestDomain(); survivors < 9 {
 		t.Errorf("the loss of a second failure domain leaves %d of 9: %v", survivors, f.byDomain)
 	}
-	delete(w.closed, lost)
+	delete(w.startsFail, lost)
 	w.settle(t)
 	if f := newFleet(w.actual); f.byDomain["hall-d"] != 3 || f.active != 12 {
 		t.Errorf("once starts succeed again the fleet is not as before: %v", f.byDomain)
@@ -373,7 +374,7 @@
 // Guards against on-demand instances that are started and drained forever after a load spike:
 // the most expensive instances are drained first, which are on-demand ones.
 func TestShrinkingKeepsTheOnDemandShare(t *testing.T) {
-	w := &world{now: time.Unix(0, 0), closed: make(map[Offering]bool)}
+	w := &world{now: time.Unix(0, 0), startsFail: make(map[Offering]bool)}
 	w.actual = Actual{Service: "spool-llm", Failures: make(map[Offering]Failures), Demand: 8}
 	w.wanted.Placement = document.Placement{Min: 2, Max: 12, OnDemandShare: 0.32, Prices: []document.Price{
 		{FailureDomain: "hall-a", Class: "gpu", CentsPerHour: 9},
