--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -94,8 +94,8 @@
 	Leases Leases
 	Duties platform.Duties
 	Log    hclog.Logger
-	// Serves reports whether an upstream counts as its service's permanent capacity, which
-	// those of a version that is being tried do not. Changing reports whether a service's
+	// Serves reports whether an upstream counts as its service's lasting capacity, which
+	// those of a version that is being tried or drained do not. Changing reports whether a service's
 	// upstreams are being replaced by those of another version.
 	Serves   func(*directory.Upstream) bool
 	Changing func(ident.Service) bool
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -299,7 +299,7 @@
 }
 
 // Guards against a system that has just started, removes its upstreams before callers arrive,
-// and is too small for them: a holder took no work so far for no need.
+// and is then too small for them: a holder that has seen no work yet took that for no need.
 func TestWhatServesStaysUntilWorkWasSeen(t *testing.T) {
 	c, controller := newCloud()
 	c.setUpstreams(map[Slot]int{{"a", false}: 3, {"b", false}: 2, {"c", false}: 2, {"d", false}: 2}, directory.Ready)
