--- a/internal/planner/market.go
+++ b/internal/planner/market.go
@@ -20,9 +20,9 @@
 	Lost time.Duration
 }
 
-// Expected returns what an hour of useful work costs on an offering, in cents: the
+// ExpectedCost returns what an hour of useful work costs on an offering, in cents: the
 // price of the hour and that of the work that is lost to reclaims in it.
-func (r Reclaims) Expected(offering Offering, centsPerHour float64) float64 {
+func (r Reclaims) ExpectedCost(offering Offering, centsPerHour float64) float64 {
 	if !offering.Reclaimable {
 		return centsPerHour
 	}
@@ -65,7 +65,7 @@
 	m := market{costs: make(map[Offering]float64), failures: failures}
 	for _, price := range wanted.Placement.Prices {
 		offering := Offering{FailureDomain: price.FailureDomain, Class: price.Class, Reclaimable: price.Reclaimable}
-		m.costs[offering] = wanted.Reclaims.Expected(offering, price.CentsPerHour)
+		m.costs[offering] = wanted.Reclaims.ExpectedCost(offering, price.CentsPerHour)
 		if !now.Before(failures[offering].RetryAt()) {
 			m.startable = append(m.startable, offering)
 		}
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -95,8 +95,8 @@
 	Duties platform.Duties
 	Log    hclog.Logger
 	// Serves reports whether an upstream counts as its service's lasting capacity, which
-	// those of a version that is being tried or drained do not. Changing reports whether a service's
-	// upstreams are being replaced by those of another version.
+	// those of a version that is being tried or drained do not. Changing reports whether a
+	// service's upstreams are being replaced by those of another version.
 	Serves   func(*directory.Upstream) bool
 	Changing func(ident.Service) bool
 	// Lacking returns the share of its work, from 0 to 1, that an upstream does not accept
