--- a/internal/duty/lease_test.go
+++ b/internal/duty/lease_test.go
@@ -18,21 +18,22 @@
 
 func init() { testkit.FixSeed() }
 
-// world is a store and several managers in virtual time: nothing runs unless the
-// test calls it.
+// world is a store and several managers in virtual time. Nothing runs unless the test
+// calls it.
 type world struct {
 	now      time.Time
 	records  []platform.KeyedRecord
 	managers []*Manager
-	// fault is how the next write is treated, and late are writes that are done
-	// later if their condition still holds.
-	fault func() fault
-	late  []func()
-	// took is how long a write takes, and meanwhile what happens then.
-	took      time.Duration
+	// fault returns what happens to the next write. lateWrites are writes that are
+	// applied later if their condition still holds.
+	fault      func() fault
+	lateWrites []func()
+	// writeTime is how long a write takes. meanwhile, if set, is called repeatedly during
+	// the next write.
+	writeTime time.Duration
 	meanwhile func()
-	// silent: holders whose lease has run out do not say so.
-	silent bool
+	// expiryNotAnnounced is set where holders do not report that their lease expired.
+	expiryNotAnnounced bool
 }
 
 type fault int
@@ -41,7 +42,7 @@
 	none fault = iota
 	unavailable
 	answerLost
-	doneLate
+	appliedLate
 )
 
 func newWorld(n int) *world {
@@ -65,11 +66,11 @@
 	return m
 }
 
-// givenUp is what the other managers say.
+// givenUp returns the highest fencing number that the other managers report as given up.
 func (w *world) givenUp(self ident.Instance) ident.Fence {
 	highest := ident.Fence(0)
 	for _, m := range w.managers {
-		if m.cfg.Self != self && !w.silent {
+		if m.cfg.Self != self && !w.expiryNotAnnounced {
 			highest = max(highest, m.GivenUp())
 		}
 	}
@@ -85,25 +86,25 @@
 		w.records = append(w.records, platform.KeyedRecord{Offset: offset, Key: key, Value: value})
 		return offset, nil
 	}
-	defer w.freeze()
+	defer w.passWriteTime()
 	switch w.fault() {
 	case unavailable:
 		return 0, platform.ErrUnavailable
 	case answerLost:
-		_, _ = write() // whether it was done is what the caller cannot know
+		_, _ = write() // the caller cannot know whether it was applied
 		return 0, platform.ErrAnswerLost
-	case doneLate:
-		w.late = append(w.late, func() { _, _ = write() })
+	case appliedLate:
+		w.lateWrites = append(w.lateWrites, func() { _, _ = write() })
 		return 0, platform.ErrAnswerLost
 	}
 	return write()
 }
 
-// freeze lets the time of a write pass, while the others go on.
-func (w *world) freeze() {
+// passWriteTime lets the time of a write pass while the other managers run.
+func (w *world) passWriteTime() {
 	others := w.meanwhile
 	w.meanwhile = nil
-	for end := w.now.Add(w.took); w.now.Before(end); w.now = w.now.Add(step) {
+	for end := w.now.Add(w.writeTime); w.now.Before(end); w.now = w.now.Add(tickInterval) {
 		if others != nil {
 			others()
 		}
@@ -111,7 +112,7 @@
 }
 
 func (w *world) Follow(context.Context, string, ident.Offset, time.Duration) (platform.KeyedBatch, error) {
-	panic("the lease is read as a whole")
+	panic("the lease is read with Newest, not followed")
 }
 
 func (w *world) Newest(context.Context, string, func([]platform.KeyedRecord)) (platform.KeyedBatch, error) {
@@ -122,16 +123,16 @@
 	return batch, nil
 }
 
-// run ticks all managers for a time.
+// run ticks all managers for the given time.
 func (w *world) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(step) {
+	for end := w.now.Add(d); w.now.Before(end); w.now = w.now.Add(tickInterval) {
 		for _, m := range w.managers {
 			m.tick(context.Background())
 		}
 	}
 }
 
-// holders returns the managers that may call now.
+// holders returns the indices of the managers that may make calls now.
 func (w *world) holders() []int {
 	var out []int
 	for i, m := range w.managers {
@@ -142,37 +143,37 @@
 	return out
 }
 
-// Symptom: two gateways carry a duty at the same time, or one number is used by
-// two. Sequence: gateways that stop for any time at any place, writes that are
-// refused, whose answers are lost, or that are done seconds later. Cause: a
-// deadline that counts from the answer, a claim taken for held before it was read
-// back, or a condition that is not checked.
+// Guards against two gateways that perform a duty at the same time, or use the same
+// fencing number. Gateways freeze at any point and for any time; writes are rejected, lose
+// their answers, or are applied seconds later. Possible causes: a deadline that counts from
+// the answer, a claim that counts as held before it was read back, or a condition that is
+// not checked.
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(3)
 		fences := make(map[ident.Fence]int)
 		last := ident.Fence(0)
 		w.fault = func() fault {
-			return rapid.SampledFrom([]fault{none, none, none, none, unavailable, answerLost, doneLate}).Draw(t, "fault")
+			return rapid.SampledFrom([]fault{none, none, none, none, unavailable, answerLost, appliedLate}).Draw(t, "fault")
 		}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			w.took = time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
+			w.writeTime = time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
 			if rapid.IntRange(0, 9).Draw(t, "frozen before the answer") == 0 {
-				w.took += 2 * testTiming.Length
+				w.writeTime += 2 * testTiming.Length
 			}
-			w.silent = rapid.Bool().Draw(t, "nobody is told")
+			w.expiryNotAnnounced = rapid.Bool().Draw(t, "nobody is told")
 			i := rapid.IntRange(0, len(w.managers)-1).Draw(t, "manager")
 			w.meanwhile = func() {
-				took := w.took
-				w.took = 0
+				took := w.writeTime
+				w.writeTime = 0
 				w.managers[(i+1)%len(w.managers)].tick(context.Background())
-				w.took = took
+				w.writeTime = took
 			}
 			w.managers[i].tick(context.Background())
 			w.now = w.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "passes")) * time.Millisecond)
-			if len(w.late) > 0 && rapid.Bool().Draw(t, "late write is done") {
-				w.late[0]()
-				w.late = w.late[1:]
+			if len(w.lateWrites) > 0 && rapid.Bool().Draw(t, "late write is done") {
+				w.lateWrites[0]()
+				w.lateWrites = w.lateWrites[1:]
 			}
 			holders := w.holders()
 			if len(holders) > 1 {
@@ -223,29 +224,29 @@
 		w.run(time.Second)
 		w.managers[0].release()
 		w.managers = w.managers[1:]
-		w.run(readEvery + 2*testTiming.RankDelay)
+		w.run(readInterval + 2*testTiming.RankDelay)
 		if got := fmt.Sprint(w.holders()); got != "[0]" {
 			t.Errorf("held by %s", got)
 		}
 	})
-	// Symptom: a usage report comes too late, and nothing is scaled for 4 s. Sequence:
-	// the store turns away the holder, and no other gateway. Cause: successors that
-	// wait for the lease's length from when they first read its record.
+	// Guards against a late usage report and 4 s without scaling, when the store rejects
+	// the holder and no other gateway: successors waited for the lease's length from when
+	// they first read its record.
 	t.Run("one that has run out is taken at its holder's word", func(t *testing.T) {
 		w := newWorld(3)
 		w.run(time.Second)
 		holder := w.managers[0]
 		w.fault = func() fault { return unavailable }
-		// The others hear of a holder, and do not look at the record.
+		// The other gateways receive reports of a holder and do not read the record.
 		all := w.managers
 		w.managers = all[:1]
 		for holds := true; holds; _, holds = holder.Grant() {
-			w.run(step)
+			w.run(tickInterval)
 		}
-		w.run(step)
+		w.run(tickInterval)
 		w.fault = func() fault { return none }
 		w.managers = all
-		for end := w.now.Add(testTiming.RankDelay + 3*step); w.now.Before(end); w.now = w.now.Add(step) {
+		for end := w.now.Add(testTiming.RankDelay + 3*tickInterval); w.now.Before(end); w.now = w.now.Add(tickInterval) {
 			all[1].tick(t.Context())
 		}
 		grant, holds := all[1].Grant()
@@ -253,10 +254,10 @@
 			t.Errorf("held: %v, fence %d after %d", holds, grant.Fence, holder.GivenUp())
 		}
 	})
-	// Symptom: the platform gets a call under an older fencing number after one under
-	// a newer number. Sequence: the holder calls just before its lease runs out, and
-	// says that it has run out; its successor calls before that call arrives. Cause: the
-	// lease's margin for a call in flight does not count where the holder gives its word.
+	// Guards against a call under an older fencing number that reaches the platform after
+	// one under a newer number. The holder makes a call just before its lease expires and
+	// reports the expiry; its successor makes a call before the first one arrives. The
+	// lease's margin for calls in flight does not help where the holder reports expiry.
 	t.Run("its holder's word waits for calls in flight", func(t *testing.T) {
 		w := newWorld(2)
 		w.run(time.Second)
@@ -270,24 +271,24 @@
 		w.managers = w.managers[:1]
 		w.run(testTiming.Length)
 		if _, err := grant.Begin(); !errors.Is(err, ErrNotHeld) || holder.GivenUp() != 0 {
-			t.Errorf("may still call: %v; says that %d has run out while a call is in flight", err, holder.GivenUp())
+			t.Errorf("Begin returns %v, want ErrNotHeld; reports that %d expired while a call is in flight", err, holder.GivenUp())
 		}
 		ended()
-		w.run(step)
+		w.run(tickInterval)
 		if holder.GivenUp() != grant.Fence {
-			t.Errorf("says that %d has run out, want %d", holder.GivenUp(), grant.Fence)
+			t.Errorf("reports that %d expired, want %d", holder.GivenUp(), grant.Fence)
 		}
 	})
-	// Symptom: the duty goes from one gateway to another and back within the
-	// length of a lease. Sequence: the holder releases it and is started again;
-	// its successor releases it too. Cause: a released lease is free for all.
+	// Guards against a duty that goes from one gateway to another and back within the
+	// length of a lease. The holder releases the lease and restarts; its successor releases
+	// it too. The cause would be a released lease that any gateway may claim.
 	t.Run("it does not come back at once", func(t *testing.T) {
 		w := newWorld(2)
 		w.run(time.Second)
 		w.managers[0].release()
 		first := w.managers[0]
 		w.managers = w.managers[1:]
-		w.run(testTiming.RankDelay + readEvery + time.Second)
+		w.run(testTiming.RankDelay + readInterval + time.Second)
 		w.managers[0].release()
 		restarted := w.add(first.cfg.Self, 0)
 		w.managers = []*Manager{restarted}
@@ -327,12 +328,12 @@
 	})
 }
 
-// Guards against a holder that writes its record before it has taken in what the one before
-// it kept, and wipes it out.
+// Guards against a holder that writes its record before it has merged the state that the
+// previous holder passed on, and so erases it.
 func TestWhatIsKeptOutlivesItsHolder(t *testing.T) {
 	w := newWorld(0)
-	kept := func(m *Manager, first string) *string {
-		learned := first
+	keepState := func(m *Manager, initial string) *string {
+		learned := initial
 		m.cfg.Keep = func() Kept { return Kept{Requests: json.RawMessage(learned), Limits: json.RawMessage(learned)} }
 		m.cfg.Learn = func(kept Kept) {
 			if string(kept.Requests) != string(kept.Limits) {
@@ -343,11 +344,11 @@
 		return &learned
 	}
 	first := w.add("a", 0)
-	kept(first, `[1]`)
+	keepState(first, `[1]`)
 	claim := func(m *Manager) {
 		for range 100 {
 			m.tick(context.Background())
-			w.now = w.now.Add(step)
+			w.now = w.now.Add(tickInterval)
 			if _, held := m.Grant(); held {
 				return
 			}
@@ -356,13 +357,13 @@
 	}
 	claim(first)
 	second := w.add("b", 0)
-	learned := kept(second, `null`)
+	learned := keepState(second, `null`)
 	claim(second)
 	if *learned != `[1]` {
 		t.Errorf("the second holder learned %s", *learned)
 	}
 	third := w.add("c", 0)
-	read := kept(third, `null`)
+	read := keepState(third, `null`)
 	if _, err := third.ReadGateways(context.Background()); err != nil || *read != `[1]` {
 		t.Errorf("a gateway that starts learned %s, %v", *read, err)
 	}
