--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -1,10 +1,11 @@
-// Package httpconn sends HTTP/1.1 requests to upstreams, each exactly once,
-// and says of every failure how far the request got.
+// Package httpconn sends HTTP/1.1 requests to upstreams over pooled
+// connections. Each request is sent at most once, and every failure says how
+// far the exchange got.
 //
-// net/http reads and checks the answers; its client is not used, because it
-// sends a request again by itself when a reused connection was reset, hides
-// whether bytes had left, and takes whatever answer comes next on a connection
-// for the one that is due.
+// Answers are parsed by net/http, but its client is not used: it sends a
+// request again by itself when a reused connection was reset, does not say
+// whether bytes had left, and takes the next answer on a connection for the one
+// to this request, whichever request it belongs to.
 package httpconn
 
 import (
@@ -21,86 +22,97 @@
 )
 
 const (
-	// maxHeaderBytes bounds an answer's header, so that a faulty upstream cannot fill
-	// the memory. Servers in common use send a few KiB and allow 8 to 64.
+	// maxHeaderBytes bounds an answer's header, so that a faulty upstream
+	// cannot fill the memory. Servers in common use send a few KiB and accept 8
+	// to 64.
 	maxHeaderBytes = 64 << 10
-	// concurrentWriteBytes is the size from which a request is written beside the
-	// reading of its answer: an upstream may answer before it has read a long
-	// body, and a writer that fills the window would never see that. Smaller
-	// requests fit the kernel's buffers.
+	// concurrentWriteBytes is the request size above which the request is
+	// written concurrently with reading its answer. An upstream may answer
+	// before it has read a long body, and a write that blocks on a full TCP
+	// window would never notice that answer. Smaller requests fit the kernel's
+	// buffers.
 	concurrentWriteBytes = 16 << 10
 	// readBufferBytes holds an answer's header and several events.
 	readBufferBytes = 4 << 10
-	// maxUnmatchedAnswers is how many answers to other requests are skipped on a
-	// connection before it is given up. One late answer was ever due; a
-	// second one shows a connection that is out of step for good.
+	// maxUnmatchedAnswers is how many answers to other requests are skipped on
+	// a connection before it is given up. At most one late answer can be
+	// outstanding; a second one shows that requests and answers on the
+	// connection no longer match.
 	maxUnmatchedAnswers = 2
 )
 
 // Request is one HTTP request, ready to be sent.
 type Request struct {
 	Method string
-	// URI is path and query, byte for byte as the caller sent them.
+	// URI is the path and query, byte for byte as the caller sent them.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Belongs tells whether an answer with this header is the one to this
-	// request. Nil takes any.
+	// Belongs reports whether an answer with this header is the one to this
+	// request. Nil accepts every answer.
 	Belongs func(http.Header) bool
-	// Before is asked when a connection is there, right before the first byte
-	// leaves; an error ends the exchange unsent. Nil asks nothing.
+	// Before is called once a connection is available, right before the first
+	// byte is sent. If it returns an error, nothing is sent. It may be nil.
 	Before func() error
 }
 
-// Stage says how far an exchange got.
+// Stage is the part of an exchange in which it failed.
 type Stage string
 
 // The stages.
 const (
-	// StageConnect: no connection, so nothing was sent.
+	// StageConnect: there was no connection, or Request.Before returned an
+	// error, so nothing was sent.
 	StageConnect Stage = "connect"
 	// StageWrite: the connection broke while the request was written.
 	StageWrite Stage = "write"
-	// StageHead: no valid answer header came.
+	// StageHeader: no valid answer header was received.
 	StageHeader Stage = "head"
-	// StageBody: the answer broke off.
+	// StageBody: the answer's body broke off.
 	StageBody Stage = "body"
 )
 
-// Failure is a failed exchange.
+// Failure is the error of a failed exchange.
 type Failure struct {
 	Stage Stage
-	// Sent is false only if no byte of the request can have left.
+	// Sent is false only if no byte of the request can have been sent.
 	Sent bool
-	Err  error
+	// Err is the cause.
+	Err error
 }
 
-// Error implements error.
+// Error returns the stage and the cause.
 func (f *Failure) Error() string { return string(f.Stage) + ": " + f.Err.Error() }
 
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// errStray: the connection answers other requests than the one that was sent.
+// errUnmatchedAnswers: the connection delivers answers to other requests than
+// the one that was sent.
 var errUnmatchedAnswers = errors.New("answers belong to other requests")
 
-// Answer is an upstream's answer whose header was read. Read its body up to
-// io.EOF and Close it.
+// Answer is an upstream's answer of which the header has been read. The caller
+// reads the body up to io.EOF and must call Close.
 type Answer struct {
 	Status int
 	Header http.Header
 
-	conn      *conn
-	response  *http.Response
-	written   <-chan error
+	conn     *conn
+	response *http.Response
+	// written receives the result of the concurrent write of a long request;
+	// nil if the request was written before its answer was read.
+	written <-chan error
+	// stopReset stops the reset of the connection at the end of the request's
+	// context. It returns false if the reset has already begun.
 	stopReset func() bool
-	complete  bool
+	// complete: the body was read up to its end.
+	complete bool
 }
 
-// Read reads the body. io.EOF means that all of it came: an answer that is cut
-// off before its stated end, or reset where it has none, ends with another
-// error.
+// Read reads the body. It returns io.EOF only if the whole body was received:
+// an answer that breaks off before its stated end, or that has no stated end
+// and is reset, ends with a *Failure.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.response.Body.Read(p)
 	if err == io.EOF {
@@ -113,12 +125,13 @@
 	return n, nil
 }
 
-// Close ends the exchange. The connection is kept only if the answer is
-// complete and the upstream agreed, and reset if the exchange is given up.
+// Close ends the exchange. It keeps the connection for reuse if the answer is
+// complete and the upstream keeps the connection open, resets it if the
+// exchange was abandoned, and closes it otherwise.
 func (a *Answer) Close() {
-	inTime := a.stopReset()
+	notReset := a.stopReset()
 	switch {
-	case !inTime || !a.complete || !a.requestSent():
+	case !notReset || !a.complete || !a.requestSent():
 		a.conn.resetAndDiscard()
 		return
 	case a.response.Close || !a.endsWithoutClose() || a.conn.unmatched > 0 || a.conn.reader.Buffered() > 0:
@@ -128,14 +141,15 @@
 	a.conn.putIdle(keepAliveTime(a.Header, a.conn.defaultIdle))
 }
 
-// endsWithoutClose reports whether the answer's end did not need the connection's end.
+// endsWithoutClose reports whether the end of the answer is given by its length
+// or its encoding, and not by the end of the connection.
 func (a *Answer) endsWithoutClose() bool {
 	return a.response.ContentLength >= 0 || len(a.response.TransferEncoding) > 0
 }
 
-// requestSent reports whether the whole request has left. If the upstream
-// answered before that, the rest of the body must not be followed by another
-// request, and must not be replaced by anything else.
+// requestSent reports whether the whole request was written. If the upstream
+// answered before that, it still expects the rest of the body, so no other
+// request may follow on this connection.
 func (a *Answer) requestSent() bool {
 	if a.written == nil {
 		return true
@@ -148,7 +162,8 @@
 	}
 }
 
-// exchange sends a request and reads the answer's header.
+// exchange sends a request and reads the answer's header. It resets the
+// connection when ctx ends.
 func (c *conn) exchange(ctx context.Context, req *Request) (*Answer, *Failure) {
 	stop := context.AfterFunc(ctx, c.reset)
 	fail := func(stage Stage, err error) (*Answer, *Failure) {
@@ -173,7 +188,8 @@
 	}, nil
 }
 
-// write sends the request, a long one beside the reading of its answer.
+// write sends the request. A long request is written concurrently, and the
+// returned channel receives the result; otherwise the channel is nil.
 func (c *conn) write(req *Request) (<-chan error, error) {
 	head := appendHeader(make([]byte, 0, 1024), req)
 	if len(head)+len(req.Body) <= concurrentWriteBytes {
@@ -212,9 +228,10 @@
 	return append(b, "\r\n"...)
 }
 
-// readHeader reads the header of the answer that belongs to the request. Interim
-// answers, and complete ones to earlier requests, are passed over: an upstream
-// may send a second answer late, where the next one is due.
+// readHeader reads the header of the answer that belongs to the request. It
+// skips interim answers (1xx) and complete answers to earlier requests: an
+// upstream may send a second answer to an earlier request late, where the
+// answer to this one is expected.
 func (c *conn) readHeader(req *Request, written <-chan error) (*http.Response, error) {
 	for {
 		c.header.remaining = maxHeaderBytes
@@ -239,8 +256,8 @@
 	}
 }
 
-// preferWriteError prefers the error of a write that failed over that of the read
-// that it broke.
+// preferWriteError returns the error of the concurrent write if that failed,
+// because it caused the read error; otherwise it returns err.
 func preferWriteError(written <-chan error, err error) error {
 	if written == nil {
 		return err
@@ -255,12 +272,14 @@
 	return err
 }
 
+// unlimited as headerReader.remaining means no bound.
 const unlimited = -1
 
-// headerReader bounds what is read of a header.
+// headerReader limits how many bytes are read while an answer's header is
+// parsed.
 type headerReader struct {
 	source io.Reader
-	// remaining is how many bytes may still be read; unlimited for no bound.
+	// remaining is how many bytes may still be read, or unlimited.
 	remaining int
 }
 
@@ -286,16 +305,18 @@
 	return bufio.NewReaderSize(limit, readBufferBytes), limit
 }
 
-// defaultIdleTimeout is for how long a connection is kept that the upstream said nothing
-// of.
+// defaultIdleTimeout is how long an idle connection is kept if the upstream
+// does not say how long it keeps it.
 const defaultIdleTimeout = 400 * time.Millisecond
 
-// keepAliveTime returns for how long the upstream keeps an idle connection. It
-// says so in whole seconds; without a word it may be less than one.
-func keepAliveTime(header http.Header, unsaid time.Duration) time.Duration {
+// keepAliveTime returns how long an idle connection may be reused. Upstreams
+// state their limit in whole seconds in the Keep-Alive header; if there is
+// none, the limit may be under a second and unstated is returned.
+func keepAliveTime(header http.Header, unstated time.Duration) time.Duration {
 	const (
 		parameter = "timeout="
-		// margin covers the flight of the next request.
+		// margin covers the time in which the next request travels to the
+		// upstream.
 		margin = 500 * time.Millisecond
 	)
 	value := header.Get("Keep-Alive")
@@ -309,9 +330,9 @@
 		}
 		seconds, err := strconv.Atoi(value[i+len(parameter) : end])
 		if err != nil || seconds == 0 {
-			return unsaid
+			return unstated
 		}
-		return max(time.Duration(seconds)*time.Second-margin, unsaid)
+		return max(time.Duration(seconds)*time.Second-margin, unstated)
 	}
-	return unsaid
+	return unstated
 }
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// Symptom: the rest of a long body is replaced by another request. Sequence: the
-// upstream answers before it has read the body, and keeps the connection. Cause: a
-// connection that is reused though a request has not left whole.
+// Failure: another request is sent in place of the rest of a long body. The
+// upstream answers before it has read the body and keeps the connection, which
+// is then reused although the request was not written whole.
 func TestAnEarlyAnswerToALongBody(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -111,7 +111,7 @@
 				return
 			}
 			connections <- c
-			// It answers at once, and reads nothing.
+			// The upstream answers at once and reads nothing.
 			io.WriteString(c, "HTTP/1.1 413 Too Large\r\nX-Request-Id: r1\r\nKeep-Alive: timeout=9\r\nContent-Length: 0\r\n\r\n")
 		}
 	}()
@@ -135,8 +135,8 @@
 	}
 }
 
-// Symptom: an upstream works on for a request that was given up. Cause: the
-// connection stays open.
+// Failure: an upstream goes on working on a request that was cancelled, because
+// its connection stays open.
 func TestAnEndedContextClosesTheConnection(t *testing.T) {
 	w := worker.New(t, "u")
 	began, gone := make(chan struct{}), make(chan bool, 1)
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -15,21 +15,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// ErrConnections: this gateway's part of the upstream's connections is in use.
+// ErrNoFreeConnection: this gateway already uses all connections that it may
+// open to the upstream.
 var ErrNoFreeConnection = errors.New("all connections to the upstream are in use")
 
-// dialTimeout bounds one connection attempt. Domains are milliseconds
-// apart; an upstream that has not answered by then is down, cut off, or drops
-// openings because its queue is full, and another one serves sooner.
+// dialTimeout bounds one connection attempt. Round trips between failure
+// domains take milliseconds; an upstream that has not answered within this time
+// is down, unreachable, or drops connection attempts because its accept queue
+// is full, and another upstream serves the request sooner.
 const dialTimeout = 350 * time.Millisecond
 
-// Counters count what a pool does. Load them for metrics.
+// Counters count the events of a pool since its start. Reuses are requests sent
+// over an idle connection, Discards are closed connections, and Strays are
+// those of them that had received answers to other requests.
 type Counters struct {
 	Dials, DialFailures, Reuses, Discards, Strays int64
 }
 
-// Pool keeps connections by upstream. An upstream's next incarnation has
-// another ID, so that no connection is ever taken for one to it.
+// Pool keeps connections to upstreams, by instance ID. A restarted upstream has
+// another ID, so it never gets a connection that belonged to its previous
+// incarnation. A Pool is safe for concurrent use.
 type Pool struct {
 	now    boottime.Clock
 	dialer *net.Dialer
@@ -39,15 +44,19 @@
 	counters Counters
 }
 
-// host is one upstream's connections.
+// host holds the connections to one upstream. Pool.mu guards it.
 type host struct {
+	// open counts all connections to the upstream, in use or idle, and those
+	// being dialed.
 	open int
+	// idle connections, the most recently used one last.
 	idle []*conn
-	// gone: the upstream left, its connections are not kept.
+	// forgotten: the upstream has left, so its connections are closed after
+	// use.
 	forgotten bool
 }
 
-// conn is one connection. Only one exchange uses it at a time.
+// conn is one connection. At most one exchange uses it at a time.
 type conn struct {
 	pool   *Pool
 	id     ident.Instance
@@ -55,34 +64,37 @@
 	net    net.Conn
 	reader *bufio.Reader
 	header *headerReader
-	// unmatched counts answers to other requests.
+	// unmatched counts the received answers to other requests.
 	unmatched int
-	// reuseUntil is when it must not be reused any more, and unsaid for how long it
-	// is kept where the server says nothing.
-	reuseUntil  time.Time
+	// reuseUntil is the time after which the connection must not be reused.
+	reuseUntil time.Time
+	// defaultIdle is how long the connection is kept idle if the upstream does
+	// not say.
 	defaultIdle time.Duration
 
 	closeOnce sync.Once
 }
 
-// NewPool returns a pool without connections.
+// NewPool returns an empty pool.
 func NewPool(now boottime.Clock) *Pool {
 	return &Pool{now: now, dialer: &net.Dialer{KeepAlive: -1, Timeout: dialTimeout}, hosts: make(map[ident.Instance]*host)}
 }
 
-// Target says where a request goes.
+// Target is the upstream that a request is sent to.
 type Target struct {
 	ID      ident.Instance
 	Address string
-	// MaxConnections bounds this gateway's connections to the upstream.
+	// MaxConnections bounds this gateway's connections to the upstream; 0 means
+	// no bound.
 	MaxConnections int
-	// IdleFor is for how long a connection is kept idle where the server says
-	// nothing of it; 0 for the default.
+	// IdleFor is how long a connection is kept idle if the upstream does not
+	// say; at least and by default 400 ms.
 	IdleFor time.Duration
 }
 
-// Send sends a request once. It returns when the answer's header is there. When
-// ctx ends, the connection is closed at once, so that the upstream stops.
+// Send sends a request at most once and returns when the answer's header has
+// been received. If ctx ends before the answer is closed, the connection is
+// reset at once, so that the upstream stops working on the request.
 func (p *Pool) Send(ctx context.Context, target Target, req *Request) (*Answer, *Failure) {
 	c, err := p.acquire(ctx, target)
 	if err != nil {
@@ -98,7 +110,7 @@
 	return c.exchange(ctx, req)
 }
 
-// acquire returns a connection that is idle and sound, or a new one.
+// acquire returns a usable idle connection, or opens a new one.
 func (p *Pool) acquire(ctx context.Context, target Target) (*conn, error) {
 	h, c, err := p.reserve(target)
 	if c != nil || err != nil {
@@ -107,7 +119,7 @@
 	return p.dial(ctx, target, h)
 }
 
-// dial opens a connection for which there is room.
+// dial opens a connection that is already counted in h.open.
 func (p *Pool) dial(ctx context.Context, target Target, h *host) (*conn, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp", target.Address)
 	p.mu.Lock()
@@ -123,9 +135,11 @@
 	return &conn{pool: p, id: target.ID, host: h, net: raw, reader: reader, header: limit}, nil
 }
 
-// Refuses reports whether the upstream's address turns a new connection away: nothing
-// listens there, as after the end of its process. A connection that comes about is kept
-// for reuse; an attempt that fails in another way, or takes longer than ctx, says nothing.
+// Refuses reports whether the upstream's address refuses a new connection:
+// nothing listens there, as after the end of the upstream's process. It returns
+// false if the connection succeeds, which is then kept for reuse, and if the
+// attempt fails in another way or does not end before ctx, which proves
+// nothing.
 func (p *Pool) Refuses(ctx context.Context, target Target) bool {
 	p.mu.Lock()
 	h := p.host(target.ID)
@@ -139,7 +153,7 @@
 	return false
 }
 
-// host returns an upstream's connections; p.mu is held.
+// host returns the connections to an upstream. The caller holds p.mu.
 func (p *Pool) host(id ident.Instance) *host {
 	h := p.hosts[id]
 	if h == nil {
@@ -149,14 +163,16 @@
 	return h
 }
 
-// reserve takes an idle connection, or room for a new one.
+// reserve returns an idle connection, or a nil connection if the caller may
+// dial a new one, which is then already counted.
 func (p *Pool) reserve(target Target) (*host, *conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.host(target.ID)
 	now := p.now()
 	for len(h.idle) > 0 {
-		// The one used last is the one least likely to have gone silent.
+		// The most recently used connection is the least likely to have become
+		// unusable.
 		c := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
 		if now.Before(c.reuseUntil) && c.nothingReceived() {
@@ -172,8 +188,8 @@
 	return h, nil, nil
 }
 
-// nothingReceived reports whether nothing came on an idle connection: neither its end,
-// nor bytes that belong to no request.
+// nothingReceived reports whether nothing has arrived on an idle connection:
+// neither its end nor bytes that belong to no request.
 func (c *conn) nothingReceived() bool {
 	sc, ok := c.net.(syscall.Conn)
 	if !ok {
@@ -183,46 +199,51 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		empty = errors.Is(err, unix.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// reset closes the connection, also from outside of its exchange, so that nothing of its exchange can arrive any more. What
-// goes wrong with an orderly close: what the other side has not acknowledged stays with
-// the kernel, which goes on repeating it for minutes; a request or an order that was given
-// up while a link was cut then arrives once the link heals, after its caller was answered
-// or after a later holder's orders (seen 5.6 s late). The price: the other side may lose
-// what it has received and not read, which is of no use to anyone, and a reset that gets
+// reset closes the connection with a TCP reset, so that nothing of its exchange
+// can arrive later. Unlike the other methods it may also be called while an
+// exchange uses the connection.
+//
+// After an orderly close, the kernel keeps retransmitting data that the other
+// side has not acknowledged, for minutes. A request or an order that was
+// abandoned while a link was cut would then arrive once the link works again
+// (seen 5.6 s late), after its caller was answered or after the orders of a
+// later lease holder. The cost of a reset: the other side may lose data that it
+// has received and not read, which is of no use to anyone, and a reset that is
 // lost on the way is not repeated until the other side writes.
 func (c *conn) reset() {
 	if tcp, ok := c.net.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that was closed before
+		_ = tcp.SetLinger(0) // fails only if the connection is already closed
 	}
-	_ = c.net.Close() // nothing is owed on it any more
+	_ = c.net.Close() // the connection is not used again, whatever the error
 }
 
-// resetAndDiscard resets the connection and gives its place back.
+// resetAndDiscard resets the connection and frees its place in the pool.
 func (c *conn) resetAndDiscard() {
 	c.reset()
 	c.discard()
 }
 
-// discard closes a connection whose exchange has ended, and gives its place back.
+// discard closes a connection whose exchange has ended and frees its place in
+// the pool.
 func (c *conn) discard() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.pool.close(c)
 }
 
-// close ends a connection; p.mu is held.
+// close closes a connection and frees its place, once. The caller holds p.mu.
 func (p *Pool) close(c *conn) {
 	c.closeOnce.Do(func() {
-		_ = c.net.Close() // nothing is owed on it any more
+		_ = c.net.Close() // the connection is not used again, whatever the error
 		c.host.open--
 		p.counters.Discards++
 		if c.unmatched > 0 {
@@ -231,7 +252,8 @@
 	})
 }
 
-// putIdle returns the connection for reuse within a time.
+// putIdle returns the connection to the pool. It may be reused within the given
+// time.
 func (c *conn) putIdle(within time.Duration) {
 	p := c.pool
 	p.mu.Lock()
@@ -244,7 +266,8 @@
 	c.host.idle = append(c.host.idle, c)
 }
 
-// Forget closes an upstream's idle connections, because it left.
+// Forget closes the idle connections to an upstream that has left. Connections
+// in use are closed after their exchange.
 func (p *Pool) Forget(id ident.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,8 +280,8 @@
 	delete(p.hosts, id)
 }
 
-// Distrust closes an upstream's idle connections, because one of them went
-// silent: what silenced it may have silenced the others.
+// Distrust closes the idle connections to an upstream on which another
+// connection went silent: the same fault may have silenced them too.
 func (p *Pool) Distrust(id ident.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -267,6 +290,7 @@
 	}
 }
 
+// closeIdle closes a host's idle connections. The caller holds p.mu.
 func (p *Pool) closeIdle(h *host) {
 	for _, c := range h.idle {
 		p.close(c)
@@ -274,7 +298,9 @@
 	h.idle = nil
 }
 
-// Sweep closes idle connections whose time is over.
+// Sweep closes idle connections that must not be reused any more. Call it from
+// time to time: an expired connection is otherwise closed only when a request
+// would use it.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -292,7 +318,7 @@
 	}
 }
 
-// Counters returns what was counted so far.
+// Counters returns the counts so far.
 func (p *Pool) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/httpconn/reset_test.go
+++ b/internal/httpconn/reset_test.go
@@ -11,16 +11,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// Symptom: an order is carried out 5.6 s after its sender gave it up, when another
-// sender's newer order has been; or a request starts to run long after its caller was
-// answered. Sequence: a link is cut; an exchange is begun over it and given up; the link
-// heals. Cause: closing a connection leaves what is unsent with the kernel, which goes
-// on repeating it. A request that ran because its connection was only closed shows that
-// the relay plays the fault.
+// Failure: an order is executed 5.6 s after its sender abandoned it, although a
+// newer order of another sender was executed meanwhile; or a request starts to
+// run long after its caller was answered. A link is cut; an exchange over it is
+// begun and abandoned; the link works again. After an orderly close, the kernel
+// keeps retransmitting the unsent data. If conn.reset only closed the
+// connection, the request would run here, which shows that the relay reproduces
+// the fault.
 func TestAnExchangeThatIsGivenUpNeverArrivesLater(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// kept: the exchange goes over a connection that was used before the cut.
+		// kept: the connection was already used before the link was cut.
 		kept bool
 	}{{"over a new connection", false}, {"over a kept connection", true}} {
 		t.Run(c.name, func(t *testing.T) {
