--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -301,8 +301,8 @@
 }
 
 func newReader(c net.Conn) (*bufio.Reader, *headerReader) {
-	limit := &headerReader{source: c, remaining: unlimited}
-	return bufio.NewReaderSize(limit, readBufferBytes), limit
+	header := &headerReader{source: c, remaining: unlimited}
+	return bufio.NewReaderSize(header, readBufferBytes), header
 }
 
 // defaultIdleTimeout is how long an idle connection is kept if the upstream
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -131,8 +131,8 @@
 		return nil, err
 	}
 	p.mu.Unlock()
-	reader, limit := newReader(raw)
-	return &conn{pool: p, id: target.ID, host: h, net: raw, reader: reader, header: limit}, nil
+	reader, header := newReader(raw)
+	return &conn{pool: p, id: target.ID, host: h, net: raw, reader: reader, header: header}, nil
 }
 
 // Refuses reports whether the upstream's address refuses a new connection:
--- a/internal/httpconn/reset_test.go
+++ b/internal/httpconn/reset_test.go
@@ -48,7 +48,7 @@
 			relay.Hold(false)
 			<-time.After(100 * time.Millisecond)
 			if n := w.Ran("order"); n != 0 {
-				t.Errorf("the order arrived %d times after it was given up", n)
+				t.Errorf("the order arrived %d times after it was abandoned", n)
 			}
 		})
 	}
--- a/internal/streaming/answer.go
+++ b/internal/streaming/answer.go
@@ -8,21 +8,21 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// answer is a stream's tokens so far, which any number of callers may follow
-// at their own pace. Its memory is bounded by the answer's length, however
-// slow a caller is.
+// answer holds a stream's tokens so far. Any number of callers may follow it,
+// each at its own pace. Its memory is bounded by the answer's length, however
+// slow a caller is. It is safe for concurrent use.
 type answer struct {
 	mu     sync.Mutex
 	tokens []string
-	// final is set once no token will follow.
+	// final is set once no more tokens follow.
 	final     *outcome.Outcome
 	followers map[*follower]struct{}
 }
 
-// follower is one caller's place in an answer.
+// follower receives the changes of an answer on behalf of one caller.
 type follower struct {
-	// changed holds a value when the answer has grown or ended since the
-	// follower looked last.
+	// changed holds a value if the answer has grown or ended since the follower
+	// last received from it.
 	changed chan struct{}
 }
 
@@ -30,8 +30,8 @@
 	return &answer{tokens: delivered, followers: make(map[*follower]struct{})}
 }
 
-// setTokens sets the whole answer so far. The tokens in it never change, so that
-// the slice can be shared.
+// setTokens sets all tokens so far and notifies the followers. The slice is
+// shared, so its tokens must not change.
 func (a *answer) setTokens(tokens []string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -39,7 +39,7 @@
 	a.notifyFollowers()
 }
 
-// end sets the final outcome.
+// end sets the final outcome and notifies the followers.
 func (a *answer) end(o outcome.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -47,6 +47,7 @@
 	a.notifyFollowers()
 }
 
+// notifyFollowers notifies every follower of a change. The caller holds a.mu.
 func (a *answer) notifyFollowers() {
 	for f := range a.followers {
 		select {
@@ -56,15 +57,16 @@
 	}
 }
 
-// snapshot returns the tokens so far and the final outcome, if any.
+// snapshot returns the tokens so far and the final outcome, which is nil while
+// the answer goes on.
 func (a *answer) snapshot() ([]string, *outcome.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.tokens, a.final
 }
 
-// follow delivers the answer from index next on, until it ends. It returns the
-// final outcome, or an error when the caller has gone.
+// follow sends the answer to sink from index next on until it ends. It returns
+// the final outcome, or an error if the caller has disconnected.
 func (a *answer) follow(ctx context.Context, next uint32, sink Sink, config Config) (outcome.Outcome, error) {
 	f := a.subscribe()
 	defer a.unsubscribe(f)
@@ -90,9 +92,9 @@
 	}
 }
 
-// wait returns when the answer has changed, or with an error when the caller
-// has gone. Silence is broken by heartbeats, so that a caller can tell a slow
-// answer from a connection that went silent for good.
+// wait returns nil when the answer has changed, or an error if the caller has
+// disconnected. Meanwhile it sends heartbeats, so that a caller can tell a slow
+// answer from a dead connection.
 func (f *follower) wait(ctx context.Context, sink Sink, heartbeat *time.Timer, config Config) error {
 	for {
 		select {
--- a/internal/streaming/assembler.go
+++ b/internal/streaming/assembler.go
@@ -6,41 +6,42 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// FrameResult says what to do with a frame.
+// FrameResult says what a frame meant for the answer.
 type FrameResult int
 
-// The verdicts.
+// The results of a frame.
 const (
-	// Ignored: the frame brings nothing new.
+	// FrameIgnored: the frame brings nothing new.
 	FrameIgnored FrameResult = iota
-	// Extended: the answer grew.
+	// AnswerExtended: the frame added tokens to the answer.
 	AnswerExtended
-	// Completed: the answer is whole.
+	// AnswerCompleted: the frame completed the answer.
 	AnswerCompleted
-	// Condemned: the attempt cannot be trusted any more; its later frames
-	// must not be used.
+	// FrameRejected: the attempt is faulty, and none of its later frames may be
+	// used.
 	FrameRejected
 )
 
-// Fault names why an attempt was condemned.
+// Fault names why an attempt's frames were rejected.
 type Fault string
 
 // The faults of an attempt.
 const (
-	// FaultGap: the frame begins after the next index.
+	// FaultGap: the frame begins after the next expected index.
 	FaultGap Fault = "gap"
-	// FaultMix: the frame contradicts tokens that were delivered.
+	// FaultMismatch: the frame contradicts tokens that the answer already has.
 	FaultMismatch Fault = "mix"
-	// FaultOverrun: the frame goes beyond the answer's length.
+	// FaultOverrun: the frame exceeds the answer's length.
 	FaultOverrun Fault = "overrun"
-	// FaultEarlyDone: the engine said done before the answer's length.
+	// FaultEarlyDone: the engine reported done before the answer had its
+	// length.
 	FaultEarlyDone Fault = "early_done"
-	// FaultForeign: the frame is of an attempt that was not opened yet.
+	// FaultUnknownAttempt: the frame names an attempt that was not opened yet.
 	FaultUnknownAttempt Fault = "foreign_attempt"
 )
 
-// Assembler puts an answer together from the frames of its attempts. It does
-// no input or output, and it is not safe for concurrent use.
+// Assembler builds an answer from the frames of its attempts. It does no input
+// or output, and it is not safe for concurrent use.
 type Assembler struct {
 	answer  []string
 	length  uint32
@@ -49,7 +50,8 @@
 }
 
 // NewAssembler returns an assembler for an answer of length tokens, of which
-// the caller already has the delivered ones. Attempts count on from attempt.
+// the caller already has the delivered ones. Attempts are numbered from
+// attempt+1.
 func NewAssembler(delivered []string, length, attempt uint32) *Assembler {
 	return &Assembler{answer: slices.Clone(delivered), length: length, attempt: attempt}
 }
@@ -62,27 +64,29 @@
 	return a.attempt
 }
 
-// Answer returns the tokens so far. The tokens in it never change.
+// Answer returns the tokens so far. Later frames never change the returned
+// slice.
 func (a *Assembler) Answer() []string { return slices.Clip(a.answer) }
 
-// Attempt returns the number of the last attempt that was opened.
+// Attempt returns the number of the last opened attempt.
 func (a *Assembler) Attempt() uint32 { return a.attempt }
 
-// NextIndex returns the index of the next token.
+// NextIndex returns the index of the next expected token.
 func (a *Assembler) NextIndex() uint32 { return uint32(len(a.answer)) }
 
 // Complete reports whether the answer has its full length.
 func (a *Assembler) Complete() bool { return a.NextIndex() >= a.length }
 
-// Fault returns why the current attempt was condemned, or "".
+// Fault returns why the current attempt's frames are rejected, or "".
 func (a *Assembler) Fault() Fault { return a.fault }
 
-// Accept takes a frame in and says what it meant.
+// Accept adds a frame's new tokens to the answer, or ignores or rejects the
+// frame.
 func (a *Assembler) Accept(f upstream.Frame) FrameResult {
 	if a.fault != "" {
 		return FrameRejected
 	}
-	// A frame of an older attempt can come late, from an engine or a
+	// A frame of an earlier attempt can arrive late, from an engine or a
 	// connection that has not noticed that the attempt was given up. Its
 	// tokens may differ from those of the current attempt, so a caller
 	// would see a mix of two answers.
@@ -101,7 +105,8 @@
 	return a.extend(f)
 }
 
-// findFault compares a frame with what is known of the answer.
+// findFault checks a frame against the answer so far and returns its fault, or
+// "".
 func (a *Assembler) findFault(f upstream.Frame) Fault {
 	end := uint64(f.Index) + uint64(len(f.Tokens))
 	if f.Index > a.NextIndex() {
@@ -115,15 +120,15 @@
 	if !slices.Equal(known[:overlap], f.Tokens[:overlap]) {
 		return FaultMismatch
 	}
-	// An engine that dies can still close its stream in good order. Fewer
-	// tokens than asked for are a loss, not an answer.
+	// An engine that is being killed can still end its stream normally. An
+	// answer with fewer tokens than requested is lost, not complete.
 	if f.Done && end < uint64(a.length) {
 		return FaultEarlyDone
 	}
 	return ""
 }
 
-// extend appends the part of a checked frame that is new.
+// extend appends the new part of a checked frame.
 func (a *Assembler) extend(f upstream.Frame) FrameResult {
 	known := len(a.answer) - int(f.Index)
 	if known >= len(f.Tokens) {
--- a/internal/streaming/attempt.go
+++ b/internal/streaming/attempt.go
@@ -9,22 +9,22 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// attemptEnd is how an attempt ended.
+// attemptEnd describes how an attempt ended.
 type attemptEnd struct {
-	// nextCause is the cause of the attempt that has to follow, or "" when the
-	// answer is whole or the run was stopped.
+	// nextCause is the cause of the attempt that must follow, or "" if the
+	// answer is complete or the run was stopped.
 	nextCause Cause
-	// leaving: the upstream refused since it is leaving, or gave notice.
+	// leaving: the upstream refused because it is leaving, or gave notice.
 	leaving bool
-	// tokens is how many new tokens the attempt brought.
+	// tokens is the number of new tokens that the attempt produced.
 	tokens int
-	// err is what the engine or its connection failed with.
+	// err is the error of the engine or of the connection to it.
 	err error
-	// prepared is the prepared target of the next attempt, or nil.
+	// prepared is the next attempt's target if one was already picked, or nil.
 	prepared *preparedTarget
 }
 
-// reason returns what a caller is told when no attempt follows.
+// reason returns the reason that a caller is given if no attempt follows.
 func (e attemptEnd) reason() outcome.Reason {
 	if e.nextCause == CauseRefused {
 		return outcome.ReasonUpstreamRefused
@@ -37,19 +37,21 @@
 	run    *run
 	target Target
 	cause  Cause
-	// imported is how many tokens came with a moved cache.
+	// imported is the number of tokens that came with a moved KV cache.
 	imported int
 	number   uint32
 	opened   time.Time
 	// startIndex is the answer's length when the attempt was opened.
 	startIndex uint32
+	// firstToken is the time from opening to the first token; 0 until it has
+	// been received.
 	firstToken time.Duration
 	prefilled  int
-	// afterOther: an earlier attempt may have computed the same prefix.
+	// mayRecompute: an earlier attempt may already have computed the prefix.
 	mayRecompute bool
 }
 
-// runAttempt runs one attempt to its end.
+// runAttempt runs one attempt at the target to its end and reports it.
 func (r *run) runAttempt(ctx context.Context, at preparedTarget) attemptEnd {
 	a := &attempt{
 		run:          r,
@@ -79,25 +81,27 @@
 	return end
 }
 
-// serve opens the stream and takes its frames in. The stream is closed when
+// serve opens the stream and handles its frames. The stream is closed when
 // serve returns, and no later frame of it can reach the answer.
 func (a *attempt) serve(ctx context.Context) attemptEnd {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := newNoticeHandler(a)
-	defer watch.stop()
+	notices := newNoticeHandler(a)
+	defer notices.stop()
 	frames := receive(streamCtx, a.target.Engine, a.request())
-	end := a.handleEvents(ctx, frames, watch)
-	end.leaving = end.leaving || watch.noticed
+	end := a.handleEvents(ctx, frames, notices)
+	end.leaving = end.leaving || notices.noticed
 	return end
 }
 
-// handleEvents takes in what happens to the stream until the attempt is over.
-func (a *attempt) handleEvents(ctx context.Context, frames <-chan frameOrError, watch *noticeHandler) attemptEnd {
+// handleEvents handles frames, silence, a reclaim notice and the move of the KV
+// cache until the attempt is over.
+func (a *attempt) handleEvents(ctx context.Context, frames <-chan frameOrError, notices *noticeHandler) attemptEnd {
 	limit := a.run.runner.config.SilenceLimit
 	silence := time.NewTimer(limit)
 	defer silence.Stop()
-	// lost is the end of the stream while its cache is still being moved.
+	// lost is how the stream ended if it did while its KV cache is still being
+	// moved.
 	var lost attemptEnd
 	for {
 		select {
@@ -109,12 +113,12 @@
 			if !over {
 				continue
 			}
-			if !watch.moving || end.nextCause != CauseLost {
+			if !notices.moving || end.nextCause != CauseLost {
 				return end
 			}
-			// The upstream went while its cache was on the way to
-			// another. Wait for the rest of the move: it may have
-			// been exported in time.
+			// The upstream ended while its cache was being moved.
+			// Wait for the end of the move: the cache may have been
+			// exported in time.
 			lost, frames = end, nil
 			silence.Stop()
 		case <-silence.C:
@@ -122,12 +126,12 @@
 		case n, ok := <-a.target.Notice:
 			a.target.Notice = nil
 			if ok {
-				watch.handle(ctx, n)
+				notices.handle(ctx, n)
 			}
-		case <-watch.leaveDue:
+		case <-notices.leaveDue:
 			return attemptEnd{nextCause: CauseNotice}
-		case m := <-watch.moveDone:
-			watch.moving = false
+		case m := <-notices.moveDone:
+			notices.moving = false
 			end := m.attemptEnd(lost)
 			if end.nextCause != "" {
 				return end
@@ -147,8 +151,8 @@
 	}
 }
 
-// handleFrame handles what came from the engine. It reports whether the attempt is
-// over.
+// handleFrame handles a frame or the error that ended the stream. It reports
+// whether the attempt is over.
 func (a *attempt) handleFrame(r frameOrError) (attemptEnd, bool) {
 	if r.err != nil {
 		return a.endOf(r.err), true
@@ -166,17 +170,17 @@
 	return attemptEnd{}, false
 }
 
-// publishTokens tells the answer's new tokens.
+// publishTokens makes the assembled tokens visible to the callers.
 func (a *attempt) publishTokens() {
 	if a.firstToken == 0 {
 		a.firstToken = max(time.Since(a.opened), 1)
-		a.target.firstToken()
+		a.target.notifyFirstToken()
 	}
 	a.run.answer.setTokens(a.run.assembler.Answer())
 }
 
-// endOf says what an engine's error means. An end of the stream before the
-// answer is whole is a loss like any other.
+// endOf returns the end that an engine's error causes. A stream that ends
+// without an error before the answer is complete counts as lost too.
 func (a *attempt) endOf(err error) attemptEnd {
 	if upstream.Ran(err) {
 		return attemptEnd{nextCause: CauseLost, err: err}
@@ -184,7 +188,7 @@
 	return attemptEnd{nextCause: CauseRefused, err: err, leaving: errors.Is(err, upstream.ErrLeaving)}
 }
 
-// buildReport says what the attempt did.
+// buildReport returns the report on the ended attempt.
 func (a *attempt) buildReport(end attemptEnd) AttemptReport {
 	report := AttemptReport{
 		Key:       a.run.req.Key,
@@ -206,7 +210,7 @@
 	return report
 }
 
-// release tells the picker how the attempt ended.
+// release reports to the picker how the attempt ended.
 func (a *attempt) release(end attemptEnd) {
 	a.target.release(Result{
 		Next:       end.nextCause,
--- a/internal/streaming/config.go
+++ b/internal/streaming/config.go
@@ -8,42 +8,49 @@
 
 // Config bounds what a gateway spends on token streams.
 type Config struct {
-	// SilenceLimit condemns an engine's connection without any frame.
+	// SilenceLimit is how long an engine may send no frame, heartbeats
+	// included, before the attempt is ended.
 	SilenceLimit time.Duration
-	// HeartbeatInterval is the longest silence towards a caller.
+	// HeartbeatInterval is the longest time without an event towards a caller;
+	// a heartbeat is sent after it.
 	HeartbeatInterval time.Duration
-	// LeaveMargin before a notice's deadline, streams leave the upstream.
+	// LeaveMargin is how long before the deadline of a reclaim notice streams
+	// leave the upstream.
 	LeaveMargin time.Duration
-	// MinMoveTime is the least time that moving a KV cache is tried in.
+	// MinMoveTime is the least remaining time in which moving a KV cache is
+	// tried.
 	MinMoveTime time.Duration
-	// MaxConcurrentMoves is how many KV caches are held in memory at once.
+	// MaxConcurrentMoves bounds the KV caches that are held in memory at once
+	// while they are moved.
 	MaxConcurrentMoves int
-	// MaxFruitlessAttempts without any new token give the request up.
+	// MaxFruitlessAttempts is the number of consecutive attempts without a new
+	// token after which the request is given up.
 	MaxFruitlessAttempts int
-	// Backoff is the pause after a second fruitless attempt and later ones.
+	// Backoff is the pause before a retry, from the second fruitless attempt in
+	// a row on.
 	Backoff retry.Backoff
-	// MinRetryAfter is the least time told to callers whose request is given
-	// up; they are told up to twice as much, so that they do not return
-	// together.
+	// MinRetryAfter is the least retry-after time given to callers whose
+	// request is given up; they are given up to twice as much, so that they do
+	// not all return at once.
 	MinRetryAfter time.Duration
 	// Linger is how long a stream goes on without a caller.
 	Linger time.Duration
-	// KeepEnded is how long an ended stream can be read again.
+	// KeepEnded is how long an ended stream can still be read.
 	KeepEnded time.Duration
-	// MaxStreams is how many streams a gateway keeps.
+	// MaxStreams bounds the streams that a gateway keeps.
 	MaxStreams int
-	// IdleStreams is how many streams without a caller it keeps for one
-	// client account.
+	// IdleStreams bounds the streams without a caller that a gateway keeps for
+	// one client account.
 	IdleStreams int
-	// MaxTokens bounds an answer's length.
+	// MaxTokens bounds the length of an answer.
 	MaxTokens uint32
-	// MaxFrameTokens bounds a frame towards a caller.
+	// MaxFrameTokens bounds the tokens of one frame towards a caller.
 	MaxFrameTokens int
-	// HandOverTimeout bounds the hand-over of all streams to a peer.
+	// HandOverTimeout bounds the time to hand all streams over to peers.
 	HandOverTimeout time.Duration
 }
 
-// DefaultConfig returns the values that the gateway starts from.
+// DefaultConfig returns the gateway's default bounds.
 func DefaultConfig() Config {
 	return Config{
 		SilenceLimit:         3 * time.Second,
--- a/internal/streaming/entry.go
+++ b/internal/streaming/entry.go
@@ -9,33 +9,36 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// entry is one stream that a gateway keeps. Its fields are guarded by the
-// registry's lock, but for those that say otherwise.
+// entry is one stream that a gateway keeps. The registry's lock guards its
+// fields unless stated otherwise.
 type entry struct {
 	req Request
-	// answer guards itself.
+	// answer has its own lock.
 	answer *answer
 	cancel context.CancelCauseFunc
-	// done is closed when the run has ended. Reached and last are written
-	// before, and may be read without the lock after.
+	// done is closed when the run has ended. The fields resumable, final and
+	// finalWithheld are written before that and never after, so that they may
+	// be read without the lock once done is closed.
 	done chan struct{}
-	// resumable is the request as the run left it, ready to be resumed.
+	// resumable is the request with everything that the run achieved, ready to
+	// be resumed.
 	resumable Request
-	final     outcome.Outcome
+	// final is the run's outcome.
+	final outcome.Outcome
 	// ended: the run has ended.
 	ended bool
-	// withheld: the callers are not told the end before the hand-over.
+	// finalWithheld: the callers are told the outcome only after the hand-over.
 	finalWithheld bool
-	// callers counts the callers that follow the answer.
+	// callers is the number of callers that follow the answer.
 	callers int
-	// timer ends the entry's time without a caller; rests counts how many
-	// such times are over.
+	// timer ends the current period without a caller; nil while there is a
+	// caller. idlePeriods counts the periods that have ended.
 	timer       *time.Timer
 	idlePeriods uint64
 }
 
-// mayComplete reports whether following the entry leads to the whole answer, as far
-// as is known.
+// mayComplete reports whether following the entry can still give the complete
+// answer: the run goes on, or has completed.
 func (e *entry) mayComplete() bool {
 	return !e.ended || e.final.Kind == outcome.Completed
 }
@@ -46,26 +49,27 @@
 	return tokens
 }
 
-// hasPrefix reports whether the entry's answer goes on from what a caller has.
+// hasPrefix reports whether the entry's answer begins with the tokens delivered
+// to a caller.
 func (e *entry) hasPrefix(delivered []string) bool {
 	tokens := e.tokens()
 	return len(delivered) <= len(tokens) && slices.Equal(delivered, tokens[:len(delivered)])
 }
 
-// serve runs the entry's request to its end. When the entry took the place of
-// another one, it first waits for that one's run to end: two runs of one
-// request at once would cost an engine twice and share attempt numbers.
-func (e *entry) serve(ctx context.Context, runner *Runner, before *entry) {
+// serve runs the entry's request to its end. If the entry replaced another one,
+// it first waits for that one's run to end: two runs of one request at the same
+// time would cost engines twice and share attempt numbers.
+func (e *entry) serve(ctx context.Context, runner *Runner, replaced *entry) {
 	req := e.req
-	if before != nil {
-		<-before.done
-		req.Attempt = before.resumable.Attempt
-		req.Served = before.resumable.Served
+	if replaced != nil {
+		<-replaced.done
+		req.Attempt = replaced.resumable.Attempt
+		req.Served = replaced.resumable.Served
 	}
 	if !req.Deadline.IsZero() {
-		timed, cancel := context.WithDeadline(ctx, req.Deadline)
+		deadlineCtx, cancel := context.WithDeadline(ctx, req.Deadline)
 		defer cancel()
-		ctx = timed
+		ctx = deadlineCtx
 	}
 	r := newRun(runner, req, e.answer)
 	e.final = r.loop(ctx)
@@ -74,7 +78,8 @@
 	close(e.done)
 }
 
-// resumableRequest returns the request as it stands, ready to be resumed.
+// resumableRequest returns the request with everything that the run has
+// achieved so far.
 func (r *run) resumableRequest() Request {
 	req := r.req
 	req.Delivered = r.assembler.Answer()
--- a/internal/streaming/handover.go
+++ b/internal/streaming/handover.go
@@ -8,17 +8,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Handed is a stream in progress that a leaving gateway gives to a peer.
+// Handed is a stream in progress that a leaving gateway hands over to a peer.
 type Handed struct {
 	Key Key
 	Ask Ask
 	// Priority as in Request.
 	Priority int32
-	// Remaining is the time left until the deadline; 0 means no deadline.
+	// Remaining is the time until the deadline; 0 means no deadline.
 	Remaining time.Duration
-	// Delivered are all tokens that any caller may have got.
+	// Delivered are all tokens that any caller may have received.
 	Delivered []string
-	// Attempt is the last attempt that was opened.
+	// Attempt is the number of the last attempt that was opened.
 	Attempt uint32
 	// Served is the instance of that attempt.
 	Served ident.Instance
@@ -26,43 +26,44 @@
 
 // Peer is another gateway, in another failure domain.
 type Peer interface {
-	// HandOver returns the keys that the peer has taken over. What it does
-	// not name stays here.
+	// HandOver offers streams to the peer and returns the keys of those that it
+	// has taken over. The others stay at the sender.
 	HandOver(ctx context.Context, streams []Handed) ([]Key, error)
 }
 
-// LeaveReport counts what became of the streams of a leaving gateway.
+// LeaveReport counts what happened to the streams of a leaving gateway.
 type LeaveReport struct {
-	// HandedOver streams go on at a peer.
+	// HandedOver streams continue at a peer.
 	HandedOver int
-	// Left streams were taken by no peer. Their callers resume with the
+	// Left streams were taken over by no peer. Their callers resume with the
 	// tokens that they have.
 	Left int
 }
 
-// The bounds of one hand-over message.
+// The bounds of one hand-over message; bytes as Handed.size estimates them.
 const (
 	maxBatchStreams = 64
 	maxBatchBytes   = 1 << 20
 )
 
-// Leave ends the registry: it takes no new streams, lets those in progress end
-// within grace, which may be 0, and gives the rest to the first peers that take
-// them. Callers then hear that they may resume elsewhere at once. It returns
-// when no caller follows any more, or when ctx ends.
+// Leave shuts the registry down: it refuses new streams, lets those in progress
+// end within grace, which may be 0, and hands the rest over to the first peers
+// that take them. Callers are then told that they may resume elsewhere at once.
+// Leave returns when no caller follows a stream any more, or when ctx ends.
 func (g *Registry) Leave(ctx context.Context, grace time.Duration, peers []Peer) LeaveReport {
 	g.startLeaving()
-	graced, cancel := context.WithTimeout(ctx, grace)
+	graceCtx, cancel := context.WithTimeout(ctx, grace)
 	defer cancel()
-	g.waitWhile(graced, (*Registry).hasActiveStreams)
+	g.waitWhile(graceCtx, (*Registry).hasActiveStreams)
 	report := g.handOver(ctx, peers)
 	g.publishWithheldOutcomes()
 	g.waitWhile(ctx, (*Registry).hasCallers)
 	return report
 }
 
-// Accept takes streams over from a leaving peer and returns their keys. They
-// linger like a stream whose caller has gone.
+// Accept takes streams over from a leaving peer and returns their keys. They go
+// on without a caller for Config.Linger, like a stream whose caller has
+// disconnected.
 func (g *Registry) Accept(streams []Handed) []Key {
 	var accepted []Key
 	for _, s := range streams {
@@ -73,6 +74,7 @@
 	return accepted
 }
 
+// accept takes one stream over and reports whether it did.
 func (g *Registry) accept(s Handed) bool {
 	req := s.request()
 	if req.validate(g.config.MaxTokens) != nil {
@@ -84,7 +86,7 @@
 	if g.refusalOf(e, req.Ask) != nil {
 		return false
 	}
-	// The caller was faster than the hand-over. Its own stream goes on.
+	// The caller resumed here before the hand-over arrived. Its stream goes on.
 	if e != nil && e.mayComplete() {
 		return true
 	}
@@ -92,7 +94,7 @@
 	return true
 }
 
-// request returns the request that goes on from a handed stream.
+// request returns the request that continues the stream.
 func (s Handed) request() Request {
 	req := Request{
 		Key:       s.Key,
@@ -108,10 +110,10 @@
 	return req
 }
 
-// handedStream returns the stream of an entry whose run has ended, and false when
-// there is nothing to go on with: its time is up, or nothing of it has run.
-// The caller of the latter is told not_run, which would be wrong if a peer ran
-// it afterwards.
+// handedStream returns the stream of an entry whose run has ended. It returns
+// false if a peer must not continue it, because its deadline has passed or
+// nothing of it has run. In the latter case the caller is told not_run, which
+// would become wrong if a peer ran it afterwards.
 func (e *entry) handedStream() (Handed, bool) {
 	if e.final.Kind == outcome.NotRun {
 		return Handed{}, false
@@ -138,7 +140,8 @@
 	g.leaving = true
 }
 
-// hasActiveStreams reports whether a stream is in progress.
+// hasActiveStreams reports whether a stream is in progress or has a caller. The
+// caller holds g.mu.
 func (g *Registry) hasActiveStreams() bool {
 	for _, e := range g.entries {
 		if !e.ended || e.callers > 0 {
@@ -148,7 +151,8 @@
 	return false
 }
 
-// hasCallers reports whether any caller follows a stream.
+// hasCallers reports whether any caller follows a stream. The caller holds
+// g.mu.
 func (g *Registry) hasCallers() bool {
 	for _, e := range g.entries {
 		if e.callers > 0 {
@@ -158,7 +162,7 @@
 	return false
 }
 
-// waitWhile returns when the condition no longer holds, or when ctx has ended.
+// waitWhile returns when the condition no longer holds or ctx has ended.
 func (g *Registry) waitWhile(ctx context.Context, condition func(*Registry) bool) {
 	const interval = 10 * time.Millisecond
 	ticker := time.NewTicker(interval)
@@ -179,35 +183,36 @@
 }
 
 // stopRuns stops every run in progress and returns the entries that a peer can
-// go on with. From here on no caller gets a token that the peer would not know
-// of. A run that does not end in time is left out.
+// continue. From here on no caller receives a token that the peer would not
+// know of. A run that does not end within HandOverTimeout is left out.
 func (g *Registry) stopRuns(ctx context.Context) []*entry {
 	ctx, cancel := context.WithTimeout(ctx, g.config.HandOverTimeout)
 	defer cancel()
-	var frozen []*entry
+	var stopped []*entry
 	for _, e := range g.cancelRuns() {
 		select {
 		case <-e.done:
-			frozen = append(frozen, e)
+			stopped = append(stopped, e)
 		case <-ctx.Done():
 		}
 	}
-	return frozen
+	return stopped
 }
 
-// cancelRuns tells every run to end. Whole answers that a slow caller has not got
-// yet are handed over too, so that nobody computes them again.
+// cancelRuns cancels every run and returns the entries to hand over. They
+// include complete answers that a slow caller has not fully received, so that
+// no engine computes them again.
 func (g *Registry) cancelRuns() []*entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var stopped []*entry
+	var cancelled []*entry
 	for _, e := range g.entries {
 		if !e.ended || e.callers > 0 {
 			e.cancel(errLeaving)
-			stopped = append(stopped, e)
+			cancelled = append(cancelled, e)
 		}
 	}
-	return stopped
+	return cancelled
 }
 
 // handOver stops the streams and offers them to one peer after another.
@@ -218,18 +223,19 @@
 			waiting[h.Key] = h
 		}
 	}
-	frozen := len(waiting)
+	offered := len(waiting)
 	for _, peer := range peers {
 		g.offer(ctx, peer, len(peers), waiting)
 	}
-	report := LeaveReport{HandedOver: frozen - len(waiting), Left: len(waiting)}
+	report := LeaveReport{HandedOver: offered - len(waiting), Left: len(waiting)}
 	handedOverVar.Add(int64(report.HandedOver))
 	leftVar.Add(int64(report.Left))
 	return report
 }
 
-// offer gives the waiting streams to one of so many peers and removes those
-// that it takes. A peer that does not answer leaves time for the others.
+// offer offers the waiting streams to one of several peers and removes those
+// that it takes over. Each peer gets an equal part of HandOverTimeout, so that
+// one that does not answer leaves time for the others.
 func (g *Registry) offer(ctx context.Context, peer Peer, peers int, waiting map[Key]Handed) {
 	ctx, cancel := context.WithTimeout(ctx, g.config.HandOverTimeout/time.Duration(peers))
 	defer cancel()
@@ -244,8 +250,8 @@
 	}
 }
 
-// batches splits streams into messages of bounded size. A stream that is
-// larger than the bound gets a message of its own.
+// batches splits streams into messages of bounded size. A stream that exceeds
+// the bound gets a message of its own.
 func batches(streams map[Key]Handed) [][]Handed {
 	var all [][]Handed
 	size := 0
@@ -262,7 +268,7 @@
 	return all
 }
 
-// size estimates the stream's bytes in a message.
+// size estimates the stream's size in a message, in bytes.
 func (s Handed) size() int {
 	size := len(s.Ask.Prompt)
 	for _, token := range s.Delivered {
@@ -271,7 +277,8 @@
 	return size
 }
 
-// publishWithheldOutcomes tells the callers of stopped streams to resume elsewhere.
+// publishWithheldOutcomes tells the callers of stopped streams to resume
+// elsewhere.
 func (g *Registry) publishWithheldOutcomes() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/streaming/idle.go
+++ b/internal/streaming/idle.go
@@ -6,7 +6,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// idleEntries are the entries without a caller, oldest first.
+// idleEntries holds the entries without a caller by client account, each
+// account's longest idle one first.
 type idleEntries struct {
 	byAccount map[ident.ClientAccount][]*entry
 }
@@ -32,10 +33,12 @@
 
 func (i idleEntries) count(account ident.ClientAccount) int { return len(i.byAccount[account]) }
 
+// oldest returns the account's entry that has been idle longest. There must be
+// one.
 func (i idleEntries) oldest(account ident.ClientAccount) *entry { return i.byAccount[account][0] }
 
-// largest returns the account with the most idle entries, and false when there
-// are none.
+// largest returns the account with the most idle entries; false if there are
+// none.
 func (i idleEntries) largest() (ident.ClientAccount, bool) {
 	var largest ident.ClientAccount
 	most := 0
--- a/internal/streaming/keep.go
+++ b/internal/streaming/keep.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// This file is about the time that entries are kept. All functions but serve
-// and depart are called with the registry's lock held.
+// This file decides how long entries are kept. Except for serve, removeCaller
+// and expire, the callers of its functions hold the registry's lock.
 
-// start begins a run for the request, in place of the entry before, if any.
-func (g *Registry) start(ctx context.Context, req Request, before *entry) *entry {
-	if before != nil {
-		g.remove(req.Key, before)
+// start begins a run for the request. Its entry replaces the given one, if that
+// is not nil.
+func (g *Registry) start(ctx context.Context, req Request, replaced *entry) *entry {
+	if replaced != nil {
+		g.remove(req.Key, replaced)
 	}
 	runCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	e := &entry{
@@ -23,15 +24,16 @@
 	g.entries[req.Key] = e
 	streamsVar.Add(1)
 	g.runs.Add(1)
-	go g.serve(runCtx, e, before)
+	go g.serve(runCtx, e, replaced)
 	return e
 }
 
-// serve brings an entry to its end and tells its callers.
-func (g *Registry) serve(ctx context.Context, e, before *entry) {
+// serve runs an entry's request to its end and publishes the outcome to its
+// callers.
+func (g *Registry) serve(ctx context.Context, e, replaced *entry) {
 	defer g.runs.Done()
 	defer e.cancel(nil)
-	e.serve(ctx, g.runner, before)
+	e.serve(ctx, g.runner, replaced)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e.ended = true
@@ -43,13 +45,13 @@
 	}
 }
 
-// addCaller counts a caller in.
+// addCaller counts a caller that begins to follow the entry.
 func (g *Registry) addCaller(e *entry) {
 	e.callers++
 	g.endIdle(e)
 }
 
-// removeCaller counts a caller out.
+// removeCaller counts a caller that no longer follows the entry.
 func (g *Registry) removeCaller(e *entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,8 +61,8 @@
 	}
 }
 
-// beginIdle begins an entry's time without a caller. While it runs it may linger,
-// and once it has ended it is kept, each for a while.
+// beginIdle starts an entry's period without a caller. A run in progress goes
+// on for Config.Linger, and an ended one is kept for Config.KeepEnded.
 func (g *Registry) beginIdle(e *entry) {
 	g.endIdle(e)
 	if g.entries[e.req.Key] != e {
@@ -71,14 +73,14 @@
 		wait = g.config.KeepEnded
 	}
 	g.idle.add(e)
-	rests := e.idlePeriods
-	e.timer = time.AfterFunc(wait, func() { g.expire(e, rests) })
+	period := e.idlePeriods
+	e.timer = time.AfterFunc(wait, func() { g.expire(e, period) })
 	if g.idle.count(e.req.Key.Account) > g.config.IdleStreams {
 		g.evict(g.idle.oldest(e.req.Key.Account))
 	}
 }
 
-// endIdle ends an entry's time without a caller.
+// endIdle ends an entry's period without a caller.
 func (g *Registry) endIdle(e *entry) {
 	if e.timer == nil {
 		return
@@ -89,12 +91,13 @@
 	g.idle.remove(e)
 }
 
-// expire ends a run that no caller came back to, or forgets an ended one. A
-// timer that fires while a caller arrives finds that the rest it was for is over.
-func (g *Registry) expire(e *entry, rests uint64) {
+// expire cancels a run to which no caller came back, or removes an ended one.
+// If the timer fires while a caller arrives, the number of the idle period has
+// changed and expire does nothing.
+func (g *Registry) expire(e *entry, period uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e.idlePeriods != rests {
+	if e.idlePeriods != period {
 		return
 	}
 	if e.ended {
@@ -104,13 +107,15 @@
 	e.cancel(errAbandoned)
 }
 
-// evict makes room by giving up an entry without a caller.
+// evict cancels and removes an entry without a caller, to make room for another
+// one.
 func (g *Registry) evict(e *entry) {
 	e.cancel(errAbandoned)
 	g.remove(e.req.Key, e)
 }
 
-// remove forgets an entry.
+// remove deletes an entry from the registry. Its run goes on until it is
+// cancelled.
 func (g *Registry) remove(key Key, e *entry) {
 	g.endIdle(e)
 	if g.entries[key] == e {
@@ -119,8 +124,8 @@
 	}
 }
 
-// makeRoom reports whether one more entry may be kept. When there are too
-// many, the account with the most entries without a caller loses its oldest.
+// makeRoom reports whether one more entry may be kept. If the registry is full,
+// it evicts the longest idle entry of the account with the most idle entries.
 func (g *Registry) makeRoom() bool {
 	if len(g.entries) < g.config.MaxStreams {
 		return true
--- a/internal/streaming/leave.go
+++ b/internal/streaming/leave.go
@@ -5,42 +5,48 @@
 	"time"
 )
 
-// leavePlan says what a stream does when its upstream gives notice.
+// leavePlan says what a stream does when its upstream gives notice of its
+// reclaim.
 type leavePlan int
 
-// The plans. Whichever is chosen, the stream leaves when its time is up.
+// The plans. With each of them, the stream leaves the upstream when its time is
+// up.
 const (
-	// planFinish: the answer will be whole in time.
+	// planFinish: the answer will be complete in time.
 	planFinish leavePlan = iota
-	// planMove: move the KV cache to another engine, so that nothing has to
-	// be computed again.
+	// planMove: move the KV cache to another engine, which then does not
+	// have to compute it again.
 	planMove
-	// planStay: there is no time to move the cache. Every token that still
-	// comes from here needs no other engine.
+	// planStay: there is no time to move the KV cache. Stay as long as
+	// possible, since another engine need not generate the tokens that this
+	// one still delivers.
 	planStay
 )
 
-// planLeave chooses the plan. Left is the time until the stream has to leave,
-// remaining the tokens to come, step the time between two of them or 0 when it
-// is not known.
-func planLeave(left time.Duration, remaining uint32, step, moveTime time.Duration) leavePlan {
-	if step > 0 && time.Duration(remaining)*step <= left {
+// planLeave chooses the plan. left is the time until the stream must leave,
+// remaining the number of tokens still to come, interval the mean time between
+// two tokens or 0 if unknown, and minMoveTime the least time in which a move is
+// tried.
+func planLeave(left time.Duration, remaining uint32, interval, minMoveTime time.Duration) leavePlan {
+	if interval > 0 && time.Duration(remaining)*interval <= left {
 		return planFinish
 	}
-	if left >= moveTime {
+	if left >= minMoveTime {
 		return planMove
 	}
 	return planStay
 }
 
-// noticeHandler handles the notice of one attempt's upstream.
+// noticeHandler handles a reclaim notice of one attempt's upstream.
 type noticeHandler struct {
 	attempt *attempt
+	// noticed: a notice was received.
 	noticed bool
-	// leaveDue fires when the stream has to leave the upstream.
+	// leaveDue fires when the stream must leave the upstream; nil without a
+	// notice.
 	leaveDue <-chan time.Time
 	timer    *time.Timer
-	// moving: a move is under way, which ends on arrived.
+	// moving: a move is in progress; its result is sent on moveDone.
 	moving   bool
 	moveDone chan moveResult
 	cancel   context.CancelFunc
@@ -48,41 +54,41 @@
 
 func newNoticeHandler(a *attempt) *noticeHandler { return &noticeHandler{attempt: a} }
 
-// handle begins what the plan says.
-func (w *noticeHandler) handle(ctx context.Context, n Notice) {
-	config := w.attempt.run.runner.config
+// handle starts what the plan for the remaining time requires.
+func (h *noticeHandler) handle(ctx context.Context, n Notice) {
+	config := h.attempt.run.runner.config
 	left := time.Until(n.Deadline) - config.LeaveMargin
-	w.noticed = true
-	w.timer = time.NewTimer(left)
-	w.leaveDue = w.timer.C
-	remaining := w.attempt.run.req.Ask.MaxTokens - w.attempt.run.assembler.NextIndex()
-	if planLeave(left, remaining, w.attempt.tokenInterval(), config.MinMoveTime) != planMove {
+	h.noticed = true
+	h.timer = time.NewTimer(left)
+	h.leaveDue = h.timer.C
+	remaining := h.attempt.run.req.Ask.MaxTokens - h.attempt.run.assembler.NextIndex()
+	if planLeave(left, remaining, h.attempt.tokenInterval(), config.MinMoveTime) != planMove {
 		return
 	}
-	w.moving = true
-	w.moveDone = make(chan moveResult)
+	h.moving = true
+	h.moveDone = make(chan moveResult)
 	moveCtx, cancel := context.WithTimeout(ctx, left)
-	w.cancel = cancel
-	go w.attempt.newMove().run(moveCtx, w.moveDone)
+	h.cancel = cancel
+	go h.attempt.newMove().run(moveCtx, h.moveDone)
 }
 
-// stop ends the watch. A move whose end nobody waits for any more gives its
-// target back by itself.
-func (w *noticeHandler) stop() {
-	if w.timer != nil {
-		w.timer.Stop()
+// stop ends the handling. A move that is still in progress is cancelled and
+// releases its target itself.
+func (h *noticeHandler) stop() {
+	if h.timer != nil {
+		h.timer.Stop()
 	}
-	if w.cancel != nil {
-		w.cancel()
+	if h.cancel != nil {
+		h.cancel()
 	}
 }
 
-// tokenInterval returns the mean time between two tokens of the attempt, or 0 when too
-// few have come.
+// tokenInterval returns the mean time between two tokens of the attempt, or 0
+// if too few have been received.
 func (a *attempt) tokenInterval() time.Duration {
-	const enough = 4
+	const minTokens = 4
 	tokens := a.run.assembler.NextIndex() - a.startIndex
-	if tokens < enough {
+	if tokens < minTokens {
 		return 0
 	}
 	return (time.Since(a.opened) - a.firstToken) / time.Duration(tokens-1)
--- a/internal/streaming/move.go
+++ b/internal/streaming/move.go
@@ -7,30 +7,32 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// preparedTarget is a target with the KV cache that came to it.
+// preparedTarget is a picked target, with the size of the KV cache that was
+// moved to it.
 type preparedTarget struct {
 	target Target
-	// imported is how many tokens of cache arrived.
+	// imported is the number of cached tokens that reached the target.
 	imported int
 }
 
-// release gives a target back that no attempt will use.
+// release returns a target that no attempt will use to the picker. It does
+// nothing if m is nil.
 func (m *preparedTarget) release() {
 	if m != nil {
 		m.target.release(Result{Unused: true})
 	}
 }
 
-// moveResult is how a move ended.
+// moveResult is the result of a move: a target or an error.
 type moveResult struct {
 	prepared *preparedTarget
-	// err is set when there is no target.
+	// err is set if no target could be picked.
 	err error
 }
 
-// attemptEnd returns how the attempt ends once the move is over: at the new target,
-// or if there is none as it had been lost meanwhile. An end without a next
-// cause says that the attempt goes on.
+// attemptEnd returns how the attempt ends after the move: for the new target,
+// or as given by lost if there is none. lost is how the stream ended during the
+// move. A result without a next cause means that the attempt goes on.
 func (m moveResult) attemptEnd(lost attemptEnd) attemptEnd {
 	if m.err != nil {
 		return lost
@@ -41,19 +43,20 @@
 	return attemptEnd{nextCause: CauseNotice, prepared: m.prepared}
 }
 
-// move brings the KV cache of a leaving upstream to another one. Meanwhile the
-// stream goes on at the old one; the few tokens that it still brings are not
-// in the cache and have to be prefilled at the new one.
+// move transfers the KV cache of a leaving upstream to another one. Meanwhile
+// the stream goes on at the old one; the few tokens that it still produces are
+// not in the cache and must be prefilled at the new one.
 type move struct {
 	picker Picker
 	pick   PickRequest
 	from   Target
 	id     ident.Request
-	// slots bound the KV caches that this process holds in memory.
+	// slots bounds the KV caches that this process holds in memory.
 	slots chan struct{}
 }
 
-// newMove captures what a move needs, since it runs beside the attempt.
+// newMove copies what a move needs, since it runs concurrently with the
+// attempt.
 func (a *attempt) newMove() move {
 	pick := a.run.pickRequest(CauseMoved)
 	pick.Exclude = append(slices.Clone(pick.Exclude), a.target.Instance)
@@ -66,21 +69,21 @@
 	}
 }
 
-// run moves the cache and tells on arrived how it ended. When ctx ends first,
-// nobody waits for it any more and the new target is given back.
-func (m move) run(ctx context.Context, arrived chan<- moveResult) {
-	end := m.pickAndTransfer(ctx)
+// run moves the cache and sends the result on done. If ctx ends first, nobody
+// receives it any more and the new target is released.
+func (m move) run(ctx context.Context, done chan<- moveResult) {
+	result := m.pickAndTransfer(ctx)
 	select {
-	case arrived <- end:
+	case done <- result:
 	case <-ctx.Done():
-		if end.err == nil {
-			end.prepared.release()
+		if result.err == nil {
+			result.prepared.release()
 		}
 	}
 }
 
-// pickAndTransfer picks the new target and carries the cache there. A cache that cannot be
-// carried still leaves a target to resume at.
+// pickAndTransfer picks the new target and transfers the cache to it. If the
+// transfer fails, the target can still be resumed at, without the cache.
 func (m move) pickAndTransfer(ctx context.Context) moveResult {
 	target, err := m.picker.Pick(ctx, m.pick)
 	if err != nil {
@@ -89,7 +92,8 @@
 	return moveResult{prepared: &preparedTarget{target: target, imported: m.transferCache(ctx, target)}}
 }
 
-// transferCache returns how many tokens of cache reached the target.
+// transferCache returns the number of cached tokens that reached the target; 0
+// if the transfer failed.
 func (m move) transferCache(ctx context.Context, to Target) int {
 	select {
 	case m.slots <- struct{}{}:
--- a/internal/streaming/observer.go
+++ b/internal/streaming/observer.go
@@ -7,38 +7,40 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// AttemptReport is what one attempt did, told when it has ended.
+// AttemptReport describes one attempt that has ended.
 type AttemptReport struct {
 	Key      Key
 	Attempt  uint32
 	Instance ident.Instance
-	// Cause of this attempt.
+	// Cause is why the attempt was opened.
 	Cause Cause
-	// NextCause is the cause of the attempt that follows; "" when the answer is
-	// whole or the request was given up on.
+	// NextCause is the cause of the attempt that follows, or "" if the answer
+	// is complete or the run was stopped.
 	NextCause Cause
-	// Fault is set when Next is CauseFault.
+	// Fault is set if NextCause is CauseFault.
 	Fault Fault
-	// Err is what the engine or its connection failed with, or nil.
+	// Err is the error of the engine or of the connection to it, or nil.
 	Err error
-	// Recomputed is how many tokens the engine had to prefill although an
-	// earlier attempt may have computed them.
+	// Recomputed is the number of tokens that the engine had to prefill
+	// although an earlier attempt may have computed them.
 	Recomputed int
-	// Imported is how many tokens came with a moved KV cache.
+	// Imported is the number of tokens that came with a moved KV cache.
 	Imported int
-	// Tokens is how many new tokens the attempt brought.
+	// Tokens is the number of new tokens that the attempt produced.
 	Tokens int
 	// Took is the time from opening to the end.
 	Took time.Duration
 }
 
-// Observer hears of every attempt's end. It must not block.
+// Observer is notified of the end of every attempt.
 type Observer interface {
+	// AttemptEnded must not block. It may be called concurrently.
 	AttemptEnded(AttemptReport)
 }
 
-// The figures of all token streams of this process. The maps are keyed by
-// Cause, that of faults by Fault. Streams is how many are kept now.
+// The metrics of all token streams of this process. The maps are keyed by
+// Cause, that of faults by Fault. streamsVar is the number of streams that are
+// kept now.
 var (
 	attemptsVar   = expvar.NewMap("goldcrestspool.streaming.attempts")
 	recomputedVar = expvar.NewMap("goldcrestspool.streaming.tokens_recomputed")
@@ -51,7 +53,7 @@
 	leftVar       = expvar.NewInt("goldcrestspool.streaming.streams_left")
 )
 
-// recordMetrics adds a report to the process's figures.
+// recordMetrics adds an attempt to the process's metrics.
 func recordMetrics(r AttemptReport) {
 	attemptsVar.Add(string(r.Cause), 1)
 	assembledVar.Add(int64(r.Tokens))
--- a/internal/streaming/pick.go
+++ b/internal/streaming/pick.go
@@ -11,17 +11,16 @@
 
 // exclusions are the instances that a request must not be sent to again.
 type exclusions struct {
-	// failed are instances that lost or spoiled an attempt.
+	// failed instances lost an attempt, refused it or sent faulty frames.
 	failed []ident.Instance
-	// leaving are instances that refused since they are leaving, or whose
-	// notice came.
+	// leaving instances refused because they are leaving, or gave notice.
 	leaving []ident.Instance
-	// silent are instances whose connection fell silent once. Only the
-	// second time speaks against the instance itself.
+	// silent instances stopped sending on a connection once. Only the second
+	// time is taken as a fault of the instance itself.
 	silent []ident.Instance
 }
 
-// add notes how an attempt at an instance ended.
+// add records how an attempt at an instance ended.
 func (e *exclusions) add(instance ident.Instance, end attemptEnd) {
 	switch {
 	case end.leaving:
@@ -38,8 +37,8 @@
 	return slices.Concat(e.failed, e.leaving)
 }
 
-// clearFailed lets failed instances be tried again. It reports whether there were
-// any.
+// clearFailed allows failed and silent instances again. It reports whether
+// there were any failed ones.
 func (e *exclusions) clearFailed() bool {
 	had := len(e.failed) > 0
 	e.failed = nil
@@ -47,11 +46,12 @@
 	return had
 }
 
-// pick chooses the next attempt's target, or returns the final outcome.
+// pick chooses the next attempt's target, or returns the final outcome if there
+// is none.
 func (r *run) pick(ctx context.Context) (Target, *outcome.Outcome) {
 	target, err := r.pickOnce(ctx)
-	// A request that every engine has failed once may still succeed at one
-	// that has recovered: its own exclusions must not be what ends it.
+	// Every engine may have failed the request once and one of them may have
+	// recovered: the request's own exclusions alone must not end it.
 	if err != nil && ctx.Err() == nil && r.excluded.clearFailed() {
 		target, err = r.pickOnce(ctx)
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// pickErrorOutcome turns a picker's error into the final outcome.
+// pickErrorOutcome returns the final outcome for a picker's error.
 func (r *run) pickErrorOutcome(err error) *outcome.Outcome {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
--- a/internal/streaming/receive.go
+++ b/internal/streaming/receive.go
@@ -12,10 +12,10 @@
 	err   error
 }
 
-// receive opens a stream and returns a channel of its frames, ended by an
-// error. The channel belongs to this attempt alone, so that no frame of a
-// given-up attempt reaches a later one. The goroutine ends when ctx does; a
-// connection that ignores ctx keeps its goroutine, but nobody waits for it.
+// receive opens a stream and returns a channel of its frames; the last value is
+// an error. The channel belongs to this attempt alone, so that no frame of an
+// abandoned attempt reaches a later one. The goroutine ends when ctx does; if
+// the connection ignores ctx, the goroutine stays, but nothing waits for it.
 func receive(ctx context.Context, engine upstream.Engine, req upstream.GenerateRequest) <-chan frameOrError {
 	frames := make(chan frameOrError)
 	go func() {
@@ -24,8 +24,8 @@
 			forward(ctx, frames, frameOrError{err: err})
 			return
 		}
-		// Closing from here as well ends a Next that watches only the
-		// stream, not the context.
+		// Closing the stream when ctx ends unblocks a Next that does not watch
+		// the context.
 		stop := context.AfterFunc(ctx, func() { _ = stream.Close() })
 		defer stop()
 		defer func() { _ = stream.Close() }()
@@ -44,7 +44,7 @@
 	}
 }
 
-// forward reports whether the receiver took r.
+// forward sends r and reports whether it was received before ctx ended.
 func forward(ctx context.Context, frames chan<- frameOrError, r frameOrError) bool {
 	select {
 	case frames <- r:
--- a/internal/streaming/registry.go
+++ b/internal/streaming/registry.go
@@ -8,9 +8,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Registry keeps the token streams in progress at this gateway, and for a
-// while those that have ended. A stream outlives its caller's connection, so
-// that the caller can come back for the rest.
+// Registry keeps the token streams in progress at this gateway, and ended ones
+// for a while. A stream outlives its caller's connection, so that the caller
+// can come back for the rest. A Registry is safe for concurrent use.
 type Registry struct {
 	config Config
 	runner *Runner
@@ -20,7 +20,7 @@
 	entries map[Key]*entry
 	idle    idleEntries
 	leaving bool
-	// told: the hand-over is over, and callers may hear of it.
+	// handOverDone: callers may be told that their streams were stopped.
 	handOverDone bool
 }
 
@@ -34,23 +34,24 @@
 	}
 }
 
-// ResumeRequest asks for the rest of a token stream.
+// ResumeRequest is a request for the rest of a token stream.
 type ResumeRequest struct {
 	Key Key
 	// Next is the index of the first token that the caller does not have.
 	Next uint32
-	// Original is the request as it was first sent, without Delivered, or
-	// nil when the caller left it out.
+	// Original is the request as it was first sent, without Delivered; nil if
+	// the caller left it out.
 	Original *Request
-	// Delivered are the Next tokens that the caller has, or nil when the
+	// Delivered are the first Next tokens, which the caller has; nil if the
 	// caller left them out.
 	Delivered []string
 }
 
-// Generate serves a request from its first token on. A second Generate with
-// the same key and the same Ask follows the same answer.
+// Generate serves a request from its first token on. A second Generate with the
+// same key and the same Ask follows the same answer.
 //
-// Errors: InvalidArgument. All else is told as an outcome.
+// It returns an InvalidArgument error for an invalid request; every other
+// failure is an outcome.
 func (g *Registry) Generate(ctx context.Context, req Request, sink Sink) (outcome.Outcome, error) {
 	req.Delivered = nil
 	if err := req.validate(g.config.MaxTokens); err != nil {
@@ -63,10 +64,13 @@
 	return g.follow(ctx, e, 0, sink), nil
 }
 
-// Resume serves the rest of a request. A stream of another client account and
-// one that does not exist give the same error.
+// Resume serves the rest of a request.
 //
-// Errors: InvalidArgument, NotFound. All else is told as an outcome.
+// It returns an InvalidArgument error for an invalid request, and a NotFound
+// error if the gateway does not keep the stream and the request does not
+// contain what is needed to go on. The error is the same whether the stream
+// belongs to another client account or does not exist. Every other failure is
+// an outcome.
 func (g *Registry) Resume(ctx context.Context, resume ResumeRequest, sink Sink) (outcome.Outcome, error) {
 	if err := resume.validate(g.config.MaxTokens); err != nil {
 		return outcome.Outcome{}, err
@@ -82,7 +86,7 @@
 }
 
 // Holds reports whether the gateway keeps the stream. Resuming one that it does
-// not keep begins a run like a new request, and should be admitted as such.
+// not keep starts a run like a new request, and should be admitted like one.
 func (g *Registry) Holds(key Key) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,15 +105,15 @@
 	g.runs.Wait()
 }
 
-// Stats are a registry's figures.
+// Stats are the numbers of streams in a registry.
 type Stats struct {
-	// Streams that are kept.
+	// Streams is the number of kept streams.
 	Streams int
-	// Idle streams have no caller.
+	// Idle is the number of those without a caller.
 	Idle int
 }
 
-// Stats returns the figures at this moment.
+// Stats returns the current numbers.
 func (g *Registry) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,17 +124,19 @@
 	return stats
 }
 
-// follow delivers an entry's answer to one caller.
+// follow sends an entry's answer to one caller, from index next on.
 func (g *Registry) follow(ctx context.Context, e *entry, next uint32, sink Sink) outcome.Outcome {
 	defer g.removeCaller(e)
 	final, err := e.answer.follow(ctx, next, sink, g.config)
 	if err != nil {
-		return outcome.NewInterrupted(outcome.ReasonCancelled, "the caller has gone: "+err.Error(), 0)
+		return outcome.NewInterrupted(outcome.ReasonCancelled, "the caller disconnected: "+err.Error(), 0)
 	}
 	return final
 }
 
-// findOrStart finds or starts the entry of a new request, and counts the caller in.
+// findOrStart returns the entry of a new request, which it starts if needed,
+// and adds the caller to it. It returns an outcome instead if the request is
+// refused.
 func (g *Registry) findOrStart(ctx context.Context, req Request) (*entry, *outcome.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -142,7 +148,7 @@
 	case e == nil:
 		e = g.start(ctx, req, nil)
 	case !e.mayComplete():
-		// Given up on before: go on from where it got to.
+		// The earlier run was given up. Continue from its tokens.
 		req.Delivered = e.tokens()
 		e = g.start(ctx, req, e)
 	}
@@ -150,8 +156,9 @@
 	return e, nil
 }
 
-// findOrResume finds or starts the entry of a resumed request, and counts the
-// caller in.
+// findOrResume returns the entry of a resumed request, which it starts if
+// needed, and adds the caller to it. It returns an outcome instead if the
+// request is refused.
 func (g *Registry) findOrResume(ctx context.Context, resume ResumeRequest) (*entry, *outcome.Outcome, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -171,20 +178,21 @@
 	return e, nil, nil
 }
 
-// continueFrom returns the entry that goes on from what the caller has.
+// continueFrom returns an entry that continues from the tokens that the caller
+// has. e is the entry with the request's key, or nil.
 func (g *Registry) continueFrom(ctx context.Context, e *entry, req Request, resume ResumeRequest) (*entry, error) {
-	held := resume.hasAllDelivered()
-	if !held && (e == nil || int(resume.Next) > len(e.tokens())) {
+	allDelivered := resume.hasAllDelivered()
+	if !allDelivered && (e == nil || int(resume.Next) > len(e.tokens())) {
 		return nil, notFound()
 	}
 	if e == nil {
 		req.Delivered = resume.Delivered
 		return g.start(ctx, req, nil), nil
 	}
-	// A caller that went on at another gateway may have other tokens than
-	// those here. Going on from the ones here would give it a mix of two
-	// answers, so the caller's tokens win.
-	if held && !e.hasPrefix(resume.Delivered) {
+	// A caller that went on at another gateway may have received other tokens
+	// than those kept here. Continuing from the ones here would give it a mix
+	// of two answers, so the run restarts from the caller's tokens.
+	if allDelivered && !e.hasPrefix(resume.Delivered) {
 		req.Delivered = resume.Delivered
 		if err := req.validate(g.config.MaxTokens); err != nil {
 			return nil, err
@@ -199,7 +207,9 @@
 	return e, nil
 }
 
-// refusalOf returns why a request cannot be served here, or nil.
+// refusalOf returns the outcome of a request that cannot be served here, or
+// nil. e is the entry with the request's key, or nil. It may evict an idle
+// stream to make room for a new one.
 func (g *Registry) refusalOf(e *entry, ask Ask) *outcome.Outcome {
 	var refused outcome.Outcome
 	switch {
@@ -221,7 +231,7 @@
 	return errcode.New(errcode.NotFound, "no such request here; send original and delivered to resume it")
 }
 
-// validate returns an invalid-argument error, or nil.
+// validate returns an InvalidArgument error, or nil.
 func (r ResumeRequest) validate(maxTokens uint32) error {
 	if r.Delivered != nil && len(r.Delivered) != int(r.Next) {
 		return errcode.Errorf(errcode.InvalidArgument, "next_index is %d and delivered has %d tokens", r.Next, len(r.Delivered))
@@ -237,10 +247,12 @@
 	return original.validate(maxTokens)
 }
 
-// hasAllDelivered reports whether the caller showed every token that it has.
+// hasAllDelivered reports whether the request contains every token that the
+// caller has.
 func (r ResumeRequest) hasAllDelivered() bool { return len(r.Delivered) == int(r.Next) }
 
-// request returns the request to serve, from the caller's copy or the entry's.
+// request returns the request to serve: the caller's copy if there is one, or
+// else the entry's.
 func (r ResumeRequest) request(e *entry) Request {
 	if r.Original != nil {
 		return *r.Original
--- a/internal/streaming/request.go
+++ b/internal/streaming/request.go
@@ -8,53 +8,54 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Key names a request within its client account. An account reaches no
-// request but its own, whatever request ID it tries.
+// Key identifies a request within its client account. An account can reach only
+// its own requests, whatever request ID it sends.
 type Key struct {
 	Account ident.ClientAccount
 	Request ident.Request
 }
 
-// String names the request together with its account. Both parts are escaped,
-// so that no two keys have the same name.
+// String returns account and request ID, both escaped, so that no two keys have
+// the same string.
 func (k Key) String() string {
 	return url.PathEscape(string(k.Account)) + "/" + url.PathEscape(string(k.Request))
 }
 
-// engineID is the name under which engines know the request. It holds the
-// account, because callers choose request IDs: two accounts with the same ID
-// at the same engine would otherwise share one exported KV cache.
+// engineID returns the request ID that is sent to engines. It contains the
+// account because callers choose request IDs: two accounts with the same ID at
+// the same engine would otherwise share one exported KV cache.
 func (k Key) engineID() ident.Request { return ident.Request(k.String()) }
 
-// Ask is what a caller asks for. Two requests with the same Key and a
-// different Ask are different requests.
+// Ask holds the parameters of a request that determine its answer. Two requests
+// with the same Key and a different Ask are different requests.
 type Ask struct {
 	Service ident.Service
 	Class   ident.Class
 	Prompt  string
-	// MaxTokens is the length of the whole answer.
+	// MaxTokens is the length of the complete answer.
 	MaxTokens uint32
 }
 
-// Request is one token stream to serve.
+// Request is a request for one token stream.
 type Request struct {
 	Key Key
 	Ask Ask
-	// Priority: higher is served first.
+	// Priority orders requests: a higher one is served first.
 	Priority int32
-	// Deadline after which the answer is of no use; zero means none. It
-	// must hold a monotonic reading.
+	// Deadline is the time after which the answer is of no use; zero means
+	// none. It must have a monotonic clock reading.
 	Deadline time.Time
 	// Delivered are the tokens that the caller already has.
 	Delivered []string
-	// Attempt is the last attempt that was opened, here or elsewhere.
+	// Attempt is the number of the last attempt that was opened, here or at
+	// another gateway; 0 if there was none.
 	Attempt uint32
-	// Served is the instance of that attempt, which may hold the prefix in
-	// its cache; empty when it is not known.
+	// Served is the instance of that attempt, which may have the prefix in its
+	// cache; empty if unknown.
 	Served ident.Instance
 }
 
-// validate returns an invalid-argument error, or nil.
+// validate returns an InvalidArgument error, or nil.
 func (r Request) validate(maxTokens uint32) error {
 	switch {
 	case r.Key.Request == "":
--- a/internal/streaming/runner.go
+++ b/internal/streaming/runner.go
@@ -9,16 +9,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Runner brings the answers of a registry to their ends.
+// Runner produces the answers of a registry's streams.
 type Runner struct {
 	config   Config
 	picker   Picker
 	budget   Budget
 	observer Observer
-	moves    chan struct{}
+	// moves holds one value for each KV cache that is being moved.
+	moves chan struct{}
 }
 
-// NewRunner returns a runner. Budget and observer may be nil.
+// NewRunner returns a runner. budget and observer may be nil.
 func NewRunner(config Config, picker Picker, budget Budget, observer Observer) *Runner {
 	return &Runner{
 		config:   config,
@@ -29,29 +30,30 @@
 	}
 }
 
-// run is the state of one answer.
+// run produces one answer.
 type run struct {
 	runner *Runner
 	req    Request
-	// answer is told each new token.
+	// answer is where callers follow the tokens.
 	answer    *answer
 	assembler *Assembler
 	// cause of the next attempt.
 	cause Cause
-	// lastInstance is the instance of the last attempt.
+	// lastInstance is the instance of the last attempt that may have run.
 	lastInstance ident.Instance
-	// excluded are instances that must not be tried again.
+	// excluded holds the instances that must not be tried again.
 	excluded exclusions
-	// ran: some attempt may have run, here or elsewhere.
+	// mayHaveRun: an attempt of this request may have run, here or at another
+	// gateway.
 	mayHaveRun bool
-	// fruitless counts attempts since the last new token.
+	// fruitless is the number of attempts since the last new token.
 	fruitless int
 }
 
 func newRun(r *Runner, req Request, answer *answer) *run {
 	cause := CauseFirst
-	ran := len(req.Delivered) > 0 || req.Attempt > 0
-	if ran {
+	mayHaveRun := len(req.Delivered) > 0 || req.Attempt > 0
+	if mayHaveRun {
 		cause = CauseResumed
 	}
 	return &run{
@@ -61,13 +63,13 @@
 		assembler:    NewAssembler(req.Delivered, req.Ask.MaxTokens, req.Attempt),
 		cause:        cause,
 		lastInstance: req.Served,
-		mayHaveRun:   ran,
+		mayHaveRun:   mayHaveRun,
 	}
 }
 
-// loop opens attempts until the answer is whole or the request is given up on,
-// which is told at once. The cause with which ctx is cancelled chooses the
-// words of the outcome; see stopped.
+// loop opens attempts until the answer is complete or the request is given up,
+// and returns the outcome. The cause with which ctx is cancelled determines the
+// outcome of a stopped run; see stopOutcome.
 func (r *run) loop(ctx context.Context) outcome.Outcome {
 	var next *preparedTarget
 	for !r.assembler.Complete() {
@@ -95,7 +97,9 @@
 	return outcome.Outcome{Kind: outcome.Completed}
 }
 
-// beforeRetry decides whether another attempt may come after one that ended.
+// beforeRetry applies the limits on retries and backs off before the next
+// attempt. It returns the final outcome if no attempt may follow the one that
+// ended, or nil.
 func (r *run) beforeRetry(ctx context.Context, end attemptEnd) *outcome.Outcome {
 	r.cause = end.nextCause
 	r.fruitless++
@@ -103,12 +107,13 @@
 		r.fruitless = 0
 	}
 	if r.fruitless >= r.runner.config.MaxFruitlessAttempts {
-		return r.giveUpOutcome(end.reason(), "no engine brought the answer further", r.retryAfter())
+		return r.giveUpOutcome(end.reason(), "no engine produced another token of the answer", r.retryAfter())
 	}
 	if !r.budgetAllows(end) {
 		return r.giveUpOutcome(outcome.ReasonOverloaded, "too many retries at this time", r.retryAfter())
 	}
-	// A leaving engine is excluded, so that the next one is another.
+	// An engine that is leaving is excluded, so the next attempt goes to
+	// another one and needs no pause.
 	if !end.leaving && !r.backOff(ctx) {
 		stopped := r.stopOutcome(ctx)
 		return &stopped
@@ -116,11 +121,13 @@
 	return nil
 }
 
-// budgetAllows asks the retry budget. An attempt that brought new tokens is
-// followed for free: when an engine with many streams is lost, its streams
-// replace attempts that are gone, and giving them up would throw away what
-// they have computed. Only attempts without success can add up to a retry
-// storm. A leaving engine refuses a request once and is then excluded.
+// budgetAllows reports whether the retry budget allows another attempt. The
+// budget is not charged after an attempt with new tokens: when an engine with
+// many streams is lost, the new attempts replace those that ended, and giving
+// the streams up would discard what they have computed. Only attempts without a
+// new token can add up to a retry storm. It is not charged either after a
+// refusal by an engine that is leaving, because that engine refuses the request
+// once and is then excluded.
 func (r *run) budgetAllows(end attemptEnd) bool {
 	budget := r.runner.budget
 	if budget == nil || end.tokens > 0 || end.leaving {
@@ -129,9 +136,9 @@
 	return budget.Take(r.req, r.cause)
 }
 
-// backOff waits longer after each fruitless attempt but the first, so that a
-// request without a working engine does not load all engines. It reports
-// whether ctx is still open.
+// backOff waits before a retry, longer after each fruitless attempt in a row,
+// and not at all after the first. This keeps a request for which no engine
+// works from loading all engines. It returns false if ctx ended first.
 func (r *run) backOff(ctx context.Context) bool {
 	const freeRetries = 1
 	if r.fruitless <= freeRetries {
@@ -153,5 +160,6 @@
 	return d + rand.N(d)
 }
 
-// retryAfter returns when a caller given up on should come back.
+// retryAfter returns the retry-after time for a caller whose request is given
+// up.
 func (r *run) retryAfter() time.Duration { return jitter(r.runner.config.MinRetryAfter) }
--- a/internal/streaming/span.go
+++ b/internal/streaming/span.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
-// tracer makes a span of each attempt, the hop from gateway to engine. It uses
-// the process's tracer provider.
+// tracer makes a span of each attempt, which is one call from gateway to
+// engine. It uses the process's tracer provider.
 var tracer = otel.Tracer("github.com/goldcrestspool/goldcrestspool/internal/streaming")
 
 // The attributes of an attempt's span.
@@ -36,8 +36,8 @@
 	))
 }
 
-// endSpan ends the span of an attempt with what it did. An error is named by
-// its code: its text may quote the prompt.
+// endSpan ends the span of an attempt and records what it did. Of an error it
+// records only the code, because the text may quote the prompt.
 func endSpan(span trace.Span, r AttemptReport) {
 	span.SetAttributes(
 		nextKey.String(string(r.NextCause)),
@@ -54,7 +54,8 @@
 	span.End()
 }
 
-// endedUnplanned reports whether the attempt ended against plan.
+// endedUnplanned reports whether the attempt ended by a failure, and not by a
+// completed answer or a notice of reclaim.
 func (r AttemptReport) endedUnplanned() bool {
 	return r.NextCause != "" && r.NextCause != CauseMoved && r.NextCause != CauseNotice
 }
--- a/internal/streaming/target.go
+++ b/internal/streaming/target.go
@@ -9,127 +9,132 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Cause says why an attempt is opened.
+// Cause is the reason why an attempt is opened.
 type Cause string
 
 // The causes of an attempt.
 const (
-	// CauseFirst: nothing of the request has run yet.
+	// CauseFirst: no attempt of the request has run yet.
 	CauseFirst Cause = "first"
-	// CauseRefused: the attempt before was refused or not sent.
+	// CauseRefused: the previous attempt was refused or not sent.
 	CauseRefused Cause = "refused"
-	// CauseLost: the upstream or the connection broke.
+	// CauseLost: the upstream or the connection to it broke.
 	CauseLost Cause = "lost"
-	// CauseSilent: the connection was silent for too long.
+	// CauseSilent: no frame was received within the silence limit.
 	CauseSilent Cause = "silent"
-	// CauseFault: the engine sent frames that do not fit the answer.
+	// CauseFault: the engine sent frames that contradict the answer or the
+	// request.
 	CauseFault Cause = "fault"
-	// CauseNotice: the upstream is leaving and its cache stayed behind.
+	// CauseNotice: the upstream is leaving and its KV cache was not moved.
 	CauseNotice Cause = "notice"
-	// CauseMoved: the upstream is leaving and its cache was moved.
+	// CauseMoved: the upstream is leaving and its KV cache was moved.
 	CauseMoved Cause = "moved"
-	// CauseResumed: an earlier run, here or at another gateway, served the
-	// request before.
+	// CauseResumed: the request was served before, here or at another gateway.
 	CauseResumed Cause = "resumed"
 )
 
 // PickRequest is what a Picker needs to choose an engine.
 type PickRequest struct {
 	Request Request
-	// Cause of the attempt to be opened.
+	// Cause of the attempt that is to be opened.
 	Cause Cause
-	// Answer so far; the prompt of the next attempt is Ask.Prompt and these.
+	// Answer holds the tokens so far. The next attempt's prompt is Ask.Prompt
+	// followed by them.
 	Answer []string
-	// Served is the instance of the last attempt, which may hold the prefix
-	// in its cache; empty when there was none.
+	// Served is the instance of the last attempt, which may have the prefix in
+	// its cache; empty if there was none.
 	Served ident.Instance
-	// Exclude are instances that must not be chosen.
+	// Exclude lists the instances that must not be chosen.
 	Exclude []ident.Instance
 }
 
-// Picker chooses an engine for an attempt, where the prefix is cached best and
-// the latency target is met. It may wait for room until ctx ends.
+// Picker chooses the engine for an attempt, by cached prefix and latency
+// target. It may wait for capacity until ctx ends.
 type Picker interface {
-	// Pick errors: *Refusal when the request is refused with a time to come
-	// back; any other error is told as a lack of upstreams.
+	// Pick returns the target of an attempt. It returns a *Refusal if the
+	// request is refused; the caller is told that no upstream is available for
+	// any other error.
 	Pick(ctx context.Context, req PickRequest) (Target, error)
 }
 
-// Refusal is a Picker's answer that no engine will serve a request.
+// Refusal is the error of a Picker that refuses a request, with the outcome for
+// the caller.
 type Refusal struct {
 	Reason     outcome.Reason
 	Message    string
 	RetryAfter time.Duration
 }
 
-// Error returns the message for a person.
+// Error returns the message for the caller.
 func (r *Refusal) Error() string { return r.Message }
 
-// Target is where an attempt goes.
+// Target is the engine that an attempt is sent to.
 type Target struct {
 	Instance ident.Instance
 	Engine   upstream.Engine
-	// Notice gets one value when the instance is to be reclaimed; nil when
-	// notices are not known. The channel belongs to this target alone.
+	// Notice receives one value when the instance is to be reclaimed. It is nil
+	// if no notices are available, and shared with no other target.
 	Notice <-chan Notice
-	// FirstToken is called when the first token has come; it may be nil.
+	// FirstToken is called when the first token has been received; it may be
+	// nil.
 	FirstToken func()
 	// Release is called once when the attempt has ended; it may be nil.
 	Release func(Result)
 }
 
-// release tells the picker how the attempt ended.
+// release reports to the picker how the attempt ended.
 func (t Target) release(r Result) {
 	if t.Release != nil {
 		t.Release(r)
 	}
 }
 
-// firstToken tells the picker that the prompt is computed.
-func (t Target) firstToken() {
+// notifyFirstToken reports to the picker that the prompt has been computed.
+func (t Target) notifyFirstToken() {
 	if t.FirstToken != nil {
 		t.FirstToken()
 	}
 }
 
-// Notice tells that an instance is to be reclaimed.
+// Notice announces that an instance is to be reclaimed.
 type Notice struct {
-	// Deadline after which the instance may be gone. It must hold a
-	// monotonic reading.
+	// Deadline is the time after which the instance may be gone. It must have a
+	// monotonic clock reading.
 	Deadline time.Time
 }
 
-// Result is how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
-	// Next is the cause of the attempt that follows, or "" when the answer
-	// is whole or the request was given up on.
+	// Next is the cause of the attempt that follows, or "" if the answer is
+	// complete or the run was stopped.
 	Next Cause
-	// Unused: no attempt was opened, since the stream for which the target
-	// was picked had ended meanwhile.
+	// Unused: no attempt was opened, because the stream for which the target
+	// was picked ended first.
 	Unused bool
 	// Leaving: the upstream refused because it is leaving, or gave notice.
 	Leaving bool
-	// FirstToken is the time from opening to the first token; 0 when none
-	// came.
+	// FirstToken is the time from opening to the first token; 0 if there was
+	// none.
 	FirstToken time.Duration
-	// Tokens is how many new tokens the attempt brought.
+	// Tokens is the number of new tokens that the attempt produced.
 	Tokens int
-	// Prefilled is how many tokens the engine had to prefill.
+	// Prefilled is the number of tokens that the engine had to prefill.
 	Prefilled int
 }
 
-// Budget limits attempts that follow one without any new token.
+// Budget limits the retries after attempts without a new token.
 type Budget interface {
-	// Take reports whether one more attempt may be opened for the cause.
+	// Take reports whether one more attempt may be opened for the cause. It
+	// charges the budget if the cause is not exempt.
 	Take(req Request, cause Cause) bool
 }
 
-// Sink takes the events of a stream to its caller. A call may block while the
+// Sink sends the events of a stream to its caller. A call may block while the
 // caller is slow; it must return once the caller's context has ended.
 type Sink interface {
-	// Tokens delivers consecutive tokens, the first with this index. The
+	// Tokens sends consecutive tokens; index is that of the first one. The
 	// slice must not be changed or appended to.
 	Tokens(index uint32, tokens []string) error
-	// Heartbeat proves to the caller that the connection is alive.
+	// Heartbeat shows the caller that the connection is alive.
 	Heartbeat() error
 }
