--- a/internal/streaming/bench_test.go
+++ b/internal/streaming/bench_test.go
@@ -14,14 +14,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-func benchRequest(i int, most uint32) streaming.Request {
+func benchRequest(i int, maxTokens uint32) streaming.Request {
 	return streaming.Request{
 		Key: streaming.Key{Account: "weber", Request: ident.Request(strconv.Itoa(i))},
-		Ask: streaming.Ask{Service: "spool-llm", Prompt: "Dossier", MaxTokens: most},
+		Ask: streaming.Ask{Service: "spool-llm", Prompt: "Dossier", MaxTokens: maxTokens},
 	}
 }
 
-// BenchmarkToken is the cost of one token from engine to caller.
+// BenchmarkToken measures the cost of one token on its way from engine to
+// caller.
 func BenchmarkToken(b *testing.B) {
 	const count = 256
 	for _, streams := range []int{1, 100, 1000} {
@@ -52,8 +53,8 @@
 	}
 }
 
-// BenchmarkOpenStreamMemory is the memory of a stream that waits for its next
-// token, with a caller that follows it.
+// BenchmarkOpenStreamMemory measures the memory of a stream that waits for its
+// next token while a caller follows it.
 func BenchmarkOpenStreamMemory(b *testing.B) {
 	const streams = 1000
 	for _, count := range []uint32{1, 64, 256, 1024, 4096} {
@@ -66,21 +67,22 @@
 	}
 }
 
-// openStreamBytes returns the bytes of heap and stack that each open stream takes.
+// openStreamBytes returns the bytes of heap and stack that each open stream
+// takes.
 func openStreamBytes(b *testing.B, streams int, count uint32) float64 {
 	g := tokens.NewRegistry(tokens.Engine{StopAt: count})
 	defer g.Close()
 	ctx, cancel := context.WithCancel(b.Context())
-	var here, callers sync.WaitGroup
+	var received, callers sync.WaitGroup
 	before := memoryInUse()
 	for i := range streams {
-		here.Add(1)
+		received.Add(1)
 		callers.Go(func() {
-			sink := &tokens.Sink{Left: int(count), Done: here.Done}
+			sink := &tokens.Sink{Left: int(count), Done: received.Done}
 			_, _ = g.Generate(ctx, benchRequest(i, count+1), sink)
 		})
 	}
-	here.Wait()
+	received.Wait()
 	used := memoryInUse() - before
 	cancel()
 	callers.Wait()
--- a/internal/streaming/caller_test.go
+++ b/internal/streaming/caller_test.go
@@ -42,8 +42,9 @@
 	watchNotice() <-chan Notice
 }
 
-// fakePicker takes the first engine in its order that is not excluded, but the
-// one that served the request last goes first, since it may hold the prefix.
+// fakePicker picks the first engine in its order that is not excluded. The one
+// that served the request last goes first, since it may have the prefix in its
+// cache.
 type fakePicker struct {
 	mu      sync.Mutex
 	engines []testEngine
@@ -86,18 +87,19 @@
 	p.held--
 }
 
-// heldTargets returns how many targets were not released.
+// heldTargets returns how many targets were picked and not released.
 func (p *fakePicker) heldTargets() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held
 }
 
-// fakeCaller collects a stream and checks each event as it comes.
+// fakeCaller collects a stream's tokens and checks each event as it arrives.
 type fakeCaller struct {
 	req  Request
 	slow time.Duration
-	// unchecked: the tokens are not the chain's; the test compares them.
+	// unchecked: the tokens are not those of tokenAfter; the test compares them
+	// itself.
 	unchecked bool
 
 	mu         sync.Mutex
@@ -182,7 +184,7 @@
 	return &fakeCaller{req: req, slow: slow, tokens: tokens, hash: answerHash(c.req.Ask.Prompt, tokens)}
 }
 
-// resume asks for the rest, showing what the caller has.
+// resume requests the rest and sends all that the caller has.
 func (c *fakeCaller) resume(ctx context.Context, g *Registry) (outcome.Outcome, error) {
 	held := c.held()
 	original := c.req
@@ -191,7 +193,7 @@
 	}, sink{caller: c, ctx: ctx})
 }
 
-// resumeByID asks for the rest, naming the request alone.
+// resumeByID requests the rest by the request's key alone.
 func (c *fakeCaller) resumeByID(ctx context.Context, g *Registry) (outcome.Outcome, error) {
 	return g.Resume(ctx, ResumeRequest{Key: c.req.Key, Next: uint32(len(c.held()))}, sink{caller: c, ctx: ctx})
 }
--- a/internal/streaming/config.go
+++ b/internal/streaming/config.go
@@ -29,9 +29,9 @@
 	// Backoff is the pause before a retry, from the second fruitless attempt in
 	// a row on.
 	Backoff retry.Backoff
-	// MinRetryAfter is the least retry-after time given to callers whose
-	// request is given up; they are given up to twice as much, so that they do
-	// not all return at once.
+	// MinRetryAfter is the least retry-after time for callers whose request is
+	// refused or given up. The actual time is random, up to twice as long, so
+	// that the callers do not all return at once.
 	MinRetryAfter time.Duration
 	// Linger is how long a stream goes on without a caller.
 	Linger time.Duration
--- a/internal/streaming/engine_test.go
+++ b/internal/streaming/engine_test.go
@@ -16,17 +16,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// The oracle. A token names the hash of the prompt and of all tokens before
-// it, so that a token is right in exactly one place of one answer; after the
-// dot stands which engine sampled it, so that two runs differ.
+// The test's expected answers. A token contains the hash of the prompt and of
+// all tokens before it, so that it is valid in exactly one place of one answer.
+// After the dot it names the engine that sampled it, so that two runs differ.
 
+// nextHash returns the hash after one more token.
 func nextHash(hash uint64, token string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%x %s", hash, token)
 	return h.Sum64()
 }
 
-// tokenAfter returns the token that sampler says where the chain has this hash.
+// tokenAfter returns the token that sampler produces after the tokens with this
+// hash.
 func tokenAfter(hash uint64, sampler string) string { return fmt.Sprintf("%x.%s", hash, sampler) }
 
 // answerHash returns the hash after a prompt and the tokens of an answer.
@@ -49,7 +51,7 @@
 	return hash, ""
 }
 
-// frameDefect is a way in which a fake engine's frames go wrong.
+// frameDefect is a way in which a fake engine's frames are faulty.
 type frameDefect int
 
 const (
@@ -67,32 +69,33 @@
 	defectCount
 )
 
-// noticeSender gives notice to whoever picked an engine.
+// noticeSender sends reclaim notices to the targets of an engine.
 type noticeSender struct {
 	instance  ident.Instance
 	noticesMu sync.Mutex
 	notices   []chan Notice
 }
 
-func (b *noticeSender) name() ident.Instance { return b.instance }
+func (s *noticeSender) name() ident.Instance { return s.instance }
 
-// watchNotice returns the notice channel of one target.
-func (b *noticeSender) watchNotice() <-chan Notice {
-	b.noticesMu.Lock()
-	defer b.noticesMu.Unlock()
+// watchNotice returns the notice channel of a new target.
+func (s *noticeSender) watchNotice() <-chan Notice {
+	s.noticesMu.Lock()
+	defer s.noticesMu.Unlock()
 	c := make(chan Notice, 1)
-	b.notices = append(b.notices, c)
+	s.notices = append(s.notices, c)
 	return c
 }
 
-// announce tells every target that the instance is to be reclaimed.
-func (b *noticeSender) announce(left time.Duration) {
-	b.noticesMu.Lock()
-	defer b.noticesMu.Unlock()
-	for _, c := range b.notices {
+// announce tells every target that the instance will be reclaimed after the
+// given time.
+func (s *noticeSender) announce(left time.Duration) {
+	s.noticesMu.Lock()
+	defer s.noticesMu.Unlock()
+	for _, c := range s.notices {
 		c <- Notice{Deadline: time.Now().Add(left)}
 	}
-	b.notices = nil
+	s.notices = nil
 }
 
 // fakeEngine generates tokens under the test's control.
@@ -106,12 +109,13 @@
 	cache   map[ident.Request][]string
 	// started counts the attempts that ran, by request.
 	started map[ident.Request]int
-	// refuse, when set, is what Generate answers.
+	// refuse, if set, is the error of Generate.
 	refuse error
-	// nextDefect is what the next frame does.
+	// nextDefect is the defect of the next frame.
 	nextDefect frameDefect
 	// opened counts the attempts, refused ones included.
-	opened    int
+	opened int
+	// exportFor is how long an export of the cache takes.
 	exportFor time.Duration
 }
 
@@ -134,7 +138,8 @@
 	hash   uint64
 	first  bool
 	queued []upstream.Frame
-	// lost ends the stream with an error, silent makes it block for good.
+	// closing lost ends the stream with an error; closing silent makes it block
+	// until it is closed.
 	lost, silent chan struct{}
 	closed       chan struct{}
 	closeOnce    sync.Once
@@ -189,7 +194,7 @@
 	return s.generate()
 }
 
-// wait lets one step pass.
+// wait returns after one step, or with an error when the stream has ended.
 func (s *fakeStream) wait() error {
 	select {
 	case <-s.silent:
@@ -214,16 +219,16 @@
 	}
 }
 
-// generate returns the next frame, or an odd one.
+// generate returns the next frame, with the next defect if there is one.
 func (s *fakeStream) generate() (upstream.Frame, error) {
 	e := s.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	odd := e.nextDefect
+	defect := e.nextDefect
 	e.nextDefect = defectNone
 	index := uint32(len(s.answer))
 	f := s.frame()
-	switch odd {
+	switch defect {
 	case defectDuplicate:
 		s.queued = append(s.queued, f)
 	case defectSwapped:
@@ -261,7 +266,7 @@
 	return f, nil
 }
 
-// frame generates one token.
+// frame generates one token and returns its frame.
 func (s *fakeStream) frame() upstream.Frame {
 	index := uint32(len(s.answer))
 	token := tokenAfter(s.hash, string(s.engine.instance))
@@ -289,7 +294,8 @@
 	return nil
 }
 
-// breakAll ends every open stream: with an error, or silently for good.
+// breakAll breaks every open stream: with an error, or by silence until the
+// stream is closed.
 func (e *fakeEngine) breakAll(silently bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -303,7 +309,8 @@
 	}
 }
 
-// lose ends every stream and forgets the cache, as a reclaimed instance does.
+// lose breaks every stream, drops the cache and refuses new streams, as after
+// the reclaim of an instance.
 func (e *fakeEngine) lose() {
 	e.breakAll(false)
 	e.mu.Lock()
@@ -318,10 +325,10 @@
 	e.refuse = err
 }
 
-func (e *fakeEngine) setNextDefect(o frameDefect) {
+func (e *fakeEngine) setNextDefect(d frameDefect) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.nextDefect = o
+	e.nextDefect = d
 }
 
 func (e *fakeEngine) startedFor(key Key) int {
@@ -337,7 +344,7 @@
 	return len(e.streams)
 }
 
-// giveNotice announces a reclaim to every target, and refuses new streams.
+// giveNotice announces a reclaim to every target and refuses new streams.
 func (e *fakeEngine) giveNotice(left time.Duration) {
 	e.setRefuse(upstream.ErrLeaving)
 	e.announce(left)
--- a/internal/streaming/handover.go
+++ b/internal/streaming/handover.go
@@ -74,7 +74,7 @@
 	return accepted
 }
 
-// accept takes one stream over and reports whether it did.
+// accept takes one stream over. It reports whether the stream goes on here.
 func (g *Registry) accept(s Handed) bool {
 	req := s.request()
 	if req.validate(g.config.MaxTokens) != nil {
--- a/internal/streaming/machine_test.go
+++ b/internal/streaming/machine_test.go
@@ -18,7 +18,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// stepsPerCheck lets several streams meet several faults in each check.
+// stepsPerCheck is enough for several streams to run into several faults in
+// each check.
 const stepsPerCheck = "100"
 
 func init() {
@@ -32,8 +33,8 @@
 // its deadline; within a synctest bubble that panics.
 type bubbleTB struct{ *testing.T }
 
-// machineConfig has small figures, so that few tokens and little time reach
-// every bound.
+// machineConfig has small bounds, which are reached with few tokens in little
+// time.
 func machineConfig() Config {
 	config := DefaultConfig()
 	config.MaxFrameTokens = 3
@@ -48,14 +49,15 @@
 
 // client is a caller that may have several connections open for one request.
 type client struct {
-	// best has the tokens of the connection that got furthest.
+	// best is the caller of the connection that received the most tokens.
 	best *fakeCaller
 	open []*connection
-	// lastGateway is the only gateway that served the request so far, nil for none.
+	// lastGateway served the request last; nil if none has.
 	lastGateway *Registry
-	// several: more than one gateway has served the request.
+	// multipleGateways: more than one gateway has served the request.
 	multipleGateways bool
-	// calls counts all calls, notRun those that ended not_run.
+	// calls counts all calls, and notRun those that ended with not_run or an
+	// error.
 	calls, notRun int
 	completed     bool
 }
@@ -71,7 +73,7 @@
 	err    error
 }
 
-// cluster is three gateways over three engines, and the clients.
+// cluster consists of three gateways, three engines and the clients.
 type cluster struct {
 	rt       *rapid.T
 	config   Config
@@ -83,23 +85,23 @@
 }
 
 func newCluster(rt *rapid.T) *cluster {
-	w := &cluster{rt: rt, config: machineConfig()}
+	cl := &cluster{rt: rt, config: machineConfig()}
 	for _, name := range []string{"a", "b", "c"} {
 		e := newFakeEngine(ident.Instance(name), drawMillis(rt, "step", 10, 200))
 		e.exportFor = drawMillis(rt, "export", 10, 300)
-		w.engines = append(w.engines, e)
+		cl.engines = append(cl.engines, e)
 	}
-	w.picker = &fakePicker{engines: []testEngine{w.engines[0], w.engines[1], w.engines[2]}}
-	w.runner = NewRunner(w.config, w.picker, nil, nil)
+	cl.picker = &fakePicker{engines: []testEngine{cl.engines[0], cl.engines[1], cl.engines[2]}}
+	cl.runner = NewRunner(cl.config, cl.picker, nil, nil)
 	for range 3 {
-		w.gateways = append(w.gateways, NewRegistry(w.config, w.runner))
+		cl.gateways = append(cl.gateways, NewRegistry(cl.config, cl.runner))
 	}
 	for _, account := range []string{"weber", "kofler"} {
 		for _, request := range []string{"r-1", "r-2"} {
-			w.clients = append(w.clients, &client{best: newCaller(account, request, uint32(rapid.IntRange(1, 40).Draw(rt, "length")))})
+			cl.clients = append(cl.clients, &client{best: newCaller(account, request, uint32(rapid.IntRange(1, 40).Draw(rt, "length")))})
 		}
 	}
-	return w
+	return cl
 }
 
 func pickOne[T any](rt *rapid.T, label string, from []T) T {
@@ -110,12 +112,12 @@
 	return time.Duration(rapid.IntRange(least, most).Draw(rt, label)) * time.Millisecond
 }
 
-func (w *cluster) slow() time.Duration {
-	return pickOne(w.rt, "slow", []time.Duration{0, 0, 30 * time.Millisecond, time.Second})
+func (cl *cluster) slow() time.Duration {
+	return pickOne(cl.rt, "slow", []time.Duration{0, 0, 30 * time.Millisecond, time.Second})
 }
 
-// call opens a connection of a client at a gateway.
-func (w *cluster) call(c *client, caller *fakeCaller, at *Registry, how func(context.Context, *Registry) (outcome.Outcome, error)) *connection {
+// call opens a connection of a client to a gateway.
+func (cl *cluster) call(c *client, caller *fakeCaller, at *Registry, send func(context.Context, *Registry) (outcome.Outcome, error)) *connection {
 	ctx, cancel := context.WithCancel(context.Background())
 	conn := &connection{client: c, caller: caller, at: at, cancel: cancel, done: make(chan struct{})}
 	c.open = append(c.open, conn)
@@ -123,65 +125,66 @@
 	c.multipleGateways = c.multipleGateways || (c.lastGateway != nil && c.lastGateway != at)
 	c.lastGateway = at
 	go func() {
-		conn.got, conn.err = how(ctx, at)
+		conn.got, conn.err = send(ctx, at)
 		close(conn.done)
 	}()
 	return conn
 }
 
-// generate sends a request, or the same request once more.
-func (w *cluster) generate(rt *rapid.T) {
-	c := pickOne(rt, "client", w.clients)
-	caller := c.best.fork(0, w.slow())
+// generate sends a request, for the first time or again.
+func (cl *cluster) generate(rt *rapid.T) {
+	c := pickOne(rt, "client", cl.clients)
+	caller := c.best.fork(0, cl.slow())
 	if rapid.Bool().Draw(rt, "deadline") {
 		caller.req.Deadline = time.Now().Add(3 * time.Second)
 	}
-	w.call(c, caller, pickOne(rt, "gateway", w.gateways), caller.generate)
+	cl.call(c, caller, pickOne(rt, "gateway", cl.gateways), caller.generate)
 }
 
-// resume goes on from some of the tokens that the client has.
-func (w *cluster) resume(rt *rapid.T) {
-	c := pickOne(rt, "client", w.clients)
+// resume continues from some of the tokens that the client has.
+func (cl *cluster) resume(rt *rapid.T) {
+	c := pickOne(rt, "client", cl.clients)
 	if c.calls == 0 {
 		rt.Skip("nothing to resume")
 	}
 	n := rapid.IntRange(0, len(c.best.held())).Draw(rt, "held")
-	caller := c.best.fork(n, w.slow())
-	w.call(c, caller, pickOne(rt, "gateway", w.gateways), caller.resume)
+	caller := c.best.fork(n, cl.slow())
+	cl.call(c, caller, pickOne(rt, "gateway", cl.gateways), caller.resume)
 }
 
-// resumeByID goes on at the only gateway that knows the request.
-func (w *cluster) resumeByID(rt *rapid.T) {
-	c := pickOne(rt, "client", w.clients)
+// resumeByID continues at the only gateway that has served the request.
+func (cl *cluster) resumeByID(rt *rapid.T) {
+	c := pickOne(rt, "client", cl.clients)
 	if c.lastGateway == nil || c.multipleGateways {
 		rt.Skip("no single gateway")
 	}
-	caller := c.best.fork(len(c.best.held()), w.slow())
-	w.call(c, caller, c.lastGateway, caller.resumeByID)
+	caller := c.best.fork(len(c.best.held()), cl.slow())
+	cl.call(c, caller, c.lastGateway, caller.resumeByID)
 }
 
-// intrude asks with another account for a request that it never sent.
-func (w *cluster) intrude(rt *rapid.T) {
-	c := pickOne(rt, "client", w.clients)
+// intrude requests another account's stream, which must look as if it did not
+// exist.
+func (cl *cluster) intrude(rt *rapid.T) {
+	c := pickOne(rt, "client", cl.clients)
 	thief := newCaller("thief", string(c.best.req.Key.Request), 24)
-	_, err := thief.resumeByID(context.Background(), pickOne(rt, "gateway", w.gateways))
+	_, err := thief.resumeByID(context.Background(), pickOne(rt, "gateway", cl.gateways))
 	if errcode.Of(err) != errcode.NotFound || len(thief.tokens) > 0 {
 		rt.Fatalf("another account's request: error %v, %d tokens", err, len(thief.tokens))
 	}
 }
 
-// hangUp drops one connection.
-func (w *cluster) hangUp(rt *rapid.T) {
-	c := pickOne(rt, "client", w.clients)
+// hangUp closes one connection.
+func (cl *cluster) hangUp(rt *rapid.T) {
+	c := pickOne(rt, "client", cl.clients)
 	if len(c.open) == 0 {
 		rt.Skip("no connection")
 	}
 	pickOne(rt, "connection", c.open).cancel()
 }
 
-// disruptEngine makes an engine misbehave.
-func (w *cluster) disruptEngine(rt *rapid.T) {
-	e := pickOne(rt, "engine", w.engines)
+// disruptEngine makes an engine fail in one of several ways.
+func (cl *cluster) disruptEngine(rt *rapid.T) {
+	e := pickOne(rt, "engine", cl.engines)
 	switch rapid.IntRange(0, 6).Draw(rt, "fault") {
 	case 0:
 		e.breakAll(false)
@@ -202,31 +205,32 @@
 	}
 }
 
-func (w *cluster) healEngine(rt *rapid.T) { pickOne(rt, "engine", w.engines).setRefuse(nil) }
+func (cl *cluster) healEngine(rt *rapid.T) { pickOne(rt, "engine", cl.engines).setRefuse(nil) }
 
-// crash ends a gateway as SIGKILL does, and starts another in its place.
-func (w *cluster) crash(rt *rapid.T) {
-	i := rapid.IntRange(0, len(w.gateways)-1).Draw(rt, "gateway")
-	for _, c := range w.clients {
+// crash ends a gateway as SIGKILL does and starts another in its place.
+func (cl *cluster) crash(rt *rapid.T) {
+	i := rapid.IntRange(0, len(cl.gateways)-1).Draw(rt, "gateway")
+	for _, c := range cl.clients {
 		for _, conn := range c.open {
-			if conn.at == w.gateways[i] {
+			if conn.at == cl.gateways[i] {
 				conn.cancel()
 			}
 		}
 	}
 	synctest.Wait()
-	w.replace(i)
+	cl.replace(i)
 }
 
-func (w *cluster) replace(i int) {
-	w.gateways[i].Close()
-	w.gateways[i] = NewRegistry(w.config, w.runner)
+func (cl *cluster) replace(i int) {
+	cl.gateways[i].Close()
+	cl.gateways[i] = NewRegistry(cl.config, cl.runner)
 }
 
 // fakePeer takes streams over for a gateway, or fails to.
 type fakePeer struct {
 	to *Registry
-	// loseAnswer: the streams are taken, but the sender never hears of it.
+	// loseAnswer: the streams are taken over, but the sender does not receive
+	// the answer.
 	loseAnswer bool
 	// frozen: the peer does not answer.
 	frozen bool
@@ -244,42 +248,44 @@
 	return accepted, nil
 }
 
-// leave ends a gateway as SIGTERM does, and starts another in its place. The
-// first peer is leaving too, or frozen.
-func (w *cluster) leave(rt *rapid.T) {
-	i := rapid.IntRange(0, len(w.gateways)-1).Draw(rt, "gateway")
+// leave ends a gateway as SIGTERM does and starts another in its place. The
+// first peer is closed or does not answer.
+func (cl *cluster) leave(rt *rapid.T) {
+	i := rapid.IntRange(0, len(cl.gateways)-1).Draw(rt, "gateway")
 	grace := drawMillis(rt, "grace", 0, 400)
-	gone := NewRegistry(w.config, w.runner)
-	gone.Close()
-	first := pickOne(rt, "first peer", []fakePeer{{to: gone}, {frozen: true}})
-	next := w.gateways[(i+1)%len(w.gateways)]
+	closed := NewRegistry(cl.config, cl.runner)
+	closed.Close()
+	first := pickOne(rt, "first peer", []fakePeer{{to: closed}, {frozen: true}})
+	next := cl.gateways[(i+1)%len(cl.gateways)]
 	peers := []Peer{first, fakePeer{to: next, loseAnswer: rapid.Bool().Draw(rt, "answer lost")}}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	w.gateways[i].Leave(ctx, grace, peers)
-	w.replace(i)
+	cl.gateways[i].Leave(ctx, grace, peers)
+	cl.replace(i)
 }
 
-func (w *cluster) advance(rt *rapid.T) {
+func (cl *cluster) advance(rt *rapid.T) {
 	time.Sleep(drawMillis(rt, "time", 1, 3000))
 }
 
-// check looks at every connection that has ended since the last step.
-func (w *cluster) check(rt *rapid.T) {
+// check checks every connection, and records those that have ended since the
+// last step.
+func (cl *cluster) check(rt *rapid.T) {
 	synctest.Wait()
-	for _, c := range w.clients {
+	for _, c := range cl.clients {
 		for _, conn := range c.open {
 			if problem := conn.caller.check(outcome.Outcome{}); problem != "" {
 				rt.Fatalf("%v: %s", c.best.req.Key, problem)
 			}
 		}
-		c.open = slices.DeleteFunc(c.open, func(conn *connection) bool { return w.recordEnded(conn) })
-		w.checkNotRun(c)
+		c.open = slices.DeleteFunc(c.open, func(conn *connection) bool { return cl.recordEnded(conn) })
+		cl.checkNotRun(c)
 	}
 }
 
-// recordEnded takes an ended connection in.
-func (w *cluster) recordEnded(conn *connection) bool {
+// recordEnded checks and records a connection that has ended. It returns false
+// if the connection has not.
+func (cl *cluster) recordEnded(conn *connection) bool {
 	select {
 	case <-conn.done:
 	default:
@@ -288,10 +294,10 @@
 	conn.cancel()
 	c := conn.client
 	if conn.err != nil && errcode.Of(conn.err) != errcode.NotFound {
-		w.rt.Fatalf("%v: %v", c.best.req.Key, conn.err)
+		cl.rt.Fatalf("%v: %v", c.best.req.Key, conn.err)
 	}
 	if problem := conn.caller.check(conn.got); problem != "" {
-		w.rt.Fatalf("%v: %s", c.best.req.Key, problem)
+		cl.rt.Fatalf("%v: %s", c.best.req.Key, problem)
 	}
 	if conn.got.Kind == outcome.NotRun || conn.err != nil {
 		c.notRun++
@@ -303,97 +309,99 @@
 	return true
 }
 
-// checkNotRun: when every call was told not_run, no engine ever ran it.
-func (w *cluster) checkNotRun(c *client) {
+// checkNotRun checks that no engine has run a request whose calls all ended
+// with not_run or an error.
+func (cl *cluster) checkNotRun(c *client) {
 	if c.calls != c.notRun {
 		return
 	}
-	for _, e := range w.engines {
+	for _, e := range cl.engines {
 		if n := e.startedFor(c.best.req.Key); n != 0 {
-			w.rt.Fatalf("%v: told not_run, but engine %s ran it %d times", c.best.req.Key, e.instance, n)
+			cl.rt.Fatalf("%v: told not_run, but engine %s ran it %d times", c.best.req.Key, e.instance, n)
 		}
 	}
 }
 
-// finish heals everything; then every request must come to its whole answer.
-func (w *cluster) finish(rt *rapid.T) {
-	const tries = 5
-	time.Sleep(w.config.KeepEnded)
-	for _, e := range w.engines {
+// finish removes all faults; every request must then complete.
+func (cl *cluster) finish(rt *rapid.T) {
+	const maxTries = 5
+	time.Sleep(cl.config.KeepEnded)
+	for _, e := range cl.engines {
 		e.setRefuse(nil)
 		e.setNextDefect(defectNone)
 	}
-	for _, c := range w.clients {
-		for range tries {
+	for _, c := range cl.clients {
+		for range maxTries {
 			if c.completed || c.calls == 0 {
 				break
 			}
 			caller := c.best.fork(len(c.best.held()), 0)
-			conn := w.call(c, caller, w.gateways[0], caller.resume)
+			conn := cl.call(c, caller, cl.gateways[0], caller.resume)
 			<-conn.done
-			w.check(rt)
+			cl.check(rt)
 		}
 		if c.calls > 0 && !c.completed {
-			rt.Fatalf("%v: no whole answer after %d tries", c.best.req.Key, tries)
+			rt.Fatalf("%v: no whole answer after %d tries", c.best.req.Key, maxTries)
 		}
 	}
 }
 
 // close ends everything, also after a failure, so that no goroutine is left in
 // the bubble.
-func (w *cluster) close() {
-	for _, c := range w.clients {
+func (cl *cluster) close() {
+	for _, c := range cl.clients {
 		for _, conn := range c.open {
 			conn.cancel()
 			<-conn.done
 		}
 	}
-	for _, g := range w.gateways {
+	for _, g := range cl.gateways {
 		g.Close()
 	}
-	time.Sleep(w.config.SilenceLimit)
+	time.Sleep(cl.config.SilenceLimit)
 	synctest.Wait()
 }
 
-// checkNothingLeft: after close, no engine works for anybody.
-func (w *cluster) checkNothingLeft(rt *rapid.T) {
-	if held := w.picker.heldTargets(); held != 0 {
+// checkNothingLeft checks that after close all targets are released and no
+// engine has an open stream.
+func (cl *cluster) checkNothingLeft(rt *rapid.T) {
+	if held := cl.picker.heldTargets(); held != 0 {
 		rt.Fatalf("%d targets were not released", held)
 	}
-	for _, e := range w.engines {
+	for _, e := range cl.engines {
 		if n := e.open(); n != 0 {
 			rt.Fatalf("engine %s still has %d streams", e.instance, n)
 		}
 	}
 }
 
-// Symptom: a caller sees a gap, a repeat, a mix of two answers, another
-// caller's tokens, or a false not_run.
-// Sequence: any of the steps below in any order, with two connections of one
-// caller at once, at the same or at different gateways.
-// Cause: delivery from two attempts, runs or gateways that do not continue each
-// other; giving up with the words of the last attempt alone.
+// Failure: a caller receives a gap, a repetition, a mix of two answers, another
+// caller's tokens or a wrong not_run. The steps below happen in any order, with
+// several connections of one caller at once, to the same gateway or to
+// different ones. This comes about if tokens are delivered from two attempts,
+// runs or gateways that do not continue each other, or if the outcome of a
+// given-up request depends on its last attempt alone.
 func TestStreamsUnderAnyFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(bubbleTB{t}, func(rt *rapid.T) {
-			w := newCluster(rt)
-			defer w.close()
+			cl := newCluster(rt)
+			defer cl.close()
 			rt.Repeat(map[string]func(*rapid.T){
-				"":           w.check,
-				"generate":   w.generate,
-				"resume":     w.resume,
-				"resumeByID": w.resumeByID,
-				"intrude":    w.intrude,
-				"hangUp":     w.hangUp,
-				"spoil":      w.disruptEngine,
-				"heal":       w.healEngine,
-				"crash":      w.crash,
-				"leave":      w.leave,
-				"advance":    w.advance,
+				"":           cl.check,
+				"generate":   cl.generate,
+				"resume":     cl.resume,
+				"resumeByID": cl.resumeByID,
+				"intrude":    cl.intrude,
+				"hangUp":     cl.hangUp,
+				"spoil":      cl.disruptEngine,
+				"heal":       cl.healEngine,
+				"crash":      cl.crash,
+				"leave":      cl.leave,
+				"advance":    cl.advance,
 			})
-			w.finish(rt)
-			w.close()
-			w.checkNothingLeft(rt)
+			cl.finish(rt)
+			cl.close()
+			cl.checkNothingLeft(rt)
 		})
 	})
 }
--- a/internal/streaming/recompute_test.go
+++ b/internal/streaming/recompute_test.go
@@ -21,6 +21,7 @@
 type standInEngine struct {
 	*engine.Engine
 	noticeSender
+	// noExport makes ExportCache fail.
 	noExport bool
 }
 
@@ -38,7 +39,7 @@
 	time.AfterFunc(left, e.Close)
 }
 
-// enginePair is a gateway over two stand-in engines.
+// enginePair is a gateway with two stand-in engines.
 type enginePair struct {
 	reportLog
 	engines  []*standInEngine
@@ -65,7 +66,7 @@
 	return NewRegistry(config, NewRunner(config, p.picker, nil, p))
 }
 
-// recomputed sums the reports.
+// recomputed sums up the attempts' reports.
 func (p *enginePair) recomputed() (attempts, recomputed, imported int) {
 	reports := p.all()
 	for _, r := range reports {
@@ -84,31 +85,31 @@
 const (
 	promptTokens = 3000
 	answerTokens = 800
-	// faultAfter is when about half of the answer is delivered.
+	// faultAfter is when about half of the answer has been delivered.
 	faultAfter = 4 * time.Second
 )
 
-// Symptom: after a reclaim an engine computes a long prompt and half of its
-// answer again, or a caller gets another answer than the one asked for.
-// Sequence: a stand-in engine serves half of an answer; then what the case
-// names happens; another engine, or a new connection, serves the rest.
-// Cause: the cache stayed behind on the leaving engine, or it was told to
-// cancel the stream before the cache was exported.
+// Failure: after a reclaim, an engine computes a long prompt and half of its
+// answer again, or a caller receives a wrong answer. A stand-in engine produces
+// half of an answer; then the named fault happens, and another engine or a new
+// connection serves the rest. This comes about if the KV cache stays on the
+// leaving engine, or if the stream is cancelled there before the cache is
+// exported.
 func TestRecomputedTokensByCase(t *testing.T) {
 	cases := []struct {
 		story string
 		fault func(p *enginePair)
-		// most is the bound on recomputed tokens.
-		most     int
-		imported bool
+		// maxRecomputed is the bound on recomputed tokens.
+		maxRecomputed int
+		imported      bool
 	}{
-		{story: "nothing goes wrong", fault: func(*enginePair) {}, most: 0},
-		{story: "upstream lost without notice", fault: func(p *enginePair) { p.engines[0].Close() }, most: promptTokens + answerTokens},
-		{story: "notice of 30 s: the answer ends in time", fault: func(p *enginePair) { p.engines[0].leave(30 * time.Second) }, most: 0},
-		{story: "notice of 3 s: cache moved", fault: func(p *enginePair) { p.engines[0].leave(3 * time.Second) }, most: 2 * prompt.BlockTokens, imported: true},
-		{story: "notice of 3 s: no export", fault: func(p *enginePair) { p.engines[0].noExport = true; p.engines[0].leave(3 * time.Second) }, most: promptTokens + answerTokens},
-		{story: "notice of 1 s: no time to move", fault: func(p *enginePair) { p.engines[0].leave(time.Second) }, most: promptTokens + answerTokens},
-		{story: "gateway leaves, upstream stays", fault: func(*enginePair) {}, most: answerTokens},
+		{story: "nothing goes wrong", fault: func(*enginePair) {}, maxRecomputed: 0},
+		{story: "upstream lost without notice", fault: func(p *enginePair) { p.engines[0].Close() }, maxRecomputed: promptTokens + answerTokens},
+		{story: "notice of 30 s: the answer ends in time", fault: func(p *enginePair) { p.engines[0].leave(30 * time.Second) }, maxRecomputed: 0},
+		{story: "notice of 3 s: cache moved", fault: func(p *enginePair) { p.engines[0].leave(3 * time.Second) }, maxRecomputed: 2 * prompt.BlockTokens, imported: true},
+		{story: "notice of 3 s: no export", fault: func(p *enginePair) { p.engines[0].noExport = true; p.engines[0].leave(3 * time.Second) }, maxRecomputed: promptTokens + answerTokens},
+		{story: "notice of 1 s: no time to move", fault: func(p *enginePair) { p.engines[0].leave(time.Second) }, maxRecomputed: promptTokens + answerTokens},
+		{story: "gateway leaves, upstream stays", fault: func(*enginePair) {}, maxRecomputed: answerTokens},
 	}
 	t.Logf("prompt of %d tokens, answer of %d, fault after %v", promptTokens, answerTokens, faultAfter)
 	t.Logf("| case | attempts | recomputed | imported | whole answer after |")
@@ -131,15 +132,16 @@
 				}
 				attempts, recomputed, imported := p.recomputed()
 				t.Logf("| %s | %d | %d | %d | %.2f s |", c.story, attempts, recomputed, imported, time.Since(began).Seconds())
-				if recomputed > c.most || (imported > 0) != c.imported {
-					t.Errorf("recomputed %d tokens, imported %d; want at most %d, import %v", recomputed, imported, c.most, c.imported)
+				if recomputed > c.maxRecomputed || (imported > 0) != c.imported {
+					t.Errorf("recomputed %d tokens, imported %d; want at most %d, import %v", recomputed, imported, c.maxRecomputed, c.imported)
 				}
 			})
 		})
 	}
 }
 
-// serve asks until the answer is whole, at another gateway when told so.
+// serve requests the answer until it is complete, and resumes at another
+// gateway if told to.
 func (p *enginePair) serve(t *testing.T, caller *fakeCaller) {
 	t.Helper()
 	got, err := caller.generate(t.Context(), p.registry)
@@ -151,9 +153,9 @@
 	}
 }
 
-// handOver replaces the gateway, which hands its streams to the new one. Only
-// what it hands over tells the new one which engine holds the prefix: by
-// itself it would take the other.
+// handOver replaces the gateway, which hands its streams over to the new one.
+// The engines are reversed, so the new gateway picks the engine with the cached
+// prefix only because the handed-over stream names it.
 func (p *enginePair) handOver(t *testing.T) {
 	old := p.registry
 	slices.Reverse(p.picker.engines)
--- a/internal/streaming/runner_test.go
+++ b/internal/streaming/runner_test.go
@@ -10,7 +10,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// testGateway is one gateway over two engines.
+// testGateway is one gateway with two fake engines.
 type testGateway struct {
 	picker   *fakePicker
 	engines  []*fakeEngine
@@ -20,30 +20,30 @@
 
 func newTestGateway(config Config) *testGateway {
 	const step = 20 * time.Millisecond
-	b := &testGateway{engines: []*fakeEngine{newFakeEngine("a", step), newFakeEngine("b", step)}}
-	b.picker = &fakePicker{engines: []testEngine{b.engines[0], b.engines[1]}}
-	b.registry = NewRegistry(config, NewRunner(config, b.picker, nil, b))
-	return b
+	gw := &testGateway{engines: []*fakeEngine{newFakeEngine("a", step), newFakeEngine("b", step)}}
+	gw.picker = &fakePicker{engines: []testEngine{gw.engines[0], gw.engines[1]}}
+	gw.registry = NewRegistry(config, NewRunner(config, gw.picker, nil, gw))
+	return gw
 }
 
-// Symptom: a caller gets part of an answer, twice the same part, or a mix of
-// two answers.
-// Sequence: the first engine's stream goes wrong in the middle of the answer,
-// in the way that the case names.
-// Cause: frames were forwarded as they came, instead of being checked against
-// what the caller has.
+// Failure: a caller receives part of an answer, the same part twice, or a mix
+// of two answers. The first engine's stream becomes faulty in the middle of the
+// answer, in the way that the case names. This comes about if frames are
+// forwarded as they arrive instead of being checked against what the caller
+// has.
 func TestAnswerIsWholeWhateverTheUpstreamDoes(t *testing.T) {
 	cases := []struct {
 		story string
-		// fault happens when about half of the answer is there.
-		fault func(b *testGateway)
-		// next is the cause of the attempt that follows, "" for none.
+		// fault is called when about half of the answer has been generated.
+		fault func(gw *testGateway)
+		// next is the cause of the second attempt, or "" if one attempt is
+		// enough.
 		next Cause
 		kind Fault
 	}{
 		{story: "nothing goes wrong", fault: func(*testGateway) {}},
-		{story: "the upstream is lost", fault: func(b *testGateway) { b.engines[0].lose() }, next: CauseLost},
-		{story: "the connection goes silent for good", fault: func(b *testGateway) { b.engines[0].breakAll(true) }, next: CauseSilent},
+		{story: "the upstream is lost", fault: func(gw *testGateway) { gw.engines[0].lose() }, next: CauseLost},
+		{story: "the connection goes silent for good", fault: func(gw *testGateway) { gw.engines[0].breakAll(true) }, next: CauseSilent},
 		{story: "a frame comes twice", fault: withDefect(defectDuplicate)},
 		{story: "two frames change places", fault: withDefect(defectSwapped), next: CauseFault, kind: FaultGap},
 		{story: "a frame of an older attempt comes late", fault: withDefect(defectOldAttempt)},
@@ -61,11 +61,11 @@
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newTestGateway(DefaultConfig())
-				defer b.registry.Close()
+				gw := newTestGateway(DefaultConfig())
+				defer gw.registry.Close()
 				caller := newCaller("weber", "r-1", 400)
-				time.AfterFunc(4*time.Second, func() { c.fault(b) })
-				got, err := caller.generate(t.Context(), b.registry)
+				time.AfterFunc(4*time.Second, func() { c.fault(gw) })
+				got, err := caller.generate(t.Context(), gw.registry)
 				if err != nil || got.Kind != outcome.Completed {
 					t.Fatalf("outcome %v, error %v; want completed", got, err)
 				}
@@ -76,17 +76,17 @@
 				if c.next != "" {
 					attempts = 2
 				}
-				if got := len(b.all()); got != attempts {
+				if got := len(gw.all()); got != attempts {
 					t.Errorf("%d attempts; want %d", got, attempts)
 				}
-				if again := b.all()[attempts-1]; c.next == CauseSilent && again.Instance != b.all()[0].Instance {
-					t.Errorf("the instance was left out, and not its connection alone")
+				if again := gw.all()[attempts-1]; c.next == CauseSilent && again.Instance != gw.all()[0].Instance {
+					t.Errorf("the instance was excluded, and not only its connection")
 				}
-				if first := b.all()[0]; first.NextCause != c.next || first.Fault != c.kind {
+				if first := gw.all()[0]; first.NextCause != c.next || first.Fault != c.kind {
 					t.Errorf("first attempt ended for %q, fault %q; want %q, %q", first.NextCause, first.Fault, c.next, c.kind)
 				}
 				synctest.Wait()
-				if held := b.picker.heldTargets(); held != 0 {
+				if held := gw.picker.heldTargets(); held != 0 {
 					t.Errorf("%d targets were not released", held)
 				}
 			})
@@ -94,58 +94,58 @@
 	}
 }
 
-func withDefect(o frameDefect) func(*testGateway) {
-	return func(b *testGateway) { b.engines[0].setNextDefect(o) }
+func withDefect(d frameDefect) func(*testGateway) {
+	return func(gw *testGateway) { gw.engines[0].setNextDefect(d) }
 }
 
 func notice(left time.Duration) func(*testGateway) {
-	return func(b *testGateway) {
-		b.engines[0].giveNotice(left)
-		time.AfterFunc(left, b.engines[0].lose)
+	return func(gw *testGateway) {
+		gw.engines[0].giveNotice(left)
+		time.AfterFunc(left, gw.engines[0].lose)
 	}
 }
 
-// Symptom: a caller hears not_run although an engine worked for it, or hears
-// nothing until its deadline.
-// Sequence: the request cannot be served, as the case names.
-// Cause: giving up looked at the last attempt only, or waited for nothing.
+// Failure: a caller is told not_run although an engine ran the request, or is
+// told nothing until its deadline. The request cannot be served, as the case
+// names. This comes about if the outcome depends on the last attempt alone, or
+// if a request that cannot succeed is not given up.
 func TestGivenUpRequestHearsTheTruthAtOnce(t *testing.T) {
 	refusal := &Refusal{Reason: outcome.ReasonOverloaded, Message: "full", RetryAfter: 3 * time.Second}
 	cases := []struct {
 		story  string
-		set    func(b *testGateway)
+		set    func(gw *testGateway)
 		kind   outcome.Kind
 		reason outcome.Reason
 		within time.Duration
 	}{
-		{"the picker refuses", func(b *testGateway) { b.picker.refusal = refusal }, outcome.NotRun, outcome.ReasonOverloaded, 0},
+		{"the picker refuses", func(gw *testGateway) { gw.picker.refusal = refusal }, outcome.NotRun, outcome.ReasonOverloaded, 0},
 		{"every engine refuses", refuseAll(upstream.ErrRefused), outcome.NotRun, outcome.ReasonUpstreamRefused, 3 * time.Second},
 		{"every engine is leaving", refuseAll(upstream.ErrLeaving), outcome.NotRun, outcome.ReasonNoUpstream, 0},
 		{"no engine can be reached", refuseAll(upstream.ErrNotSent), outcome.NotRun, outcome.ReasonUpstreamRefused, 3 * time.Second},
 		{"every engine may have run it", refuseAll(errors.New("reset")), outcome.Interrupted, outcome.ReasonUpstreamLost, 3 * time.Second},
-		{"lost in the middle, then refused", func(b *testGateway) {
+		{"lost in the middle, then refused", func(gw *testGateway) {
 			time.AfterFunc(time.Second, func() {
-				b.picker.mu.Lock()
-				b.picker.refusal = refusal
-				b.picker.mu.Unlock()
-				b.engines[0].lose()
+				gw.picker.mu.Lock()
+				gw.picker.refusal = refusal
+				gw.picker.mu.Unlock()
+				gw.engines[0].lose()
 			})
 		}, outcome.Interrupted, outcome.ReasonOverloaded, time.Second},
-		{"the deadline passes while engines are slow", func(b *testGateway) {
-			b.engines[0].step = time.Minute
-			b.engines[1].step = time.Minute
+		{"the deadline passes while engines are slow", func(gw *testGateway) {
+			gw.engines[0].step = time.Minute
+			gw.engines[1].step = time.Minute
 		}, outcome.Interrupted, outcome.ReasonDeadline, 5 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newTestGateway(DefaultConfig())
-				defer b.registry.Close()
-				c.set(b)
+				gw := newTestGateway(DefaultConfig())
+				defer gw.registry.Close()
+				c.set(gw)
 				caller := newCaller("weber", "r-1", 400)
 				caller.req.Deadline = time.Now().Add(5 * time.Second)
 				began := time.Now()
-				got, err := caller.generate(t.Context(), b.registry)
+				got, err := caller.generate(t.Context(), gw.registry)
 				if err != nil || got.Kind != c.kind || got.Reason != c.reason {
 					t.Errorf("got %v, error %v; want %v, %v", got, err, c.kind, c.reason)
 				}
@@ -153,7 +153,7 @@
 					t.Error(problem)
 				}
 				if got.RetryAfter <= 0 {
-					t.Error("no time to come back")
+					t.Error("no retry-after time")
 				}
 				if took := time.Since(began); took > c.within {
 					t.Errorf("took %v; want at most %v", took, c.within)
@@ -164,8 +164,8 @@
 }
 
 func refuseAll(err error) func(*testGateway) {
-	return func(b *testGateway) {
-		for _, e := range b.engines {
+	return func(gw *testGateway) {
+		for _, e := range gw.engines {
 			e.setRefuse(err)
 		}
 	}
--- a/internal/streaming/sockets_test.go
+++ b/internal/streaming/sockets_test.go
@@ -20,8 +20,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// relay stands between client and server. It can lose track of its open
-// connections: their bytes vanish, and neither end is told.
+// relay forwards connections between client and server. It can drop all further
+// bytes of its open connections without telling either end.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -97,7 +97,7 @@
 	r.dropping = new(atomic.Bool)
 }
 
-// onlyEngine picks the same engine always.
+// onlyEngine always picks the same engine.
 type onlyEngine struct{ target streaming.Target }
 
 func (o onlyEngine) Pick(context.Context, streaming.PickRequest) (streaming.Target, error) {
@@ -109,7 +109,8 @@
 
 func (a *attemptLog) AttemptEnded(r streaming.AttemptReport) { *a = append(*a, r) }
 
-// callbackSink is a caller's connection. It calls then, once, at a token.
+// callbackSink is a caller's connection. It calls then once, when it has
+// received at tokens.
 type callbackSink struct {
 	tokens []string
 	at     int
@@ -127,16 +128,15 @@
 
 func (c *callbackSink) Heartbeat() error { return nil }
 
-// Symptom: a stream stops for good, or its engine is left out although it
-// works.
-// Sequence: something between gateway and engine loses track of all open
-// connections in the middle of an answer, idle ones in the pool included.
-// Cause: nothing watched the stream's silence; or the resumed attempt took
-// another dead connection from the pool instead of dialling.
+// Failure: a stream stops for good, or its engine is excluded although it
+// works. In the middle of an answer, a device between gateway and engine loses
+// the state of all open connections, idle ones in the pool included. This comes
+// about if nothing limits the silence of a stream, or if the next attempt takes
+// another dead connection from the pool instead of dialing.
 func TestStreamGoesOnWhenConnectionsGoSilent(t *testing.T) {
 	const tokens = 200
 	parameters := engine.DefaultParameters()
-	// The engine is still at work on the first attempt when the second comes.
+	// The engine is still working on the first attempt when the second starts.
 	parameters.StepBase = 8 * time.Millisecond
 	fake := engine.New(engine.Config{Instance: "hall-a-1", Parameters: parameters})
 	t.Cleanup(fake.Close)
