--- a/internal/streaming/registry.go
+++ b/internal/streaming/registry.go
@@ -129,7 +129,7 @@
 	defer g.removeCaller(e)
 	final, err := e.answer.follow(ctx, next, sink, g.config)
 	if err != nil {
-		return outcome.NewInterrupted(outcome.ReasonCancelled, "the caller disconnected: "+err.Error(), 0)
+		return outcome.NewInterrupted(outcome.ReasonCancelled, "the caller has gone: "+err.Error(), 0)
 	}
 	return final
 }
--- a/internal/streaming/request.go
+++ b/internal/streaming/request.go
@@ -65,7 +65,7 @@
 	case r.Ask.MaxTokens == 0 || r.Ask.MaxTokens > maxTokens:
 		return errcode.Errorf(errcode.InvalidArgument, "max_tokens is %d; want 1 to %d", r.Ask.MaxTokens, maxTokens)
 	case uint32(len(r.Delivered)) > r.Ask.MaxTokens:
-		return errcode.Errorf(errcode.InvalidArgument, "delivered has %d tokens, but max_tokens is %d", len(r.Delivered), r.Ask.MaxTokens)
+		return errcode.Errorf(errcode.InvalidArgument, "%d tokens delivered of an answer of %d", len(r.Delivered), r.Ask.MaxTokens)
 	}
 	return nil
 }
--- a/internal/streaming/runner.go
+++ b/internal/streaming/runner.go
@@ -107,7 +107,7 @@
 		r.fruitless = 0
 	}
 	if r.fruitless >= r.runner.config.MaxFruitlessAttempts {
-		return r.giveUpOutcome(end.reason(), "no engine produced another token of the answer", r.retryAfter())
+		return r.giveUpOutcome(end.reason(), "no engine brought the answer further", r.retryAfter())
 	}
 	if !r.budgetAllows(end) {
 		return r.giveUpOutcome(outcome.ReasonOverloaded, "too many retries at this time", r.retryAfter())
