--- a/internal/streaming/engine_test.go
+++ b/internal/streaming/engine_test.go
@@ -16,24 +16,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// The oracle. A token names the hash of the prompt and of all tokens before
-// it, so that a token is right in exactly one place of one answer; after the
-// dot stands which engine sampled it, so that two runs differ.
+// The test's expected answers. A token contains the hash of the prompt and of
+// all tokens before it, so that it is valid in exactly one place of one answer.
+// After the dot it names the engine that sampled it, so that two runs differ.
 
-func chain(hash uint64, token string) uint64 {
+// nextHash returns the hash after one more token.
+func nextHash(hash uint64, token string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%x %s", hash, token)
 	return h.Sum64()
 }
 
-// tokenAfter returns the token that sampler says where the chain has this hash.
+// tokenAfter returns the token that sampler produces after the tokens with this
+// hash.
 func tokenAfter(hash uint64, sampler string) string { return fmt.Sprintf("%x.%s", hash, sampler) }
 
-// chainOf returns the hash after a prompt and the tokens of an answer.
-func chainOf(prompt string, answer []string) uint64 {
-	hash := chain(0, prompt)
+// answerHash returns the hash after a prompt and the tokens of an answer.
+func answerHash(prompt string, answer []string) uint64 {
+	hash := nextHash(0, prompt)
 	for _, token := range answer {
-		hash = chain(hash, token)
+		hash = nextHash(hash, token)
 	}
 	return hash
 }
@@ -44,61 +46,62 @@
 		if !strings.HasPrefix(token, tokenAfter(hash, "")) {
 			return hash, fmt.Sprintf("token %d of %d does not follow from those before", i, len(tokens))
 		}
-		hash = chain(hash, token)
+		hash = nextHash(hash, token)
 	}
 	return hash, ""
 }
 
-// oddity is a way in which a fake engine's frames go wrong.
-type oddity int
+// frameDefect is a way in which a fake engine's frames are faulty.
+type frameDefect int
 
 const (
-	oddNone oddity = iota
-	oddTwice
-	oddSwapped
-	oddOldAttempt
-	oddForeignAttempt
-	oddOverlap
-	oddGap
-	oddMix
-	oddOverrun
-	oddEarlyDone
-	oddEarlyEOF
-	oddities
+	defectNone frameDefect = iota
+	defectDuplicate
+	defectSwapped
+	defectOldAttempt
+	defectUnknownAttempt
+	defectOverlap
+	defectGap
+	defectMismatch
+	defectOverrun
+	defectEarlyDone
+	defectEarlyEOF
+	defectCount
 )
 
-// noticeBoard gives notice to whoever picked an engine.
-type noticeBoard struct {
-	instance ident.Instance
-	boardMu  sync.Mutex
-	notices  []chan Notice
+// noticeSender sends reclaim notices to the targets of an engine.
+type noticeSender struct {
+	instance  ident.Instance
+	noticesMu sync.Mutex
+	notices   []chan Notice
 }
 
-func (b *noticeBoard) name() ident.Instance { return b.instance }
+func (s *noticeSender) name() ident.Instance { return s.instance }
 
-// watchNotice returns the notice channel of one target.
-func (b *noticeBoard) watchNotice() <-chan Notice {
-	b.boardMu.Lock()
-	defer b.boardMu.Unlock()
+// watchNotice returns the notice channel of a new target.
+func (s *noticeSender) watchNotice() <-chan Notice {
+	s.noticesMu.Lock()
+	defer s.noticesMu.Unlock()
 	c := make(chan Notice, 1)
-	b.notices = append(b.notices, c)
+	s.notices = append(s.notices, c)
 	return c
 }
 
-// announce tells every target that the instance is to be reclaimed.
-func (b *noticeBoard) announce(left time.Duration) {
-	b.boardMu.Lock()
-	defer b.boardMu.Unlock()
-	for _, c := range b.notices {
+// announce tells every target that the instance will be reclaimed after the
+// given time.
+func (s *noticeSender) announce(left time.Duration) {
+	s.noticesMu.Lock()
+	defer s.noticesMu.Unlock()
+	for _, c := range s.notices {
 		c <- Notice{Deadline: time.Now().Add(left)}
 	}
-	b.notices = nil
+	s.notices = nil
 }
 
 // fakeEngine generates tokens under the test's control.
 type fakeEngine struct {
 	upstream.Engine
-	noticeBoard
+	noticeSender
 	step time.Duration
 
 	mu      sync.Mutex
@@ -106,22 +109,23 @@
 	cache   map[ident.Request][]string
 	// started counts the attempts that ran, by request.
 	started map[ident.Request]int
-	// refuse, when set, is what Generate answers.
+	// refuse, if set, is the error of Generate.
 	refuse error
-	// odd is what the next frame does.
-	odd oddity
+	// nextDefect is the defect of the next frame.
+	nextDefect frameDefect
 	// opened counts the attempts, refused ones included.
-	opened    int
+	opened int
+	// exportFor is how long an export of the cache takes.
 	exportFor time.Duration
 }
 
 func newFakeEngine(instance ident.Instance, step time.Duration) *fakeEngine {
 	return &fakeEngine{
-		noticeBoard: noticeBoard{instance: instance},
-		step:        step,
-		streams:     make(map[*fakeStream]struct{}),
-		cache:       make(map[ident.Request][]string),
-		started:     make(map[ident.Request]int),
+		noticeSender: noticeSender{instance: instance},
+		step:         step,
+		streams:      make(map[*fakeStream]struct{}),
+		cache:        make(map[ident.Request][]string),
+		started:      make(map[ident.Request]int),
 	}
 }
 
@@ -134,7 +138,8 @@
 	hash   uint64
 	first  bool
 	queued []upstream.Frame
-	// lost ends the stream with an error, silent makes it block for good.
+	// closing lost ends the stream with an error; closing silent makes it block
+	// until it is closed.
 	lost, silent chan struct{}
 	closed       chan struct{}
 	closeOnce    sync.Once
@@ -152,7 +157,7 @@
 	s := &fakeStream{
 		engine: e, ctx: ctx, req: req, first: true,
 		answer: append([]string(nil), req.Delivered...),
-		hash:   chainOf(req.Prompt, req.Delivered),
+		hash:   answerHash(req.Prompt, req.Delivered),
 		lost:   make(chan struct{}), silent: make(chan struct{}), closed: make(chan struct{}),
 		prefilled: prompt.Tokens(req.Prompt) + len(req.Delivered) - e.cached(req),
 	}
@@ -189,7 +194,7 @@
 	return s.generate()
 }
 
-// wait lets one step pass.
+// wait returns after one step, or with an error when the stream has ended.
 func (s *fakeStream) wait() error {
 	select {
 	case <-s.silent:
@@ -214,59 +219,59 @@
 	}
 }
 
-// generate returns the next frame, or an odd one.
+// generate returns the next frame, with the next defect if there is one.
 func (s *fakeStream) generate() (upstream.Frame, error) {
 	e := s.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	odd := e.odd
-	e.odd = oddNone
+	defect := e.nextDefect
+	e.nextDefect = defectNone
 	index := uint32(len(s.answer))
 	f := s.frame()
-	switch odd {
-	case oddTwice:
+	switch defect {
+	case defectDuplicate:
 		s.queued = append(s.queued, f)
-	case oddSwapped:
+	case defectSwapped:
 		if len(s.answer) < int(s.req.MaxTokens) {
 			later := s.frame()
 			s.queued = append(s.queued, f)
 			return later, nil
 		}
-	case oddOldAttempt:
+	case defectOldAttempt:
 		s.queued = append(s.queued, f)
 		return upstream.Frame{Attempt: s.req.Attempt - 1, Index: index, Tokens: []string{"old"}}, nil
-	case oddForeignAttempt:
+	case defectUnknownAttempt:
 		f.Attempt++
-	case oddOverlap:
+	case defectOverlap:
 		if index > 0 {
 			f.Index--
 			f.Tokens = append([]string{s.answer[index-1]}, f.Tokens...)
 		}
-	case oddGap:
+	case defectGap:
 		f.Index++
-	case oddMix:
+	case defectMismatch:
 		if index > 0 {
 			f.Index--
 			f.Tokens = append([]string{"other"}, f.Tokens...)
 		}
-	case oddOverrun:
+	case defectOverrun:
 		for len(f.Tokens)+int(f.Index) <= int(s.req.MaxTokens) {
 			f.Tokens = append(f.Tokens, "more")
 		}
-	case oddEarlyDone:
+	case defectEarlyDone:
 		f.Done = true
-	case oddEarlyEOF:
+	case defectEarlyEOF:
 		return upstream.Frame{}, io.EOF
 	}
 	return f, nil
 }
 
-// frame generates one token.
+// frame generates one token and returns its frame.
 func (s *fakeStream) frame() upstream.Frame {
 	index := uint32(len(s.answer))
 	token := tokenAfter(s.hash, string(s.engine.instance))
 	s.answer = append(s.answer, token)
-	s.hash = chain(s.hash, token)
+	s.hash = nextHash(s.hash, token)
 	s.engine.cache[s.req.Request] = s.answer
 	f := upstream.Frame{
 		Attempt: s.req.Attempt,
@@ -289,7 +294,8 @@
 	return nil
 }
 
-// breakAll ends every open stream: with an error, or silently for good.
+// breakAll breaks every open stream: with an error, or by silence until the
+// stream is closed.
 func (e *fakeEngine) breakAll(silently bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -303,7 +309,8 @@
 	}
 }
 
-// lose ends every stream and forgets the cache, as a reclaimed instance does.
+// lose breaks every stream, drops the cache and refuses new streams, as after
+// the reclaim of an instance.
 func (e *fakeEngine) lose() {
 	e.breakAll(false)
 	e.mu.Lock()
@@ -318,10 +325,10 @@
 	e.refuse = err
 }
 
-func (e *fakeEngine) setOdd(o oddity) {
+func (e *fakeEngine) setNextDefect(d frameDefect) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.odd = o
+	e.nextDefect = d
 }
 
 func (e *fakeEngine) startedFor(key Key) int {
@@ -337,7 +344,7 @@
 	return len(e.streams)
 }
 
-// giveNotice announces a reclaim to every target, and refuses new streams.
+// giveNotice announces a reclaim to every target and refuses new streams.
 func (e *fakeEngine) giveNotice(left time.Duration) {
 	e.setRefuse(upstream.ErrLeaving)
 	e.announce(left)
--- a/internal/streaming/handover.go
+++ b/internal/streaming/handover.go
@@ -8,17 +8,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Handed is a stream in progress that a leaving gateway gives to a peer.
+// Handed is a stream in progress that a leaving gateway hands over to a peer.
 type Handed struct {
 	Key Key
 	Ask Ask
 	// Priority as in Request.
 	Priority int32
-	// Remaining is the time left until the deadline; 0 means no deadline.
+	// Remaining is the time until the deadline; 0 means no deadline.
 	Remaining time.Duration
-	// Delivered are all tokens that any caller may have got.
+	// Delivered are all tokens that any caller may have received.
 	Delivered []string
-	// Attempt is the last attempt that was opened.
+	// Attempt is the number of the last attempt that was opened.
 	Attempt uint32
 	// Served is the instance of that attempt.
 	Served ident.Instance
@@ -26,43 +26,44 @@
 
 // Peer is another gateway, in another failure domain.
 type Peer interface {
-	// HandOver returns the keys that the peer has taken over. What it does
-	// not name stays here.
+	// HandOver offers streams to the peer and returns the keys of those that it
+	// has taken over. The others stay at the sender.
 	HandOver(ctx context.Context, streams []Handed) ([]Key, error)
 }
 
-// LeaveReport counts what became of the streams of a leaving gateway.
+// LeaveReport counts what happened to the streams of a leaving gateway.
 type LeaveReport struct {
-	// HandedOver streams go on at a peer.
+	// HandedOver streams continue at a peer.
 	HandedOver int
-	// Left streams were taken by no peer. Their callers resume with the
+	// Left streams were taken over by no peer. Their callers resume with the
 	// tokens that they have.
 	Left int
 }
 
-// The bounds of one hand-over message.
+// The bounds of one hand-over message; bytes as Handed.size estimates them.
 const (
-	handedStreams = 64
-	handedBytes   = 1 << 20
+	maxBatchStreams = 64
+	maxBatchBytes   = 1 << 20
 )
 
-// Leave ends the registry: it takes no new streams, lets those in progress end
-// within grace, which may be 0, and gives the rest to the first peers that take
-// them. Callers then hear that they may resume elsewhere at once. It returns
-// when no caller follows any more, or when ctx ends.
+// Leave shuts the registry down: it refuses new streams, lets those in progress
+// end within grace, which may be 0, and hands the rest over to the first peers
+// that take them. Callers are then told that they may resume elsewhere at once.
+// Leave returns when no caller follows a stream any more, or when ctx ends.
 func (g *Registry) Leave(ctx context.Context, grace time.Duration, peers []Peer) LeaveReport {
-	g.refuseNew()
-	graced, cancel := context.WithTimeout(ctx, grace)
+	g.startLeaving()
+	graceCtx, cancel := context.WithTimeout(ctx, grace)
 	defer cancel()
-	g.await(graced, (*Registry).busy)
+	g.waitWhile(graceCtx, (*Registry).hasActiveStreams)
 	report := g.handOver(ctx, peers)
-	g.tellLeaving()
-	g.await(ctx, (*Registry).followed)
+	g.publishWithheldOutcomes()
+	g.waitWhile(ctx, (*Registry).hasCallers)
 	return report
 }
 
-// Accept takes streams over from a leaving peer and returns their keys. They
-// linger like a stream whose caller has gone.
+// Accept takes streams over from a leaving peer and returns their keys. They go
+// on without a caller for Config.Linger, like a stream whose caller has
+// disconnected.
 func (g *Registry) Accept(streams []Handed) []Key {
 	var accepted []Key
 	for _, s := range streams {
@@ -73,6 +74,7 @@
 	return accepted
 }
 
+// accept takes one stream over. It reports whether the stream goes on here.
 func (g *Registry) accept(s Handed) bool {
 	req := s.request()
 	if req.validate(g.config.MaxTokens) != nil {
@@ -81,18 +83,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.entries[req.Key]
-	if g.refuse(e, req.Ask) != nil {
+	if g.refusalOf(e, req.Ask) != nil {
 		return false
 	}
-	// The caller was faster than the hand-over. Its own stream goes on.
-	if e != nil && e.useful() {
+	// The caller resumed here before the hand-over arrived. Its stream goes on.
+	if e != nil && e.mayComplete() {
 		return true
 	}
-	g.rest(g.start(context.Background(), req, e))
+	g.beginIdle(g.start(context.Background(), req, e))
 	return true
 }
 
-// request returns the request that goes on from a handed stream.
+// request returns the request that continues the stream.
 func (s Handed) request() Request {
 	req := Request{
 		Key:       s.Key,
@@ -108,15 +110,15 @@
 	return req
 }
 
-// handed returns the stream of an entry whose run has ended, and false when
-// there is nothing to go on with: its time is up, or nothing of it has run.
-// The caller of the latter is told not_run, which would be wrong if a peer ran
-// it afterwards.
-func (e *entry) handed() (Handed, bool) {
-	if e.last.Kind == outcome.NotRun {
+// handedStream returns the stream of an entry whose run has ended. It returns
+// false if a peer must not continue it, because its deadline has passed or
+// nothing of it has run. In the latter case the caller is told not_run, which
+// would become wrong if a peer ran it afterwards.
+func (e *entry) handedStream() (Handed, bool) {
+	if e.final.Kind == outcome.NotRun {
 		return Handed{}, false
 	}
-	req := e.reached
+	req := e.resumable
 	h := Handed{
 		Key:       req.Key,
 		Ask:       req.Ask,
@@ -132,14 +134,15 @@
 	return h, h.Remaining > 0
 }
 
-func (g *Registry) refuseNew() {
+func (g *Registry) startLeaving() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leaving = true
 }
 
-// busy reports whether a stream is in progress.
-func (g *Registry) busy() bool {
+// hasActiveStreams reports whether a stream is in progress or has a caller. The
+// caller holds g.mu.
+func (g *Registry) hasActiveStreams() bool {
 	for _, e := range g.entries {
 		if !e.ended || e.callers > 0 {
 			return true
@@ -148,8 +151,9 @@
 	return false
 }
 
-// followed reports whether any caller follows a stream.
-func (g *Registry) followed() bool {
+// hasCallers reports whether any caller follows a stream. The caller holds
+// g.mu.
+func (g *Registry) hasCallers() bool {
 	for _, e := range g.entries {
 		if e.callers > 0 {
 			return true
@@ -158,12 +162,12 @@
 	return false
 }
 
-// await returns when the condition no longer holds, or when ctx has ended.
-func (g *Registry) await(ctx context.Context, condition func(*Registry) bool) {
+// waitWhile returns when the condition no longer holds or ctx has ended.
+func (g *Registry) waitWhile(ctx context.Context, condition func(*Registry) bool) {
 	const interval = 10 * time.Millisecond
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	for g.holds(condition) {
+	for g.conditionHolds(condition) {
 		select {
 		case <-ctx.Done():
 			return
@@ -172,66 +176,68 @@
 	}
 }
 
-func (g *Registry) holds(condition func(*Registry) bool) bool {
+func (g *Registry) conditionHolds(condition func(*Registry) bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return condition(g)
 }
 
-// freeze stops every run in progress and returns the entries that a peer can
-// go on with. From here on no caller gets a token that the peer would not know
-// of. A run that does not end in time is left out.
-func (g *Registry) freeze(ctx context.Context) []*entry {
-	ctx, cancel := context.WithTimeout(ctx, g.config.HandOverTime)
+// stopRuns stops every run in progress and returns the entries that a peer can
+// continue. From here on no caller receives a token that the peer would not
+// know of. A run that does not end within HandOverTimeout is left out.
+func (g *Registry) stopRuns(ctx context.Context) []*entry {
+	ctx, cancel := context.WithTimeout(ctx, g.config.HandOverTimeout)
 	defer cancel()
-	var frozen []*entry
-	for _, e := range g.stopAll() {
+	var stopped []*entry
+	for _, e := range g.cancelRuns() {
 		select {
 		case <-e.done:
-			frozen = append(frozen, e)
+			stopped = append(stopped, e)
 		case <-ctx.Done():
 		}
 	}
-	return frozen
+	return stopped
 }
 
-// stopAll tells every run to end. Whole answers that a slow caller has not got
-// yet are handed over too, so that nobody computes them again.
-func (g *Registry) stopAll() []*entry {
+// cancelRuns cancels every run and returns the entries to hand over. They
+// include complete answers that a slow caller has not fully received, so that
+// no engine computes them again.
+func (g *Registry) cancelRuns() []*entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var stopped []*entry
+	var cancelled []*entry
 	for _, e := range g.entries {
 		if !e.ended || e.callers > 0 {
 			e.cancel(errLeaving)
-			stopped = append(stopped, e)
+			cancelled = append(cancelled, e)
 		}
 	}
-	return stopped
+	return cancelled
 }
 
 // handOver stops the streams and offers them to one peer after another.
 func (g *Registry) handOver(ctx context.Context, peers []Peer) LeaveReport {
 	waiting := make(map[Key]Handed)
-	for _, e := range g.freeze(ctx) {
-		if h, ok := e.handed(); ok {
+	for _, e := range g.stopRuns(ctx) {
+		if h, ok := e.handedStream(); ok {
 			waiting[h.Key] = h
 		}
 	}
-	frozen := len(waiting)
+	offered := len(waiting)
 	for _, peer := range peers {
 		g.offer(ctx, peer, len(peers), waiting)
 	}
-	report := LeaveReport{HandedOver: frozen - len(waiting), Left: len(waiting)}
+	report := LeaveReport{HandedOver: offered - len(waiting), Left: len(waiting)}
 	handedOverVar.Add(int64(report.HandedOver))
 	leftVar.Add(int64(report.Left))
 	return report
 }
 
-// offer gives the waiting streams to one of so many peers and removes those
-// that it takes. A peer that does not answer leaves time for the others.
+// offer offers the waiting streams to one of several peers and removes those
+// that it takes over. Each peer gets an equal part of HandOverTimeout, so that
+// one that does not answer leaves time for the others.
 func (g *Registry) offer(ctx context.Context, peer Peer, peers int, waiting map[Key]Handed) {
-	ctx, cancel := context.WithTimeout(ctx, g.config.HandOverTime/time.Duration(peers))
+	ctx, cancel := context.WithTimeout(ctx, g.config.HandOverTimeout/time.Duration(peers))
 	defer cancel()
 	for _, batch := range batches(waiting) {
 		accepted, err := peer.HandOver(ctx, batch)
@@ -244,14 +250,14 @@
 	}
 }
 
-// batches splits streams into messages of bounded size. A stream that is
-// larger than the bound gets a message of its own.
+// batches splits streams into messages of bounded size. A stream that exceeds
+// the bound gets a message of its own.
 func batches(streams map[Key]Handed) [][]Handed {
 	var all [][]Handed
 	size := 0
 	for _, s := range streams {
 		last := len(all) - 1
-		if last < 0 || size+s.size() > handedBytes || len(all[last]) >= handedStreams {
+		if last < 0 || size+s.size() > maxBatchBytes || len(all[last]) >= maxBatchStreams {
 			all = append(all, nil)
 			last++
 			size = 0
@@ -262,7 +268,7 @@
 	return all
 }
 
-// size estimates the stream's bytes in a message.
+// size estimates the stream's size in a message, in bytes.
 func (s Handed) size() int {
 	size := len(s.Ask.Prompt)
 	for _, token := range s.Delivered {
@@ -271,18 +277,19 @@
 	return size
 }
 
-// tellLeaving tells the callers of stopped streams to resume elsewhere.
-func (g *Registry) tellLeaving() {
+// publishWithheldOutcomes tells the callers of stopped streams to resume
+// elsewhere.
+func (g *Registry) publishWithheldOutcomes() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.told = true
+	g.handOverDone = true
 	for _, e := range g.entries {
-		if e.ended && e.withheld {
-			e.answer.end(e.last)
+		if e.ended && e.finalWithheld {
+			e.answer.end(e.final)
 		}
 	}
 }
 
 func leavingOutcome() outcome.Outcome {
-	return outcome.NewInterrupted(outcome.ReasonLeaving, messageLeaving, 0)
+	return outcome.NewInterrupted(outcome.ReasonLeaving, leavingMessage, 0)
 }
--- a/internal/streaming/pick.go
+++ b/internal/streaming/pick.go
@@ -11,58 +11,58 @@
 
 // exclusions are the instances that a request must not be sent to again.
 type exclusions struct {
-	// failed are instances that lost or spoiled an attempt.
+	// failed instances lost an attempt, refused it or sent faulty frames.
 	failed []ident.Instance
-	// leaving are instances that refused since they are leaving, or whose
-	// notice came.
+	// leaving instances refused because they are leaving, or gave notice.
 	leaving []ident.Instance
-	// silent are instances whose connection fell silent once. Only the
-	// second time speaks against the instance itself.
+	// silent instances stopped sending on a connection once. Only the second
+	// time is taken as a fault of the instance itself.
 	silent []ident.Instance
 }
 
-// add notes how an attempt at an instance ended.
+// add records how an attempt at an instance ended.
 func (e *exclusions) add(instance ident.Instance, end attemptEnd) {
 	switch {
 	case end.leaving:
 		e.leaving = append(e.leaving, instance)
-	case end.next == CauseSilent && !slices.Contains(e.silent, instance):
+	case end.nextCause == CauseSilent && !slices.Contains(e.silent, instance):
 		e.silent = append(e.silent, instance)
-	case end.next != "":
+	case end.nextCause != "":
 		e.failed = append(e.failed, instance)
 	}
 }
 
-// all returns every excluded instance.
-func (e *exclusions) all() []ident.Instance {
+// instances returns every excluded instance.
+func (e *exclusions) instances() []ident.Instance {
 	return slices.Concat(e.failed, e.leaving)
 }
 
-// forgive lets failed instances be tried again. It reports whether there were
-// any.
-func (e *exclusions) forgive() bool {
+// clearFailed allows failed and silent instances again. It reports whether
+// there were any failed ones.
+func (e *exclusions) clearFailed() bool {
 	had := len(e.failed) > 0
 	e.failed = nil
 	e.silent = nil
 	return had
 }
 
-// pick chooses the next attempt's target, or returns the final outcome.
+// pick chooses the next attempt's target, or returns the final outcome if there
+// is none.
 func (r *run) pick(ctx context.Context) (Target, *outcome.Outcome) {
 	target, err := r.pickOnce(ctx)
-	// A request that every engine has failed once may still succeed at one
-	// that has recovered: its own exclusions must not be what ends it.
-	if err != nil && ctx.Err() == nil && r.excluded.forgive() {
+	// Every engine may have failed the request once and one of them may have
+	// recovered: the request's own exclusions alone must not end it.
+	if err != nil && ctx.Err() == nil && r.excluded.clearFailed() {
 		target, err = r.pickOnce(ctx)
 	}
 	if err == nil {
 		return target, nil
 	}
 	if ctx.Err() != nil {
-		stopped := r.stopped(ctx)
+		stopped := r.stopOutcome(ctx)
 		return Target{}, &stopped
 	}
-	return Target{}, r.refused(err)
+	return Target{}, r.pickErrorOutcome(err)
 }
 
 func (r *run) pickOnce(ctx context.Context) (Target, error) {
@@ -74,16 +74,16 @@
 		Request: r.req,
 		Cause:   cause,
 		Answer:  r.assembler.Answer(),
-		Served:  r.served,
-		Exclude: r.excluded.all(),
+		Served:  r.lastInstance,
+		Exclude: r.excluded.instances(),
 	}
 }
 
-// refused turns a picker's error into the final outcome.
-func (r *run) refused(err error) *outcome.Outcome {
+// pickErrorOutcome returns the final outcome for a picker's error.
+func (r *run) pickErrorOutcome(err error) *outcome.Outcome {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
-		return r.giveUp(refusal.Reason, refusal.Message, refusal.RetryAfter)
+		return r.giveUpOutcome(refusal.Reason, refusal.Message, refusal.RetryAfter)
 	}
-	return r.giveUp(outcome.ReasonNoUpstream, "no engine can serve the request now", r.retryAfter())
+	return r.giveUpOutcome(outcome.ReasonNoUpstream, "no engine can serve the request now", r.retryAfter())
 }
--- a/internal/streaming/recompute_test.go
+++ b/internal/streaming/recompute_test.go
@@ -20,7 +20,8 @@
 // unavailable.
 type standInEngine struct {
 	*engine.Engine
-	noticeBoard
+	noticeSender
+	// noExport makes ExportCache fail.
 	noExport bool
 }
 
@@ -38,20 +39,20 @@
 	time.AfterFunc(left, e.Close)
 }
 
-// pair is a gateway over two stand-in engines.
-type pair struct {
+// enginePair is a gateway with two stand-in engines.
+type enginePair struct {
 	reportLog
 	engines  []*standInEngine
 	picker   *fakePicker
 	registry *Registry
 }
 
-func newPair() *pair {
-	p := &pair{picker: &fakePicker{}}
+func newEnginePair() *enginePair {
+	p := &enginePair{picker: &fakePicker{}}
 	for _, name := range []ident.Instance{"a", "b"} {
 		e := &standInEngine{
-			Engine:      engine.New(engine.Config{Instance: name, Parameters: engine.DefaultParameters()}),
-			noticeBoard: noticeBoard{instance: name},
+			Engine:       engine.New(engine.Config{Instance: name, Parameters: engine.DefaultParameters()}),
+			noticeSender: noticeSender{instance: name},
 		}
 		p.engines = append(p.engines, e)
 		p.picker.engines = append(p.picker.engines, e)
@@ -60,13 +61,13 @@
 	return p
 }
 
-func (p *pair) gateway() *Registry {
+func (p *enginePair) gateway() *Registry {
 	config := DefaultConfig()
 	return NewRegistry(config, NewRunner(config, p.picker, nil, p))
 }
 
-// recomputed sums the reports.
-func (p *pair) recomputed() (attempts, recomputed, imported int) {
+// recomputed sums up the attempts' reports.
+func (p *enginePair) recomputed() (attempts, recomputed, imported int) {
 	reports := p.all()
 	for _, r := range reports {
 		recomputed += r.Recomputed
@@ -75,7 +76,7 @@
 	return len(reports), recomputed, imported
 }
 
-func (p *pair) close() {
+func (p *enginePair) close() {
 	p.registry.Close()
 	p.engines[0].Close()
 	p.engines[1].Close()
@@ -84,38 +85,38 @@
 const (
 	promptTokens = 3000
 	answerTokens = 800
-	// faultAfter is when about half of the answer is delivered.
+	// faultAfter is when about half of the answer has been delivered.
 	faultAfter = 4 * time.Second
 )
 
-// Symptom: after a reclaim an engine computes a long prompt and half of its
-// answer again, or a caller gets another answer than the one asked for.
-// Sequence: a stand-in engine serves half of an answer; then what the case
-// names happens; another engine, or a new connection, serves the rest.
-// Cause: the cache stayed behind on the leaving engine, or it was told to
-// cancel the stream before the cache was exported.
+// Failure: after a reclaim, an engine computes a long prompt and half of its
+// answer again, or a caller receives a wrong answer. A stand-in engine produces
+// half of an answer; then the named fault happens, and another engine or a new
+// connection serves the rest. This comes about if the KV cache stays on the
+// leaving engine, or if the stream is cancelled there before the cache is
+// exported.
 func TestRecomputedTokensByCase(t *testing.T) {
 	cases := []struct {
 		story string
-		fault func(p *pair)
-		// most is the bound on recomputed tokens.
-		most     int
-		imported bool
+		fault func(p *enginePair)
+		// maxRecomputed is the bound on recomputed tokens.
+		maxRecomputed int
+		imported      bool
 	}{
-		{story: "nothing goes wrong", fault: func(*pair) {}, most: 0},
-		{story: "upstream lost without notice", fault: func(p *pair) { p.engines[0].Close() }, most: promptTokens + answerTokens},
-		{story: "notice of 30 s: the answer ends in time", fault: func(p *pair) { p.engines[0].leave(30 * time.Second) }, most: 0},
-		{story: "notice of 3 s: cache moved", fault: func(p *pair) { p.engines[0].leave(3 * time.Second) }, most: 2 * prompt.BlockTokens, imported: true},
-		{story: "notice of 3 s: no export", fault: func(p *pair) { p.engines[0].noExport = true; p.engines[0].leave(3 * time.Second) }, most: promptTokens + answerTokens},
-		{story: "notice of 1 s: no time to move", fault: func(p *pair) { p.engines[0].leave(time.Second) }, most: promptTokens + answerTokens},
-		{story: "gateway leaves, upstream stays", fault: func(*pair) {}, most: answerTokens},
+		{story: "nothing goes wrong", fault: func(*enginePair) {}, maxRecomputed: 0},
+		{story: "upstream lost without notice", fault: func(p *enginePair) { p.engines[0].Close() }, maxRecomputed: promptTokens + answerTokens},
+		{story: "notice of 30 s: the answer ends in time", fault: func(p *enginePair) { p.engines[0].leave(30 * time.Second) }, maxRecomputed: 0},
+		{story: "notice of 3 s: cache moved", fault: func(p *enginePair) { p.engines[0].leave(3 * time.Second) }, maxRecomputed: 2 * prompt.BlockTokens, imported: true},
+		{story: "notice of 3 s: no export", fault: func(p *enginePair) { p.engines[0].noExport = true; p.engines[0].leave(3 * time.Second) }, maxRecomputed: promptTokens + answerTokens},
+		{story: "notice of 1 s: no time to move", fault: func(p *enginePair) { p.engines[0].leave(time.Second) }, maxRecomputed: promptTokens + answerTokens},
+		{story: "gateway leaves, upstream stays", fault: func(*enginePair) {}, maxRecomputed: answerTokens},
 	}
 	t.Logf("prompt of %d tokens, answer of %d, fault after %v", promptTokens, answerTokens, faultAfter)
 	t.Logf("| case | attempts | recomputed | imported | whole answer after |")
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPair()
+				p := newEnginePair()
 				defer p.close()
 				caller := newCaller("weber", "r-1", answerTokens)
 				caller.req.Ask.Prompt = strings.Repeat("lot.", promptTokens)
@@ -131,16 +132,17 @@
 				}
 				attempts, recomputed, imported := p.recomputed()
 				t.Logf("| %s | %d | %d | %d | %.2f s |", c.story, attempts, recomputed, imported, time.Since(began).Seconds())
-				if recomputed > c.most || (imported > 0) != c.imported {
-					t.Errorf("recomputed %d tokens, imported %d; want at most %d, import %v", recomputed, imported, c.most, c.imported)
+				if recomputed > c.maxRecomputed || (imported > 0) != c.imported {
+					t.Errorf("recomputed %d tokens, imported %d; want at most %d, import %v", recomputed, imported, c.maxRecomputed, c.imported)
 				}
 			})
 		})
 	}
 }
 
-// serve asks until the answer is whole, at another gateway when told so.
-func (p *pair) serve(t *testing.T, caller *fakeCaller) {
+// serve requests the answer until it is complete, and resumes at another
+// gateway if told to.
+func (p *enginePair) serve(t *testing.T, caller *fakeCaller) {
 	t.Helper()
 	got, err := caller.generate(t.Context(), p.registry)
 	if err == nil && got.Reason == outcome.ReasonLeaving {
@@ -151,10 +153,10 @@
 	}
 }
 
-// handOver replaces the gateway, which hands its streams to the new one. Only
-// what it hands over tells the new one which engine holds the prefix: by
-// itself it would take the other.
-func (p *pair) handOver(t *testing.T) {
+// handOver replaces the gateway, which hands its streams over to the new one.
+// The engines are reversed, so the new gateway picks the engine with the cached
+// prefix only because the handed-over stream names it.
+func (p *enginePair) handOver(t *testing.T) {
 	old := p.registry
 	slices.Reverse(p.picker.engines)
 	p.registry = p.gateway()
--- a/internal/streaming/registry.go
+++ b/internal/streaming/registry.go
@@ -8,9 +8,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Registry keeps the token streams in progress at this gateway, and for a
-// while those that have ended. A stream outlives its caller's connection, so
-// that the caller can come back for the rest.
+// Registry keeps the token streams in progress at this gateway, and ended ones
+// for a while. A stream outlives its caller's connection, so that the caller
+// can come back for the rest. A Registry is safe for concurrent use.
 type Registry struct {
 	config Config
 	runner *Runner
@@ -20,8 +20,8 @@
 	entries map[Key]*entry
 	idle    idleEntries
 	leaving bool
-	// told: the hand-over is over, and callers may hear of it.
-	told bool
+	// handOverDone: callers may be told that their streams were stopped.
+	handOverDone bool
 }
 
 // NewRegistry returns a registry whose streams are served by runner.
@@ -34,44 +34,48 @@
 	}
 }
 
-// ResumeRequest asks for the rest of a token stream.
+// ResumeRequest is a request for the rest of a token stream.
 type ResumeRequest struct {
 	Key Key
 	// Next is the index of the first token that the caller does not have.
 	Next uint32
-	// Original is the request as it was first sent, without Delivered, or
-	// nil when the caller left it out.
+	// Original is the request as it was first sent, without Delivered; nil if
+	// the caller left it out.
 	Original *Request
-	// Delivered are the Next tokens that the caller has, or nil when the
+	// Delivered are the first Next tokens, which the caller has; nil if the
 	// caller left them out.
 	Delivered []string
 }
 
-// Generate serves a request from its first token on. A second Generate with
-// the same key and the same Ask follows the same answer.
+// Generate serves a request from its first token on. A second Generate with the
+// same key and the same Ask follows the same answer.
 //
-// Errors: InvalidArgument. All else is told as an outcome.
+// It returns an InvalidArgument error for an invalid request; every other
+// failure is an outcome.
 func (g *Registry) Generate(ctx context.Context, req Request, sink Sink) (outcome.Outcome, error) {
 	req.Delivered = nil
 	if err := req.validate(g.config.MaxTokens); err != nil {
 		return outcome.Outcome{}, err
 	}
-	e, refused := g.enter(ctx, req)
+	e, refused := g.findOrStart(ctx, req)
 	if refused != nil {
 		return *refused, nil
 	}
 	return g.follow(ctx, e, 0, sink), nil
 }
 
-// Resume serves the rest of a request. A stream of another client account and
-// one that does not exist give the same error.
+// Resume serves the rest of a request.
 //
-// Errors: InvalidArgument, NotFound. All else is told as an outcome.
+// It returns an InvalidArgument error for an invalid request, and a NotFound
+// error if the gateway does not keep the stream and the request does not
+// contain what is needed to go on. The error is the same whether the stream
+// belongs to another client account or does not exist. Every other failure is
+// an outcome.
 func (g *Registry) Resume(ctx context.Context, resume ResumeRequest, sink Sink) (outcome.Outcome, error) {
 	if err := resume.validate(g.config.MaxTokens); err != nil {
 		return outcome.Outcome{}, err
 	}
-	e, refused, err := g.reenter(ctx, resume)
+	e, refused, err := g.findOrResume(ctx, resume)
 	if err != nil {
 		return outcome.Outcome{}, err
 	}
@@ -82,7 +86,7 @@
 }
 
 // Holds reports whether the gateway keeps the stream. Resuming one that it does
-// not keep begins a run like a new request, and should be admitted as such.
+// not keep starts a run like a new request, and should be admitted like one.
 func (g *Registry) Holds(key Key) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,21 +99,21 @@
 	g.leaving = true
 	for key, e := range g.entries {
 		e.cancel(errAbandoned)
-		g.drop(key, e)
+		g.remove(key, e)
 	}
 	g.mu.Unlock()
 	g.runs.Wait()
 }
 
-// Stats are a registry's figures.
+// Stats are the numbers of streams in a registry.
 type Stats struct {
-	// Streams that are kept.
+	// Streams is the number of kept streams.
 	Streams int
-	// Idle streams have no caller.
+	// Idle is the number of those without a caller.
 	Idle int
 }
 
-// Stats returns the figures at this moment.
+// Stats returns the current numbers.
 func (g *Registry) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,9 +124,9 @@
 	return stats
 }
 
-// follow delivers an entry's answer to one caller.
+// follow sends an entry's answer to one caller, from index next on.
 func (g *Registry) follow(ctx context.Context, e *entry, next uint32, sink Sink) outcome.Outcome {
-	defer g.depart(e)
+	defer g.removeCaller(e)
 	final, err := e.answer.follow(ctx, next, sink, g.config)
 	if err != nil {
 		return outcome.NewInterrupted(outcome.ReasonCancelled, "the caller has gone: "+err.Error(), 0)
@@ -130,29 +134,32 @@
 	return final
 }
 
-// enter finds or starts the entry of a new request, and counts the caller in.
-func (g *Registry) enter(ctx context.Context, req Request) (*entry, *outcome.Outcome) {
+// findOrStart returns the entry of a new request, which it starts if needed,
+// and adds the caller to it. It returns an outcome instead if the request is
+// refused.
+func (g *Registry) findOrStart(ctx context.Context, req Request) (*entry, *outcome.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.entries[req.Key]
-	if refused := g.refuse(e, req.Ask); refused != nil {
+	if refused := g.refusalOf(e, req.Ask); refused != nil {
 		return nil, refused
 	}
 	switch {
 	case e == nil:
 		e = g.start(ctx, req, nil)
-	case !e.useful():
-		// Given up on before: go on from where it got to.
+	case !e.mayComplete():
+		// The earlier run was given up. Continue from its tokens.
 		req.Delivered = e.tokens()
 		e = g.start(ctx, req, e)
 	}
-	g.arrive(e)
+	g.addCaller(e)
 	return e, nil
 }
 
-// reenter finds or starts the entry of a resumed request, and counts the
-// caller in.
-func (g *Registry) reenter(ctx context.Context, resume ResumeRequest) (*entry, *outcome.Outcome, error) {
+// findOrResume returns the entry of a resumed request, which it starts if
+// needed, and adds the caller to it. It returns an outcome instead if the
+// request is refused.
+func (g *Registry) findOrResume(ctx context.Context, resume ResumeRequest) (*entry, *outcome.Outcome, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.entries[resume.Key]
@@ -160,31 +167,32 @@
 		return nil, nil, notFound()
 	}
 	req := resume.request(e)
-	if refused := g.refuse(e, req.Ask); refused != nil {
+	if refused := g.refusalOf(e, req.Ask); refused != nil {
 		return nil, refused, nil
 	}
 	e, err := g.continueFrom(ctx, e, req, resume)
 	if err != nil {
 		return nil, nil, err
 	}
-	g.arrive(e)
+	g.addCaller(e)
 	return e, nil, nil
 }
 
-// continueFrom returns the entry that goes on from what the caller has.
+// continueFrom returns an entry that continues from the tokens that the caller
+// has. e is the entry with the request's key, or nil.
 func (g *Registry) continueFrom(ctx context.Context, e *entry, req Request, resume ResumeRequest) (*entry, error) {
-	held := resume.held()
-	if !held && (e == nil || int(resume.Next) > len(e.tokens())) {
+	allDelivered := resume.hasAllDelivered()
+	if !allDelivered && (e == nil || int(resume.Next) > len(e.tokens())) {
 		return nil, notFound()
 	}
 	if e == nil {
 		req.Delivered = resume.Delivered
 		return g.start(ctx, req, nil), nil
 	}
-	// A caller that went on at another gateway may have other tokens than
-	// those here. Going on from the ones here would give it a mix of two
-	// answers, so the caller's tokens win.
-	if held && !e.continues(resume.Delivered) {
+	// A caller that went on at another gateway may have received other tokens
+	// than those kept here. Continuing from the ones here would give it a mix
+	// of two answers, so the run restarts from the caller's tokens.
+	if allDelivered && !e.hasPrefix(resume.Delivered) {
 		req.Delivered = resume.Delivered
 		if err := req.validate(g.config.MaxTokens); err != nil {
 			return nil, err
@@ -192,15 +200,17 @@
 		e.cancel(errReplaced)
 		return g.start(ctx, req, e), nil
 	}
-	if !e.useful() {
+	if !e.mayComplete() {
 		req.Delivered = e.tokens()
 		return g.start(ctx, req, e), nil
 	}
 	return e, nil
 }
 
-// refuse returns why a request cannot be served here, or nil.
-func (g *Registry) refuse(e *entry, ask Ask) *outcome.Outcome {
+// refusalOf returns the outcome of a request that cannot be served here, or
+// nil. e is the entry with the request's key, or nil. It may evict an idle
+// stream to make room for a new one.
+func (g *Registry) refusalOf(e *entry, ask Ask) *outcome.Outcome {
 	var refused outcome.Outcome
 	switch {
 	case e != nil && e.req.Ask != ask:
@@ -210,7 +220,7 @@
 	case g.leaving:
 		refused = outcome.NewNotRun(outcome.ReasonLeaving, "this gateway is leaving; ask any other", 0)
 	case e == nil && !g.makeRoom():
-		refused = outcome.NewNotRun(outcome.ReasonOverloaded, "too many token streams at this gateway", jitter(g.config.RetryAfter))
+		refused = outcome.NewNotRun(outcome.ReasonOverloaded, "too many token streams at this gateway", jitter(g.config.MinRetryAfter))
 	default:
 		return nil
 	}
@@ -221,7 +231,7 @@
 	return errcode.New(errcode.NotFound, "no such request here; send original and delivered to resume it")
 }
 
-// validate returns an invalid-argument error, or nil.
+// validate returns an InvalidArgument error, or nil.
 func (r ResumeRequest) validate(maxTokens uint32) error {
 	if r.Delivered != nil && len(r.Delivered) != int(r.Next) {
 		return errcode.Errorf(errcode.InvalidArgument, "next_index is %d and delivered has %d tokens", r.Next, len(r.Delivered))
@@ -237,10 +247,12 @@
 	return original.validate(maxTokens)
 }
 
-// held reports whether the caller showed every token that it has.
-func (r ResumeRequest) held() bool { return len(r.Delivered) == int(r.Next) }
+// hasAllDelivered reports whether the request contains every token that the
+// caller has.
+func (r ResumeRequest) hasAllDelivered() bool { return len(r.Delivered) == int(r.Next) }
 
-// request returns the request to serve, from the caller's copy or the entry's.
+// request returns the request to serve: the caller's copy if there is one, or
+// else the entry's.
 func (r ResumeRequest) request(e *entry) Request {
 	if r.Original != nil {
 		return *r.Original
--- a/internal/streaming/span.go
+++ b/internal/streaming/span.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
-// tracer makes a span of each attempt, the hop from gateway to engine. It uses
-// the process's tracer provider.
+// tracer makes a span of each attempt, which is one call from gateway to
+// engine. It uses the process's tracer provider.
 var tracer = otel.Tracer("github.com/goldcrestspool/goldcrestspool/internal/streaming")
 
 // The attributes of an attempt's span.
@@ -36,11 +36,11 @@
 	))
 }
 
-// endSpan ends the span of an attempt with what it did. An error is named by
-// its code: its text may quote the prompt.
+// endSpan ends the span of an attempt and records what it did. Of an error it
+// records only the code, because the text may quote the prompt.
 func endSpan(span trace.Span, r AttemptReport) {
 	span.SetAttributes(
-		nextKey.String(string(r.Next)),
+		nextKey.String(string(r.NextCause)),
 		tokensKey.Int(r.Tokens),
 		recomputedKey.Int(r.Recomputed),
 		importedKey.Int(r.Imported),
@@ -48,13 +48,14 @@
 	if r.Err != nil {
 		span.SetAttributes(errorKey.String(errcode.Of(r.Err).String()))
 	}
-	if r.failed() {
-		span.SetStatus(codes.Error, string(r.Next))
+	if r.endedUnplanned() {
+		span.SetStatus(codes.Error, string(r.NextCause))
 	}
 	span.End()
 }
 
-// failed reports whether the attempt ended against plan.
-func (r AttemptReport) failed() bool {
-	return r.Next != "" && r.Next != CauseMoved && r.Next != CauseNotice
+// endedUnplanned reports whether the attempt ended by a failure, and not by a
+// completed answer or a notice of reclaim.
+func (r AttemptReport) endedUnplanned() bool {
+	return r.NextCause != "" && r.NextCause != CauseMoved && r.NextCause != CauseNotice
 }
