--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -38,8 +38,8 @@
 	Request ident.Request
 }
 
-// first reports whether no earlier attempt can have run the call.
-func (c Call) first() bool { return c.Attempt == 1 }
+// isFirstAttempt reports whether no earlier attempt can have run the call.
+func (c Call) isFirstAttempt() bool { return c.Attempt == 1 }
 
 // Dispatcher reaches upstreams for calls. Its methods are used concurrently.
 type Dispatcher interface {
@@ -242,9 +242,9 @@
 func (c *Coordinator) Run(ctx context.Context) error {
 	var loops sync.WaitGroup
 	for _, p := range c.partitions {
-		loops.Go(func() { p.read(ctx) })
-		loops.Go(func() { p.commit(ctx) })
-		loops.Go(func() { p.maintain(ctx) })
+		loops.Go(func() { p.readLoop(ctx) })
+		loops.Go(func() { p.commitLoop(ctx) })
+		loops.Go(func() { p.maintainLoop(ctx) })
 	}
 	loops.Wait()
 	c.endWork()
--- a/internal/calls/capacity_test.go
+++ b/internal/calls/capacity_test.go
@@ -23,7 +23,7 @@
 	const seconds = 5
 	for _, rate := range []int{30, 100, 300, 1000, 3000} {
 		synctest.Test(t, func(t *testing.T) {
-			m := newMachine(blind)
+			m := newMachine(trustNothing)
 			defer m.close()
 			m.w.log.SetDelay(5 * time.Millisecond)
 			var mu sync.Mutex
@@ -118,7 +118,7 @@
 func BenchmarkCall(b *testing.B) {
 	for _, parallel := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprintf("parallel=%d", parallel), func(b *testing.B) {
-			w := newWorld(blind)
+			w := newWorld(trustNothing)
 			for _, domain := range []ident.FailureDomain{"hall-a", "hall-a", "hall-b"} {
 				w.newGatewayUnsynced(domain)
 			}
--- a/internal/calls/cases_test.go
+++ b/internal/calls/cases_test.go
@@ -17,13 +17,13 @@
 
 // The kinds of upstreams.
 var (
-	blind   = document.UpstreamSpec{}
-	finding = document.UpstreamSpec{FindsOutcomes: true}
-	fencing = document.UpstreamSpec{FindsOutcomes: true, ChecksFencing: true}
+	trustNothing      = document.UpstreamSpec{}
+	trustFind         = document.UpstreamSpec{FindsOutcomes: true}
+	trustFindAndFence = document.UpstreamSpec{FindsOutcomes: true, ChecksFencing: true}
 )
 
-// patient is how long callers wait where their patience does not matter.
-const patient = 30 * time.Second
+// longPatience is how long callers wait where their patience does not matter.
+const longPatience = 30 * time.Second
 
 // inWorld runs a case in virtual time. Gateways 0 and 1 are in hall-a, 2 is in
 // hall-b; upstreams 0 and 1 are in hall-a and hall-b.
@@ -39,8 +39,8 @@
 
 // do sends the next attempt and waits for its answer.
 func (m *machine) do(g *gateway, r *request) outcome.Outcome {
-	m.send(g, r, patient)
-	time.Sleep(patient)
+	m.send(g, r, longPatience)
+	time.Sleep(longPatience)
 	return r.last()
 }
 
@@ -53,7 +53,7 @@
 
 func (m *machine) setLeaving(leaving bool) {
 	for _, s := range m.w.upstreams {
-		s.life().SetLeaving(leaving)
+		s.current().SetLeaving(leaving)
 	}
 }
 
@@ -64,17 +64,17 @@
 // Cause: not_run of a repeat must also rule out the attempts before it, so
 // claims of earlier attempts are void once a later one has owned the key.
 func TestEarlierAttemptWakesAfterNotRun(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.setLeaving(true)
 		g[0].freeze()
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
-		m.send(g[2], r, patient)
+		m.send(g[0], r, longPatience)
+		m.send(g[2], r, longPatience)
 		time.Sleep(time.Second)
 		wantKind(t, "attempt 2", r.last(), outcome.NotRun)
 		m.setLeaving(false)
-		g[0].thaw()
-		time.Sleep(patient)
+		g[0].unfreeze()
+		time.Sleep(longPatience)
 		wantKind(t, "attempt 1", r.last(), outcome.Unknown)
 		wantKind(t, "attempt 3", m.do(g[1], r), outcome.Completed)
 	})
@@ -86,7 +86,7 @@
 // first copy of the record lands.
 // Cause: a second copy of a claim that has ended must not own the key again.
 func TestSecondCopyOfAnEndedClaim(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.setLeaving(true)
 		m.w.log.SetLateness(10 * time.Second)
 		m.w.log.LoseNext(fault.Late)
@@ -102,15 +102,15 @@
 // refuses the second try; the gateway takes that for the last word.
 // Cause: a refusal only speaks for its own try.
 func TestOutageAfterALostAppend(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetLateness(2 * time.Second)
 		m.w.log.LoseNext(fault.Late)
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
+		m.send(g[0], r, longPatience)
 		m.w.log.SetOutage(true)
 		time.Sleep(3 * time.Second)
 		m.w.log.SetOutage(false)
-		time.Sleep(patient)
+		time.Sleep(longPatience)
 		wantKind(t, "attempt 1", r.last(), outcome.Completed)
 	})
 }
@@ -123,20 +123,20 @@
 // Cause: only an upstream that has not seen the call and has seen the higher
 // fence proves that it never runs.
 func TestCallArrivesDuringTheTakeOver(t *testing.T) {
-	inWorld(t, fencing, func(t *testing.T, m *machine, g []*gateway) {
-		m.w.lateness = []time.Duration{4500 * time.Millisecond}
+	inWorld(t, trustFindAndFence, func(t *testing.T, m *machine, g []*gateway) {
+		m.w.arrivalDelays = []time.Duration{4500 * time.Millisecond}
 		for _, s := range m.w.upstreams {
-			s.life().SetDelays(plain.Delays{BeforeEffect: 5 * time.Second})
+			s.current().SetDelays(plain.Delays{BeforeEffect: 5 * time.Second})
 		}
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
+		m.send(g[0], r, longPatience)
 		time.Sleep(4 * time.Second)
 		m.w.log.SetDelay(time.Second)
-		m.send(g[2], r, patient)
+		m.send(g[2], r, longPatience)
 		time.Sleep(2 * time.Second)
 		wantKind(t, "attempt 2", r.last(), outcome.InProgress)
 		m.w.log.SetDelay(0)
-		time.Sleep(patient)
+		time.Sleep(longPatience)
 		wantKind(t, "attempt 3", m.do(g[1], r), outcome.Completed)
 	})
 }
@@ -156,22 +156,22 @@
 		// alone: there is no other upstream.
 		alone bool
 	}{
-		{"upstreams that know nothing: the outcome stays unknown", blind, outcome.Unknown, outcome.Unknown, false},
-		{"upstreams that find outcomes: nobody takes over", finding, outcome.Unknown, outcome.Completed, false},
-		{"upstreams that check fencing: settled and run", fencing, outcome.Completed, outcome.Completed, false},
-		{"one upstream that checks fencing: settled and run there", fencing, outcome.Completed, outcome.Completed, true},
+		{"upstreams that know nothing: the outcome stays unknown", trustNothing, outcome.Unknown, outcome.Unknown, false},
+		{"upstreams that find outcomes: nobody takes over", trustFind, outcome.Unknown, outcome.Completed, false},
+		{"upstreams that check fencing: settled and run", trustFindAndFence, outcome.Completed, outcome.Completed, false},
+		{"one upstream that checks fencing: settled and run there", trustFindAndFence, outcome.Completed, outcome.Completed, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			inWorld(t, c.trust, func(t *testing.T, m *machine, g []*gateway) {
-				m.w.upstreams[0].life().SetLeaving(c.alone)
+				m.w.upstreams[0].current().SetLeaving(c.alone)
 				g[0].freezeAtDispatch.Store(true)
 				r := m.newRequest(false)
-				m.send(g[0], r, patient)
+				m.send(g[0], r, longPatience)
 				time.Sleep(10 * time.Second)
 				wantKind(t, "attempt 2", m.do(g[2], r), c.second)
-				g[0].thaw()
-				time.Sleep(patient)
+				g[0].unfreeze()
+				time.Sleep(longPatience)
 				wantKind(t, "attempt 3", m.do(g[1], r), c.third)
 			})
 		})
@@ -184,22 +184,22 @@
 // claimed a third time and runs elsewhere; the first gateway wakes and sends.
 // Cause: ending a claim that settles another one does not end the other one.
 func TestTakeOverIsGivenUp(t *testing.T) {
-	inWorld(t, fencing, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustFindAndFence, func(t *testing.T, m *machine, g []*gateway) {
 		g[0].freezeAtDispatch.Store(true)
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
+		m.send(g[0], r, longPatience)
 		time.Sleep(10 * time.Second)
 		m.w.log.SetDelay(time.Second)
 		m.send(g[2], r, 900*time.Millisecond)
 		time.Sleep(10 * time.Second)
 		m.w.log.SetDelay(0)
 		// The upstream of attempt 1: attempt 3 must go to the other one.
-		m.w.upstreams[1].life().SetLeaving(true)
-		m.send(g[1], r, patient)
-		time.Sleep(patient)
-		m.w.upstreams[1].life().SetLeaving(false)
-		g[0].thaw()
-		time.Sleep(patient)
+		m.w.upstreams[1].current().SetLeaving(true)
+		m.send(g[1], r, longPatience)
+		time.Sleep(longPatience)
+		m.w.upstreams[1].current().SetLeaving(false)
+		g[0].unfreeze()
+		time.Sleep(longPatience)
 		wantKind(t, "attempt 4", m.do(g[1], r), outcome.Completed)
 	})
 }
@@ -216,7 +216,7 @@
 		w.log.Expire(stream, batch.Head)
 	}
 	t.Run("a fresh gateway", func(t *testing.T) {
-		inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 			r := m.newRequest(false)
 			wantKind(t, "attempt 1", m.do(g[0], r), outcome.Completed)
 			expireAll(m.w, r)
@@ -231,8 +231,8 @@
 		})
 	})
 	t.Run("a gateway that was cut off", func(t *testing.T) {
-		inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
-			g[2].cut.Store(true)
+		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+			g[2].cutOff.Store(true)
 			m.w.split = true
 			time.Sleep(time.Minute)
 			r := m.newRequest(false)
@@ -241,14 +241,14 @@
 			g[0].kill()
 			g[1].kill()
 			m.w.newGateway("hall-a")
-			g[2].cut.Store(false)
+			g[2].cutOff.Store(false)
 			m.w.split = false
 			time.Sleep(10 * time.Minute)
 			wantKind(t, "attempt 2", m.do(g[2], r), outcome.Unknown)
 		})
 	})
 	t.Run("after the window", func(t *testing.T) {
-		inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 			r := m.newRequest(false)
 			wantKind(t, "attempt 1", m.do(g[0], r), outcome.Completed)
 			time.Sleep(journal.Window + time.Hour)
@@ -268,7 +268,7 @@
 // Sequence: two requests of one client account share a key.
 // Cause: a key belongs to the digest of the request that claimed it first.
 func TestKeyOfAnotherRequest(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		first := m.newRequest(false)
 		wantKind(t, "first request", m.do(g[0], first), outcome.Completed)
 		second := m.newRequest(true)
@@ -296,14 +296,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+			inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 				c.fail(m.w)
-				m.send(g[0], m.newRequest(false), patient)
+				m.send(g[0], m.newRequest(false), longPatience)
 				time.Sleep(c.since)
 				r := m.newRequest(false)
 				for attempt, want := range []outcome.Kind{outcome.NotRun, outcome.Unknown} {
 					before := time.Now()
-					m.send(g[0], r, patient)
+					m.send(g[0], r, longPatience)
 					m.pending.Wait()
 					wantKind(t, c.name, r.last(), want)
 					if waited := time.Since(before); waited > time.Second || r.last().RetryAfter == 0 {
@@ -322,11 +322,11 @@
 	p := New(Config{Health: blackboard.NewSection(blackboard.JournalHealth{})}).partitions[0]
 	now := time.Now()
 	mark, _ := journal.Encode(journal.Mark{})
-	p.take(platform.Batch{Records: []platform.Record{{Offset: 3, Data: mark, AppendedAt: now}}, Head: 4, First: 3})
-	if p.certain(now) {
+	p.applyBatch(platform.Batch{Records: []platform.Record{{Offset: 3, Data: mark, AppendedAt: now}}, Head: 4, First: 3})
+	if p.completeFor(now) {
 		t.Fatal("a key is certain though records were skipped")
 	}
-	if !p.certain(now.Add(journal.Window + 3*journal.MaxSkew)) {
+	if !p.completeFor(now.Add(journal.Window + 3*journal.MaxSkew)) {
 		t.Fatal("a key issued later is not certain")
 	}
 }
--- a/internal/calls/claim.go
+++ b/internal/calls/claim.go
@@ -21,7 +21,7 @@
 	waiting phase = iota
 	dispatched
 	abandoned
-	handed
+	handedOver
 )
 
 // claim is one claim of this gateway.
@@ -32,28 +32,28 @@
 	// sent: the record was part of an append that may have taken effect;
 	// doubtful: the answer of such an append was lost. Both are guarded by
 	// the committer's mutex.
-	sent, doubtful bool
-	// decided gets the verdict, once.
-	decided chan ruling
-	// given gets what the caller is told when the claim was handed over.
-	given chan outcome.Outcome
+	sent, answerLost bool
+	// resolved gets the verdict, once.
+	resolved chan resolution
+	// handedOverOutcome gets what the caller is told when the claim was handed over.
+	handedOverOutcome chan outcome.Outcome
 	// done is closed when the dispatched call has ended with result.
 	done   chan struct{}
 	result dispatchResult
 }
 
-// ruling is what became of a claim: the verdict of the log, or a refusal
+// resolution is what became of a claim: the verdict of the log, or a refusal
 // before the log had it.
-type ruling struct {
+type resolution struct {
 	fold.Decision
 	// refused: the record is not in the log and never will be.
-	refused bool
+	notAppended bool
 	// lost: this reader can no longer tell.
-	lost bool
+	unreadable bool
 }
 
 // won reports whether the claim owns its key.
-func (r ruling) won() bool { return !r.refused && !r.lost && r.Verdict == fold.Won }
+func (r resolution) won() bool { return !r.notAppended && !r.unreadable && r.Verdict == fold.Won }
 
 // newClaim returns a claim that waits for its verdict.
 func (c *Coordinator) newClaim(call Call, digest journal.Digest, target journal.Target, supersedes journal.ClaimID) *claim {
@@ -72,24 +72,24 @@
 			Target:            target,
 			Supersedes:        supersedes,
 		},
-		decided: make(chan ruling, 1),
-		given:   make(chan outcome.Outcome, 1),
-		done:    make(chan struct{}),
+		resolved:          make(chan resolution, 1),
+		handedOverOutcome: make(chan outcome.Outcome, 1),
+		done:              make(chan struct{}),
 	}
 }
 
-// leave moves the claim out of waiting and reports whether it did.
-func (cl *claim) leave(to phase) bool { return cl.phase.CompareAndSwap(waiting, to) }
+// leaveWaiting moves the claim out of waiting and reports whether it did.
+func (cl *claim) leaveWaiting(to phase) bool { return cl.phase.CompareAndSwap(waiting, to) }
 
-// settles reports whether the claim takes over only to find out an outcome. Its
+// isTakeover reports whether the claim takes over only to find out an outcome. Its
 // call is not here, and ending such a claim without the upstream's word would
 // open a key whose call may still run.
-func (cl *claim) settles() bool { return cl.record.Supersedes != journal.ClaimID{} }
+func (cl *claim) isTakeover() bool { return cl.record.Supersedes != journal.ClaimID{} }
 
-// rule delivers the verdict. Only the first one counts.
-func (cl *claim) rule(r ruling) {
+// resolve delivers the verdict. Only the first one counts.
+func (cl *claim) resolve(r resolution) {
 	select {
-	case cl.decided <- r:
+	case cl.resolved <- r:
 	default:
 	}
 }
--- a/internal/calls/committer.go
+++ b/internal/calls/committer.go
@@ -26,14 +26,14 @@
 
 // The pause after a failed append grows from the first to the second.
 const (
-	firstBackoff = 100 * time.Millisecond
-	lastBackoff  = 2 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// failuresDown is how many answers of appends have to be lost in a row until new
+// failuresUntilDown is how many answers of appends have to be lost in a row until new
 // calls are refused at once: one is no outage, and waiting for the second try
 // costs a caller less than coming back.
-const failuresDown = 2
+const failuresUntilDown = 2
 
 // committer writes the records of one partition: one append at a time, with
 // all that has come meanwhile (group commit).
@@ -43,11 +43,11 @@
 	wake   chan struct{}
 
 	mu    sync.Mutex
-	queue []*queued
-	// appending is how many records the running append carries; began is
+	queue []*queuedRecord
+	// inFlight is how many records the running append carries; began is
 	// when it began.
-	appending int
-	began     time.Time
+	inFlight      int
+	appendStarted time.Time
 	// retryAt is when the next append is tried after a failure.
 	retryAt time.Time
 	backoff time.Duration
@@ -56,8 +56,8 @@
 	failures int
 }
 
-// queued is one record on its way to the log.
-type queued struct {
+// queuedRecord is one record on its way to the log.
+type queuedRecord struct {
 	event journal.Event
 	// claim is set for claims.
 	claim *claim
@@ -67,26 +67,26 @@
 	return &committer{stream: stream, c: c, wake: make(chan struct{}, 1)}
 }
 
-// add queues an event that must reach the log sooner or later.
-func (w *committer) add(e journal.Event) {
+// enqueue queues an event that must reach the log sooner or later.
+func (w *committer) enqueue(e journal.Event) {
 	w.mu.Lock()
-	w.queue = append(w.queue, &queued{event: e})
+	w.queue = append(w.queue, &queuedRecord{event: e})
 	w.mu.Unlock()
 	w.signal()
 }
 
-// addClaim queues a claim, with events that go before it in the same append.
+// enqueueClaim queues a claim, with events that go before it in the same append.
 // It reports false when too much is queued.
-func (w *committer) addClaim(cl *claim, before ...journal.Event) bool {
+func (w *committer) enqueueClaim(cl *claim, before ...journal.Event) bool {
 	w.mu.Lock()
 	if len(w.queue) >= w.c.limits.MaxQueue {
 		w.mu.Unlock()
 		return false
 	}
 	for _, e := range before {
-		w.queue = append(w.queue, &queued{event: e})
+		w.queue = append(w.queue, &queuedRecord{event: e})
 	}
-	w.queue = append(w.queue, &queued{event: cl.record, claim: cl})
+	w.queue = append(w.queue, &queuedRecord{event: cl.record, claim: cl})
 	w.mu.Unlock()
 	w.signal()
 	return true
@@ -123,49 +123,49 @@
 func (w *committer) down(now time.Time) (time.Duration, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.appending > 0 && now.Sub(w.began) >= w.c.limits.SlowAfter {
+	if w.inFlight > 0 && now.Sub(w.appendStarted) >= w.c.limits.SlowAfter {
 		return w.c.limits.AppendTimeout, true
 	}
-	if w.failures >= failuresDown && now.Before(w.retryAt) {
+	if w.failures >= failuresUntilDown && now.Before(w.retryAt) {
 		return w.retryAt.Sub(now), true
 	}
 	return 0, false
 }
 
-// commit appends until ctx ends.
-func (p *partition) commit(ctx context.Context) {
+// commitLoop appends until ctx ends.
+func (p *partition) commitLoop(ctx context.Context) {
 	w := p.writer
 	for ctx.Err() == nil {
-		batch, data := w.take()
+		batch, data := w.nextBatch()
 		if len(batch) == 0 {
-			w.await(ctx)
+			w.waitForRecords(ctx)
 			continue
 		}
 		began := time.Now()
 		err := w.append(ctx, data)
-		w.settle(p, batch, err)
+		w.finishBatch(p, batch, err)
 		if err != nil {
-			pause.For(ctx, w.pause())
+			pause.For(ctx, w.backoffLeft())
 			continue
 		}
 		pause.For(ctx, w.c.limits.AppendInterval-time.Since(began))
 	}
 }
 
-// await blocks until something may be queued.
-func (w *committer) await(ctx context.Context) {
+// waitForRecords blocks until something may be queued.
+func (w *committer) waitForRecords(ctx context.Context) {
 	select {
 	case <-w.wake:
 	case <-ctx.Done():
 	}
 }
 
-// take removes the next batch from the queue. Claims that were given up before
+// nextBatch removes the next batch from the queue. Claims that were given up before
 // they were ever sent are left out.
-func (w *committer) take() ([]*queued, [][]byte) {
+func (w *committer) nextBatch() ([]*queuedRecord, [][]byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var batch []*queued
+	var batch []*queuedRecord
 	var data [][]byte
 	n, size := 0, 0
 	for n < len(w.queue) && len(batch) < w.c.limits.MaxBatch && size < maxBatchBytes {
@@ -178,7 +178,7 @@
 		if err != nil {
 			w.c.log.Error("journal record not encoded", "error", err)
 			if q.claim != nil {
-				q.claim.rule(ruling{refused: true})
+				q.claim.resolve(resolution{notAppended: true})
 			}
 			continue
 		}
@@ -189,8 +189,8 @@
 		data = append(data, bytes)
 		size += len(bytes)
 	}
-	w.queue = append([]*queued(nil), w.queue[n:]...)
-	w.appending, w.began = len(batch), time.Now()
+	w.queue = append([]*queuedRecord(nil), w.queue[n:]...)
+	w.inFlight, w.appendStarted = len(batch), time.Now()
 	return batch, data
 }
 
@@ -207,11 +207,11 @@
 	return err
 }
 
-// settle decides what becomes of a batch. Records whose fate is not known are
+// finishBatch decides what becomes of a batch. Records whose fate is not known are
 // appended again: every record names its claim, so a second copy changes
 // nothing.
-func (w *committer) settle(p *partition, batch []*queued, err error) {
-	var again []*queued
+func (w *committer) finishBatch(p *partition, batch []*queuedRecord, err error) {
+	var again []*queuedRecord
 	var refused []*claim
 	w.mu.Lock()
 	for _, q := range batch {
@@ -219,22 +219,22 @@
 		case err == nil:
 		case q.claim == nil:
 			again = append(again, q)
-		case errors.Is(err, platform.ErrUnavailable) && !q.claim.doubtful:
+		case errors.Is(err, platform.ErrUnavailable) && !q.claim.answerLost:
 			q.claim.sent = false
 			refused = append(refused, q.claim)
 		case q.claim.phase.Load() == waiting:
-			q.claim.doubtful = true
+			q.claim.answerLost = true
 			again = append(again, q)
 		default:
-			q.claim.doubtful = true
+			q.claim.answerLost = true
 		}
 	}
 	w.queue = append(again, w.queue...)
-	w.appending = 0
+	w.inFlight = 0
 	w.updateBackoff(err)
 	w.mu.Unlock()
 	for _, cl := range refused {
-		p.refuse(cl)
+		p.resolveNotAppended(cl)
 	}
 }
 
@@ -244,17 +244,17 @@
 		w.failures, w.backoff, w.retryAt = 0, 0, time.Time{}
 		return
 	}
-	hung := time.Since(w.began) >= w.c.limits.SlowAfter
+	hung := time.Since(w.appendStarted) >= w.c.limits.SlowAfter
 	if errors.Is(err, platform.ErrAnswerLost) && !hung {
 		w.failures++
 	} else {
-		w.failures = failuresDown
+		w.failures = failuresUntilDown
 	}
-	w.backoff = min(max(2*w.backoff, firstBackoff), lastBackoff)
+	w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
 	w.retryAt = time.Now().Add(w.backoff)
 }
 
-func (w *committer) pause() time.Duration {
+func (w *committer) backoffLeft() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Until(w.retryAt)
@@ -265,7 +265,7 @@
 	const every = 10 * time.Millisecond
 	for {
 		w.mu.Lock()
-		empty := len(w.queue) == 0 && w.appending == 0
+		empty := len(w.queue) == 0 && w.inFlight == 0
 		w.mu.Unlock()
 		if empty {
 			return nil
@@ -277,10 +277,10 @@
 	}
 }
 
-// refuse tells a claim that the log did not take it.
-func (p *partition) refuse(cl *claim) {
+// resolveNotAppended tells a claim that the log did not take it.
+func (p *partition) resolveNotAppended(cl *claim) {
 	p.mu.Lock()
-	delete(p.undecided, cl.record.ID)
+	delete(p.unresolved, cl.record.ID)
 	p.mu.Unlock()
-	cl.rule(ruling{refused: true})
+	cl.resolve(resolution{notAppended: true})
 }
--- a/internal/calls/dispatch.go
+++ b/internal/calls/dispatch.go
@@ -20,7 +20,7 @@
 type dispatchResult struct {
 	outcome outcome.Outcome
 	// again: nothing ran, and another upstream may be tried.
-	again bool
+	tryAnother bool
 }
 
 // spawn runs work that outlives its caller. It reports false when the
@@ -56,56 +56,56 @@
 // active until that has ended, also when its caller has gone: otherwise Stop
 // would not wait for it, and its outcome would be lost with this gateway.
 func (c *Coordinator) dispatch(ctx context.Context, p *partition, cl *claim, fence ident.Fence) {
-	spec := c.spec(cl.call.Key.Service, cl.call.Method)
+	spec := c.specOf(cl.call.Key.Service, cl.call.Method)
 	ctx, cancel := c.detach(ctx, spec.timeout)
 	defer cancel()
-	p.begin(cl)
-	defer p.finish(cl)
+	p.dispatchStarted(cl)
+	defer p.dispatchEnded(cl)
 	answer, err := c.cfg.Dispatcher.Invoke(ctx, cl.call, cl.record.Target, fence)
 	switch {
 	case err == nil:
-		cl.result.outcome = p.conclude(cl.record.Head, answer)
+		cl.result.outcome = p.recordOutcome(cl.record.Head, answer)
 	case !upstream.Ran(err):
-		p.writer.add(notRun(cl, outcome.ReasonUpstreamRefused))
+		p.writer.enqueue(notRunEvent(cl, outcome.ReasonUpstreamRefused))
 		// The error's text stays inside: it may name addresses and quote
 		// the call.
 		cl.result.outcome = outcome.NewNotRun(outcome.ReasonUpstreamRefused, "the upstream ran nothing", retrySoon)
-		cl.result.again = true
+		cl.result.tryAnother = true
 	default:
-		cl.result.outcome = c.concludeLost(p, cl, spec)
+		cl.result.outcome = c.resolveLostAnswer(p, cl, spec)
 	}
 	close(cl.done)
 }
 
-// conclude records what an upstream answered, here, with peers and in the
+// recordOutcome records what an upstream answered, here, with peers and in the
 // journal.
-func (p *partition) conclude(head journal.Head, answer upstream.Answer) outcome.Outcome {
+func (p *partition) recordOutcome(head journal.Head, answer upstream.Answer) outcome.Outcome {
 	kind := outcome.Completed
 	if answer.Failed {
 		kind = outcome.Failed
 	}
 	known := KeyedOutcome{Head: head, Kind: kind, Payload: answer.Payload}
-	p.keepCopy(known, true)
-	p.writer.add(p.outcomeEvent(known))
-	p.c.spawn(func() { p.c.putWithPeers([]KeyedOutcome{known}) })
+	p.storeCopy(known, true)
+	p.writer.enqueue(p.outcomeEvent(known))
+	p.c.spawn(func() { p.c.replicateOutcomes([]KeyedOutcome{known}) })
 	return outcome.Outcome{Kind: kind, Reason: finalReason(kind), Payload: answer.Payload}
 }
 
-// concludeLost handles a call whose answer was lost: it asks the upstream
+// resolveLostAnswer handles a call whose answer was lost: it asks the upstream
 // once more what became of the key.
-func (c *Coordinator) concludeLost(p *partition, cl *claim, spec spec) outcome.Outcome {
+func (c *Coordinator) resolveLostAnswer(p *partition, cl *claim, spec callSpec) outcome.Outcome {
 	if spec.findsOutcomes {
-		found, err := c.findAt(c.workCtx, cl.record.Head, cl.record.Target, 0)
+		found, err := c.findAtUpstream(c.workCtx, cl.record.Head, cl.record.Target, 0)
 		if err == nil && found.State == upstream.Done {
-			return p.conclude(cl.record.Head, found.Answer)
+			return p.recordOutcome(cl.record.Head, found.Answer)
 		}
 	}
-	p.writer.add(journal.Outcome{Head: cl.record.Head, Kind: outcome.Unknown, Reason: outcome.ReasonUpstreamLost})
+	p.writer.enqueue(journal.Outcome{Head: cl.record.Head, Kind: outcome.Unknown, Reason: outcome.ReasonUpstreamLost})
 	return outcome.NewUnknown(outcome.ReasonUpstreamLost, "the upstream's answer was lost; ask again by key", retryLater)
 }
 
-// findAt asks an upstream about a key. A fence of 0 fences nothing off.
-func (c *Coordinator) findAt(ctx context.Context, head journal.Head, target journal.Target, fence ident.Fence) (upstream.FindResult, error) {
+// findAtUpstream asks an upstream about a key. A fence of 0 fences nothing off.
+func (c *Coordinator) findAtUpstream(ctx context.Context, head journal.Head, target journal.Target, fence ident.Fence) (upstream.FindResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.limits.PeerTimeout)
 	defer cancel()
 	return c.cfg.Dispatcher.Find(ctx, head.Key, target, fence)
@@ -115,23 +115,23 @@
 func (c *Coordinator) awaitResult(ctx context.Context, cl *claim) (outcome.Outcome, bool) {
 	select {
 	case <-cl.done:
-		return cl.result.outcome, cl.result.again
+		return cl.result.outcome, cl.result.tryAnother
 	case <-ctx.Done():
 		return outcome.NewUnknown(cancelReason(ctx), "the call was dispatched and still runs; ask again by key", retrySoon), false
 	}
 }
 
-// spec is what a service's document says about its upstreams and a method.
-type spec struct {
+// callSpec is what a service's document says about its upstreams and a method.
+type callSpec struct {
 	checksFencing bool
 	findsOutcomes bool
 	timeout       time.Duration
 }
 
-// spec returns what the document in force says. A service without a document
+// specOf returns what the document in force says. A service without a document
 // is trusted with nothing.
-func (c *Coordinator) spec(service ident.Service, method ident.Method) spec {
-	s := spec{timeout: c.limits.CallTimeout}
+func (c *Coordinator) specOf(service ident.Service, method ident.Method) callSpec {
+	s := callSpec{timeout: c.limits.CallTimeout}
 	d, ok := c.cfg.Documents.Value().Find(service)
 	if !ok {
 		return s
--- a/internal/calls/fold/fold.go
+++ b/internal/calls/fold/fold.go
@@ -54,9 +54,9 @@
 	// LostKeyReused: the key belongs to a different request.
 	LostKeyReused
 	// LostAttempt: a later attempt of the caller has owned the key.
-	LostAttempt
+	LostToLaterAttempt
 	// LostTime: the key was issued outside the window.
-	LostTime
+	LostOutsideWindow
 	// LostEnded: the claim had been given up before its record came.
 	LostEnded
 )
@@ -97,13 +97,13 @@
 type Fold struct {
 	// entries holds the first request of each key.
 	entries map[ident.CallKey]*entry
-	// expiring lists all requests in the order in which they came.
-	expiring []expiring
-	logTime  time.Time
+	// expiryQueue lists all requests in the order in which they came.
+	expiryQueue []expiryItem
+	logTime     time.Time
 	// partial: records before the first one read had expired.
-	partial  bool
-	firstSet bool
-	first    time.Time
+	partial   bool
+	hasFirst  bool
+	firstTime time.Time
 }
 
 // entry is the state of one request under a key. ended lists all its claims
@@ -112,13 +112,13 @@
 type entry struct {
 	View
 	ended []journal.ClaimID
-	// later is the next request under the same key, in the order of the log.
+	// next is the next request under the same key, in the order of the log.
 	// It cannot own the key before this one has expired.
-	later *entry
+	next *entry
 }
 
-// expiring is a request with its key.
-type expiring struct {
+// expiryItem is a request with its key.
+type expiryItem struct {
 	key      ident.CallKey
 	issuedAt time.Time
 }
@@ -146,12 +146,12 @@
 	if !f.partial {
 		return time.Time{}, true
 	}
-	return f.first.Add(journal.Window + 2*journal.MaxSkew), f.firstSet
+	return f.firstTime.Add(journal.Window + 2*journal.MaxSkew), f.hasFirst
 }
 
-// Certain reports whether all that the log has said of a key issued at issuedAt
+// CompleteFor reports whether all that the log has said of a key issued at issuedAt
 // is known here: nothing expired unread, and nothing was forgotten.
-func (f *Fold) Certain(issuedAt time.Time) bool {
+func (f *Fold) CompleteFor(issuedAt time.Time) bool {
 	since, ok := f.CompleteSince()
 	return ok && issuedAt.After(since) && !journal.Expired(issuedAt, f.logTime)
 }
@@ -169,7 +169,7 @@
 func (f *Fold) current(key ident.CallKey) *entry {
 	e := f.entries[key]
 	for e != nil && journal.Expired(e.IssuedAt, f.logTime) {
-		e = e.later
+		e = e.next
 	}
 	return e
 }
@@ -177,7 +177,7 @@
 // Apply takes the next record. offset and appendedAt are the record's, now is
 // the reader's clock. The decision is set for claims only.
 func (f *Fold) Apply(offset ident.Offset, appendedAt, now time.Time, event journal.Event) (Decision, bool) {
-	f.advance(appendedAt)
+	f.advanceLogTime(appendedAt)
 	switch e := event.(type) {
 	case journal.Claim:
 		return f.applyClaim(offset, now, e), true
@@ -189,19 +189,19 @@
 	return Decision{}, false
 }
 
-// advance moves the log's time, which never goes back here even if the log's
+// advanceLogTime moves the log's time, which never goes back here even if the log's
 // clock is set back, and forgets keys that can no longer be claimed.
-func (f *Fold) advance(appendedAt time.Time) {
-	if !f.firstSet {
-		f.first, f.firstSet = appendedAt, true
+func (f *Fold) advanceLogTime(appendedAt time.Time) {
+	if !f.hasFirst {
+		f.firstTime, f.hasFirst = appendedAt, true
 	}
 	if appendedAt.After(f.logTime) {
 		f.logTime = appendedAt
 	}
-	for len(f.expiring) > 0 && journal.Expired(f.expiring[0].issuedAt, f.logTime) {
-		f.forgetExpired(f.expiring[0].key)
-		f.expiring[0] = expiring{}
-		f.expiring = f.expiring[1:]
+	for len(f.expiryQueue) > 0 && journal.Expired(f.expiryQueue[0].issuedAt, f.logTime) {
+		f.forgetExpired(f.expiryQueue[0].key)
+		f.expiryQueue[0] = expiryItem{}
+		f.expiryQueue = f.expiryQueue[1:]
 	}
 }
 
@@ -215,11 +215,11 @@
 	f.entries[key] = e
 }
 
-// entryOf returns the entry of an event's request, made if it does not exist
+// entryFor returns the entry of an event's request, made if it does not exist
 // yet, and whether the key belongs to another request. It returns nil when the
 // record is void because of its time.
-func (f *Fold) entryOf(h journal.Head) (e *entry, reused bool) {
-	if journal.Expired(h.IssuedAt, f.logTime) || journal.Early(h.IssuedAt, f.logTime) {
+func (f *Fold) entryFor(h journal.Head) (e *entry, reused bool) {
+	if journal.Expired(h.IssuedAt, f.logTime) || journal.IssuedInFuture(h.IssuedAt, f.logTime) {
 		return nil, false
 	}
 	first := f.current(h.Key)
@@ -227,7 +227,7 @@
 		return f.newEntry(h, nil), false
 	}
 	last := first
-	for e := first; e != nil; e = e.later {
+	for e := first; e != nil; e = e.next {
 		if e.Digest == h.Digest {
 			return e, e != first
 		}
@@ -239,44 +239,44 @@
 // newEntry adds a request after last, or as the first one of its key.
 func (f *Fold) newEntry(h journal.Head, last *entry) *entry {
 	key := ident.CallKey{
-		Service: ident.Service(shared(string(h.Key.Service))),
-		Account: ident.ClientAccount(shared(string(h.Key.Account))),
+		Service: ident.Service(intern(string(h.Key.Service))),
+		Account: ident.ClientAccount(intern(string(h.Key.Account))),
 		Key:     h.Key.Key,
 	}
 	e := &entry{View: View{Digest: h.Digest, IssuedAt: h.IssuedAt}}
 	if last == nil {
 		f.entries[key] = e
 	} else {
-		last.later = e
+		last.next = e
 	}
-	f.expiring = append(f.expiring, expiring{key: key, issuedAt: h.IssuedAt})
+	f.expiryQueue = append(f.expiryQueue, expiryItem{key: key, issuedAt: h.IssuedAt})
 	return e
 }
 
 func (f *Fold) applyClaim(offset ident.Offset, now time.Time, c journal.Claim) Decision {
 	d := Decision{Claim: c.ID}
-	e, reused := f.entryOf(c.Head)
+	e, reused := f.entryFor(c.Head)
 	switch {
 	case e == nil:
-		d.Verdict = LostTime
+		d.Verdict = LostOutsideWindow
 		return d
 	case reused:
 		d.Verdict = LostKeyReused
 		return d
 	}
-	d.Verdict = e.judge(c)
+	d.Verdict = e.verdictOn(c)
 	if d.Verdict != Won {
 		return d
 	}
 	if e.Claim != c.ID {
-		e.own(offset, now, c)
+		e.setOwner(offset, now, c)
 	}
 	d.Fence = e.Fence
 	return d
 }
 
-// judge tells whether a claim may own the key now.
-func (e *entry) judge(c journal.Claim) Verdict {
+// verdictOn tells whether a claim may own the key now.
+func (e *entry) verdictOn(c journal.Claim) Verdict {
 	switch {
 	case slices.Contains(e.ended, c.ID):
 		return LostEnded
@@ -293,7 +293,7 @@
 	case e.owned():
 		return LostClaimed
 	case c.Attempt < e.Attempt:
-		return LostAttempt
+		return LostToLaterAttempt
 	}
 	return Won
 }
@@ -301,14 +301,14 @@
 // owned reports whether a claim owns the key.
 func (e *entry) owned() bool { return e.State == Claimed || e.State == Unknown }
 
-// own makes a claim the owner.
-func (e *entry) own(offset ident.Offset, now time.Time, c journal.Claim) {
+// setOwner makes a claim the owner.
+func (e *entry) setOwner(offset ident.Offset, now time.Time, c journal.Claim) {
 	if e.owned() {
 		e.ended = append(e.ended, e.Claim)
 	}
 	e.State = Claimed
 	e.Claim = c.ID
-	e.Holder = ident.Instance(shared(string(c.Holder)))
+	e.Holder = ident.Instance(intern(string(c.Holder)))
 	// An offset starts from 0, a fence from 1.
 	e.Fence = ident.Fence(offset) + 1
 	e.SeenAt = now
@@ -319,15 +319,15 @@
 	}
 	e.Attempt = c.Attempt
 	e.Target = journal.Target{
-		Instance:    ident.Instance(shared(string(c.Target.Instance))),
+		Instance:    ident.Instance(intern(string(c.Target.Instance))),
 		Incarnation: c.Target.Incarnation,
-		Address:     shared(c.Target.Address),
+		Address:     intern(c.Target.Address),
 	}
 }
 
-// end makes sure that a claim can never own the key again, whether its record
+// endClaim makes sure that a claim can never own the key again, whether its record
 // came already or comes later, and reports whether it was the owner.
-func (e *entry) end(id journal.ClaimID) bool {
+func (e *entry) endClaim(id journal.ClaimID) bool {
 	owner := e.owned() && e.Claim == id
 	if !slices.Contains(e.ended, id) {
 		e.ended = append(e.ended, id)
@@ -336,23 +336,23 @@
 }
 
 func (f *Fold) applyRelease(r journal.Release) {
-	e, _ := f.entryOf(r.Head)
+	e, _ := f.entryFor(r.Head)
 	if e == nil || e.State == Final {
 		return
 	}
-	if e.end(r.ID) && !e.Settling {
+	if e.endClaim(r.ID) && !e.Settling {
 		e.State = Released
 	}
 }
 
 func (f *Fold) applyOutcome(o journal.Outcome) {
-	e, _ := f.entryOf(o.Head)
+	e, _ := f.entryFor(o.Head)
 	if e == nil || e.State == Final {
 		return
 	}
 	switch o.Kind {
 	case outcome.NotRun:
-		if e.end(o.ID) {
+		if e.endClaim(o.ID) {
 			e.State, e.Reason = NotRun, o.Reason
 		}
 	case outcome.Unknown:
@@ -369,6 +369,6 @@
 	}
 }
 
-// shared returns the one copy in memory of a name that many keys have in
+// intern returns the one copy in memory of a name that many keys have in
 // common.
-func shared(name string) string { return unique.Make(name).Value() }
+func intern(name string) string { return unique.Make(name).Value() }
--- a/internal/calls/fold/fold_test.go
+++ b/internal/calls/fold/fold_test.go
@@ -72,49 +72,49 @@
 	return journal.Outcome{Head: c.Head, Kind: rapid.SampledFrom(kinds).Draw(t, "kind")}
 }
 
-// judged is a record with what a fold decided.
-type judged struct {
+// decidedRecord is a record with what a fold decided.
+type decidedRecord struct {
 	record
 	Decision
 }
 
-func apply(f *Fold, stream []record) []judged {
-	var all []judged
+func apply(f *Fold, stream []record) []decidedRecord {
+	var all []decidedRecord
 	for _, r := range stream {
 		d, _ := f.Apply(r.offset, r.at, r.at, r.event)
-		all = append(all, judged{r, d})
+		all = append(all, decidedRecord{r, d})
 	}
 	return all
 }
 
-// timely reports whether a record of a key counts at a time of the log.
-func timely(h journal.Head, at time.Time) bool {
+// inWindow reports whether a record of a key counts at a time of the log.
+func inWindow(h journal.Head, at time.Time) bool {
 	return at.Sub(h.IssuedAt) <= journal.Window && h.IssuedAt.Sub(at) <= journal.MaxSkew
 }
 
-// endsBy reports whether a record ends a claim.
-func endsBy(r record, w journal.Claim) bool {
+// endsClaim reports whether a record ends a claim.
+func endsClaim(r record, w journal.Claim) bool {
 	switch e := r.event.(type) {
 	case journal.Outcome:
 		ends := e.Kind != outcome.Unknown
-		return ends && e.ID == w.ID && e.Digest == w.Digest && timely(e.Head, r.at)
+		return ends && e.ID == w.ID && e.Digest == w.Digest && inWindow(e.Head, r.at)
 	case journal.Release:
 		settling := w.Supersedes != journal.ClaimID{}
-		return !settling && e.ID == w.ID && e.Digest == w.Digest && timely(e.Head, r.at)
+		return !settling && e.ID == w.ID && e.Digest == w.Digest && inWindow(e.Head, r.at)
 	}
 	return false
 }
 
 // checkWinner holds a claim that won against all that came before it.
-func checkWinner(t *rapid.T, before []judged, j judged, c journal.Claim) {
-	if !timely(c.Head, j.at) {
+func checkWinner(t *rapid.T, before []decidedRecord, j decidedRecord, c journal.Claim) {
+	if !inWindow(c.Head, j.at) {
 		t.Fatalf("record %d: a claim won outside the window", j.offset)
 	}
 	for i, b := range before {
-		if endsBy(b.record, c) {
+		if endsClaim(b.record, c) {
 			t.Fatalf("record %d: a claim won after record %d had ended it", j.offset, b.offset)
 		}
-		if o, ok := b.event.(journal.Outcome); ok && o.Digest == c.Digest && o.Kind.Final() && timely(o.Head, b.at) {
+		if o, ok := b.event.(journal.Outcome); ok && o.Digest == c.Digest && o.Kind.Final() && inWindow(o.Head, b.at) {
 			t.Fatalf("record %d: a claim won after the outcome in record %d", j.offset, b.offset)
 		}
 		w, ok := b.event.(journal.Claim)
@@ -126,11 +126,11 @@
 
 // checkSuccessor holds two winners of one key against each other: w won at b, c
 // later at j, and between holds the records from b on.
-func checkSuccessor(t *rapid.T, between []judged, b judged, w journal.Claim, j judged, c journal.Claim) {
+func checkSuccessor(t *rapid.T, between []decidedRecord, b decidedRecord, w journal.Claim, j decidedRecord, c journal.Claim) {
 	settles := c.Supersedes != journal.ClaimID{}
 	switch {
 	case w.Digest != c.Digest:
-		if timely(w.Head, j.at) && timely(w.Head, b.at) {
+		if inWindow(w.Head, j.at) && inWindow(w.Head, b.at) {
 			t.Fatalf("records %d and %d: two requests own a key", b.offset, j.offset)
 		}
 		return
@@ -142,7 +142,7 @@
 	for _, r := range between {
 		x, ok := r.event.(journal.Claim)
 		superseded := ok && r.Verdict == Won && x.Supersedes == w.ID
-		if superseded || endsBy(r.record, w) {
+		if superseded || endsClaim(r.record, w) {
 			return
 		}
 	}
@@ -161,7 +161,7 @@
 				seen[keyOf(j.event)] = true
 				continue
 			}
-			first := !seen[c.Key] && timely(c.Head, j.at) && c.Supersedes == journal.ClaimID{}
+			first := !seen[c.Key] && inWindow(c.Head, j.at) && c.Supersedes == journal.ClaimID{}
 			if first && j.Verdict != Won {
 				t.Fatalf("record %d: the first claim of a key got verdict %d", j.offset, j.Verdict)
 			}
@@ -194,7 +194,7 @@
 		for i, r := range stream[cut:] {
 			j := apply(late, []record{r})[0]
 			c, ok := j.event.(journal.Claim)
-			if ok && late.Certain(c.IssuedAt) && j.Verdict != whole[i].Verdict {
+			if ok && late.CompleteFor(c.IssuedAt) && j.Verdict != whole[i].Verdict {
 				t.Fatalf("record %d: verdict %d, but %d by all records", j.offset, j.Verdict, whole[i].Verdict)
 			}
 		}
--- a/internal/calls/handover.go
+++ b/internal/calls/handover.go
@@ -35,7 +35,7 @@
 func (c *Coordinator) handOverCalls(ctx context.Context) {
 	given := map[journal.ClaimID]*claim{}
 	var h HandOver
-	for _, cl := range c.giveUpWaiting() {
+	for _, cl := range c.markWaitingHandedOver() {
 		given[cl.record.ID] = cl
 		h.Calls = append(h.Calls, HandedCall{
 			Call:      cl.call,
@@ -57,18 +57,18 @@
 		if len(calls) == 0 {
 			return
 		}
-		accepted, err := c.handTo(ctx, peer, HandOver{Calls: calls})
+		accepted, err := c.sendHandOver(ctx, peer, HandOver{Calls: calls})
 		doubtful = doubtful || err != nil && !errors.Is(err, ErrNotHanded)
 		for _, id := range accepted {
 			if cl, ok := given[id]; ok {
-				c.concludeHanded(cl)
+				c.endHandedOverClaim(cl)
 				delete(given, id)
 			}
 		}
-		calls = remaining(calls, given)
+		calls = untakenCalls(calls, given)
 	}
 	for _, call := range calls {
-		c.concludeNotHanded(given[call.Claim], doubtful)
+		c.endUntakenClaim(given[call.Claim], doubtful)
 	}
 }
 
@@ -77,9 +77,9 @@
 	// accepts. One that is refused for its size cannot be told from one whose
 	// answer was lost: its calls would be told as in progress, and run nowhere.
 	maxHandOverBytes = 4 << 20
-	// handedBytes is what a call or an outcome takes besides its payload and
+	// overheadBytes is what a call or an outcome takes besides its payload and
 	// its key, rounded up.
-	handedBytes = 512
+	overheadBytes = 512
 )
 
 // batches cuts a hand-over into messages of at most maxHandOverBytes. What is
@@ -89,7 +89,7 @@
 	var next HandOver
 	size := 0
 	reserve := func(key ident.CallKey, payload []byte) {
-		bytes := handedBytes + len(key.String()) + len(payload)
+		bytes := overheadBytes + len(key.String()) + len(payload)
 		if size > 0 && size+bytes > maxHandOverBytes {
 			all = append(all, next)
 			next, size = HandOver{}, 0
@@ -110,15 +110,15 @@
 	return append(all, next)
 }
 
-// giveUpWaiting moves all waiting claims to handed: from here on this gateway
+// markWaitingHandedOver moves all waiting claims to handed: from here on this gateway
 // will never dispatch them.
-func (c *Coordinator) giveUpWaiting() []*claim {
+func (c *Coordinator) markWaitingHandedOver() []*claim {
 	var given []*claim
 	for _, p := range c.partitions {
 		p.mu.Lock()
-		p.left = true
+		p.closedToClaims = true
 		for cl := range p.active {
-			if !cl.settles() && cl.leave(handed) {
+			if !cl.isTakeover() && cl.leaveWaiting(handedOver) {
 				given = append(given, cl)
 			}
 		}
@@ -127,7 +127,7 @@
 	return given
 }
 
-func (c *Coordinator) handTo(ctx context.Context, peer Peer, h HandOver) ([]journal.ClaimID, error) {
+func (c *Coordinator) sendHandOver(ctx context.Context, peer Peer, h HandOver) ([]journal.ClaimID, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.limits.PeerTimeout)
 	defer cancel()
 	accepted, err := peer.HandOver(ctx, h)
@@ -137,8 +137,8 @@
 	return accepted, err
 }
 
-// remaining returns the calls whose claims are in given.
-func remaining(calls []HandedCall, given map[journal.ClaimID]*claim) []HandedCall {
+// untakenCalls returns the calls whose claims are in given.
+func untakenCalls(calls []HandedCall, given map[journal.ClaimID]*claim) []HandedCall {
 	var left []HandedCall
 	for _, call := range calls {
 		if _, ok := given[call.Claim]; ok {
@@ -148,23 +148,23 @@
 	return left
 }
 
-// concludeHanded ends a claim whose call a peer has taken.
-func (c *Coordinator) concludeHanded(cl *claim) {
+// endHandedOverClaim ends a claim whose call a peer has taken.
+func (c *Coordinator) endHandedOverClaim(cl *claim) {
 	p := c.partition(cl.call.Key)
-	p.writer.add(journal.Release{Head: cl.record.Head})
-	cl.given <- inProgress("this gateway is leaving; another one runs the call, ask again by key")
+	p.writer.enqueue(journal.Release{Head: cl.record.Head})
+	cl.handedOverOutcome <- inProgressOutcome("this gateway is leaving; another one runs the call, ask again by key")
 }
 
-// concludeNotHanded ends a claim whose call no peer has taken for certain.
+// endUntakenClaim ends a claim whose call no peer has taken for certain.
 // After a lost answer one may have, so that the claim is released rather than
 // not run.
-func (c *Coordinator) concludeNotHanded(cl *claim, doubtful bool) {
+func (c *Coordinator) endUntakenClaim(cl *claim, doubtful bool) {
 	if doubtful {
-		c.concludeHanded(cl)
+		c.endHandedOverClaim(cl)
 		return
 	}
 	c.partition(cl.call.Key).endClaim(cl, outcome.ReasonLeaving)
-	cl.given <- refuse(cl.call, outcome.ReasonLeaving, "this gateway is leaving", retrySoon)
+	cl.handedOverOutcome <- refusal(cl.call, outcome.ReasonLeaving, "this gateway is leaving", retrySoon)
 }
 
 // awaitDispatched waits for the calls that upstreams are running.
@@ -184,7 +184,7 @@
 	for _, p := range c.partitions {
 		p.mu.Lock()
 		for cl := range p.active {
-			if !cl.settles() && cl.phase.Load() == dispatched {
+			if !cl.isTakeover() && cl.phase.Load() == dispatched {
 				running = append(running, cl)
 			}
 		}
@@ -211,7 +211,7 @@
 // offerOutcomes gives outcomes to the first peer that takes them.
 func (c *Coordinator) offerOutcomes(ctx context.Context, h HandOver) {
 	for _, peer := range c.cfg.Peers.Candidates() {
-		if _, err := c.handTo(ctx, peer, h); err == nil {
+		if _, err := c.sendHandOver(ctx, peer, h); err == nil {
 			return
 		}
 	}
@@ -223,35 +223,35 @@
 	c.PutOutcomes(h.Outcomes)
 	var accepted []journal.ClaimID
 	for _, given := range h.Calls {
-		if c.accept(given) {
+		if c.acceptCall(given) {
 			accepted = append(accepted, given.Claim)
 		}
 	}
 	return accepted
 }
 
-// accept begins to run a handed call. The message itself proves that the
+// acceptCall begins to run a handed call. The message itself proves that the
 // former holder never dispatches it, so that this gateway journals the release
 // together with its own claim: the former holder may die before it can.
-func (c *Coordinator) accept(given HandedCall) bool {
+func (c *Coordinator) acceptCall(given HandedCall) bool {
 	call := given.Call
 	digest := journal.NewDigest(call.Key, call.Method, call.IssuedAt, call.Payload)
 	p := c.partition(call.Key)
-	if digest != given.Digest || c.stopping.Load() || !p.usable(call.IssuedAt, time.Now()) {
+	if digest != given.Digest || c.stopping.Load() || !p.canClaim(call.IssuedAt, time.Now()) {
 		return false
 	}
 	release := journal.Release{Head: journal.Head{Key: call.Key, ID: given.Claim, Digest: digest, IssuedAt: call.IssuedAt}}
 	return c.spawn(func() {
 		ctx, cancel := context.WithTimeout(c.workCtx, given.Remaining)
 		defer cancel()
-		o := c.own(ctx, p, call, digest, &release)
+		o := c.claimAndDispatch(ctx, p, call, digest, &release)
 		c.log.Info("handed call ended", "key", call.Key.String(), "kind", o.Kind.String(), "reason", o.Reason)
 	})
 }
 
-// usable reports whether calls issued at issuedAt can be claimed now.
-func (p *partition) usable(issuedAt, now time.Time) bool {
+// canClaim reports whether calls issued at issuedAt can be claimed now.
+func (p *partition) canClaim(issuedAt, now time.Time) bool {
 	_, down := p.c.logDown(now)
 	ready, readable, _ := p.health()
-	return ready && readable && !down && p.certain(issuedAt)
+	return ready && readable && !down && p.completeFor(issuedAt)
 }
--- a/internal/calls/journal/codec.go
+++ b/internal/calls/journal/codec.go
@@ -196,9 +196,9 @@
 	return logTime.Sub(issuedAt) > Window
 }
 
-// Early reports whether a key issued at issuedAt cannot be claimed yet when
+// IssuedInFuture reports whether a key issued at issuedAt cannot be claimed yet when
 // the log's clock shows logTime, because the caller's clock is ahead by more
 // than MaxSkew.
-func Early(issuedAt, logTime time.Time) bool {
+func IssuedInFuture(issuedAt, logTime time.Time) bool {
 	return issuedAt.Sub(logTime) > MaxSkew
 }
--- a/internal/calls/journal/journal.go
+++ b/internal/calls/journal/journal.go
@@ -49,20 +49,20 @@
 func NewDigest(key ident.CallKey, method ident.Method, issuedAt time.Time, payload []byte) Digest {
 	h := sha256.New()
 	for _, part := range []string{string(key.Service), string(key.Account), string(key.Key), string(method)} {
-		writeSized(h.Write, []byte(part))
+		writeLengthPrefixed(h.Write, []byte(part))
 	}
 	var stamp [8]byte
 	binary.BigEndian.PutUint64(stamp[:], uint64(issuedAt.UnixNano()))
-	writeSized(h.Write, stamp[:])
-	writeSized(h.Write, payload)
+	writeLengthPrefixed(h.Write, stamp[:])
+	writeLengthPrefixed(h.Write, payload)
 	var d Digest
 	h.Sum(d[:0])
 	return d
 }
 
-// writeSized writes the length before the part, so that no two lists of parts
+// writeLengthPrefixed writes the length before the part, so that no two lists of parts
 // give the same bytes.
-func writeSized(write func([]byte) (int, error), part []byte) {
+func writeLengthPrefixed(write func([]byte) (int, error), part []byte) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(part)))
 	_, _ = write(size[:])
--- a/internal/calls/leaving_test.go
+++ b/internal/calls/leaving_test.go
@@ -18,16 +18,16 @@
 // Cause: only the record of the release opens the key; the peer must write it
 // too, because the message that hands the call over proves it.
 func TestHolderDiesInTheMiddleOfTheHandOver(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetLateness(50 * time.Millisecond)
 		m.w.log.LoseNext(fault.Late)
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
-		g[0].cut.Store(true)
+		m.send(g[0], r, longPatience)
+		g[0].cutOff.Store(true)
 		m.w.log.SetDelay(200 * time.Millisecond)
-		m.reclaim(g[0], patient)
+		m.reclaim(g[0], longPatience)
 		g[0].kill()
-		time.Sleep(patient)
+		time.Sleep(longPatience)
 		if count, _ := m.w.effects(r.key); count != 1 {
 			t.Fatalf("the call ran %d times, want once, by the peer%s", count, m.w.history(r.key))
 		}
@@ -41,18 +41,18 @@
 // Cause: the outcome must be with peers at once, and they must journal it when
 // the gateway no longer can.
 func TestOutcomeOutlivesItsGateway(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
-		m.w.upstreams[0].life().SetDelays(plain.Delays{AfterEffect: time.Second})
-		m.w.upstreams[1].life().SetDelays(plain.Delays{AfterEffect: time.Second})
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		m.w.upstreams[0].current().SetDelays(plain.Delays{AfterEffect: time.Second})
+		m.w.upstreams[1].current().SetDelays(plain.Delays{AfterEffect: time.Second})
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
+		m.send(g[0], r, longPatience)
 		m.w.log.SetOutage(true)
 		time.Sleep(2 * time.Second)
 		wantKind(t, "attempt 1", r.last(), outcome.Completed)
 		g[0].kill()
 		wantKind(t, "a question in the other failure domain", g[2].calls.Find(context.Background(), r.key), outcome.Completed)
 		m.w.log.SetOutage(false)
-		time.Sleep(patient)
+		time.Sleep(longPatience)
 		g[1].kill()
 		g[2].kill()
 		fresh := m.w.newGateway("hall-b")
@@ -69,13 +69,13 @@
 func TestStopLosesNothing(t *testing.T) {
 	slow := plain.Delays{AfterEffect: 2 * time.Second}
 	stop := func(m *machine, g *gateway) {
-		m.reclaim(g, patient)
+		m.reclaim(g, longPatience)
 		m.pending.Wait()
 	}
 	t.Run("a call that runs, at the last gateway", func(t *testing.T) {
-		inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
-			m.w.upstreams[0].life().SetDelays(slow)
-			m.w.upstreams[1].life().SetDelays(slow)
+		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+			m.w.upstreams[0].current().SetDelays(slow)
+			m.w.upstreams[1].current().SetDelays(slow)
 			g[1].kill()
 			g[2].kill()
 			r := m.newRequest(false)
@@ -90,13 +90,13 @@
 		})
 	})
 	t.Run("a call that waits, with peers", func(t *testing.T) {
-		inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 			m.w.log.SetDelay(700 * time.Millisecond)
 			r := m.newRequest(false)
-			m.send(g[0], r, patient)
+			m.send(g[0], r, longPatience)
 			stop(m, g[0])
 			wantKind(t, "attempt 1", r.last(), outcome.InProgress)
-			time.Sleep(patient)
+			time.Sleep(longPatience)
 			wantKind(t, "a question by key", g[1].calls.Find(context.Background(), r.key), outcome.Completed)
 		})
 	})
@@ -107,16 +107,16 @@
 // Sequence: a gateway leaves while calls with large requests wait for the log.
 // Cause: all of them in one message are more than a peer accepts.
 func TestHandOverOfLargeRequests(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetDelay(700 * time.Millisecond)
 		payload := strings.Repeat("x", 1<<20)
 		for range 12 {
 			r := m.newRequest(false)
 			r.payload = payload
-			m.send(g[0], r, patient)
+			m.send(g[0], r, longPatience)
 		}
-		m.reclaim(g[0], patient)
-		time.Sleep(patient)
+		m.reclaim(g[0], longPatience)
+		time.Sleep(longPatience)
 		for _, r := range m.requests {
 			wantKind(t, "a question by key", g[1].calls.Find(context.Background(), r.key), outcome.Completed)
 		}
@@ -128,9 +128,9 @@
 // key after all waiting claims were handed over.
 // Cause: from the hand-over on no claim may begin.
 func TestCallAdmittedJustBeforeTheStop(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		r := m.newRequest(false)
-		g[0].calls.giveUpWaiting()
+		g[0].calls.markWaitingHandedOver()
 		wantKind(t, "attempt 1", m.do(g[0], r), outcome.NotRun)
 		wantKind(t, "attempt 2", m.do(g[1], r), outcome.Completed)
 	})
@@ -140,14 +140,14 @@
 // Sequence: a repeat comes to another gateway when the claim is old already.
 // Cause: the holder must be asked whether it waits for the upstream.
 func TestRepeatWhileTheCallRuns(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		for _, s := range m.w.upstreams {
-			s.life().SetDelays(plain.Delays{BeforeEffect: 2800 * time.Millisecond})
+			s.current().SetDelays(plain.Delays{BeforeEffect: 2800 * time.Millisecond})
 		}
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
+		m.send(g[0], r, longPatience)
 		time.Sleep(2500 * time.Millisecond)
-		m.send(g[2], r, patient)
+		m.send(g[2], r, longPatience)
 		wantKind(t, "attempt 2", r.last(), outcome.InProgress)
 		wantKind(t, "attempt 3", m.do(g[2], r), outcome.Completed)
 	})
--- a/internal/calls/machine_test.go
+++ b/internal/calls/machine_test.go
@@ -36,8 +36,8 @@
 	issuedAt time.Time
 	attempts uint32
 
-	mu   sync.Mutex
-	told []told
+	mu      sync.Mutex
+	replies []reply
 }
 
 // machine sends requests at gateways while things fail, and checks what
@@ -47,7 +47,7 @@
 	requests []*request
 	pending  sync.WaitGroup
 	// deaths: a gateway ended without having written all it knew.
-	deaths atomic.Bool
+	stateLost atomic.Bool
 }
 
 func newMachine(trust document.UpstreamSpec) *machine {
@@ -86,12 +86,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
 		o := g.calls.Do(ctx, call)
-		if g.step() != nil {
+		if g.checkpoint() != nil {
 			return
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.told = append(r.told, told{attempt: call.Attempt, outcome: o})
+		r.replies = append(r.replies, reply{attempt: call.Attempt, outcome: o})
 	})
 	synctest.Wait()
 }
@@ -101,12 +101,12 @@
 	attempts := r.attempts
 	m.pending.Go(func() {
 		o := g.calls.Find(context.Background(), r.key)
-		if g.step() != nil {
+		if g.checkpoint() != nil {
 			return
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.told = append(r.told, told{attempt: attempts, outcome: o, byKey: true})
+		r.replies = append(r.replies, reply{attempt: attempts, outcome: o, byKey: true})
 	})
 	synctest.Wait()
 }
@@ -132,13 +132,13 @@
 		if count == 1 {
 			ran = r.attemptOf(replies[0])
 		}
-		for _, heard := range r.allTold() {
-			checkTold(t, r, heard, ran, replies)
+		for _, heard := range r.allReplies() {
+			checkReply(t, r, heard, ran, replies)
 		}
 	}
 }
 
-func checkTold(t rapidOrTest, r *request, heard told, ran uint32, replies []string) {
+func checkReply(t rapidOrTest, r *request, heard reply, ran uint32, replies []string) {
 	switch heard.outcome.Kind {
 	case outcome.NotRun:
 		if ran != 0 && ran <= heard.attempt {
@@ -193,8 +193,8 @@
 		return
 	}
 	w := m.w
-	settles := w.trust.FindsOutcomes && w.trust.ChecksFencing && !w.replaced
-	neverTaken := !m.deaths.Load() && w.taken[r.key] == 0
+	settles := w.trust.FindsOutcomes && w.trust.ChecksFencing && !w.upstreamReplaced
+	neverTaken := !m.stateLost.Load() && w.possiblyRun[r.key] == 0
 	if heard.Reason != outcome.ReasonKeyReused && (settles || neverTaken) {
 		t.Fatalf("%s: ends as %s (%s: %s); settles: %t, never taken by an upstream and no gateway died: %t%s",
 			r.key, heard.Kind, heard.Reason, heard.Message, settles, neverTaken, w.history(r.key))
@@ -213,14 +213,14 @@
 	}
 }
 
-func (r *request) allTold() []told {
+func (r *request) allReplies() []reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.told)
+	return slices.Clone(r.replies)
 }
 
 func (r *request) last() outcome.Outcome {
-	all := r.allTold()
+	all := r.allReplies()
 	if len(all) == 0 {
 		return outcome.Outcome{}
 	}
@@ -299,7 +299,7 @@
 	})
 	m.settle(t)
 	for _, r := range m.requests {
-		for _, one := range r.told {
+		for _, one := range r.replies {
 			heard[one.outcome.Kind]++
 		}
 	}
@@ -329,52 +329,52 @@
 		},
 		"log down":          func(t *rapid.T) { m.w.log.SetOutage(on.Draw(t, "on") == 1) },
 		"log slow":          func(t *rapid.T) { m.w.log.SetDelay(delays.Draw(t, "delay")) },
-		"cut from platform": func(t *rapid.T) { m.anyGateway(t).cut.Store(on.Draw(t, "on") == 1) },
+		"cut from platform": func(t *rapid.T) { m.anyGateway(t).cutOff.Store(on.Draw(t, "on") == 1) },
 		"split domains": func(t *rapid.T) {
 			split := on.Draw(t, "on") == 1
 			m.w.locked(func() { m.w.split = split })
 		},
 		"freeze":             func(t *rapid.T) { m.anyGateway(t).freeze() },
 		"freeze at dispatch": func(t *rapid.T) { m.anyGateway(t).freezeAtDispatch.Store(true) },
-		"thaw":               func(t *rapid.T) { m.anyGateway(t).thaw() },
+		"thaw":               func(t *rapid.T) { m.anyGateway(t).unfreeze() },
 		"kill": func(t *rapid.T) {
 			g := m.anyGateway(t)
-			m.deaths.Store(true)
+			m.stateLost.Store(true)
 			g.kill()
 			m.w.newGateway(g.domain)
 		},
 		"reclaim": func(t *rapid.T) {
 			g := m.anyGateway(t)
 			lose := on.Draw(t, "lose answer") == 1
-			m.w.locked(func() { m.w.loseHandOver = lose })
+			m.w.locked(func() { m.w.loseHandOverAnswers = lose })
 			m.reclaim(g, notices.Draw(t, "notice"))
 			m.w.newGateway(g.domain)
 		},
 		"reclaim while calls wait for the log": func(t *rapid.T) {
 			g := m.anyGateway(t)
 			lose := on.Draw(t, "lose answer") == 1
-			m.w.locked(func() { m.w.loseHandOver = lose })
+			m.w.locked(func() { m.w.loseHandOverAnswers = lose })
 			m.w.log.SetDelay(delays.Draw(t, "delay"))
 			m.send(g, m.newRequest(false), 5*time.Second)
 			m.reclaim(g, notices.Draw(t, "notice"))
 			m.w.newGateway(g.domain)
 		},
-		"upstream fails": func(t *rapid.T) { m.anyUpstream(t).life().FailNext(failures.Draw(t, "failure")) },
+		"upstream fails": func(t *rapid.T) { m.anyUpstream(t).current().FailNext(failures.Draw(t, "failure")) },
 		"upstream slow": func(t *rapid.T) {
 			s := m.anyUpstream(t)
-			s.life().SetDelays(plain.Delays{BeforeEffect: delays.Draw(t, "before"), AfterEffect: delays.Draw(t, "after")})
+			s.current().SetDelays(plain.Delays{BeforeEffect: delays.Draw(t, "before"), AfterEffect: delays.Draw(t, "after")})
 		},
-		"upstream leaves": func(t *rapid.T) { m.anyUpstream(t).life().SetLeaving(on.Draw(t, "leaving") == 1) },
+		"upstream leaves": func(t *rapid.T) { m.anyUpstream(t).current().SetLeaving(on.Draw(t, "leaving") == 1) },
 		"upstream is replaced": func(t *rapid.T) {
 			s := m.anyUpstream(t)
 			m.w.locked(func() {
-				m.w.replaced = true
+				m.w.upstreamReplaced = true
 				s.start()
 			})
 		},
 		"call arrives late": func(t *rapid.T) {
 			late := lates.Draw(t, "late")
-			m.w.locked(func() { m.w.lateness = append(m.w.lateness, late) })
+			m.w.locked(func() { m.w.arrivalDelays = append(m.w.arrivalDelays, late) })
 		},
 	}
 }
@@ -386,7 +386,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), notice)
 		defer cancel()
 		if err := g.calls.Stop(ctx); err != nil {
-			m.deaths.Store(true)
+			m.stateLost.Store(true)
 		}
 		g.kill()
 	})
--- a/internal/calls/network_test.go
+++ b/internal/calls/network_test.go
@@ -18,28 +18,28 @@
 type gatewayLog struct{ g *gateway }
 
 func (l gatewayLog) Append(ctx context.Context, stream string, records [][]byte) (ident.Offset, error) {
-	if err := l.g.step(); err != nil {
+	if err := l.g.checkpoint(); err != nil {
 		return 0, err
 	}
-	if l.g.cut.Load() {
+	if l.g.cutOff.Load() {
 		return 0, platform.ErrUnavailable
 	}
 	offset, err := l.g.w.log.Append(ctx, stream, records)
-	if killed := l.g.step(); killed != nil {
+	if killed := l.g.checkpoint(); killed != nil {
 		return 0, killed
 	}
 	return offset, err
 }
 
 func (l gatewayLog) Read(ctx context.Context, stream string, from ident.Offset, limit int, wait time.Duration) (platform.Batch, error) {
-	if err := l.g.step(); err != nil {
+	if err := l.g.checkpoint(); err != nil {
 		return platform.Batch{}, err
 	}
-	if l.g.cut.Load() {
+	if l.g.cutOff.Load() {
 		return platform.Batch{}, platform.ErrUnavailable
 	}
 	batch, err := l.g.w.log.Read(ctx, stream, from, limit, wait)
-	if killed := l.g.step(); killed != nil {
+	if killed := l.g.checkpoint(); killed != nil {
 		return platform.Batch{}, killed
 	}
 	return batch, err
@@ -64,12 +64,12 @@
 	return journal.Target{}, false
 }
 
-// life returns what runs at a target's address now.
-func (w *world) life(target journal.Target) *plain.Service {
+// serviceAt returns what runs at a target's address now.
+func (w *world) serviceAt(target journal.Target) *plain.Service {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := slices.IndexFunc(w.upstreams, func(s *server) bool { return s.id == target.Instance })
-	return w.upstreams[i].life()
+	return w.upstreams[i].current()
 }
 
 // upstreamPayload marks the attempt, so that the oracle sees which one ran.
@@ -77,14 +77,14 @@
 	return fmt.Appendf(nil, "%s#%d", payload, attempt)
 }
 
-func (w *world) nextLateness() time.Duration {
+func (w *world) nextArrivalDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.lateness) == 0 {
+	if len(w.arrivalDelays) == 0 {
 		return 0
 	}
-	late := w.lateness[0]
-	w.lateness = w.lateness[1:]
+	late := w.arrivalDelays[0]
+	w.arrivalDelays = w.arrivalDelays[1:]
 	return late
 }
 
@@ -94,11 +94,11 @@
 	if d.g.freezeAtDispatch.CompareAndSwap(true, false) {
 		d.g.freeze()
 	}
-	if err := d.g.step(); err != nil {
+	if err := d.g.checkpoint(); err != nil {
 		return upstream.Answer{}, err
 	}
 	w := d.g.w
-	late := w.nextLateness()
+	late := w.nextArrivalDelay()
 	req := upstream.InvokeRequest{
 		Method:  call.Method,
 		Key:     call.Key.String(),
@@ -110,34 +110,34 @@
 		req.Incarnation = target.Incarnation
 	}
 	send := func(ctx context.Context) (upstream.Answer, error) {
-		answer, err := w.life(target).Invoke(ctx, req)
+		answer, err := w.serviceAt(target).Invoke(ctx, req)
 		if upstream.Ran(err) {
-			w.locked(func() { w.taken[call.Key]++ })
+			w.locked(func() { w.possiblyRun[call.Key]++ })
 		}
 		return answer, err
 	}
 	if late > 0 {
-		w.locked(func() { w.taken[call.Key]++ })
+		w.locked(func() { w.possiblyRun[call.Key]++ })
 		time.AfterFunc(late, func() { _, _ = send(context.Background()) })
 		return upstream.Answer{}, plain.ErrConnectionLost
 	}
 	if ctx.Err() != nil {
-		w.locked(func() { w.taken[call.Key]++ })
+		w.locked(func() { w.possiblyRun[call.Key]++ })
 		_, _ = send(context.Background())
 		return upstream.Answer{}, ctx.Err()
 	}
 	answer, err := send(ctx)
-	if killed := d.g.step(); killed != nil {
+	if killed := d.g.checkpoint(); killed != nil {
 		return upstream.Answer{}, killed
 	}
 	return answer, err
 }
 
 func (d dispatcher) Find(ctx context.Context, key ident.CallKey, target journal.Target, fence ident.Fence) (upstream.FindResult, error) {
-	if err := d.g.step(); err != nil {
+	if err := d.g.checkpoint(); err != nil {
 		return upstream.FindResult{}, err
 	}
-	found, err := d.g.w.life(target).Find(ctx, key.String(), fence)
+	found, err := d.g.w.serviceAt(target).Find(ctx, key.String(), fence)
 	if found.Incarnation != target.Incarnation || !d.g.w.trust.FindsOutcomes {
 		return upstream.FindResult{}, upstream.ErrRefused
 	}
@@ -171,7 +171,7 @@
 
 // reach returns an error when the peer cannot be reached at all.
 func (p peer) reach() error {
-	if err := p.from.step(); err != nil {
+	if err := p.from.checkpoint(); err != nil {
 		return err
 	}
 	p.from.w.mu.Lock()
@@ -208,28 +208,28 @@
 	if err := p.reach(); err != nil {
 		return nil, err
 	}
-	if payloadBytes(h) > maxMessage {
+	if payloadBytes(h) > maxMessageBytes {
 		return nil, errors.New("message too large")
 	}
 	answer := make(chan []journal.ClaimID, 1)
 	go func() {
-		if p.to.step() == nil {
+		if p.to.checkpoint() == nil {
 			answer <- p.to.calls.TakeOver(h)
 		}
 	}()
 	select {
 	case accepted := <-answer:
-		if p.from.w.handOverLost() {
+		if p.from.w.losesHandOverAnswers() {
 			return nil, errors.New("answer of hand-over lost")
 		}
-		return accepted, p.from.step()
+		return accepted, p.from.checkpoint()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// maxMessage is the largest message between gateways, as in package peer.
-const maxMessage = 8 << 20
+// maxMessageBytes is the largest message between gateways, as in package peer.
+const maxMessageBytes = 8 << 20
 
 func payloadBytes(h HandOver) (bytes int) {
 	for _, call := range h.Calls {
--- a/internal/calls/outcomes.go
+++ b/internal/calls/outcomes.go
@@ -13,8 +13,8 @@
 const (
 	// outcomeReplicas is how many peers get each outcome at once.
 	outcomeReplicas = 2
-	// peersAsked is how many peers are asked about one key.
-	peersAsked = 3
+	// maxPeersAsked is how many peers are asked about one key.
+	maxPeersAsked = 3
 	// adoptAfter is how long a peer's outcome may be missing from the journal
 	// before this gateway journals it, because the peer may have died.
 	adoptAfter = 5 * time.Second
@@ -23,7 +23,7 @@
 // PutOutcomes takes outcomes that a peer sends.
 func (c *Coordinator) PutOutcomes(outcomes []KeyedOutcome) {
 	for _, o := range outcomes {
-		c.partition(o.Key).keepCopy(o, false)
+		c.partition(o.Key).storeCopy(o, false)
 	}
 }
 
@@ -44,9 +44,9 @@
 	return answer
 }
 
-// keepCopy remembers a final outcome until the journal has it. queued tells
+// storeCopy remembers a final outcome until the journal has it. queued tells
 // that this gateway journals it already. The first one of a key stays.
-func (p *partition) keepCopy(o KeyedOutcome, queued bool) {
+func (p *partition) storeCopy(o KeyedOutcome, queued bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if view, ok := p.fold.Get(o.Key); ok && view.Digest != o.Digest {
@@ -85,15 +85,15 @@
 	}
 	p.mu.Unlock()
 	for _, e := range adopt {
-		p.writer.add(e)
+		p.writer.enqueue(e)
 	}
 }
 
-// putWithPeers gives outcomes to peers, at once, so that they outlive this
+// replicateOutcomes gives outcomes to peers, at once, so that they outlive this
 // gateway even before the journal has them.
-func (c *Coordinator) putWithPeers(outcomes []KeyedOutcome) {
+func (c *Coordinator) replicateOutcomes(outcomes []KeyedOutcome) {
 	peers := c.cfg.Peers.Candidates()
-	c.eachPeer(c.workCtx, peers[:min(len(peers), outcomeReplicas)], func(ctx context.Context, peer Peer) (enough bool) {
+	c.forEachPeer(c.workCtx, peers[:min(len(peers), outcomeReplicas)], func(ctx context.Context, peer Peer) (enough bool) {
 		if err := peer.PutOutcomes(ctx, outcomes); err != nil {
 			c.log.Debug("outcomes not stored with peer", "peer", peer.ID(), "error", err)
 		}
@@ -106,7 +106,7 @@
 func (c *Coordinator) askPeers(ctx context.Context, p *partition, key ident.CallKey, holder ident.Instance) (running bool) {
 	peers := holderFirst(c.cfg.Peers.Candidates(), holder)
 	var mu sync.Mutex
-	c.eachPeer(ctx, peers[:min(len(peers), peersAsked)], func(ctx context.Context, peer Peer) (enough bool) {
+	c.forEachPeer(ctx, peers[:min(len(peers), maxPeersAsked)], func(ctx context.Context, peer Peer) (enough bool) {
 		answer, err := peer.FindOutcome(ctx, key)
 		if err != nil {
 			return false
@@ -117,7 +117,7 @@
 		if answer.Outcome == nil || answer.Outcome.Key != key {
 			return answer.Running
 		}
-		p.keepCopy(*answer.Outcome, false)
+		p.storeCopy(*answer.Outcome, false)
 		return true
 	})
 	return running
@@ -139,9 +139,9 @@
 	return sorted
 }
 
-// eachPeer talks to peers at the same time and waits for all, PeerTimeout at
+// forEachPeer talks to peers at the same time and waits for all, PeerTimeout at
 // most, or until one talk says that it was enough.
-func (c *Coordinator) eachPeer(ctx context.Context, peers []Peer, talk func(context.Context, Peer) (enough bool)) {
+func (c *Coordinator) forEachPeer(ctx context.Context, peers []Peer, talk func(context.Context, Peer) (enough bool)) {
 	ctx, cancel := context.WithTimeout(ctx, c.limits.PeerTimeout)
 	defer cancel()
 	var all sync.WaitGroup
--- a/internal/calls/partition.go
+++ b/internal/calls/partition.go
@@ -17,10 +17,10 @@
 
 // The reader's figures.
 const (
-	readLimit   = 2000
-	readWait    = time.Second
-	readTimeout = 3 * time.Second
-	readBackoff = 250 * time.Millisecond
+	maxReadRecords = 2000
+	readWait       = time.Second
+	readTimeout    = 3 * time.Second
+	readBackoff    = 250 * time.Millisecond
 )
 
 // partition is this gateway's view of one journal partition.
@@ -40,9 +40,9 @@
 	// lastRecord is when the last record came, by this process's clock.
 	lastRecord time.Time
 	// left: the waiting claims were handed over, and no new one may begin.
-	left bool
-	// undecided are claims of this gateway that the reader has not met.
-	undecided map[journal.ClaimID]*claim
+	closedToClaims bool
+	// unresolved are claims of this gateway that the reader has not met.
+	unresolved map[journal.ClaimID]*claim
 	// active are claims of this gateway that wait or are dispatched.
 	active map[*claim]struct{}
 	// running counts the dispatched calls of a key.
@@ -61,20 +61,20 @@
 
 func newPartition(index int, c *Coordinator) *partition {
 	p := &partition{
-		c:         c,
-		stream:    journal.Stream(index),
-		fold:      fold.New(false),
-		undecided: map[journal.ClaimID]*claim{},
-		active:    map[*claim]struct{}{},
-		running:   map[ident.CallKey]int{},
-		copies:    map[ident.CallKey]*outcomeCopy{},
+		c:          c,
+		stream:     journal.Stream(index),
+		fold:       fold.New(false),
+		unresolved: map[journal.ClaimID]*claim{},
+		active:     map[*claim]struct{}{},
+		running:    map[ident.CallKey]int{},
+		copies:     map[ident.CallKey]*outcomeCopy{},
 	}
 	p.writer = newCommitter(p.stream, c)
 	return p
 }
 
-// read follows the partition's stream until ctx ends.
-func (p *partition) read(ctx context.Context) {
+// readLoop follows the partition's stream until ctx ends.
+func (p *partition) readLoop(ctx context.Context) {
 	p.mu.Lock()
 	p.lastRecord = time.Now()
 	p.mu.Unlock()
@@ -87,7 +87,7 @@
 			p.setReadable(false)
 			pause.For(ctx, readBackoff)
 		default:
-			p.take(batch)
+			p.applyBatch(batch)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 func (p *partition) readBatch(ctx context.Context) (platform.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	return p.c.cfg.Log.Read(ctx, p.stream, p.next, readLimit, p.readWait())
+	return p.c.cfg.Log.Read(ctx, p.stream, p.next, maxReadRecords, p.readWait())
 }
 
 // readWait returns how long a read waits for a first record: not at all until
@@ -118,16 +118,16 @@
 	p.fold = fold.New(true)
 	p.next = first
 	p.ready = false
-	for id, cl := range p.undecided {
-		cl.rule(ruling{lost: true})
-		delete(p.undecided, id)
+	for id, cl := range p.unresolved {
+		cl.resolve(resolution{unreadable: true})
+		delete(p.unresolved, id)
 	}
 	p.mu.Unlock()
 	p.c.publishHealth()
 }
 
-// take applies a batch.
-func (p *partition) take(batch platform.Batch) {
+// applyBatch applies a batch.
+func (p *partition) applyBatch(batch platform.Batch) {
 	p.mu.Lock()
 	if len(batch.Records) > 0 && batch.Records[0].Offset > p.next {
 		// A log that skips expired records silently must not look complete.
@@ -137,7 +137,7 @@
 	}
 	now := time.Now()
 	for _, r := range batch.Records {
-		p.apply(r, now)
+		p.applyRecord(r, now)
 	}
 	changed := !p.readable || !p.ready
 	p.ready = p.ready || p.next >= batch.Head
@@ -148,8 +148,8 @@
 	}
 }
 
-// apply takes one record and tells the claim that waits for it.
-func (p *partition) apply(r platform.Record, now time.Time) {
+// applyRecord takes one record and tells the claim that waits for it.
+func (p *partition) applyRecord(r platform.Record, now time.Time) {
 	p.next = r.Offset + 1
 	p.lastRecord = now
 	event, err := journal.Decode(r.Data)
@@ -161,27 +161,27 @@
 	if !ok {
 		return
 	}
-	cl, ours := p.undecided[decision.Claim]
+	cl, ours := p.unresolved[decision.Claim]
 	if !ours {
 		return
 	}
-	delete(p.undecided, decision.Claim)
-	if !p.fold.Certain(cl.call.IssuedAt) {
-		decision.Verdict = fold.LostTime
+	delete(p.unresolved, decision.Claim)
+	if !p.fold.CompleteFor(cl.call.IssuedAt) {
+		decision.Verdict = fold.LostOutsideWindow
 	}
-	cl.rule(ruling{Decision: decision})
+	cl.resolve(resolution{Decision: decision})
 }
 
-// certain reports whether all that the log has said of a key issued at issuedAt
+// completeFor reports whether all that the log has said of a key issued at issuedAt
 // is known here.
-func (p *partition) certain(issuedAt time.Time) bool {
+func (p *partition) completeFor(issuedAt time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fold.Certain(issuedAt)
+	return p.fold.CompleteFor(issuedAt)
 }
 
-// untilCertain returns how long it takes until keys issued then are certain.
-func (p *partition) untilCertain(now time.Time) time.Duration {
+// untilComplete returns how long it takes until keys issued then are certain.
+func (p *partition) untilComplete(now time.Time) time.Duration {
 	_, _, since := p.health()
 	return max(0, since.Sub(now))
 }
@@ -202,14 +202,14 @@
 // hand-over and be cut off by the end of the process.
 func (p *partition) submit(cl *claim, before ...journal.Event) outcome.Reason {
 	p.mu.Lock()
-	if p.left {
+	if p.closedToClaims {
 		p.mu.Unlock()
 		return outcome.ReasonLeaving
 	}
-	p.undecided[cl.record.ID] = cl
+	p.unresolved[cl.record.ID] = cl
 	p.active[cl] = struct{}{}
 	p.mu.Unlock()
-	if p.writer.addClaim(cl, before...) {
+	if p.writer.enqueueClaim(cl, before...) {
 		return ""
 	}
 	p.forget(cl)
@@ -220,19 +220,19 @@
 func (p *partition) forget(cl *claim) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.undecided, cl.record.ID)
+	delete(p.unresolved, cl.record.ID)
 	delete(p.active, cl)
 }
 
-// begin notes that the call of a claim is being dispatched.
-func (p *partition) begin(cl *claim) {
+// dispatchStarted notes that the call of a claim is being dispatched.
+func (p *partition) dispatchStarted(cl *claim) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running[cl.call.Key]++
 }
 
-// finish notes that the dispatched call of a claim has ended.
-func (p *partition) finish(cl *claim) {
+// dispatchEnded notes that the dispatched call of a claim has ended.
+func (p *partition) dispatchEnded(cl *claim) {
 	p.forget(cl)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -242,26 +242,26 @@
 	}
 }
 
-// find returns what the fold knows of a key.
-func (p *partition) find(key ident.CallKey) (fold.View, bool) {
+// lookup returns what the fold knows of a key.
+func (p *partition) lookup(key ident.CallKey) (fold.View, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fold.Get(key)
 }
 
-// maintain keeps the partition in order until ctx ends.
-func (p *partition) maintain(ctx context.Context) {
+// maintainLoop keeps the partition in order until ctx ends.
+func (p *partition) maintainLoop(ctx context.Context) {
 	const every = 5 * time.Second
 	for ctx.Err() == nil {
 		pause.For(ctx, every)
-		p.mark()
+		p.appendMarkIfDue()
 		p.sweepCopies(time.Now())
 	}
 }
 
-// mark appends a mark when the stream has been silent, or when all its records
+// appendMarkIfDue appends a mark when the stream has been silent, or when all its records
 // have expired, so that it cannot be told since when everything is known.
-func (p *partition) mark() {
+func (p *partition) appendMarkIfDue() {
 	p.mu.Lock()
 	_, known := p.fold.CompleteSince()
 	silent := time.Since(p.lastRecord) >= p.c.limits.MarkEvery
@@ -271,7 +271,7 @@
 	}
 	p.mu.Unlock()
 	if due {
-		p.writer.add(journal.Mark{})
+		p.writer.enqueue(journal.Mark{})
 	}
 }
 
--- a/internal/calls/settle.go
+++ b/internal/calls/settle.go
@@ -16,21 +16,21 @@
 // the call again with the same key and a higher attempt is always safe.
 func (c *Coordinator) Find(ctx context.Context, key ident.CallKey) outcome.Outcome {
 	p := c.partition(key)
-	if o, ok := p.known(key, nil); ok {
+	if o, ok := p.knownOutcome(key, nil); ok {
 		return o
 	}
 	if o, ok := c.settleOwner(ctx, p, key, nil); !ok {
 		return o
 	}
-	view, ok := p.find(key)
+	view, ok := p.lookup(key)
 	switch {
 	case ok && view.State == fold.Released:
-		return inProgress("the gateway that had the call left; another one will run it")
+		return inProgressOutcome("the gateway that had the call left; another one will run it")
 	case ok && view.State != fold.Open:
 		return outcome.NewUnknown(outcome.ReasonNotSeen, "the last attempt seen did not run; it may be sent again", retrySoon)
 	}
 	c.askPeers(ctx, p, key, "")
-	if o, ok := p.known(key, nil); ok {
+	if o, ok := p.knownOutcome(key, nil); ok {
 		return o
 	}
 	return outcome.NewUnknown(outcome.ReasonNotSeen, "no attempt with this key was seen; it may be sent again", retrySoon)
@@ -39,7 +39,7 @@
 // settleOwner finds out about a claim that owns the key. ok is true when the
 // key is open, so that the caller may claim it; otherwise o is the answer.
 func (c *Coordinator) settleOwner(ctx context.Context, p *partition, key ident.CallKey, digest *journal.Digest) (o outcome.Outcome, ok bool) {
-	view, exists := p.find(key)
+	view, exists := p.lookup(key)
 	if !exists || view.State != fold.Claimed && view.State != fold.Unknown {
 		return o, true
 	}
@@ -47,12 +47,12 @@
 		return c.settleUntargeted(p, key, view), false
 	}
 	running := c.FindLocal(key).Running || c.askPeers(ctx, p, key, view.Holder)
-	if o, known := p.known(key, digest); known {
+	if o, known := p.knownOutcome(key, digest); known {
 		return o, false
 	}
 	young := view.State == fold.Claimed && time.Since(view.SeenAt) < c.limits.SettleAfter
 	if running || young {
-		return inProgress("another attempt with this key is running"), false
+		return inProgressOutcome("another attempt with this key is running"), false
 	}
 	return c.settleAtUpstream(ctx, p, key, view)
 }
@@ -60,40 +60,40 @@
 // settleUntargeted ends a claim that names no upstream. Such a claim is never
 // dispatched, so that it can be ended for its holder.
 func (c *Coordinator) settleUntargeted(p *partition, key ident.CallKey, view fold.View) outcome.Outcome {
-	p.writer.add(journal.Outcome{Head: headOf(key, view), Kind: outcome.NotRun, Reason: outcome.ReasonNoUpstream})
-	return inProgress("an attempt without an upstream is being ended")
+	p.writer.enqueue(journal.Outcome{Head: headOf(key, view), Kind: outcome.NotRun, Reason: outcome.ReasonNoUpstream})
+	return inProgressOutcome("an attempt without an upstream is being ended")
 }
 
 // settleAtUpstream asks the one upstream that can have got the call.
 func (c *Coordinator) settleAtUpstream(ctx context.Context, p *partition, key ident.CallKey, view fold.View) (outcome.Outcome, bool) {
 	unknown := outcome.NewUnknown(outcome.ReasonClaimedElsewhere, "an attempt with this key may have run; ask again by key", retryLater)
 	// The method is not part of the key, and its timeout is not needed here.
-	spec := c.spec(key.Service, "")
+	spec := c.specOf(key.Service, "")
 	if !spec.findsOutcomes {
 		return unknown, false
 	}
 	head := headOf(key, view)
-	found, err := c.findAt(ctx, head, view.Target, 0)
+	found, err := c.findAtUpstream(ctx, head, view.Target, 0)
 	switch {
 	case err != nil:
 		return unknown, false
 	case found.State == upstream.Done:
-		return p.conclude(head, found.Answer), false
+		return p.recordOutcome(head, found.Answer), false
 	case found.State == upstream.Running:
-		return inProgress("the upstream is running the call"), false
+		return inProgressOutcome("the upstream is running the call"), false
 	case !spec.checksFencing:
 		// The call may still be on its way, and nothing can stop it.
 		return unknown, false
 	}
-	return c.takeOver(ctx, p, key, view)
+	return c.takeOverClaim(ctx, p, key, view)
 }
 
-// takeOver owns the key with a higher fence, not to run the call but to learn
+// takeOverClaim owns the key with a higher fence, not to run the call but to learn
 // what became of it. Once the upstream has seen the higher fence, it refuses
 // whatever the former owner may still send; and no other upstream can get it,
 // since a claim names its one upstream before it is dispatched. If the
 // upstream has not seen the call by then, it never ran and the key is open.
-func (c *Coordinator) takeOver(ctx context.Context, p *partition, key ident.CallKey, view fold.View) (outcome.Outcome, bool) {
+func (c *Coordinator) takeOverClaim(ctx context.Context, p *partition, key ident.CallKey, view fold.View) (outcome.Outcome, bool) {
 	unknown := outcome.NewUnknown(outcome.ReasonClaimedElsewhere, "an attempt with this key may have run; ask again by key", retryLater)
 	call := Call{Key: key, IssuedAt: view.IssuedAt, Attempt: view.Attempt}
 	cl := c.newClaim(call, view.Digest, view.Target, view.Claim)
@@ -101,22 +101,22 @@
 		return unknown, false
 	}
 	defer p.forget(cl)
-	r, _, ok := c.awaitRuling(ctx, p, cl)
+	r, _, ok := c.awaitResolution(ctx, p, cl)
 	if !ok || !r.won() {
 		return unknown, false
 	}
-	found, err := c.findAt(ctx, cl.record.Head, view.Target, r.Fence)
+	found, err := c.findAtUpstream(ctx, cl.record.Head, view.Target, r.Fence)
 	switch {
 	case err != nil:
 		return unknown, false
 	case found.State == upstream.Done:
-		return p.conclude(cl.record.Head, found.Answer), false
+		return p.recordOutcome(cl.record.Head, found.Answer), false
 	case found.State == upstream.Running:
-		return inProgress("the upstream is running the call"), false
+		return inProgressOutcome("the upstream is running the call"), false
 	case !found.Fenced:
 		return unknown, false
 	}
-	p.writer.add(notRun(cl, outcome.ReasonUpstreamLost))
+	p.writer.enqueue(notRunEvent(cl, outcome.ReasonUpstreamLost))
 	// Whoever claims next waits for that record; in the same batch its own
 	// claim comes after it.
 	return outcome.Outcome{}, true
--- a/internal/calls/shares_test.go
+++ b/internal/calls/shares_test.go
@@ -35,11 +35,11 @@
 		{"gateway killed", func(_ *machine, g []*gateway) { kill(g[0]) }},
 		{"gateway frozen for 20 s", func(_ *machine, g []*gateway) {
 			g[0].freeze()
-			time.AfterFunc(20*time.Second, g[0].thaw)
+			time.AfterFunc(20*time.Second, g[0].unfreeze)
 		}},
 		{"gateway reclaimed", func(m *machine, g []*gateway) { m.reclaim(g[0], 10*time.Second) }},
 		{"gateway reclaimed, answer of hand-over lost", func(m *machine, g []*gateway) {
-			m.w.locked(func() { m.w.loseHandOver = true })
+			m.w.locked(func() { m.w.loseHandOverAnswers = true })
 			m.reclaim(g[0], 10*time.Second)
 		}},
 		{"gateway reclaimed, peer killed at once", func(m *machine, g []*gateway) {
@@ -50,7 +50,7 @@
 		{"failure domain reclaimed, its upstream too", func(m *machine, g []*gateway) {
 			m.reclaim(g[0], 10*time.Second)
 			m.reclaim(g[1], 10*time.Second)
-			m.w.upstreams[0].life().SetLeaving(true)
+			m.w.upstreams[0].current().SetLeaving(true)
 		}},
 		{"failure domain lost without notice", func(m *machine, g []*gateway) {
 			kill(g[0])
@@ -63,14 +63,14 @@
 		}},
 		{"failure domain cut from the platform for 20 s", func(_ *machine, g []*gateway) {
 			for _, cut := range g[:2] {
-				cut.cut.Store(true)
-				time.AfterFunc(20*time.Second, func() { cut.cut.Store(false) })
+				cut.cutOff.Store(true)
+				time.AfterFunc(20*time.Second, func() { cut.cutOff.Store(false) })
 			}
 		}},
 		{"every third answer of an upstream lost", func(m *machine, _ []*gateway) {
 			for _, s := range m.w.upstreams {
 				for range 20 {
-					s.life().FailNext(plain.LostAfterEffect, plain.NoFailure, plain.NoFailure)
+					s.current().FailNext(plain.LostAfterEffect, plain.NoFailure, plain.NoFailure)
 				}
 			}
 		}},
@@ -97,15 +97,15 @@
 	kinds := []struct {
 		name  string
 		trust document.UpstreamSpec
-	}{{"nothing", blind}, {"find", finding}, {"find and fence", fencing}}
+	}{{"nothing", trustNothing}, {"find", trustFind}, {"find and fence", trustFindAndFence}}
 	var table strings.Builder
 	for _, c := range shareCases() {
 		for _, k := range kinds {
 			inWorld(t, k.trust, func(t *testing.T, m *machine, g []*gateway) {
 				first, last := m.measure(c, g)
 				fmt.Fprintf(&table, "| %s | %s | %s | %s |\n", c.name, k.name, first, last)
-				if c.name == "none" && last[outcome.Completed] != sharedCalls {
-					t.Errorf("without a fault %d of %d calls completed", last[outcome.Completed], sharedCalls)
+				if c.name == "none" && last[outcome.Completed] != measuredCalls {
+					t.Errorf("without a fault %d of %d calls completed", last[outcome.Completed], measuredCalls)
 				}
 			})
 		}
@@ -113,16 +113,16 @@
 	t.Logf("\n%s", table.String())
 }
 
-const sharedCalls = 90
+const measuredCalls = 90
 
 // measure sends calls and returns what callers heard first and last.
 func (m *machine) measure(c shareCase, g []*gateway) (first, last shares) {
 	m.w.log.SetDelay(100 * time.Millisecond)
 	for _, s := range m.w.upstreams {
-		s.life().SetDelays(plain.Delays{BeforeEffect: 100 * time.Millisecond, AfterEffect: 100 * time.Millisecond})
+		s.current().SetDelays(plain.Delays{BeforeEffect: 100 * time.Millisecond, AfterEffect: 100 * time.Millisecond})
 	}
-	for i := range sharedCalls {
-		if i == sharedCalls/3 {
+	for i := range measuredCalls {
+		if i == measuredCalls/3 {
 			c.fault(m, g)
 		}
 		live := m.w.live()
--- a/internal/calls/span.go
+++ b/internal/calls/span.go
@@ -10,9 +10,9 @@
 // platform's log. It uses the process's tracer provider.
 var tracer = otel.Tracer("github.com/goldcrestspool/goldcrestspool/internal/calls")
 
-// startSpan begins the span of a claim's way to its verdict. Appends carry the
+// startJournalSpan begins the span of a claim's way to its verdict. Appends carry the
 // claims of many calls, so each call has a span of its own wait.
-func startSpan(ctx context.Context) (context.Context, func()) {
+func startJournalSpan(ctx context.Context) (context.Context, func()) {
 	ctx, span := tracer.Start(ctx, "journal")
 	return ctx, func() { span.End() }
 }
--- a/internal/calls/world_test.go
+++ b/internal/calls/world_test.go
@@ -41,24 +41,24 @@
 	// split: the failure domains hall-a and hall-b do not reach each other.
 	split bool
 	// loseHandOver: peers take hand-overs and the answers are lost.
-	loseHandOver bool
-	// lateness delays the calls sent next until after their sender has
+	loseHandOverAnswers bool
+	// arrivalDelays delays the calls sent next until after their sender has
 	// heard that the connection was lost.
-	lateness []time.Duration
-	// taken counts the calls that an upstream may have run as far as their
+	arrivalDelays []time.Duration
+	// possiblyRun counts the calls that an upstream may have run as far as their
 	// senders can tell, by key.
-	taken map[ident.CallKey]int
+	possiblyRun map[ident.CallKey]int
 	// replaced: an upstream has forgotten what its former incarnation knew.
-	replaced bool
+	upstreamReplaced bool
 }
 
 // server is the upstream of one failure domain, in one incarnation after the
 // other. What a former incarnation ran stays run.
 type server struct {
-	id     ident.Instance
-	domain ident.FailureDomain
-	fences bool
-	lives  []*plain.Service
+	id            ident.Instance
+	domain        ident.FailureDomain
+	checksFencing bool
+	incarnations  []*plain.Service
 }
 
 // gateway is one entry instance.
@@ -71,7 +71,7 @@
 	cancel context.CancelFunc
 	done   chan struct{}
 	// cut: the gateway does not reach the platform.
-	cut     atomic.Bool
+	cutOff  atomic.Bool
 	leaving atomic.Bool
 	// freezeAtDispatch freezes the gateway when it is about to send a call.
 	freezeAtDispatch atomic.Bool
@@ -90,13 +90,13 @@
 	}
 	set := &document.Set{Services: map[ident.Service]document.Entry{service: {Document: d}}}
 	w := &world{
-		trust: trust,
-		docs:  blackboard.NewSection(set),
-		log:   logstore.New(logstore.Options{}),
-		taken: map[ident.CallKey]int{},
+		trust:       trust,
+		docs:        blackboard.NewSection(set),
+		log:         logstore.New(logstore.Options{}),
+		possiblyRun: map[ident.CallKey]int{},
 	}
 	for _, domain := range []ident.FailureDomain{"hall-a", "hall-b"} {
-		s := &server{id: ident.Instance("app-" + domain), domain: domain, fences: trust.ChecksFencing}
+		s := &server{id: ident.Instance("app-" + domain), domain: domain, checksFencing: trust.ChecksFencing}
 		s.start()
 		w.upstreams = append(w.upstreams, s)
 	}
@@ -104,18 +104,18 @@
 }
 
 func (s *server) start() {
-	s.lives = append(s.lives, plain.New(plain.Options{
+	s.incarnations = append(s.incarnations, plain.New(plain.Options{
 		Instance:      s.id,
 		Incarnation:   s.incarnation() + 1,
-		ChecksFencing: s.fences,
+		ChecksFencing: s.checksFencing,
 		// The oracle asks it; the dispatcher only where it may.
 		FindsOutcomes: true,
 	}))
 }
 
-func (s *server) incarnation() ident.Incarnation { return ident.Incarnation(len(s.lives)) }
+func (s *server) incarnation() ident.Incarnation { return ident.Incarnation(len(s.incarnations)) }
 
-func (s *server) life() *plain.Service { return s.lives[len(s.lives)-1] }
+func (s *server) current() *plain.Service { return s.incarnations[len(s.incarnations)-1] }
 
 // newGateway starts an entry instance and waits until it has read the journal.
 func (w *world) newGateway(domain ident.FailureDomain) *gateway {
@@ -165,7 +165,7 @@
 	}
 }
 
-func (g *gateway) thaw() {
+func (g *gateway) unfreeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.frozen != nil {
@@ -179,7 +179,7 @@
 	g.mu.Lock()
 	g.killed = true
 	g.mu.Unlock()
-	g.thaw()
+	g.unfreeze()
 	g.cancel()
 }
 
@@ -195,9 +195,9 @@
 	return g.frozen != nil
 }
 
-// step is passed before and after everything that the gateway does to the
+// checkpoint is passed before and after everything that the gateway does to the
 // outside. It blocks while the gateway is frozen.
-func (g *gateway) step() error {
+func (g *gateway) checkpoint() error {
 	for {
 		g.mu.Lock()
 		frozen, killed := g.frozen, g.killed
@@ -212,10 +212,10 @@
 	}
 }
 
-func (w *world) handOverLost() bool {
+func (w *world) losesHandOverAnswers() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.loseHandOver
+	return w.loseHandOverAnswers
 }
 
 func (w *world) locked(change func()) {
@@ -228,7 +228,7 @@
 // the upstreams themselves tell them.
 func (w *world) effects(key ident.CallKey) (count int, replies []string) {
 	for _, s := range w.upstreams {
-		for _, life := range s.lives {
+		for _, life := range s.incarnations {
 			n := life.Effects(key.String())
 			count += n
 			if n > 0 {
@@ -279,7 +279,7 @@
 // heal ends all faults but deaths.
 func (w *world) heal() {
 	w.mu.Lock()
-	w.split, w.loseHandOver, w.lateness = false, false, nil
+	w.split, w.loseHandOverAnswers, w.arrivalDelays = false, false, nil
 	w.mu.Unlock()
 	w.log.SetOutage(false)
 	w.log.SetDelay(0)
@@ -288,13 +288,13 @@
 		_, _ = w.log.Append(context.Background(), "unused", nil)
 	}
 	for _, g := range w.gateways {
-		g.cut.Store(false)
+		g.cutOff.Store(false)
 		g.freezeAtDispatch.Store(false)
-		g.thaw()
+		g.unfreeze()
 	}
 	for _, s := range w.upstreams {
-		s.life().SetLeaving(false)
-		s.life().SetDelays(plain.Delays{})
+		s.current().SetLeaving(false)
+		s.current().SetDelays(plain.Delays{})
 	}
 }
 
@@ -310,8 +310,8 @@
 	time.Sleep(time.Minute)
 }
 
-// told is what a caller heard of one attempt.
-type told struct {
+// reply is what a caller heard of one attempt.
+type reply struct {
 	attempt uint32
 	outcome outcome.Outcome
 	// byKey: the question named the key alone, which requests may share.
