--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -1,11 +1,11 @@
-// Package calls runs calls that must not be repeated: each at most once,
-// whichever gateways its caller tries and whatever fails meanwhile.
+// Package calls runs calls that must not be repeated. It runs each of them at
+// most once, whichever gateways its caller tries and whatever fails meanwhile.
 //
 // The right to dispatch a call belongs to the first claim of its key in the
 // platform's log (packages journal and fold). A gateway appends a claim, reads
-// the log up to it, and dispatches only if the claim won. A claim never passes
-// to somebody else because time went by; docs/design/calls.md tells how it
-// moves and what callers are told.
+// the log up to it, and dispatches the call only if the claim won. A claim
+// never expires in favor of another holder; docs/design/calls.md describes how
+// a claim changes its holder and what callers are told.
 package calls
 
 import (
@@ -25,38 +25,41 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Call is one attempt of a caller at a call that must not be repeated.
+// Call is one attempt of a caller to run a call that must not be repeated.
 type Call struct {
 	Key     ident.CallKey
 	Method  ident.Method
 	Payload []byte
-	// IssuedAt is when the caller first issued the key, by its own clock. It
-	// is the same for every attempt.
+	// IssuedAt is the caller's clock time at which it first issued the key.
+	// It is the same for every attempt.
 	IssuedAt time.Time
-	// Attempt counts from 1, which says that no earlier attempt was sent.
+	// Attempt counts from 1; 1 means that no earlier attempt was sent.
 	Attempt uint32
 	Request ident.Request
 }
 
-// isFirstAttempt reports whether no earlier attempt can have run the call.
+// isFirstAttempt reports whether this is the first attempt, so that no earlier
+// one can have run the call.
 func (c Call) isFirstAttempt() bool { return c.Attempt == 1 }
 
-// Dispatcher reaches upstreams for calls. Its methods are used concurrently.
+// Dispatcher sends calls to upstreams. Its methods are called concurrently.
 type Dispatcher interface {
-	// Pick chooses the upstream for a call, none of exclude. ok is false
-	// when there is none.
+	// Pick chooses an upstream for a call and never one in exclude. ok is
+	// false when there is none.
 	Pick(ctx context.Context, call Call, exclude []ident.Instance) (target journal.Target, ok bool)
-	// Invoke sends the call to the target, once, and never repeats it by
-	// itself. upstream.Ran tells what an error means. When the target's
-	// address is served by another incarnation, Invoke must not send the
-	// call there: a new incarnation has forgotten which fences are too old.
+	// Invoke sends the call to the target once and never retries it.
+	// upstream.Ran reports whether the call may have run in spite of the
+	// error. When another incarnation serves the target's address, Invoke
+	// must not send the call there: a new incarnation no longer knows which
+	// fencing numbers are too old.
 	Invoke(ctx context.Context, call Call, target journal.Target, fence ident.Fence) (upstream.Answer, error)
-	// Find asks the target what became of a key. It fails unless the answer
-	// comes from the very incarnation of the target.
+	// Find asks the target for the state of a key's call. It fails unless
+	// the incarnation that the target names has answered. A fence above 0
+	// tells the target to reject calls of the key with a lower one.
 	Find(ctx context.Context, key ident.CallKey, target journal.Target, fence ident.Fence) (upstream.FindResult, error)
 }
 
-// KeyedOutcome is a final outcome with what is needed to tell whose it is.
+// KeyedOutcome is a final outcome together with the request it belongs to.
 type KeyedOutcome struct {
 	journal.Head
 	// Kind is Completed or Failed.
@@ -64,88 +67,97 @@
 	Payload []byte
 }
 
-// HandedCall is a call that its former holder has given up and will never
-// dispatch.
+// HandedCall is a call that a leaving gateway hands over to a peer. The leaving
+// gateway will never dispatch it.
 type HandedCall struct {
 	Call
-	// Claim that the former holder gave up.
+	// Claim is the claim that the leaving gateway has given up.
 	Claim  journal.ClaimID
 	Digest journal.Digest
-	// Remaining is how long the new holder may take to dispatch it.
+	// Remaining is how long the peer may take to claim and dispatch the call.
 	Remaining time.Duration
 }
 
-// HandOver is what a leaving gateway gives to a peer.
+// HandOver is what a leaving gateway sends to a peer: calls that it will not
+// dispatch, and outcomes that the journal may not have yet.
 type HandOver struct {
 	Calls    []HandedCall
 	Outcomes []KeyedOutcome
 }
 
-// PeerAnswer is what a peer knows of a key.
+// PeerAnswer is what a peer knows about a key.
 type PeerAnswer struct {
 	// Outcome is nil when the peer knows no final outcome.
 	Outcome *KeyedOutcome
-	// Running: the peer itself has dispatched the call and waits for it.
+	// Running reports that the peer has dispatched the call and waits for
+	// the upstream's answer.
 	Running bool
 }
 
 // Peer is another gateway.
 type Peer interface {
 	ID() ident.Instance
+	// PutOutcomes stores copies of outcomes at the peer.
 	PutOutcomes(ctx context.Context, outcomes []KeyedOutcome) error
+	// FindOutcome asks the peer what it knows about a key.
 	FindOutcome(ctx context.Context, key ident.CallKey) (PeerAnswer, error)
-	// HandOver returns the claims that the peer took. An error that matches
-	// ErrNotHanded says that the peer took nothing and never will; after
-	// any other it may have taken everything.
+	// HandOver returns the given-up claims whose calls the peer accepted.
+	// An error that matches ErrNotHanded means that the peer accepted
+	// nothing and never will; after any other error it may have accepted
+	// everything.
 	HandOver(ctx context.Context, h HandOver) ([]journal.ClaimID, error)
 }
 
-// Peers knows the other gateways.
+// Peers lists the other gateways.
 type Peers interface {
-	// Candidates returns the peers believed alive, those of other failure
+	// Candidates returns the peers believed alive, those in other failure
 	// domains first.
 	Candidates() []Peer
 }
 
-// noPeers is used by a gateway that is alone.
+// noPeers is the Peers of a gateway without peers.
 type noPeers struct{}
 
 func (noPeers) Candidates() []Peer { return nil }
 
-// Limits bounds what a Coordinator uses. Zero fields get defaults.
+// Limits are the time and size limits of a Coordinator. Zero fields get
+// defaults.
 type Limits struct {
-	// AppendInterval is the least time between two appends of a partition:
-	// what comes meanwhile goes into one.
+	// AppendInterval is the shortest time between the starts of two appends
+	// of a partition. Records that are queued meanwhile go into one append.
 	AppendInterval time.Duration
-	// AppendTimeout bounds one append; what is not answered by then may
-	// still take effect.
+	// AppendTimeout bounds one append. An append that timed out may still
+	// take effect.
 	AppendTimeout time.Duration
-	// SlowAfter: while an append takes longer, new calls are refused at once.
+	// SlowAfter is how long an append may run before new calls are refused
+	// at once.
 	SlowAfter time.Duration
 	// ClaimWait bounds how long a call waits to learn that it owns its key.
 	ClaimWait time.Duration
-	// MaxBatch is the most records of one append.
+	// MaxBatch is the largest number of records in one append.
 	MaxBatch int
-	// MaxQueue is the most records that wait for an append.
+	// MaxQueue is the number of queued records of a partition at which new
+	// claims are refused.
 	MaxQueue int
-	// MaxPayload is the largest answer that the journal keeps, in bytes.
+	// MaxPayload is the largest answer that the journal stores, in bytes.
 	MaxPayload int
-	// MaxTargets is how many upstreams one attempt tries, the next one only
-	// when the last one said that nothing ran.
+	// MaxTargets is how many upstreams one attempt may try. It tries the
+	// next one only when the previous one ran nothing.
 	MaxTargets int
 	// SettleAfter is how old a claim must be before another gateway asks the
-	// upstream about it. It only saves work: no promise rests on it.
+	// upstream about it. It only saves requests; correctness does not depend
+	// on it.
 	SettleAfter time.Duration
-	// MarkEvery is how long a partition may be silent before a mark is
-	// appended.
+	// MarkEvery is how long a partition may be without new records before a
+	// mark is appended.
 	MarkEvery time.Duration
-	// PeerTimeout bounds one question to a peer or an upstream.
+	// PeerTimeout bounds one request to a peer, or one Find at an upstream.
 	PeerTimeout time.Duration
-	// CallTimeout bounds a call whose method names no timeout.
+	// CallTimeout bounds a dispatched call whose method has no timeout.
 	CallTimeout time.Duration
 }
 
-// withDefaults fills zero fields.
+// withDefaults returns l with its zero fields set to the defaults.
 func (l Limits) withDefaults() Limits {
 	defaults := Limits{
 		AppendInterval: 50 * time.Millisecond,
@@ -182,24 +194,25 @@
 	}
 }
 
-// Config is what a Coordinator needs. All fields but Peers, Limits and Logger
-// are required.
+// Config holds the dependencies of a Coordinator. All fields but Peers, Limits
+// and Logger are required.
 type Config struct {
 	Instance    ident.Instance
 	Incarnation ident.Incarnation
 	Log         platform.Log
 	Dispatcher  Dispatcher
 	Peers       Peers
-	// Documents tells what the upstreams of a service can be trusted with.
+	// Documents holds the services' documents, which say whether upstreams
+	// check fencing numbers and can find outcomes.
 	Documents *blackboard.Section[*document.Set]
-	// Health is written by the Coordinator alone.
+	// Health has the Coordinator as its only writer.
 	Health *blackboard.Section[blackboard.JournalHealth]
 	Limits Limits
 	Logger hclog.Logger
 }
 
-// Coordinator runs the calls of one gateway. Create it with New, and let Run
-// go on until after Stop has returned.
+// Coordinator runs the calls of one gateway. Create it with New, and keep Run
+// running until Stop has returned. Its methods may be called concurrently.
 type Coordinator struct {
 	cfg        Config
 	limits     Limits
@@ -207,10 +220,11 @@
 	partitions [journal.Partitions]*partition
 
 	stopping atomic.Bool
-	// healthMu orders the publications of Health.
+	// healthMu serializes publications of Health.
 	healthMu sync.Mutex
-	// work counts the goroutines that calls leave behind; workCtx ends them
-	// when Run ends. workMu guards workEnded: no work begins after it is set.
+	// work counts the goroutines that outlive their callers; workCtx is
+	// cancelled when Run ends. workMu guards workEnded; once that is set, no
+	// such goroutine starts.
 	workMu     sync.Mutex
 	workEnded  bool
 	work       sync.WaitGroup
@@ -218,7 +232,8 @@
 	cancelWork context.CancelFunc
 }
 
-// New returns a Coordinator that serves nothing until Run.
+// New returns a Coordinator. It refuses all calls until Run has read the
+// journal.
 func New(cfg Config) *Coordinator {
 	if cfg.Logger == nil {
 		cfg.Logger = hclog.NewNullLogger()
@@ -238,7 +253,8 @@
 	return c
 }
 
-// Run reads and writes the journal until ctx ends.
+// Run reads and writes the journal until ctx ends. It then cancels all calls
+// that still run and always returns nil.
 func (c *Coordinator) Run(ctx context.Context) error {
 	var loops sync.WaitGroup
 	for _, p := range c.partitions {
@@ -251,7 +267,7 @@
 	return nil
 }
 
-// partition returns the partition of a key.
+// partition returns the partition that holds a key.
 func (c *Coordinator) partition(key ident.CallKey) *partition {
 	return c.partitions[journal.Partition(key)]
 }
--- a/internal/calls/claim.go
+++ b/internal/calls/claim.go
@@ -8,13 +8,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// phase is how far a claim of this gateway has come. Only one step leads out
-// of waiting, and it is atomic: a call is either dispatched, or given up, or
-// handed to a peer.
+// phase is the state of a claim of this gateway. A claim leaves waiting once,
+// by an atomic operation: its call is either dispatched, abandoned or handed
+// over to a peer.
 //
-// What would go wrong otherwise: the caller's deadline passes, or the gateway
-// starts to leave, while the claim is just being won; the caller hears not_run
-// and the call is dispatched all the same.
+// Without that, a claim could be won just when its caller's deadline passes or
+// the gateway begins to leave: the caller would be told not_run, and the call
+// would be dispatched all the same.
 type phase = int32
 
 const (
@@ -24,38 +24,41 @@
 	handedOver
 )
 
-// claim is one claim of this gateway.
+// claim is a claim of this gateway, from its creation to the end of its call.
 type claim struct {
 	call   Call
 	record journal.Claim
 	phase  atomic.Int32
-	// sent: the record was part of an append that may have taken effect;
-	// doubtful: the answer of such an append was lost. Both are guarded by
-	// the committer's mutex.
+	// sent reports that the record was in an append that may have taken
+	// effect; answerLost reports that the answer of such an append was lost.
+	// The committer's mutex guards both.
 	sent, answerLost bool
-	// resolved gets the verdict, once.
+	// resolved receives one resolution.
 	resolved chan resolution
-	// handedOverOutcome gets what the caller is told when the claim was handed over.
+	// handedOverOutcome receives what the caller is told after the gateway
+	// has tried to hand the call over.
 	handedOverOutcome chan outcome.Outcome
-	// done is closed when the dispatched call has ended with result.
+	// done is closed when the dispatched call has ended and result is set.
 	done   chan struct{}
 	result dispatchResult
 }
 
-// resolution is what became of a claim: the verdict of the log, or a refusal
-// before the log had it.
+// resolution says whether a claim owns its key. It holds the log's decision
+// unless notAppended or unreadable is set.
 type resolution struct {
 	fold.Decision
-	// refused: the record is not in the log and never will be.
+	// notAppended reports that the record is not in the log and never will be.
 	notAppended bool
-	// lost: this reader can no longer tell.
+	// unreadable reports that the record may have expired before this gateway
+	// read it, so that the verdict cannot be known here.
 	unreadable bool
 }
 
 // won reports whether the claim owns its key.
 func (r resolution) won() bool { return !r.notAppended && !r.unreadable && r.Verdict == fold.Won }
 
-// newClaim returns a claim that waits for its verdict.
+// newClaim returns a waiting claim. supersedes is zero for an ordinary claim,
+// or else the claim that this one takes over from.
 func (c *Coordinator) newClaim(call Call, digest journal.Digest, target journal.Target, supersedes journal.ClaimID) *claim {
 	return &claim{
 		call: call,
@@ -78,15 +81,16 @@
 	}
 }
 
-// leaveWaiting moves the claim out of waiting and reports whether it did.
+// leaveWaiting changes the phase from waiting to the given one. It returns false
+// and changes nothing when the claim was not waiting.
 func (cl *claim) leaveWaiting(to phase) bool { return cl.phase.CompareAndSwap(waiting, to) }
 
-// isTakeover reports whether the claim takes over only to find out an outcome. Its
-// call is not here, and ending such a claim without the upstream's word would
-// open a key whose call may still run.
+// isTakeover reports whether the claim takes over another one only to find out
+// its outcome. Such a claim has no call to dispatch. Ending it before the
+// upstream has answered would open a key whose call may still run.
 func (cl *claim) isTakeover() bool { return cl.record.Supersedes != journal.ClaimID{} }
 
-// resolve delivers the verdict. Only the first one counts.
+// resolve delivers a resolution. Those after the first are dropped.
 func (cl *claim) resolve(r resolution) {
 	select {
 	case cl.resolved <- r:
--- a/internal/calls/committer.go
+++ b/internal/calls/committer.go
@@ -12,31 +12,31 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// The committer's counters: appends tried, records in them, appends that
-// failed or whose answer was lost.
+// The counters of all committers: appends sent, the records in them, and
+// appends that failed or whose answer was lost.
 var (
 	appendCount  = expvar.NewInt("goldcrestspool.calls.appends")
 	recordCount  = expvar.NewInt("goldcrestspool.calls.appended_records")
 	appendErrors = expvar.NewInt("goldcrestspool.calls.append_errors")
 )
 
-// maxBatchBytes bounds the data of one append, so that many large answers do
-// not make one that the log refuses.
+// maxBatchBytes is the size at which a batch takes no further record, so that
+// many large answers do not add up to an append that the log refuses.
 const maxBatchBytes = 1 << 20
 
-// The pause after a failed append grows from the first to the second.
+// The pause after a failed append doubles from minBackoff up to maxBackoff.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// failuresUntilDown is how many answers of appends have to be lost in a row until new
-// calls are refused at once: one is no outage, and waiting for the second try
-// costs a caller less than coming back.
+// failuresUntilDown is how many answers of appends must be lost in a row before
+// new calls are refused at once. A single lost answer is no outage, and waiting
+// for the second append costs a caller less than a retry.
 const failuresUntilDown = 2
 
-// committer writes the records of one partition: one append at a time, with
-// all that has come meanwhile (group commit).
+// committer writes the records of one partition. It sends one append at a time,
+// which carries all records that were queued meanwhile (group commit).
 type committer struct {
 	stream string
 	c      *Coordinator
@@ -44,22 +44,23 @@
 
 	mu    sync.Mutex
 	queue []*queuedRecord
-	// inFlight is how many records the running append carries; began is
-	// when it began.
+	// inFlight is how many records the running append carries; 0 means that
+	// no append is running. appendStarted is when the last append started.
 	inFlight      int
 	appendStarted time.Time
 	// retryAt is when the next append is tried after a failure.
 	retryAt time.Time
 	backoff time.Duration
-	// failures counts the answers lost since the last success. An outage or
-	// a hanging append counts for failuresDown.
+	// failures counts the lost answers since the last success. An append that
+	// failed in another way or took longer than SlowAfter sets it to
+	// failuresUntilDown.
 	failures int
 }
 
-// queuedRecord is one record on its way to the log.
+// queuedRecord is a record that waits for an append or is in the running one.
 type queuedRecord struct {
 	event journal.Event
-	// claim is set for claims.
+	// claim is nil unless event is a claim.
 	claim *claim
 }
 
@@ -67,7 +68,7 @@
 	return &committer{stream: stream, c: c, wake: make(chan struct{}, 1)}
 }
 
-// enqueue queues an event that must reach the log sooner or later.
+// enqueue queues an event that is retried until it is in the log.
 func (w *committer) enqueue(e journal.Event) {
 	w.mu.Lock()
 	w.queue = append(w.queue, &queuedRecord{event: e})
@@ -75,8 +76,8 @@
 	w.signal()
 }
 
-// enqueueClaim queues a claim, with events that go before it in the same append.
-// It reports false when too much is queued.
+// enqueueClaim queues a claim behind the events in before. It queues nothing and
+// returns false when the queue is full.
 func (w *committer) enqueueClaim(cl *claim, before ...journal.Event) bool {
 	w.mu.Lock()
 	if len(w.queue) >= w.c.limits.MaxQueue {
@@ -92,6 +93,7 @@
 	return true
 }
 
+// signal wakes waitForRecords.
 func (w *committer) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -99,18 +101,19 @@
 	}
 }
 
-// mayHaveSent reports whether the log may hold the claim's record, now or
-// later. Once it has reported false for a claim that is not waiting any more,
-// the record is never sent.
+// mayHaveSent reports whether the claim's record may be in the log, or may get
+// there later from an append that was already sent. When it returns false for a
+// claim that is no longer waiting, the record is never sent.
 func (w *committer) mayHaveSent(cl *claim) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return cl.sent
 }
 
-// logDown reports whether appends fail or hang now, and when to come back. All
-// partitions are in one log, so that the trouble of one is taken for that of
-// all: a call would only wait to find out by itself.
+// logDown reports whether appends currently fail or hang, and how long callers
+// should wait before a retry. All partitions are in one log, so a fault at one
+// of them counts for all: otherwise each call would wait for an append to learn
+// of the fault.
 func (c *Coordinator) logDown(now time.Time) (wait time.Duration, down bool) {
 	for _, p := range c.partitions {
 		w, d := p.writer.down(now)
@@ -119,7 +122,7 @@
 	return wait, down
 }
 
-// down reports whether appends fail or hang now, and when to come back.
+// down is logDown for this partition alone.
 func (w *committer) down(now time.Time) (time.Duration, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,7 +135,7 @@
 	return 0, false
 }
 
-// commitLoop appends until ctx ends.
+// commitLoop appends queued records until ctx ends.
 func (p *partition) commitLoop(ctx context.Context) {
 	w := p.writer
 	for ctx.Err() == nil {
@@ -152,7 +155,7 @@
 	}
 }
 
-// waitForRecords blocks until something may be queued.
+// waitForRecords blocks until records may be queued or ctx ends.
 func (w *committer) waitForRecords(ctx context.Context) {
 	select {
 	case <-w.wake:
@@ -160,8 +163,9 @@
 	}
 }
 
-// nextBatch removes the next batch from the queue. Claims that were given up before
-// they were ever sent are left out.
+// nextBatch removes the next batch from the queue and returns its records and
+// their encoded data. It drops claims that left waiting before they were ever
+// sent.
 func (w *committer) nextBatch() ([]*queuedRecord, [][]byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -176,7 +180,7 @@
 		}
 		bytes, err := journal.Encode(q.event)
 		if err != nil {
-			w.c.log.Error("journal record not encoded", "error", err)
+			w.c.log.Error("cannot encode journal record", "error", err)
 			if q.claim != nil {
 				q.claim.resolve(resolution{notAppended: true})
 			}
@@ -194,6 +198,7 @@
 	return batch, data
 }
 
+// append sends one append of at most AppendTimeout and counts it.
 func (w *committer) append(ctx context.Context, data [][]byte) error {
 	ctx, cancel := context.WithTimeout(ctx, w.c.limits.AppendTimeout)
 	defer cancel()
@@ -202,14 +207,16 @@
 	_, err := w.c.cfg.Log.Append(ctx, w.stream, data)
 	if err != nil {
 		appendErrors.Add(1)
-		w.c.log.Warn("append failed", "stream", w.stream, "records", len(data), "error", err)
+		w.c.log.Warn("journal append failed", "stream", w.stream, "records", len(data), "error", err)
 	}
 	return err
 }
 
-// finishBatch decides what becomes of a batch. Records whose fate is not known are
-// appended again: every record names its claim, so a second copy changes
-// nothing.
+// finishBatch handles the result of an append. After an error, records that may
+// not be in the log are queued again: each record names its claim, so a second
+// copy in the log changes nothing. Claims whose record is certainly not in the
+// log are resolved as not appended, and claims that are no longer waiting are
+// dropped.
 func (w *committer) finishBatch(p *partition, batch []*queuedRecord, err error) {
 	var again []*queuedRecord
 	var refused []*claim
@@ -238,7 +245,7 @@
 	}
 }
 
-// updateBackoff sets when the next append is tried. The caller holds mu.
+// updateBackoff sets the time of the next append. The caller holds w.mu.
 func (w *committer) updateBackoff(err error) {
 	if err == nil {
 		w.failures, w.backoff, w.retryAt = 0, 0, time.Time{}
@@ -254,13 +261,15 @@
 	w.retryAt = time.Now().Add(w.backoff)
 }
 
+// backoffLeft returns the time until the next append after a failure.
 func (w *committer) backoffLeft() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Until(w.retryAt)
 }
 
-// flush waits until nothing is queued or ctx ends.
+// flush waits until all records are in the log. It returns the error of ctx if
+// that ends first.
 func (w *committer) flush(ctx context.Context) error {
 	const every = 10 * time.Millisecond
 	for {
@@ -277,7 +286,7 @@
 	}
 }
 
-// resolveNotAppended tells a claim that the log did not take it.
+// resolveNotAppended resolves a claim whose record the log did not accept.
 func (p *partition) resolveNotAppended(cl *claim) {
 	p.mu.Lock()
 	delete(p.unresolved, cl.record.ID)
--- a/internal/calls/dispatch.go
+++ b/internal/calls/dispatch.go
@@ -11,7 +11,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// outcomeCount counts what callers were told, by kind.
+// outcomeCount counts the outcomes that Do returned, by kind.
 var outcomeCount = expvar.NewMap("goldcrestspool.calls.outcomes")
 
 func countOutcome(o outcome.Outcome) { outcomeCount.Add(o.Kind.String(), 1) }
@@ -19,12 +19,13 @@
 // dispatchResult is how a dispatched call ended.
 type dispatchResult struct {
 	outcome outcome.Outcome
-	// again: nothing ran, and another upstream may be tried.
+	// tryAnother reports that the upstream ran nothing, so that another one
+	// may be tried.
 	tryAnother bool
 }
 
-// spawn runs work that outlives its caller. It reports false when the
-// Coordinator has stopped.
+// spawn runs work in a goroutine that may outlive its caller. It returns false
+// and runs nothing when Run has ended.
 func (c *Coordinator) spawn(work func()) bool {
 	c.workMu.Lock()
 	defer c.workMu.Unlock()
@@ -35,7 +36,7 @@
 	return true
 }
 
-// endWork cancels what spawn has started and waits for it.
+// endWork cancels all work that spawn has started and waits for its end.
 func (c *Coordinator) endWork() {
 	c.workMu.Lock()
 	c.workEnded = true
@@ -44,17 +45,17 @@
 	c.work.Wait()
 }
 
-// detach returns a context that does not end with the caller's, but after
-// timeout or with the Coordinator.
+// detach returns a context with the values of ctx that ends after timeout or
+// with workCtx, but not with ctx.
 func (c *Coordinator) detach(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	detached, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	stop := context.AfterFunc(c.workCtx, cancel)
 	return detached, func() { stop(); cancel() }
 }
 
-// dispatch sends the call of a claim to its upstream, once. The claim stays
-// active until that has ended, also when its caller has gone: otherwise Stop
-// would not wait for it, and its outcome would be lost with this gateway.
+// dispatch sends the call of a claim to its upstream once. The claim stays
+// active until the call has ended, even after its caller has gone: otherwise
+// Stop would not wait for it, and its outcome would be lost with this gateway.
 func (c *Coordinator) dispatch(ctx context.Context, p *partition, cl *claim, fence ident.Fence) {
 	spec := c.specOf(cl.call.Key.Service, cl.call.Method)
 	ctx, cancel := c.detach(ctx, spec.timeout)
@@ -67,8 +68,8 @@
 		cl.result.outcome = p.recordOutcome(cl.record.Head, answer)
 	case !upstream.Ran(err):
 		p.writer.enqueue(notRunEvent(cl, outcome.ReasonUpstreamRefused))
-		// The error's text stays inside: it may name addresses and quote
-		// the call.
+		// Callers are not told the error's text: it may contain addresses
+		// and parts of the call.
 		cl.result.outcome = outcome.NewNotRun(outcome.ReasonUpstreamRefused, "the upstream ran nothing", retrySoon)
 		cl.result.tryAnother = true
 	default:
@@ -77,8 +78,8 @@
 	close(cl.done)
 }
 
-// recordOutcome records what an upstream answered, here, with peers and in the
-// journal.
+// recordOutcome stores an upstream's answer in this gateway, in the journal and
+// at peers, and returns it as an outcome.
 func (p *partition) recordOutcome(head journal.Head, answer upstream.Answer) outcome.Outcome {
 	kind := outcome.Completed
 	if answer.Failed {
@@ -91,8 +92,9 @@
 	return outcome.Outcome{Kind: kind, Reason: finalReason(kind), Payload: answer.Payload}
 }
 
-// resolveLostAnswer handles a call whose answer was lost: it asks the upstream
-// once more what became of the key.
+// resolveLostAnswer handles a call whose answer was lost. It asks the upstream
+// once for the call's outcome, and records the outcome as unknown if the
+// upstream cannot tell.
 func (c *Coordinator) resolveLostAnswer(p *partition, cl *claim, spec callSpec) outcome.Outcome {
 	if spec.findsOutcomes {
 		found, err := c.findAtUpstream(c.workCtx, cl.record.Head, cl.record.Target, 0)
@@ -104,14 +106,16 @@
 	return outcome.NewUnknown(outcome.ReasonUpstreamLost, "the upstream's answer was lost; ask again by key", retryLater)
 }
 
-// findAtUpstream asks an upstream about a key. A fence of 0 fences nothing off.
+// findAtUpstream asks the target for the state of a key's call. With a fence of
+// 0 the target rejects no fencing numbers.
 func (c *Coordinator) findAtUpstream(ctx context.Context, head journal.Head, target journal.Target, fence ident.Fence) (upstream.FindResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.limits.PeerTimeout)
 	defer cancel()
 	return c.cfg.Dispatcher.Find(ctx, head.Key, target, fence)
 }
 
-// awaitResult waits until the dispatched call ends or its caller does.
+// awaitResult waits until the dispatched call or ctx ends. tryAnother reports
+// that the upstream ran nothing, so that another one may be tried.
 func (c *Coordinator) awaitResult(ctx context.Context, cl *claim) (outcome.Outcome, bool) {
 	select {
 	case <-cl.done:
@@ -121,15 +125,16 @@
 	}
 }
 
-// callSpec is what a service's document says about its upstreams and a method.
+// callSpec holds the values of a service's document that matter for a call.
 type callSpec struct {
 	checksFencing bool
 	findsOutcomes bool
 	timeout       time.Duration
 }
 
-// specOf returns what the document in force says. A service without a document
-// is trusted with nothing.
+// specOf returns the values of the document in force. Upstreams of a service
+// without a document are taken to check no fencing numbers and to find no
+// outcomes.
 func (c *Coordinator) specOf(service ident.Service, method ident.Method) callSpec {
 	s := callSpec{timeout: c.limits.CallTimeout}
 	d, ok := c.cfg.Documents.Value().Find(service)
--- a/internal/calls/do.go
+++ b/internal/calls/do.go
@@ -11,17 +11,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// When callers are told to ask again.
+// The retry-after times that callers are given.
 const (
 	retrySoon  = 250 * time.Millisecond
 	retryLater = 2 * time.Second
 )
 
 // Do runs one attempt of a call and returns what its caller is told. It
-// returns soon after ctx ends; a call that was dispatched by then goes on, and
-// its outcome can be asked for by key.
+// returns soon after ctx ends. A call that was dispatched by then goes on, and
+// Find returns its outcome later.
 //
-// NotRun is only returned when neither this attempt nor an earlier one of the
+// Do only returns NotRun when neither this attempt nor an earlier one with the
 // same key has run or ever will.
 func (c *Coordinator) Do(ctx context.Context, call Call) outcome.Outcome {
 	o := c.do(ctx, call)
@@ -47,9 +47,10 @@
 	return c.claimAndDispatch(ctx, p, call, digest, nil)
 }
 
-// refusal is the truthful answer for a call that this attempt did not dispatch
-// and whose claim cannot be shown to have owned the key: an earlier attempt may
-// still run.
+// refusal returns the outcome of a call that this attempt did not dispatch and
+// whose claim is not proven to have owned the key. It is NotRun for the first
+// attempt, and Unknown for a later one, because an earlier attempt may still
+// run.
 func refusal(call Call, reason outcome.Reason, message string, retryAfter time.Duration) outcome.Outcome {
 	if call.isFirstAttempt() {
 		return outcome.NewNotRun(reason, message, retryAfter)
@@ -57,49 +58,53 @@
 	return outcome.NewUnknown(reason, message+"; an earlier attempt may have run", retryAfter)
 }
 
-// knownOutcome returns the final outcome of a key if it is known here. digest, if not
-// nil, is that of the request which may hear it.
+// knownOutcome returns the final outcome of a key if this gateway knows it. A
+// digest that is not nil must be that of the request with this outcome.
 func (p *partition) knownOutcome(key ident.CallKey, digest *journal.Digest) (outcome.Outcome, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	view, inFold := p.fold.Get(key)
-	held, inCopies := p.copies[key]
+	stored, inCopies := p.copies[key]
 	switch {
-	case inCopies && (digest == nil || held.Digest == *digest):
-		return outcome.Outcome{Kind: held.Kind, Reason: finalReason(held.Kind), Payload: held.Payload}, true
+	case inCopies && (digest == nil || stored.Digest == *digest):
+		return outcome.Outcome{Kind: stored.Kind, Reason: finalReason(stored.Kind), Payload: stored.Payload}, true
 	case inFold && view.State == fold.Final && (digest == nil || view.Digest == *digest):
 		return finalOutcome(view), true
 	}
 	return outcome.Outcome{}, false
 }
 
-// usedByOtherRequest reports whether the key belongs to a request with another digest.
+// usedByOtherRequest reports whether the key is known to belong to a request with
+// another digest.
 func (p *partition) usedByOtherRequest(key ident.CallKey, digest journal.Digest) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	view, inFold := p.fold.Get(key)
-	held, inCopies := p.copies[key]
-	return inFold && view.Digest != digest || inCopies && held.Digest != digest
+	stored, inCopies := p.copies[key]
+	return inFold && view.Digest != digest || inCopies && stored.Digest != digest
 }
 
-// keyReusedOutcome says nothing of the other request. It is only told of a key that is
-// certain: then no earlier attempt of this request can have owned it.
+// keyReusedOutcome returns the answer for a key that belongs to another request.
+// It reveals nothing of that request. NotRun is correct because it is returned
+// only for keys whose records are all known here: then no earlier attempt of
+// this request can have owned the key.
 func keyReusedOutcome() outcome.Outcome {
 	return outcome.NewNotRun(outcome.ReasonKeyReused, "the key was used for a different request", 0)
 }
 
+// finalOutcome returns the outcome of a key whose state is Final.
 func finalOutcome(v fold.View) outcome.Outcome {
 	if v.PayloadOmitted {
-		// Telling Completed without the answer would pass off a part as
-		// the whole.
+		// Completed without the answer would pass off a part as the whole.
 		return outcome.NewUnknown(reasonAnswerTooLarge, "the call ran, but its answer was too large to be kept", 0)
 	}
 	return outcome.Outcome{Kind: v.Kind, Reason: v.Reason, Payload: v.Payload}
 }
 
-// reasonTooLarge: the call ran, and its answer is known to its first caller.
+// reasonAnswerTooLarge: the call ran, and only its first caller got its answer.
 const reasonAnswerTooLarge outcome.Reason = "answer_too_large"
 
+// finalReason returns the reason of a final outcome; Completed has none.
 func finalReason(kind outcome.Kind) outcome.Reason {
 	if kind == outcome.Failed {
 		return outcome.ReasonApplication
@@ -107,7 +112,8 @@
 	return ""
 }
 
-// admit refuses what cannot be served now. ok is true when the call may go on.
+// admit returns ok = true when the call may claim its key now, or else the
+// outcome with which it is refused.
 func (c *Coordinator) admit(ctx context.Context, p *partition, call Call) (outcome.Outcome, bool) {
 	if c.stopping.Load() {
 		return refusal(call, outcome.ReasonLeaving, "this gateway is leaving", retrySoon), false
@@ -132,11 +138,11 @@
 	return outcome.Outcome{}, true
 }
 
-// reasonClock: the caller's clock is too far ahead of the system's.
+// reasonIssuedInFuture: the caller's clock is too far ahead of this gateway's.
 const reasonIssuedInFuture outcome.Reason = "issued_in_future"
 
-// refuseLogDown refuses a call while the log cannot be used. A repeat may
-// still hear its outcome from a peer.
+// refuseLogDown refuses a call while the log cannot be used. A later attempt is
+// still told the final outcome if a peer knows it.
 func (c *Coordinator) refuseLogDown(ctx context.Context, p *partition, call Call, retryAfter time.Duration) outcome.Outcome {
 	if !call.isFirstAttempt() {
 		digest := journal.NewDigest(call.Key, call.Method, call.IssuedAt, call.Payload)
@@ -148,23 +154,23 @@
 	return refusal(call, outcome.ReasonLogUnavailable, "the platform's log is not available", retryAfter)
 }
 
-// claimAndDispatch tries to own the key and to dispatch the call, at one upstream after the
-// other as long as each says that nothing ran. releases, if not nil, is
-// journaled before the first claim.
-func (c *Coordinator) claimAndDispatch(ctx context.Context, p *partition, call Call, digest journal.Digest, releases *journal.Release) outcome.Outcome {
+// claimAndDispatch claims the key and dispatches the call. It tries up to
+// MaxTargets upstreams, the next one only when the last one ran nothing.
+// release, if not nil, is journaled before the first claim.
+func (c *Coordinator) claimAndDispatch(ctx context.Context, p *partition, call Call, digest journal.Digest, release *journal.Release) outcome.Outcome {
 	var exclude []ident.Instance
 	var last outcome.Outcome
 	for try := 1; ; try++ {
 		target, picked := c.cfg.Dispatcher.Pick(ctx, call, exclude)
-		if !picked && (try > 1 || call.isFirstAttempt() && releases == nil) {
+		if !picked && (try > 1 || call.isFirstAttempt() && release == nil) {
 			return outcome.NewNotRun(outcome.ReasonNoUpstream, "no upstream can take the call", retryLater)
 		}
-		// Without an upstream a repeat still claims its key once: only a
-		// claim that has owned it proves that no earlier attempt can run.
+		// Without an upstream, a later attempt still claims its key once: only
+		// a claim that owned the key proves that no earlier attempt can run.
 		cl := c.newClaim(call, digest, target, journal.ClaimID{})
 		var before []journal.Event
-		if releases != nil && try == 1 {
-			before = append(before, *releases)
+		if release != nil && try == 1 {
+			before = append(before, *release)
 		}
 		if reason := p.submit(cl, before...); reason != "" {
 			if try > 1 {
@@ -172,21 +178,22 @@
 			}
 			return refusal(call, reason, "the call cannot be journaled here now", retryLater)
 		}
-		o, again := c.runClaim(ctx, p, cl, picked)
+		o, tryAnother := c.runClaim(ctx, p, cl, picked)
 		last = o
 		if cl.phase.Load() != dispatched {
 			p.forget(cl)
 		}
-		if !again || try >= c.limits.MaxTargets || ctx.Err() != nil {
+		if !tryAnother || try >= c.limits.MaxTargets || ctx.Err() != nil {
 			return o
 		}
 		exclude = append(exclude, target.Instance)
 	}
 }
 
-// runClaim waits for the verdict on a claim and dispatches its call if it won.
-// again tells that the upstream ran nothing and another one may be tried.
-func (c *Coordinator) runClaim(ctx context.Context, p *partition, cl *claim, picked bool) (o outcome.Outcome, again bool) {
+// runClaim waits until the claim is resolved and dispatches its call if it won.
+// tryAnother reports that the upstream ran nothing, so that another one may be
+// tried.
+func (c *Coordinator) runClaim(ctx context.Context, p *partition, cl *claim, picked bool) (o outcome.Outcome, tryAnother bool) {
 	r, o, ok := c.awaitResolution(ctx, p, cl)
 	if !ok {
 		return o, false
@@ -208,8 +215,8 @@
 	return c.awaitResult(ctx, cl)
 }
 
-// reasonNotToDispatch returns why a call that owns its key is not dispatched,
-// or "".
+// reasonNotToDispatch returns why a call that owns its key must not be
+// dispatched, or "" if it may be.
 func (c *Coordinator) reasonNotToDispatch(ctx context.Context, picked bool) outcome.Reason {
 	if !picked {
 		return outcome.ReasonNoUpstream
@@ -229,8 +236,9 @@
 	return outcome.NewNotRun(reason, "given up before it was dispatched", retrySoon)
 }
 
-// awaitResolution waits until the log's verdict is known. ok is false when the
-// claim was given up or handed over instead; then o is the answer.
+// awaitResolution waits until the claim is resolved, for ClaimWait at most. ok is
+// false when the claim was abandoned or handed over instead; then o is the
+// answer to the caller.
 func (c *Coordinator) awaitResolution(ctx context.Context, p *partition, cl *claim) (r resolution, o outcome.Outcome, ok bool) {
 	ctx, end := startJournalSpan(ctx)
 	defer end()
@@ -253,20 +261,22 @@
 	return r, refusal(cl.call, reason, "given up before it was dispatched", retrySoon), false
 }
 
-// endClaim makes sure that a claim that was given up without a verdict does
-// not hold the key, should its record be in the log or come there later. What
-// would go wrong otherwise: the key stays claimed by a holder that will never
-// dispatch, and every repeat ends as unknown.
+// endClaim journals the end of an abandoned claim, unless its record can never be
+// in the log. Otherwise the key could stay claimed by a holder that never
+// dispatches the call, and every later attempt would end as unknown. A takeover
+// is not ended, because the call that it asks about may still run.
 func (p *partition) endClaim(cl *claim, reason outcome.Reason) {
 	if p.writer.mayHaveSent(cl) && !cl.isTakeover() {
 		p.writer.enqueue(notRunEvent(cl, reason))
 	}
 }
 
+// notRunEvent returns the event that ends a claim whose call did not run.
 func notRunEvent(cl *claim, reason outcome.Reason) journal.Outcome {
 	return journal.Outcome{Head: cl.record.Head, Kind: outcome.NotRun, Reason: reason}
 }
 
+// cancelReason returns the reason for an ended ctx.
 func cancelReason(ctx context.Context) outcome.Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return outcome.ReasonDeadline
@@ -274,8 +284,8 @@
 	return outcome.ReasonCancelled
 }
 
-// lostClaimOutcome is the answer to a call whose claim does not own its key, or
-// cannot be shown to own it.
+// lostClaimOutcome abandons a claim that does not own its key, or is not proven
+// to own it, and returns the answer to its caller.
 func (c *Coordinator) lostClaimOutcome(p *partition, cl *claim, r resolution) outcome.Outcome {
 	if !cl.leaveWaiting(abandoned) {
 		return <-cl.handedOverOutcome
@@ -288,7 +298,7 @@
 		p.endClaim(cl, outcome.ReasonCatchingUp)
 		return refusal(call, outcome.ReasonCatchingUp, "the journal could not be read whole", retryLater)
 	case r.Verdict == fold.LostOutsideWindow:
-		// A second copy of the record could still be judged otherwise.
+		// A second copy of the record could get another verdict.
 		p.endClaim(cl, outcome.ReasonExpired)
 		return refusal(call, outcome.ReasonExpired, "the key was issued outside the window", 0)
 	case r.Verdict == fold.LostKeyReused:
@@ -305,6 +315,7 @@
 	return inProgressOutcome("another attempt with this key owns it")
 }
 
+// inProgressOutcome returns the answer for a key that another claim owns.
 func inProgressOutcome(message string) outcome.Outcome {
 	return outcome.Outcome{
 		Kind:       outcome.InProgress,
@@ -314,5 +325,5 @@
 	}
 }
 
-// reasonLaterAttempt: the attempt came after a later one.
+// reasonLaterAttempt: the log has a later attempt that owned the key.
 const reasonLaterAttempt outcome.Reason = "later_attempt_seen"
--- a/internal/calls/handover.go
+++ b/internal/calls/handover.go
@@ -10,14 +10,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// ErrNotHanded says that a hand-over reached nobody: the peer took nothing and
-// never will.
+// ErrNotHanded reports that a hand-over reached nobody: the peer accepted nothing
+// and never will.
 var ErrNotHanded = errors.New("nothing was handed over")
 
-// Stop makes the gateway leave: it accepts no new calls, hands those that are
-// not dispatched to peers, waits for those that are, and writes everything to
-// the journal. It returns the error of ctx if that ends first. Run must go on
-// until Stop has returned.
+// Stop prepares the end of this gateway. It refuses new calls, hands calls that
+// are not dispatched over to peers, waits for those that are, and waits until the
+// journal has all records. It returns the error of ctx if that ends first. Run
+// must keep running until Stop has returned.
 func (c *Coordinator) Stop(ctx context.Context) error {
 	c.stopping.Store(true)
 	c.handOverCalls(ctx)
@@ -31,12 +31,12 @@
 	return finished
 }
 
-// handOverCalls gives up all claims that wait and offers their calls to peers.
+// handOverCalls gives up all waiting claims and offers their calls to peers.
 func (c *Coordinator) handOverCalls(ctx context.Context) {
-	given := map[journal.ClaimID]*claim{}
+	untaken := map[journal.ClaimID]*claim{}
 	var h HandOver
 	for _, cl := range c.markWaitingHandedOver() {
-		given[cl.record.ID] = cl
+		untaken[cl.record.ID] = cl
 		h.Calls = append(h.Calls, HandedCall{
 			Call:      cl.call,
 			Claim:     cl.record.ID,
@@ -45,45 +45,47 @@
 		})
 	}
 	for _, batch := range h.batches() {
-		c.offerCalls(ctx, batch.Calls, given)
+		c.offerCalls(ctx, batch.Calls, untaken)
 	}
 }
 
-// offerCalls offers calls to one peer after the other until all are taken, and
-// ends their claims. given holds those of all calls that nobody took.
-func (c *Coordinator) offerCalls(ctx context.Context, calls []HandedCall, given map[journal.ClaimID]*claim) {
-	doubtful := false
+// offerCalls offers calls to one peer after the other until all are accepted, and
+// ends their claims. untaken holds the claims of the calls that no peer has
+// accepted; offerCalls deletes those that one accepts.
+func (c *Coordinator) offerCalls(ctx context.Context, calls []HandedCall, untaken map[journal.ClaimID]*claim) {
+	maybeTaken := false
 	for _, peer := range c.cfg.Peers.Candidates() {
 		if len(calls) == 0 {
 			return
 		}
 		accepted, err := c.sendHandOver(ctx, peer, HandOver{Calls: calls})
-		doubtful = doubtful || err != nil && !errors.Is(err, ErrNotHanded)
+		maybeTaken = maybeTaken || err != nil && !errors.Is(err, ErrNotHanded)
 		for _, id := range accepted {
-			if cl, ok := given[id]; ok {
+			if cl, ok := untaken[id]; ok {
 				c.endHandedOverClaim(cl)
-				delete(given, id)
+				delete(untaken, id)
 			}
 		}
-		calls = untakenCalls(calls, given)
+		calls = untakenCalls(calls, untaken)
 	}
 	for _, call := range calls {
-		c.endUntakenClaim(given[call.Claim], doubtful)
+		c.endUntakenClaim(untaken[call.Claim], maybeTaken)
 	}
 }
 
 const (
-	// maxHandOverBytes keeps a message of a hand-over well below what a peer
-	// accepts. One that is refused for its size cannot be told from one whose
-	// answer was lost: its calls would be told as in progress, and run nowhere.
+	// maxHandOverBytes is the largest hand-over message, well below what a
+	// peer accepts. A message that is rejected for its size looks like one
+	// whose answer was lost: callers would be told that its calls are in
+	// progress, and no gateway would run them.
 	maxHandOverBytes = 4 << 20
-	// overheadBytes is what a call or an outcome takes besides its payload and
-	// its key, rounded up.
+	// overheadBytes is the size of a call or an outcome without its payload
+	// and key, rounded up.
 	overheadBytes = 512
 )
 
-// batches cuts a hand-over into messages of at most maxHandOverBytes. What is
-// larger by itself goes alone.
+// batches splits a hand-over into messages of at most maxHandOverBytes. A larger
+// call or outcome gets a message of its own.
 func (h HandOver) batches() []HandOver {
 	var all []HandOver
 	var next HandOver
@@ -110,56 +112,60 @@
 	return append(all, next)
 }
 
-// markWaitingHandedOver moves all waiting claims to handed: from here on this gateway
-// will never dispatch them.
+// markWaitingHandedOver moves all waiting claims to handedOver and returns them.
+// This gateway will never dispatch their calls, and accepts no new claims.
 func (c *Coordinator) markWaitingHandedOver() []*claim {
-	var given []*claim
+	var marked []*claim
 	for _, p := range c.partitions {
 		p.mu.Lock()
 		p.closedToClaims = true
 		for cl := range p.active {
 			if !cl.isTakeover() && cl.leaveWaiting(handedOver) {
-				given = append(given, cl)
+				marked = append(marked, cl)
 			}
 		}
 		p.mu.Unlock()
 	}
-	return given
+	return marked
 }
 
+// sendHandOver sends h to a peer and returns the given-up claims whose calls the
+// peer accepted. Its errors are those of Peer.HandOver.
 func (c *Coordinator) sendHandOver(ctx context.Context, peer Peer, h HandOver) ([]journal.ClaimID, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.limits.PeerTimeout)
 	defer cancel()
 	accepted, err := peer.HandOver(ctx, h)
 	if err != nil {
-		c.log.Warn("hand-over failed", "peer", peer.ID(), "calls", len(h.Calls), "error", err)
+		c.log.Warn("hand-over to peer failed", "peer", peer.ID(), "calls", len(h.Calls), "error", err)
 	}
 	return accepted, err
 }
 
-// untakenCalls returns the calls whose claims are in given.
-func untakenCalls(calls []HandedCall, given map[journal.ClaimID]*claim) []HandedCall {
+// untakenCalls returns the calls whose claims are in untaken.
+func untakenCalls(calls []HandedCall, untaken map[journal.ClaimID]*claim) []HandedCall {
 	var left []HandedCall
 	for _, call := range calls {
-		if _, ok := given[call.Claim]; ok {
+		if _, ok := untaken[call.Claim]; ok {
 			left = append(left, call)
 		}
 	}
 	return left
 }
 
-// endHandedOverClaim ends a claim whose call a peer has taken.
+// endHandedOverClaim releases the claim of a call that a peer has accepted, and
+// answers its caller.
 func (c *Coordinator) endHandedOverClaim(cl *claim) {
 	p := c.partition(cl.call.Key)
 	p.writer.enqueue(journal.Release{Head: cl.record.Head})
 	cl.handedOverOutcome <- inProgressOutcome("this gateway is leaving; another one runs the call, ask again by key")
 }
 
-// endUntakenClaim ends a claim whose call no peer has taken for certain.
-// After a lost answer one may have, so that the claim is released rather than
-// not run.
-func (c *Coordinator) endUntakenClaim(cl *claim, doubtful bool) {
-	if doubtful {
+// endUntakenClaim ends the claim of a call that no peer is known to have accepted,
+// and answers its caller. maybeTaken reports that a peer may have accepted the
+// call, because its answer was lost; the claim is then released instead of
+// recorded as not run.
+func (c *Coordinator) endUntakenClaim(cl *claim, maybeTaken bool) {
+	if maybeTaken {
 		c.endHandedOverClaim(cl)
 		return
 	}
@@ -167,7 +173,7 @@
 	cl.handedOverOutcome <- refusal(cl.call, outcome.ReasonLeaving, "this gateway is leaving", retrySoon)
 }
 
-// awaitDispatched waits for the calls that upstreams are running.
+// awaitDispatched waits until all dispatched calls have ended, or ctx has.
 func (c *Coordinator) awaitDispatched(ctx context.Context) error {
 	for _, cl := range c.dispatchedClaims() {
 		select {
@@ -179,6 +185,7 @@
 	return nil
 }
 
+// dispatchedClaims returns the claims whose calls are dispatched and still run.
 func (c *Coordinator) dispatchedClaims() []*claim {
 	var running []*claim
 	for _, p := range c.partitions {
@@ -193,13 +200,13 @@
 	return running
 }
 
-// handOverOutcomes gives the outcomes that the journal may not have to a peer.
+// handOverOutcomes offers the outcomes that the journal may not have to peers.
 func (c *Coordinator) handOverOutcomes(ctx context.Context) {
 	var h HandOver
 	for _, p := range c.partitions {
 		p.mu.Lock()
-		for _, held := range p.copies {
-			h.Outcomes = append(h.Outcomes, held.KeyedOutcome)
+		for _, stored := range p.copies {
+			h.Outcomes = append(h.Outcomes, stored.KeyedOutcome)
 		}
 		p.mu.Unlock()
 	}
@@ -208,7 +215,7 @@
 	}
 }
 
-// offerOutcomes gives outcomes to the first peer that takes them.
+// offerOutcomes sends outcomes to the first peer that accepts them.
 func (c *Coordinator) offerOutcomes(ctx context.Context, h HandOver) {
 	for _, peer := range c.cfg.Peers.Candidates() {
 		if _, err := c.sendHandOver(ctx, peer, h); err == nil {
@@ -217,39 +224,41 @@
 	}
 }
 
-// TakeOver takes what a leaving peer hands over and returns the claims whose
-// calls this gateway will try to run. It does not wait for them.
+// TakeOver accepts a hand-over of a leaving peer. It stores the outcomes, starts
+// to run the calls that can be claimed here, and returns the peer's claims of
+// those calls. It does not wait for the calls.
 func (c *Coordinator) TakeOver(h HandOver) []journal.ClaimID {
 	c.PutOutcomes(h.Outcomes)
 	var accepted []journal.ClaimID
-	for _, given := range h.Calls {
-		if c.acceptCall(given) {
-			accepted = append(accepted, given.Claim)
+	for _, handed := range h.Calls {
+		if c.acceptCall(handed) {
+			accepted = append(accepted, handed.Claim)
 		}
 	}
 	return accepted
 }
 
-// acceptCall begins to run a handed call. The message itself proves that the
-// former holder never dispatches it, so that this gateway journals the release
-// together with its own claim: the former holder may die before it can.
-func (c *Coordinator) acceptCall(given HandedCall) bool {
-	call := given.Call
+// acceptCall starts to run a call that a leaving peer handed over, and reports
+// whether it does. The hand-over proves that the peer never dispatches the call,
+// so this gateway journals the release of the peer's claim before its own claim:
+// the peer may die before it can.
+func (c *Coordinator) acceptCall(handed HandedCall) bool {
+	call := handed.Call
 	digest := journal.NewDigest(call.Key, call.Method, call.IssuedAt, call.Payload)
 	p := c.partition(call.Key)
-	if digest != given.Digest || c.stopping.Load() || !p.canClaim(call.IssuedAt, time.Now()) {
+	if digest != handed.Digest || c.stopping.Load() || !p.canClaim(call.IssuedAt, time.Now()) {
 		return false
 	}
-	release := journal.Release{Head: journal.Head{Key: call.Key, ID: given.Claim, Digest: digest, IssuedAt: call.IssuedAt}}
+	release := journal.Release{Head: journal.Head{Key: call.Key, ID: handed.Claim, Digest: digest, IssuedAt: call.IssuedAt}}
 	return c.spawn(func() {
-		ctx, cancel := context.WithTimeout(c.workCtx, given.Remaining)
+		ctx, cancel := context.WithTimeout(c.workCtx, handed.Remaining)
 		defer cancel()
 		o := c.claimAndDispatch(ctx, p, call, digest, &release)
-		c.log.Info("handed call ended", "key", call.Key.String(), "kind", o.Kind.String(), "reason", o.Reason)
+		c.log.Info("handed-over call ended", "key", call.Key.String(), "kind", o.Kind.String(), "reason", o.Reason)
 	})
 }
 
-// canClaim reports whether calls issued at issuedAt can be claimed now.
+// canClaim reports whether a call issued at issuedAt can be claimed here now.
 func (p *partition) canClaim(issuedAt, now time.Time) bool {
 	_, down := p.c.logDown(now)
 	ready, readable, _ := p.health()
--- a/internal/calls/outcomes.go
+++ b/internal/calls/outcomes.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// outcomeReplicas is how many peers get each outcome at once.
+	// outcomeReplicas is how many peers each new outcome is sent to.
 	outcomeReplicas = 2
 	// maxPeersAsked is how many peers are asked about one key.
 	maxPeersAsked = 3
-	// adoptAfter is how long a peer's outcome may be missing from the journal
-	// before this gateway journals it, because the peer may have died.
+	// adoptAfter is how long an outcome from a peer may be missing in the
+	// journal before this gateway journals it, because the peer may have died.
 	adoptAfter = 5 * time.Second
 )
 
-// PutOutcomes takes outcomes that a peer sends.
+// PutOutcomes stores copies of outcomes that a peer sent.
 func (c *Coordinator) PutOutcomes(outcomes []KeyedOutcome) {
 	for _, o := range outcomes {
 		c.partition(o.Key).storeCopy(o, false)
 	}
 }
 
-// FindLocal returns what this gateway itself knows of a key.
+// FindLocal returns what this gateway knows about a key without asking others.
 func (c *Coordinator) FindLocal(key ident.CallKey) PeerAnswer {
 	p := c.partition(key)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	answer := PeerAnswer{Running: p.running[key] > 0}
 	view, inFold := p.fold.Get(key)
-	if held, ok := p.copies[key]; ok {
-		known := held.KeyedOutcome
+	if stored, ok := p.copies[key]; ok {
+		known := stored.KeyedOutcome
 		answer.Outcome = &known
 	} else if inFold && view.State == fold.Final && !view.PayloadOmitted {
 		head := journal.Head{Key: key, ID: view.Claim, Digest: view.Digest, IssuedAt: view.IssuedAt}
@@ -44,8 +44,9 @@
 	return answer
 }
 
-// storeCopy remembers a final outcome until the journal has it. queued tells
-// that this gateway journals it already. The first one of a key stays.
+// storeCopy keeps a final outcome until the journal has it. queued reports that
+// this gateway has queued it for the journal. The first copy for a key is kept,
+// and one that belongs to another request than the key's is dropped.
 func (p *partition) storeCopy(o KeyedOutcome, queued bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,7 +58,8 @@
 	}
 }
 
-// outcomeEvent returns the journal's record of an outcome.
+// outcomeEvent returns the event that journals an outcome, without a payload that
+// is larger than MaxPayload.
 func (p *partition) outcomeEvent(o KeyedOutcome) journal.Outcome {
 	e := journal.Outcome{Head: o.Head, Kind: o.Kind, Reason: finalReason(o.Kind), Payload: o.Payload}
 	if len(o.Payload) > p.c.limits.MaxPayload {
@@ -66,21 +68,21 @@
 	return e
 }
 
-// sweepCopies drops the copies that the journal has, and journals those of
-// peers that did not get to it.
+// sweepCopies drops copies that the journal has or whose keys have expired, and
+// journals outcomes that peers have not journaled within adoptAfter.
 func (p *partition) sweepCopies(now time.Time) {
 	p.mu.Lock()
 	var adopt []journal.Outcome
-	for key, held := range p.copies {
+	for key, stored := range p.copies {
 		view, ok := p.fold.Get(key)
 		switch {
 		case ok && view.State == fold.Final && !view.PayloadOmitted:
 			delete(p.copies, key)
-		case journal.Expired(held.IssuedAt, now):
+		case journal.Expired(stored.IssuedAt, now):
 			delete(p.copies, key)
-		case !held.queued && now.Sub(held.since) >= adoptAfter:
-			held.queued = true
-			adopt = append(adopt, p.outcomeEvent(held.KeyedOutcome))
+		case !stored.queued && now.Sub(stored.since) >= adoptAfter:
+			stored.queued = true
+			adopt = append(adopt, p.outcomeEvent(stored.KeyedOutcome))
 		}
 	}
 	p.mu.Unlock()
@@ -89,20 +91,21 @@
 	}
 }
 
-// replicateOutcomes gives outcomes to peers, at once, so that they outlive this
-// gateway even before the journal has them.
+// replicateOutcomes sends outcomes to some peers, so that they are not lost if
+// this gateway ends before the journal has them.
 func (c *Coordinator) replicateOutcomes(outcomes []KeyedOutcome) {
 	peers := c.cfg.Peers.Candidates()
 	c.forEachPeer(c.workCtx, peers[:min(len(peers), outcomeReplicas)], func(ctx context.Context, peer Peer) (enough bool) {
 		if err := peer.PutOutcomes(ctx, outcomes); err != nil {
-			c.log.Debug("outcomes not stored with peer", "peer", peer.ID(), "error", err)
+			c.log.Debug("cannot store outcomes at peer", "peer", peer.ID(), "error", err)
 		}
 		return false
 	})
 }
 
-// askPeers asks peers about a key, holder first if it is among them, and keeps
-// an outcome that one of them knows. It reports whether a peer runs the call.
+// askPeers asks peers about a key, the holder first if it is among them, and
+// stores a copy of a final outcome that one of them knows. running reports that
+// a peer waits for the upstream's answer to the call.
 func (c *Coordinator) askPeers(ctx context.Context, p *partition, key ident.CallKey, holder ident.Instance) (running bool) {
 	peers := holderFirst(c.cfg.Peers.Candidates(), holder)
 	var mu sync.Mutex
@@ -123,7 +126,7 @@
 	return running
 }
 
-// holderFirst returns the peers with the holder moved to the front.
+// holderFirst returns the peers in their order, but with the holder at the front.
 func holderFirst(peers []Peer, holder ident.Instance) []Peer {
 	sorted := make([]Peer, 0, len(peers))
 	for _, peer := range peers {
@@ -139,15 +142,15 @@
 	return sorted
 }
 
-// forEachPeer talks to peers at the same time and waits for all, PeerTimeout at
-// most, or until one talk says that it was enough.
-func (c *Coordinator) forEachPeer(ctx context.Context, peers []Peer, talk func(context.Context, Peer) (enough bool)) {
+// forEachPeer calls ask for all peers at the same time and waits for the calls to
+// return. Their ctx ends after PeerTimeout or when one of them returns true.
+func (c *Coordinator) forEachPeer(ctx context.Context, peers []Peer, ask func(context.Context, Peer) (enough bool)) {
 	ctx, cancel := context.WithTimeout(ctx, c.limits.PeerTimeout)
 	defer cancel()
 	var all sync.WaitGroup
 	for _, peer := range peers {
 		all.Go(func() {
-			if talk(ctx, peer) {
+			if ask(ctx, peer) {
 				cancel()
 			}
 		})
--- a/internal/calls/partition.go
+++ b/internal/calls/partition.go
@@ -15,7 +15,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// The reader's figures.
+// The limits of the reader: the largest number of records of one read, how long a
+// read waits for a first record, the timeout of a read, and the pause after a
+// failed one.
 const (
 	maxReadRecords = 2000
 	readWait       = time.Second
@@ -23,7 +25,7 @@
 	readBackoff    = 250 * time.Millisecond
 )
 
-// partition is this gateway's view of one journal partition.
+// partition is this gateway's state of one journal partition.
 type partition struct {
 	c      *Coordinator
 	stream string
@@ -33,29 +35,33 @@
 	fold *fold.Fold
 	// next is the offset of the next record to read.
 	next ident.Offset
-	// ready: the reader was at the log's head since the fold began.
+	// ready reports that the reader reached the log's head since fold was new.
 	ready bool
-	// readable: the last read succeeded.
+	// readable reports that the last read succeeded.
 	readable bool
-	// lastRecord is when the last record came, by this process's clock.
+	// lastRecord is when the last record was read or the last mark was queued,
+	// by this process's clock.
 	lastRecord time.Time
-	// left: the waiting claims were handed over, and no new one may begin.
+	// closedToClaims reports that the waiting claims were handed over; no new
+	// claim is accepted.
 	closedToClaims bool
-	// unresolved are claims of this gateway that the reader has not met.
+	// unresolved holds the claims of this gateway whose records the reader has
+	// not met.
 	unresolved map[journal.ClaimID]*claim
-	// active are claims of this gateway that wait or are dispatched.
+	// active holds the claims of this gateway that wait or are dispatched.
 	active map[*claim]struct{}
-	// running counts the dispatched calls of a key.
+	// running counts the dispatched calls of each key.
 	running map[ident.CallKey]int
-	// copies are final outcomes that the journal may not have yet.
+	// copies holds final outcomes that the journal may not have yet.
 	copies map[ident.CallKey]*outcomeCopy
 }
 
-// outcomeCopy is a final outcome that was found here or sent by a peer.
+// outcomeCopy is a final outcome that an upstream or a peer told this gateway.
 type outcomeCopy struct {
 	KeyedOutcome
+	// since is when the copy was stored.
 	since time.Time
-	// queued: this gateway has given it to the journal itself.
+	// queued reports that this gateway has queued the outcome for the journal.
 	queued bool
 }
 
@@ -73,7 +79,7 @@
 	return p
 }
 
-// readLoop follows the partition's stream until ctx ends.
+// readLoop reads the partition's stream until ctx ends.
 func (p *partition) readLoop(ctx context.Context) {
 	p.mu.Lock()
 	p.lastRecord = time.Now()
@@ -92,14 +98,15 @@
 	}
 }
 
+// readBatch reads the records from offset next on.
 func (p *partition) readBatch(ctx context.Context) (platform.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	return p.c.cfg.Log.Read(ctx, p.stream, p.next, maxReadRecords, p.readWait())
 }
 
-// readWait returns how long a read waits for a first record: not at all until
-// the log's head was met, since that would only delay the news.
+// readWait returns how long a read waits for a first record. It is 0 until the
+// reader has reached the log's head, because waiting would only delay that.
 func (p *partition) readWait() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,12 +116,13 @@
 	return readWait
 }
 
-// restart begins a new fold at first, because the records before it expired
-// unread. Verdicts on this gateway's claims may be among them, so the calls
-// that wait for one are told that it cannot be known.
+// restart replaces the fold by a new one that begins at offset first, because the
+// records before it expired before they were read. The verdicts on claims of
+// this gateway may be among them, so the unresolved claims are resolved as
+// unreadable.
 func (p *partition) restart(first ident.Offset) {
 	p.mu.Lock()
-	p.c.log.Warn("journal records expired unread", "stream", p.stream, "next", p.next, "first", first)
+	p.c.log.Warn("journal records expired before they were read", "stream", p.stream, "next", p.next, "first", first)
 	p.fold = fold.New(true)
 	p.next = first
 	p.ready = false
@@ -126,11 +134,12 @@
 	p.c.publishHealth()
 }
 
-// applyBatch applies a batch.
+// applyBatch applies the records of a successful read.
 func (p *partition) applyBatch(batch platform.Batch) {
 	p.mu.Lock()
 	if len(batch.Records) > 0 && batch.Records[0].Offset > p.next {
-		// A log that skips expired records silently must not look complete.
+		// A log may skip expired records without an error. The fold must not
+		// count as complete then.
 		p.mu.Unlock()
 		p.restart(batch.Records[0].Offset)
 		p.mu.Lock()
@@ -148,13 +157,14 @@
 	}
 }
 
-// applyRecord takes one record and tells the claim that waits for it.
+// applyRecord applies a record and resolves the claim that waits for it. The
+// caller holds p.mu.
 func (p *partition) applyRecord(r platform.Record, now time.Time) {
 	p.next = r.Offset + 1
 	p.lastRecord = now
 	event, err := journal.Decode(r.Data)
 	if err != nil {
-		p.c.log.Error("void journal record", "stream", p.stream, "offset", r.Offset, "error", err)
+		p.c.log.Error("ignored invalid journal record", "stream", p.stream, "offset", r.Offset, "error", err)
 		return
 	}
 	decision, ok := p.fold.Apply(r.Offset, r.AppendedAt, now, event)
@@ -172,20 +182,22 @@
 	cl.resolve(resolution{Decision: decision})
 }
 
-// completeFor reports whether all that the log has said of a key issued at issuedAt
-// is known here.
+// completeFor reports whether this gateway has read all valid records of keys
+// issued at issuedAt, as far as the log has been read.
 func (p *partition) completeFor(issuedAt time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fold.CompleteFor(issuedAt)
 }
 
-// untilComplete returns how long it takes until keys issued then are certain.
+// untilComplete returns how long callers must wait until all records of keys that
+// they then issue will have been read.
 func (p *partition) untilComplete(now time.Time) time.Duration {
 	_, _, since := p.health()
 	return max(0, since.Sub(now))
 }
 
+// setReadable sets readable and publishes a change of it.
 func (p *partition) setReadable(readable bool) {
 	p.mu.Lock()
 	changed := p.readable != readable
@@ -196,10 +208,10 @@
 	}
 }
 
-// submit queues a claim for the journal, with events that go before it. It
-// returns why it did not, or "". A call that was admitted just before the
-// gateway began to leave is stopped here: otherwise it would be missed by the
-// hand-over and be cut off by the end of the process.
+// submit queues a claim for the journal, behind the events in before. It returns
+// "", or the reason for which it queued nothing. It refuses a call that was
+// admitted just before the gateway began to leave: the hand-over would miss the
+// call, and the end of the process would cut it off.
 func (p *partition) submit(cl *claim, before ...journal.Event) outcome.Reason {
 	p.mu.Lock()
 	if p.closedToClaims {
@@ -216,7 +228,7 @@
 	return outcome.ReasonOverloaded
 }
 
-// forget drops a claim that waits no longer.
+// forget removes a claim that no longer waits and whose call does not run.
 func (p *partition) forget(cl *claim) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,14 +236,15 @@
 	delete(p.active, cl)
 }
 
-// dispatchStarted notes that the call of a claim is being dispatched.
+// dispatchStarted counts the call of a claim as running.
 func (p *partition) dispatchStarted(cl *claim) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running[cl.call.Key]++
 }
 
-// dispatchEnded notes that the dispatched call of a claim has ended.
+// dispatchEnded removes a claim whose dispatched call has ended, and no longer
+// counts the call as running.
 func (p *partition) dispatchEnded(cl *claim) {
 	p.forget(cl)
 	p.mu.Lock()
@@ -242,14 +255,14 @@
 	}
 }
 
-// lookup returns what the fold knows of a key.
+// lookup returns what the fold knows about a key.
 func (p *partition) lookup(key ident.CallKey) (fold.View, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fold.Get(key)
 }
 
-// maintainLoop keeps the partition in order until ctx ends.
+// maintainLoop appends marks and sweeps copies until ctx ends.
 func (p *partition) maintainLoop(ctx context.Context) {
 	const every = 5 * time.Second
 	for ctx.Err() == nil {
@@ -259,8 +272,9 @@
 	}
 }
 
-// appendMarkIfDue appends a mark when the stream has been silent, or when all its records
-// have expired, so that it cannot be told since when everything is known.
+// appendMarkIfDue appends a mark when the stream had no new record for MarkEvery,
+// or when all its records have expired, so that no time is known from which on
+// the fold is complete.
 func (p *partition) appendMarkIfDue() {
 	p.mu.Lock()
 	_, known := p.fold.CompleteSince()
@@ -275,7 +289,7 @@
 	}
 }
 
-// publishHealth writes the journal's section of the blackboard.
+// publishHealth publishes the combined state of all partitions if it has changed.
 func (c *Coordinator) publishHealth() {
 	c.healthMu.Lock()
 	defer c.healthMu.Unlock()
@@ -293,8 +307,9 @@
 	}
 }
 
-// health returns whether the partition is read whole and reachable, and since
-// when keys are known for certain.
+// health reports whether the partition has been read up to the log's head and
+// whether its last read succeeded. All valid records of keys issued after since
+// are known.
 func (p *partition) health() (ready, readable bool, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/calls/settle.go
+++ b/internal/calls/settle.go
@@ -11,9 +11,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Find tells what became of the call with a key. It never says NotRun: the
-// caller may have sent an attempt that no gateway has journaled yet. Sending
-// the call again with the same key and a higher attempt is always safe.
+// Find returns the outcome of the call with a key. It never returns NotRun, because
+// the caller may have sent an attempt that no gateway has journaled yet. It is
+// always safe to send the call again with the same key and a higher attempt.
 func (c *Coordinator) Find(ctx context.Context, key ident.CallKey) outcome.Outcome {
 	p := c.partition(key)
 	if o, ok := p.knownOutcome(key, nil); ok {
@@ -36,8 +36,9 @@
 	return outcome.NewUnknown(outcome.ReasonNotSeen, "no attempt with this key was seen; it may be sent again", retrySoon)
 }
 
-// settleOwner finds out about a claim that owns the key. ok is true when the
-// key is open, so that the caller may claim it; otherwise o is the answer.
+// settleOwner tries to find out the outcome of the claim that owns the key. ok is
+// true when no claim owns the key, so that the caller may claim it; otherwise o
+// is the answer. A digest that is not nil is that of the caller's request.
 func (c *Coordinator) settleOwner(ctx context.Context, p *partition, key ident.CallKey, digest *journal.Digest) (o outcome.Outcome, ok bool) {
 	view, exists := p.lookup(key)
 	if !exists || view.State != fold.Claimed && view.State != fold.Unknown {
@@ -57,14 +58,15 @@
 	return c.settleAtUpstream(ctx, p, key, view)
 }
 
-// settleUntargeted ends a claim that names no upstream. Such a claim is never
-// dispatched, so that it can be ended for its holder.
+// settleUntargeted ends a claim that names no upstream. The claim's holder never
+// dispatches its call, so any gateway may end it.
 func (c *Coordinator) settleUntargeted(p *partition, key ident.CallKey, view fold.View) outcome.Outcome {
 	p.writer.enqueue(journal.Outcome{Head: headOf(key, view), Kind: outcome.NotRun, Reason: outcome.ReasonNoUpstream})
 	return inProgressOutcome("an attempt without an upstream is being ended")
 }
 
-// settleAtUpstream asks the one upstream that can have got the call.
+// settleAtUpstream asks the one upstream to which the owner may have sent the call.
+// Its results are those of settleOwner.
 func (c *Coordinator) settleAtUpstream(ctx context.Context, p *partition, key ident.CallKey, view fold.View) (outcome.Outcome, bool) {
 	unknown := outcome.NewUnknown(outcome.ReasonClaimedElsewhere, "an attempt with this key may have run; ask again by key", retryLater)
 	// The method is not part of the key, and its timeout is not needed here.
@@ -82,17 +84,18 @@
 	case found.State == upstream.Running:
 		return inProgressOutcome("the upstream is running the call"), false
 	case !spec.checksFencing:
-		// The call may still be on its way, and nothing can stop it.
+		// The call may still reach the upstream, and nothing would stop it.
 		return unknown, false
 	}
 	return c.takeOverClaim(ctx, p, key, view)
 }
 
-// takeOverClaim owns the key with a higher fence, not to run the call but to learn
-// what became of it. Once the upstream has seen the higher fence, it refuses
-// whatever the former owner may still send; and no other upstream can get it,
-// since a claim names its one upstream before it is dispatched. If the
-// upstream has not seen the call by then, it never ran and the key is open.
+// takeOverClaim claims the key with a higher fencing number, not to run the call
+// but to find out its outcome. Once the upstream has seen the higher number, it
+// rejects whatever the former owner may still send. No other upstream can get the
+// call, since a claim names its one upstream before the call is dispatched. If
+// the upstream has not seen the call by then, it never ran and the key is open.
+// The results are those of settleOwner.
 func (c *Coordinator) takeOverClaim(ctx context.Context, p *partition, key ident.CallKey, view fold.View) (outcome.Outcome, bool) {
 	unknown := outcome.NewUnknown(outcome.ReasonClaimedElsewhere, "an attempt with this key may have run; ask again by key", retryLater)
 	call := Call{Key: key, IssuedAt: view.IssuedAt, Attempt: view.Attempt}
@@ -117,11 +120,12 @@
 		return unknown, false
 	}
 	p.writer.enqueue(notRunEvent(cl, outcome.ReasonUpstreamLost))
-	// Whoever claims next waits for that record; in the same batch its own
-	// claim comes after it.
+	// Other gateways claim the key only after they have read this record. A
+	// claim that this gateway queues now comes after it in the log.
 	return outcome.Outcome{}, true
 }
 
+// headOf returns the head for an event about the owner of a key.
 func headOf(key ident.CallKey, view fold.View) journal.Head {
 	return journal.Head{Key: key, ID: view.Claim, Digest: view.Digest, IssuedAt: view.IssuedAt}
 }
