--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -9,27 +9,29 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Board is the blackboard of one process. The comment of each section names
-// its one writer.
+// Board is the blackboard of one process. The comment of each section names its
+// only writer.
 type Board struct {
-	// Documents in force. Writer: controllers/configuration.
+	// Documents holds the documents in force. Writer:
+	// controllers/configuration.
 	Documents *Section[*document.Set]
-	// Configuration tells how fresh Documents is. Writer:
+	// Configuration reports how fresh Documents is. Writer:
 	// controllers/configuration.
 	Configuration *Section[ConfigurationHealth]
 	// Members is the merged state of all known instances. Writer:
 	// membership.
 	Members *Section[*Members]
-	// Upstreams is what routing decides by. Writer: controllers/probing.
+	// Upstreams holds the upstreams and load reports that routing uses. Writer:
+	// controllers/probing.
 	Upstreams *Section[*Upstreams]
-	// Journal tells whether calls with a key can be served. Writer: calls.
+	// Journal reports whether calls with a key can be served. Writer: calls.
 	Journal *Section[JournalHealth]
-	// Stopping is set once when this process begins to leave. Writer: the
-	// process's main loop.
+	// Stopping becomes true when this process begins to leave, and stays so.
+	// Writer: the process's main loop.
 	Stopping *Section[bool]
 }
 
-// NewBoard returns an empty board.
+// NewBoard returns a board whose sections hold empty values.
 func NewBoard() *Board {
 	return &Board{
 		Documents:     NewSection(&document.Set{}),
@@ -41,28 +43,31 @@
 	}
 }
 
-// ConfigurationHealth tells how fresh the documents are.
+// ConfigurationHealth reports how fresh the documents are.
 type ConfigurationHealth struct {
-	// Ready: the process reached the log's head, or the highest revision of
-	// its reachable peers, at least once.
+	// Ready reports that the process reached the log's head, or the highest
+	// revision of its reachable peers, at least once.
 	Ready bool
-	// LogReachable: the last read of the log succeeded.
+	// LogReachable reports that the last read of the log succeeded.
 	LogReachable bool
-	// Problem says why Ready is false, or what could not be understood.
+	// Problem says why Ready is false, or what could not be read; it may be
+	// empty.
 	Problem string
 }
 
-// JournalHealth tells whether calls with a key can be served.
+// JournalHealth reports whether calls with a key can be served.
 type JournalHealth struct {
-	// Ready: the whole window of keys was read.
-	Ready        bool
+	// Ready reports that the journal was read up to the log's head.
+	Ready bool
+	// LogReachable reports that the last read of each partition succeeded.
 	LogReachable bool
-	// WindowStart: keys issued before it are not known for certain.
+	// WindowStart is the time before which issued keys may have records that
+	// this process has not read; calls with such keys are refused.
 	WindowStart time.Time
 }
 
-// MemberState is an instance's state as merged from all sources. For one
-// incarnation it only moves forward.
+// MemberState is an instance's state, merged from all sources. For one incarnation
+// it never changes to an earlier state.
 type MemberState int
 
 // The states, in their order.
@@ -73,12 +78,12 @@
 	Gone    MemberState = 4
 )
 
-// Member is what is known of one instance.
+// Member is what is known about one instance.
 type Member struct {
 	Instance    platform.Instance
 	Incarnation ident.Incarnation
 	State       MemberState
-	// Since is when this process learnt the state.
+	// Since is when this process learned of the state.
 	Since time.Time
 }
 
@@ -90,30 +95,31 @@
 // Listing is the platform's list of instances as it was read last.
 type Listing struct {
 	Instances []platform.Instance
-	// ReadAt is when the read began; zero before the first one.
+	// ReadAt is when the read started; zero before the first read.
 	ReadAt time.Time
 }
 
-// CachedPrefix tells how much of a prompt an upstream holds in its cache.
+// CachedPrefix estimates how much of a prompt an upstream has in its cache.
 type CachedPrefix interface {
-	// Cached returns how many leading blocks are believed cached, weighed
-	// by how much that belief is worth: a fraction is possible.
+	// Cached returns the estimated number of leading blocks in the cache,
+	// weighted by the reliability of the estimate; it may be a fraction.
 	Cached(blocks []uint64, now time.Time) float64
 }
 
-// Upstream is what routing knows of one upstream.
+// Upstream is what routing knows about one upstream.
 type Upstream struct {
 	Instance platform.Instance
 	State    MemberState
-	// Report is the last load report; its Age is already part of AsOf.
+	// Report is the last load report. AsOf already takes its Age into account.
 	Report upstream.Report
-	// AsOf is when the report's figures were true. Zero: no report yet.
+	// AsOf is the time at which the report was accurate; zero before the
+	// first report.
 	AsOf time.Time
-	// Cache may be nil.
+	// Cache estimates what the upstream's cache holds; nil if unknown.
 	Cache CachedPrefix
 }
 
-// Upstreams is what routing decides by.
+// Upstreams holds the upstreams and load reports that routing uses.
 type Upstreams struct {
 	ByService map[ident.Service][]Upstream
 }
--- a/internal/blackboard/section.go
+++ b/internal/blackboard/section.go
@@ -1,7 +1,6 @@
-// Package blackboard holds the state that controllers share: typed sections
-// of immutable snapshots. Each section has exactly one writer. Readers load a
-// snapshot by one atomic load and take no lock, so the data path never waits
-// for a controller.
+// Package blackboard holds the state that controllers share, in typed sections of
+// immutable snapshots. Each section has exactly one writer. Readers get a snapshot
+// by one atomic load and take no lock, so requests never wait for a controller.
 package blackboard
 
 import (
@@ -9,9 +8,10 @@
 	"sync/atomic"
 )
 
-// Snapshot is one version of a section. Its value must not be changed.
+// Snapshot is one version of a section's value. The value must not be modified.
 type Snapshot[T any] struct {
-	// Version counts the publications of the section; 0 is the zero value.
+	// Version counts the publications of the section; the initial value has
+	// version 0.
 	Version uint64
 	Value   T
 	// changed is closed when a newer snapshot is published.
@@ -21,12 +21,13 @@
 // Changed returns a channel that is closed when a newer snapshot exists.
 func (s *Snapshot[T]) Changed() <-chan struct{} { return s.changed }
 
-// Section is one part of the blackboard. Create it with NewSection.
+// Section is one part of the blackboard. Create it with NewSection. Its methods
+// may be called concurrently, but Publish only by one writer.
 type Section[T any] struct {
 	current atomic.Pointer[Snapshot[T]]
 }
 
-// NewSection returns a section that holds initial as version 0.
+// NewSection returns a section with the value initial as version 0.
 func NewSection[T any](initial T) *Section[T] {
 	s := &Section[T]{}
 	s.current.Store(&Snapshot[T]{Value: initial, changed: make(chan struct{})})
@@ -39,8 +40,8 @@
 // Value returns the current value.
 func (s *Section[T]) Value() T { return s.current.Load().Value }
 
-// Publish replaces the value and wakes all watchers. Only the section's one
-// writer may call it.
+// Publish replaces the value and wakes everyone who waits for a newer snapshot.
+// Only the section's one writer may call it.
 func (s *Section[T]) Publish(value T) {
 	old := s.current.Load()
 	next := &Snapshot[T]{Version: old.Version + 1, Value: value, changed: make(chan struct{})}
@@ -48,8 +49,8 @@
 	close(old.changed)
 }
 
-// Wait blocks until a snapshot newer than version exists and returns it, or
-// returns the error of ctx.
+// Wait blocks until there is a snapshot newer than version and returns it. It
+// returns the error of ctx if that ends first.
 func (s *Section[T]) Wait(ctx context.Context, version uint64) (*Snapshot[T], error) {
 	for {
 		snap := s.current.Load()
--- a/internal/calls/fold/fold.go
+++ b/internal/calls/fold/fold.go
@@ -1,12 +1,13 @@
-// Package fold decides, from the records of one journal partition in their
-// order, who may dispatch the call of a key and how it ended. It is pure:
-// every reader of the same records reaches the same decisions.
+// Package fold computes, from the records of one journal partition in their
+// order, which claim owns each key, and thus who may dispatch its call, and how
+// the call ended. It depends on nothing else: every reader of the same records
+// reaches the same decisions.
 //
 // States of a key:
 //
 //	open ──Claim──▶ claimed ──Outcome(completed|failed)──▶ final
 //	                   │ ├──Outcome(unknown)──▶ unknown ──▶ final, or open
-//	                   │ └──Claim that supersedes──▶ claimed, being settled
+//	                   │ └──Claim that supersedes──▶ claimed, to find out the outcome
 //	                   ├──Outcome(not_run)──▶ open again
 //	                   └──Release──▶ open again, and a peer will claim it
 package fold
@@ -26,7 +27,7 @@
 
 // The states.
 const (
-	// Open: no claim was seen, only the end of one that may land later.
+	// Open: no claim was seen, only the end of one whose record may follow.
 	Open State = iota
 	// Claimed: the holder may have dispatched the call.
 	Claimed
@@ -34,13 +35,14 @@
 	Unknown
 	// NotRun: the last claim ended without running; the key is open again.
 	NotRun
-	// Released: a peer of the last holder will claim the key.
+	// Released: the last holder handed the call over to a peer, which will
+	// claim the key.
 	Released
 	// Final: the outcome is known and never changes.
 	Final
 )
 
-// Verdict is what became of a claim.
+// Verdict says whether a claim owns its key, and if not, why.
 type Verdict int
 
 // The verdicts.
@@ -53,11 +55,12 @@
 	LostFinal
 	// LostKeyReused: the key belongs to a different request.
 	LostKeyReused
-	// LostAttempt: a later attempt of the caller has owned the key.
+	// LostToLaterAttempt: a later attempt of the caller has owned the key.
 	LostToLaterAttempt
-	// LostTime: the key was issued outside the window.
+	// LostOutsideWindow: at the record's time in the log, the key had expired
+	// or its IssuedAt was more than MaxSkew ahead.
 	LostOutsideWindow
-	// LostEnded: the claim had been given up before its record came.
+	// LostEnded: an earlier record had already ended the claim.
 	LostEnded
 )
 
@@ -65,25 +68,26 @@
 type Decision struct {
 	Claim   journal.ClaimID
 	Verdict Verdict
-	// Fence is the winner's fencing number.
+	// Fence is the winner's fencing number, at least 1; 0 if the claim lost.
 	Fence ident.Fence
 }
 
-// View is what is known of a key.
+// View is what is known about a key.
 type View struct {
 	State    State
 	Digest   journal.Digest
 	IssuedAt time.Time
-	// Attempt is the highest that has owned the key.
+	// Attempt is the highest attempt that has owned the key; 0 means none.
 	Attempt uint32
 	// Claim, Holder, Target and Fence are those of the last owner.
 	Claim  journal.ClaimID
 	Holder ident.Instance
 	Target journal.Target
 	Fence  ident.Fence
-	// Settling: the owner took over only to find out the outcome.
+	// Settling reports that the owner took over only to find out the outcome.
 	Settling bool
-	// SeenAt is the reader's own clock when the last owner's claim came.
+	// SeenAt is when the reader applied the last owner's claim, by its own
+	// clock.
 	SeenAt time.Time
 	// Kind, Reason and Payload are set when State is Final; Reason also for
 	// NotRun and Unknown.
@@ -95,20 +99,22 @@
 
 // Fold is the state of one partition. It is not safe for concurrent use.
 type Fold struct {
-	// entries holds the first request of each key.
+	// entries holds the first request of each key; entry.next leads to the
+	// others.
 	entries map[ident.CallKey]*entry
-	// expiryQueue lists all requests in the order in which they came.
+	// expiryQueue holds all requests in the order of their first records.
 	expiryQueue []expiryItem
-	logTime     time.Time
-	// partial: records before the first one read had expired.
+	// logTime is the latest time of a record in the log.
+	logTime time.Time
+	// partial reports that the records before the first one read had expired.
 	partial   bool
 	hasFirst  bool
 	firstTime time.Time
 }
 
-// entry is the state of one request under a key. ended lists all its claims
-// that can no longer own the key, so that a record of one of them that comes
-// late, or twice, is known to be void.
+// entry is the state of one request under a key. ended lists its claims that can
+// never own the key again, so that a record of one of them that comes late, or
+// twice, is ignored.
 type entry struct {
 	View
 	ended []journal.ClaimID
@@ -117,31 +123,32 @@
 	next *entry
 }
 
-// expiryItem is a request with its key.
+// expiryItem is an element of the expiry queue: a request's key and issue time.
 type expiryItem struct {
 	key      ident.CallKey
 	issuedAt time.Time
 }
 
-// New returns an empty fold. partial tells that the records before the first
+// New returns an empty fold. partial reports that the records before the first
 // one that will be applied have expired.
 func New(partial bool) *Fold {
 	return &Fold{entries: map[ident.CallKey]*entry{}, partial: partial}
 }
 
-// Len returns the number of keys held.
+// Len returns the number of keys that the fold holds.
 func (f *Fold) Len() int { return len(f.entries) }
 
-// CompleteSince returns the time from which on keys are known for certain: all
-// records that decide about a key issued after it have been read, once the
-// reader is at the log's head. ok is false while nothing can be said.
+// CompleteSince returns a time such that, once the reader is at the log's head,
+// all valid records of keys issued after it have been read. ok is false while
+// there is no such time, because no record has been read. The time is zero if the
+// fold is not partial.
 //
-// A record is void when its key was issued more than MaxSkew after the
-// record's own time in the log, or more than Window before. So records that
-// expired unread are about keys issued before first + MaxSkew. Such a key could
-// also keep another request from owning it, for one Window more, which a reader
-// cannot see; requests issued another MaxSkew later have no record from before
-// that.
+// A record is void when its key was issued more than MaxSkew after the record's
+// own time in the log, or more than Window before it. So records that expired
+// before they were read are about keys issued before first + MaxSkew. Such a key
+// can also keep another request from owning it for one Window more, and the
+// reader cannot see that. Requests issued yet another MaxSkew later have no
+// record from before that time.
 func (f *Fold) CompleteSince() (since time.Time, ok bool) {
 	if !f.partial {
 		return time.Time{}, true
@@ -149,14 +156,15 @@
 	return f.firstTime.Add(journal.Window + 2*journal.MaxSkew), f.hasFirst
 }
 
-// CompleteFor reports whether all that the log has said of a key issued at issuedAt
-// is known here: nothing expired unread, and nothing was forgotten.
+// CompleteFor reports whether the fold holds everything that the records read so
+// far say about a key issued at issuedAt: no such record expired before it was
+// read, and nothing was forgotten.
 func (f *Fold) CompleteFor(issuedAt time.Time) bool {
 	since, ok := f.CompleteSince()
 	return ok && issuedAt.After(since) && !journal.Expired(issuedAt, f.logTime)
 }
 
-// Get returns what is known of the request that a key belongs to.
+// Get returns what is known about the request that a key belongs to.
 func (f *Fold) Get(key ident.CallKey) (View, bool) {
 	e := f.current(key)
 	if e == nil {
@@ -174,8 +182,9 @@
 	return e
 }
 
-// Apply takes the next record. offset and appendedAt are the record's, now is
-// the reader's clock. The decision is set for claims only.
+// Apply applies the next record. offset and appendedAt are the record's; now is
+// the reader's clock. It returns a decision and true for claims, and false for
+// other events.
 func (f *Fold) Apply(offset ident.Offset, appendedAt, now time.Time, event journal.Event) (Decision, bool) {
 	f.advanceLogTime(appendedAt)
 	switch e := event.(type) {
@@ -189,7 +198,7 @@
 	return Decision{}, false
 }
 
-// advanceLogTime moves the log's time, which never goes back here even if the log's
+// advanceLogTime sets the log's time, which never goes back here even if the log's
 // clock is set back, and forgets keys that can no longer be claimed.
 func (f *Fold) advanceLogTime(appendedAt time.Time) {
 	if !f.hasFirst {
@@ -205,7 +214,7 @@
 	}
 }
 
-// forgetExpired drops the expired requests at the head of a key.
+// forgetExpired drops the expired requests at the head of a key's list.
 func (f *Fold) forgetExpired(key ident.CallKey) {
 	e := f.current(key)
 	if e == nil {
@@ -215,9 +224,9 @@
 	f.entries[key] = e
 }
 
-// entryFor returns the entry of an event's request, made if it does not exist
-// yet, and whether the key belongs to another request. It returns nil when the
-// record is void because of its time.
+// entryFor returns the entry of an event's request and creates it if it does not
+// exist yet. reused reports that the key belongs to another request. The entry is
+// nil when the record is void because of its time.
 func (f *Fold) entryFor(h journal.Head) (e *entry, reused bool) {
 	if journal.Expired(h.IssuedAt, f.logTime) || journal.IssuedInFuture(h.IssuedAt, f.logTime) {
 		return nil, false
@@ -236,7 +245,8 @@
 	return f.newEntry(h, last), true
 }
 
-// newEntry adds a request after last, or as the first one of its key.
+// newEntry adds a request after last, or as the first one of its key if last is
+// nil.
 func (f *Fold) newEntry(h journal.Head, last *entry) *entry {
 	key := ident.CallKey{
 		Service: ident.Service(intern(string(h.Key.Service))),
@@ -253,6 +263,7 @@
 	return e
 }
 
+// applyClaim returns the verdict on a claim and makes it the owner if it won.
 func (f *Fold) applyClaim(offset ident.Offset, now time.Time, c journal.Claim) Decision {
 	d := Decision{Claim: c.ID}
 	e, reused := f.entryFor(c.Head)
@@ -275,7 +286,7 @@
 	return d
 }
 
-// verdictOn tells whether a claim may own the key now.
+// verdictOn returns whether a claim may own the key now.
 func (e *entry) verdictOn(c journal.Claim) Verdict {
 	switch {
 	case slices.Contains(e.ended, c.ID):
@@ -283,7 +294,7 @@
 	case e.State == Final:
 		return LostFinal
 	case e.owned() && e.Claim == c.ID:
-		// The same record again, after an append whose answer was lost.
+		// A second copy of the record, after an append whose answer was lost.
 		return Won
 	case c.Supersedes != journal.ClaimID{}:
 		if e.owned() && e.Claim == c.Supersedes {
@@ -301,7 +312,7 @@
 // owned reports whether a claim owns the key.
 func (e *entry) owned() bool { return e.State == Claimed || e.State == Unknown }
 
-// setOwner makes a claim the owner.
+// setOwner makes a claim the owner and ends the one that it supersedes.
 func (e *entry) setOwner(offset ident.Offset, now time.Time, c journal.Claim) {
 	if e.owned() {
 		e.ended = append(e.ended, e.Claim)
@@ -309,12 +320,12 @@
 	e.State = Claimed
 	e.Claim = c.ID
 	e.Holder = ident.Instance(intern(string(c.Holder)))
-	// An offset starts from 0, a fence from 1.
+	// Offsets start at 0, fencing numbers at 1.
 	e.Fence = ident.Fence(offset) + 1
 	e.SeenAt = now
 	e.Settling = c.Supersedes != journal.ClaimID{}
 	if e.Settling {
-		// The call can only be where the superseded claim sent it.
+		// Target stays: the call can only be where the superseded claim sent it.
 		return
 	}
 	e.Attempt = c.Attempt
@@ -326,7 +337,7 @@
 }
 
 // endClaim makes sure that a claim can never own the key again, whether its record
-// came already or comes later, and reports whether it was the owner.
+// was already applied or comes later, and reports whether it was the owner.
 func (e *entry) endClaim(id journal.ClaimID) bool {
 	owner := e.owned() && e.Claim == id
 	if !slices.Contains(e.ended, id) {
@@ -335,6 +346,7 @@
 	return owner
 }
 
+// applyRelease ends a claim; if it was an ordinary owner, the key is released.
 func (f *Fold) applyRelease(r journal.Release) {
 	e, _ := f.entryFor(r.Head)
 	if e == nil || e.State == Final {
@@ -345,6 +357,7 @@
 	}
 }
 
+// applyOutcome records how a claim ended. A final outcome never changes.
 func (f *Fold) applyOutcome(o journal.Outcome) {
 	e, _ := f.entryFor(o.Head)
 	if e == nil || e.State == Final {
@@ -360,8 +373,8 @@
 			e.State, e.Reason = Unknown, o.Reason
 		}
 	default:
-		// What an upstream answered is true whoever reports it, also when
-		// another claim has taken over meanwhile.
+		// An upstream's answer is valid whichever claim's holder records it,
+		// even when another claim has taken over meanwhile.
 		e.State = Final
 		e.Kind, e.Reason = o.Kind, o.Reason
 		e.Payload, e.PayloadOmitted = o.Payload, o.PayloadOmitted
@@ -369,6 +382,6 @@
 	}
 }
 
-// intern returns the one copy in memory of a name that many keys have in
-// common.
+// intern returns a copy of a name that is shared in memory by all keys that have
+// this name in common.
 func intern(name string) string { return unique.Make(name).Value() }
--- a/internal/calls/journal/codec.go
+++ b/internal/calls/journal/codec.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Encode returns the bytes of an event.
+// Encode returns the encoded record of an event.
 func Encode(e Event) ([]byte, error) {
 	data, err := proto.Marshal(toProto(e))
 	return data, errcode.Wrap(errcode.InvalidArgument, err, "encode journal record")
@@ -71,8 +71,8 @@
 	}
 }
 
-// Decode returns the event of a record. It refuses whatever Encode does not
-// write, so that every reader judges a malformed record alike: as void.
+// Decode returns the event of a record. It rejects everything that Encode does
+// not write, so that all readers ignore the same malformed records.
 func Decode(data []byte) (Event, error) {
 	var r journalv1.Record
 	if err := proto.Unmarshal(data, &r); err != nil {
@@ -92,7 +92,7 @@
 	case *journalv1.Record_Mark:
 		return Mark{}, nil
 	}
-	return nil, errcode.New(errcode.InvalidArgument, "journal record without a known event")
+	return nil, errcode.New(errcode.InvalidArgument, "journal record has no known event")
 }
 
 func headFromProto(p *journalv1.Head) (Head, error) {
@@ -157,7 +157,7 @@
 	switch kind {
 	case outcome.Completed, outcome.Failed, outcome.NotRun, outcome.Unknown:
 	default:
-		return nil, errcode.Errorf(errcode.InvalidArgument, "outcome kind %d is no end of a claim", kind)
+		return nil, errcode.Errorf(errcode.InvalidArgument, "outcome kind %d does not end a claim", kind)
 	}
 	return Outcome{
 		Head:           head,
@@ -168,20 +168,23 @@
 	}, nil
 }
 
-// DigestFromBytes returns a digest that travelled as bytes.
+// DigestFromBytes converts the bytes of an encoded digest. It returns an error if
+// their number is wrong.
 func DigestFromBytes(b []byte) (Digest, error) {
 	var d Digest
 	if len(b) != len(d) {
-		return d, errcode.Errorf(errcode.InvalidArgument, "request digest of %d bytes, want %d", len(b), len(d))
+		return d, errcode.Errorf(errcode.InvalidArgument, "request digest has %d bytes, want %d", len(b), len(d))
 	}
 	copy(d[:], b)
 	return d, nil
 }
 
+// claimIDFromBytes converts the bytes of an encoded claim ID. It returns an error
+// if their number is wrong or the ID is zero.
 func claimIDFromBytes(b []byte) (ClaimID, error) {
 	var id ClaimID
 	if len(b) != len(id) {
-		return id, errcode.Errorf(errcode.InvalidArgument, "claim ID of %d bytes, want %d", len(b), len(id))
+		return id, errcode.Errorf(errcode.InvalidArgument, "claim ID has %d bytes, want %d", len(b), len(id))
 	}
 	copy(id[:], b)
 	if id == (ClaimID{}) {
@@ -196,9 +199,9 @@
 	return logTime.Sub(issuedAt) > Window
 }
 
-// IssuedInFuture reports whether a key issued at issuedAt cannot be claimed yet when
-// the log's clock shows logTime, because the caller's clock is ahead by more
-// than MaxSkew.
+// IssuedInFuture reports whether a key issued at issuedAt cannot be claimed yet
+// when the log's clock shows logTime, because the caller's clock is more than
+// MaxSkew ahead.
 func IssuedInFuture(issuedAt, logTime time.Time) bool {
 	return issuedAt.Sub(logTime) > MaxSkew
 }
--- a/internal/calls/journal/journal.go
+++ b/internal/calls/journal/journal.go
@@ -1,10 +1,10 @@
 // Package journal defines the records by which gateways agree on who may
-// dispatch a call that must not be repeated, and how they are written to the
-// platform's log.
+// dispatch a call that must not be repeated, and their encoding in the platform's
+// log.
 //
 // Records are spread over partitions by key. All gateways must use the same
-// Partitions, Window and MaxSkew: with different ones they would judge one
-// key by different records. That is why these are constants and no settings.
+// Partitions, Window and MaxSkew: with different ones they would decide about the
+// same key from different records. Therefore these are constants, not settings.
 package journal
 
 import (
@@ -22,30 +22,31 @@
 
 // The limits that all gateways share.
 const (
-	// Partitions is the number of streams.
+	// Partitions is the number of partitions, each a stream of the log.
 	Partitions = 2
-	// Window is how long after it was issued a key may still be claimed. The
-	// log must keep records for twice the sum of Window and MaxSkew, plus the
-	// time between two marks, or a gateway that starts refuses calls for a
-	// while; see Fold.CompleteSince in package fold.
+	// Window is how long a key may be claimed after it was issued. The log must
+	// keep records for twice the sum of Window and MaxSkew, plus the time
+	// between two marks. Otherwise a gateway refuses calls for a while after
+	// it starts; see Fold.CompleteSince in package fold.
 	Window = time.Hour
-	// MaxSkew is how far a caller's clock may be ahead of the log's. A claim
-	// issued later than that is void.
+	// MaxSkew is how far a caller's clock may be ahead of the log's. A record
+	// whose key was issued further in the future is void.
 	MaxSkew = time.Minute
 )
 
 // ClaimID identifies one claim.
 type ClaimID = uuid.UUID
 
-// NewClaimID returns a random ID.
+// NewClaimID returns a random claim ID.
 func NewClaimID() ClaimID { return uuid.New() }
 
-// Digest tells requests under one key apart.
+// Digest identifies a request, to distinguish requests that use the same key.
 type Digest [sha256.Size]byte
 
-// NewDigest returns the digest of a request. It covers when the key was
-// issued: a caller that stamped each retry anew would outlive the window and
-// could have its call run twice, so it is refused at its first retry.
+// NewDigest returns the digest of a request. It includes issuedAt: a caller that
+// set a new time for each attempt could still send the key after the window, and
+// its call could run twice. The changed digest makes its second attempt fail
+// instead.
 func NewDigest(key ident.CallKey, method ident.Method, issuedAt time.Time, payload []byte) Digest {
 	h := sha256.New()
 	for _, part := range []string{string(key.Service), string(key.Account), string(key.Key), string(method)} {
@@ -60,8 +61,8 @@
 	return d
 }
 
-// writeLengthPrefixed writes the length before the part, so that no two lists of parts
-// give the same bytes.
+// writeLengthPrefixed writes the part's length and then the part, so that
+// different lists of parts never give the same bytes.
 func writeLengthPrefixed(write func([]byte) (int, error), part []byte) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(part)))
@@ -69,10 +70,10 @@
 	_, _ = write(part)
 }
 
-// Stream returns the name of a partition's stream.
+// Stream returns the name of a partition's stream in the log.
 func Stream(partition int) string { return "calls/" + strconv.Itoa(partition) }
 
-// Partition returns the partition of a key.
+// Partition returns the partition of a key, from 0 to Partitions-1.
 func Partition(key ident.CallKey) int {
 	return int(xxhash.Sum64String(key.String()) % Partitions)
 }
@@ -80,7 +81,7 @@
 // Event is a Claim, Release, Outcome or Mark.
 type Event interface{ event() }
 
-// Head is common to all events of one key.
+// Head identifies the claim that an event is about, and its request.
 type Head struct {
 	Key      ident.CallKey
 	ID       ClaimID
@@ -95,39 +96,39 @@
 	Address     string
 }
 
-// Claim asks for the right to dispatch the call of a key. The first valid
-// claim in the log has it.
+// Claim requests the right to dispatch the call of a key. The first valid claim
+// in the log gets it.
 type Claim struct {
 	Head
 	Holder            ident.Instance
 	HolderIncarnation ident.Incarnation
-	// Attempt is the caller's count. Once an attempt has owned the key,
-	// claims of earlier attempts are void.
+	// Attempt is the caller's count of its attempts, from 1. Once an attempt
+	// has owned the key, claims of earlier attempts are void.
 	Attempt uint32
-	// Target is recorded before dispatch, so that whoever has to find out
-	// what became of the call knows the one place where it can have run.
+	// Target is recorded before dispatch, so that a gateway that has to find
+	// out the call's outcome knows the one upstream that can have run it.
 	Target Target
-	// Supersedes names the claim that this one takes over from, in order to
-	// settle it. It is zero for an ordinary claim.
+	// Supersedes is the claim that this one takes over from, only to find out
+	// its outcome. It is zero for an ordinary claim.
 	Supersedes ClaimID
 }
 
-// Release gives a claim up that was never dispatched, because its call was
-// handed to a peer.
+// Release ends a claim whose call was never dispatched by its holder, because the
+// call was handed over to a peer.
 type Release struct{ Head }
 
-// Outcome tells how a claim ended.
+// Outcome records how a claim ended.
 type Outcome struct {
 	Head
 	Kind    outcome.Kind
 	Reason  outcome.Reason
 	Payload []byte
-	// PayloadOmitted: the payload was too large to be kept.
+	// PayloadOmitted reports that the payload was too large for the journal.
 	PayloadOmitted bool
 }
 
-// Mark carries nothing but its time in the log. Marks let a new reader see
-// since when it knows everything, also when no calls were made.
+// Mark has no content but its record's time in the log. Marks let a new reader
+// see from which time on it has read everything, even when no calls are made.
 type Mark struct{}
 
 func (Claim) event()   {}
