--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -50,8 +50,8 @@
 	Ready bool
 	// LogReachable reports that the last read of the log succeeded.
 	LogReachable bool
-	// Problem says why Ready is false, or what could not be read; it may be
-	// empty.
+	// Problem says why Ready is false, or what in the configuration cannot be
+	// applied. It is empty if there is no problem.
 	Problem string
 }
 
--- a/internal/calls/capacity_test.go
+++ b/internal/calls/capacity_test.go
@@ -16,9 +16,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// TestAppendsStayBounded offers more and more calls a second to three gateways
-// and measures the appends a second that the log sees, and how long callers
-// wait. The bound is what the log's capacity is planned by.
+// TestAppendsStayBounded sends calls at growing rates to three gateways and measures
+// the appends per second that the log receives and how long callers wait. The
+// log's capacity is planned by the bound on the appends.
 func TestAppendsStayBounded(t *testing.T) {
 	const seconds = 5
 	for _, rate := range []int{30, 100, 300, 1000, 3000} {
@@ -58,7 +58,7 @@
 	}
 }
 
-// sampleEvents returns the claim and the outcome of call n.
+// sampleEvents returns the claim and the outcome of call number n.
 func sampleEvents(n int, at time.Time, answer []byte) []journal.Event {
 	head := journal.Head{
 		Key:      ident.CallKey{Service: service, Account: account, Key: ident.Key(fmt.Sprintf("6f1c8a52-9d0e-4c57-b1f3-%012d", n))},
@@ -73,8 +73,8 @@
 	}
 }
 
-// BenchmarkFold measures, for one more key with a claim and an outcome of 256
-// bytes: time to decode and apply, bytes in the log, bytes in memory.
+// BenchmarkFold measures, for each key with a claim and an outcome of 256 bytes, the
+// time to decode and apply its records, and its bytes in the log and in memory.
 func BenchmarkFold(b *testing.B) {
 	for _, keys := range []int{1_000, 10_000, 100_000, 400_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
@@ -112,9 +112,9 @@
 	}
 }
 
-// BenchmarkCall measures the processor time of a whole call, from Do to its
-// journaled outcome, at three gateways that all read the journal; log and
-// upstreams in memory are part of it.
+// BenchmarkCall measures the processor time of a whole call, from Do to its outcome,
+// with three gateways that all read the journal. It includes the time of the log
+// and the upstreams, which are in memory.
 func BenchmarkCall(b *testing.B) {
 	for _, parallel := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprintf("parallel=%d", parallel), func(b *testing.B) {
--- a/internal/calls/cases_test.go
+++ b/internal/calls/cases_test.go
@@ -15,18 +15,20 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/plain"
 )
 
-// The kinds of upstreams.
+// What the upstreams of a test support, from nothing to finding outcomes and
+// checking fencing numbers.
 var (
 	trustNothing      = document.UpstreamSpec{}
 	trustFind         = document.UpstreamSpec{FindsOutcomes: true}
 	trustFindAndFence = document.UpstreamSpec{FindsOutcomes: true, ChecksFencing: true}
 )
 
-// longPatience is how long callers wait where their patience does not matter.
+// longPatience is the timeout of callers in tests where it must not matter.
 const longPatience = 30 * time.Second
 
-// inWorld runs a case in virtual time. Gateways 0 and 1 are in hall-a, 2 is in
-// hall-b; upstreams 0 and 1 are in hall-a and hall-b.
+// inWorld runs a test case in virtual time and then checks what callers were told.
+// Gateways 0 and 1 are in hall-a, 2 is in hall-b; upstreams 0 and 1 are in hall-a
+// and hall-b.
 func inWorld(t *testing.T, trust document.UpstreamSpec, run func(t *testing.T, m *machine, g []*gateway)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -37,7 +39,7 @@
 	})
 }
 
-// do sends the next attempt and waits for its answer.
+// do sends the next attempt, waits for its answer and returns it.
 func (m *machine) do(g *gateway, r *request) outcome.Outcome {
 	m.send(g, r, longPatience)
 	time.Sleep(longPatience)
@@ -47,22 +49,23 @@
 func wantKind(t *testing.T, what string, got outcome.Outcome, want outcome.Kind) {
 	t.Helper()
 	if got.Kind != want {
-		t.Fatalf("%s: heard %s (%s: %s), want %s", what, got.Kind, got.Reason, got.Message, want)
+		t.Fatalf("%s: got %s (%s: %s), want %s", what, got.Kind, got.Reason, got.Message, want)
 	}
 }
 
+// setLeaving makes all upstreams refuse calls, or accept them again.
 func (m *machine) setLeaving(leaving bool) {
 	for _, s := range m.w.upstreams {
 		s.current().SetLeaving(leaving)
 	}
 }
 
-// Symptom: a caller hears not_run of its second attempt, and the first one runs.
-// Sequence: the gateway of attempt 1 freezes before it appends its claim;
-// attempt 2 owns the key elsewhere and no upstream takes it; the first gateway
-// wakes, claims the open key and dispatches.
-// Cause: not_run of a repeat must also rule out the attempts before it, so
-// claims of earlier attempts are void once a later one has owned the key.
+// TestEarlierAttemptWakesAfterNotRun guards against a caller that is told not_run
+// for its second attempt while the first one still runs. The gateway of attempt 1
+// freezes before it appends its claim. Attempt 2 owns the key at another gateway,
+// and no upstream accepts it. The first gateway wakes up, claims the open key and
+// dispatches the call. So claims of earlier attempts must be void once a later
+// attempt has owned the key.
 func TestEarlierAttemptWakesAfterNotRun(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.setLeaving(true)
@@ -80,11 +83,11 @@
 	})
 }
 
-// Symptom: a key that never ran ends as unknown for ever.
-// Sequence: the answer to an append is lost and the record lands late; the
-// claim is appended again, wins, and the upstreams refuse the call; then the
-// first copy of the record lands.
-// Cause: a second copy of a claim that has ended must not own the key again.
+// TestSecondCopyOfAnEndedClaim guards against a key that never ran and stays
+// unknown. The answer to an append is lost and its record gets into the log late.
+// The claim is appended again and wins, and the upstreams refuse the call. Then
+// the first copy of the record gets into the log. A second copy of a claim that
+// has ended must not own the key again.
 func TestSecondCopyOfAnEndedClaim(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.setLeaving(true)
@@ -97,10 +100,10 @@
 	})
 }
 
-// Symptom: a caller hears not_run, and its key is blocked ever after.
-// Sequence: the answer to an append is lost and the record lands late; the log
-// refuses the second try; the gateway takes that for the last word.
-// Cause: a refusal only speaks for its own try.
+// TestOutageAfterALostAppend guards against a caller that is told not_run while its
+// key stays blocked. The answer to an append is lost and its record gets into the
+// log late. The log refuses the second append, and the gateway takes the claim for
+// not appended. But a refused append says nothing about an earlier one.
 func TestOutageAfterALostAppend(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetLateness(2 * time.Second)
@@ -115,13 +118,12 @@
 	})
 }
 
-// Symptom: a call runs at two upstreams.
-// Sequence: a call is still on its way when its gateway hears that the
-// connection broke; another gateway asks the upstream, which knows nothing,
-// and takes the claim over; the call arrives and runs; the second question,
-// with the fence, finds it running.
-// Cause: only an upstream that has not seen the call and has seen the higher
-// fence proves that it never runs.
+// TestCallArrivesDuringTheTakeOver guards against a call that runs at two upstreams.
+// A call is still on its way when its gateway's connection breaks. Another gateway
+// asks the upstream, which has not seen the call, and takes the claim over. Then
+// the call arrives and runs, and the second request to the upstream, with the
+// higher fencing number, finds it running. Only an upstream that has not seen the
+// call but has seen the higher number proves that the call never runs.
 func TestCallArrivesDuringTheTakeOver(t *testing.T) {
 	inWorld(t, trustFindAndFence, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.arrivalDelays = []time.Duration{4500 * time.Millisecond}
@@ -141,19 +143,20 @@
 	})
 }
 
-// Symptom: a call runs twice after a gateway was frozen.
-// Sequence: a gateway freezes between winning its claim and sending the call;
-// a repeat elsewhere settles the claim and runs; the gateway wakes and sends.
-// Cause: no check of the gateway protects what it does next; the fence that the
-// upstream checks does, and without one nobody may take over.
+// TestGatewayFreezesBeforeItSends guards against a call that runs twice after its
+// gateway froze. The gateway freezes between winning its claim and sending the
+// call. A later attempt at another gateway takes the claim over and runs. Then the
+// first gateway wakes up and sends its call. No check in the gateway can prevent
+// that, only an upstream that checks fencing numbers. If the upstream does not,
+// no gateway may take the claim over.
 func TestGatewayFreezesBeforeItSends(t *testing.T) {
 	cases := []struct {
 		name  string
 		trust document.UpstreamSpec
-		// second is what attempt 2 hears while the first gateway is frozen.
+		// second is what attempt 2 is told while the first gateway is frozen.
 		second outcome.Kind
 		third  outcome.Kind
-		// alone: there is no other upstream.
+		// alone reports that only one upstream accepts calls.
 		alone bool
 	}{
 		{"upstreams that know nothing: the outcome stays unknown", trustNothing, outcome.Unknown, outcome.Unknown, false},
@@ -178,11 +181,11 @@
 	}
 }
 
-// Symptom: a call runs twice.
-// Sequence: a gateway freezes before it sends; another one takes the claim over
-// to settle it and gives up before it has asked the upstream; the key is
-// claimed a third time and runs elsewhere; the first gateway wakes and sends.
-// Cause: ending a claim that settles another one does not end the other one.
+// TestTakeOverIsGivenUp guards against a call that runs twice. A gateway freezes
+// before it sends the call. Another one takes the claim over to find out its
+// outcome, and gives up before it has asked the upstream. The key is claimed a
+// third time and its call runs elsewhere. Then the first gateway wakes up and
+// sends its call. Ending a takeover must not end the claim that it took over.
 func TestTakeOverIsGivenUp(t *testing.T) {
 	inWorld(t, trustFindAndFence, func(t *testing.T, m *machine, g []*gateway) {
 		g[0].freezeAtDispatch.Store(true)
@@ -193,7 +196,7 @@
 		m.send(g[2], r, 900*time.Millisecond)
 		time.Sleep(10 * time.Second)
 		m.w.log.SetDelay(0)
-		// The upstream of attempt 1: attempt 3 must go to the other one.
+		// This is the upstream of attempt 1; attempt 3 must go to the other one.
 		m.w.upstreams[1].current().SetLeaving(true)
 		m.send(g[1], r, longPatience)
 		time.Sleep(longPatience)
@@ -204,11 +207,11 @@
 	})
 }
 
-// Symptom: a repeat hours later runs the call a second time.
-// Sequence: the log forgets records sooner than the window of keys, or while a
-// gateway is cut off; a gateway that has not read them serves a repeat.
-// Cause: a gateway only serves keys issued after the first record it has read
-// whole, with a margin for the callers' clocks.
+// TestRepeatAfterItsRecordsExpired guards against a call that runs again in an
+// attempt hours later. The log drops records before the window of their keys has
+// passed, or while a gateway is cut off, and a gateway that has not read them
+// serves the later attempt. A gateway must only serve keys issued after the first
+// record that it has read, with a margin for the callers' clocks.
 func TestRepeatAfterItsRecordsExpired(t *testing.T) {
 	expireAll := func(w *world, r *request) {
 		stream := journal.Stream(journal.Partition(r.key))
@@ -264,30 +267,29 @@
 	})
 }
 
-// Symptom: a request under a used key reads another request's answer, or runs.
-// Sequence: two requests of one client account share a key.
-// Cause: a key belongs to the digest of the request that claimed it first.
+// TestKeyOfAnotherRequest guards against a request that reuses a key of its client
+// account and gets the other request's answer, or runs. A key belongs to the
+// digest of the request that claimed it first.
 func TestKeyOfAnotherRequest(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		first := m.newRequest(false)
 		wantKind(t, "first request", m.do(g[0], first), outcome.Completed)
 		second := m.newRequest(true)
-		heard := m.do(g[2], second)
-		if heard.Reason != outcome.ReasonKeyReused || heard.Payload != nil {
-			t.Fatalf("heard %s (%s) with %q", heard.Kind, heard.Reason, heard.Payload)
+		got := m.do(g[2], second)
+		if got.Reason != outcome.ReasonKeyReused || got.Payload != nil {
+			t.Fatalf("got %s (%s) with %q, want %s without an answer", got.Kind, got.Reason, got.Payload, outcome.ReasonKeyReused)
 		}
 	})
 }
 
-// Symptom: callers wait in silence while the log is down.
-// Sequence: the log is down, hangs, or has not been read yet.
-// Cause: what cannot be claimed must be refused at once; as not run only when
-// no earlier attempt exists.
+// TestRefusedAtOnceWithoutTheLog guards against callers that wait for a timeout
+// while the log is down or hangs. A call that cannot be claimed must be refused
+// at once, and as not_run only when there is no earlier attempt.
 func TestRefusedAtOnceWithoutTheLog(t *testing.T) {
 	cases := []struct {
 		name string
 		fail func(*world)
-		// since is how long ago that was.
+		// since is the time from the fault to the checked attempts.
 		since time.Duration
 	}{
 		{"the log is down", func(w *world) { w.log.SetOutage(true) }, 5 * time.Second},
@@ -315,18 +317,18 @@
 	}
 }
 
-// Symptom: a repeat runs the call a second time.
-// Sequence: a log skips expired records without saying so.
-// Cause: a gap in the offsets must be taken for what it is.
+// TestSkippedRecordsAreNoticed guards against a call that runs again because the log
+// skipped expired records without an error. A gap in the offsets must be taken
+// for records that expired before they were read.
 func TestSkippedRecordsAreNoticed(t *testing.T) {
 	p := New(Config{Health: blackboard.NewSection(blackboard.JournalHealth{})}).partitions[0]
 	now := time.Now()
 	mark, _ := journal.Encode(journal.Mark{})
 	p.applyBatch(platform.Batch{Records: []platform.Record{{Offset: 3, Data: mark, AppendedAt: now}}, Head: 4, First: 3})
 	if p.completeFor(now) {
-		t.Fatal("a key is certain though records were skipped")
+		t.Fatal("the records of a key count as complete though some were skipped")
 	}
 	if !p.completeFor(now.Add(journal.Window + 3*journal.MaxSkew)) {
-		t.Fatal("a key issued later is not certain")
+		t.Fatal("the records of a key issued later do not count as complete")
 	}
 }
--- a/internal/calls/leaving_test.go
+++ b/internal/calls/leaving_test.go
@@ -11,12 +11,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/plain"
 )
 
-// Symptom: an accepted call is never run although a peer has taken it.
-// Sequence: a claim is in the log, but its gateway does not hear so and is cut
-// off; its reclaim is announced and a peer takes the call; the gateway dies
-// before it can journal the release.
-// Cause: only the record of the release opens the key; the peer must write it
-// too, because the message that hands the call over proves it.
+// TestHolderDiesInTheMiddleOfTheHandOver guards against a call that a peer has
+// accepted and that never runs. A claim is in the log, but the answer of its append
+// is lost and its gateway is cut off from the log. The gateway's reclaim is
+// announced and a peer accepts the call. The gateway dies before it can journal
+// the release. Only the record of the release opens the key, so the peer must
+// write it too; the hand-over proves that it may.
 func TestHolderDiesInTheMiddleOfTheHandOver(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetLateness(50 * time.Millisecond)
@@ -35,11 +35,10 @@
 	})
 }
 
-// Symptom: a caller whose call ran hears unknown, for ever.
-// Sequence: a call completes while the log is down; its gateway dies before it
-// can journal the outcome.
-// Cause: the outcome must be with peers at once, and they must journal it when
-// the gateway no longer can.
+// TestOutcomeOutlivesItsGateway guards against a caller whose call ran and who is
+// told unknown for ever. A call completes while the log is down, and its gateway
+// dies before it can journal the outcome. The outcome must be sent to peers at
+// once, and they must journal it when the gateway no longer can.
 func TestOutcomeOutlivesItsGateway(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.upstreams[0].current().SetDelays(plain.Delays{AfterEffect: time.Second})
@@ -61,11 +60,10 @@
 	})
 }
 
-// Symptom: callers are cut off by a planned stop.
-// Sequence: a gateway stops while a call runs or waits for the log, and ends as
-// soon as Stop has returned.
-// Cause: Stop must hand over what waits, wait for what runs, also when its
-// caller has gone, and return only when the journal has everything.
+// TestStopLosesNothing guards against a planned stop that cuts callers off. A gateway
+// stops while a call runs or waits for the log, and its process ends as soon as
+// Stop has returned. Stop must hand over waiting calls, wait for running ones even
+// when their callers have gone, and return only when the journal has all records.
 func TestStopLosesNothing(t *testing.T) {
 	slow := plain.Delays{AfterEffect: 2 * time.Second}
 	stop := func(m *machine, g *gateway) {
@@ -102,10 +100,10 @@
 	})
 }
 
-// Symptom: callers hear for an hour that another gateway runs their calls, and
-// none does.
-// Sequence: a gateway leaves while calls with large requests wait for the log.
-// Cause: all of them in one message are more than a peer accepts.
+// TestHandOverOfLargeRequests guards against callers that are told for an hour that
+// another gateway runs their calls, while none does. A gateway leaves while calls
+// with large requests wait for the log. All of them in one message would exceed
+// the size that a peer accepts.
 func TestHandOverOfLargeRequests(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetDelay(700 * time.Millisecond)
@@ -123,10 +121,10 @@
 	})
 }
 
-// Symptom: a call is cut off by a planned stop.
-// Sequence: it was admitted before the gateway began to leave, and claims its
-// key after all waiting claims were handed over.
-// Cause: from the hand-over on no claim may begin.
+// TestCallAdmittedJustBeforeTheStop guards against a planned stop that cuts a call
+// off. The call was admitted before the gateway began to leave, and claims its key
+// after all waiting claims were handed over. Once they are handed over, the
+// gateway must not accept a new claim.
 func TestCallAdmittedJustBeforeTheStop(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		r := m.newRequest(false)
@@ -136,9 +134,10 @@
 	})
 }
 
-// Symptom: a caller hears that its call may have run, while it runs.
-// Sequence: a repeat comes to another gateway when the claim is old already.
-// Cause: the holder must be asked whether it waits for the upstream.
+// TestRepeatWhileTheCallRuns guards against a caller that is told that its call may
+// have run, while it still runs. A later attempt comes to another gateway when the
+// claim is already older than SettleAfter. That gateway must ask the holder
+// whether it waits for the upstream.
 func TestRepeatWhileTheCallRuns(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		for _, s := range m.w.upstreams {
