--- a/internal/calls/cases_test.go
+++ b/internal/calls/cases_test.go
@@ -43,7 +43,7 @@
 func (m *machine) do(g *gateway, r *request) outcome.Outcome {
 	m.send(g, r, longPatience)
 	time.Sleep(longPatience)
-	return r.last()
+	return r.lastOutcome()
 }
 
 func wantKind(t *testing.T, what string, got outcome.Outcome, want outcome.Kind) {
@@ -74,11 +74,11 @@
 		m.send(g[0], r, longPatience)
 		m.send(g[2], r, longPatience)
 		time.Sleep(time.Second)
-		wantKind(t, "attempt 2", r.last(), outcome.NotRun)
+		wantKind(t, "attempt 2", r.lastOutcome(), outcome.NotRun)
 		m.setLeaving(false)
 		g[0].unfreeze()
 		time.Sleep(longPatience)
-		wantKind(t, "attempt 1", r.last(), outcome.Unknown)
+		wantKind(t, "attempt 1", r.lastOutcome(), outcome.Unknown)
 		wantKind(t, "attempt 3", m.do(g[1], r), outcome.Completed)
 	})
 }
@@ -114,7 +114,7 @@
 		time.Sleep(3 * time.Second)
 		m.w.log.SetOutage(false)
 		time.Sleep(longPatience)
-		wantKind(t, "attempt 1", r.last(), outcome.Completed)
+		wantKind(t, "attempt 1", r.lastOutcome(), outcome.Completed)
 	})
 }
 
@@ -136,7 +136,7 @@
 		m.w.log.SetDelay(time.Second)
 		m.send(g[2], r, longPatience)
 		time.Sleep(2 * time.Second)
-		wantKind(t, "attempt 2", r.last(), outcome.InProgress)
+		wantKind(t, "attempt 2", r.lastOutcome(), outcome.InProgress)
 		m.w.log.SetDelay(0)
 		time.Sleep(longPatience)
 		wantKind(t, "attempt 3", m.do(g[1], r), outcome.Completed)
@@ -307,9 +307,9 @@
 					before := time.Now()
 					m.send(g[0], r, longPatience)
 					m.pending.Wait()
-					wantKind(t, c.name, r.last(), want)
-					if waited := time.Since(before); waited > time.Second || r.last().RetryAfter == 0 {
-						t.Fatalf("attempt %d waited %s, retry after %s", attempt+1, waited, r.last().RetryAfter)
+					wantKind(t, c.name, r.lastOutcome(), want)
+					if waited := time.Since(before); waited > time.Second || r.lastOutcome().RetryAfter == 0 {
+						t.Fatalf("attempt %d waited %s, retry after %s", attempt+1, waited, r.lastOutcome().RetryAfter)
 					}
 				}
 			})
--- a/internal/calls/machine_test.go
+++ b/internal/calls/machine_test.go
@@ -96,8 +96,8 @@
 	synctest.Wait()
 }
 
-// ask asks a gateway by key and does not wait.
-func (m *machine) ask(g *gateway, r *request) {
+// askByKey asks a gateway by key and does not wait.
+func (m *machine) askByKey(g *gateway, r *request) {
 	attempts := r.attempts
 	m.pending.Go(func() {
 		o := g.calls.Find(context.Background(), r.key)
@@ -157,9 +157,9 @@
 	Fatalf(format string, args ...any)
 }
 
-// settle heals everything and sends each request once more, at a new gateway.
+// healAndCheck heals everything and sends each request once more, at a new gateway.
 // Then the last word must be final wherever the promises allow it.
-func (m *machine) settle(t rapidOrTest) {
+func (m *machine) healAndCheck(t rapidOrTest) {
 	m.w.heal()
 	time.Sleep(30 * time.Second)
 	synctest.Wait()
@@ -170,24 +170,24 @@
 	time.Sleep(10 * time.Second)
 	for _, r := range m.requests {
 		if time.Since(r.issuedAt) < 50*time.Minute {
-			m.settleRequest(t, r)
+			m.checkEndsFinal(t, r)
 		}
 	}
 	m.check(t)
 }
 
-func (m *machine) settleRequest(t rapidOrTest, r *request) {
+func (m *machine) checkEndsFinal(t rapidOrTest, r *request) {
 	live := m.w.live()
 	last := live[len(live)-1]
 	for range 4 {
 		m.send(last, r, 10*time.Second)
 		m.pending.Wait()
-		if o := r.last(); o.Kind.Final() || o.Reason == outcome.ReasonKeyReused {
+		if o := r.lastOutcome(); o.Kind.Final() || o.Reason == outcome.ReasonKeyReused {
 			break
 		}
 		time.Sleep(3 * time.Second)
 	}
-	heard := r.last()
+	heard := r.lastOutcome()
 	if heard.Kind.Final() {
 		m.checkAgreed(t, r, live)
 		return
@@ -203,7 +203,7 @@
 
 // checkAgreed checks that every gateway tells the outcome that r heard last.
 func (m *machine) checkAgreed(t rapidOrTest, r *request, live []*gateway) {
-	heard := r.last()
+	heard := r.lastOutcome()
 	time.Sleep(time.Second)
 	for _, g := range live {
 		o := g.calls.Find(context.Background(), r.key)
@@ -219,7 +219,7 @@
 	return slices.Clone(r.replies)
 }
 
-func (r *request) last() outcome.Outcome {
+func (r *request) lastOutcome() outcome.Outcome {
 	all := r.allReplies()
 	if len(all) == 0 {
 		return outcome.Outcome{}
@@ -288,7 +288,7 @@
 			}
 			r := m.requests[rapid.IntRange(0, len(m.requests)-1).Draw(t, "request")]
 			g := m.anyGateway(t)
-			m.ask(g, r)
+			m.askByKey(g, r)
 		},
 		"time passes": func(t *rapid.T) {
 			ms := rapid.SampledFrom([]int{1, 30, 300, 3000, 12000}).Draw(t, "ms")
@@ -297,7 +297,7 @@
 		"fault":         func(t *rapid.T) { faults[rapid.SampledFrom(names).Draw(t, "fault")](t) },
 		"another fault": func(t *rapid.T) { faults[rapid.SampledFrom(names).Draw(t, "fault")](t) },
 	})
-	m.settle(t)
+	m.healAndCheck(t)
 	for _, r := range m.requests {
 		for _, one := range r.replies {
 			heard[one.outcome.Kind]++
--- a/internal/calls/network_test.go
+++ b/internal/calls/network_test.go
@@ -169,8 +169,8 @@
 
 func (p peer) ID() ident.Instance { return p.to.id }
 
-// reach returns an error when the peer cannot be reached at all.
-func (p peer) reach() error {
+// checkReachable returns an error when the peer cannot be reached at all.
+func (p peer) checkReachable() error {
 	if err := p.from.checkpoint(); err != nil {
 		return err
 	}
@@ -184,7 +184,7 @@
 }
 
 func (p peer) PutOutcomes(_ context.Context, outcomes []KeyedOutcome) error {
-	if err := p.reach(); err != nil {
+	if err := p.checkReachable(); err != nil {
 		return err
 	}
 	p.to.calls.PutOutcomes(outcomes)
@@ -193,7 +193,7 @@
 
 // FindOutcome hears nothing from a frozen peer.
 func (p peer) FindOutcome(ctx context.Context, key ident.CallKey) (PeerAnswer, error) {
-	if err := p.reach(); err != nil {
+	if err := p.checkReachable(); err != nil {
 		return PeerAnswer{}, err
 	}
 	if p.to.isFrozen() {
@@ -205,7 +205,7 @@
 
 // HandOver reaches a frozen peer once that goes on, however late.
 func (p peer) HandOver(ctx context.Context, h HandOver) ([]journal.ClaimID, error) {
-	if err := p.reach(); err != nil {
+	if err := p.checkReachable(); err != nil {
 		return nil, err
 	}
 	if payloadBytes(h) > maxMessageBytes {
--- a/internal/calls/shares_test.go
+++ b/internal/calls/shares_test.go
@@ -130,25 +130,25 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(6 * time.Second)
-	first = m.count()
+	first = m.countLastOutcomes()
 	for retry := range 10 {
 		for i, r := range m.requests {
-			if !r.last().Kind.Final() {
+			if !r.lastOutcome().Kind.Final() {
 				live := m.w.live()
 				m.send(live[(i+retry)%len(live)], r, 5*time.Second)
 			}
 		}
 		time.Sleep(6 * time.Second)
 	}
-	return first, m.count()
+	return first, m.countLastOutcomes()
 }
 
-// count counts the last word of each caller; one who heard nothing counts as
+// countLastOutcomes counts the last word of each caller; one who heard nothing counts as
 // unknown.
-func (m *machine) count() shares {
+func (m *machine) countLastOutcomes() shares {
 	s := shares{}
 	for _, r := range m.requests {
-		kind := r.last().Kind
+		kind := r.lastOutcome().Kind
 		if kind == 0 {
 			kind = outcome.Unknown
 		}
