--- a/internal/calls/cases_test.go
+++ b/internal/calls/cases_test.go
@@ -277,7 +277,7 @@
 		second := m.newRequest(true)
 		got := m.do(g[2], second)
 		if got.Reason != outcome.ReasonKeyReused || got.Payload != nil {
-			t.Fatalf("got %s (%s) with %q, want %s without an answer", got.Kind, got.Reason, got.Payload, outcome.ReasonKeyReused)
+			t.Fatalf("got %s (%s) with %q, want key_reused without an answer", got.Kind, got.Reason, got.Payload)
 		}
 	})
 }
--- a/internal/calls/fold/fold_test.go
+++ b/internal/calls/fold/fold_test.go
@@ -22,8 +22,8 @@
 	event  journal.Event
 }
 
-// drawStream draws a stream about a few keys, whose log clock runs on in small
-// steps and in hours.
+// drawStream draws a stream of records about two keys. The log's clock advances in
+// small steps and in steps of hours.
 func drawStream(t *rapid.T) []record {
 	start := time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 	steps := rapid.SampledFrom([]time.Duration{0, time.Second, 10 * time.Minute, 30 * time.Minute, 2 * time.Hour})
@@ -46,6 +46,8 @@
 	return stream
 }
 
+// drawClaim draws a claim of a new request, or one that shares the request or the
+// record with an earlier claim.
 func drawClaim(t *rapid.T, earlier []journal.Claim, issuedAt time.Time) journal.Claim {
 	c := journal.Claim{Head: journal.Head{IssuedAt: issuedAt}, Attempt: rapid.Uint32Range(1, 3).Draw(t, "attempt")}
 	c.Key = ident.CallKey{Service: "s", Account: "a", Key: ident.Key(fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "key")))}
@@ -64,6 +66,7 @@
 	return c
 }
 
+// drawEnd draws an event that ends a claim or makes its outcome unknown.
 func drawEnd(t *rapid.T, c journal.Claim) journal.Event {
 	kinds := []outcome.Kind{outcome.NotRun, outcome.NotRun, outcome.Unknown, outcome.Completed, outcome.Failed}
 	if rapid.IntRange(0, 4).Draw(t, "release") == 0 {
@@ -72,12 +75,13 @@
 	return journal.Outcome{Head: c.Head, Kind: rapid.SampledFrom(kinds).Draw(t, "kind")}
 }
 
-// decidedRecord is a record with what a fold decided.
+// decidedRecord is a record and the fold's decision on it.
 type decidedRecord struct {
 	record
 	Decision
 }
 
+// apply applies a stream to f and returns the decisions.
 func apply(f *Fold, stream []record) []decidedRecord {
 	var all []decidedRecord
 	for _, r := range stream {
@@ -87,12 +91,12 @@
 	return all
 }
 
-// inWindow reports whether a record of a key counts at a time of the log.
+// inWindow reports whether a record with this head is valid at a time of the log.
 func inWindow(h journal.Head, at time.Time) bool {
 	return at.Sub(h.IssuedAt) <= journal.Window && h.IssuedAt.Sub(at) <= journal.MaxSkew
 }
 
-// endsClaim reports whether a record ends a claim.
+// endsClaim reports whether r ends the claim w.
 func endsClaim(r record, w journal.Claim) bool {
 	switch e := r.event.(type) {
 	case journal.Outcome:
@@ -105,7 +109,7 @@
 	return false
 }
 
-// checkWinner holds a claim that won against all that came before it.
+// checkWinner checks a claim that won against all records before it.
 func checkWinner(t *rapid.T, before []decidedRecord, j decidedRecord, c journal.Claim) {
 	if !inWindow(c.Head, j.at) {
 		t.Fatalf("record %d: a claim won outside the window", j.offset)
@@ -124,8 +128,8 @@
 	}
 }
 
-// checkSuccessor holds two winners of one key against each other: w won at b, c
-// later at j, and between holds the records from b on.
+// checkSuccessor checks two claims that won the same key: w won with record b, and c
+// later with record j. between holds the records from b on, up to j.
 func checkSuccessor(t *rapid.T, between []decidedRecord, b decidedRecord, w journal.Claim, j decidedRecord, c journal.Claim) {
 	settles := c.Supersedes != journal.ClaimID{}
 	switch {
@@ -149,8 +153,8 @@
 	t.Fatalf("records %d and %d: a claim won though the one before had not ended", b.offset, j.offset)
 }
 
-// TestOneOwnerAtATime: whatever the order of records, a claim only wins a key
-// that no other claim owns, and only in the window.
+// TestOneOwnerAtATime checks that, whatever the order of records, a claim wins a key
+// only when no other claim owns it, and only in the window.
 func TestOneOwnerAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := apply(New(false), drawStream(t))
@@ -183,8 +187,8 @@
 	return ident.CallKey{}
 }
 
-// TestLateReadersAgree: a reader that begins later, because records expired,
-// reaches the same verdicts on every key that it calls certain.
+// TestLateReadersAgree checks that a reader that begins later, because records
+// expired, reaches the same verdicts on every key for which its fold is complete.
 func TestLateReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stream := drawStream(t)
@@ -201,7 +205,7 @@
 	})
 }
 
-// TestForgetsExpiredKeys: memory is bounded by the window.
+// TestForgetsExpiredKeys checks that the window bounds the number of keys in memory.
 func TestForgetsExpiredKeys(t *testing.T) {
 	f := New(false)
 	at := time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
--- a/internal/calls/journal/codec_test.go
+++ b/internal/calls/journal/codec_test.go
@@ -11,6 +11,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
+// examples returns an event of each type, and variants of claims and outcomes.
 func examples() []Event {
 	head := Head{
 		Key:      ident.CallKey{Service: "auktion-app", Account: "agentur-nord", Key: "bid-7"},
@@ -46,9 +47,9 @@
 	}
 }
 
-// Symptom: two accounts, or two requests, share a digest.
-// Sequence: bytes move from one field of a request to its neighbour.
-// Cause: a digest must keep the fields apart.
+// TestDigestKeepsFieldsApart guards against two accounts or two requests that have the
+// same digest. That happens if bytes can move from one field of a request to the
+// next without a change of the digest.
 func TestDigestKeepsFieldsApart(t *testing.T) {
 	at := time.Unix(0, 0)
 	key := ident.CallKey{Service: "s", Account: "ab", Key: "c"}
@@ -67,8 +68,8 @@
 	}
 }
 
-// FuzzDecode: no bytes in the log stop a reader, and what is decoded is what
-// another reader decodes from the same event.
+// FuzzDecode checks that no bytes in the log make a reader panic, and that an event
+// that was decoded is decoded alike after it has been encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, e := range examples() {
 		data, err := Encode(e)
--- a/internal/calls/machine_test.go
+++ b/internal/calls/machine_test.go
@@ -25,11 +25,11 @@
 
 func init() {
 	testkit.FixSeed()
-	// Most faults need a few steps to meet each other.
+	// Most combinations of faults need several steps.
 	_ = flag.Set("rapid.steps", "60")
 }
 
-// request is what one caller asks under a key, however often.
+// request is a request of one caller under a key, with all its attempts.
 type request struct {
 	key      ident.CallKey
 	payload  string
@@ -40,13 +40,14 @@
 	replies []reply
 }
 
-// machine sends requests at gateways while things fail, and checks what
-// callers heard against what upstreams ran.
+// machine sends requests to gateways while things fail, and checks what callers were
+// told against what upstreams ran.
 type machine struct {
 	w        *world
 	requests []*request
 	pending  sync.WaitGroup
-	// deaths: a gateway ended without having written all it knew.
+	// stateLost reports that a gateway ended before it had written everything
+	// to the journal or to peers.
 	stateLost atomic.Bool
 }
 
@@ -58,7 +59,8 @@
 	return m
 }
 
-// newRequest issues a key, now and then one that another request has.
+// newRequest returns a request with a new key. If reuse is true, it has the key of
+// the last request instead.
 func (m *machine) newRequest(reuse bool) *request {
 	r := &request{
 		key:      ident.CallKey{Service: service, Account: account, Key: ident.Key(fmt.Sprintf("bid-%d", len(m.requests)))},
@@ -72,7 +74,8 @@
 	return r
 }
 
-// send sends the next attempt of a request to a gateway and does not wait.
+// send sends the next attempt of a request to a gateway and does not wait for the
+// answer. patience is the caller's timeout.
 func (m *machine) send(g *gateway, r *request, patience time.Duration) {
 	r.attempts++
 	call := Call{
@@ -96,7 +99,8 @@
 	synctest.Wait()
 }
 
-// askByKey asks a gateway by key and does not wait.
+// askByKey asks a gateway for the outcome of a request's key and does not wait for
+// the answer.
 func (m *machine) askByKey(g *gateway, r *request) {
 	attempts := r.attempts
 	m.pending.Go(func() {
@@ -111,7 +115,8 @@
 	synctest.Wait()
 }
 
-// attemptOf returns which attempt of the request a reply answers, or 0.
+// attemptOf returns the attempt of the request that produced an upstream's reply, or
+// 0 if none did.
 func (r *request) attemptOf(reply string) uint32 {
 	for n := uint32(1); n <= r.attempts; n++ {
 		if string(answer.Reply(confirm, upstreamPayload([]byte(r.payload), n))) == reply {
@@ -121,7 +126,8 @@
 	return 0
 }
 
-// check holds what callers heard against what upstreams ran.
+// check checks that each call ran at most once, and what callers were told against
+// what upstreams ran.
 func (m *machine) check(t rapidOrTest) {
 	for _, r := range m.requests {
 		count, replies := m.w.effects(r.key)
@@ -132,33 +138,35 @@
 		if count == 1 {
 			ran = r.attemptOf(replies[0])
 		}
-		for _, heard := range r.allReplies() {
-			checkReply(t, r, heard, ran, replies)
+		for _, got := range r.allReplies() {
+			checkReply(t, r, got, ran, replies)
 		}
 	}
 }
 
-func checkReply(t rapidOrTest, r *request, heard reply, ran uint32, replies []string) {
-	switch heard.outcome.Kind {
+// checkReply checks one reply. ran is the attempt that upstreams ran, or 0; replies
+// holds the answers of the upstreams.
+func checkReply(t rapidOrTest, r *request, got reply, ran uint32, replies []string) {
+	switch got.outcome.Kind {
 	case outcome.NotRun:
-		if ran != 0 && ran <= heard.attempt {
-			t.Fatalf("%s: attempt %d heard not_run (%s), but attempt %d ran", r.key, heard.attempt, heard.outcome.Reason, ran)
+		if ran != 0 && ran <= got.attempt {
+			t.Fatalf("%s: attempt %d was told not_run (%s), but attempt %d ran", r.key, got.attempt, got.outcome.Reason, ran)
 		}
 	case outcome.Completed, outcome.Failed:
-		own := heard.byKey || ran != 0
-		if !own || !slices.Contains(replies, string(heard.outcome.Payload)) {
-			t.Fatalf("%s: attempt %d heard %q, upstreams ran %q", r.key, heard.attempt, heard.outcome.Payload, replies)
+		own := got.byKey || ran != 0
+		if !own || !slices.Contains(replies, string(got.outcome.Payload)) {
+			t.Fatalf("%s: attempt %d was told %q, upstreams ran %q", r.key, got.attempt, got.outcome.Payload, replies)
 		}
 	}
 }
 
-// rapidOrTest is what *rapid.T and *testing.T have in common.
+// rapidOrTest is the common part of *rapid.T and *testing.T that checks use.
 type rapidOrTest interface {
 	Fatalf(format string, args ...any)
 }
 
-// healAndCheck heals everything and sends each request once more, at a new gateway.
-// Then the last word must be final wherever the promises allow it.
+// healAndCheck ends all faults, starts new gateways and sends each request again.
+// Then the last outcome must be final wherever that is guaranteed.
 func (m *machine) healAndCheck(t rapidOrTest) {
 	m.w.heal()
 	time.Sleep(30 * time.Second)
@@ -176,6 +184,10 @@
 	m.check(t)
 }
 
+// checkEndsFinal sends a request until its outcome is final, four times at most. The
+// outcome must end as final unless the key belongs to another request. It may also
+// stay unknown if the upstreams cannot settle it and either one of them may have
+// run the call or a gateway lost its state.
 func (m *machine) checkEndsFinal(t rapidOrTest, r *request) {
 	live := m.w.live()
 	last := live[len(live)-1]
@@ -187,28 +199,28 @@
 		}
 		time.Sleep(3 * time.Second)
 	}
-	heard := r.lastOutcome()
-	if heard.Kind.Final() {
+	got := r.lastOutcome()
+	if got.Kind.Final() {
 		m.checkAgreed(t, r, live)
 		return
 	}
 	w := m.w
 	settles := w.trust.FindsOutcomes && w.trust.ChecksFencing && !w.upstreamReplaced
-	neverTaken := !m.stateLost.Load() && w.possiblyRun[r.key] == 0
-	if heard.Reason != outcome.ReasonKeyReused && (settles || neverTaken) {
-		t.Fatalf("%s: ends as %s (%s: %s); settles: %t, never taken by an upstream and no gateway died: %t%s",
-			r.key, heard.Kind, heard.Reason, heard.Message, settles, neverTaken, w.history(r.key))
+	neverRun := !m.stateLost.Load() && w.possiblyRun[r.key] == 0
+	if got.Reason != outcome.ReasonKeyReused && (settles || neverRun) {
+		t.Fatalf("%s: ends as %s (%s: %s); settles: %t, never run by an upstream and no gateway lost its state: %t%s",
+			r.key, got.Kind, got.Reason, got.Message, settles, neverRun, w.history(r.key))
 	}
 }
 
-// checkAgreed checks that every gateway tells the outcome that r heard last.
+// checkAgreed checks that every gateway returns the outcome that r was told last.
 func (m *machine) checkAgreed(t rapidOrTest, r *request, live []*gateway) {
-	heard := r.lastOutcome()
+	want := r.lastOutcome()
 	time.Sleep(time.Second)
 	for _, g := range live {
 		o := g.calls.Find(context.Background(), r.key)
-		if o.Kind != heard.Kind || string(o.Payload) != string(heard.Payload) {
-			t.Fatalf("%s: %s tells %s %q, a caller heard %s %q", r.key, g.id, o.Kind, o.Payload, heard.Kind, heard.Payload)
+		if o.Kind != want.Kind || string(o.Payload) != string(want.Payload) {
+			t.Fatalf("%s: %s returns %s %q, a caller was told %s %q", r.key, g.id, o.Kind, o.Payload, want.Kind, want.Payload)
 		}
 	}
 }
@@ -233,12 +245,12 @@
 	m.w.close()
 }
 
-// inBubble hides from rapid the deadline of a test, which must not be asked for
-// in virtual time.
+// inBubble hides the test's deadline from rapid, because it must not be read in
+// virtual time.
 type inBubble struct{ rapid.TB }
 
-// TestAtMostOnceMachine sends and repeats calls at several gateways while the
-// log, the network, the gateways and the upstreams fail.
+// TestAtMostOnceMachine sends calls, and further attempts of them, to several gateways
+// while the log, the network, the gateways and the upstreams fail.
 func TestAtMostOnceMachine(t *testing.T) {
 	kinds := map[string]document.UpstreamSpec{
 		"upstreams that know nothing":             {},
@@ -249,15 +261,15 @@
 	for name, trust := range kinds {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				heard := map[outcome.Kind]int{}
-				rapid.Check(inBubble{t}, func(t *rapid.T) { runMachine(t, trust, heard) })
-				t.Logf("callers heard: %v", heard)
+				outcomes := map[outcome.Kind]int{}
+				rapid.Check(inBubble{t}, func(t *rapid.T) { runMachine(t, trust, outcomes) })
+				t.Logf("outcomes that callers were told: %v", outcomes)
 			})
 		})
 	}
 }
 
-func runMachine(t *rapid.T, trust document.UpstreamSpec, heard map[outcome.Kind]int) {
+func runMachine(t *rapid.T, trust document.UpstreamSpec, outcomes map[outcome.Kind]int) {
 	m := newMachine(trust)
 	defer m.close()
 	faults := m.faults()
@@ -300,7 +312,7 @@
 	m.healAndCheck(t)
 	for _, r := range m.requests {
 		for _, one := range r.replies {
-			heard[one.outcome.Kind]++
+			outcomes[one.outcome.Kind]++
 		}
 	}
 }
@@ -314,7 +326,7 @@
 	return m.w.upstreams[rapid.IntRange(0, 1).Draw(t, "upstream")]
 }
 
-// faults are the ways in which things fail, and in which they recover.
+// faults returns the ways in which things fail and recover, by name.
 func (m *machine) faults() map[string]func(*rapid.T) {
 	on := rapid.IntRange(0, 2)
 	delays := rapid.SampledFrom([]time.Duration{0, 200 * time.Millisecond, 4 * time.Second})
@@ -379,7 +391,8 @@
 	}
 }
 
-// reclaim announces the end of a gateway, which comes after notice.
+// reclaim tells a gateway to leave, and kills it when it has stopped or notice is
+// over.
 func (m *machine) reclaim(g *gateway, notice time.Duration) {
 	g.leaving.Store(true)
 	m.pending.Go(func() {
--- a/internal/calls/network_test.go
+++ b/internal/calls/network_test.go
@@ -14,7 +14,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// gatewayLog is the log as one gateway reaches it.
+// gatewayLog is the log as one gateway can reach it.
 type gatewayLog struct{ g *gateway }
 
 func (l gatewayLog) Append(ctx context.Context, stream string, records [][]byte) (ident.Offset, error) {
@@ -45,7 +45,7 @@
 	return batch, err
 }
 
-// dispatcher reaches the upstreams of the gateway's side of a split.
+// dispatcher reaches the upstreams in the gateway's part of a split network.
 type dispatcher struct{ g *gateway }
 
 func (d dispatcher) Pick(_ context.Context, _ Call, exclude []ident.Instance) (journal.Target, bool) {
@@ -64,7 +64,7 @@
 	return journal.Target{}, false
 }
 
-// serviceAt returns what runs at a target's address now.
+// serviceAt returns the incarnation that now serves a target's address.
 func (w *world) serviceAt(target journal.Target) *plain.Service {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,11 +72,13 @@
 	return w.upstreams[i].current()
 }
 
-// upstreamPayload marks the attempt, so that the oracle sees which one ran.
+// upstreamPayload adds the attempt to a payload, so that checks see which attempt
+// ran.
 func upstreamPayload(payload []byte, attempt uint32) []byte {
 	return fmt.Appendf(nil, "%s#%d", payload, attempt)
 }
 
+// nextArrivalDelay removes and returns the next delay, or 0 if there is none.
 func (w *world) nextArrivalDelay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,8 +90,8 @@
 	return late
 }
 
-// Invoke sends the call even if ctx has ended while the gateway was frozen: a
-// real process can be stopped after its last look at a deadline.
+// Invoke sends the call even if ctx ended while the gateway was frozen: a real
+// process can be stopped after it has checked the deadline.
 func (d dispatcher) Invoke(ctx context.Context, call Call, target journal.Target, fence ident.Fence) (upstream.Answer, error) {
 	if d.g.freezeAtDispatch.CompareAndSwap(true, false) {
 		d.g.freeze()
@@ -106,7 +108,8 @@
 		Payload: upstreamPayload(call.Payload, call.Attempt),
 	}
 	if w.trust.ChecksFencing {
-		// Upstreams that check nothing do not look at this either.
+		// Upstreams that check no fencing numbers do not check the incarnation
+		// either.
 		req.Incarnation = target.Incarnation
 	}
 	send := func(ctx context.Context) (upstream.Answer, error) {
@@ -144,7 +147,7 @@
 	return found, err
 }
 
-// peers are the other gateways, those of the other failure domain first.
+// peers lists the other gateways, those of the other failure domain first.
 type peers struct{ g *gateway }
 
 func (p peers) Candidates() []Peer {
@@ -164,7 +167,7 @@
 	return append(far, near...)
 }
 
-// peer is another gateway as one gateway reaches it.
+// peer is another gateway as one gateway can reach it.
 type peer struct{ from, to *gateway }
 
 func (p peer) ID() ident.Instance { return p.to.id }
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// FindOutcome hears nothing from a frozen peer.
+// FindOutcome gets no answer from a frozen peer.
 func (p peer) FindOutcome(ctx context.Context, key ident.CallKey) (PeerAnswer, error) {
 	if err := p.checkReachable(); err != nil {
 		return PeerAnswer{}, err
@@ -203,7 +206,7 @@
 	return p.to.calls.FindLocal(key), nil
 }
 
-// HandOver reaches a frozen peer once that goes on, however late.
+// HandOver reaches a frozen peer as soon as the peer is unfrozen, however late.
 func (p peer) HandOver(ctx context.Context, h HandOver) ([]journal.ClaimID, error) {
 	if err := p.checkReachable(); err != nil {
 		return nil, err
--- a/internal/calls/shares_test.go
+++ b/internal/calls/shares_test.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/plain"
 )
 
-// shareCase is a fault that comes when a third of the calls were sent.
+// shareCase is a fault that occurs when a third of the calls have been sent.
 type shareCase struct {
 	name  string
 	fault func(m *machine, g []*gateway)
@@ -62,9 +62,9 @@
 			time.AfterFunc(20*time.Second, func() { m.w.locked(func() { m.w.split = false }) })
 		}},
 		{"failure domain cut from the platform for 20 s", func(_ *machine, g []*gateway) {
-			for _, cut := range g[:2] {
-				cut.cutOff.Store(true)
-				time.AfterFunc(20*time.Second, func() { cut.cutOff.Store(false) })
+			for _, cutGateway := range g[:2] {
+				cutGateway.cutOff.Store(true)
+				time.AfterFunc(20*time.Second, func() { cutGateway.cutOff.Store(false) })
 			}
 		}},
 		{"every third answer of an upstream lost", func(m *machine, _ []*gateway) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// shares counts what callers heard, by kind.
+// shares counts the outcomes that callers were told, by kind.
 type shares map[outcome.Kind]int
 
 func (s shares) String() string {
@@ -90,9 +90,9 @@
 	return fmt.Sprintf("%s | %s | %s | %s", share(done), share(s[outcome.NotRun]), share(s[outcome.Unknown]), share(s[outcome.InProgress]))
 }
 
-// TestOutcomeShares measures, for each fault, what callers hear at first and
-// what they hear in the end, when they ask again at other gateways for up to a
-// minute. Run it with -v for the table of docs/design/calls.md.
+// TestOutcomeShares measures, for each fault, what callers are told at first and what
+// they are told in the end, after retries at other gateways for up to a minute. Run
+// it with -v for the table of docs/design/calls.md.
 func TestOutcomeShares(t *testing.T) {
 	kinds := []struct {
 		name  string
@@ -115,7 +115,7 @@
 
 const measuredCalls = 90
 
-// measure sends calls and returns what callers heard first and last.
+// measure sends calls and returns what callers were told first and last.
 func (m *machine) measure(c shareCase, g []*gateway) (first, last shares) {
 	m.w.log.SetDelay(100 * time.Millisecond)
 	for _, s := range m.w.upstreams {
@@ -143,8 +143,8 @@
 	return first, m.countLastOutcomes()
 }
 
-// countLastOutcomes counts the last word of each caller; one who heard nothing counts as
-// unknown.
+// countLastOutcomes counts the last outcome of each request, and unknown for a request
+// that got no answer.
 func (m *machine) countLastOutcomes() shares {
 	s := shares{}
 	for _, r := range m.requests {
--- a/internal/calls/world_test.go
+++ b/internal/calls/world_test.go
@@ -27,7 +27,7 @@
 
 var errKilled = errors.New("process was killed")
 
-// world is several gateways over one log and a few upstreams, all in memory.
+// world holds several gateways over one log and a few upstreams, all in memory.
 type world struct {
 	trust document.UpstreamSpec
 	docs  *blackboard.Section[*document.Set]
@@ -38,22 +38,25 @@
 	upstreams []*server
 	started   int
 	picks     int
-	// split: the failure domains hall-a and hall-b do not reach each other.
+	// split reports that the failure domains hall-a and hall-b cannot reach each
+	// other.
 	split bool
-	// loseHandOver: peers take hand-overs and the answers are lost.
+	// loseHandOverAnswers reports that peers accept hand-overs and their answers
+	// are lost.
 	loseHandOverAnswers bool
-	// arrivalDelays delays the calls sent next until after their sender has
-	// heard that the connection was lost.
+	// arrivalDelays holds the delays of the calls that are sent next. A delayed
+	// call arrives after its sender was told that the connection was lost.
 	arrivalDelays []time.Duration
-	// possiblyRun counts the calls that an upstream may have run as far as their
-	// senders can tell, by key.
+	// possiblyRun counts, by key, the calls that an upstream may have run as far
+	// as their senders can tell.
 	possiblyRun map[ident.CallKey]int
-	// replaced: an upstream has forgotten what its former incarnation knew.
+	// upstreamReplaced reports that a new incarnation of an upstream has started
+	// and knows nothing of the former one's calls.
 	upstreamReplaced bool
 }
 
-// server is the upstream of one failure domain, in one incarnation after the
-// other. What a former incarnation ran stays run.
+// server is the upstream of one failure domain, with all its incarnations; the last
+// one is the current. The calls that a former incarnation ran still count.
 type server struct {
 	id            ident.Instance
 	domain        ident.FailureDomain
@@ -61,7 +64,7 @@
 	incarnations  []*plain.Service
 }
 
-// gateway is one entry instance.
+// gateway is an entry instance with its Coordinator.
 type gateway struct {
 	w      *world
 	id     ident.Instance
@@ -70,7 +73,7 @@
 	health *blackboard.Section[blackboard.JournalHealth]
 	cancel context.CancelFunc
 	done   chan struct{}
-	// cut: the gateway does not reach the platform.
+	// cutOff reports that the gateway cannot reach the platform.
 	cutOff  atomic.Bool
 	leaving atomic.Bool
 	// freezeAtDispatch freezes the gateway when it is about to send a call.
@@ -108,7 +111,8 @@
 		Instance:      s.id,
 		Incarnation:   s.incarnation() + 1,
 		ChecksFencing: s.checksFencing,
-		// The oracle asks it; the dispatcher only where it may.
+		// The test asks for outcomes at any upstream; dispatcher.Find refuses
+		// where the upstreams of the case cannot find them.
 		FindsOutcomes: true,
 	}))
 }
@@ -117,14 +121,16 @@
 
 func (s *server) current() *plain.Service { return s.incarnations[len(s.incarnations)-1] }
 
-// newGateway starts an entry instance and waits until it has read the journal.
+// newGateway starts a gateway and waits until it has read the journal. It must run
+// in virtual time.
 func (w *world) newGateway(domain ident.FailureDomain) *gateway {
 	g := w.newGatewayUnsynced(domain)
 	synctest.Wait()
 	return g
 }
 
-// newGatewayUnsynced starts an entry instance, also outside virtual time.
+// newGatewayUnsynced starts a gateway and does not wait. It also works outside
+// virtual time.
 func (w *world) newGatewayUnsynced(domain ident.FailureDomain) *gateway {
 	w.mu.Lock()
 	w.started++
@@ -155,8 +161,8 @@
 	return g
 }
 
-// freeze stops the gateway at its next step towards the outside; thaw lets it
-// go on as if nothing had happened.
+// freeze stops the gateway at its next checkpoint; after unfreeze it goes on as if
+// nothing had happened.
 func (g *gateway) freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -174,7 +180,7 @@
 	}
 }
 
-// kill ends the gateway at its next step towards the outside.
+// kill ends the gateway at its next checkpoint.
 func (g *gateway) kill() {
 	g.mu.Lock()
 	g.killed = true
@@ -195,8 +201,9 @@
 	return g.frozen != nil
 }
 
-// checkpoint is passed before and after everything that the gateway does to the
-// outside. It blocks while the gateway is frozen.
+// checkpoint is called before and after each access of the gateway to anything
+// outside. It blocks while the gateway is frozen, and returns an error when it was
+// killed.
 func (g *gateway) checkpoint() error {
 	for {
 		g.mu.Lock()
@@ -218,21 +225,22 @@
 	return w.loseHandOverAnswers
 }
 
+// locked calls change with w.mu held.
 func (w *world) locked(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-// effects returns the answers of all calls that upstreams ran for a key, as
-// the upstreams themselves tell them.
+// effects returns how many calls upstreams ran for a key, and their answers, as the
+// upstreams themselves report them.
 func (w *world) effects(key ident.CallKey) (count int, replies []string) {
 	for _, s := range w.upstreams {
-		for _, life := range s.incarnations {
-			n := life.Effects(key.String())
+		for _, incarnation := range s.incarnations {
+			n := incarnation.Effects(key.String())
 			count += n
 			if n > 0 {
-				found, _ := life.Find(context.Background(), key.String(), 0)
+				found, _ := incarnation.Find(context.Background(), key.String(), 0)
 				replies = append(replies, string(found.Answer.Payload))
 			}
 		}
@@ -240,7 +248,7 @@
 	return count, replies
 }
 
-// history tells the journal's records of a key, for the message of a failure.
+// history formats the journal's records of a key for the message of a failed check.
 func (w *world) history(key ident.CallKey) string {
 	batch, _ := w.log.Read(context.Background(), journal.Stream(journal.Partition(key)), 0, 1<<20, 0)
 	var b strings.Builder
@@ -265,7 +273,7 @@
 	return b.String()
 }
 
-// live returns the gateways that were neither killed nor stopped.
+// live returns the gateways that were neither killed nor told to leave.
 func (w *world) live() []*gateway {
 	var live []*gateway
 	for _, g := range w.gateways {
@@ -276,7 +284,7 @@
 	return live
 }
 
-// heal ends all faults but deaths.
+// heal ends all faults but the ends of gateways and upstreams.
 func (w *world) heal() {
 	w.mu.Lock()
 	w.split, w.loseHandOverAnswers, w.arrivalDelays = false, false, nil
@@ -284,7 +292,7 @@
 	w.log.SetOutage(false)
 	w.log.SetDelay(0)
 	for range 200 {
-		// Uses up the losses that no append has met yet.
+		// Uses up losses that were set and have not yet met an append.
 		_, _ = w.log.Append(context.Background(), "unused", nil)
 	}
 	for _, g := range w.gateways {
@@ -298,7 +306,7 @@
 	}
 }
 
-// close ends everything that runs.
+// close ends all gateways and waits for them.
 func (w *world) close() {
 	w.heal()
 	for _, g := range w.gateways {
@@ -310,10 +318,11 @@
 	time.Sleep(time.Minute)
 }
 
-// reply is what a caller heard of one attempt.
+// reply is what a caller was told about one attempt.
 type reply struct {
 	attempt uint32
 	outcome outcome.Outcome
-	// byKey: the question named the key alone, which requests may share.
+	// byKey reports that the caller asked by key alone, which several requests
+	// may use.
 	byKey bool
 }
