--- a/internal/calls/partition.go
+++ b/internal/calls/partition.go
@@ -45,8 +45,8 @@
 	// closedToClaims reports that the waiting claims were handed over; no new
 	// claim is accepted.
 	closedToClaims bool
-	// unresolved holds the claims of this gateway whose records the reader has
-	// not met.
+	// unresolved holds the claims of this gateway whose records have not been
+	// read yet.
 	unresolved map[journal.ClaimID]*claim
 	// active holds the claims of this gateway that wait or are dispatched.
 	active map[*claim]struct{}
@@ -56,7 +56,7 @@
 	copies map[ident.CallKey]*outcomeCopy
 }
 
-// outcomeCopy is a final outcome that an upstream or a peer told this gateway.
+// outcomeCopy is a final outcome that this gateway got from an upstream or a peer.
 type outcomeCopy struct {
 	KeyedOutcome
 	// since is when the copy was stored.
