--- a/internal/calls/committer.go
+++ b/internal/calls/committer.go
@@ -218,29 +218,29 @@
 // log are resolved as not appended, and claims that are no longer waiting are
 // dropped.
 func (w *committer) finishBatch(p *partition, batch []*queuedRecord, err error) {
-	var again []*queuedRecord
-	var refused []*claim
+	var retry []*queuedRecord
+	var notAppended []*claim
 	w.mu.Lock()
 	for _, q := range batch {
 		switch {
 		case err == nil:
 		case q.claim == nil:
-			again = append(again, q)
+			retry = append(retry, q)
 		case errors.Is(err, platform.ErrUnavailable) && !q.claim.answerLost:
 			q.claim.sent = false
-			refused = append(refused, q.claim)
+			notAppended = append(notAppended, q.claim)
 		case q.claim.phase.Load() == waiting:
 			q.claim.answerLost = true
-			again = append(again, q)
+			retry = append(retry, q)
 		default:
 			q.claim.answerLost = true
 		}
 	}
-	w.queue = append(again, w.queue...)
+	w.queue = append(retry, w.queue...)
 	w.inFlight = 0
 	w.updateBackoff(err)
 	w.mu.Unlock()
-	for _, cl := range refused {
+	for _, cl := range notAppended {
 		p.resolveNotAppended(cl)
 	}
 }
