--- a/internal/calls/committer.go
+++ b/internal/calls/committer.go
@@ -12,54 +12,55 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// The committer's counters: appends tried, records in them, appends that
-// failed or whose answer was lost.
+// The counters of all committers: appends sent, the records in them, and
+// appends that failed or whose answer was lost.
 var (
 	appendCount  = expvar.NewInt("goldcrestspool.calls.appends")
 	recordCount  = expvar.NewInt("goldcrestspool.calls.appended_records")
 	appendErrors = expvar.NewInt("goldcrestspool.calls.append_errors")
 )
 
-// maxBatchBytes bounds the data of one append, so that many large answers do
-// not make one that the log refuses.
+// maxBatchBytes is the size at which a batch takes no further record, so that
+// many large answers do not add up to an append that the log refuses.
 const maxBatchBytes = 1 << 20
 
-// The pause after a failed append grows from the first to the second.
+// The pause after a failed append doubles from minBackoff up to maxBackoff.
 const (
-	firstBackoff = 100 * time.Millisecond
-	lastBackoff  = 2 * time.Second
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// failuresDown is how many answers of appends have to be lost in a row until new
-// calls are refused at once: one is no outage, and waiting for the second try
-// costs a caller less than coming back.
-const failuresDown = 2
+// failuresUntilDown is how many answers of appends must be lost in a row before
+// new calls are refused at once. A single lost answer is no outage, and waiting
+// for the second append costs a caller less than a retry.
+const failuresUntilDown = 2
 
-// committer writes the records of one partition: one append at a time, with
-// all that has come meanwhile (group commit).
+// committer writes the records of one partition. It sends one append at a time,
+// which carries all records that were queued meanwhile (group commit).
 type committer struct {
 	stream string
 	c      *Coordinator
 	wake   chan struct{}
 
 	mu    sync.Mutex
-	queue []*queued
-	// appending is how many records the running append carries; began is
-	// when it began.
-	appending int
-	began     time.Time
+	queue []*queuedRecord
+	// inFlight is how many records the running append carries; 0 means that
+	// no append is running. appendStarted is when the last append started.
+	inFlight      int
+	appendStarted time.Time
 	// retryAt is when the next append is tried after a failure.
 	retryAt time.Time
 	backoff time.Duration
-	// failures counts the answers lost since the last success. An outage or
-	// a hanging append counts for failuresDown.
+	// failures counts the lost answers since the last success. An append that
+	// failed in another way or took longer than SlowAfter sets it to
+	// failuresUntilDown.
 	failures int
 }
 
-// queued is one record on its way to the log.
-type queued struct {
+// queuedRecord is a record that waits for an append or is in the running one.
+type queuedRecord struct {
 	event journal.Event
-	// claim is set for claims.
+	// claim is nil unless event is a claim.
 	claim *claim
 }
 
@@ -67,31 +68,32 @@
 	return &committer{stream: stream, c: c, wake: make(chan struct{}, 1)}
 }
 
-// add queues an event that must reach the log sooner or later.
-func (w *committer) add(e journal.Event) {
+// enqueue queues an event that is retried until it is in the log.
+func (w *committer) enqueue(e journal.Event) {
 	w.mu.Lock()
-	w.queue = append(w.queue, &queued{event: e})
+	w.queue = append(w.queue, &queuedRecord{event: e})
 	w.mu.Unlock()
 	w.signal()
 }
 
-// addClaim queues a claim, with events that go before it in the same append.
-// It reports false when too much is queued.
-func (w *committer) addClaim(cl *claim, before ...journal.Event) bool {
+// enqueueClaim queues a claim behind the events in before. It queues nothing and
+// returns false when the queue is full.
+func (w *committer) enqueueClaim(cl *claim, before ...journal.Event) bool {
 	w.mu.Lock()
 	if len(w.queue) >= w.c.limits.MaxQueue {
 		w.mu.Unlock()
 		return false
 	}
 	for _, e := range before {
-		w.queue = append(w.queue, &queued{event: e})
+		w.queue = append(w.queue, &queuedRecord{event: e})
 	}
-	w.queue = append(w.queue, &queued{event: cl.record, claim: cl})
+	w.queue = append(w.queue, &queuedRecord{event: cl.record, claim: cl})
 	w.mu.Unlock()
 	w.signal()
 	return true
 }
 
+// signal wakes waitForRecords.
 func (w *committer) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -99,18 +101,19 @@
 	}
 }
 
-// mayHaveSent reports whether the log may hold the claim's record, now or
-// later. Once it has reported false for a claim that is not waiting any more,
-// the record is never sent.
+// mayHaveSent reports whether the claim's record may be in the log, or may get
+// there later from an append that was already sent. When it returns false for a
+// claim that is no longer waiting, the record is never sent.
 func (w *committer) mayHaveSent(cl *claim) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return cl.sent
 }
 
-// logDown reports whether appends fail or hang now, and when to come back. All
-// partitions are in one log, so that the trouble of one is taken for that of
-// all: a call would only wait to find out by itself.
+// logDown reports whether appends currently fail or hang, and how long callers
+// should wait before a retry. All partitions are in one log, so a fault at one
+// of them counts for all: otherwise each call would wait for an append to learn
+// of the fault.
 func (c *Coordinator) logDown(now time.Time) (wait time.Duration, down bool) {
 	for _, p := range c.partitions {
 		w, d := p.writer.down(now)
@@ -119,53 +122,54 @@
 	return wait, down
 }
 
-// down reports whether appends fail or hang now, and when to come back.
+// down is logDown for this partition alone.
 func (w *committer) down(now time.Time) (time.Duration, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.appending > 0 && now.Sub(w.began) >= w.c.limits.SlowAfter {
+	if w.inFlight > 0 && now.Sub(w.appendStarted) >= w.c.limits.SlowAfter {
 		return w.c.limits.AppendTimeout, true
 	}
-	if w.failures >= failuresDown && now.Before(w.retryAt) {
+	if w.failures >= failuresUntilDown && now.Before(w.retryAt) {
 		return w.retryAt.Sub(now), true
 	}
 	return 0, false
 }
 
-// commit appends until ctx ends.
-func (p *partition) commit(ctx context.Context) {
+// commitLoop appends queued records until ctx ends.
+func (p *partition) commitLoop(ctx context.Context) {
 	w := p.writer
 	for ctx.Err() == nil {
-		batch, data := w.take()
+		batch, data := w.nextBatch()
 		if len(batch) == 0 {
-			w.await(ctx)
+			w.waitForRecords(ctx)
 			continue
 		}
 		began := time.Now()
 		err := w.append(ctx, data)
-		w.settle(p, batch, err)
+		w.finishBatch(p, batch, err)
 		if err != nil {
-			pause.For(ctx, w.pause())
+			pause.For(ctx, w.backoffLeft())
 			continue
 		}
 		pause.For(ctx, w.c.limits.AppendInterval-time.Since(began))
 	}
 }
 
-// await blocks until something may be queued.
-func (w *committer) await(ctx context.Context) {
+// waitForRecords blocks until records may be queued or ctx ends.
+func (w *committer) waitForRecords(ctx context.Context) {
 	select {
 	case <-w.wake:
 	case <-ctx.Done():
 	}
 }
 
-// take removes the next batch from the queue. Claims that were given up before
-// they were ever sent are left out.
-func (w *committer) take() ([]*queued, [][]byte) {
+// nextBatch removes the next batch from the queue and returns its records and
+// their encoded data. It drops claims that left waiting before they were ever
+// sent.
+func (w *committer) nextBatch() ([]*queuedRecord, [][]byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var batch []*queued
+	var batch []*queuedRecord
 	var data [][]byte
 	n, size := 0, 0
 	for n < len(w.queue) && len(batch) < w.c.limits.MaxBatch && size < maxBatchBytes {
@@ -176,9 +180,9 @@
 		}
 		bytes, err := journal.Encode(q.event)
 		if err != nil {
-			w.c.log.Error("journal record not encoded", "error", err)
+			w.c.log.Error("cannot encode journal record", "error", err)
 			if q.claim != nil {
-				q.claim.rule(ruling{refused: true})
+				q.claim.resolve(resolution{notAppended: true})
 			}
 			continue
 		}
@@ -189,11 +193,12 @@
 		data = append(data, bytes)
 		size += len(bytes)
 	}
-	w.queue = append([]*queued(nil), w.queue[n:]...)
-	w.appending, w.began = len(batch), time.Now()
+	w.queue = append([]*queuedRecord(nil), w.queue[n:]...)
+	w.inFlight, w.appendStarted = len(batch), time.Now()
 	return batch, data
 }
 
+// append sends one append of at most AppendTimeout and counts it.
 func (w *committer) append(ctx context.Context, data [][]byte) error {
 	ctx, cancel := context.WithTimeout(ctx, w.c.limits.AppendTimeout)
 	defer cancel()
@@ -202,70 +207,74 @@
 	_, err := w.c.cfg.Log.Append(ctx, w.stream, data)
 	if err != nil {
 		appendErrors.Add(1)
-		w.c.log.Warn("append failed", "stream", w.stream, "records", len(data), "error", err)
+		w.c.log.Warn("journal append failed", "stream", w.stream, "records", len(data), "error", err)
 	}
 	return err
 }
 
-// settle decides what becomes of a batch. Records whose fate is not known are
-// appended again: every record names its claim, so a second copy changes
-// nothing.
-func (w *committer) settle(p *partition, batch []*queued, err error) {
-	var again []*queued
-	var refused []*claim
+// finishBatch handles the result of an append. After an error, records that may
+// not be in the log are queued again: each record names its claim, so a second
+// copy in the log changes nothing. Claims whose record is certainly not in the
+// log are resolved as not appended, and claims that are no longer waiting are
+// dropped.
+func (w *committer) finishBatch(p *partition, batch []*queuedRecord, err error) {
+	var retry []*queuedRecord
+	var notAppended []*claim
 	w.mu.Lock()
 	for _, q := range batch {
 		switch {
 		case err == nil:
 		case q.claim == nil:
-			again = append(again, q)
-		case errors.Is(err, platform.ErrUnavailable) && !q.claim.doubtful:
+			retry = append(retry, q)
+		case errors.Is(err, platform.ErrUnavailable) && !q.claim.answerLost:
 			q.claim.sent = false
-			refused = append(refused, q.claim)
+			notAppended = append(notAppended, q.claim)
 		case q.claim.phase.Load() == waiting:
-			q.claim.doubtful = true
-			again = append(again, q)
+			q.claim.answerLost = true
+			retry = append(retry, q)
 		default:
-			q.claim.doubtful = true
+			q.claim.answerLost = true
 		}
 	}
-	w.queue = append(again, w.queue...)
-	w.appending = 0
+	w.queue = append(retry, w.queue...)
+	w.inFlight = 0
 	w.updateBackoff(err)
 	w.mu.Unlock()
-	for _, cl := range refused {
-		p.refuse(cl)
+	for _, cl := range notAppended {
+		p.resolveNotAppended(cl)
 	}
 }
 
-// updateBackoff sets when the next append is tried. The caller holds mu.
+// updateBackoff sets the time of the next append. The caller holds w.mu.
 func (w *committer) updateBackoff(err error) {
 	if err == nil {
 		w.failures, w.backoff, w.retryAt = 0, 0, time.Time{}
 		return
 	}
-	hung := time.Since(w.began) >= w.c.limits.SlowAfter
+	hung := time.Since(w.appendStarted) >= w.c.limits.SlowAfter
 	if errors.Is(err, platform.ErrAnswerLost) && !hung {
 		w.failures++
 	} else {
-		w.failures = failuresDown
+		w.failures = failuresUntilDown
 	}
-	w.backoff = min(max(2*w.backoff, firstBackoff), lastBackoff)
+	w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
 	w.retryAt = time.Now().Add(w.backoff)
 }
 
-func (w *committer) pause() time.Duration {
+// backoffLeft returns the time until the next append after a failure.
+func (w *committer) backoffLeft() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Until(w.retryAt)
 }
 
-// flush waits until nothing is queued or ctx ends.
+// flush waits until all records are in the log. It returns the error of ctx if
+// that ends first.
 func (w *committer) flush(ctx context.Context) error {
 	const every = 10 * time.Millisecond
 	for {
 		w.mu.Lock()
-		empty := len(w.queue) == 0 && w.appending == 0
+		empty := len(w.queue) == 0 && w.inFlight == 0
 		w.mu.Unlock()
 		if empty {
 			return nil
@@ -277,10 +286,10 @@
 	}
 }
 
-// refuse tells a claim that the log did not take it.
-func (p *partition) refuse(cl *claim) {
+// resolveNotAppended resolves a claim whose record the log did not accept.
+func (p *partition) resolveNotAppended(cl *claim) {
 	p.mu.Lock()
-	delete(p.undecided, cl.record.ID)
+	delete(p.unresolved, cl.record.ID)
 	p.mu.Unlock()
-	cl.rule(ruling{refused: true})
+	cl.resolve(resolution{notAppended: true})
 }
--- a/internal/calls/leaving_test.go
+++ b/internal/calls/leaving_test.go
@@ -11,23 +11,23 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/plain"
 )
 
-// Symptom: an accepted call is never run although a peer has taken it.
-// Sequence: a claim is in the log, but its gateway does not hear so and is cut
-// off; its reclaim is announced and a peer takes the call; the gateway dies
-// before it can journal the release.
-// Cause: only the record of the release opens the key; the peer must write it
-// too, because the message that hands the call over proves it.
+// TestHolderDiesInTheMiddleOfTheHandOver guards against a call that a peer has
+// accepted and that never runs. A claim is in the log, but the answer of its append
+// is lost and its gateway is cut off from the log. The gateway's reclaim is
+// announced and a peer accepts the call. The gateway dies before it can journal
+// the release. Only the record of the release opens the key, so the peer must
+// write it too; the hand-over proves that it may.
 func TestHolderDiesInTheMiddleOfTheHandOver(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetLateness(50 * time.Millisecond)
 		m.w.log.LoseNext(fault.Late)
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
-		g[0].cut.Store(true)
+		m.send(g[0], r, longPatience)
+		g[0].cutOff.Store(true)
 		m.w.log.SetDelay(200 * time.Millisecond)
-		m.reclaim(g[0], patient)
+		m.reclaim(g[0], longPatience)
 		g[0].kill()
-		time.Sleep(patient)
+		time.Sleep(longPatience)
 		if count, _ := m.w.effects(r.key); count != 1 {
 			t.Fatalf("the call ran %d times, want once, by the peer%s", count, m.w.history(r.key))
 		}
@@ -35,24 +35,23 @@
 	})
 }
 
-// Symptom: a caller whose call ran hears unknown, for ever.
-// Sequence: a call completes while the log is down; its gateway dies before it
-// can journal the outcome.
-// Cause: the outcome must be with peers at once, and they must journal it when
-// the gateway no longer can.
+// TestOutcomeOutlivesItsGateway guards against a caller whose call ran and who is
+// told unknown for ever. A call completes while the log is down, and its gateway
+// dies before it can journal the outcome. The outcome must be sent to peers at
+// once, and they must journal it when the gateway no longer can.
 func TestOutcomeOutlivesItsGateway(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
-		m.w.upstreams[0].life().SetDelays(plain.Delays{AfterEffect: time.Second})
-		m.w.upstreams[1].life().SetDelays(plain.Delays{AfterEffect: time.Second})
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		m.w.upstreams[0].current().SetDelays(plain.Delays{AfterEffect: time.Second})
+		m.w.upstreams[1].current().SetDelays(plain.Delays{AfterEffect: time.Second})
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
+		m.send(g[0], r, longPatience)
 		m.w.log.SetOutage(true)
 		time.Sleep(2 * time.Second)
-		wantKind(t, "attempt 1", r.last(), outcome.Completed)
+		wantKind(t, "attempt 1", r.lastOutcome(), outcome.Completed)
 		g[0].kill()
 		wantKind(t, "a question in the other failure domain", g[2].calls.Find(context.Background(), r.key), outcome.Completed)
 		m.w.log.SetOutage(false)
-		time.Sleep(patient)
+		time.Sleep(longPatience)
 		g[1].kill()
 		g[2].kill()
 		fresh := m.w.newGateway("hall-b")
@@ -61,21 +60,20 @@
 	})
 }
 
-// Symptom: callers are cut off by a planned stop.
-// Sequence: a gateway stops while a call runs or waits for the log, and ends as
-// soon as Stop has returned.
-// Cause: Stop must hand over what waits, wait for what runs, also when its
-// caller has gone, and return only when the journal has everything.
+// TestStopLosesNothing guards against a planned stop that cuts callers off. A gateway
+// stops while a call runs or waits for the log, and its process ends as soon as
+// Stop has returned. Stop must hand over waiting calls, wait for running ones even
+// when their callers have gone, and return only when the journal has all records.
 func TestStopLosesNothing(t *testing.T) {
 	slow := plain.Delays{AfterEffect: 2 * time.Second}
 	stop := func(m *machine, g *gateway) {
-		m.reclaim(g, patient)
+		m.reclaim(g, longPatience)
 		m.pending.Wait()
 	}
 	t.Run("a call that runs, at the last gateway", func(t *testing.T) {
-		inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
-			m.w.upstreams[0].life().SetDelays(slow)
-			m.w.upstreams[1].life().SetDelays(slow)
+		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+			m.w.upstreams[0].current().SetDelays(slow)
+			m.w.upstreams[1].current().SetDelays(slow)
 			g[1].kill()
 			g[2].kill()
 			r := m.newRequest(false)
@@ -90,65 +88,66 @@
 		})
 	})
 	t.Run("a call that waits, with peers", func(t *testing.T) {
-		inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 			m.w.log.SetDelay(700 * time.Millisecond)
 			r := m.newRequest(false)
-			m.send(g[0], r, patient)
+			m.send(g[0], r, longPatience)
 			stop(m, g[0])
-			wantKind(t, "attempt 1", r.last(), outcome.InProgress)
-			time.Sleep(patient)
+			wantKind(t, "attempt 1", r.lastOutcome(), outcome.InProgress)
+			time.Sleep(longPatience)
 			wantKind(t, "a question by key", g[1].calls.Find(context.Background(), r.key), outcome.Completed)
 		})
 	})
 }
 
-// Symptom: callers hear for an hour that another gateway runs their calls, and
-// none does.
-// Sequence: a gateway leaves while calls with large requests wait for the log.
-// Cause: all of them in one message are more than a peer accepts.
+// TestHandOverOfLargeRequests guards against callers that are told for an hour that
+// another gateway runs their calls, while none does. A gateway leaves while calls
+// with large requests wait for the log. All of them in one message would exceed
+// the size that a peer accepts.
 func TestHandOverOfLargeRequests(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetDelay(700 * time.Millisecond)
 		payload := strings.Repeat("x", 1<<20)
 		for range 12 {
 			r := m.newRequest(false)
 			r.payload = payload
-			m.send(g[0], r, patient)
+			m.send(g[0], r, longPatience)
 		}
-		m.reclaim(g[0], patient)
-		time.Sleep(patient)
+		m.reclaim(g[0], longPatience)
+		time.Sleep(longPatience)
 		for _, r := range m.requests {
 			wantKind(t, "a question by key", g[1].calls.Find(context.Background(), r.key), outcome.Completed)
 		}
 	})
 }
 
-// Symptom: a call is cut off by a planned stop.
-// Sequence: it was admitted before the gateway began to leave, and claims its
-// key after all waiting claims were handed over.
-// Cause: from the hand-over on no claim may begin.
+// TestCallAdmittedJustBeforeTheStop guards against a planned stop that cuts a call
+// off. The call was admitted before the gateway began to leave, and claims its key
+// after all waiting claims were handed over. Once they are handed over, the
+// gateway must not accept a new claim.
 func TestCallAdmittedJustBeforeTheStop(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		r := m.newRequest(false)
-		g[0].calls.giveUpWaiting()
+		g[0].calls.markWaitingHandedOver()
 		wantKind(t, "attempt 1", m.do(g[0], r), outcome.NotRun)
 		wantKind(t, "attempt 2", m.do(g[1], r), outcome.Completed)
 	})
 }
 
-// Symptom: a caller hears that its call may have run, while it runs.
-// Sequence: a repeat comes to another gateway when the claim is old already.
-// Cause: the holder must be asked whether it waits for the upstream.
+// TestRepeatWhileTheCallRuns guards against a caller that is told that its call may
+// have run, while it still runs. A later attempt comes to another gateway when the
+// claim is already older than SettleAfter. That gateway must ask the holder
+// whether it waits for the upstream.
 func TestRepeatWhileTheCallRuns(t *testing.T) {
-	inWorld(t, blind, func(t *testing.T, m *machine, g []*gateway) {
+	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		for _, s := range m.w.upstreams {
-			s.life().SetDelays(plain.Delays{BeforeEffect: 2800 * time.Millisecond})
+			s.current().SetDelays(plain.Delays{BeforeEffect: 2800 * time.Millisecond})
 		}
 		r := m.newRequest(false)
-		m.send(g[0], r, patient)
+		m.send(g[0], r, longPatience)
 		time.Sleep(2500 * time.Millisecond)
-		m.send(g[2], r, patient)
-		wantKind(t, "attempt 2", r.last(), outcome.InProgress)
+		m.send(g[2], r, longPatience)
+		wantKind(t, "attempt 2", r.lastOutcome(), outcome.InProgress)
 		wantKind(t, "attempt 3", m.do(g[2], r), outcome.Completed)
 	})
 }
--- a/internal/calls/shares_test.go
+++ b/internal/calls/shares_test.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/plain"
 )
 
-// shareCase is a fault that comes when a third of the calls were sent.
+// shareCase is a fault that occurs when a third of the calls have been sent.
 type shareCase struct {
 	name  string
 	fault func(m *machine, g []*gateway)
@@ -35,11 +35,11 @@
 		{"gateway killed", func(_ *machine, g []*gateway) { kill(g[0]) }},
 		{"gateway frozen for 20 s", func(_ *machine, g []*gateway) {
 			g[0].freeze()
-			time.AfterFunc(20*time.Second, g[0].thaw)
+			time.AfterFunc(20*time.Second, g[0].unfreeze)
 		}},
 		{"gateway reclaimed", func(m *machine, g []*gateway) { m.reclaim(g[0], 10*time.Second) }},
 		{"gateway reclaimed, answer of hand-over lost", func(m *machine, g []*gateway) {
-			m.w.locked(func() { m.w.loseHandOver = true })
+			m.w.locked(func() { m.w.loseHandOverAnswers = true })
 			m.reclaim(g[0], 10*time.Second)
 		}},
 		{"gateway reclaimed, peer killed at once", func(m *machine, g []*gateway) {
@@ -50,7 +50,7 @@
 		{"failure domain reclaimed, its upstream too", func(m *machine, g []*gateway) {
 			m.reclaim(g[0], 10*time.Second)
 			m.reclaim(g[1], 10*time.Second)
-			m.w.upstreams[0].life().SetLeaving(true)
+			m.w.upstreams[0].current().SetLeaving(true)
 		}},
 		{"failure domain lost without notice", func(m *machine, g []*gateway) {
 			kill(g[0])
@@ -62,22 +62,22 @@
 			time.AfterFunc(20*time.Second, func() { m.w.locked(func() { m.w.split = false }) })
 		}},
 		{"failure domain cut from the platform for 20 s", func(_ *machine, g []*gateway) {
-			for _, cut := range g[:2] {
-				cut.cut.Store(true)
-				time.AfterFunc(20*time.Second, func() { cut.cut.Store(false) })
+			for _, cutGateway := range g[:2] {
+				cutGateway.cutOff.Store(true)
+				time.AfterFunc(20*time.Second, func() { cutGateway.cutOff.Store(false) })
 			}
 		}},
 		{"every third answer of an upstream lost", func(m *machine, _ []*gateway) {
 			for _, s := range m.w.upstreams {
 				for range 20 {
-					s.life().FailNext(plain.LostAfterEffect, plain.NoFailure, plain.NoFailure)
+					s.current().FailNext(plain.LostAfterEffect, plain.NoFailure, plain.NoFailure)
 				}
 			}
 		}},
 	}
 }
 
-// shares counts what callers heard, by kind.
+// shares counts the outcomes that callers were told, by kind.
 type shares map[outcome.Kind]int
 
 func (s shares) String() string {
@@ -90,22 +90,22 @@
 	return fmt.Sprintf("%s | %s | %s | %s", share(done), share(s[outcome.NotRun]), share(s[outcome.Unknown]), share(s[outcome.InProgress]))
 }
 
-// TestOutcomeShares measures, for each fault, what callers hear at first and
-// what they hear in the end, when they ask again at other gateways for up to a
-// minute. Run it with -v for the table of docs/design/calls.md.
+// TestOutcomeShares measures, for each fault, what callers are told at first and what
+// they are told in the end, after retries at other gateways for up to a minute. Run
+// it with -v for the table of docs/design/calls.md.
 func TestOutcomeShares(t *testing.T) {
 	kinds := []struct {
 		name  string
 		trust document.UpstreamSpec
-	}{{"nothing", blind}, {"find", finding}, {"find and fence", fencing}}
+	}{{"nothing", trustNothing}, {"find", trustFind}, {"find and fence", trustFindAndFence}}
 	var table strings.Builder
 	for _, c := range shareCases() {
 		for _, k := range kinds {
 			inWorld(t, k.trust, func(t *testing.T, m *machine, g []*gateway) {
 				first, last := m.measure(c, g)
 				fmt.Fprintf(&table, "| %s | %s | %s | %s |\n", c.name, k.name, first, last)
-				if c.name == "none" && last[outcome.Completed] != sharedCalls {
-					t.Errorf("without a fault %d of %d calls completed", last[outcome.Completed], sharedCalls)
+				if c.name == "none" && last[outcome.Completed] != measuredCalls {
+					t.Errorf("without a fault %d of %d calls completed", last[outcome.Completed], measuredCalls)
 				}
 			})
 		}
@@ -113,16 +113,16 @@
 	t.Logf("\n%s", table.String())
 }
 
-const sharedCalls = 90
+const measuredCalls = 90
 
-// measure sends calls and returns what callers heard first and last.
+// measure sends calls and returns what callers were told first and last.
 func (m *machine) measure(c shareCase, g []*gateway) (first, last shares) {
 	m.w.log.SetDelay(100 * time.Millisecond)
 	for _, s := range m.w.upstreams {
-		s.life().SetDelays(plain.Delays{BeforeEffect: 100 * time.Millisecond, AfterEffect: 100 * time.Millisecond})
+		s.current().SetDelays(plain.Delays{BeforeEffect: 100 * time.Millisecond, AfterEffect: 100 * time.Millisecond})
 	}
-	for i := range sharedCalls {
-		if i == sharedCalls/3 {
+	for i := range measuredCalls {
+		if i == measuredCalls/3 {
 			c.fault(m, g)
 		}
 		live := m.w.live()
@@ -130,25 +130,25 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	time.Sleep(6 * time.Second)
-	first = m.count()
+	first = m.countLastOutcomes()
 	for retry := range 10 {
 		for i, r := range m.requests {
-			if !r.last().Kind.Final() {
+			if !r.lastOutcome().Kind.Final() {
 				live := m.w.live()
 				m.send(live[(i+retry)%len(live)], r, 5*time.Second)
 			}
 		}
 		time.Sleep(6 * time.Second)
 	}
-	return first, m.count()
+	return first, m.countLastOutcomes()
 }
 
-// count counts the last word of each caller; one who heard nothing counts as
-// unknown.
-func (m *machine) count() shares {
+// countLastOutcomes counts the last outcome of each request, and unknown for a request
+// that got no answer.
+func (m *machine) countLastOutcomes() shares {
 	s := shares{}
 	for _, r := range m.requests {
-		kind := r.last().Kind
+		kind := r.lastOutcome().Kind
 		if kind == 0 {
 			kind = outcome.Unknown
 		}
