--- a/internal/document/capacity_test.go
+++ b/internal/document/capacity_test.go
@@ -13,13 +13,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-func perUnit(b *testing.B, start time.Duration, units int) float64 {
+func microsecondsPerUnit(b *testing.B, start time.Duration, units int) float64 {
 	return float64((testkit.ProcessorTime(b) - start).Microseconds()) / float64(b.N*units)
 }
 
-// published returns one publication of each of count services, in the form of
+// publications returns one publication of each of count services, in the form of
 // an example.
-func published(b *testing.B, count int) []platform.Record {
+func publications(b *testing.B, count int) []platform.Record {
 	example, err := os.ReadFile("../../examples/spool-llm.toml")
 	if err != nil {
 		b.Fatal(err)
@@ -43,7 +43,7 @@
 // sizes are numbers of services.
 var sizes = []int{10, 40, 160, 640}
 
-func bySize(b *testing.B, measure func(b *testing.B, services int)) {
+func runForSizes(b *testing.B, measure func(b *testing.B, services int)) {
 	for _, services := range sizes {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) { measure(b, services) })
 	}
@@ -52,8 +52,8 @@
 // BenchmarkStart is what a new process spends on reading and parsing all
 // documents.
 func BenchmarkStart(b *testing.B) {
-	bySize(b, func(b *testing.B, services int) {
-		records := published(b, services)
+	runForSizes(b, func(b *testing.B, services int) {
+		records := publications(b, services)
 		start := testkit.ProcessorTime(b)
 		for b.Loop() {
 			state, _ := Fold(State{}, records)
@@ -61,14 +61,14 @@
 				b.Fatal(problems)
 			}
 		}
-		b.ReportMetric(perUnit(b, start, services), "cpu-µs/document")
+		b.ReportMetric(microsecondsPerUnit(b, start, services), "cpu-µs/document")
 	})
 }
 
 // BenchmarkChange is what a process spends on one changed document.
 func BenchmarkChange(b *testing.B) {
-	bySize(b, func(b *testing.B, services int) {
-		records := published(b, services)
+	runForSizes(b, func(b *testing.B, services int) {
+		records := publications(b, services)
 		state, _ := Fold(State{}, records[:services-1])
 		set, _ := BuildSet(state, nil, CurrentSchema)
 		start := testkit.ProcessorTime(b)
@@ -76,15 +76,15 @@
 			next, _ := Fold(state, records[services-1:])
 			BuildSet(next, set, CurrentSchema)
 		}
-		b.ReportMetric(perUnit(b, start, 1), "cpu-µs/change")
+		b.ReportMetric(microsecondsPerUnit(b, start, 1), "cpu-µs/change")
 	})
 }
 
 // BenchmarkMemory is what a process holds for the documents, and what the log
 // and the peers carry.
 func BenchmarkMemory(b *testing.B) {
-	bySize(b, func(b *testing.B, services int) {
-		records := published(b, services)
+	runForSizes(b, func(b *testing.B, services int) {
+		records := publications(b, services)
 		before := testkit.LiveHeap()
 		state, _ := Fold(State{}, records)
 		set, _ := BuildSet(state, nil, CurrentSchema)
--- a/internal/document/fold.go
+++ b/internal/document/fold.go
@@ -15,35 +15,35 @@
 // The fold decides by bases alone and never looks into documents, so that
 // programs of different versions decide alike.
 type State struct {
-	next     ident.Offset
+	nextOffset     ident.Offset
 	revision ident.Revision
 	// services holds, for each service, the accepted publications that some
 	// program may serve by: the newest of each schema, as far as no newer one
 	// has a lower schema. Ascending by revision, so also by schema.
-	services map[ident.Service][]Accepted
+	services map[ident.Service][]AcceptedPublication
 }
 
 // Next returns the first offset that is not part of the state.
-func (s State) Next() ident.Offset { return s.next }
+func (s State) Next() ident.Offset { return s.nextOffset }
 
 // Through returns the revision up to which the state is complete.
-func (s State) Through() ident.Revision { return ident.Revision(s.next) }
+func (s State) Through() ident.Revision { return ident.Revision(s.nextOffset) }
 
 // Revision returns the revision of the newest accepted publication.
 func (s State) Revision() ident.Revision { return s.revision }
 
 // Current returns the publication in force of a service.
-func (s State) Current(service ident.Service) (Accepted, bool) {
+func (s State) Current(service ident.Service) (AcceptedPublication, bool) {
 	versions := s.services[service]
 	if len(versions) == 0 {
-		return Accepted{}, false
+		return AcceptedPublication{}, false
 	}
 	return versions[len(versions)-1], true
 }
 
 // Versions returns the versions of a service that some program may serve by,
 // ascending by revision; the last one is in force.
-func (s State) Versions(service ident.Service) []Accepted { return slices.Clone(s.services[service]) }
+func (s State) Versions(service ident.Service) []AcceptedPublication { return slices.Clone(s.services[service]) }
 
 // Services returns the names of all services in order.
 func (s State) Services() []ident.Service {
@@ -84,59 +84,59 @@
 // state with one decision for each record. Records below the state's next
 // offset are left out: they are part of it.
 func Fold(s State, records []platform.Record) (State, []Decision) {
-	f := folder{state: s}
+	f := stateBuilder{state: s}
 	for _, r := range records {
-		if r.Offset >= f.state.next {
+		if r.Offset >= f.state.nextOffset {
 			f.apply(r)
 		}
 	}
 	return f.state, f.decisions
 }
 
-// folder folds in place what it has copied before.
-type folder struct {
+// stateBuilder folds in place what it has copied before.
+type stateBuilder struct {
 	state     State
 	copied    bool
 	decisions []Decision
 }
 
-func (f *folder) apply(r platform.Record) {
-	f.state.next = r.Offset + 1
+func (f *stateBuilder) apply(r platform.Record) {
+	f.state.nextOffset = r.Offset + 1
 	d, err := decode(r.Data)
 	switch {
 	case err != nil:
-		f.decide(Decision{Offset: r.Offset, Kind: UnreadableRecord, Problem: err.Error()})
+		f.addDecision(Decision{Offset: r.Offset, Kind: UnreadableRecord, Problem: err.Error()})
 	case d.snapshot != nil:
-		f.snapshot(r.Offset, d.snapshot)
+		f.compareSnapshot(r.Offset, d.snapshot)
 	default:
-		f.publication(r, *d.publication)
+		f.applyPublication(r, *d.publication)
 	}
 }
 
-func (f *folder) decide(d Decision) { f.decisions = append(f.decisions, d) }
+func (f *stateBuilder) addDecision(d Decision) { f.decisions = append(f.decisions, d) }
 
-func (f *folder) publication(r platform.Record, p Publication) {
+func (f *stateBuilder) applyPublication(r platform.Record, p Publication) {
 	current, _ := f.state.Current(p.Service)
 	if p.Base != current.Revision {
-		f.decide(Decision{Offset: r.Offset, Kind: RefusedRecord, Publication: p, Current: current.Revision})
+		f.addDecision(Decision{Offset: r.Offset, Kind: RefusedRecord, Publication: p, Current: current.Revision})
 		return
 	}
 	revision := ident.Revision(r.Offset + 1)
-	f.accept(Accepted{Revision: revision, Publication: p, record: r.Data})
-	f.decide(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, Current: revision})
+	f.accept(AcceptedPublication{Revision: revision, Publication: p, record: r.Data})
+	f.addDecision(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, Current: revision})
 }
 
 // accept puts a publication in force. Earlier ones stay only while a program
 // that cannot understand the new schema may need them.
-func (f *folder) accept(a Accepted) {
+func (f *stateBuilder) accept(a AcceptedPublication) {
 	if !f.copied {
 		f.state.services = maps.Clone(f.state.services)
 		f.copied = true
 	}
 	if f.state.services == nil {
-		f.state.services = map[ident.Service][]Accepted{}
+		f.state.services = map[ident.Service][]AcceptedPublication{}
 	}
-	var kept []Accepted
+	var kept []AcceptedPublication
 	for _, earlier := range f.state.services[a.Service] {
 		if earlier.Schema < a.Schema {
 			kept = append(kept, earlier)
@@ -146,15 +146,15 @@
 	f.state.revision = a.Revision
 }
 
-// snapshot compares a snapshot with what this reader folded itself. They can
+// compareSnapshot compares a snapshot with what this reader folded itself. They can
 // only differ if two programs fold by different rules, which would otherwise
 // show as instances that serve by different documents.
-func (f *folder) snapshot(offset ident.Offset, s *snapshot) {
+func (f *stateBuilder) compareSnapshot(offset ident.Offset, s *snapshot) {
 	d := Decision{Offset: offset, Kind: SnapshotRecord, Covers: s.covers}
-	if f.state.revision <= ident.Revision(s.covers) && !equalRecords(s.records, f.state.records(0)) {
+	if f.state.revision <= ident.Revision(s.covers) && !equalRecords(s.records, f.state.recordsAbove(0)) {
 		d.Problem = "snapshot differs from the records that it covers"
 	}
-	f.decide(d)
+	f.addDecision(d)
 }
 
 // reverts reports whether a service would fall behind earlier.
@@ -169,9 +169,9 @@
 	return false
 }
 
-// records returns the publications above a revision, ascending by revision.
-func (s State) records(above ident.Revision) []Accepted {
-	var all []Accepted
+// recordsAbove returns the publications above a revision, ascending by revision.
+func (s State) recordsAbove(above ident.Revision) []AcceptedPublication {
+	var all []AcceptedPublication
 	for _, versions := range s.services {
 		for _, a := range versions {
 			if a.Revision > above {
@@ -179,12 +179,12 @@
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Accepted) int { return cmp.Compare(a.Revision, b.Revision) })
+	slices.SortFunc(all, func(a, b AcceptedPublication) int { return cmp.Compare(a.Revision, b.Revision) })
 	return all
 }
 
-func equalRecords(a, b []Accepted) bool {
-	return slices.EqualFunc(a, b, func(x, y Accepted) bool {
+func equalRecords(a, b []AcceptedPublication) bool {
+	return slices.EqualFunc(a, b, func(x, y AcceptedPublication) bool {
 		return x.Revision == y.Revision && string(x.record) == string(y.record)
 	})
 }
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -36,7 +36,7 @@
 
 func (c checker) document(d *Document) {
 	c.schema(d.Schema)
-	c.name("service", string(d.Service))
+	c.requiredName("service", string(d.Service))
 	switch d.Kind {
 	case Model:
 		c.modelService(d)
@@ -58,7 +58,7 @@
 		fmt.Sprintf("%d", CurrentSchema))
 }
 
-func (c checker) name(key, value string) {
+func (c checker) requiredName(key, value string) {
 	if !c.Has(key) {
 		c.Add(key, "is missing", "a name")
 		return
@@ -66,27 +66,27 @@
 	c.Check(value != "", key, "is empty", "a name")
 }
 
-// unique finds a name that an earlier entry has.
-func (c checker) unique(seen map[string]bool, key, value string) {
+// uniqueName finds a name that an earlier entry has.
+func (c checker) uniqueName(seen map[string]bool, key, value string) {
 	c.Check(!seen[value] || value == "", key, fmt.Sprintf("%q is named twice", value), "one entry a name")
 	seen[value] = true
 }
 
 func (c checker) modelService(d *Document) {
-	c.name("model.name", d.Model.Name)
-	c.name("model.version", d.Model.Version)
+	c.requiredName("model.name", d.Model.Name)
+	c.requiredName("model.version", d.Model.Version)
 	c.Check(len(d.Classes) > 0, "classes", "a model service has none", "at least one [[classes]]")
 	c.Check(len(d.Methods) == 0, "methods", "a model service has no methods", "[[classes]]")
 	seen := map[string]bool{}
 	for i, class := range d.Classes {
 		key := fmt.Sprintf("classes[%d]", i)
-		c.name(key+".name", string(class.Name))
-		c.unique(seen, key+".name", string(class.Name))
+		c.requiredName(key+".name", string(class.Name))
+		c.uniqueName(seen, key+".name", string(class.Name))
 		c.class(key, class)
 	}
 	adapters := map[string]bool{}
 	for i, adapter := range d.Model.Adapters {
-		c.unique(adapters, fmt.Sprintf("model.adapters[%d]", i), adapter)
+		c.uniqueName(adapters, fmt.Sprintf("model.adapters[%d]", i), adapter)
 	}
 }
 
@@ -107,8 +107,8 @@
 	seen := map[string]bool{}
 	for i, method := range d.Methods {
 		key := fmt.Sprintf("methods[%d]", i)
-		c.name(key+".name", string(method.Name))
-		c.unique(seen, key+".name", string(method.Name))
+		c.requiredName(key+".name", string(method.Name))
+		c.uniqueName(seen, key+".name", string(method.Name))
 		c.Check(c.Has(key+".idempotent"), key+".idempotent", "is missing",
 			"true or false: false calls run at most once")
 		c.Check(method.Timeout > 0, key+".timeout", "is missing or zero", "the deadline of one call")
@@ -122,8 +122,8 @@
 	seen := map[string]bool{}
 	for i, limit := range d.Accounts {
 		key := fmt.Sprintf("accounts[%d]", i)
-		c.name(key+".account", string(limit.Account))
-		c.unique(seen, key+".account", string(limit.Account))
+		c.requiredName(key+".account", string(limit.Account))
+		c.uniqueName(seen, key+".account", string(limit.Account))
 		c.limit(key, limit)
 	}
 }
@@ -149,13 +149,13 @@
 	seen := map[priceKey]int{}
 	for i, price := range p.Prices {
 		c.price(fmt.Sprintf("placement.prices[%d]", i), price)
-		c.samePrice(seen, i, price)
+		c.uniquePrice(seen, i, price)
 	}
 }
 
 func (c checker) price(key string, p Price) {
-	c.name(key+".failure_domain", string(p.FailureDomain))
-	c.name(key+".class", string(p.Class))
+	c.requiredName(key+".failure_domain", string(p.FailureDomain))
+	c.requiredName(key+".class", string(p.Class))
 	c.Check(c.Has(key+".cents_per_hour"), key+".cents_per_hour", "is missing", "a price")
 	c.Check(p.CentsPerHour >= 0, key+".cents_per_hour", "is negative", "0 or more")
 }
@@ -167,7 +167,7 @@
 	reclaimable bool
 }
 
-func (c checker) samePrice(seen map[priceKey]int, index int, p Price) {
+func (c checker) uniquePrice(seen map[priceKey]int, index int, p Price) {
 	key := priceKey{p.FailureDomain, p.Class, p.Reclaimable}
 	if earlier, ok := seen[key]; ok {
 		c.Add(fmt.Sprintf("placement.prices[%d]", index),
--- a/internal/document/reader.go
+++ b/internal/document/reader.go
@@ -18,18 +18,18 @@
 	state State
 	// searching: records from state.next to first are gone.
 	searching bool
-	first     ident.Offset
-	// search is the next record to look at for a snapshot.
-	search ident.Offset
+	firstKept     ident.Offset
+	// searchOffset is the next record to look at for a snapshot.
+	searchOffset ident.Offset
 	// head is the log's head at the last batch.
 	head ident.Offset
-	// short counts batches in a row whose head was below the state. The first
+	// shortBatches counts batches in a row whose head was below the state. The first
 	// may be older than the state, if a peer's documents came meanwhile.
-	short int
+	shortBatches int
 }
 
-// maxShort is how many batches in a row may be older than the state.
-const maxShort = 1
+// maxShortBatches is how many batches in a row may be older than the state.
+const maxShortBatches = 1
 
 // State returns what was read so far.
 func (r *Reader) State() State { return r.state }
@@ -37,9 +37,9 @@
 // From returns the offset to read from next.
 func (r *Reader) From() ident.Offset {
 	if r.searching {
-		return r.search
+		return r.searchOffset
 	}
-	return r.state.next
+	return r.state.nextOffset
 }
 
 // Searching reports whether the reader lacks expired records.
@@ -49,17 +49,17 @@
 func (r *Reader) Head() ident.Offset { return r.head }
 
 // AtHead reports whether all records of the last batch's log are read.
-func (r *Reader) AtHead() bool { return !r.searching && r.state.next >= r.head }
+func (r *Reader) AtHead() bool { return !r.searching && r.state.nextOffset >= r.head }
 
 // Problem says why the reader cannot follow the log, or is empty.
 func (r *Reader) Problem() string {
 	if r.searching {
 		return fmt.Sprintf("records %d to %d expired before they were read and no snapshot covers them yet",
-			r.state.next, r.first)
+			r.state.nextOffset, r.firstKept)
 	}
-	if r.short > maxShort {
+	if r.shortBatches > maxShortBatches {
 		return fmt.Sprintf("the log ends at %d, but %d was read already; not reverting",
-			r.head, r.state.next)
+			r.head, r.state.nextOffset)
 	}
 	return ""
 }
@@ -68,46 +68,46 @@
 func (r *Reader) Take(batch platform.Batch) []Decision {
 	r.head = batch.Head
 	if r.searching {
-		r.find(batch.Records)
+		r.findSnapshot(batch.Records)
 		return nil
 	}
-	if r.gap(batch.Records) {
+	if r.startsAfterGap(batch.Records) {
 		return nil
 	}
 	var decisions []Decision
 	r.state, decisions = Fold(r.state, batch.Records)
-	if r.head < r.state.next {
-		r.short++
+	if r.head < r.state.nextOffset {
+		r.shortBatches++
 	} else {
-		r.short = 0
+		r.shortBatches = 0
 	}
 	return decisions
 }
 
-// gap reports whether records are missing before a batch. A search for a
+// startsAfterGap reports whether records are missing before a batch. A search for a
 // snapshot reads ahead; when a peer's documents end the search meanwhile, the
 // answer of that read starts beyond the state. Folding it would leave records
 // out, which would show as an instance that never serves some change.
-func (r *Reader) gap(records []platform.Record) bool {
-	return len(records) > 0 && records[0].Offset > r.state.next
+func (r *Reader) startsAfterGap(records []platform.Record) bool {
+	return len(records) > 0 && records[0].Offset > r.state.nextOffset
 }
 
 // Expired tells the reader that the log keeps nothing below first.
 func (r *Reader) Expired(first ident.Offset) {
-	if first <= r.state.next {
+	if first <= r.state.nextOffset {
 		return
 	}
 	r.searching = true
-	r.first = first
-	r.search = max(r.search, first)
+	r.firstKept = first
+	r.searchOffset = max(r.searchOffset, first)
 }
 
-// find looks for a snapshot from which reading can go on without a gap.
-func (r *Reader) find(records []platform.Record) {
+// findSnapshot looks for a snapshot from which reading can go on without a gap.
+func (r *Reader) findSnapshot(records []platform.Record) {
 	for _, record := range records {
-		r.search = max(r.search, record.Offset+1)
+		r.searchOffset = max(r.searchOffset, record.Offset+1)
 		d, err := decode(record.Data)
-		if err != nil || d.snapshot == nil || d.snapshot.covers < r.first {
+		if err != nil || d.snapshot == nil || d.snapshot.covers < r.firstKept {
 			continue
 		}
 		if d.snapshot.covers > record.Offset {
@@ -128,7 +128,7 @@
 		return errcode.Wrap(errcode.Of(err), err, "documents of a peer")
 	}
 	r.state = state
-	if r.state.next >= r.first {
+	if r.state.nextOffset >= r.firstKept {
 		r.searching = false
 	}
 	return nil
--- a/internal/document/reader_test.go
+++ b/internal/document/reader_test.go
@@ -14,21 +14,21 @@
 
 func init() { testkit.FixSeed() }
 
-const schemas = 3
+const schemaCount = 3
 
 // readerMachine is a reader whose answers come late, beside the whole log.
 type readerMachine struct {
 	reader Reader
 	log    []platform.Record
 	first  ident.Offset
-	// underWay are answers of the log that the reader has not seen yet.
-	underWay []answer
+	// pendingAnswers are answers of the log that the reader has not seen yet.
+	pendingAnswers []logAnswer
 	deltas   []Delta
-	// before is the state's offset at the last check.
-	before ident.Offset
+	// lastOffset is the state's offset at the last check.
+	lastOffset ident.Offset
 }
 
-type answer struct {
+type logAnswer struct {
 	batch   platform.Batch
 	expired bool
 }
@@ -37,14 +37,14 @@
 	m.log = append(m.log, platform.Record{Offset: ident.Offset(len(m.log)), Data: data})
 }
 
-// at is the state of a reader that read everything below an offset in order.
-func (m *readerMachine) at(next ident.Offset) State {
+// stateAt is the state of a reader that read everything below an offset in order.
+func (m *readerMachine) stateAt(next ident.Offset) State {
 	state, _ := Fold(State{}, m.log[:next])
 	return state
 }
 
 func (m *readerMachine) drawPrefix(t *rapid.T) State {
-	return m.at(ident.Offset(rapid.IntRange(0, len(m.log)).Draw(t, "prefix")))
+	return m.stateAt(ident.Offset(rapid.IntRange(0, len(m.log)).Draw(t, "prefix")))
 }
 
 func (m *readerMachine) publish(t *rapid.T) {
@@ -55,14 +55,14 @@
 
 func (m *readerMachine) publishOne(t *rapid.T) {
 	service := rapid.SampledFrom([]ident.Service{"spool-llm", "auktion-app"}).Draw(t, "service")
-	current, _ := m.at(ident.Offset(len(m.log))).Current(service)
+	current, _ := m.stateAt(ident.Offset(len(m.log))).Current(service)
 	base := current.Revision
 	if rapid.Bool().Draw(t, "stale") {
 		base = ident.Revision(rapid.IntRange(0, len(m.log)).Draw(t, "base"))
 	}
 	data, err := EncodePublication(Publication{
 		Service: service, Base: base, PublishID: fmt.Sprint(len(m.log)),
-		Schema: rapid.IntRange(1, schemas).Draw(t, "schema"),
+		Schema: rapid.IntRange(1, schemaCount).Draw(t, "schema"),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 
 // restart: a new process begins with nothing.
 func (m *readerMachine) restart(*rapid.T) {
-	m.reader, m.before, m.underWay, m.deltas = Reader{}, 0, nil, nil
+	m.reader, m.lastOffset, m.pendingAnswers, m.deltas = Reader{}, 0, nil, nil
 }
 
 // search: a new process finds its records expired and looks for a snapshot. A
@@ -96,7 +96,7 @@
 	m.read(t)
 	if rapid.Bool().Draw(t, "peer") {
 		m.askPeer(t)
-		m.hearPeer(t)
+		m.mergePeer(t)
 	}
 }
 
@@ -108,22 +108,22 @@
 	from := m.reader.From()
 	batch := platform.Batch{Head: ident.Offset(len(m.log)), First: m.first}
 	if from < m.first {
-		m.underWay = append(m.underWay, answer{batch: batch, expired: true})
+		m.pendingAnswers = append(m.pendingAnswers, logAnswer{batch: batch, expired: true})
 		return
 	}
 	if from < batch.Head {
 		end := min(int(from)+rapid.IntRange(1, 4).Draw(t, "limit"), len(m.log))
 		batch.Records = m.log[from:end]
 	}
-	m.underWay = append(m.underWay, answer{batch: batch})
+	m.pendingAnswers = append(m.pendingAnswers, logAnswer{batch: batch})
 }
 
 func (m *readerMachine) deliver(t *rapid.T) {
-	if len(m.underWay) == 0 {
+	if len(m.pendingAnswers) == 0 {
 		t.Skip("no answer is under way")
 	}
-	next := m.underWay[0]
-	m.underWay = m.underWay[1:]
+	next := m.pendingAnswers[0]
+	m.pendingAnswers = m.pendingAnswers[1:]
 	if next.expired {
 		m.reader.Expired(next.batch.First)
 		return
@@ -136,7 +136,7 @@
 	m.deltas = append(m.deltas, m.drawPrefix(t).Delta(m.reader.State().Through()))
 }
 
-func (m *readerMachine) hearPeer(t *rapid.T) {
+func (m *readerMachine) mergePeer(t *rapid.T) {
 	if len(m.deltas) == 0 {
 		t.Skip("no peer was asked")
 	}
@@ -147,23 +147,23 @@
 // check: whatever way the reader went, its state is that of the log's order.
 func (m *readerMachine) check(t *rapid.T) {
 	state := m.reader.State()
-	if state.Next() < m.before {
-		t.Fatalf("went back from %d to %d", m.before, state.Next())
+	if state.Next() < m.lastOffset {
+		t.Fatalf("went back from %d to %d", m.lastOffset, state.Next())
 	}
-	m.before = state.Next()
+	m.lastOffset = state.Next()
 	got, err := EncodeSnapshot(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := EncodeSnapshot(m.at(state.Next()))
+	want, err := EncodeSnapshot(m.stateAt(state.Next()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Fatalf("state at %d is %v, want %v", state.Next(), state, m.at(state.Next()))
+		t.Fatalf("state at %d is %v, want %v", state.Next(), state, m.stateAt(state.Next()))
 	}
 	for _, service := range state.Services() {
-		if kept := len(state.Versions(service)); kept > schemas {
+		if kept := len(state.Versions(service)); kept > schemaCount {
 			t.Fatalf("%d versions kept of %s", kept, service)
 		}
 	}
@@ -183,7 +183,7 @@
 			"read":     m.read,
 			"deliver":  m.deliver,
 			"askPeer":  m.askPeer,
-			"hearPeer": m.hearPeer,
+			"hearPeer": m.mergePeer,
 			"restart":  m.restart,
 			"search":   m.search,
 			"":         m.check,
--- a/internal/document/record.go
+++ b/internal/document/record.go
@@ -28,9 +28,9 @@
 	Document []byte
 }
 
-// Accepted is a publication that was in force, with its record as it stands in
+// AcceptedPublication is a publication that was in force, with its record as it stands in
 // the log.
-type Accepted struct {
+type AcceptedPublication struct {
 	Revision ident.Revision
 	Publication
 	record []byte
@@ -90,13 +90,13 @@
 }
 
 // decodeAccepted reads a publication that another process accepted.
-func decodeAccepted(revision ident.Revision, record []byte) (Accepted, error) {
+func decodeAccepted(revision ident.Revision, record []byte) (AcceptedPublication, error) {
 	d, err := decode(record)
 	if err != nil {
-		return Accepted{}, err
+		return AcceptedPublication{}, err
 	}
 	if d.publication == nil || revision == 0 {
-		return Accepted{}, errcode.New(errcode.InvalidArgument, "accepted record is not a publication")
+		return AcceptedPublication{}, errcode.New(errcode.InvalidArgument, "accepted record is not a publication")
 	}
-	return Accepted{Revision: revision, Publication: *d.publication, record: record}, nil
+	return AcceptedPublication{Revision: revision, Publication: *d.publication, record: record}, nil
 }
--- a/internal/document/record_test.go
+++ b/internal/document/record_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back := d.snapshot.state(); !equalRecords(back.records(0), s.records(0)) || back.Next() != s.Next() {
+	if back := d.snapshot.state(); !equalRecords(back.recordsAbove(0), s.recordsAbove(0)) || back.Next() != s.Next() {
 		t.Fatalf("got %+v, want %+v", back, s)
 	}
 }
--- a/internal/document/set.go
+++ b/internal/document/set.go
@@ -14,7 +14,7 @@
 	set := &Set{Revision: s.revision, Services: make(map[ident.Service]Entry, len(s.services))}
 	var problems []string
 	for _, service := range s.Services() {
-		entry, problem := choose(s.services[service], previous.entry(service), schema)
+		entry, problem := chooseEntry(s.services[service], previous.entry(service), schema)
 		if problem != "" {
 			problems = append(problems, fmt.Sprintf("%s: %s", service, problem))
 		}
@@ -32,15 +32,15 @@
 	return s.Services[service]
 }
 
-// choose takes the newest usable version that is not older than the previous.
-func choose(versions []Accepted, previous Entry, schema int) (Entry, string) {
+// chooseEntry takes the newest usable version that is not older than the previous.
+func chooseEntry(versions []AcceptedPublication, previous Entry, schema int) (Entry, string) {
 	problem := ""
 	for i := len(versions) - 1; i >= 0; i-- {
 		a := versions[i]
 		if a.Revision <= previous.Revision {
 			return previous, problem
 		}
-		d, fault := understand(a, schema)
+		d, fault := parsePublication(a, schema)
 		if fault == "" {
 			return Entry{Revision: a.Revision, Document: d}, problem
 		}
@@ -51,9 +51,9 @@
 	return previous, problem
 }
 
-// understand parses a publication, or says why this program cannot serve by
+// parsePublication parses a publication, or says why this program cannot serve by
 // it.
-func understand(a Accepted, schema int) (*Document, string) {
+func parsePublication(a AcceptedPublication, schema int) (*Document, string) {
 	if a.Schema > schema {
 		return nil, fmt.Sprintf("revision %d has schema %d, this program understands up to %d",
 			a.Revision, a.Schema, schema)
--- a/internal/document/snapshot.go
+++ b/internal/document/snapshot.go
@@ -9,18 +9,18 @@
 // snapshot is a state as it stands in the log.
 type snapshot struct {
 	covers  ident.Offset
-	records []Accepted
+	records []AcceptedPublication
 }
 
 // EmptyState is the state before any document, for a stream whose records below
 // next are lost for good.
-func EmptyState(next ident.Offset) State { return State{next: next} }
+func EmptyState(next ident.Offset) State { return State{nextOffset: next} }
 
 // EncodeSnapshot returns the record of a state. Two processes at the same
 // offset write equal bytes, so a race between them is harmless.
 func EncodeSnapshot(s State) ([]byte, error) {
-	out := &configv1.Snapshot{Covers: uint64(s.next)}
-	for _, a := range s.records(0) {
+	out := &configv1.Snapshot{Covers: uint64(s.nextOffset)}
+	for _, a := range s.recordsAbove(0) {
 		out.Records = append(out.Records, &configv1.AcceptedRecord{
 			Revision: uint64(a.Revision),
 			Record:   a.record,
@@ -48,11 +48,11 @@
 
 // state is the state that the snapshot holds.
 func (s *snapshot) state() State {
-	var f folder
+	var f stateBuilder
 	for _, a := range s.records {
 		f.accept(a)
 	}
-	f.state.next = s.covers
+	f.state.nextOffset = s.covers
 	return f.state
 }
 
@@ -74,7 +74,7 @@
 // Delta returns what a process needs that is complete up to above.
 func (s State) Delta(above ident.Revision) Delta {
 	d := Delta{Through: s.Through()}
-	for _, a := range s.records(above) {
+	for _, a := range s.recordsAbove(above) {
 		d.Records = append(d.Records, DeltaRecord{Revision: a.Revision, Record: a.record})
 	}
 	return d
@@ -88,7 +88,7 @@
 		return s, errcode.Errorf(errcode.FailedPrecondition,
 			"delta through revision %d is not newer than %d", d.Through, s.Through())
 	}
-	f := folder{state: s}
+	f := stateBuilder{state: s}
 	last := s.Through()
 	for _, r := range d.Records {
 		if r.Revision <= s.Through() {
@@ -104,6 +104,6 @@
 		last = a.Revision
 		f.accept(a)
 	}
-	f.state.next = ident.Offset(d.Through)
+	f.state.nextOffset = ident.Offset(d.Through)
 	return f.state, nil
 }
--- a/internal/lease/append.go
+++ b/internal/lease/append.go
@@ -8,17 +8,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// due returns the records to append now. Where one renewal is due, all go
+// dueRecords returns the records to append now. Where one renewal is due, all go
 // with it: one append renews every lease of this process.
-func (m *Manager) due() []Record {
+func (m *Manager) dueRecords() []Record {
 	now := time.Now()
-	records := m.releases(func(v view) bool { return m.timing.releasable(now, v) })
+	records := m.takeReleases(func(v leaseView) bool { return m.timing.mayRelease(now, v) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var renewals []Record
 	renew := false
 	for _, want := range *m.wanted.Load() {
-		record, isDue := m.timing.next(now, m.state, m.cfg.Holder, want, m.viewOf(want.Name, now))
+		record, isDue := m.timing.nextRecord(now, m.state, m.cfg.Holder, want, m.viewOf(want.Name, now))
 		switch {
 		case record.Kind == Renewal:
 			renewals = append(renewals, record)
@@ -34,19 +34,19 @@
 }
 
 // viewOf returns the view of a lease. Of one without records it begins now.
-func (m *Manager) viewOf(name Name, now time.Time) view {
+func (m *Manager) viewOf(name Name, now time.Time) leaseView {
 	v, known := m.views[name]
 	if !known {
-		v = view{readAt: now}
+		v = leaseView{readAt: now}
 		m.views[name] = v
 	}
 	return v
 }
 
-// releases returns a release for each revoked lease that ready selects. From
+// takeReleases returns a release for each revoked lease that ready selects. From
 // then on this process does not hold it, whatever becomes of the release: one
 // that takes effect late must not meet a holder that acts again.
-func (m *Manager) releases(ready func(view) bool) []Record {
+func (m *Manager) takeReleases(ready func(leaseView) bool) []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var records []Record
@@ -55,7 +55,7 @@
 		if v.revokedAt.IsZero() || !ready(v) {
 			continue
 		}
-		v.started, v.revokedAt = time.Time{}, time.Time{}
+		v.appendStarted, v.revokedAt = time.Time{}, time.Time{}
 		m.views[name] = v
 		if !known || entry.Record.Holder != m.cfg.Holder {
 			continue
@@ -87,13 +87,13 @@
 		}
 		encoded[i] = data
 	}
-	m.begin(records)
+	m.recordAppendStart(records)
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
 	m.metrics.appends.Add(1)
 	_, err := m.log.Append(ctx, Stream, encoded)
 	if errors.Is(err, platform.ErrUnavailable) {
-		m.cancel(records)
+		m.dropPending(records)
 		return false
 	}
 	if err != nil {
@@ -105,10 +105,10 @@
 	return true
 }
 
-// begin notes when the append of records started. The holder's deadline counts
+// recordAppendStart notes when the append of records started. The holder's deadline counts
 // from here: an instant read after the append could lie past the one at which
 // a candidate has read the record, and both would believe that they hold.
-func (m *Manager) begin(records []Record) {
+func (m *Manager) recordAppendStart(records []Record) {
 	started := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,8 +117,8 @@
 	}
 }
 
-// cancel forgets records that are not in the log and never will be.
-func (m *Manager) cancel(records []Record) {
+// dropPending forgets records that are not in the log and never will be.
+func (m *Manager) dropPending(records []Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, record := range records {
--- a/internal/lease/candidates.go
+++ b/internal/lease/candidates.go
@@ -36,16 +36,16 @@
 // hashing, those within it first. For the empty failure domain it takes each
 // from another one, so that the loss of one leaves candidates.
 func chooseCandidates(domain ident.FailureDomain, instances []platform.Instance) []ident.Instance {
-	entries := liveEntries(instances)
+	entries := liveEntryInstances(instances)
 	slices.SortFunc(entries, func(a, b platform.Instance) int {
 		return cmp.Or(
-			cmp.Compare(distance(domain, a), distance(domain, b)),
-			cmp.Compare(weight(domain, b.ID), weight(domain, a.ID)),
+			cmp.Compare(domainDistance(domain, a), domainDistance(domain, b)),
+			cmp.Compare(rendezvousWeight(domain, b.ID), rendezvousWeight(domain, a.ID)),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
 	if domain == "" {
-		entries = firstOfEachDomain(entries)
+		entries = oneOfEachDomainFirst(entries)
 	}
 	entries = entries[:min(len(entries), CandidateCount)]
 	ids := make([]ident.Instance, len(entries))
@@ -55,7 +55,7 @@
 	return ids
 }
 
-func liveEntries(instances []platform.Instance) []platform.Instance {
+func liveEntryInstances(instances []platform.Instance) []platform.Instance {
 	var entries []platform.Instance
 	for _, instance := range instances {
 		if instance.Role == platform.RoleEntry && instance.State == platform.Live {
@@ -65,21 +65,21 @@
 	return entries
 }
 
-// distance is 0 within the failure domain and 1 elsewhere.
-func distance(domain ident.FailureDomain, instance platform.Instance) int {
+// domainDistance is 0 within the failure domain and 1 elsewhere.
+func domainDistance(domain ident.FailureDomain, instance platform.Instance) int {
 	if instance.FailureDomain == domain {
 		return 0
 	}
 	return 1
 }
 
-func weight(domain ident.FailureDomain, id ident.Instance) uint64 {
+func rendezvousWeight(domain ident.FailureDomain, id ident.Instance) uint64 {
 	return xxhash.Sum64String(string(domain) + "/" + string(id))
 }
 
-// firstOfEachDomain moves the first instance of each failure domain to the
+// oneOfEachDomainFirst moves the first instance of each failure domain to the
 // front and keeps the order otherwise.
-func firstOfEachDomain(entries []platform.Instance) []platform.Instance {
+func oneOfEachDomainFirst(entries []platform.Instance) []platform.Instance {
 	seen := make(map[ident.FailureDomain]bool)
 	var first, rest []platform.Instance
 	for _, entry := range entries {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -27,8 +27,8 @@
 	DefaultCallTimeout = 2 * time.Second
 )
 
-// readLimit is how many records one read asks for.
-const readLimit = 1000
+// maxRecordsPerRead is how many records one read asks for.
+const maxRecordsPerRead = 1000
 
 // Config says who this process is and how it keeps leases. Zero durations
 // stand for the defaults, but for Margin, where zero is none.
@@ -53,8 +53,8 @@
 // Check returns what is wrong with the durations, or nil.
 func (c Config) Check() error {
 	c = c.withDefaults()
-	if c.Length > maxLength {
-		return errcode.Errorf(errcode.InvalidArgument, "lease length %v is above %v", c.Length, maxLength)
+	if c.Length > maxLeaseLength {
+		return errcode.Errorf(errcode.InvalidArgument, "lease length %v is above %v", c.Length, maxLeaseLength)
 	}
 	if c.Margin < 0 || c.RenewEvery+c.Poll+c.Margin >= c.Length {
 		return errcode.Errorf(errcode.InvalidArgument,
@@ -113,7 +113,7 @@
 	// mu guards the rest; it is never held during a call of the log.
 	mu      sync.Mutex
 	state   *State
-	views   map[Name]view
+	views   map[Name]leaseView
 	pending map[string]time.Time
 }
 
@@ -132,7 +132,7 @@
 		wake:    make(chan struct{}, 1),
 		metrics: &counters,
 		state:   &State{},
-		views:   make(map[Name]view),
+		views:   make(map[Name]leaseView),
 		pending: make(map[string]time.Time),
 	}
 	m.wanted.Store(&[]Wanted{})
@@ -146,7 +146,7 @@
 	m.mu.Lock()
 	m.wanted.Store(&wanted)
 	m.revokeUnwanted(time.Now())
-	m.publish()
+	m.publishGrants()
 	m.mu.Unlock()
 	select {
 	case m.wake <- struct{}{}:
@@ -187,7 +187,7 @@
 	ticker := time.NewTicker(m.cfg.Poll)
 	defer ticker.Stop()
 	for {
-		if m.busy() {
+		if m.hasWork() {
 			m.Step(ctx)
 		}
 		select {
@@ -200,8 +200,8 @@
 	}
 }
 
-// busy reports whether a lease is wanted or waits for its release.
-func (m *Manager) busy() bool {
+// hasWork reports whether a lease is wanted or waits for its release.
+func (m *Manager) hasWork() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(*m.wanted.Load()) > 0 {
@@ -221,7 +221,7 @@
 		m.cfg.Log.Debug("leases not read", "error", err)
 		return
 	}
-	if m.append(ctx, m.due()) {
+	if m.append(ctx, m.dueRecords()) {
 		// A successful append is not yet an accepted record: another one may
 		// have come first. Only the fold tells, so read it back at once.
 		if err := m.catchUp(ctx); err != nil {
@@ -236,7 +236,7 @@
 	m.Want(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), m.cfg.CallTimeout)
 	defer cancel()
-	m.append(ctx, m.releases(func(view) bool { return true }))
+	m.append(ctx, m.takeReleases(func(leaseView) bool { return true }))
 }
 
 // catchUp applies the records up to the log's head.
@@ -244,13 +244,13 @@
 	for {
 		batch, err := m.read(ctx)
 		if errors.Is(err, platform.ErrExpired) {
-			m.restart(batch.First)
+			m.restartFrom(batch.First)
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		if m.apply(batch) {
+		if m.applyBatch(batch) {
 			return nil
 		}
 	}
@@ -263,60 +263,60 @@
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
 	m.metrics.reads.Add(1)
-	return m.log.Read(ctx, Stream, from, readLimit, 0)
+	return m.log.Read(ctx, Stream, from, maxRecordsPerRead, 0)
 }
 
-// restart begins anew at the oldest record that the log keeps.
-func (m *Manager) restart(first ident.Offset) {
+// restartFrom begins anew at the oldest record that the log keeps.
+func (m *Manager) restartFrom(first ident.Offset) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = StateFrom(first)
-	m.views = make(map[Name]view)
-	m.publish()
+	m.views = make(map[Name]leaseView)
+	m.publishGrants()
 }
 
-// apply folds a batch and reports whether it reached the log's head.
-func (m *Manager) apply(batch platform.Batch) bool {
+// applyBatch folds a batch and reports whether it reached the log's head.
+func (m *Manager) applyBatch(batch platform.Batch) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	readAt := time.Now()
 	for _, raw := range batch.Records {
 		record, verdict := m.state.Apply(raw)
-		m.note(record, verdict, readAt)
+		m.updateView(record, verdict, readAt)
 	}
-	m.forgetPending(readAt)
+	m.expirePending(readAt)
 	m.revokeUnwanted(readAt)
-	m.publish()
+	m.publishGrants()
 	if m.state.Next() >= batch.Head {
-		m.state.ReachedHead()
+		m.state.MarkHeadReached()
 		return true
 	}
 	return len(batch.Records) == 0
 }
 
-// note updates what this process knows of a record's lease.
-func (m *Manager) note(record Record, verdict Verdict, readAt time.Time) {
+// updateView updates what this process knows of a record's lease.
+func (m *Manager) updateView(record Record, verdict Verdict, readAt time.Time) {
 	if verdict == Ignored {
 		return
 	}
 	started, mine := m.pending[record.ID]
 	delete(m.pending, record.ID)
 	if mine {
-		m.metrics.count(record.Kind, verdict)
+		m.metrics.countResult(record.Kind, verdict)
 	}
 	switch {
 	case verdict == Undecided:
-		m.views[record.Name] = view{readAt: readAt}
+		m.views[record.Name] = leaseView{readAt: readAt}
 	case verdict == Accepted && mine && record.Kind != Release:
-		m.views[record.Name] = view{readAt: readAt, started: started}
+		m.views[record.Name] = leaseView{readAt: readAt, appendStarted: started}
 	case verdict == Accepted:
-		m.views[record.Name] = view{readAt: readAt}
+		m.views[record.Name] = leaseView{readAt: readAt}
 	}
 }
 
-// forgetPending drops appends whose records never came. One that comes later
+// expirePending drops appends whose records never came. One that comes later
 // still is not taken for this process's own, which only costs a claim.
-func (m *Manager) forgetPending(now time.Time) {
+func (m *Manager) expirePending(now time.Time) {
 	for id, started := range m.pending {
 		if now.Sub(started) > Horizon {
 			delete(m.pending, id)
@@ -332,7 +332,7 @@
 	}
 	for name, v := range m.views {
 		switch {
-		case keep[name] || v.started.IsZero():
+		case keep[name] || v.appendStarted.IsZero():
 			v.revokedAt = time.Time{}
 		case v.revokedAt.IsZero():
 			v.revokedAt = now
@@ -341,22 +341,22 @@
 	}
 }
 
-// publish makes the grants that follow from the fold visible to Grant, and
+// publishGrants makes the grants that follow from the fold visible to Grant, and
 // revokes those that no longer do.
-func (m *Manager) publish() {
+func (m *Manager) publishGrants() {
 	old := *m.grants.Load()
 	grants := make(map[Name]Grant)
 	for _, want := range *m.wanted.Load() {
 		entry, known := m.state.Find(want.Name)
 		v := m.views[want.Name]
-		if !known || entry.Record.Holder != m.cfg.Holder || v.started.IsZero() {
+		if !known || entry.Record.Holder != m.cfg.Holder || v.appendStarted.IsZero() {
 			continue
 		}
 		grant, had := old[want.Name]
 		if !had || grant.Fence != entry.Fence {
 			grant = Grant{Name: want.Name, Fence: entry.Fence, revoked: new(atomic.Bool)}
 		}
-		grant.deadline = m.timing.deadline(v.started)
+		grant.deadline = m.timing.deadline(v.appendStarted)
 		grants[want.Name] = grant
 	}
 	m.grants.Store(&grants)
--- a/internal/lease/metrics.go
+++ b/internal/lease/metrics.go
@@ -6,7 +6,7 @@
 type metrics struct {
 	reads, appends, answersLost                expvar.Int
 	claimsAccepted, claimsRejected             expvar.Int
-	renewalsAccepted, renewalsRejected, others expvar.Int
+	renewalsAccepted, renewalsRejected, otherRecords expvar.Int
 }
 
 // counters of this process, under the names that operators see.
@@ -21,11 +21,11 @@
 	vars.Set("claims_rejected", &counters.claimsRejected)
 	vars.Set("renewals_accepted", &counters.renewalsAccepted)
 	vars.Set("renewals_rejected", &counters.renewalsRejected)
-	vars.Set("other_records", &counters.others)
+	vars.Set("other_records", &counters.otherRecords)
 }
 
-// count counts what became of one of this process's records.
-func (m *metrics) count(kind Kind, verdict Verdict) {
+// countResult counts what became of one of this process's records.
+func (m *metrics) countResult(kind Kind, verdict Verdict) {
 	switch {
 	case kind == Claim && verdict == Accepted:
 		m.claimsAccepted.Add(1)
@@ -36,6 +36,6 @@
 	case kind == Renewal:
 		m.renewalsRejected.Add(1)
 	default:
-		m.others.Add(1)
+		m.otherRecords.Add(1)
 	}
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -78,8 +78,8 @@
 // plus one because fence 0 means none.
 func fenceOf(offset ident.Offset) ident.Fence { return ident.Fence(offset) + 1 }
 
-// maxLength keeps a damaged record from blocking its lease for good.
-const maxLength = time.Hour
+// maxLeaseLength keeps a damaged record from blocking its lease for good.
+const maxLeaseLength = time.Hour
 
 // Encode returns the bytes that the log stores.
 func (r Record) Encode() ([]byte, error) {
@@ -97,7 +97,7 @@
 	if r.ID == "" || r.Name.Service == "" || r.Holder.Process == "" {
 		return Record{}, errcode.New(errcode.InvalidArgument, "lease record without id, service or process")
 	}
-	if r.Length <= 0 || r.Length > Milliseconds(maxLength/time.Millisecond) {
+	if r.Length <= 0 || r.Length > Milliseconds(maxLeaseLength/time.Millisecond) {
 		return Record{}, errcode.Errorf(errcode.InvalidArgument, "lease record with a length of %d ms", r.Length)
 	}
 	switch r.Kind {
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -46,24 +46,24 @@
 // State is the fold of the leases' stream. Equal records give equal states,
 // whoever reads them. The zero value is the state at offset 0.
 type State struct {
-	next    ident.Offset
+	nextOffset    ident.Offset
 	entries map[Name]Entry
 	// undecided are records that name a record which was not read.
 	undecided map[Name][]Entry
 	// partial: records before the first one read may count still.
 	partial bool
-	// firstAt is the log's time of the first record that was read.
-	firstAt time.Time
+	// firstAppendedAt is the log's time of the first record that was read.
+	firstAppendedAt time.Time
 }
 
 // StateFrom returns a state that reads from an offset on, because the records
 // before it have expired.
 func StateFrom(first ident.Offset) *State {
-	return &State{next: first, partial: first > 0}
+	return &State{nextOffset: first, partial: first > 0}
 }
 
 // Next is the offset of the next record to apply.
-func (s *State) Next() ident.Offset { return s.next }
+func (s *State) Next() ident.Offset { return s.nextOffset }
 
 // Find returns the newest accepted record of a lease.
 func (s *State) Find(name Name) (Entry, bool) {
@@ -71,33 +71,33 @@
 	return entry, ok
 }
 
-// ReachedHead tells that all records which the log keeps were applied. Those
+// MarkHeadReached tells that all records which the log keeps were applied. Those
 // that it no longer keeps are older than the horizon, so that none of them
 // counts against a record that is appended from now on.
-func (s *State) ReachedHead() { s.partial = false }
+func (s *State) MarkHeadReached() { s.partial = false }
 
-// Certain reports whether Find's answer for a lease is final. Otherwise a
+// Decided reports whether Find's answer for a lease is final. Otherwise a
 // later record tells which of the undecided ones counted.
-func (s *State) Certain(name Name) bool {
+func (s *State) Decided(name Name) bool {
 	return !s.partial && len(s.undecided[name]) == 0
 }
 
 // Apply folds the next record of the stream and returns the record with what
 // became of it. Records that were applied already are ignored.
 func (s *State) Apply(raw platform.Record) (Record, Verdict) {
-	if raw.Offset < s.next {
+	if raw.Offset < s.nextOffset {
 		return Record{}, Ignored
 	}
-	s.next = raw.Offset + 1
-	if s.firstAt.IsZero() {
-		s.firstAt = raw.AppendedAt
+	s.nextOffset = raw.Offset + 1
+	if s.firstAppendedAt.IsZero() {
+		s.firstAppendedAt = raw.AppendedAt
 	}
 	record, err := Decode(raw.Data)
 	if err != nil {
 		return Record{}, Ignored
 	}
 	candidate := newEntry(record, raw)
-	verdict := s.judge(candidate)
+	verdict := s.decide(candidate)
 	s.store(candidate, verdict)
 	return record, verdict
 }
@@ -110,22 +110,22 @@
 	return entry
 }
 
-// judge decides one record against the state before it.
-func (s *State) judge(candidate Entry) Verdict {
+// decide decides one record against the state before it.
+func (s *State) decide(candidate Entry) Verdict {
 	name := candidate.Record.Name
 	current, known := s.entries[name]
 	switch {
 	case known && !outdated(current, candidate):
-		return verdictOf(follows(current, candidate))
-	case known || s.nothingBefore(candidate):
-		return verdictOf(candidate.Record.Kind == Claim)
-	case s.provesUndecided(candidate):
+		return acceptedIf(validSuccessor(current, candidate))
+	case known || s.noEarlierCounts(candidate):
+		return acceptedIf(candidate.Record.Kind == Claim)
+	case s.confirmsUndecided(candidate):
 		return Accepted
 	}
 	return Undecided
 }
 
-func verdictOf(accepted bool) Verdict {
+func acceptedIf(accepted bool) Verdict {
 	if accepted {
 		return Accepted
 	}
@@ -137,9 +137,9 @@
 	return later.AppendedAt.Sub(entry.AppendedAt) > Horizon
 }
 
-// follows reports whether a record is a valid successor. The first record in
+// validSuccessor reports whether a record is a valid successor. The first record in
 // the log that names the newest one wins; all others name an older one then.
-func follows(current, candidate Entry) bool {
+func validSuccessor(current, candidate Entry) bool {
 	if candidate.Record.Supersedes != LinkTo(current.Offset) {
 		return false
 	}
@@ -150,22 +150,22 @@
 	return sameHolder && !current.Released() && candidate.Fence == current.Fence
 }
 
-// nothingBefore reports whether no record before candidate can count.
-func (s *State) nothingBefore(candidate Entry) bool {
+// noEarlierCounts reports whether no record before candidate can count.
+func (s *State) noEarlierCounts(candidate Entry) bool {
 	for _, entry := range s.undecided[candidate.Record.Name] {
 		if !outdated(entry, candidate) {
 			return false
 		}
 	}
-	return !s.partial || candidate.AppendedAt.Sub(s.firstAt) > Horizon
+	return !s.partial || candidate.AppendedAt.Sub(s.firstAppendedAt) > Horizon
 }
 
-// provesUndecided reports whether candidate names a record that could not be
+// confirmsUndecided reports whether candidate names a record that could not be
 // decided. Its writer knew that record as accepted, or it would not build on
 // it.
-func (s *State) provesUndecided(candidate Entry) bool {
+func (s *State) confirmsUndecided(candidate Entry) bool {
 	for _, entry := range s.undecided[candidate.Record.Name] {
-		if follows(entry, candidate) {
+		if validSuccessor(entry, candidate) {
 			return true
 		}
 	}
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -45,18 +45,18 @@
 	var figures []*record
 	for _, r := range t.records {
 		switch {
-		case r.factAt > after.Facts && r.factFrom != to:
+		case r.factSequence > after.Facts && r.factFrom != to:
 			digest.Facts = append(digest.Facts, r.Entry)
-		case r.figuresAt > after.Figures && r.figuresFrom != to:
+		case r.figuresSequence > after.Figures && r.figuresFrom != to:
 			figures = append(figures, r)
 		}
 	}
 	if len(figures) > maxFigures {
-		slices.SortFunc(figures, func(a, b *record) int { return cmp.Compare(a.figuresAt, b.figuresAt) })
+		slices.SortFunc(figures, func(a, b *record) int { return cmp.Compare(a.figuresSequence, b.figuresSequence) })
 		figures = figures[:maxFigures]
 		digest.FiguresSequence = after.Figures
 		if maxFigures > 0 {
-			digest.FiguresSequence = figures[maxFigures-1].figuresAt
+			digest.FiguresSequence = figures[maxFigures-1].figuresSequence
 		}
 	}
 	for _, r := range figures {
@@ -86,7 +86,7 @@
 // with equal checksums hold the same facts, so that they need not exchange
 // them. It does not depend on the order of events.
 func (t *Table) Checksum() uint64 {
-	if t.checksumAt == t.lastFact {
+	if t.checksumSequence == t.lastFactSequence {
 		return t.checksum
 	}
 	var sum uint64
@@ -95,7 +95,7 @@
 			sum += factHash(r.Entry)
 		}
 	}
-	t.checksum, t.checksumAt = sum, t.lastFact
+	t.checksum, t.checksumSequence = sum, t.lastFactSequence
 	return sum
 }
 
@@ -105,8 +105,8 @@
 func (t *Table) EqualThrough(after uint64) uint64 {
 	through := t.sequence
 	for _, r := range t.records {
-		if r.State == blackboard.Gone && r.factAt > after {
-			through = min(through, r.factAt-1)
+		if r.State == blackboard.Gone && r.factSequence > after {
+			through = min(through, r.factSequence-1)
 		}
 	}
 	return through
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -53,9 +53,9 @@
 	Description *platform.Instance
 }
 
-// Join merges two entries of the same instance. It is commutative, associative
+// Merge merges two entries of the same instance. It is commutative, associative
 // and idempotent.
-func Join(a, b Entry) Entry {
+func Merge(a, b Entry) Entry {
 	if a.Incarnation != b.Incarnation {
 		if a.Incarnation > b.Incarnation {
 			return a
--- a/internal/membership/share.go
+++ b/internal/membership/share.go
@@ -12,13 +12,13 @@
 // subjects move. Processes that know different candidates choose differently
 // for a while, so a choice may cost time or double work, never correctness.
 func Owns(self ident.Instance, candidates []ident.Instance, subject ident.Instance, count int) bool {
-	own := weight(self, subject)
+	own := rendezvousWeight(self, subject)
 	better := 0
 	for _, c := range candidates {
 		if c == self {
 			continue
 		}
-		w := weight(c, subject)
+		w := rendezvousWeight(c, subject)
 		if w > own || (w == own && c > self) {
 			better++
 		}
@@ -26,7 +26,7 @@
 	return better < count
 }
 
-func weight(candidate, subject ident.Instance) uint64 {
+func rendezvousWeight(candidate, subject ident.Instance) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(candidate))
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -11,15 +11,15 @@
 // Limits are the time limits of a table. Forget must be longer than Admission
 // and ListLag; see Table.Forget.
 type Limits struct {
-	// Admission is the greatest age of the proof of life with which a peer
+	// MaxProofAge is the greatest age of the proof of life with which a peer
 	// can introduce a living instance, or a new life of one, that this
 	// process does not know.
-	Admission time.Duration
-	// Forget is how long a gone instance is remembered.
-	Forget time.Duration
-	// ListLag is how far the platform's list is behind at most. An instance
+	MaxProofAge time.Duration
+	// ForgetAfter is how long a gone instance is remembered.
+	ForgetAfter time.Duration
+	// MaxListLag is how far the platform's list is behind at most. An instance
 	// that was missing for longer, and was silent, has ended.
-	ListLag time.Duration
+	MaxListLag time.Duration
 	// LocalRefresh and RemoteRefresh are how often new proof of life and load
 	// of one instance are passed on: of upstreams of the own failure domain,
 	// and of all others.
@@ -30,9 +30,9 @@
 // DefaultLimits suit a list that lags by up to a minute.
 func DefaultLimits() Limits {
 	return Limits{
-		Admission:     2 * time.Minute,
-		Forget:        10 * time.Minute,
-		ListLag:       time.Minute,
+		MaxProofAge:     2 * time.Minute,
+		ForgetAfter:        10 * time.Minute,
+		MaxListLag:       time.Minute,
 		LocalRefresh:  2 * time.Second,
 		RemoteRefresh: 30 * time.Second,
 	}
@@ -46,9 +46,9 @@
 	// sequence numbers the changes that digests carry, from 1.
 	sequence uint64
 	records  map[ident.Instance]*record
-	// lastFact is the number of the last fact; checksum was computed at
+	// lastFactSequence is the number of the last fact; checksum was computed at
 	// checksumAt.
-	lastFact, checksumAt, checksum uint64
+	lastFactSequence, checksumSequence, checksum uint64
 	// byKey finds the instances by the Key of their present life.
 	byKey map[uint64]ident.Instance
 }
@@ -56,12 +56,12 @@
 // record is an entry with what this process needs to know around it.
 type record struct {
 	Entry
-	// factAt and figuresAt are the numbers of the last change of the
+	// factSequence and figuresAt are the numbers of the last change of the
 	// incarnation, state or description, and of the last announced proof of
 	// life and load.
-	factAt, figuresAt uint64
-	// announced is the Seen that figuresAt stands for.
-	announced time.Time
+	factSequence, figuresSequence uint64
+	// announcedSeen is the Seen that figuresAt stands for.
+	announcedSeen time.Time
 	// factFrom and figuresFrom are the peers that told these changes; they
 	// need no echo.
 	factFrom, figuresFrom ident.Instance
@@ -74,8 +74,8 @@
 
 // The changes, in the order of their weight.
 const (
-	// Nothing that others need to know has changed.
-	Nothing Change = iota
+	// NoChange that others need to know has changed.
+	NoChange Change = iota
 	// Figures: newer proof of life or load.
 	Figures
 	// Fact: a new instance, incarnation or description.
@@ -102,7 +102,7 @@
 func (t *Table) Sequence() uint64 { return t.sequence }
 
 // LastFact returns the number of the last change that was a fact.
-func (t *Table) LastFact() uint64 { return t.lastFact }
+func (t *Table) LastFact() uint64 { return t.lastFactSequence }
 
 // Find returns the entry of an instance.
 func (t *Table) Find(id ident.Instance) (Entry, bool) {
@@ -135,25 +135,25 @@
 	}
 	r, known := t.records[e.ID]
 	newLife := !known || e.Incarnation > r.Incarnation
-	if !newLife || t.admits(e, now) {
+	if !newLife || t.mayIntroduce(e, now) {
 		return t.merge(from, e, now)
 	}
 	if !known {
-		return Nothing
+		return NoChange
 	}
 	// Whether or not the later life goes on, the earlier one is over.
 	return t.merge(from, Entry{ID: r.ID, Incarnation: r.Incarnation, State: blackboard.Gone}, now)
 }
 
-func (t *Table) admits(e Entry, now time.Time) bool {
+func (t *Table) mayIntroduce(e Entry, now time.Time) bool {
 	switch e.State {
 	case blackboard.Gone:
-		return now.Sub(e.GoneAt) <= t.limits.Forget
+		return now.Sub(e.GoneAt) <= t.limits.ForgetAfter
 	case blackboard.Leaving:
 		// This process's list may show it as live yet.
 		return true
 	}
-	return now.Sub(e.Seen) <= t.limits.Admission
+	return now.Sub(e.Seen) <= t.limits.MaxProofAge
 }
 
 // Observe merges what this process itself saw of an instance: its answer to a
@@ -172,21 +172,21 @@
 		r = &record{Entry: e}
 		t.records[e.ID] = r
 		t.byKey[Key(e)] = e.ID
-		t.number(r, from, Fact)
+		t.assignSequence(r, from, Fact)
 		if e.State >= blackboard.Leaving {
 			return Departure
 		}
 		return Fact
 	}
 	before := r.Entry
-	r.Entry = Join(before, e)
-	change := t.classify(r, before)
-	t.number(r, from, change)
+	r.Entry = Merge(before, e)
+	change := t.classifyChange(r, before)
+	t.assignSequence(r, from, change)
 	return change
 }
 
-// classify tells what a join changed, from the view of other processes.
-func (t *Table) classify(r *record, before Entry) Change {
+// classifyChange tells what a join changed, from the view of other processes.
+func (t *Table) classifyChange(r *record, before Entry) Change {
 	replaced := r.Incarnation != before.Incarnation
 	if replaced {
 		r.absentSince = time.Time{}
@@ -201,31 +201,31 @@
 		return Fact
 	case r.PeerAddress != before.PeerAddress, r.FailureDomain != before.FailureDomain:
 		return Fact
-	case r.Seen.Sub(r.announced) >= t.refresh(r.Entry):
+	case r.Seen.Sub(r.announcedSeen) >= t.refreshInterval(r.Entry):
 		return Figures
 	}
-	return Nothing
+	return NoChange
 }
 
-func (t *Table) refresh(e Entry) time.Duration {
+func (t *Table) refreshInterval(e Entry) time.Duration {
 	if e.FailureDomain == t.domain && e.PeerAddress == "" {
 		return t.limits.LocalRefresh
 	}
 	return t.limits.RemoteRefresh
 }
 
-// number gives a change the next number, so that coming digests carry it.
-func (t *Table) number(r *record, from ident.Instance, change Change) {
-	if change == Nothing {
+// assignSequence gives a change the next number, so that coming digests carry it.
+func (t *Table) assignSequence(r *record, from ident.Instance, change Change) {
+	if change == NoChange {
 		return
 	}
 	t.sequence++
-	r.announced = r.Seen
-	r.figuresAt = t.sequence
+	r.announcedSeen = r.Seen
+	r.figuresSequence = t.sequence
 	r.figuresFrom = from
 	if change >= Fact {
-		r.factAt = t.sequence
-		t.lastFact = t.sequence
+		r.factSequence = t.sequence
+		t.lastFactSequence = t.sequence
 		r.factFrom = from
 	}
 }
@@ -242,7 +242,7 @@
 	listed := make(map[ident.Instance]bool, len(list))
 	for i := range list {
 		listed[list[i].ID] = true
-		if t.applyLine(&list[i], now) == Departure {
+		if t.applyListed(&list[i], now) == Departure {
 			departed = append(departed, list[i].ID)
 		}
 	}
@@ -251,27 +251,27 @@
 			r.absentSince = time.Time{}
 			continue
 		}
-		if t.endAbsent(r, now) {
+		if t.markGoneIfAbsent(r, now) {
 			departed = append(departed, id)
 		}
 	}
 	return departed
 }
 
-func (t *Table) applyLine(line *platform.Instance, now time.Time) Change {
+func (t *Table) applyListed(line *platform.Instance, now time.Time) Change {
 	description := *line
 	description.State = 0
 	return t.merge("", Entry{
 		ID:            line.ID,
 		Incarnation:   line.Incarnation,
-		State:         stateOf(line.State),
+		State:         memberState(line.State),
 		FailureDomain: line.FailureDomain,
 		PeerAddress:   line.PeerAddress,
 		Description:   &description,
 	}, now)
 }
 
-func stateOf(s platform.InstanceState) blackboard.MemberState {
+func memberState(s platform.InstanceState) blackboard.MemberState {
 	switch s {
 	case platform.Leaving:
 		return blackboard.Leaving
@@ -281,19 +281,19 @@
 	return blackboard.Alive
 }
 
-// endAbsent turns an instance into gone when it was missing and silent for
+// markGoneIfAbsent turns an instance into gone when it was missing and silent for
 // long enough, and reports whether that was the first sign of its leaving. An
 // instance that was known before the first list without it, and is missing
 // from a list read ListLag later, is missing from a list made after it started.
-func (t *Table) endAbsent(r *record, now time.Time) bool {
+func (t *Table) markGoneIfAbsent(r *record, now time.Time) bool {
 	if r.ID == t.self || r.State == blackboard.Gone {
 		return false
 	}
 	if r.absentSince.IsZero() {
 		r.absentSince = now
 	}
-	missing := now.Sub(r.absentSince) > t.limits.ListLag
-	silent := now.Sub(r.Seen) > t.limits.ListLag
+	missing := now.Sub(r.absentSince) > t.limits.MaxListLag
+	silent := now.Sub(r.Seen) > t.limits.MaxListLag
 	if !missing || !silent {
 		return false
 	}
@@ -305,11 +305,11 @@
 // Forget drops the instances that have been gone for long, so that the table
 // stays bounded. A stale "alive" cannot revive one that was dropped: from a
 // peer it is not admitted, since its proof of life is older than GoneAt and so
-// than Limits.Admission; from the platform's list only if that lags by more
-// than Limits.Forget.
+// than Limits.MaxProofAge; from the platform's list only if that lags by more
+// than Limits.ForgetAfter.
 func (t *Table) Forget(now time.Time) {
 	for id, r := range t.records {
-		if r.State == blackboard.Gone && now.Sub(r.GoneAt) > t.limits.Forget {
+		if r.State == blackboard.Gone && now.Sub(r.GoneAt) > t.limits.ForgetAfter {
 			delete(t.records, id)
 			delete(t.byKey, Key(r.Entry))
 		}
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -43,16 +43,16 @@
 }
 
 // Merging must not depend on the order, grouping or repetition of messages.
-func TestJoinIsASemilattice(t *testing.T) {
+func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawEntry(t), drawEntry(t), drawEntry(t)
-		if d := cmp.Diff(Join(a, b), Join(b, a)); d != "" {
+		if d := cmp.Diff(Merge(a, b), Merge(b, a)); d != "" {
 			t.Fatalf("not commutative: %s", d)
 		}
-		if d := cmp.Diff(Join(Join(a, b), c), Join(a, Join(b, c))); d != "" {
+		if d := cmp.Diff(Merge(Merge(a, b), c), Merge(a, Merge(b, c))); d != "" {
 			t.Fatalf("not associative: %s", d)
 		}
-		if d := cmp.Diff(Join(a, a), a); d != "" {
+		if d := cmp.Diff(Merge(a, a), a); d != "" {
 			t.Fatalf("not idempotent: %s", d)
 		}
 	})
@@ -65,13 +65,13 @@
 type tableMachine struct {
 	now    time.Time
 	world  map[ident.Instance]*platform.Instance
-	lists  []oldList
+	lists  []recordedList
 	tables []*Table
-	// left is the highest incarnation that a process ever knew to leave.
-	left []map[ident.Instance]ident.Incarnation
+	// highestLeft is the highest incarnation that a process ever knew to leave.
+	highestLeft []map[ident.Instance]ident.Incarnation
 }
 
-type oldList struct {
+type recordedList struct {
 	at   time.Time
 	list []platform.Instance
 }
@@ -86,7 +86,7 @@
 	}
 	for i := range machineProcesses {
 		m.tables = append(m.tables, NewTable(ident.Instance(fmt.Sprintf("g%d", i)), "one", DefaultLimits()))
-		m.left = append(m.left, map[ident.Instance]ident.Incarnation{})
+		m.highestLeft = append(m.highestLeft, map[ident.Instance]ident.Incarnation{})
 	}
 	m.snapshot()
 	return m
@@ -100,7 +100,7 @@
 			list = append(list, *i)
 		}
 	}
-	m.lists = append(m.lists, oldList{at: m.now, list: list})
+	m.lists = append(m.lists, recordedList{at: m.now, list: list})
 }
 
 func (m *tableMachine) drawInstance(t *rapid.T) *platform.Instance {
@@ -138,7 +138,7 @@
 			if i.State == platform.Ended {
 				return
 			}
-			m.tables[p].Observe(Entry{ID: i.ID, Incarnation: i.Incarnation, State: stateOf(i.State), FailureDomain: "one", Seen: m.now}, m.now)
+			m.tables[p].Observe(Entry{ID: i.ID, Incarnation: i.Incarnation, State: memberState(i.State), FailureDomain: "one", Seen: m.now}, m.now)
 		},
 		"list": func(t *rapid.T) {
 			p := m.drawTable(t, "reader")
@@ -174,7 +174,7 @@
 // newest one that was returned before.
 func (m *tableMachine) drawList(t *rapid.T) []platform.Instance {
 	first := len(m.lists) - 1
-	for first > 0 && m.now.Sub(m.lists[first].at) < DefaultLimits().ListLag {
+	for first > 0 && m.now.Sub(m.lists[first].at) < DefaultLimits().MaxListLag {
 		first--
 	}
 	return m.lists[rapid.IntRange(first, len(m.lists)-1).Draw(t, "list")].list
@@ -190,17 +190,17 @@
 func (m *tableMachine) check(t *rapid.T) {
 	for p, table := range m.tables {
 		kept := table.Checksum()
-		table.checksumAt = table.lastFact + 1
+		table.checksumSequence = table.lastFactSequence + 1
 		if fresh := table.Checksum(); kept != fresh {
 			t.Fatalf("process %d: kept checksum %x, its facts have %x", p, kept, fresh)
 		}
 		for e := range table.All {
-			left := m.left[p][e.ID]
+			left := m.highestLeft[p][e.ID]
 			if e.State == blackboard.Alive && e.Incarnation <= left {
 				t.Fatalf("process %d: %s incarnation %d is alive again, %d had left", p, e.ID, e.Incarnation, left)
 			}
 			if e.State >= blackboard.Leaving {
-				m.left[p][e.ID] = max(left, e.Incarnation)
+				m.highestLeft[p][e.ID] = max(left, e.Incarnation)
 			}
 			truth := m.world[e.ID]
 			if e.State == blackboard.Gone && truth.Incarnation == e.Incarnation && truth.State != platform.Ended {
@@ -296,12 +296,12 @@
 	limits := DefaultLimits()
 	up := platform.Instance{ID: "u", Incarnation: 1, State: platform.Live}
 	proof := Entry{ID: "u", Incarnation: 1, State: blackboard.Alive, Seen: epoch}
-	for delay := time.Duration(0); delay < 2*limits.Forget; delay += time.Second {
+	for delay := time.Duration(0); delay < 2*limits.ForgetAfter; delay += time.Second {
 		table := NewTable("g", "one", limits)
 		table.Observe(Entry{ID: "u", Incarnation: 1, State: blackboard.Gone}, epoch)
 		now := epoch.Add(delay)
 		table.Forget(now)
-		if delay <= limits.ListLag {
+		if delay <= limits.MaxListLag {
 			table.ApplyList([]platform.Instance{up}, now)
 		}
 		table.MergePeer("p", proof, now)
--- a/internal/peer/membership_test.go
+++ b/internal/peer/membership_test.go
@@ -66,13 +66,13 @@
 	}
 }
 
-// counted counts what passes through the connections of a listener.
-type counted struct {
+// countingListener counts what passes through the connections of a listener.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-func (c *counted) Accept() (net.Conn, error) {
+func (c *countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	return &countedConn{Conn: conn, bytes: &c.bytes}, err
 }
@@ -102,7 +102,7 @@
 	}
 	ours := newAuthority(t).issue("peer")
 	for name, files := range map[string]TLSFiles{"plaintext": {}, "mutual TLS": ours} {
-		l := &counted{Listener: listen(t)}
+		l := &countingListener{Listener: listen(t)}
 		serve(t, l, files)
 		pool := newPool(t, files)
 		req := &peerv1.ExchangeRequest{From: "g-00000000000000001", Incarnation: 1_700_000_000}
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -2,4 +2,4 @@
 
 import "expvar"
 
-var connectionsCondemned = expvar.NewInt("goldcrestspool.peer.connections_condemned")
+var connectionsReplaced = expvar.NewInt("goldcrestspool.peer.connections_condemned")
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -22,10 +22,10 @@
 
 const serverName = "goldcrestspool-peer"
 
-// echo answers heartbeats and counts them.
-type echo struct{ served atomic.Int64 }
+// echoHandler answers heartbeats and counts them.
+type echoHandler struct{ served atomic.Int64 }
 
-func (e *echo) Exchange(_ context.Context, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
+func (e *echoHandler) Exchange(_ context.Context, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	e.served.Add(1)
 	if req.GetFrom() == "" {
 		return nil, errcode.New(errcode.InvalidArgument, "no sender")
@@ -34,9 +34,9 @@
 }
 
 // serve runs a server until the test ends.
-func serve(t *testing.T, listener net.Listener, files TLSFiles) *echo {
+func serve(t *testing.T, listener net.Listener, files TLSFiles) *echoHandler {
 	t.Helper()
-	e := &echo{}
+	e := &echoHandler{}
 	server, err := NewServer(Handlers{Heartbeats: e}, files)
 	if err != nil {
 		t.Fatal(err)
@@ -213,17 +213,17 @@
 	}
 }
 
-// swallowing accepts its first connection and never reads from it.
-type swallowing struct {
+// stallingListener accepts its first connection and never reads from it.
+type stallingListener struct {
 	net.Listener
 	accepted atomic.Int64
-	kept     atomic.Value
+	stalled     atomic.Value
 }
 
-func (s *swallowing) Accept() (net.Conn, error) {
+func (s *stallingListener) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
 	if err == nil && s.accepted.Add(1) == 1 {
-		s.kept.Store(conn)
+		s.stalled.Store(conn)
 		return s.Listener.Accept()
 	}
 	return conn, err
@@ -234,11 +234,11 @@
 // on it only run into their deadlines, while a new connection works.
 // Cause: the silent connection is kept.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	l := &swallowing{Listener: listen(t)}
+	l := &stallingListener{Listener: listen(t)}
 	e := serve(t, l, TLSFiles{})
 	pool := newPool(t, TLSFiles{})
 	address := l.Addr().String()
-	for range condemnAfter {
+	for range maxConsecutiveTimeouts {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		_, err := pool.Exchange(ctx, address, &peerv1.ExchangeRequest{From: "x"})
 		cancel()
@@ -252,7 +252,7 @@
 	if e.served.Load() != 1 {
 		t.Errorf("served %d times, want once", e.served.Load())
 	}
-	if conn, ok := l.kept.Load().(net.Conn); ok {
+	if conn, ok := l.stalled.Load().(net.Conn); ok {
 		_ = conn.Close()
 	}
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -23,24 +23,24 @@
 	// clientPing is after how much silence a client checks a connection;
 	// gRPC allows no less.
 	clientPing = 10 * time.Second
-	// condemnAfter is how many calls in a row may run into their deadline
+	// maxConsecutiveTimeouts is how many calls in a row may run into their deadline
 	// before the connection is given up.
-	condemnAfter = 2
+	maxConsecutiveTimeouts = 2
 	// maxReconnectDelay bounds the pause between two attempts to connect, so
 	// that a peer that is back is reached within a heartbeat.
 	maxReconnectDelay = time.Second
 	// idleTimeout drops connections to addresses that are no longer asked.
 	idleTimeout = 5 * time.Minute
-	// linger is how long the calls in progress on a connection that was given
+	// replacedConnGrace is how long the calls in progress on a connection that was given
 	// up may go on.
-	linger = 10 * time.Second
+	replacedConnGrace = 10 * time.Second
 )
 
 // Pool holds one connection to each peer address. It is safe for concurrent
 // use.
 type Pool struct {
-	reload *certificate.Reloader
-	dial   []grpc.DialOption
+	reloader *certificate.Reloader
+	dialOptions   []grpc.DialOption
 
 	mu     sync.Mutex
 	conns  map[string]*connection
@@ -50,14 +50,14 @@
 // connection is a connection with the calls in a row that it has failed.
 type connection struct {
 	conn     *grpc.ClientConn
-	expired  int
+	timeouts  int
 	lastUsed time.Time
 }
 
 // NewPool returns an empty pool. tlsFiles may be the zero value for plaintext;
 // options are added to those of each connection.
 func NewPool(tlsFiles TLSFiles, options ...grpc.DialOption) (*Pool, error) {
-	p := &Pool{conns: map[string]*connection{}, dial: options}
+	p := &Pool{conns: map[string]*connection{}, dialOptions: options}
 	if !tlsFiles.Set() {
 		return p, nil
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.reload = reload
+	p.reloader = reload
 	return p, nil
 }
 
@@ -121,7 +121,7 @@
 		defer cancel()
 	}
 	resp, err := invoke(peerv1.NewPeerServiceClient(c.conn), ctx, req)
-	p.judge(address, c, err)
+	p.recordResult(address, c, err)
 	if err != nil {
 		return nil, fromStatus(err, "peer "+address)
 	}
@@ -167,8 +167,8 @@
 // name resolution, retries and proxies.
 func (p *Pool) options() []grpc.DialOption {
 	creds := insecure.NewCredentials()
-	if p.reload != nil {
-		creds = newClientCredentials(p.reload)
+	if p.reloader != nil {
+		creds = newClientCredentials(p.reloader)
 	}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
@@ -184,29 +184,29 @@
 			MinConnectTimeout: maxReconnectDelay,
 		}),
 	}
-	return append(options, p.dial...)
+	return append(options, p.dialOptions...)
 }
 
-// judge counts calls that ran into their deadline and gives up a connection
+// recordResult counts calls that ran into their deadline and gives up a connection
 // after condemnAfter in a row.
 //
 // What goes wrong without: something between the two ends loses track of the
 // connection and swallows its packets. No error shows; calls just expire, while
 // a new connection would work. The pings of gRPC need 13 seconds to notice,
 // which is longer than a departure may take to spread.
-func (p *Pool) judge(address string, c *connection, err error) {
+func (p *Pool) recordResult(address string, c *connection, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if status.Code(err) != codes.DeadlineExceeded {
-		c.expired = 0
+		c.timeouts = 0
 		return
 	}
-	c.expired++
-	if c.expired < condemnAfter || p.conns[address] != c {
+	c.timeouts++
+	if c.timeouts < maxConsecutiveTimeouts || p.conns[address] != c {
 		return
 	}
 	delete(p.conns, address)
-	connectionsCondemned.Add(1)
+	connectionsReplaced.Add(1)
 	// The peer may only be slow: calls in progress keep their own deadlines.
-	time.AfterFunc(linger, func() { _ = c.conn.Close() })
+	time.AfterFunc(replacedConnGrace, func() { _ = c.conn.Close() })
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -83,7 +83,7 @@
 		if err != nil {
 			return nil, err
 		}
-		creds = credentials.NewTLS(reload.Server(protocol))
+		creds = credentials.NewTLS(reload.Server(alpnProtocol))
 	}
 	server := grpc.NewServer(
 		grpc.Creds(creds),
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -12,25 +12,25 @@
 // TLSFiles names the files for mutual TLS between peers.
 type TLSFiles = certificate.Files
 
-// protocol is what gRPC speaks over TLS.
-const protocol = "h2"
+// alpnProtocol is what gRPC speaks over TLS.
+const alpnProtocol = "h2"
 
 // clientCredentials make each new connection with the files as they are then.
 type clientCredentials struct {
 	credentials.TransportCredentials
-	reload *certificate.Reloader
+	reloader *certificate.Reloader
 }
 
 func newClientCredentials(r *certificate.Reloader) credentials.TransportCredentials {
-	return &clientCredentials{TransportCredentials: credentials.NewTLS(r.Client()), reload: r}
+	return &clientCredentials{TransportCredentials: credentials.NewTLS(r.Client()), reloader: r}
 }
 
 // ClientHandshake is called for each connection.
 func (c *clientCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	return credentials.NewTLS(c.reload.Client()).ClientHandshake(ctx, authority, conn)
+	return credentials.NewTLS(c.reloader.Client()).ClientHandshake(ctx, authority, conn)
 }
 
 // Clone is called by gRPC for each client.
 func (c *clientCredentials) Clone() credentials.TransportCredentials {
-	return newClientCredentials(c.reload)
+	return newClientCredentials(c.reloader)
 }
--- a/internal/peer/trace.go
+++ b/internal/peer/trace.go
@@ -60,7 +60,7 @@
 		ctx = metadata.AppendToOutgoingContext(ctx, key, values[0])
 	}
 	err := invoke(ctx, method, req, reply, conn, options...)
-	noteError(span, err)
+	recordError(span, err)
 	return err
 }
 
@@ -74,12 +74,12 @@
 	ctx, span := tracer.Start(ctx, info.FullMethod, trace.WithSpanKind(trace.SpanKindServer))
 	defer func() { span.End() }()
 	resp, err := handle(ctx, req)
-	noteError(span, err)
+	recordError(span, err)
 	return resp, err
 }
 
-// noteError names an error by its code: its text may quote a request.
-func noteError(span trace.Span, err error) {
+// recordError names an error by its code: its text may quote a request.
+func recordError(span trace.Span, err error) {
 	if err != nil {
 		span.SetStatus(codes.Error, status.Code(err).String())
 	}
