--- a/internal/document/fold.go
+++ b/internal/document/fold.go
@@ -15,8 +15,8 @@
 // The fold decides by bases alone and never looks into documents, so that
 // programs of different versions decide alike.
 type State struct {
-	nextOffset     ident.Offset
-	revision ident.Revision
+	nextOffset ident.Offset
+	revision   ident.Revision
 	// services holds, for each service, the accepted publications that some
 	// program may serve by: the newest of each schema, as far as no newer one
 	// has a lower schema. Ascending by revision, so also by schema.
@@ -43,7 +43,9 @@
 
 // Versions returns the versions of a service that some program may serve by,
 // ascending by revision; the last one is in force.
-func (s State) Versions(service ident.Service) []AcceptedPublication { return slices.Clone(s.services[service]) }
+func (s State) Versions(service ident.Service) []AcceptedPublication {
+	return slices.Clone(s.services[service])
+}
 
 // Services returns the names of all services in order.
 func (s State) Services() []ident.Service {
--- a/internal/document/reader.go
+++ b/internal/document/reader.go
@@ -18,7 +18,7 @@
 	state State
 	// searching: records from state.next to first are gone.
 	searching bool
-	firstKept     ident.Offset
+	firstKept ident.Offset
 	// searchOffset is the next record to look at for a snapshot.
 	searchOffset ident.Offset
 	// head is the log's head at the last batch.
--- a/internal/document/reader_test.go
+++ b/internal/document/reader_test.go
@@ -23,7 +23,7 @@
 	first  ident.Offset
 	// pendingAnswers are answers of the log that the reader has not seen yet.
 	pendingAnswers []logAnswer
-	deltas   []Delta
+	deltas         []Delta
 	// lastOffset is the state's offset at the last check.
 	lastOffset ident.Offset
 }
--- a/internal/lease/fake_test.go
+++ b/internal/lease/fake_test.go
@@ -85,12 +85,12 @@
 	return batch, nil
 }
 
-// link is one process's way to the log, with the process's own faults. While
+// logLink is one process's way to the log, with the process's own faults. While
 // frozen, every call waits before it leaves and before it returns, as a
 // stopped process does.
-type link struct {
-	log  *fakeLog
-	dead context.Context
+type logLink struct {
+	log        *fakeLog
+	processCtx context.Context
 
 	mu     sync.Mutex
 	thawed chan struct{}
@@ -99,13 +99,13 @@
 	cut    bool
 }
 
-func newLink(log *fakeLog, dead context.Context) *link {
+func newLink(log *fakeLog, dead context.Context) *logLink {
 	thawed := make(chan struct{})
 	close(thawed)
-	return &link{log: log, dead: dead, thawed: thawed}
+	return &logLink{log: log, processCtx: dead, thawed: thawed}
 }
 
-func (l *link) freeze() {
+func (l *logLink) freeze() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.isThawed() {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (l *link) thaw() {
+func (l *logLink) thaw() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.isThawed() {
@@ -121,7 +121,7 @@
 	}
 }
 
-func (l *link) isThawed() bool {
+func (l *logLink) isThawed() bool {
 	select {
 	case <-l.thawed:
 		return true
@@ -130,8 +130,8 @@
 	}
 }
 
-// pause waits while the process is frozen and reports whether it waited.
-func (l *link) pause() bool {
+// waitWhileFrozen waits while the process is frozen and reports whether it waited.
+func (l *logLink) waitWhileFrozen() bool {
 	l.mu.Lock()
 	thawed, waits := l.thawed, !l.isThawed()
 	l.mu.Unlock()
@@ -140,25 +140,25 @@
 }
 
 // setCut cuts this process alone off from the log.
-func (l *link) setCut(cut bool) {
+func (l *logLink) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
 }
 
-func (l *link) unreachable() bool {
+func (l *logLink) unreachable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut || l.dead.Err() != nil || l.log.isDown()
+	return l.cut || l.processCtx.Err() != nil || l.log.isDown()
 }
 
-func (l *link) setFault(f fault, delay time.Duration) {
+func (l *logLink) setFault(f fault, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault, l.delay = f, delay
 }
 
-func (l *link) takeFault() (fault, time.Duration) {
+func (l *logLink) takeFault() (fault, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := l.fault
@@ -166,9 +166,9 @@
 	return f, l.delay
 }
 
-func (l *link) Append(ctx context.Context, _ string, records [][]byte) (ident.Offset, error) {
-	l.pause()
-	defer l.pause()
+func (l *logLink) Append(ctx context.Context, _ string, records [][]byte) (ident.Offset, error) {
+	l.waitWhileFrozen()
+	defer l.waitWhileFrozen()
 	if l.unreachable() {
 		return 0, platform.ErrUnavailable
 	}
@@ -191,9 +191,9 @@
 	return l.log.add(records), nil
 }
 
-func (l *link) Read(ctx context.Context, _ string, from ident.Offset, limit int, _ time.Duration) (platform.Batch, error) {
-	l.pause()
-	defer l.pause()
+func (l *logLink) Read(ctx context.Context, _ string, from ident.Offset, limit int, _ time.Duration) (platform.Batch, error) {
+	l.waitWhileFrozen()
+	defer l.waitWhileFrozen()
 	if l.unreachable() {
 		return platform.Batch{}, platform.ErrUnavailable
 	}
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -18,28 +18,28 @@
 func init() { testkit.FixSeed() }
 
 const (
-	processCount = 3
-	orderEvery   = 250 * time.Millisecond
-	// startSpread keeps the processes from polling at the same instants.
-	startSpread = 370 * time.Millisecond
-	// checkEvery is the time between two looks of the oracle.
-	checkEvery = 250 * time.Millisecond
-	// healTime is enough for an undecided state to be settled, for a lease to
+	processCount  = 3
+	orderInterval = 250 * time.Millisecond
+	// startInterval keeps the processes from polling at the same instants.
+	startInterval = 370 * time.Millisecond
+	// checkInterval is the time between two looks of the oracle.
+	checkInterval = 250 * time.Millisecond
+	// recoveryTime is enough for an undecided state to be settled, for a lease to
 	// lapse and for each candidate to wait its rank.
-	healTime = lease.Horizon + 2*time.Minute
+	recoveryTime = lease.Horizon + 2*time.Minute
 )
 
-// waits lie below and above a margin, a renewal and a lease.
-var waits = []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 14 * time.Second}
+// tellingDurations lie below and above a margin, a renewal and a lease.
+var tellingDurations = []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 14 * time.Second}
 
-var names = []lease.Name{{Service: "spool-llm", FailureDomain: "hall-a"}, {Service: "auktion-app"}}
+var leaseNames = []lease.Name{{Service: "spool-llm", FailureDomain: "hall-a"}, {Service: "auktion-app"}}
 
-// virtualTime hides the test's deadline from rapid: it is in real time, and
+// noDeadline hides the test's deadline from rapid: it is in real time, and
 // must not be read in a bubble of virtual time.
-type virtualTime struct{ rapid.TB }
+type noDeadline struct{ rapid.TB }
 
-// fataler is a test or one check of rapid.
-type fataler interface {
+// failer is a test or one check of rapid.
+type failer interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
@@ -47,19 +47,19 @@
 // process is one controller that wants all leases and sends an order each
 // second under each of those that it holds.
 type process struct {
-	link    *link
+	link    *logLink
 	manager *lease.Manager
 	kill    context.CancelFunc
 	// stopOrders and stop end the process's two loops.
 	stopOrders, stop       context.CancelFunc
 	ordersStopped, stopped chan struct{}
-	// flight is how long its next orders take, and stall how long it works
+	// orderDelay is how long its next orders take, and stall how long it works
 	// on an order before it checks the lease again; in nanoseconds.
-	flight, stall atomic.Int64
+	orderDelay, preparation atomic.Int64
 }
 
-// landed is an order that an engine got.
-type landed struct {
+// deliveredOrder is an order that an engine got.
+type deliveredOrder struct {
 	fence ident.Fence
 	// frozen: its sender was frozen between the check and the send.
 	frozen bool
@@ -71,14 +71,14 @@
 	log       *fakeLog
 	processes []*process
 	margin    time.Duration
-	// highest is the highest fence that landed, by lease.
-	highest map[lease.Name]ident.Fence
-	arrived chan func()
-	started int
-	problem string
+	// highestFence is the highest fence that landed, by lease.
+	highestFence map[lease.Name]ident.Fence
+	arrivals     chan func()
+	started      int
+	problem      string
 }
 
-func (m *machine) start(i int) {
+func (m *machine) startProcess(i int) {
 	dead, kill := context.WithCancel(context.Background())
 	running, stop := context.WithCancel(dead)
 	ordering, stopOrders := context.WithCancel(dead)
@@ -93,7 +93,7 @@
 	}
 	holder := lease.NewHolder(ident.Instance(fmt.Sprintf("entry-%d", i)), ident.Incarnation(m.started))
 	p.manager = lease.New(lease.Config{Holder: holder, Margin: m.margin}, p.link)
-	p.manager.Want(wanted(0))
+	p.manager.Want(wantedWithRank(0))
 	go func() {
 		p.manager.Run(running)
 		close(p.stopped)
@@ -105,16 +105,16 @@
 	m.processes[i] = p
 }
 
-func wanted(rank int) []lease.Wanted {
+func wantedWithRank(rank int) []lease.Wanted {
 	var all []lease.Wanted
-	for _, name := range names {
+	for _, name := range leaseNames {
 		all = append(all, lease.Wanted{Name: name, Rank: rank})
 	}
 	return all
 }
 
 // stopGracefully ends the orders, waits until they landed, and then releases.
-func (m *machine) stopGracefully(t fataler, p *process) {
+func (m *machine) stopGracefully(t failer, p *process) {
 	p.link.thaw()
 	p.stopOrders()
 	<-p.ordersStopped
@@ -127,49 +127,49 @@
 // after the check sends the order whenever it wakes.
 func (m *machine) sendOrders(p *process, running context.Context) {
 	for running.Err() == nil {
-		for _, name := range names {
+		for _, name := range leaseNames {
 			grant, held := p.manager.Grant(name)
-			time.Sleep(time.Duration(p.stall.Swap(0)))
-			p.link.pause()
+			time.Sleep(time.Duration(p.preparation.Swap(0)))
+			p.link.waitWhileFrozen()
 			if !held || running.Err() != nil || !grant.Valid() {
 				continue
 			}
-			frozen := p.link.pause()
-			order := landed{fence: grant.Fence, frozen: frozen}
-			flight := time.Duration(p.flight.Load())
-			time.AfterFunc(flight, func() { m.arrived <- func() { m.land(name, order) } })
+			frozen := p.link.waitWhileFrozen()
+			order := deliveredOrder{fence: grant.Fence, frozen: frozen}
+			flight := time.Duration(p.orderDelay.Load())
+			time.AfterFunc(flight, func() { m.arrivals <- func() { m.recordOrder(name, order) } })
 		}
 		select {
 		case <-running.Done():
-		case <-time.After(orderEvery):
+		case <-time.After(orderInterval):
 		}
 	}
 }
 
-// land is the oracle of orders: one whose sender was not frozen never lands
+// recordOrder is the oracle of orders: one whose sender was not frozen never lands
 // after an order of a newer holder.
-func (m *machine) land(name lease.Name, order landed) {
-	if order.fence < m.highest[name] && !order.frozen {
-		m.problem = fmt.Sprintf("order with fence %d landed after fence %d", order.fence, m.highest[name])
+func (m *machine) recordOrder(name lease.Name, order deliveredOrder) {
+	if order.fence < m.highestFence[name] && !order.frozen {
+		m.problem = fmt.Sprintf("order with fence %d landed after fence %d", order.fence, m.highestFence[name])
 	}
-	m.highest[name] = max(m.highest[name], order.fence)
+	m.highestFence[name] = max(m.highestFence[name], order.fence)
 }
 
 // advance lets virtual time pass and looks at every process in between.
-func (m *machine) advance(t fataler, d time.Duration) {
+func (m *machine) advance(t failer, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		time.Sleep(checkEvery)
+		time.Sleep(checkInterval)
 		synctest.Wait()
 		m.log.expire()
-		m.drain()
+		m.handleArrivals()
 		m.check(t)
 	}
 }
 
-func (m *machine) drain() {
+func (m *machine) handleArrivals() {
 	for {
 		select {
-		case land := <-m.arrived:
+		case land := <-m.arrivals:
 			land()
 		default:
 			return
@@ -179,11 +179,11 @@
 
 // check is the oracle of holders: at most one process holds a lease, frozen
 // ones included.
-func (m *machine) check(t fataler) {
+func (m *machine) check(t failer) {
 	if m.problem != "" {
 		t.Fatal(m.problem)
 	}
-	for _, name := range names {
+	for _, name := range leaseNames {
 		if holders := m.holders(name); len(holders) > 1 {
 			t.Fatalf("%v: processes %v hold the lease at once", name, holders)
 		}
@@ -200,26 +200,26 @@
 	return holders
 }
 
-// heal ends all faults and expects one holder of each lease in time.
-func (m *machine) heal(t fataler) {
+// endFaults ends all faults and expects one holder of each lease in time.
+func (m *machine) endFaults(t failer) {
 	m.log.setDown(false)
 	for _, p := range m.processes {
 		p.link.thaw()
 		p.link.setCut(false)
 		p.link.setFault(noFault, 0)
 	}
-	for limit := time.Now().Add(healTime); time.Now().Before(limit); {
+	for limit := time.Now().Add(recoveryTime); time.Now().Before(limit); {
 		m.advance(t, 10*time.Second)
 		if m.allHeld() {
 			m.checkAgreement(t)
 			return
 		}
 	}
-	t.Fatalf("no holder of a lease %v after all faults ended", healTime)
+	t.Fatalf("no holder of a lease %v after all faults ended", recoveryTime)
 }
 
 func (m *machine) allHeld() bool {
-	for _, name := range names {
+	for _, name := range leaseNames {
 		if len(m.holders(name)) != 1 {
 			return false
 		}
@@ -229,8 +229,8 @@
 
 // checkAgreement is the oracle of the fold: whoever knows a lease's state
 // knows the same one, whichever records it started from.
-func (m *machine) checkAgreement(t fataler) {
-	for _, name := range names {
+func (m *machine) checkAgreement(t failer) {
+	for _, name := range leaseNames {
 		offsets := make(map[ident.Offset]bool)
 		for _, p := range m.processes {
 			p.manager.Step(context.Background())
@@ -247,8 +247,8 @@
 	}
 }
 
-// end stops all goroutines of one check.
-func (m *machine) end() {
+// shutDown stops all goroutines of one check.
+func (m *machine) shutDown() {
 	for _, p := range m.processes {
 		p.link.thaw()
 		p.kill()
@@ -257,20 +257,20 @@
 	}
 	time.Sleep(time.Minute)
 	synctest.Wait()
-	m.drain()
+	m.handleArrivals()
 }
 
 func newMachine(margin time.Duration) *machine {
 	m := &machine{
-		log:       &fakeLog{},
-		processes: make([]*process, processCount),
-		margin:    margin,
-		highest:   make(map[lease.Name]ident.Fence),
-		arrived:   make(chan func(), 1<<16),
+		log:          &fakeLog{},
+		processes:    make([]*process, processCount),
+		margin:       margin,
+		highestFence: make(map[lease.Name]ident.Fence),
+		arrivals:     make(chan func(), 1<<16),
 	}
 	for i := range m.processes {
-		m.start(i)
-		time.Sleep(startSpread)
+		m.startProcess(i)
+		time.Sleep(startInterval)
 	}
 	return m
 }
@@ -281,12 +281,12 @@
 // holder that believes in its lease for longer than its successor waits.
 func TestAtMostOneHolderUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(virtualTime{t}, func(t *rapid.T) {
+		rapid.Check(noDeadline{t}, func(t *rapid.T) {
 			m := newMachine(lease.DefaultMargin)
-			defer m.end()
+			defer m.shutDown()
 			pick := func() *process { return m.processes[rapid.IntRange(0, processCount-1).Draw(t, "process")] }
 			t.Repeat(map[string]func(*rapid.T){
-				"wait": func(t *rapid.T) { m.advance(t, drawDuration(t, waits...)) },
+				"wait": func(t *rapid.T) { m.advance(t, drawDuration(t, tellingDurations...)) },
 				"waitLong": func(t *rapid.T) {
 					if rapid.IntRange(0, 3).Draw(t, "rare") == 0 {
 						m.advance(t, drawDuration(t, lease.Horizon, 4*lease.Horizon))
@@ -294,36 +294,36 @@
 				},
 				"freeze": func(t *rapid.T) { pick().link.freeze() },
 				"thaw":   func(t *rapid.T) { pick().link.thaw() },
-				"stall":  func(t *rapid.T) { pick().stall.Store(int64(drawDuration(t, waits...))) },
+				"stall":  func(t *rapid.T) { pick().preparation.Store(int64(drawDuration(t, tellingDurations...))) },
 				"cut":    func(t *rapid.T) { pick().link.setCut(true) },
 				"join":   func(t *rapid.T) { pick().link.setCut(false) },
 				"outage": func(t *rapid.T) { m.log.setDown(rapid.Bool().Draw(t, "down")) },
 				"fault":  func(t *rapid.T) { pick().drawFault(t) },
 				"flight": func(t *rapid.T) {
-					pick().flight.Store(int64(drawDuration(t, 0, lease.DefaultMargin/2, lease.DefaultMargin)))
+					pick().orderDelay.Store(int64(drawDuration(t, 0, lease.DefaultMargin/2, lease.DefaultMargin)))
 				},
 				"kill": func(t *rapid.T) {
 					i := rapid.IntRange(0, processCount-1).Draw(t, "process")
 					m.processes[i].kill()
 					m.processes[i].link.thaw()
-					m.start(i)
+					m.startProcess(i)
 				},
 				"stop": func(t *rapid.T) {
 					i := rapid.IntRange(0, processCount-1).Draw(t, "process")
 					m.stopGracefully(t, m.processes[i])
-					m.start(i)
+					m.startProcess(i)
 				},
 				"unwant": func(t *rapid.T) {
 					p := pick()
 					p.manager.Want(nil)
 					p.drawFault(t)
 				},
-				"wantAgain": func(t *rapid.T) { pick().manager.Want(wanted(rapid.IntRange(0, 2).Draw(t, "rank"))) },
+				"wantAgain": func(t *rapid.T) { pick().manager.Want(wantedWithRank(rapid.IntRange(0, 2).Draw(t, "rank"))) },
 			})
 			for i, p := range m.processes {
-				p.manager.Want(wanted(i))
+				p.manager.Want(wantedWithRank(i))
 			}
-			m.heal(t)
+			m.endFaults(t)
 		})
 	})
 }
@@ -331,7 +331,7 @@
 // drawFault chooses what happens to the process's next append.
 func (p *process) drawFault(t *rapid.T) {
 	f := rapid.SampledFrom([]fault{noFault, answerLost, appendLate, appendSlow, answerSlow}).Draw(t, "fault")
-	p.link.setFault(f, drawDuration(t, waits...))
+	p.link.setFault(f, drawDuration(t, tellingDurations...))
 }
 
 // drawDuration draws one of a few telling durations. A range would do worse:
--- a/internal/lease/metrics.go
+++ b/internal/lease/metrics.go
@@ -4,8 +4,8 @@
 
 // metrics are the counters of one process.
 type metrics struct {
-	reads, appends, answersLost                expvar.Int
-	claimsAccepted, claimsRejected             expvar.Int
+	reads, appends, answersLost                      expvar.Int
+	claimsAccepted, claimsRejected                   expvar.Int
 	renewalsAccepted, renewalsRejected, otherRecords expvar.Int
 }
 
--- a/internal/lease/outage_test.go
+++ b/internal/lease/outage_test.go
@@ -14,14 +14,14 @@
 func TestOnlyCandidateHoldsAgainAfterALongOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMachine(lease.DefaultMargin)
-		defer m.end()
-		m.makeFirstHold(t)
+		defer m.shutDown()
+		m.waitUntilFirstHolds(t)
 		for _, p := range m.processes[1:] {
 			p.manager.Want(nil)
 		}
 		m.log.setDown(true)
 		m.advance(t, 2*lease.Horizon)
-		if holders := m.holders(names[0]); len(holders) != 0 {
+		if holders := m.holders(leaseNames[0]); len(holders) != 0 {
 			t.Errorf("without the log processes %v hold the lease", holders)
 		}
 		m.log.setDown(false)
@@ -39,14 +39,14 @@
 	const minutes = 10
 	synctest.Test(t, func(t *testing.T) {
 		m := newMachine(lease.DefaultMargin)
-		defer m.end()
-		m.makeFirstHold(t)
+		defer m.shutDown()
+		m.waitUntilFirstHolds(t)
 		before := m.log.appendCount()
 		m.advance(t, minutes*time.Minute)
 		got := m.log.appendCount() - before
 		want := int(minutes * time.Minute / lease.DefaultRenewEvery)
 		if got > want+1 {
-			t.Errorf("%d appends in %d minutes by one holder of %d leases, want %d", got, minutes, len(names), want)
+			t.Errorf("%d appends in %d minutes by one holder of %d leases, want %d", got, minutes, len(leaseNames), want)
 		}
 	})
 }
--- a/internal/lease/scenario_test.go
+++ b/internal/lease/scenario_test.go
@@ -21,7 +21,7 @@
 			// its deadline and flies for the whole margin.
 			name: "last order before the deadline flies long",
 			run: func(t *testing.T, m *machine) {
-				m.processes[0].flight.Store(int64(lease.DefaultMargin))
+				m.processes[0].orderDelay.Store(int64(lease.DefaultMargin))
 				m.processes[0].link.setCut(true)
 				m.advance(t, 20*time.Second)
 			},
@@ -30,7 +30,7 @@
 			// The lease is given up while an order is in flight.
 			name: "order in flight while the lease is revoked",
 			run: func(t *testing.T, m *machine) {
-				m.processes[0].flight.Store(int64(lease.DefaultMargin))
+				m.processes[0].orderDelay.Store(int64(lease.DefaultMargin))
 				m.advance(t, time.Second)
 				m.processes[0].manager.Want(nil)
 				m.advance(t, 20*time.Second)
@@ -41,7 +41,7 @@
 			// lease is revoked, released and claimed.
 			name: "order prepared before the lease is revoked",
 			run: func(t *testing.T, m *machine) {
-				m.processes[0].stall.Store(int64(5 * time.Second))
+				m.processes[0].preparation.Store(int64(5 * time.Second))
 				m.advance(t, time.Second)
 				m.processes[0].manager.Want(nil)
 				m.advance(t, 20*time.Second)
@@ -56,7 +56,7 @@
 				m.processes[0].link.setFault(appendLate, 3*time.Second)
 				m.advance(t, lease.DefaultMargin+2*lease.DefaultPoll)
 				m.processes[0].link.setCut(true)
-				m.processes[0].manager.Want(wanted(0))
+				m.processes[0].manager.Want(wantedWithRank(0))
 				m.advance(t, 20*time.Second)
 			},
 		},
@@ -73,29 +73,29 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := newMachine(lease.DefaultMargin)
-				defer m.end()
-				m.makeFirstHold(t)
+				defer m.shutDown()
+				m.waitUntilFirstHolds(t)
 				c.run(t, m)
 				for i, p := range m.processes {
-					p.manager.Want(wanted(i))
+					p.manager.Want(wantedWithRank(i))
 				}
-				m.heal(t)
+				m.endFaults(t)
 			})
 		})
 	}
 }
 
-// makeFirstHold waits until process 0 holds all leases.
-func (m *machine) makeFirstHold(t *testing.T) {
+// waitUntilFirstHolds waits until process 0 holds all leases.
+func (m *machine) waitUntilFirstHolds(t *testing.T) {
 	for _, p := range m.processes[1:] {
 		p.manager.Want(nil)
 	}
 	m.advance(t, 30*time.Second)
 	for _, p := range m.processes[1:] {
-		p.manager.Want(wanted(0))
+		p.manager.Want(wantedWithRank(0))
 	}
 	m.advance(t, 5*time.Second)
-	for _, name := range names {
+	for _, name := range leaseNames {
 		if holders := m.holders(name); len(holders) != 1 || holders[0] != 0 {
 			t.Fatalf("%v: holders %v, want process 0", name, holders)
 		}
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -46,8 +46,8 @@
 // State is the fold of the leases' stream. Equal records give equal states,
 // whoever reads them. The zero value is the state at offset 0.
 type State struct {
-	nextOffset    ident.Offset
-	entries map[Name]Entry
+	nextOffset ident.Offset
+	entries    map[Name]Entry
 	// undecided are records that name a record which was not read.
 	undecided map[Name][]Entry
 	// partial: records before the first one read may count still.
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -30,9 +30,9 @@
 // DefaultLimits suit a list that lags by up to a minute.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxProofAge:     2 * time.Minute,
-		ForgetAfter:        10 * time.Minute,
-		MaxListLag:       time.Minute,
+		MaxProofAge:   2 * time.Minute,
+		ForgetAfter:   10 * time.Minute,
+		MaxListLag:    time.Minute,
 		LocalRefresh:  2 * time.Second,
 		RemoteRefresh: 30 * time.Second,
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -217,7 +217,7 @@
 type stallingListener struct {
 	net.Listener
 	accepted atomic.Int64
-	stalled     atomic.Value
+	stalled  atomic.Value
 }
 
 func (s *stallingListener) Accept() (net.Conn, error) {
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -39,8 +39,8 @@
 // Pool holds one connection to each peer address. It is safe for concurrent
 // use.
 type Pool struct {
-	reloader *certificate.Reloader
-	dialOptions   []grpc.DialOption
+	reloader    *certificate.Reloader
+	dialOptions []grpc.DialOption
 
 	mu     sync.Mutex
 	conns  map[string]*connection
@@ -50,7 +50,7 @@
 // connection is a connection with the calls in a row that it has failed.
 type connection struct {
 	conn     *grpc.ClientConn
-	timeouts  int
+	timeouts int
 	lastUsed time.Time
 }
 
