--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -12,23 +12,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Digest is what a peer has not merged yet.
+// Digest is a message for one peer with the changes that it has not merged yet.
+// Changes of a table are numbered; see Table.Sequence.
 type Digest struct {
-	// Facts are entries whose state matters to the receiver.
+	// Facts are the entries with a change of kind Fact or Departure.
 	Facts []Entry
-	// Figures are entries of which only proof of life and load are new.
+	// Figures are the entries of which only the proof of life and the load
+	// have changed.
 	Figures []Entry
-	// Sequence and FiguresSequence are the numbers up to which the peer is
-	// informed once it has merged both.
+	// Sequence and FiguresSequence are the numbers up to which the peer knows
+	// all facts and all figures once it has merged the digest.
 	Sequence, FiguresSequence uint64
 }
 
-// Position is how far a peer has merged facts and figures.
+// Position holds the numbers of the last changes up to which a peer has merged
+// facts and figures.
 type Position struct {
 	Facts, Figures uint64
 }
 
-// Full returns all entries as facts.
+// Full returns a digest with all entries as facts.
 func (t *Table) Full() Digest {
 	digest := Digest{Sequence: t.sequence, FiguresSequence: t.sequence}
 	for _, r := range t.records {
@@ -37,9 +40,10 @@
 	return digest
 }
 
-// DeltaSince returns what a peer at a position has not merged. It carries all
-// facts but at most maxFigures figures, the oldest changes first; what is left
-// comes with the next digest.
+// DeltaSince returns the changes that a peer at a position has not merged yet,
+// without those that came from this peer. The digest holds all such facts but at
+// most maxFigures figures, the oldest changes first; the rest goes into the next
+// digest.
 func (t *Table) DeltaSince(after Position, to ident.Instance, maxFigures int) Digest {
 	digest := Digest{Sequence: t.sequence, FiguresSequence: t.sequence}
 	var figures []*record
@@ -65,8 +69,8 @@
 	return digest
 }
 
-// Key stands for one life of an instance in figures, where an ID would take
-// most of the bytes.
+// Key returns a hash that identifies one incarnation of an instance. Messages
+// with figures carry it in place of the ID, which would take most of their bytes.
 func Key(e Entry) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -77,14 +81,15 @@
 	return d.Sum64()
 }
 
-// FindKey returns the entry with a key.
+// FindKey returns the entry whose Key is key.
 func (t *Table) FindKey(key uint64) (Entry, bool) {
 	return t.Find(t.byKey[key])
 }
 
-// Checksum stands for all facts of instances that are not gone. Two processes
-// with equal checksums hold the same facts, so that they need not exchange
-// them. It does not depend on the order of events.
+// Checksum returns a hash of the incarnations and states of all instances that
+// are not gone. Two processes with equal checksums hold the same facts and need
+// not exchange them. The hash does not depend on the order in which the facts
+// arrived.
 func (t *Table) Checksum() uint64 {
 	if t.checksumSequence == t.lastFactSequence {
 		return t.checksum
@@ -99,9 +104,10 @@
 	return sum
 }
 
-// EqualThrough returns the number up to which a peer with the same checksum has
-// all facts. The checksum says nothing of gone instances, so it is below the
-// first end after the number up to which the peer has all for certain.
+// EqualThrough returns the number up to which a peer with the same checksum
+// knows all facts; the peer is known to have all up to after. The checksum leaves
+// out gone instances, so the result stays below the first fact after that number
+// about an instance that is now gone.
 func (t *Table) EqualThrough(after uint64) uint64 {
 	through := t.sequence
 	for _, r := range t.records {
@@ -112,24 +118,26 @@
 	return through
 }
 
-// factHash mixes the state into the key; the multiplier is odd, so that no two
-// states of one life are the same.
+// factHash combines the key with the state. The multiplier is odd, so that no
+// two states of one incarnation have the same hash.
 func factHash(e Entry) uint64 {
 	const mix = 0x9e3779b97f4a7c15
 	return (Key(e) + uint64(e.State)) * mix
 }
 
-// Suspicion says how old a proof of life may be.
+// Suspicion holds the ages of the last proof of life above which an instance is
+// suspect.
 type Suspicion struct {
-	// Local and Remote are the limits for upstreams of the own failure domain
-	// and for all others, whose proofs are passed on less often.
+	// Local applies to upstreams in this process's own failure domain, Remote to
+	// all other instances, whose proofs of life are passed on less often.
 	Local  time.Duration
 	Remote time.Duration
 }
 
-// Effective returns the state by which this process acts: the merged state, or
-// suspect for an instance without a recent proof of life. A suspect instance
-// is not gone: this process may be the one that is cut off.
+// Effective returns the state that this process acts on: the merged state, or
+// Suspect for an instance that is alive but has no recent proof of life. A
+// suspect instance is not treated as gone, because this process itself may be
+// the one that is cut off.
 func (t *Table) Effective(e Entry, limits Suspicion, now time.Time) blackboard.MemberState {
 	if e.State != blackboard.Alive || e.ID == t.self {
 		return e.State
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -1,17 +1,19 @@
-// Package membership merges what several sources say of the instances: the
-// platform's lagging list, notices, peers' digests and upstreams' own answers.
+// Package membership merges what several sources report about the instances:
+// the platform's list, which lags, reclaim notices, the digests of peers (the
+// other processes of the system) and the answers of upstreams.
 //
-// What is known for good of one life of an instance (its incarnation) only
-// moves forward: alive, leaving, gone. Merging takes the later state, so the
-// order, repetition and age of the messages do not matter, and "leaving" never
-// turns back into "alive". A higher incarnation replaces a lower one.
+// Within one incarnation, that is from one start of an instance to its end, the
+// state only moves forward: alive, leaving, gone. Merging takes the later state,
+// so the order, repetition and age of the messages do not matter, and "leaving"
+// never turns back into "alive". A higher incarnation replaces a lower one.
 //
-// Being suspect is not merged: it is each process's own view of how old the
-// last proof of life is. Upstreams do not speak this protocol and cannot refute
-// a suspicion, so a merged one would outlive the partition that caused it.
+// The state "suspect" is not merged: each process derives it from the age of the
+// last proof of life that it knows. Upstreams do not take part in this protocol
+// and cannot refute a suspicion, so a merged suspicion would outlive the
+// partition that caused it.
 //
-// The package is pure: time is an argument, and nothing here is safe for
-// concurrent use.
+// The package does no I/O and reads no clock: the current time is an argument.
+// Nothing in it is safe for concurrent use.
 package membership
 
 import (
@@ -24,16 +26,16 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Load is an upstream's load as somebody observed it.
+// Load is an upstream's load as some process observed it.
 type Load struct {
 	Running             uint32
 	Queued              uint32
 	QueuedPrefillTokens uint32
-	// At is when the figures were true. Zero: no figures.
+	// At is the time that the figures are from. Zero means that there are none.
 	At time.Time
 }
 
-// Entry is what is known of one instance.
+// Entry is what a process knows about one instance.
 type Entry struct {
 	ID          ident.Instance
 	Incarnation ident.Incarnation
@@ -42,19 +44,19 @@
 	FailureDomain ident.FailureDomain
 	// PeerAddress is empty for upstreams.
 	PeerAddress string
-	// Seen is the last proof of life: an answer of the instance itself to
-	// some process. Zero: none.
+	// Seen is the time of the last proof of life, that is the last answer of
+	// the instance itself to some process. Zero means that there is none.
 	Seen time.Time
-	// GoneAt is when the first process learnt that the instance is gone.
+	// GoneAt is the time when a process found out that the instance is gone.
 	GoneAt time.Time
 	Load   Load
-	// Description is what the platform says; nil when not known yet. It must
-	// not be changed.
+	// Description is the instance as the platform lists it; nil if it is not
+	// known yet. It must not be modified.
 	Description *platform.Instance
 }
 
-// Merge merges two entries of the same instance. It is commutative, associative
-// and idempotent.
+// Merge combines two entries of the same instance. It is commutative,
+// associative and idempotent.
 func Merge(a, b Entry) Entry {
 	if a.Incarnation != b.Incarnation {
 		if a.Incarnation > b.Incarnation {
@@ -73,8 +75,8 @@
 	return out
 }
 
-// newerLoad takes the younger figures, and among figures of the same moment
-// the higher ones, so that the order of the arguments does not matter.
+// newerLoad returns the later figures, and of two from the same time the higher
+// ones, so that the order of the arguments does not matter.
 func newerLoad(a, b Load) Load {
 	order := cmp.Or(
 		a.At.Compare(b.At),
@@ -88,9 +90,9 @@
 	return b
 }
 
-// chooseDescription prefers a known description. Two that differ for the same
-// incarnation are a fault of the platform; any fixed choice will do, as long
-// as all processes make the same.
+// chooseDescription prefers a known description. Two different descriptions of
+// the same incarnation are a fault of the platform; any deterministic choice
+// will do, as long as all processes make the same one.
 func chooseDescription(a, b *platform.Instance) *platform.Instance {
 	switch {
 	case a == nil:
--- a/internal/membership/share.go
+++ b/internal/membership/rendezvous.go
@@ -6,11 +6,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Owns reports whether self is among the first count candidates for a subject,
-// by rendezvous hashing: each candidate gets a pseudo-random weight for the
-// subject, and the highest weights win. When a candidate goes, only its own
-// subjects move. Processes that know different candidates choose differently
-// for a while, so a choice may cost time or double work, never correctness.
+// Owns reports whether self is one of the count candidates that are responsible
+// for a subject, by rendezvous hashing: each candidate gets a pseudo-random
+// weight for the subject, and those with the highest weights are responsible.
+// When a candidate goes away, only its own subjects move.
+//
+// Processes that know different candidates get different results for a while.
+// Callers must tolerate that: it may cost time or cause double work, but must
+// not make anything incorrect.
 func Owns(self ident.Instance, candidates []ident.Instance, subject ident.Instance, count int) bool {
 	own := rendezvousWeight(self, subject)
 	better := 0
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -8,26 +8,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Limits are the time limits of a table. Forget must be longer than Admission
-// and ListLag; see Table.Forget.
+// Limits are the time limits of a table. ForgetAfter must be longer than
+// MaxProofAge and MaxListLag; see Table.Forget.
 type Limits struct {
-	// MaxProofAge is the greatest age of the proof of life with which a peer
-	// can introduce a living instance, or a new life of one, that this
-	// process does not know.
+	// MaxProofAge is the maximum age of the proof of life with which a peer can
+	// introduce a live instance, or a new incarnation of one, that this process
+	// does not know.
 	MaxProofAge time.Duration
 	// ForgetAfter is how long a gone instance is remembered.
 	ForgetAfter time.Duration
-	// MaxListLag is how far the platform's list is behind at most. An instance
-	// that was missing for longer, and was silent, has ended.
+	// MaxListLag is the maximum delay of the platform's list. An instance that
+	// was missing from the list and silent for longer than this has ended.
 	MaxListLag time.Duration
-	// LocalRefresh and RemoteRefresh are how often new proof of life and load
-	// of one instance are passed on: of upstreams of the own failure domain,
-	// and of all others.
+	// LocalRefresh and RemoteRefresh are the intervals at which new proofs of
+	// life and load of one instance are passed on: LocalRefresh for upstreams in
+	// this process's own failure domain, RemoteRefresh for all other instances.
 	LocalRefresh  time.Duration
 	RemoteRefresh time.Duration
 }
 
-// DefaultLimits suit a list that lags by up to a minute.
+// DefaultLimits returns limits for a platform whose list lags by up to a minute.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxProofAge:   2 * time.Minute,
@@ -38,49 +38,53 @@
 	}
 }
 
-// Table is one process's knowledge of all instances.
+// Table holds the entries of all instances that one process knows. It numbers
+// its changes, so that a digest needs to carry only those that a peer lacks.
 type Table struct {
 	limits Limits
 	domain ident.FailureDomain
 	self   ident.Instance
-	// sequence numbers the changes that digests carry, from 1.
+	// sequence is the number of the last change; the first has number 1.
 	sequence uint64
 	records  map[ident.Instance]*record
-	// lastFactSequence is the number of the last fact; checksum was computed at
-	// checksumAt.
+	// lastFactSequence is the number of the last change that was a Fact or
+	// Departure. checksum is the result of Checksum that was computed when
+	// lastFactSequence was checksumSequence.
 	lastFactSequence, checksumSequence, checksum uint64
-	// byKey finds the instances by the Key of their present life.
+	// byKey maps the Key of each instance's current incarnation to its ID.
 	byKey map[uint64]ident.Instance
 }
 
-// record is an entry with what this process needs to know around it.
+// record is an entry with this process's own data about it.
 type record struct {
 	Entry
-	// factSequence and figuresAt are the numbers of the last change of the
-	// incarnation, state or description, and of the last announced proof of
-	// life and load.
+	// factSequence is the number of the last change that was a Fact or
+	// Departure, and figuresSequence that of the last change of any kind.
 	factSequence, figuresSequence uint64
-	// announcedSeen is the Seen that figuresAt stands for.
+	// announcedSeen is the value that Seen had at figuresSequence.
 	announcedSeen time.Time
-	// factFrom and figuresFrom are the peers that told these changes; they
-	// need no echo.
+	// factFrom and figuresFrom are the peers that these two changes came from,
+	// empty if from none. The changes are not sent back to them.
 	factFrom, figuresFrom ident.Instance
-	// absentSince is when the platform's list first missed the instance.
+	// absentSince is when the platform's lists began to lack the instance;
+	// zero if the last list had it.
 	absentSince time.Time
 }
 
-// Change tells what a merge did to an entry.
+// Change is the kind of change that a merge made to an entry.
 type Change int
 
-// The changes, in the order of their weight.
+// The kinds of changes, from the least to the most important.
 const (
-	// NoChange that others need to know has changed.
+	// NoChange: nothing changed that other processes need to know.
 	NoChange Change = iota
-	// Figures: newer proof of life or load.
+	// Figures: there is a newer proof of life, and perhaps a newer load.
 	Figures
-	// Fact: a new instance, incarnation or description.
+	// Fact: the instance, its incarnation, state, failure domain or peer address
+	// is new.
 	Fact
-	// Departure: the instance was not known to be leaving before.
+	// Departure: the instance is leaving or gone, and was not known to leave
+	// before.
 	Departure
 )
 
@@ -95,13 +99,13 @@
 	}
 }
 
-// Len returns the number of entries, gone ones included.
+// Len returns the number of entries, including those of gone instances.
 func (t *Table) Len() int { return len(t.records) }
 
-// Sequence returns the number of the last change.
+// Sequence returns the number of the last change; 0 before the first one.
 func (t *Table) Sequence() uint64 { return t.sequence }
 
-// LastFact returns the number of the last change that was a fact.
+// LastFact returns the number of the last change that was a Fact or Departure.
 func (t *Table) LastFact() uint64 { return t.lastFactSequence }
 
 // Find returns the entry of an instance.
@@ -113,7 +117,8 @@
 	return r.Entry, true
 }
 
-// All calls yield for each entry, gone ones included, in no order.
+// All calls yield for each entry, including those of gone instances, in no
+// particular order, until yield returns false.
 func (t *Table) All(yield func(Entry) bool) {
 	for _, r := range t.records {
 		if !yield(r.Entry) {
@@ -124,45 +129,49 @@
 
 // MergePeer merges an entry of a peer's digest.
 //
-// What goes wrong without admission: a peer comes back from an hour's partition
-// and still holds an instance as alive that all others have seen end and
-// forgotten; it would be alive again everywhere. An instance that is gone gives
-// no proof of life, so an old proof is the sign of it. That holds for each life:
-// an earlier one may still be remembered where the later one is forgotten.
+// An incarnation that this process does not know is only accepted from a peer
+// with a recent proof of life. Otherwise a peer that was cut off for an hour, and
+// still holds an instance as alive that all others have seen end and have
+// forgotten, would make it alive again everywhere. The check applies to each
+// incarnation, not only to unknown instances: a process may remember an earlier
+// incarnation and have forgotten a later one.
 func (t *Table) MergePeer(from ident.Instance, e Entry, now time.Time) Change {
 	if e.State == blackboard.Suspect {
 		e.State = blackboard.Alive
 	}
 	r, known := t.records[e.ID]
-	newLife := !known || e.Incarnation > r.Incarnation
-	if !newLife || t.mayIntroduce(e, now) {
+	isNew := !known || e.Incarnation > r.Incarnation
+	if !isNew || t.mayIntroduce(e, now) {
 		return t.merge(from, e, now)
 	}
 	if !known {
 		return NoChange
 	}
-	// Whether or not the later life goes on, the earlier one is over.
+	// Whether or not the later incarnation still lives, the earlier one is over.
 	return t.merge(from, Entry{ID: r.ID, Incarnation: r.Incarnation, State: blackboard.Gone}, now)
 }
 
+// mayIntroduce reports whether a peer's entry is recent enough to add an
+// incarnation that this process does not know.
 func (t *Table) mayIntroduce(e Entry, now time.Time) bool {
 	switch e.State {
 	case blackboard.Gone:
 		return now.Sub(e.GoneAt) <= t.limits.ForgetAfter
 	case blackboard.Leaving:
-		// This process's list may show it as live yet.
+		// The platform's list may still show the instance as live.
 		return true
 	}
 	return now.Sub(e.Seen) <= t.limits.MaxProofAge
 }
 
-// Observe merges what this process itself saw of an instance: its answer to a
-// probe or a heartbeat, its own word that it leaves, or a reclaim notice.
+// Observe merges what this process itself observed of an instance: its answer to
+// a probe or a heartbeat, its own report that it is leaving, or a reclaim notice.
 func (t *Table) Observe(e Entry, now time.Time) Change {
 	return t.merge("", e, now)
 }
 
-// merge joins e into the table and numbers the change.
+// merge merges e into the table and numbers the change. from is the peer that
+// sent e, or empty.
 func (t *Table) merge(from ident.Instance, e Entry, now time.Time) Change {
 	if e.State == blackboard.Gone && e.GoneAt.IsZero() {
 		e.GoneAt = now
@@ -185,7 +194,8 @@
 	return change
 }
 
-// classifyChange tells what a join changed, from the view of other processes.
+// classifyChange returns the kind of change that a merge made to an entry, as far
+// as it matters to other processes, and updates byKey for a new incarnation.
 func (t *Table) classifyChange(r *record, before Entry) Change {
 	replaced := r.Incarnation != before.Incarnation
 	if replaced {
@@ -207,6 +217,7 @@
 	return NoChange
 }
 
+// refreshInterval returns how often figures of an instance are passed on.
 func (t *Table) refreshInterval(e Entry) time.Duration {
 	if e.FailureDomain == t.domain && e.PeerAddress == "" {
 		return t.limits.LocalRefresh
@@ -214,7 +225,8 @@
 	return t.limits.RemoteRefresh
 }
 
-// assignSequence gives a change the next number, so that coming digests carry it.
+// assignSequence gives a change the next number, so that later digests include
+// it.
 func (t *Table) assignSequence(r *record, from ident.Instance, change Change) {
 	if change == NoChange {
 		return
@@ -231,12 +243,13 @@
 }
 
 // ApplyList merges the platform's list, which lags and may be older than the
-// one before. It returns the instances that were not known to leave before.
+// previous one. It returns the instances whose departure was not known before.
 //
-// A line that says "live" introduces an instance but is no proof of life and
-// changes nothing of one that is known to leave. An instance that is missing
-// counts as gone only when it is missing for long and silent as well, for gone
-// is for good, and a list may be incomplete.
+// An instance that is listed as live is added to the table, but that is no proof
+// of life and does not change the state of one that is known to leave. An
+// instance that is not listed counts as gone only after it has been both missing
+// and silent for longer than Limits.MaxListLag, because the state "gone" is final
+// and a list may be incomplete.
 func (t *Table) ApplyList(list []platform.Instance, now time.Time) []ident.Instance {
 	var departed []ident.Instance
 	listed := make(map[ident.Instance]bool, len(list))
@@ -258,15 +271,15 @@
 	return departed
 }
 
-func (t *Table) applyListed(line *platform.Instance, now time.Time) Change {
-	description := *line
+func (t *Table) applyListed(listed *platform.Instance, now time.Time) Change {
+	description := *listed
 	description.State = 0
 	return t.merge("", Entry{
-		ID:            line.ID,
-		Incarnation:   line.Incarnation,
-		State:         memberState(line.State),
-		FailureDomain: line.FailureDomain,
-		PeerAddress:   line.PeerAddress,
+		ID:            listed.ID,
+		Incarnation:   listed.Incarnation,
+		State:         memberState(listed.State),
+		FailureDomain: listed.FailureDomain,
+		PeerAddress:   listed.PeerAddress,
 		Description:   &description,
 	}, now)
 }
@@ -281,10 +294,13 @@
 	return blackboard.Alive
 }
 
-// markGoneIfAbsent turns an instance into gone when it was missing and silent for
-// long enough, and reports whether that was the first sign of its leaving. An
-// instance that was known before the first list without it, and is missing
-// from a list read ListLag later, is missing from a list made after it started.
+// markGoneIfAbsent marks an instance as gone if it has been missing from the
+// platform's lists and silent for longer than MaxListLag, and reports whether it
+// was not known to leave before.
+//
+// A single list without the instance may have been made before the instance
+// started. But the instance was known when the first such list was read, so a
+// list that is read MaxListLag later was made after its start.
 func (t *Table) markGoneIfAbsent(r *record, now time.Time) bool {
 	if r.ID == t.self || r.State == blackboard.Gone {
 		return false
@@ -302,11 +318,11 @@
 	return t.merge("", gone, now) == Departure
 }
 
-// Forget drops the instances that have been gone for long, so that the table
-// stays bounded. A stale "alive" cannot revive one that was dropped: from a
-// peer it is not admitted, since its proof of life is older than GoneAt and so
-// than Limits.MaxProofAge; from the platform's list only if that lags by more
-// than Limits.ForgetAfter.
+// Forget deletes the instances that have been gone for longer than
+// Limits.ForgetAfter, so that the table stays bounded. A stale "alive" does not
+// bring a deleted instance back: a peer's entry is rejected, since its proof of
+// life is older than GoneAt and therefore than Limits.MaxProofAge, and the
+// platform's list would have to lag by more than Limits.ForgetAfter.
 func (t *Table) Forget(now time.Time) {
 	for id, r := range t.records {
 		if r.State == blackboard.Gone && now.Sub(r.GoneAt) > t.limits.ForgetAfter {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -42,8 +42,9 @@
 	return e
 }
 
-// Merging must not depend on the order, grouping or repetition of messages.
-func TestMergeIsASemilattice(t *testing.T) {
+// The result of merging must not depend on the order, grouping or repetition of
+// messages.
+func TestJoinIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawEntry(t), drawEntry(t), drawEntry(t)
 		if d := cmp.Diff(Merge(a, b), Merge(b, a)); d != "" {
@@ -58,16 +59,17 @@
 	})
 }
 
-// tableMachine runs three processes against a world of instances that live,
-// leave, end and come back. Only the world knows the truth; the processes see
-// probes of instances that run, lists that lag, and each other's digests,
-// possibly after a long time apart.
+// tableMachine runs the tables of three processes against a simulated set of
+// instances that live, leave, end and restart. Only the simulation knows their
+// true state; the processes get answers to probes of running instances, lists
+// that lag, and each other's digests, possibly after a long time without contact.
 type tableMachine struct {
 	now    time.Time
 	world  map[ident.Instance]*platform.Instance
 	lists  []recordedList
 	tables []*Table
-	// highestLeft is the highest incarnation that a process ever knew to leave.
+	// highestLeft holds, for each process, the highest incarnation of each
+	// instance that the process ever knew to be leaving or gone.
 	highestLeft []map[ident.Instance]ident.Incarnation
 }
 
@@ -95,7 +97,8 @@
 func (m *tableMachine) snapshot() {
 	var list []platform.Instance
 	for _, i := range m.world {
-		// Some platforms drop ended instances, others list them for a while.
+		// Some platforms remove ended instances from the list, others keep them
+		// for a while, as here u0.
 		if i.State != platform.Ended || i.ID == "u0" {
 			list = append(list, *i)
 		}
@@ -154,7 +157,7 @@
 			from, to := m.drawTable(t, "from"), m.drawTable(t, "to")
 			m.deliver(from, to, m.tables[from].Full())
 		},
-		// One process goes on reading the list while the others see nothing.
+		// One process keeps reading the list while the others get no messages.
 		"apart": func(t *rapid.T) {
 			p := m.drawTable(t, "connected")
 			for _, seconds := range []int{70, 70, 610} {
@@ -170,8 +173,8 @@
 	}
 }
 
-// drawList returns a list that is at most ListLag old, and not always the
-// newest one that was returned before.
+// drawList returns a list that is at most MaxListLag old; it may be older than
+// one that was returned before.
 func (m *tableMachine) drawList(t *rapid.T) []platform.Instance {
 	first := len(m.lists) - 1
 	for first > 0 && m.now.Sub(m.lists[first].at) < DefaultLimits().MaxListLag {
@@ -180,7 +183,7 @@
 	return m.lists[rapid.IntRange(first, len(m.lists)-1).Draw(t, "list")].list
 }
 
-// deliver merges a digest.
+// deliver merges a digest of process from into the table of process to.
 func (m *tableMachine) deliver(from, to int, d Digest) {
 	for _, e := range append(d.Facts, d.Figures...) {
 		m.tables[to].MergePeer(m.tables[from].self, e, m.now)
@@ -189,10 +192,10 @@
 
 func (m *tableMachine) check(t *rapid.T) {
 	for p, table := range m.tables {
-		kept := table.Checksum()
+		cached := table.Checksum()
 		table.checksumSequence = table.lastFactSequence + 1
-		if fresh := table.Checksum(); kept != fresh {
-			t.Fatalf("process %d: kept checksum %x, its facts have %x", p, kept, fresh)
+		if computed := table.Checksum(); cached != computed {
+			t.Fatalf("process %d: cached checksum %x, want %x", p, cached, computed)
 		}
 		for e := range table.All {
 			left := m.highestLeft[p][e.ID]
@@ -210,7 +213,7 @@
 	}
 }
 
-// converge lets all processes exchange everything and compares their facts.
+// converge lets all processes exchange full digests and compares their facts.
 func (m *tableMachine) converge(t *rapid.T) {
 	for range 2 {
 		for from := range m.tables {
@@ -223,8 +226,8 @@
 		for e := range table.All {
 			for q, other := range m.tables {
 				o, ok := other.Find(e.ID)
-				// A later life without recent proof does not spread, but
-				// ends the earlier one.
+				// A later incarnation without a recent proof of life is not
+				// accepted by others, but ends the earlier one there.
 				same := o.Incarnation == e.Incarnation && o.State == e.State
 				ended := o.Incarnation < e.Incarnation && o.State == blackboard.Gone
 				if ok && !same && !ended && o.Incarnation <= e.Incarnation {
@@ -236,10 +239,11 @@
 	m.check(t)
 }
 
-// Symptom: an upstream that has left gets work again.
-// Sequence: lists lag and go back, processes are apart for longer than they
-// remember, then exchange what they hold; instances come back with the same ID.
-// Cause: a stale "alive" is taken for news.
+// Symptom: an upstream that has left gets requests again.
+// Sequence: lists lag or are older than the one before, processes are cut off
+// from each other for longer than they remember gone instances and then exchange
+// their entries; instances restart under the same ID.
+// Cause: a stale "alive" is taken for a new one.
 func TestTableNeverRevives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTableMachine()
@@ -248,9 +252,9 @@
 	})
 }
 
-// Symptom: a running upstream is gone for good.
+// Symptom: a running upstream counts as gone and never gets requests again.
 // Sequence: the platform's list lacks it for minutes, while it answers probes.
-// Cause: absence from an incomplete list is taken for the end.
+// Cause: absence from an incomplete list is taken for the instance's end.
 func TestAbsentButAnsweringStays(t *testing.T) {
 	table := NewTable("g", "one", DefaultLimits())
 	up := platform.Instance{ID: "u", Incarnation: 1, State: platform.Live}
@@ -269,7 +273,7 @@
 // Symptom: the table grows with every instance that ever ended.
 // Sequence: one process forgets a gone instance, another that still remembers
 // it sends a full digest, and so on in turn.
-// Cause: being told of a gone instance again counts as a new end.
+// Cause: a peer's entry of a gone instance counts as a new end.
 func TestForgottenIsNotLearntAgain(t *testing.T) {
 	tables := []*Table{NewTable("g0", "one", DefaultLimits()), NewTable("g1", "one", DefaultLimits())}
 	now := epoch
@@ -288,9 +292,9 @@
 	}
 }
 
-// Symptom: an upstream that has ended gets work again.
+// Symptom: an upstream that has ended gets requests again.
 // Sequence: its end is known and forgotten; then a list from before the end
-// arrives, or a peer that was apart sends its last proof of life.
+// arrives, or a peer that was cut off sends its last proof of life.
 // Cause: the end is forgotten while such messages can still arrive.
 func TestStaleAliveAfterTheEnd(t *testing.T) {
 	limits := DefaultLimits()
@@ -311,13 +315,13 @@
 	}
 }
 
-// Symptom: an upstream that has ended gets work again, or an earlier life of one
-// still does.
-// Sequence: a process remembers an earlier life, as alive or as leaving, but not
-// the later one, which ended long ago; a peer that was apart tells of that as
-// alive, without a recent proof.
-// Cause: a known ID lets any later life in; or, when it does not, the news that
-// the earlier life is over is lost with it.
+// Symptom: an upstream that has ended gets requests again, or an earlier
+// incarnation of it still does.
+// Sequence: a process remembers an earlier incarnation, as alive or as leaving,
+// but not the later one, which ended long ago; a peer that was cut off reports the
+// later one as alive, without a recent proof of life.
+// Cause: any later incarnation of a known ID is accepted; or it is rejected, and
+// the fact that the earlier one is over is dropped with it.
 func TestUnprovedLaterLifeOnlyEndsTheEarlier(t *testing.T) {
 	for _, state := range []blackboard.MemberState{blackboard.Alive, blackboard.Leaving} {
 		table := NewTable("g", "one", DefaultLimits())
