--- a/internal/lease/append.go
+++ b/internal/lease/append.go
@@ -8,8 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// dueRecords returns the records to append now. Where one renewal is due, all go
-// with it: one append renews every lease of this process.
+// dueRecords returns the records to append now. If one renewal is due, all held
+// leases are renewed with it, so that one append renews them all.
 func (m *Manager) dueRecords() []Record {
 	now := time.Now()
 	records := m.takeReleases(func(v leaseView) bool { return m.timing.mayRelease(now, v) })
@@ -33,7 +33,8 @@
 	return records
 }
 
-// viewOf returns the view of a lease. Of one without records it begins now.
+// viewOf returns the view of a lease. For a lease without records, waiting times
+// count from the first call. The lock is held.
 func (m *Manager) viewOf(name Name, now time.Time) leaseView {
 	v, known := m.views[name]
 	if !known {
@@ -44,8 +45,9 @@
 }
 
 // takeReleases returns a release for each revoked lease that ready selects. From
-// then on this process does not hold it, whatever becomes of the release: one
-// that takes effect late must not meet a holder that acts again.
+// then on this process does not hold the lease, whether or not the release is
+// appended: a release that takes effect late must not find its writer acting
+// under the lease again.
 func (m *Manager) takeReleases(ready func(leaseView) bool) []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,7 +74,7 @@
 	return records
 }
 
-// append adds records to the log and reports whether they may be there.
+// append appends records to the log and reports whether they may be there now.
 func (m *Manager) append(ctx context.Context, records []Record) bool {
 	if len(records) == 0 {
 		return false
@@ -82,7 +84,7 @@
 		records[i].ID = newRecordID()
 		data, err := records[i].Encode()
 		if err != nil {
-			m.cfg.Log.Error("lease record not encoded", "error", err)
+			m.cfg.Log.Error("cannot encode lease record", "error", err)
 			return false
 		}
 		encoded[i] = data
@@ -97,17 +99,18 @@
 		return false
 	}
 	if err != nil {
-		// The records may be in the log, now or later. They are found by
-		// their IDs, and appending anew is harmless: only one of two records
-		// that name the same one is accepted.
+		// The records may be in the log now, or get there later. They are
+		// recognized by their IDs. Appending new ones is harmless: of two records
+		// that supersede the same one, only one is accepted.
 		m.metrics.answersLost.Add(1)
 	}
 	return true
 }
 
-// recordAppendStart notes when the append of records started. The holder's deadline counts
-// from here: an instant read after the append could lie past the one at which
-// a candidate has read the record, and both would believe that they hold.
+// recordAppendStart records when the append of records started. The holder's
+// deadline counts from this time. A time taken after the append could be later
+// than a candidate's read of the record, and then both processes could act under
+// the lease at once.
 func (m *Manager) recordAppendStart(records []Record) {
 	started := time.Now()
 	m.mu.Lock()
@@ -117,7 +120,7 @@
 	}
 }
 
-// dropPending forgets records that are not in the log and never will be.
+// dropPending drops records that are not in the log and never will be.
 func (m *Manager) dropPending(records []Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lease/bench_test.go
+++ b/internal/lease/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// BenchmarkApply gives the slope of docs/capacity-control.md: folding one
-// renewal while so many leases are known.
+// BenchmarkApply measures applying one renewal while the given number of leases
+// is known. docs/capacity-control.md uses its slope.
 func BenchmarkApply(b *testing.B) {
 	for _, leases := range []int{8, 44, 220, 1100} {
 		b.Run(fmt.Sprint(leases), func(b *testing.B) {
--- a/internal/lease/candidates.go
+++ b/internal/lease/candidates.go
@@ -11,17 +11,18 @@
 )
 
 // CandidateCount is how many processes are candidates for a lease. The others
-// neither read nor append, which keeps the log's load apart from their number.
+// neither read nor append, so the load on the log does not grow with their number.
 const CandidateCount = 3
 
-// RankOf returns an instance's rank among the candidates for a lease, or
-// false when it is none. It goes by the list of instances, which lags: two
-// processes may disagree for a while, which costs time and never safety.
+// RankOf returns an instance's rank among the candidates for a lease, from 0, or
+// false if it is no candidate. The list of instances lags, so two processes may
+// get different results for a while. That can delay a claim, but never lets two
+// processes hold a lease at once.
 //
-// The candidates depend on the failure domain alone, so that few processes
-// read the stream; the service rotates their ranks, so that they share the
-// work. A failure domain without a live entry instance gets candidates of
-// other failure domains.
+// The candidates depend on the failure domain alone, so that few processes read
+// the stream. The service rotates their ranks, so that they share the work. A
+// failure domain without a live entry instance gets candidates from other failure
+// domains.
 func RankOf(self ident.Instance, name Name, instances []platform.Instance) (int, bool) {
 	candidates := chooseCandidates(name.FailureDomain, instances)
 	place := slices.Index(candidates, self)
@@ -33,8 +34,9 @@
 }
 
 // chooseCandidates returns the candidates of a failure domain by rendezvous
-// hashing, those within it first. For the empty failure domain it takes each
-// from another one, so that the loss of one leaves candidates.
+// hashing, with instances of that domain first. For the empty failure domain it
+// takes each candidate from a different domain, as far as there are enough, so
+// that candidates are left if one domain fails.
 func chooseCandidates(domain ident.FailureDomain, instances []platform.Instance) []ident.Instance {
 	entries := liveEntryInstances(instances)
 	slices.SortFunc(entries, func(a, b platform.Instance) int {
@@ -65,7 +67,7 @@
 	return entries
 }
 
-// domainDistance is 0 within the failure domain and 1 elsewhere.
+// domainDistance returns 0 for an instance in the failure domain and 1 for others.
 func domainDistance(domain ident.FailureDomain, instance platform.Instance) int {
 	if instance.FailureDomain == domain {
 		return 0
--- a/internal/lease/decide.go
+++ b/internal/lease/decide.go
@@ -7,32 +7,36 @@
 // Wanted is a lease for which this process is a candidate.
 type Wanted struct {
 	Name Name
-	// Rank among the candidates, from 0. A higher one waits longer before
-	// it claims, so that one claim is usually enough.
+	// Rank is this process's rank among the candidates, from 0. The higher it
+	// is, the longer the process waits before it claims a free lease, so that
+	// usually only one candidate does.
 	Rank int
 }
 
-// leaseView is what this process knows of a lease besides the fold.
+// leaseView is what this process knows about a lease apart from State, in times
+// of its own monotonic clock.
 type leaseView struct {
-	// readAt is when this process had read the lease's newest record: a
-	// monotonic reading taken after the read.
+	// readAt is a time after the lease's newest record was read.
 	readAt time.Time
-	// appendStarted is the monotonic reading before the append of this process's
-	// newest accepted record; zero when it holds nothing, or has begun to
-	// release it.
+	// appendStarted is a time before the append of this process's newest
+	// accepted record; zero if this process does not hold the lease or has
+	// begun to release it.
 	appendStarted time.Time
-	// revokedAt is when the lease was seen to be held but no longer wanted.
+	// revokedAt is when the lease, which this process holds, was found to be no
+	// longer wanted; zero if it is wanted or not held.
 	revokedAt time.Time
 }
 
-// timing is the part of Config that decisions need.
+// timing holds the durations that decide when to append which record.
 type timing struct {
 	length, margin, renewEvery, rankDelay time.Duration
 }
 
-// deadline is when the holder of a record must stop to act. It lies before
-// the instant at which any candidate may claim: that one reads the record
-// after it was appended, and counts the whole length from there.
+// deadline returns when the holder of a lease must stop acting, given when it
+// started to append its newest record. It lies before the earliest time at which
+// a candidate may claim, because the candidate reads the record after it was
+// appended and waits for the whole length from there. The deadline is zero, and
+// so in the past, if started is zero.
 func (t timing) deadline(started time.Time) time.Time {
 	if started.IsZero() {
 		return time.Time{}
@@ -40,8 +44,8 @@
 	return started.Add(t.length - t.margin)
 }
 
-// nextRecord returns the record that this process should append for a lease now, or
-// false.
+// nextRecord returns the next record that this process would append for a lease,
+// and whether to append it now.
 func (t timing) nextRecord(now time.Time, state *State, me Holder, want Wanted, v leaseView) (Record, bool) {
 	entry, known := state.Find(want.Name)
 	record := Record{Name: want.Name, Holder: me, Length: Milliseconds(t.length / time.Millisecond)}
@@ -55,9 +59,10 @@
 	return record, t.mayClaim(now, state, want, v)
 }
 
-// renewOrReclaim renews a lease that this process holds. After its deadline it claims
-// anew instead: the higher fence orders whatever it sent before, and the fold
-// refuses a renewal of a record that no longer counts.
+// renewOrReclaim returns the next record for a lease that this process holds, and
+// whether it is due. Until the deadline that is a renewal. After it, the process
+// claims the lease again: orders that it sent before then carry a lower fence, and
+// a renewal would be rejected if the last record is older than Horizon.
 func (t timing) renewOrReclaim(now time.Time, record Record, entry Entry, v leaseView) (Record, bool) {
 	if !now.Before(t.deadline(v.appendStarted)) {
 		record.Kind = Claim
@@ -68,9 +73,9 @@
 	return record, now.Sub(v.appendStarted) >= t.renewEvery
 }
 
-// mayClaim reports whether a candidate may claim a lease that it does not
-// hold. Where a holder may still act, the candidate must have watched the
-// holder's newest record for longer than that record's length.
+// mayClaim reports whether a candidate may now claim a lease that it does not
+// hold. If a holder may still act under the lease, longer than the length of its
+// newest record must have passed since the candidate read that record.
 func (t timing) mayClaim(now time.Time, state *State, want Wanted, v leaseView) bool {
 	waited := now.Sub(v.readAt)
 	delay := time.Duration(want.Rank) * t.rankDelay
@@ -84,9 +89,9 @@
 	return waited > entry.Record.Length.Duration()+delay
 }
 
-// mayRelease reports whether a lease that is held but not wanted may be given
-// up: the orders that left before it was revoked must have landed, because a
-// successor claims a released lease at once.
+// mayRelease reports whether a lease that is held but no longer wanted may now be
+// released. Orders sent before it was revoked must have arrived, because another
+// candidate may claim a released lease at once.
 func (t timing) mayRelease(now time.Time, v leaseView) bool {
 	return !v.revokedAt.IsZero() && now.Sub(v.revokedAt) >= t.margin
 }
--- a/internal/lease/fake_test.go
+++ b/internal/lease/fake_test.go
@@ -10,26 +10,27 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// fault is what happens to the next append of a process.
+// fault is a fault of the next append of a process.
 type fault int
 
 const (
 	noFault fault = iota
-	// answerLost: the append takes effect, the answer does not come.
+	// answerLost: the append takes effect, but the answer is lost.
 	answerLost
 	// appendLate: the answer is lost and the append takes effect later.
 	appendLate
-	// appendSlow: effect and answer both come late.
+	// appendSlow: the append takes effect late and is then answered.
 	appendSlow
-	// answerSlow: the append takes effect, the answer comes late.
+	// answerSlow: the append takes effect at once, but the answer comes late.
 	answerSlow
 )
 
-// fakeLog is one stream that forgets records after a while.
+// fakeLog is a log with one stream, whose records expire.
 type fakeLog struct {
 	mu      sync.Mutex
 	records []platform.Record
 	first   ident.Offset
+	// down makes the log unreachable for all processes.
 	down    bool
 	appends int
 }
@@ -51,7 +52,8 @@
 	return offset
 }
 
-// expire forgets what is older than the least time that the leases ask for.
+// expire drops the records that are older than the shortest time for which package
+// lease allows a log to keep them.
 func (l *fakeLog) expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,24 +87,25 @@
 	return batch, nil
 }
 
-// logLink is one process's way to the log, with the process's own faults. While
-// frozen, every call waits before it leaves and before it returns, as a
-// stopped process does.
+// logLink is one process's access to the log, with faults of its own. While the
+// process is frozen, every call waits before it is sent and before it returns, as
+// in a process that was suspended.
 type logLink struct {
 	log        *fakeLog
 	processCtx context.Context
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// thawed is closed while the process is not frozen.
 	thawed chan struct{}
 	fault  fault
 	delay  time.Duration
 	cut    bool
 }
 
-func newLink(log *fakeLog, dead context.Context) *logLink {
+func newLink(log *fakeLog, processCtx context.Context) *logLink {
 	thawed := make(chan struct{})
 	close(thawed)
-	return &logLink{log: log, processCtx: dead, thawed: thawed}
+	return &logLink{log: log, processCtx: processCtx, thawed: thawed}
 }
 
 func (l *logLink) freeze() {
@@ -130,7 +133,7 @@
 	}
 }
 
-// waitWhileFrozen waits while the process is frozen and reports whether it waited.
+// waitWhileFrozen waits while the process is frozen and reports whether it was.
 func (l *logLink) waitWhileFrozen() bool {
 	l.mu.Lock()
 	thawed, waits := l.thawed, !l.isThawed()
@@ -139,7 +142,7 @@
 	return waits
 }
 
-// setCut cuts this process alone off from the log.
+// setCut cuts only this process off from the log, or connects it again.
 func (l *logLink) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -20,48 +20,52 @@
 const (
 	processCount  = 3
 	orderInterval = 250 * time.Millisecond
-	// startInterval keeps the processes from polling at the same instants.
+	// startInterval keeps the processes from polling at the same times.
 	startInterval = 370 * time.Millisecond
-	// checkInterval is the time between two looks of the oracle.
+	// checkInterval is the time between two calls of machine.check.
 	checkInterval = 250 * time.Millisecond
-	// recoveryTime is enough for an undecided state to be settled, for a lease to
-	// lapse and for each candidate to wait its rank.
+	// recoveryTime is enough for undecided records to be decided, for a lease to
+	// expire and for each candidate to wait as its rank demands.
 	recoveryTime = lease.Horizon + 2*time.Minute
 )
 
-// tellingDurations lie below and above a margin, a renewal and a lease.
+// tellingDurations lie below and above the margin, the time between renewals and
+// the length of a lease.
 var tellingDurations = []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 14 * time.Second}
 
 var leaseNames = []lease.Name{{Service: "spool-llm", FailureDomain: "hall-a"}, {Service: "auktion-app"}}
 
-// noDeadline hides the test's deadline from rapid: it is in real time, and
-// must not be read in a bubble of virtual time.
+// noDeadline hides the test's deadline from rapid. The deadline is in real time and
+// must not be read in a synctest bubble, which has virtual time.
 type noDeadline struct{ rapid.TB }
 
-// failer is a test or one check of rapid.
+// failer is a test or a single run of a rapid check.
 type failer interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
 
-// process is one controller that wants all leases and sends an order each
-// second under each of those that it holds.
+// process is one controller that wants all leases and sends an order every
+// orderInterval under each lease that it holds.
 type process struct {
 	link    *logLink
 	manager *lease.Manager
-	kill    context.CancelFunc
-	// stopOrders and stop end the process's two loops.
+	// kill ends the process without releasing its leases.
+	kill context.CancelFunc
+	// stopOrders ends the sending of orders, and stop the manager's Run.
 	stopOrders, stop       context.CancelFunc
 	ordersStopped, stopped chan struct{}
-	// orderDelay is how long its next orders take, and stall how long it works
-	// on an order before it checks the lease again; in nanoseconds.
+	// orderDelay is how long its next orders take to arrive, and preparation how
+	// long it works on its next order before it checks the lease again, both in
+	// nanoseconds.
 	orderDelay, preparation atomic.Int64
 }
 
-// deliveredOrder is an order that an engine got.
+// deliveredOrder is an order that arrives at an engine.
 type deliveredOrder struct {
 	fence ident.Fence
-	// frozen: its sender was frozen between the check and the send.
+	// frozen means that its sender was frozen between checking the lease and
+	// sending the order.
 	frozen bool
 }
 
@@ -71,20 +75,24 @@
 	log       *fakeLog
 	processes []*process
 	margin    time.Duration
-	// highestFence is the highest fence that landed, by lease.
+	// highestFence is the highest fence of an order that arrived, by lease.
 	highestFence map[lease.Name]ident.Fence
-	arrivals     chan func()
-	started      int
-	problem      string
+	// arrivals holds a function for each order that arrived; it records the order.
+	arrivals chan func()
+	// started counts the started processes, also replaced ones.
+	started int
+	// problem describes the last order that arrived too late.
+	problem string
 }
 
+// startProcess starts process i, in place of any earlier one.
 func (m *machine) startProcess(i int) {
-	dead, kill := context.WithCancel(context.Background())
-	running, stop := context.WithCancel(dead)
-	ordering, stopOrders := context.WithCancel(dead)
+	processCtx, kill := context.WithCancel(context.Background())
+	running, stop := context.WithCancel(processCtx)
+	ordering, stopOrders := context.WithCancel(processCtx)
 	m.started++
 	p := &process{
-		link:          newLink(m.log, dead),
+		link:          newLink(m.log, processCtx),
 		kill:          kill,
 		stopOrders:    stopOrders,
 		stop:          stop,
@@ -113,7 +121,8 @@
 	return all
 }
 
-// stopGracefully ends the orders, waits until they landed, and then releases.
+// stopGracefully stops sending orders, waits until the last ones have arrived, and
+// then releases the process's leases.
 func (m *machine) stopGracefully(t failer, p *process) {
 	p.link.thaw()
 	p.stopOrders()
@@ -123,8 +132,8 @@
 	<-p.stopped
 }
 
-// sendOrders sends orders until the process ends. A process that is frozen
-// after the check sends the order whenever it wakes.
+// sendOrders sends orders until running ends. A process that is frozen after it
+// has checked the lease sends the order when it is thawed.
 func (m *machine) sendOrders(p *process, running context.Context) {
 	for running.Err() == nil {
 		for _, name := range leaseNames {
@@ -136,8 +145,8 @@
 			}
 			frozen := p.link.waitWhileFrozen()
 			order := deliveredOrder{fence: grant.Fence, frozen: frozen}
-			flight := time.Duration(p.orderDelay.Load())
-			time.AfterFunc(flight, func() { m.arrivals <- func() { m.recordOrder(name, order) } })
+			delay := time.Duration(p.orderDelay.Load())
+			time.AfterFunc(delay, func() { m.arrivals <- func() { m.recordOrder(name, order) } })
 		}
 		select {
 		case <-running.Done():
@@ -146,16 +155,16 @@
 	}
 }
 
-// recordOrder is the oracle of orders: one whose sender was not frozen never lands
-// after an order of a newer holder.
+// recordOrder records an arrived order and checks that it did not arrive after an
+// order of a newer holder, unless its sender was frozen.
 func (m *machine) recordOrder(name lease.Name, order deliveredOrder) {
 	if order.fence < m.highestFence[name] && !order.frozen {
-		m.problem = fmt.Sprintf("order with fence %d landed after fence %d", order.fence, m.highestFence[name])
+		m.problem = fmt.Sprintf("order with fence %d arrived after fence %d", order.fence, m.highestFence[name])
 	}
 	m.highestFence[name] = max(m.highestFence[name], order.fence)
 }
 
-// advance lets virtual time pass and looks at every process in between.
+// advance lets virtual time pass and checks all processes every checkInterval.
 func (m *machine) advance(t failer, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(checkInterval)
@@ -169,16 +178,16 @@
 func (m *machine) handleArrivals() {
 	for {
 		select {
-		case land := <-m.arrivals:
-			land()
+		case record := <-m.arrivals:
+			record()
 		default:
 			return
 		}
 	}
 }
 
-// check is the oracle of holders: at most one process holds a lease, frozen
-// ones included.
+// check checks that no order arrived too late and that at most one process holds a
+// lease, including frozen processes.
 func (m *machine) check(t failer) {
 	if m.problem != "" {
 		t.Fatal(m.problem)
@@ -200,7 +209,8 @@
 	return holders
 }
 
-// endFaults ends all faults and expects one holder of each lease in time.
+// endFaults ends all faults and checks that each lease has one holder within
+// recoveryTime.
 func (m *machine) endFaults(t failer) {
 	m.log.setDown(false)
 	for _, p := range m.processes {
@@ -227,8 +237,8 @@
 	return true
 }
 
-// checkAgreement is the oracle of the fold: whoever knows a lease's state
-// knows the same one, whichever records it started from.
+// checkAgreement checks that all processes that know a lease agree on its newest
+// accepted record, whichever record they started reading from.
 func (m *machine) checkAgreement(t failer) {
 	for _, name := range leaseNames {
 		offsets := make(map[ident.Offset]bool)
@@ -247,7 +257,7 @@
 	}
 }
 
-// shutDown stops all goroutines of one check.
+// shutDown stops all processes and waits for their goroutines.
 func (m *machine) shutDown() {
 	for _, p := range m.processes {
 		p.link.thaw()
@@ -275,10 +285,11 @@
 	return m
 }
 
-// Symptom: two controllers order the same engine about, and the older order
-// wins. Sequence: any mix of freezes, kills, restarts, log outages, appends
-// whose answer is lost or that take effect late, and expired records. Cause: a
-// holder that believes in its lease for longer than its successor waits.
+// Symptom: two controllers send orders to the same engine, and the older order
+// prevails.
+// Sequence: any mix of freezes, kills, restarts, log outages, appends whose answer
+// is lost or that take effect late, and expired records.
+// Cause: a holder acts under its lease for longer than the next holder waits.
 func TestAtMostOneHolderUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(t *rapid.T) {
@@ -328,14 +339,14 @@
 	})
 }
 
-// drawFault chooses what happens to the process's next append.
+// drawFault draws the fault of the process's next append.
 func (p *process) drawFault(t *rapid.T) {
 	f := rapid.SampledFrom([]fault{noFault, answerLost, appendLate, appendSlow, answerSlow}).Draw(t, "fault")
 	p.link.setFault(f, drawDuration(t, tellingDurations...))
 }
 
-// drawDuration draws one of a few telling durations. A range would do worse:
-// rapid prefers its small values.
+// drawDuration draws one of the given durations. Drawing from a range would find
+// less, because rapid prefers small values.
 func drawDuration(t *rapid.T, among ...time.Duration) time.Duration {
 	return rapid.SampledFrom(among).Draw(t, "duration")
 }
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -17,8 +17,8 @@
 // Stream is the log stream that holds the leases.
 const Stream = "leases"
 
-// The defaults of Config. With them a holder survives two lost renewals, and
-// a successor acts some 12 s after a holder died.
+// The defaults of Config. With them a holder keeps its lease after two lost
+// renewals, and another process acts about 12 s after a holder has died.
 const (
 	DefaultLength      = 10 * time.Second
 	DefaultMargin      = 2 * time.Second
@@ -27,30 +27,31 @@
 	DefaultCallTimeout = 2 * time.Second
 )
 
-// maxRecordsPerRead is how many records one read asks for.
+// maxRecordsPerRead is the number of records that one read asks for.
 const maxRecordsPerRead = 1000
 
-// Config says who this process is and how it keeps leases. Zero durations
-// stand for the defaults, but for Margin, where zero is none.
+// Config identifies this process and holds the timing of its leases. A zero
+// duration means the default, except that a zero Margin means no margin.
 type Config struct {
 	Holder Holder
-	// Length is for how long after its newest record a lease stays taken.
+	// Length is how long a lease stays taken after its newest record.
 	Length time.Duration
-	// Margin is by how much a holder stops before the lease can move. It
-	// must be at least the longest flight of an order: an order that leaves
-	// right before the deadline has then landed before a new holder exists.
+	// Margin is how long before the end of Length a holder stops acting. It
+	// must be at least the longest time that an order takes to arrive: then an
+	// order that is sent right before the holder's deadline has arrived before
+	// another process can hold the lease.
 	Margin time.Duration
 	// RenewEvery is the time between two renewals.
 	RenewEvery time.Duration
-	// Poll is the time between two reads of a candidate.
+	// Poll is the time between two reads of the log by a candidate.
 	Poll time.Duration
-	// CallTimeout bounds one call of the log, so that a silent connection
-	// costs a renewal and not the lease.
+	// CallTimeout limits one call to the log, so that a connection without
+	// answers costs a renewal but not the lease.
 	CallTimeout time.Duration
 	Log         hclog.Logger
 }
 
-// Check returns what is wrong with the durations, or nil.
+// Check returns an error if the durations don't fit together.
 func (c Config) Check() error {
 	c = c.withDefaults()
 	if c.Length > maxLeaseLength {
@@ -81,25 +82,27 @@
 	return d
 }
 
-// Grant is the right to act under a lease until its deadline. It is a value:
-// check Valid right before each action, because a process can be frozen
-// between any two lines.
+// Grant is the right to act under a lease until its deadline. Call Valid right
+// before each action, because a process can be suspended at any point between two
+// statements.
 type Grant struct {
 	Name     Name
 	Fence    ident.Fence
 	deadline time.Time
-	// revoked is shared by all copies of a grant.
+	// revoked is set when the grant ends early; all copies of a grant share it.
 	revoked *atomic.Bool
 }
 
 // Valid reports whether the holder may still begin an action.
 func (g Grant) Valid() bool { return time.Now().Before(g.deadline) && !g.revoked.Load() }
 
-// Remaining is the time until the holder must stop.
+// Remaining returns the time until the holder must stop acting; it is negative
+// after that.
 func (g Grant) Remaining() time.Duration { return time.Until(g.deadline) }
 
-// Manager keeps this process's leases. Create it with New, run Run, and ask
-// Grant before every action.
+// Manager claims, renews and releases leases for this process. Create it with New,
+// keep Run running, and call Grant before every action. It is safe for concurrent
+// use.
 type Manager struct {
 	cfg    Config
 	log    platform.Log
@@ -110,10 +113,12 @@
 	grants  atomic.Pointer[map[Name]Grant]
 	metrics *metrics
 
-	// mu guards the rest; it is never held during a call of the log.
-	mu      sync.Mutex
-	state   *State
-	views   map[Name]leaseView
+	// mu guards the fields below. It is never held during a call to the log.
+	mu    sync.Mutex
+	state *State
+	views map[Name]leaseView
+	// pending holds, by record ID, when the append of each record started that
+	// has not been read back yet.
 	pending map[string]time.Time
 }
 
@@ -140,8 +145,8 @@
 	return m
 }
 
-// Want replaces the leases for which this process is a candidate. One that it
-// holds and no longer wants is revoked at once and released later.
+// Want sets the leases for which this process is a candidate. A lease that it
+// holds but no longer wants is revoked at once and released after Config.Margin.
 func (m *Manager) Want(wanted []Wanted) {
 	m.mu.Lock()
 	m.wanted.Store(&wanted)
@@ -154,8 +159,8 @@
 	}
 }
 
-// Grant returns the right to act under a lease. It is false for a lease that
-// this process does not hold.
+// Grant returns the right to act under a lease, or false if this process does not
+// hold the lease now.
 func (m *Manager) Grant(name Name) (Grant, bool) {
 	grant, held := (*m.grants.Load())[name]
 	return grant, held && grant.Valid()
@@ -172,17 +177,17 @@
 	return names
 }
 
-// Find returns the newest accepted record of a lease, as far as it was read.
+// Find returns the newest accepted record of a lease among those read so far.
 func (m *Manager) Find(name Name) (Entry, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Find(name)
 }
 
-// Run keeps the wanted leases until ctx ends, and then releases them at once.
-// End ctx only after the last order was answered. Run reads nothing while no
-// lease is wanted or held, so that the many processes that are no candidates
-// cost the log nothing.
+// Run claims and renews the wanted leases until ctx ends, and then releases all
+// held ones at once. End ctx only after the last order was answered. While no
+// lease is wanted or held, Run does not read, so that the many processes that are
+// no candidates cause no load on the log.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(m.cfg.Poll)
 	defer ticker.Stop()
@@ -200,7 +205,7 @@
 	}
 }
 
-// hasWork reports whether a lease is wanted or waits for its release.
+// hasWork reports whether a lease is wanted or still to be released.
 func (m *Manager) hasWork() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -215,23 +220,24 @@
 	return false
 }
 
-// Step reads what is new, appends what is due, and reads its own records back.
+// Step reads the new records, appends those that are due, and reads back its own.
 func (m *Manager) Step(ctx context.Context) {
 	if err := m.catchUp(ctx); err != nil {
-		m.cfg.Log.Debug("leases not read", "error", err)
+		m.cfg.Log.Debug("cannot read lease records", "error", err)
 		return
 	}
 	if m.append(ctx, m.dueRecords()) {
-		// A successful append is not yet an accepted record: another one may
-		// have come first. Only the fold tells, so read it back at once.
+		// An appended record is not necessarily accepted: another one may have
+		// come first. Only reading it back in order shows that.
 		if err := m.catchUp(ctx); err != nil {
-			m.cfg.Log.Debug("lease records not read back", "error", err)
+			m.cfg.Log.Debug("cannot read back appended lease records", "error", err)
 		}
 	}
 }
 
-// releaseAll gives all held leases up, so that a successor need not wait for
-// their length. It revokes the grants first: no order may follow the release.
+// releaseAll releases all held leases, so that another process can claim them
+// without waiting for their length. It revokes the grants first, because no order
+// may be sent after the release.
 func (m *Manager) releaseAll() {
 	m.Want(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), m.cfg.CallTimeout)
@@ -239,7 +245,8 @@
 	m.append(ctx, m.takeReleases(func(leaseView) bool { return true }))
 }
 
-// catchUp applies the records up to the log's head.
+// catchUp reads and applies the records up to the log's head. If records have
+// expired unread, it starts over at the oldest one that the log keeps.
 func (m *Manager) catchUp(ctx context.Context) error {
 	for {
 		batch, err := m.read(ctx)
@@ -266,7 +273,8 @@
 	return m.log.Read(ctx, Stream, from, maxRecordsPerRead, 0)
 }
 
-// restartFrom begins anew at the oldest record that the log keeps.
+// restartFrom discards the state and starts over at offset first, the oldest
+// record that the log keeps.
 func (m *Manager) restartFrom(first ident.Offset) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -275,7 +283,7 @@
 	m.publishGrants()
 }
 
-// applyBatch folds a batch and reports whether it reached the log's head.
+// applyBatch applies a batch and reports whether there is nothing more to read.
 func (m *Manager) applyBatch(batch platform.Batch) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -294,28 +302,30 @@
 	return len(batch.Records) == 0
 }
 
-// updateView updates what this process knows of a record's lease.
+// updateView updates the view of a record's lease and removes the record from
+// pending. The lock is held.
 func (m *Manager) updateView(record Record, verdict Verdict, readAt time.Time) {
 	if verdict == Ignored {
 		return
 	}
-	started, mine := m.pending[record.ID]
+	started, own := m.pending[record.ID]
 	delete(m.pending, record.ID)
-	if mine {
+	if own {
 		m.metrics.countResult(record.Kind, verdict)
 	}
 	switch {
 	case verdict == Undecided:
 		m.views[record.Name] = leaseView{readAt: readAt}
-	case verdict == Accepted && mine && record.Kind != Release:
+	case verdict == Accepted && own && record.Kind != Release:
 		m.views[record.Name] = leaseView{readAt: readAt, appendStarted: started}
 	case verdict == Accepted:
 		m.views[record.Name] = leaseView{readAt: readAt}
 	}
 }
 
-// expirePending drops appends whose records never came. One that comes later
-// still is not taken for this process's own, which only costs a claim.
+// expirePending drops records that did not appear in the log for longer than
+// Horizon. If one appears after all, it is not recognized as this process's own,
+// which only means that the lease has to be claimed again.
 func (m *Manager) expirePending(now time.Time) {
 	for id, started := range m.pending {
 		if now.Sub(started) > Horizon {
@@ -324,15 +334,16 @@
 	}
 }
 
-// revokeUnwanted marks the held leases that are not wanted any more.
+// revokeUnwanted marks held leases that are no longer wanted, and clears the mark
+// of all others.
 func (m *Manager) revokeUnwanted(now time.Time) {
-	keep := make(map[Name]bool)
+	isWanted := make(map[Name]bool)
 	for _, want := range *m.wanted.Load() {
-		keep[want.Name] = true
+		isWanted[want.Name] = true
 	}
 	for name, v := range m.views {
 		switch {
-		case keep[name] || v.appendStarted.IsZero():
+		case isWanted[name] || v.appendStarted.IsZero():
 			v.revokedAt = time.Time{}
 		case v.revokedAt.IsZero():
 			v.revokedAt = now
@@ -341,8 +352,8 @@
 	}
 }
 
-// publishGrants makes the grants that follow from the fold visible to Grant, and
-// revokes those that no longer do.
+// publishGrants replaces the grants that Grant returns by those of the leases
+// that this process wants and holds now, and revokes the others.
 func (m *Manager) publishGrants() {
 	old := *m.grants.Load()
 	grants := make(map[Name]Grant)
--- a/internal/lease/metrics.go
+++ b/internal/lease/metrics.go
@@ -2,14 +2,14 @@
 
 import "expvar"
 
-// metrics are the counters of one process.
+// metrics holds the counters of this process's leases.
 type metrics struct {
 	reads, appends, answersLost                      expvar.Int
 	claimsAccepted, claimsRejected                   expvar.Int
 	renewalsAccepted, renewalsRejected, otherRecords expvar.Int
 }
 
-// counters of this process, under the names that operators see.
+// counters are published under the names that operators see.
 var counters metrics
 
 func init() {
@@ -24,7 +24,7 @@
 	vars.Set("other_records", &counters.otherRecords)
 }
 
-// countResult counts what became of one of this process's records.
+// countResult counts the verdict on a record that this process wrote.
 func (m *metrics) countResult(kind Kind, verdict Verdict) {
 	switch {
 	case kind == Claim && verdict == Accepted:
--- a/internal/lease/outage_test.go
+++ b/internal/lease/outage_test.go
@@ -8,9 +8,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/lease"
 )
 
-// Symptom: nobody holds a lease for good, although its last holder lives.
-// Sequence: the log is down for longer than the horizon; there is one candidate
-// only. Cause: it goes on renewing a record that no longer counts.
+// Symptom: nobody holds a lease any more, although its last holder lives.
+// Sequence: the log is down for longer than Horizon; there is only one candidate.
+// Cause: the candidate keeps renewing a record that no longer counts.
 func TestOnlyCandidateHoldsAgainAfterALongOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMachine(lease.DefaultMargin)
@@ -32,9 +32,10 @@
 	})
 }
 
-// Symptom: the log's appends grow with the number of nodes, or of services.
-// Sequence: none. Cause: processes that are no candidates read and append, or
-// a holder renews each lease by an append of its own.
+// Symptom: the number of appends grows with the number of instances or services.
+// Sequence: none.
+// Cause: processes that are no candidates append, or a holder renews each lease by
+// a separate append.
 func TestAppendsDependOnHoldersOnly(t *testing.T) {
 	const minutes = 10
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/lease/record_test.go
+++ b/internal/lease/record_test.go
@@ -8,8 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/lease"
 )
 
-// FuzzDecode checks that any bytes give a usable record or an error, and that
-// a record survives being written and read.
+// FuzzDecode checks that any data gives a usable record or an error, and that a
+// record is the same after it is encoded and decoded.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"id":"a","kind":"claim","name":{"service":"s"},"holder":{"process":"p"},"length_ms":10000}`))
 	f.Add([]byte(`{"id":"a","kind":"renewal","name":{"service":"s","failure_domain":"d"},"holder":{"process":"p"},"length_ms":1,"supersedes":7,"fence":3}`))
--- a/internal/lease/scenario_test.go
+++ b/internal/lease/scenario_test.go
@@ -8,17 +8,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/lease"
 )
 
-// Symptom: an order of an earlier holder changes an engine after its
-// successor's order did. Sequence and cause: see each case; the oracle is the
-// one of the machine.
+// Symptom: an order of an earlier holder changes an engine after an order of the
+// next holder did.
+// Sequence and cause: see each case. The machine checks the orders.
 func TestOrdersNeverLandAfterTheSuccessors(t *testing.T) {
 	cases := []struct {
 		name string
 		run  func(t *testing.T, m *machine)
 	}{
 		{
-			// The holder cannot renew; its last order leaves right before
-			// its deadline and flies for the whole margin.
+			// The holder cannot renew; its last order is sent right before its
+			// deadline and takes the whole margin to arrive.
 			name: "last order before the deadline flies long",
 			run: func(t *testing.T, m *machine) {
 				m.processes[0].orderDelay.Store(int64(lease.DefaultMargin))
@@ -27,7 +27,7 @@
 			},
 		},
 		{
-			// The lease is given up while an order is in flight.
+			// The lease is revoked while an order is in flight.
 			name: "order in flight while the lease is revoked",
 			run: func(t *testing.T, m *machine) {
 				m.processes[0].orderDelay.Store(int64(lease.DefaultMargin))
@@ -37,7 +37,7 @@
 			},
 		},
 		{
-			// The holder prepares an order for some seconds; meanwhile the
+			// The holder takes some seconds to prepare an order; meanwhile the
 			// lease is revoked, released and claimed.
 			name: "order prepared before the lease is revoked",
 			run: func(t *testing.T, m *machine) {
@@ -48,8 +48,9 @@
 			},
 		},
 		{
-			// A release takes effect late, after its holder wants the lease
-			// again and lost the log: it must not hold by what it had before.
+			// A release takes effect late, after its writer wants the lease again
+			// and cannot reach the log. The writer must not hold the lease by the
+			// records from before the release.
 			name: "late release of a lease that is wanted again",
 			run: func(t *testing.T, m *machine) {
 				m.processes[0].manager.Want(nil)
@@ -61,7 +62,8 @@
 			},
 		},
 		{
-			// The answer to a renewal comes shortly before the lease can move.
+			// The answer to a renewal comes shortly before another process can
+			// claim the lease.
 			name: "answer to a renewal comes late",
 			run: func(t *testing.T, m *machine) {
 				m.processes[0].link.setFault(answerSlow, 9*time.Second)
--- a/internal/lease/state.go
+++ b/internal/lease/state.go
@@ -7,62 +7,67 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Horizon is the age, by the log's own clock, at which a lease's newest record
-// no longer counts: any claim is accepted then. The log must keep records for
-// at least twice as long. It is many times the length of a lease, so nobody
+// Horizon is the age, by the log's own clock, above which a lease's newest record
+// no longer counts, so that any claim is accepted. The log must keep records for
+// at least twice as long. Horizon is many times the length of a lease, so nobody
 // acts under a record of that age.
 //
-// Without it a reader that started after old records expired, and a reader
-// that still remembers them, would decide the same claim differently.
+// Without it, a reader that started after old records had expired from the log,
+// and a reader that still remembers them, would decide the same claim
+// differently.
 const Horizon = 5 * time.Minute
 
 // Entry is the newest accepted record of a lease.
 type Entry struct {
 	Record Record
 	Offset ident.Offset
-	// Fence of the holder that the record names.
+	// Fence is the fencing number of the record's holder.
 	Fence ident.Fence
-	// AppendedAt is the log's clock; compare it only with itself.
+	// AppendedAt is a time of the log's clock; compare it only with others of
+	// that clock.
 	AppendedAt time.Time
 }
 
-// Released reports whether nobody holds the lease.
+// Released reports whether the holder has released the lease.
 func (e Entry) Released() bool { return e.Record.Kind == Release }
 
-// Verdict is what the fold made of a record.
+// Verdict is the result of applying a record to a State.
 type Verdict int
 
 // The verdicts.
 const (
-	// Ignored: the bytes are no record that this program understands.
+	// Ignored: the record was applied before, or its data is no record that this
+	// program understands.
 	Ignored Verdict = iota
 	Accepted
 	Rejected
-	// Undecided: a record before it was not read, so it takes a later
-	// record to tell.
+	// Undecided: earlier records of the lease were not read; a later record
+	// shows whether this one was accepted.
 	Undecided
 )
 
-// State is the fold of the leases' stream. Equal records give equal states,
-// whoever reads them. The zero value is the state at offset 0.
+// State is the result of applying the records of the stream in their order. All
+// processes that read the same records get the same state. The zero value is the
+// state before the first record.
 type State struct {
 	nextOffset ident.Offset
 	entries    map[Name]Entry
-	// undecided are records that name a record which was not read.
+	// undecided holds the records of each lease that supersede a record which
+	// was not read.
 	undecided map[Name][]Entry
-	// partial: records before the first one read may count still.
+	// partial means that records from before the first one read may still count.
 	partial bool
-	// firstAppendedAt is the log's time of the first record that was read.
+	// firstAppendedAt is the time, by the log's clock, of the first record read.
 	firstAppendedAt time.Time
 }
 
-// StateFrom returns a state that reads from an offset on, because the records
-// before it have expired.
+// StateFrom returns a state whose first record is the one at offset first,
+// because those before it have expired from the log.
 func StateFrom(first ident.Offset) *State {
 	return &State{nextOffset: first, partial: first > 0}
 }
 
-// Next is the offset of the next record to apply.
+// Next returns the offset of the next record to apply.
 func (s *State) Next() ident.Offset { return s.nextOffset }
 
 // Find returns the newest accepted record of a lease.
@@ -71,19 +76,20 @@
 	return entry, ok
 }
 
-// MarkHeadReached tells that all records which the log keeps were applied. Those
-// that it no longer keeps are older than the horizon, so that none of them
-// counts against a record that is appended from now on.
+// MarkHeadReached must be called when all records that the log keeps have been
+// applied. Those that the log no longer keeps are older than Horizon, so none of
+// them counts against a record that is appended from now on.
 func (s *State) MarkHeadReached() { s.partial = false }
 
-// Decided reports whether Find's answer for a lease is final. Otherwise a
-// later record tells which of the undecided ones counted.
+// Decided reports whether the result of Find is certain for a lease. It is not
+// while earlier records that were not read may count, or while records are
+// Undecided.
 func (s *State) Decided(name Name) bool {
 	return !s.partial && len(s.undecided[name]) == 0
 }
 
-// Apply folds the next record of the stream and returns the record with what
-// became of it. Records that were applied already are ignored.
+// Apply applies the next record of the stream and returns it with its verdict.
+// A record that was already applied is Ignored.
 func (s *State) Apply(raw platform.Record) (Record, Verdict) {
 	if raw.Offset < s.nextOffset {
 		return Record{}, Ignored
@@ -110,7 +116,7 @@
 	return entry
 }
 
-// decide decides one record against the state before it.
+// decide returns the verdict on a record, given the state before it.
 func (s *State) decide(candidate Entry) Verdict {
 	name := candidate.Record.Name
 	current, known := s.entries[name]
@@ -125,6 +131,7 @@
 	return Undecided
 }
 
+// acceptedIf returns Accepted or Rejected.
 func acceptedIf(accepted bool) Verdict {
 	if accepted {
 		return Accepted
@@ -132,13 +139,14 @@
 	return Rejected
 }
 
-// outdated reports whether an entry no longer counts against a later one.
+// outdated reports whether an entry is too old to count against a later one.
 func outdated(entry, later Entry) bool {
 	return later.AppendedAt.Sub(entry.AppendedAt) > Horizon
 }
 
-// validSuccessor reports whether a record is a valid successor. The first record in
-// the log that names the newest one wins; all others name an older one then.
+// validSuccessor reports whether candidate may follow current, the newest accepted
+// record. Of several records that supersede current, the first in the log is
+// accepted; the others then supersede a record that is no longer the newest.
 func validSuccessor(current, candidate Entry) bool {
 	if candidate.Record.Supersedes != LinkTo(current.Offset) {
 		return false
@@ -150,7 +158,8 @@
 	return sameHolder && !current.Released() && candidate.Fence == current.Fence
 }
 
-// noEarlierCounts reports whether no record before candidate can count.
+// noEarlierCounts reports whether no earlier record of the lease can count
+// against candidate, read or not.
 func (s *State) noEarlierCounts(candidate Entry) bool {
 	for _, entry := range s.undecided[candidate.Record.Name] {
 		if !outdated(entry, candidate) {
@@ -160,9 +169,9 @@
 	return !s.partial || candidate.AppendedAt.Sub(s.firstAppendedAt) > Horizon
 }
 
-// confirmsUndecided reports whether candidate names a record that could not be
-// decided. Its writer knew that record as accepted, or it would not build on
-// it.
+// confirmsUndecided reports whether candidate is a valid successor of an
+// undecided record. Then that record was accepted: the writer of candidate knew
+// it as the newest accepted record.
 func (s *State) confirmsUndecided(candidate Entry) bool {
 	for _, entry := range s.undecided[candidate.Record.Name] {
 		if validSuccessor(entry, candidate) {
@@ -172,6 +181,7 @@
 	return false
 }
 
+// store records the verdict on an entry.
 func (s *State) store(entry Entry, verdict Verdict) {
 	name := entry.Record.Name
 	switch verdict {
