--- a/internal/document/capacity_test.go
+++ b/internal/document/capacity_test.go
@@ -17,8 +17,8 @@
 	return float64((testkit.ProcessorTime(b) - start).Microseconds()) / float64(b.N*units)
 }
 
-// publications returns one publication of each of count services, in the form of
-// an example.
+// publications returns the records of one publication of each of count services,
+// with the documents made from an example.
 func publications(b *testing.B, count int) []platform.Record {
 	example, err := os.ReadFile("../../examples/spool-llm.toml")
 	if err != nil {
@@ -40,17 +40,17 @@
 	return records
 }
 
-// sizes are numbers of services.
-var sizes = []int{10, 40, 160, 640}
+// serviceCounts are the numbers of services that the benchmarks run with.
+var serviceCounts = []int{10, 40, 160, 640}
 
 func runForSizes(b *testing.B, measure func(b *testing.B, services int)) {
-	for _, services := range sizes {
+	for _, services := range serviceCounts {
 		b.Run(fmt.Sprintf("services=%d", services), func(b *testing.B) { measure(b, services) })
 	}
 }
 
-// BenchmarkStart is what a new process spends on reading and parsing all
-// documents.
+// BenchmarkStart measures the processor time in which a new process applies and
+// parses all documents.
 func BenchmarkStart(b *testing.B) {
 	runForSizes(b, func(b *testing.B, services int) {
 		records := publications(b, services)
@@ -65,7 +65,8 @@
 	})
 }
 
-// BenchmarkChange is what a process spends on one changed document.
+// BenchmarkChange measures the processor time that a process needs for one changed
+// document.
 func BenchmarkChange(b *testing.B) {
 	runForSizes(b, func(b *testing.B, services int) {
 		records := publications(b, services)
@@ -80,8 +81,8 @@
 	})
 }
 
-// BenchmarkMemory is what a process holds for the documents, and what the log
-// and the peers carry.
+// BenchmarkMemory measures the memory that the documents take in a process, and
+// their bytes in snapshots, in records of the log and in messages between peers.
 func BenchmarkMemory(b *testing.B) {
 	runForSizes(b, func(b *testing.B, services int) {
 		records := publications(b, services)
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,5 +1,6 @@
-// Package document describes a service: the one document that its own team
-// owns and edits, and the fold of published documents to the set in force.
+// Package document defines the document that describes a service, which the
+// service's team owns and edits, and derives the set of documents in force from
+// the log of published ones.
 package document
 
 import (
@@ -8,77 +9,83 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Kind says what a service's upstreams are.
+// Kind is the kind of a service's upstreams.
 type Kind string
 
 // The kinds.
 const (
-	// Model: upstreams are model engines; callers get token streams.
+	// Model: upstreams are model engines; a caller gets a stream of tokens.
 	Model Kind = "model"
-	// Plain: upstreams are applications; callers get unary answers.
+	// Plain: upstreams are applications; a caller gets one answer.
 	Plain Kind = "plain"
 )
 
-// Document is one service as its team wants it. It is immutable once parsed.
+// Document is the configuration of one service. It is immutable once parsed.
 type Document struct {
 	Schema  int           `toml:"schema"`
 	Service ident.Service `toml:"service"`
 	Kind    Kind          `toml:"kind"`
 	// Model is set for kind model.
 	Model ModelSpec `toml:"model"`
-	// Upstream tells what the service's upstreams can be trusted with.
+	// Upstream tells what the service's upstreams support.
 	Upstream UpstreamSpec `toml:"upstream"`
 	// Classes are the latency classes of a model service.
 	Classes []Class `toml:"classes"`
 	// Methods are the methods of a plain service.
 	Methods []Method `toml:"methods"`
-	// Accounts are limits of client accounts. An account without an entry
-	// gets DefaultAccount.
+	// Accounts are the limits of client accounts. An account without an entry
+	// gets those of DefaultAccount.
 	Accounts       []AccountLimit `toml:"accounts"`
 	DefaultAccount AccountLimit   `toml:"default_account"`
 	Placement      Placement      `toml:"placement"`
 }
 
-// ModelSpec names what engines have to load.
+// ModelSpec is the model that engines have to load.
 type ModelSpec struct {
 	Name     string   `toml:"name"`
 	Version  string   `toml:"version"`
 	Adapters []string `toml:"adapters"`
 }
 
-// UpstreamSpec tells what the service's upstreams can be trusted with.
+// UpstreamSpec tells what the service's upstreams support.
 type UpstreamSpec struct {
-	// ChecksFencing: upstreams refuse an order or call with an old fence.
+	// ChecksFencing: upstreams refuse an order or a call with a fencing number
+	// that is lower than an earlier one.
 	ChecksFencing bool `toml:"checks_fencing"`
-	// FindsOutcomes: upstreams can tell an outcome by key.
+	// FindsOutcomes: upstreams can report the outcome of a call by its key.
 	FindsOutcomes bool `toml:"finds_outcomes"`
 }
 
-// Class is a latency class. A target of 0 is none.
+// Class is a latency class.
 type Class struct {
-	Name          ident.Class   `toml:"name"`
+	Name ident.Class `toml:"name"`
+	// FirstToken and BetweenTokens are the target times to the first token and
+	// between two tokens; 0 means no target.
 	FirstToken    time.Duration `toml:"first_token"`
 	BetweenTokens time.Duration `toml:"between_tokens"`
-	// Completion is the deadline of the whole answer.
+	// Completion is the time within which the whole answer must be complete.
 	Completion time.Duration `toml:"completion"`
-	// Priority: higher is served first.
+	// Priority is higher for classes that are served first.
 	Priority int `toml:"priority"`
 }
 
 // Method is a method of a plain service.
 type Method struct {
-	Name       ident.Method  `toml:"name"`
-	Idempotent bool          `toml:"idempotent"`
-	Timeout    time.Duration `toml:"timeout"`
+	Name ident.Method `toml:"name"`
+	// Idempotent: a call may run more than once. Other calls run at most once.
+	Idempotent bool `toml:"idempotent"`
+	// Timeout is the time within which one call must end.
+	Timeout time.Duration `toml:"timeout"`
 }
 
-// AccountLimit is what a client account may use. 0 is no limit.
+// AccountLimit limits the requests of a client account. A limit of 0 is none.
 type AccountLimit struct {
 	Account           ident.ClientAccount `toml:"account"`
 	RequestsPerSecond float64             `toml:"requests_per_second"`
 	Burst             int                 `toml:"burst"`
 	MaxInFlight       int                 `toml:"max_in_flight"`
-	// Share is the account's weight under overload; 0 counts as 1.
+	// Share is the account's weight in the fair shares under overload; 0 counts
+	// as 1.
 	Share float64 `toml:"share"`
 }
 
@@ -87,9 +94,10 @@
 	// Min and Max bound the number of upstreams.
 	Min int `toml:"min"`
 	Max int `toml:"max"`
-	// OnDemandShare is the least share, 0 to 1, on on-demand instances.
+	// OnDemandShare is the minimum share of upstreams, from 0 to 1, on instances
+	// that are not reclaimable.
 	OnDemandShare float64 `toml:"on_demand_share"`
-	// Prices are in cents an hour.
+	// Prices has an entry for each kind of instance that may be used.
 	Prices []Price `toml:"prices"`
 }
 
@@ -121,7 +129,7 @@
 	return Method{}, false
 }
 
-// AccountLimit returns what an account may use.
+// AccountLimit returns the limits of an account.
 func (d *Document) AccountLimit(account ident.ClientAccount) AccountLimit {
 	for _, a := range d.Accounts {
 		if a.Account == account {
@@ -133,16 +141,16 @@
 	return limit
 }
 
-// Set is all documents in force at one revision. It is immutable.
+// Set holds all documents in force at one revision. It is immutable.
 type Set struct {
-	// Revision of the newest accepted record.
+	// Revision is that of the newest accepted publication.
 	Revision ident.Revision
 	Services map[ident.Service]Entry
 }
 
 // Entry is a document in force.
 type Entry struct {
-	// Revision at which the document was accepted.
+	// Revision is the revision from which the document is in force.
 	Revision ident.Revision
 	Document *Document
 }
--- a/internal/document/fold.go
+++ b/internal/document/fold.go
@@ -12,14 +12,16 @@
 // State is the configuration after all records of the stream below an offset.
 // It is immutable; the zero value is the state before the first record.
 //
-// The fold decides by bases alone and never looks into documents, so that
-// programs of different versions decide alike.
+// Whether a publication is accepted depends on its base revision alone and never
+// on the contents of its document, so that programs of different versions decide
+// alike.
 type State struct {
 	nextOffset ident.Offset
 	revision   ident.Revision
-	// services holds, for each service, the accepted publications that some
-	// program may serve by: the newest of each schema, as far as no newer one
-	// has a lower schema. Ascending by revision, so also by schema.
+	// services holds, for each service, the accepted publications that a program
+	// of some version may serve by: those after which none with the same or a
+	// lower schema was accepted. They are in ascending order of revision, and
+	// therefore of schema.
 	services map[ident.Service][]AcceptedPublication
 }
 
@@ -41,50 +43,51 @@
 	return versions[len(versions)-1], true
 }
 
-// Versions returns the versions of a service that some program may serve by,
-// ascending by revision; the last one is in force.
+// Versions returns the publications of a service that a program of some version may
+// serve by, ascending by revision; the last one is in force.
 func (s State) Versions(service ident.Service) []AcceptedPublication {
 	return slices.Clone(s.services[service])
 }
 
-// Services returns the names of all services in order.
+// Services returns the names of all services, sorted.
 func (s State) Services() []ident.Service {
 	return slices.Sorted(maps.Keys(s.services))
 }
 
-// DecisionKind says what became of a record.
+// DecisionKind is the kind of a Decision.
 type DecisionKind string
 
 // The kinds.
 const (
 	// AcceptedRecord: the publication is in force from its revision on.
 	AcceptedRecord DecisionKind = "accepted"
-	// RefusedRecord: the service had moved on from the publication's base.
+	// RefusedRecord: the publication's base is not the service's revision.
 	RefusedRecord DecisionKind = "refused"
-	// SnapshotRecord: a snapshot; it changes nothing for a reader that has
-	// read all before it.
+	// SnapshotRecord: the record is a snapshot; it changes nothing for a reader
+	// that has read all records before it.
 	SnapshotRecord DecisionKind = "snapshot"
-	// UnreadableRecord: no record of this schema.
+	// UnreadableRecord: the record cannot be decoded.
 	UnreadableRecord DecisionKind = "unreadable"
 )
 
-// Decision tells what became of one record.
+// Decision is the result of applying one record.
 type Decision struct {
 	Offset ident.Offset
 	Kind   DecisionKind
 	// Publication is set for accepted and refused records.
 	Publication Publication
-	// Current is the service's revision after the record.
+	// Current is the service's revision after an accepted or refused record.
 	Current ident.Revision
-	// Covers is set for snapshots: the first offset that one leaves out.
+	// Covers is set for snapshots: the first offset that is not part of it.
 	Covers ident.Offset
-	// Problem is set for unreadable records and differing snapshots.
+	// Problem is set for unreadable records and for snapshots that differ from
+	// the state.
 	Problem string
 }
 
-// Fold applies records in the order of their offsets and returns the new
-// state with one decision for each record. Records below the state's next
-// offset are left out: they are part of it.
+// Fold applies records, which must be in the order of their offsets, and returns
+// the new state and one decision for each record. Records below the state's next
+// offset are skipped, because they are already part of it.
 func Fold(s State, records []platform.Record) (State, []Decision) {
 	f := stateBuilder{state: s}
 	for _, r := range records {
@@ -95,7 +98,8 @@
 	return f.state, f.decisions
 }
 
-// stateBuilder folds in place what it has copied before.
+// stateBuilder applies records to a state. It copies the state's map before the
+// first change, because a State is immutable.
 type stateBuilder struct {
 	state     State
 	copied    bool
@@ -128,8 +132,8 @@
 	f.addDecision(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, Current: revision})
 }
 
-// accept puts a publication in force. Earlier ones stay only while a program
-// that cannot understand the new schema may need them.
+// accept puts a publication in force. Earlier ones of the service are kept only if
+// their schema is lower, for programs that do not understand the new schema.
 func (f *stateBuilder) accept(a AcceptedPublication) {
 	if !f.copied {
 		f.state.services = maps.Clone(f.state.services)
@@ -148,9 +152,10 @@
 	f.state.revision = a.Revision
 }
 
-// compareSnapshot compares a snapshot with what this reader folded itself. They can
-// only differ if two programs fold by different rules, which would otherwise
-// show as instances that serve by different documents.
+// compareSnapshot compares a snapshot with the state that this reader computed
+// itself. They can only differ if two programs apply records by different rules.
+// Without the comparison, that would only show in instances that serve by
+// different documents.
 func (f *stateBuilder) compareSnapshot(offset ident.Offset, s *snapshot) {
 	d := Decision{Offset: offset, Kind: SnapshotRecord, Covers: s.covers}
 	if f.state.revision <= ident.Revision(s.covers) && !equalRecords(s.records, f.state.recordsAbove(0)) {
@@ -159,7 +164,7 @@
 	f.addDecision(d)
 }
 
-// reverts reports whether a service would fall behind earlier.
+// reverts reports whether some service has a lower revision in s than in earlier.
 func (s State) reverts(earlier State) bool {
 	for service := range earlier.services {
 		was, _ := earlier.Current(service)
@@ -171,7 +176,8 @@
 	return false
 }
 
-// recordsAbove returns the publications above a revision, ascending by revision.
+// recordsAbove returns the publications of all services above a revision, ascending
+// by revision.
 func (s State) recordsAbove(above ident.Revision) []AcceptedPublication {
 	var all []AcceptedPublication
 	for _, versions := range s.services {
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -8,14 +8,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/tomlfile"
 )
 
-// CurrentSchema is the newest schema of documents that this program
-// understands. A change of what a document may say, or of what counts as
-// valid, takes a new number: readers that disagree about one document would
-// serve by different ones.
+// CurrentSchema is the newest schema of documents that this program understands.
+// Every change of what a document may contain, or of what counts as valid, needs
+// a new schema number. Otherwise programs of different versions would disagree
+// whether a document is valid and serve by different ones.
 const CurrentSchema = 1
 
-// Parse reads a document from TOML; file is for findings. The document is
-// usable only when there are no findings.
+// Parse parses a document from TOML. file is the file name that findings give. The
+// document is usable only if there are no findings.
 func Parse(file string, data []byte) (*Document, finding.List) {
 	d := &Document{}
 	if len(data) > MaxBytes {
@@ -31,7 +31,8 @@
 	return d, source.Findings()
 }
 
-// checker finds what a well-formed file still has wrong.
+// checker adds findings about the values of a document that was decoded from a
+// file.
 type checker struct{ *tomlfile.Source }
 
 func (c checker) document(d *Document) {
@@ -66,7 +67,7 @@
 	c.Check(value != "", key, "is empty", "a name")
 }
 
-// uniqueName finds a name that an earlier entry has.
+// uniqueName adds a finding if an earlier entry has the same name.
 func (c checker) uniqueName(seen map[string]bool, key, value string) {
 	c.Check(!seen[value] || value == "", key, fmt.Sprintf("%q is named twice", value), "one entry a name")
 	seen[value] = true
@@ -160,7 +161,7 @@
 	c.Check(p.CentsPerHour >= 0, key+".cents_per_hour", "is negative", "0 or more")
 }
 
-// priceKey is what a price is for.
+// priceKey identifies the kind of instance that a price is for.
 type priceKey struct {
 	domain      ident.FailureDomain
 	class       ident.MachineClass
--- a/internal/document/reader.go
+++ b/internal/document/reader.go
@@ -8,30 +8,37 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Reader is a process's position in the configuration stream. It does no I/O:
-// its owner reads the log from From and hands over what came.
+// Reader keeps a process's State while it reads the configuration stream. It does
+// no I/O: its owner reads the log from the offset From and passes the results to
+// Take or Expired.
 //
-// A reader whose next records expired looks for a snapshot that covers all
-// that is gone, and goes on from the offset that it covers. The zero value
-// starts at the first record.
+// If the next records have expired from the log, the reader looks for a snapshot
+// that covers all expired records and continues from the offset that the snapshot
+// covers. The zero value starts at the first record. A Reader is not safe for
+// concurrent use.
 type Reader struct {
 	state State
-	// searching: records from state.next to first are gone.
+	// searching means that the records from state.nextOffset up to firstKept have
+	// expired unread and that the reader looks for a snapshot.
 	searching bool
+	// firstKept is the offset of the first record that the log keeps, as of the
+	// last call of Expired.
 	firstKept ident.Offset
-	// searchOffset is the next record to look at for a snapshot.
+	// searchOffset is the next offset at which to look for a snapshot.
 	searchOffset ident.Offset
-	// head is the log's head at the last batch.
+	// head is the log's head as of the last batch.
 	head ident.Offset
-	// shortBatches counts batches in a row whose head was below the state. The first
-	// may be older than the state, if a peer's documents came meanwhile.
+	// shortBatches counts the last batches in a row whose head was below the
+	// state's next offset.
 	shortBatches int
 }
 
-// maxShortBatches is how many batches in a row may be older than the state.
+// maxShortBatches is how many batches in a row may have a head below the state's
+// next offset without a problem. One may: a peer's documents can move the state
+// forward while the log is being read.
 const maxShortBatches = 1
 
-// State returns what was read so far.
+// State returns the state after all records read so far.
 func (r *Reader) State() State { return r.state }
 
 // From returns the offset to read from next.
@@ -42,16 +49,17 @@
 	return r.state.nextOffset
 }
 
-// Searching reports whether the reader lacks expired records.
+// Searching reports whether records expired unread, so that the reader looks for a
+// snapshot.
 func (r *Reader) Searching() bool { return r.searching }
 
-// Head returns the log's head at the last batch.
+// Head returns the log's head as of the last batch.
 func (r *Reader) Head() ident.Offset { return r.head }
 
-// AtHead reports whether all records of the last batch's log are read.
+// AtHead reports whether all records up to Head have been read.
 func (r *Reader) AtHead() bool { return !r.searching && r.state.nextOffset >= r.head }
 
-// Problem says why the reader cannot follow the log, or is empty.
+// Problem returns why the reader cannot follow the log, or "".
 func (r *Reader) Problem() string {
 	if r.searching {
 		return fmt.Sprintf("records %d to %d expired before they were read and no snapshot covers them yet",
@@ -64,7 +72,9 @@
 	return ""
 }
 
-// Take folds a batch that was read from From, possibly before the last Merge.
+// Take applies a batch that was read from the offset From, possibly before the last
+// call of Merge. It returns a decision for each applied record, and none while the
+// reader looks for a snapshot.
 func (r *Reader) Take(batch platform.Batch) []Decision {
 	r.head = batch.Head
 	if r.searching {
@@ -84,15 +94,15 @@
 	return decisions
 }
 
-// startsAfterGap reports whether records are missing before a batch. A search for a
-// snapshot reads ahead; when a peer's documents end the search meanwhile, the
-// answer of that read starts beyond the state. Folding it would leave records
-// out, which would show as an instance that never serves some change.
+// startsAfterGap reports whether records between the state and a batch are missing.
+// A search for a snapshot reads beyond the state. If a peer's documents end the
+// search while such a read is in flight, its batch starts after a gap. Applying it
+// would skip records, and this instance would never serve by some publication.
 func (r *Reader) startsAfterGap(records []platform.Record) bool {
 	return len(records) > 0 && records[0].Offset > r.state.nextOffset
 }
 
-// Expired tells the reader that the log keeps nothing below first.
+// Expired must be called when the log reports that it keeps no records below first.
 func (r *Reader) Expired(first ident.Offset) {
 	if first <= r.state.nextOffset {
 		return
@@ -102,7 +112,9 @@
 	r.searchOffset = max(r.searchOffset, first)
 }
 
-// findSnapshot looks for a snapshot from which reading can go on without a gap.
+// findSnapshot looks for a snapshot from which reading can continue without a gap.
+// It skips snapshots that claim to cover records after themselves, and those that
+// would revert a service to an earlier revision.
 func (r *Reader) findSnapshot(records []platform.Record) {
 	for _, record := range records {
 		r.searchOffset = max(r.searchOffset, record.Offset+1)
@@ -121,7 +133,7 @@
 	}
 }
 
-// Merge takes over what a peer knew; see State.Merge.
+// Merge adds the delta of a peer to the state; see State.Merge.
 func (r *Reader) Merge(d Delta) error {
 	state, err := r.state.Merge(d)
 	if err != nil {
--- a/internal/document/reader_test.go
+++ b/internal/document/reader_test.go
@@ -16,18 +16,22 @@
 
 const schemaCount = 3
 
-// readerMachine is a reader whose answers come late, beside the whole log.
+// readerMachine is a reader that gets the log's answers late, with the whole log
+// beside it to compare with.
 type readerMachine struct {
 	reader Reader
 	log    []platform.Record
-	first  ident.Offset
-	// pendingAnswers are answers of the log that the reader has not seen yet.
+	// first is the offset of the first record that has not expired.
+	first ident.Offset
+	// pendingAnswers are answers of the log that the reader has not got yet.
 	pendingAnswers []logAnswer
-	deltas         []Delta
-	// lastOffset is the state's offset at the last check.
+	// deltas are answers of peers that the reader has not got yet.
+	deltas []Delta
+	// lastOffset is the state's next offset at the last check.
 	lastOffset ident.Offset
 }
 
+// logAnswer is the answer to one read of the log.
 type logAnswer struct {
 	batch   platform.Batch
 	expired bool
@@ -37,12 +41,14 @@
 	m.log = append(m.log, platform.Record{Offset: ident.Offset(len(m.log)), Data: data})
 }
 
-// stateAt is the state of a reader that read everything below an offset in order.
+// stateAt returns the state of a reader that read all records below an offset in
+// order.
 func (m *readerMachine) stateAt(next ident.Offset) State {
 	state, _ := Fold(State{}, m.log[:next])
 	return state
 }
 
+// drawPrefix returns the state at some offset.
 func (m *readerMachine) drawPrefix(t *rapid.T) State {
 	return m.stateAt(ident.Offset(rapid.IntRange(0, len(m.log)).Draw(t, "prefix")))
 }
@@ -70,7 +76,8 @@
 	m.append(data)
 }
 
-// writeSnapshot: some process wrote its state, perhaps long after reading it.
+// writeSnapshot appends the snapshot of some process, which may have read the state
+// long before.
 func (m *readerMachine) writeSnapshot(t *rapid.T) {
 	data, err := EncodeSnapshot(m.drawPrefix(t))
 	if err != nil {
@@ -79,13 +86,13 @@
 	m.append(data)
 }
 
-// restart: a new process begins with nothing.
+// restart replaces the reader by that of a new process.
 func (m *readerMachine) restart(*rapid.T) {
 	m.reader, m.lastOffset, m.pendingAnswers, m.deltas = Reader{}, 0, nil, nil
 }
 
-// search: a new process finds its records expired and looks for a snapshot. A
-// peer's answer may come between the log's.
+// search lets a new process find that its records have expired and look for a
+// snapshot. A peer's answer may come between those of the log.
 func (m *readerMachine) search(t *rapid.T) {
 	m.restart(t)
 	m.expire(t)
@@ -120,7 +127,7 @@
 
 func (m *readerMachine) deliver(t *rapid.T) {
 	if len(m.pendingAnswers) == 0 {
-		t.Skip("no answer is under way")
+		t.Skip("no answer is pending")
 	}
 	next := m.pendingAnswers[0]
 	m.pendingAnswers = m.pendingAnswers[1:]
@@ -131,7 +138,7 @@
 	m.reader.Take(next.batch)
 }
 
-// askPeer: the answer was made by any process at any time after the question.
+// askPeer requests a delta from a peer, whose state may be any.
 func (m *readerMachine) askPeer(t *rapid.T) {
 	m.deltas = append(m.deltas, m.drawPrefix(t).Delta(m.reader.State().Through()))
 }
@@ -144,7 +151,8 @@
 	m.deltas = m.deltas[1:]
 }
 
-// check: whatever way the reader went, its state is that of the log's order.
+// check checks that the state equals that of reading all records in order, however
+// the reader reached it.
 func (m *readerMachine) check(t *rapid.T) {
 	state := m.reader.State()
 	if state.Next() < m.lastOffset {
@@ -170,9 +178,9 @@
 }
 
 // Symptom: two instances at the same offset serve by different documents.
-// Sequence: one of them missed records, took a snapshot or a peer's documents
-// in place of them, and an older answer of the log came after that.
-// Cause: a way into the fold that leaves a record out or folds it twice.
+// Sequence: one of them missed records and took a snapshot or a peer's documents
+// instead; then an older answer of the log arrived.
+// Cause: a record is skipped, or applied twice.
 func TestAllWaysToAnOffsetGiveOneState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &readerMachine{}
@@ -191,10 +199,10 @@
 	})
 }
 
-// Symptom: accepted documents vanish from an instance that was cut off.
-// Sequence: its records expire; an operator starts the stream over, believing
-// that no process knows the documents any more.
-// Cause: taking a snapshot that reverts a service.
+// Symptom: accepted documents disappear from an instance that was cut off.
+// Sequence: its records expire; an operator starts the stream over with an empty
+// snapshot, believing that no process knows the documents any more.
+// Cause: the instance takes a snapshot that reverts a service.
 func TestSnapshotThatLacksADocumentIsNotTaken(t *testing.T) {
 	publication, err := EncodePublication(Publication{Service: "spool-llm", PublishID: "a", Schema: 1})
 	if err != nil {
--- a/internal/document/record.go
+++ b/internal/document/record.go
@@ -8,35 +8,37 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// StreamName is the configuration stream in the platform's log.
+// StreamName is the name of the configuration stream in the platform's log.
 const StreamName = "configuration"
 
-// MaxBytes bounds a document, so that a snapshot of all documents stays a
-// small record.
+// MaxBytes is the maximum size of a document. It keeps a snapshot of all documents
+// a small record.
 const MaxBytes = 64 << 10
 
 // Publication is an operator's new version of one document.
 type Publication struct {
 	Service ident.Service
-	// Base is the revision that this one replaces; 0 for the first.
+	// Base is the service's revision that this publication replaces; 0 if it is
+	// the first.
 	Base ident.Revision
 	// PublishID is unique for each publication. By it an operator's program
-	// finds its own record after a lost answer.
+	// finds its own record if the answer to the append was lost.
 	PublishID string
 	Schema    int
-	// Document is the document as its team wrote it.
+	// Document is the TOML text of the document.
 	Document []byte
 }
 
-// AcceptedPublication is a publication that was in force, with its record as it stands in
-// the log.
+// AcceptedPublication is a publication that is or was in force.
 type AcceptedPublication struct {
+	// Revision is the revision from which the publication was in force.
 	Revision ident.Revision
 	Publication
+	// record is the publication's record as the log holds it.
 	record []byte
 }
 
-// EncodePublication returns the record of a publication.
+// EncodePublication returns a publication as a record for the log.
 func EncodePublication(p Publication) ([]byte, error) {
 	return encode(&configv1.Record{Kind: &configv1.Record_Publication{
 		Publication: &configv1.Publication{
@@ -54,7 +56,7 @@
 	return data, errcode.Wrap(errcode.InvalidArgument, err, "encode configuration record")
 }
 
-// decoded is one record; exactly one of its fields is set.
+// decoded is a decoded record; exactly one of its fields is set.
 type decoded struct {
 	publication *Publication
 	snapshot    *snapshot
@@ -89,7 +91,8 @@
 	}, nil
 }
 
-// decodeAccepted reads a publication that another process accepted.
+// decodeAccepted decodes the record of a publication that another process has
+// accepted at a revision.
 func decodeAccepted(revision ident.Revision, record []byte) (AcceptedPublication, error) {
 	d, err := decode(record)
 	if err != nil {
--- a/internal/document/record_test.go
+++ b/internal/document/record_test.go
@@ -6,8 +6,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// FuzzFold feeds the readers of publications and snapshots with any bytes, as
-// another program's record in the same stream would.
+// FuzzFold applies records with any data, as some other program may write them into
+// the stream.
 func FuzzFold(f *testing.F) {
 	publication, err := EncodePublication(Publication{Service: "auktion-app", PublishID: "p1", Schema: 1, Document: []byte("x")})
 	if err != nil {
@@ -30,11 +30,12 @@
 	})
 }
 
-// checkSnapshot: a state is the same after a way through the log.
+// checkSnapshot checks that a state is the same after it is encoded as a snapshot
+// and decoded.
 func checkSnapshot(t *testing.T, s State) {
 	record, err := EncodeSnapshot(s)
 	if err != nil {
-		return // not UTF-8; a publication with it is refused on the way in
+		return // A string is not UTF-8; such a publication is never accepted.
 	}
 	d, err := decode(record)
 	if err != nil {
@@ -45,8 +46,8 @@
 	}
 }
 
-// checkSearch: a reader that looks for a snapshot takes none that does not
-// cover what expired, or that claims records after itself.
+// checkSearch checks that a reader that looks for a snapshot takes none that does
+// not cover the expired records, or that claims to cover records after itself.
 func checkSearch(t *testing.T, data []byte) {
 	var r Reader
 	r.Expired(5)
--- a/internal/document/set.go
+++ b/internal/document/set.go
@@ -6,10 +6,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// BuildSet returns the documents by which a program serves that understands
-// schemas up to schema, with one problem for each service whose newest
-// document it cannot use. Such a service keeps the last document that the
-// program understood: from the state, or else from the previous set.
+// BuildSet returns the documents in force for a program that understands schemas
+// up to schema, and one problem for each service whose newest document it cannot
+// use. Such a service keeps the newest document that the program can use, from
+// the state or else from the previous set. previous may be nil.
 func BuildSet(s State, previous *Set, schema int) (*Set, []string) {
 	set := &Set{Revision: s.revision, Services: make(map[ident.Service]Entry, len(s.services))}
 	var problems []string
@@ -32,7 +32,9 @@
 	return s.Services[service]
 }
 
-// chooseEntry takes the newest usable version that is not older than the previous.
+// chooseEntry returns the newest usable version, or the previous entry if that is
+// newer, and a problem if the newest version is not usable. versions are ascending
+// by revision.
 func chooseEntry(versions []AcceptedPublication, previous Entry, schema int) (Entry, string) {
 	problem := ""
 	for i := len(versions) - 1; i >= 0; i-- {
@@ -40,19 +42,19 @@
 		if a.Revision <= previous.Revision {
 			return previous, problem
 		}
-		d, fault := parsePublication(a, schema)
-		if fault == "" {
+		d, reason := parsePublication(a, schema)
+		if reason == "" {
 			return Entry{Revision: a.Revision, Document: d}, problem
 		}
 		if problem == "" {
-			problem = fault
+			problem = reason
 		}
 	}
 	return previous, problem
 }
 
-// parsePublication parses a publication, or says why this program cannot serve by
-// it.
+// parsePublication returns the document of a publication, or the reason why this
+// program cannot use it.
 func parsePublication(a AcceptedPublication, schema int) (*Document, string) {
 	if a.Schema > schema {
 		return nil, fmt.Sprintf("revision %d has schema %d, this program understands up to %d",
--- a/internal/document/snapshot.go
+++ b/internal/document/snapshot.go
@@ -6,18 +6,21 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// snapshot is a state as it stands in the log.
+// snapshot is a State in the form in which the log holds it.
 type snapshot struct {
-	covers  ident.Offset
+	// covers is the first offset that is not part of the state.
+	covers ident.Offset
+	// records holds the state's publications, ascending by revision.
 	records []AcceptedPublication
 }
 
-// EmptyState is the state before any document, for a stream whose records below
-// next are lost for good.
+// EmptyState returns a state without documents whose next offset is next. It is for
+// a stream whose records below next are lost for good.
 func EmptyState(next ident.Offset) State { return State{nextOffset: next} }
 
-// EncodeSnapshot returns the record of a state. Two processes at the same
-// offset write equal bytes, so a race between them is harmless.
+// EncodeSnapshot returns a state as a snapshot record for the log. Two processes
+// with the state at the same offset get equal records, so it is harmless if both
+// write one.
 func EncodeSnapshot(s State) ([]byte, error) {
 	out := &configv1.Snapshot{Covers: uint64(s.nextOffset)}
 	for _, a := range s.recordsAbove(0) {
@@ -46,7 +49,7 @@
 	return out, nil
 }
 
-// state is the state that the snapshot holds.
+// state returns the state that the snapshot holds.
 func (s *snapshot) state() State {
 	var f stateBuilder
 	for _, a := range s.records {
@@ -56,22 +59,24 @@
 	return f.state
 }
 
-// Delta is what one process tells another about the configuration above a
+// Delta is what one process sends another about the configuration above a
 // revision.
 type Delta struct {
-	// Records in force above the revision, ascending.
+	// Records are the publications above that revision that State.Versions of
+	// some service returns, ascending by revision.
 	Records []DeltaRecord
 	// Through is the revision up to which Records are complete.
 	Through ident.Revision
 }
 
-// DeltaRecord is a publication as it stands in the log.
+// DeltaRecord is an accepted publication.
 type DeltaRecord struct {
 	Revision ident.Revision
-	Record   []byte
+	// Record is the publication's record as the log holds it.
+	Record []byte
 }
 
-// Delta returns what a process needs that is complete up to above.
+// Delta returns what a process needs whose state is complete up to revision above.
 func (s State) Delta(above ident.Revision) Delta {
 	d := Delta{Through: s.Through()}
 	for _, a := range s.recordsAbove(above) {
@@ -80,9 +85,11 @@
 	return d
 }
 
-// Merge returns the state with what another process knew above it. A delta
-// that reaches no further is refused, since it could only revert. The delta
-// must have been asked for above s.Through() or lower.
+// Merge returns the state with the delta of another process added to it. The delta
+// must have been requested for s.Through() or a lower revision. A delta that
+// reaches no further than the state is rejected, because it could only revert it.
+// Errors: errcode.FailedPrecondition for such a delta, errcode.InvalidArgument for
+// an invalid one.
 func (s State) Merge(d Delta) (State, error) {
 	if d.Through <= s.Through() {
 		return s, errcode.Errorf(errcode.FailedPrecondition,
