--- a/internal/document/reader_test.go
+++ b/internal/document/reader_test.go
@@ -48,7 +48,7 @@
 	return state
 }
 
-// drawPrefix returns the state at some offset.
+// drawPrefix returns the state at a drawn offset.
 func (m *readerMachine) drawPrefix(t *rapid.T) State {
 	return m.stateAt(ident.Offset(rapid.IntRange(0, len(m.log)).Draw(t, "prefix")))
 }
@@ -138,7 +138,7 @@
 	m.reader.Take(next.batch)
 }
 
-// askPeer requests a delta from a peer, whose state may be any.
+// askPeer requests a delta from a peer that has read some part of the log.
 func (m *readerMachine) askPeer(t *rapid.T) {
 	m.deltas = append(m.deltas, m.drawPrefix(t).Delta(m.reader.State().Through()))
 }
--- a/internal/peer/membership_test.go
+++ b/internal/peer/membership_test.go
@@ -19,8 +19,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Two processes find each other from a seed and pass on a departure, over
-// sockets with mutual TLS.
+// Two processes find each other through a seed address and pass on the departure of
+// an instance, over sockets with mutual TLS.
 func TestMembershipOverSockets(t *testing.T) {
 	files := newAuthority(t).issue("peer")
 	listeners := []net.Listener{listen(t), listen(t)}
@@ -53,7 +53,8 @@
 	running.Wait()
 }
 
-// waitFor blocks until an instance is in a state, or the test's time is over.
+// waitFor waits until an instance is in a state; it fails the test if the test's
+// context ends before.
 func waitFor(t *testing.T, board *blackboard.Board, id ident.Instance, want blackboard.MemberState) {
 	t.Helper()
 	snap := board.Members.Load()
@@ -66,7 +67,7 @@
 	}
 }
 
-// countingListener counts what passes through the connections of a listener.
+// countingListener counts the bytes in both directions on its connections.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -94,14 +95,14 @@
 	return n, err
 }
 
-// TestCost prints the bytes of an exchange beyond its messages, and
-// MEMBERSHIP_COST=1 asks for it.
+// TestCost logs how many bytes an exchange takes beyond its two messages. It runs
+// only with MEMBERSHIP_COST=1.
 func TestCost(t *testing.T) {
 	if os.Getenv("MEMBERSHIP_COST") == "" {
 		t.Skip("set MEMBERSHIP_COST=1 to measure")
 	}
-	ours := newAuthority(t).issue("peer")
-	for name, files := range map[string]TLSFiles{"plaintext": {}, "mutual TLS": ours} {
+	tlsFiles := newAuthority(t).issue("peer")
+	for name, files := range map[string]TLSFiles{"plaintext": {}, "mutual TLS": tlsFiles} {
 		l := &countingListener{Listener: listen(t)}
 		serve(t, l, files)
 		pool := newPool(t, files)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -33,7 +33,7 @@
 	return &peerv1.ExchangeResponse{From: "echo", Revision: req.GetRevision()}, nil
 }
 
-// serve runs a server until the test ends.
+// serve runs a server until the test ends, and returns its handler.
 func serve(t *testing.T, listener net.Listener, files TLSFiles) *echoHandler {
 	t.Helper()
 	e := &echoHandler{}
@@ -73,7 +73,7 @@
 	return p
 }
 
-// authority makes certificates.
+// authority is a certificate authority whose files are in dir.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -110,6 +110,7 @@
 	return key
 }
 
+// write writes a PEM file and returns its path.
 func (a *authority) write(name, kind string, der []byte) string {
 	path := filepath.Join(a.dir, name)
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
@@ -118,7 +119,7 @@
 	return path
 }
 
-// issue writes a peer's files.
+// issue writes the TLS files of a peer.
 func (a *authority) issue(name string) TLSFiles {
 	key := newKey(a.t)
 	template := &x509.Certificate{
@@ -143,16 +144,17 @@
 	}
 }
 
-// Symptom: a stranger reads or writes membership, outcomes or calls.
-// Sequence: mutual TLS is set; a client connects without a peer's certificate,
-// or with one of another authority.
-// Cause: the server does not demand one.
+// Symptom: a process that is no peer reads or changes membership, outcomes or calls.
+// Sequence: mutual TLS is set; a client connects without a certificate, or with one
+// of another authority.
+// Cause: the server does not require a certificate of the peers' authority.
 func TestOnlyPeersAreServed(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	server := ours.issue("server")
 	member := ours.issue("member")
 	stranger := theirs.issue("stranger")
-	// The stranger trusts our server, so that only the server can refuse.
+	// The stranger trusts our server, so that only the server can refuse the
+	// connection.
 	stranger.Authority = member.Authority
 	cases := []struct {
 		name   string
@@ -175,9 +177,9 @@
 	}
 }
 
-// Symptom: calls between peers end when a certificate expires.
+// Symptom: calls between peers fail once a certificate has expired.
 // Sequence: the files of both sides are replaced while the processes run.
-// Cause: they are read only at the start.
+// Cause: the files are read only at the start.
 func TestRenewedCertificatesAreUsed(t *testing.T) {
 	old := newAuthority(t)
 	files := old.issue("peer")
@@ -196,13 +198,13 @@
 		if err := os.WriteFile(to, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		// A file system may keep coarse times.
+		// The file system's modification times may be coarse.
 		if err := os.Chtimes(to, time.Time{}, time.Now().Add(time.Minute)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// The new authority vouches for neither of the old certificates, so both
-	// sides must have read again.
+	// The new authority did not sign the old certificates, so the calls succeed
+	// only if both sides have read the files again.
 	for name, p := range map[string]*Pool{"old pool": pool, "new pool": newPool(t, renewed)} {
 		if _, err := p.Exchange(t.Context(), l.Addr().String(), &peerv1.ExchangeRequest{From: "x"}); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -213,7 +215,8 @@
 	}
 }
 
-// stallingListener accepts its first connection and never reads from it.
+// stallingListener accepts its first connection but never passes it to the server,
+// so that nobody reads from it.
 type stallingListener struct {
 	net.Listener
 	accepted atomic.Int64
@@ -229,10 +232,10 @@
 	return conn, err
 }
 
-// Symptom: a peer is out of reach for good, though it and the network are well.
-// Sequence: something between the two ends loses track of the connection; calls
-// on it only run into their deadlines, while a new connection works.
-// Cause: the silent connection is kept.
+// Symptom: a peer stays unreachable, although it and the network work.
+// Sequence: a device between the two peers loses the state of the connection; all
+// calls on it run into their deadlines, while a new connection would work.
+// Cause: the connection is not replaced.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	l := &stallingListener{Listener: listen(t)}
 	e := serve(t, l, TLSFiles{})
@@ -257,8 +260,8 @@
 	}
 }
 
-// The codes of errors pass from one process to the other; what a process does
-// not serve is said so; a peer that is not there is unavailable.
+// The code of a handler's error reaches the calling process. A method without a
+// handler gives an error, and an address without a process gives Unavailable.
 func TestErrorsKeepTheirCode(t *testing.T) {
 	l := listen(t)
 	serve(t, l, TLSFiles{})
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -18,21 +18,21 @@
 
 // The limits of a pool.
 const (
-	// defaultTimeout bounds a call whose context has no deadline.
+	// defaultTimeout is the timeout of a call whose context has no deadline.
 	defaultTimeout = 5 * time.Second
-	// clientPing is after how much silence a client checks a connection;
-	// gRPC allows no less.
+	// clientPing is the time without traffic after which a client pings the
+	// server; gRPC allows no shorter one.
 	clientPing = 10 * time.Second
-	// maxConsecutiveTimeouts is how many calls in a row may run into their deadline
-	// before the connection is given up.
+	// maxConsecutiveTimeouts is the number of calls in a row that run into their
+	// deadline after which a connection is replaced.
 	maxConsecutiveTimeouts = 2
 	// maxReconnectDelay bounds the pause between two attempts to connect, so
 	// that a peer that is back is reached within a heartbeat.
 	maxReconnectDelay = time.Second
-	// idleTimeout drops connections to addresses that are no longer asked.
+	// idleTimeout is the time without calls after which a connection is closed.
 	idleTimeout = 5 * time.Minute
-	// replacedConnGrace is how long the calls in progress on a connection that was given
-	// up may go on.
+	// replacedConnGrace is how long a replaced connection stays open for the
+	// calls in progress on it.
 	replacedConnGrace = 10 * time.Second
 )
 
@@ -47,15 +47,16 @@
 	closed bool
 }
 
-// connection is a connection with the calls in a row that it has failed.
+// connection is the connection to one peer. Pool.mu guards its fields except conn.
 type connection struct {
-	conn     *grpc.ClientConn
+	conn *grpc.ClientConn
+	// timeouts is the number of calls in a row that ran into their deadline.
 	timeouts int
 	lastUsed time.Time
 }
 
-// NewPool returns an empty pool. tlsFiles may be the zero value for plaintext;
-// options are added to those of each connection.
+// NewPool returns an empty pool. The zero value of tlsFiles means plaintext. options
+// are appended to the dial options of each connection.
 func NewPool(tlsFiles TLSFiles, options ...grpc.DialOption) (*Pool, error) {
 	p := &Pool{conns: map[string]*connection{}, dialOptions: options}
 	if !tlsFiles.Set() {
@@ -80,12 +81,12 @@
 	}
 }
 
-// Exchange sends a heartbeat.
+// Exchange sends a heartbeat to a peer.
 func (p *Pool) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.Exchange)
 }
 
-// GetDocuments asks for the records behind a revision.
+// GetDocuments requests from a peer the records above a revision.
 func (p *Pool) GetDocuments(ctx context.Context, address string, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error) {
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.GetDocuments)
 }
@@ -95,13 +96,13 @@
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.PutOutcomes)
 }
 
-// FindOutcome asks for what a peer knows of a key.
+// FindOutcome asks a peer for the outcome of the call with a key.
 func (p *Pool) FindOutcome(ctx context.Context, address string, req *peerv1.FindOutcomeRequest) (*peerv1.FindOutcomeResponse, error) {
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.FindOutcome)
 }
 
-// HandOver gives calls and streams to a peer. Any error means that the peer may
-// have taken them.
+// HandOver hands calls and streams over to a peer. After any error the peer may
+// still have taken them over.
 func (p *Pool) HandOver(ctx context.Context, address string, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.HandOver)
 }
@@ -109,7 +110,7 @@
 // method is a method of the generated client.
 type method[Req, Resp any] func(peerv1.PeerServiceClient, context.Context, *Req, ...grpc.CallOption) (*Resp, error)
 
-// call sends one request once. Errors carry a code of errcode.
+// call sends one request, without retries. Its errors have a code of errcode.
 func call[Req, Resp any](ctx context.Context, p *Pool, address string, req *Req, invoke method[Req, Resp]) (*Resp, error) {
 	c, err := p.connect(address)
 	if err != nil {
@@ -128,7 +129,8 @@
 	return resp, nil
 }
 
-// connect returns the connection to an address; it is established on use.
+// connect returns the connection to an address, which gRPC establishes on the first
+// call. Errors are those of gRPC.
 func (p *Pool) connect(address string) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,8 +143,8 @@
 		return c, nil
 	}
 	p.dropIdle(now)
-	// The passthrough scheme keeps gRPC from resolving names: a peer is an
-	// IP number and a port.
+	// The passthrough scheme keeps gRPC from resolving names: a peer's address is
+	// an IP address and a port.
 	conn, err := grpc.NewClient("passthrough:///"+address, p.options()...)
 	if err != nil {
 		return nil, err
@@ -152,8 +154,9 @@
 	return c, nil
 }
 
-// dropIdle closes the connections that nobody used for long, since instances
-// come and go and each has its own address. The lock is held.
+// dropIdle closes the connections without calls for idleTimeout. Otherwise they
+// would accumulate, because instances come and go and each has its own address.
+// The lock is held.
 func (p *Pool) dropIdle(now time.Time) {
 	for address, c := range p.conns {
 		if now.Sub(c.lastUsed) > idleTimeout {
@@ -163,8 +166,8 @@
 	}
 }
 
-// options switch off what gRPC would decide by itself: service configuration,
-// name resolution, retries and proxies.
+// options returns the dial options of a connection. They disable what gRPC would
+// decide by itself: service configuration, retries and proxies.
 func (p *Pool) options() []grpc.DialOption {
 	creds := insecure.NewCredentials()
 	if p.reloader != nil {
@@ -207,6 +210,6 @@
 	}
 	delete(p.conns, address)
 	connectionsReplaced.Add(1)
-	// The peer may only be slow: calls in progress keep their own deadlines.
+	// The peer may only be slow, so calls in progress may still end.
 	time.AfterFunc(replacedConnGrace, func() { _ = c.conn.Close() })
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,14 +1,15 @@
-// Package peer is the transport between the system's own processes: a gRPC
-// server around small interfaces, and a pool of clients by peer address.
+// Package peer is the transport between the system's own processes, which are each
+// other's peers: a gRPC server that calls small interfaces, and a pool of client
+// connections by peer address.
 //
-// The interfaces use the message types of api/peer: these are the protocol's
-// own typed messages, and a second set would be a copy with conversions.
+// The interfaces use the message types of api/peer, because types of their own
+// would be copies that need conversions.
 //
-// With mutual TLS set, only a process with a certificate of the peers'
-// authority is served. Without (a demonstration on loopback, or a network that
-// separates the instances itself) anyone who can connect is; there is no shared
-// secret, since one sent in plaintext would protect against nobody who can
-// listen.
+// With mutual TLS, the server serves only processes with a certificate of the
+// peers' certificate authority. Without it, which is meant for demonstrations on
+// loopback and for networks that isolate the instances, the server serves everyone
+// who can connect. There is no shared secret, because one sent in plaintext would
+// not protect against anyone who can read the traffic.
 package peer
 
 import (
@@ -29,25 +30,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
-// Heartbeats answers heartbeats; controllers/membership does.
+// Heartbeats answers heartbeats. Package controllers/membership implements it.
 type Heartbeats interface {
 	Exchange(ctx context.Context, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error)
 }
 
-// Documents gives the records behind a revision; controllers/configuration
-// does.
+// Documents returns the records above a revision. Package controllers/configuration
+// implements it.
 type Documents interface {
 	GetDocuments(ctx context.Context, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error)
 }
 
-// Calls keeps outcomes and takes over calls and streams.
+// Calls stores and finds outcomes of calls, and takes over calls and streams.
 type Calls interface {
 	PutOutcomes(ctx context.Context, req *peerv1.PutOutcomesRequest) (*peerv1.PutOutcomesResponse, error)
 	FindOutcome(ctx context.Context, req *peerv1.FindOutcomeRequest) (*peerv1.FindOutcomeResponse, error)
 	HandOver(ctx context.Context, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error)
 }
 
-// Handlers answer the peers. A nil one is answered with Unimplemented.
+// Handlers handle the requests of peers. Requests for a nil one get the error
+// Unimplemented.
 type Handlers struct {
 	Heartbeats Heartbeats
 	Documents  Documents
@@ -58,24 +60,25 @@
 const (
 	// maxMessageBytes bounds a message in either direction.
 	maxMessageBytes = 8 << 20
-	// maxStreams bounds the calls that one connection has open.
+	// maxStreams bounds the calls in progress on one connection.
 	maxStreams = 256
 	// connectTimeout bounds the handshake of a connection.
 	connectTimeout = 5 * time.Second
-	// serverPing is after how much silence a server checks a connection, and
-	// pingTimeout how long it waits for the answer.
+	// serverPing is the time without traffic after which a server pings the
+	// client, and pingTimeout the time that either end waits for the answer
+	// before it closes the connection.
 	serverPing  = 10 * time.Second
 	pingTimeout = 3 * time.Second
-	// minClientPing is the least interval of pings that a server allows.
+	// minClientPing is the shortest interval at which a server lets a client ping.
 	minClientPing = 5 * time.Second
 )
 
-// Server serves the peers.
+// Server serves the requests of peers.
 type Server struct {
 	server *grpc.Server
 }
 
-// NewServer returns a server. tlsFiles may be the zero value for plaintext.
+// NewServer returns a server. The zero value of tlsFiles means plaintext.
 func NewServer(handlers Handlers, tlsFiles TLSFiles) (*Server, error) {
 	creds := insecure.NewCredentials()
 	if tlsFiles.Set() {
@@ -99,8 +102,8 @@
 	return &Server{server: server}, nil
 }
 
-// Serve answers on a listener until ctx ends, then finishes the calls in
-// progress for at most grace.
+// Serve serves the connections of a listener until ctx ends, and then waits for at
+// most grace until the calls in progress have ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener, grace time.Duration) error {
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(listener) }()
@@ -118,7 +121,8 @@
 	return ctx.Err()
 }
 
-// translateErrors gives the code of an error to the peer.
+// translateErrors sends the errcode of a handler's error to the peer as a gRPC
+// code.
 func translateErrors(ctx context.Context, req any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
 	resp, err := handler(ctx, req)
 	if err == nil {
@@ -130,8 +134,9 @@
 	return nil, status.Error(grpcCode(err), err.Error())
 }
 
-// service is the generated interface around the handlers. ExplainRequest of the
-// protocol has none: operators ask the gateway itself (package report).
+// service implements the generated server interface by calling the handlers. The
+// protocol's method ExplainRequest has no handler, because operators ask the
+// gateway itself (package report).
 type service struct {
 	peerv1.UnimplementedPeerServiceServer
 	handlers Handlers
@@ -191,6 +196,7 @@
 	errcode.Unauthenticated:    codes.Unauthenticated,
 }
 
+// grpcCode returns the gRPC code for an error.
 func grpcCode(err error) codes.Code {
 	if code, ok := codeTable[errcode.Of(err)]; ok {
 		return code
@@ -198,11 +204,11 @@
 	return codes.Unknown
 }
 
-// fromStatus turns an error of gRPC into one with a code of errcode.
+// fromStatus wraps a gRPC error into one with the corresponding code of errcode.
 func fromStatus(err error, message string) error {
 	got := status.Code(err)
-	for code, wire := range codeTable {
-		if wire == got {
+	for code, grpcCode := range codeTable {
+		if grpcCode == got {
 			return errcode.Wrap(code, err, message)
 		}
 	}
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -12,10 +12,11 @@
 // TLSFiles names the files for mutual TLS between peers.
 type TLSFiles = certificate.Files
 
-// alpnProtocol is what gRPC speaks over TLS.
+// alpnProtocol is the application protocol that gRPC negotiates over TLS.
 const alpnProtocol = "h2"
 
-// clientCredentials make each new connection with the files as they are then.
+// clientCredentials reads the certificate files for each new connection, so that
+// renewed files are used without a restart.
 type clientCredentials struct {
 	credentials.TransportCredentials
 	reloader *certificate.Reloader
@@ -25,12 +26,13 @@
 	return &clientCredentials{TransportCredentials: credentials.NewTLS(r.Client()), reloader: r}
 }
 
-// ClientHandshake is called for each connection.
+// ClientHandshake implements credentials.TransportCredentials. gRPC calls it for
+// each new connection.
 func (c *clientCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	return credentials.NewTLS(c.reloader.Client()).ClientHandshake(ctx, authority, conn)
 }
 
-// Clone is called by gRPC for each client.
+// Clone implements credentials.TransportCredentials.
 func (c *clientCredentials) Clone() credentials.TransportCredentials {
 	return newClientCredentials(c.reloader)
 }
--- a/internal/peer/trace.go
+++ b/internal/peer/trace.go
@@ -12,14 +12,14 @@
 	"google.golang.org/grpc/status"
 )
 
-// tracer makes the spans of the hop between two processes, one at each end. It
-// uses the process's tracer provider.
+// tracer makes the spans of calls between two processes, one span at each end. It
+// uses the process's global tracer provider.
 var tracer = otel.Tracer("github.com/goldcrestspool/goldcrestspool/internal/peer")
 
-// w3c carries trace contexts between processes.
+// w3c puts trace contexts into W3C headers and reads them from there.
 var w3c propagation.TraceContext
 
-// carrier reads and writes W3C headers in gRPC's metadata.
+// carrier reads and writes trace headers in gRPC metadata.
 type carrier metadata.MD
 
 var _ propagation.TextMapCarrier = carrier{}
@@ -45,9 +45,9 @@
 	return keys
 }
 
-// traceClient gives a call that belongs to a trace a span of its own and
-// carries the trace to the peer. Heartbeats belong to none: spans of them would
-// drown those of requests.
+// traceClient starts a span for a call that belongs to a trace and sends the trace
+// context to the peer. Heartbeats belong to no trace, because their spans would far
+// outnumber those of requests.
 func traceClient(ctx context.Context, method string, req, reply any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, options ...grpc.CallOption) error {
 	if !trace.SpanContextFromContext(ctx).IsValid() {
 		return invoke(ctx, method, req, reply, conn, options...)
@@ -78,7 +78,8 @@
 	return resp, err
 }
 
-// recordError names an error by its code: its text may quote a request.
+// recordError sets the span's status to the error's code. It leaves out the error's
+// text, which may quote a request.
 func recordError(span trace.Span, err error) {
 	if err != nil {
 		span.SetStatus(codes.Error, status.Code(err).String())
