--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -190,13 +190,13 @@
 	return append(options, p.dialOptions...)
 }
 
-// recordResult counts calls that ran into their deadline and gives up a connection
-// after condemnAfter in a row.
+// recordResult counts the calls in a row that ran into their deadline, and replaces
+// the connection after maxConsecutiveTimeouts of them.
 //
-// What goes wrong without: something between the two ends loses track of the
-// connection and swallows its packets. No error shows; calls just expire, while
-// a new connection would work. The pings of gRPC need 13 seconds to notice,
-// which is longer than a departure may take to spread.
+// A device between the two peers can lose the state of a connection and silently
+// drop its packets. Then no error occurs; calls run into their deadlines, while a
+// new connection would work. The keepalive pings of gRPC need 13 seconds to detect
+// that, which is longer than a departure may take to reach all processes.
 func (p *Pool) recordResult(address string, c *connection, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
