--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -129,7 +129,7 @@
 
 // MergePeer merges an entry of a peer's digest.
 //
-// An incarnation that this process does not know is only accepted from a peer
+// A live incarnation that this process does not know is accepted from a peer only
 // with a recent proof of life. Otherwise a peer that was cut off for an hour, and
 // still holds an instance as alive that all others have seen end and have
 // forgotten, would make it alive again everywhere. The check applies to each
