--- a/internal/document/reader.go
+++ b/internal/document/reader.go
@@ -9,8 +9,8 @@
 )
 
 // Reader keeps a process's State while it reads the configuration stream. It does
-// no I/O: its owner reads the log from the offset From and passes the results to
-// Take or Expired.
+// no I/O: its owner reads the log from the offset Reader.From and passes the results
+// to Reader.Take or Reader.Expired.
 //
 // If the next records have expired from the log, the reader looks for a snapshot
 // that covers all expired records and continues from the offset that the snapshot
@@ -22,7 +22,7 @@
 	// expired unread and that the reader looks for a snapshot.
 	searching bool
 	// firstKept is the offset of the first record that the log keeps, as of the
-	// last call of Expired.
+	// last call of Reader.Expired.
 	firstKept ident.Offset
 	// searchOffset is the next offset at which to look for a snapshot.
 	searchOffset ident.Offset
@@ -72,9 +72,9 @@
 	return ""
 }
 
-// Take applies a batch that was read from the offset From, possibly before the last
-// call of Merge. It returns a decision for each applied record, and none while the
-// reader looks for a snapshot.
+// Take applies a batch that was read from the offset Reader.From, possibly before
+// the last call of Reader.Merge. It returns a decision for each applied record, and
+// none while the reader looks for a snapshot.
 func (r *Reader) Take(batch platform.Batch) []Decision {
 	r.head = batch.Head
 	if r.searching {
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -81,7 +81,7 @@
 	return d.Sum64()
 }
 
-// FindKey returns the entry whose Key is key.
+// FindKey returns the entry of the incarnation that a key identifies.
 func (t *Table) FindKey(key uint64) (Entry, bool) {
 	return t.Find(t.byKey[key])
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -51,7 +51,7 @@
 	// Departure. checksum is the result of Checksum that was computed when
 	// lastFactSequence was checksumSequence.
 	lastFactSequence, checksumSequence, checksum uint64
-	// byKey maps the Key of each instance's current incarnation to its ID.
+	// byKey maps the key of each instance's current incarnation to its ID.
 	byKey map[uint64]ident.Instance
 }
 
@@ -61,7 +61,7 @@
 	// factSequence is the number of the last change that was a Fact or
 	// Departure, and figuresSequence that of the last change of any kind.
 	factSequence, figuresSequence uint64
-	// announcedSeen is the value that Seen had at figuresSequence.
+	// announcedSeen is the value that Entry.Seen had at figuresSequence.
 	announcedSeen time.Time
 	// factFrom and figuresFrom are the peers that these two changes came from,
 	// empty if from none. The changes are not sent back to them.
