--- a/internal/lease/decide.go
+++ b/internal/lease/decide.go
@@ -8,8 +8,8 @@
 type Wanted struct {
 	Name Name
 	// Rank is this process's rank among the candidates, from 0. The higher it
-	// is, the longer the process waits before it claims a free lease, so that
-	// usually only one candidate does.
+	// is, the longer the process waits before it claims the lease, so that usually
+	// only one candidate does.
 	Rank int
 }
 
@@ -75,7 +75,8 @@
 
 // mayClaim reports whether a candidate may now claim a lease that it does not
 // hold. If a holder may still act under the lease, longer than the length of its
-// newest record must have passed since the candidate read that record.
+// newest record must have passed since the candidate read that record. If records
+// that were not read may count, Horizon must have passed.
 func (t timing) mayClaim(now time.Time, state *State, want Wanted, v leaseView) bool {
 	waited := now.Sub(v.readAt)
 	delay := time.Duration(want.Rank) * t.rankDelay
