--- a/internal/document/fold.go
+++ b/internal/document/fold.go
@@ -12,131 +12,137 @@
 // State is the configuration after all records of the stream below an offset.
 // It is immutable; the zero value is the state before the first record.
 //
-// The fold decides by bases alone and never looks into documents, so that
-// programs of different versions decide alike.
+// Whether a publication is accepted depends on its base revision alone and never
+// on the contents of its document, so that programs of different versions decide
+// alike.
 type State struct {
-	next     ident.Offset
-	revision ident.Revision
-	// services holds, for each service, the accepted publications that some
-	// program may serve by: the newest of each schema, as far as no newer one
-	// has a lower schema. Ascending by revision, so also by schema.
-	services map[ident.Service][]Accepted
+	nextOffset ident.Offset
+	revision   ident.Revision
+	// services holds, for each service, the accepted publications that a program
+	// of some version may serve by: those after which none with the same or a
+	// lower schema was accepted. They are in ascending order of revision, and
+	// therefore of schema.
+	services map[ident.Service][]AcceptedPublication
 }
 
 // Next returns the first offset that is not part of the state.
-func (s State) Next() ident.Offset { return s.next }
+func (s State) Next() ident.Offset { return s.nextOffset }
 
 // Through returns the revision up to which the state is complete.
-func (s State) Through() ident.Revision { return ident.Revision(s.next) }
+func (s State) Through() ident.Revision { return ident.Revision(s.nextOffset) }
 
 // Revision returns the revision of the newest accepted publication.
 func (s State) Revision() ident.Revision { return s.revision }
 
 // Current returns the publication in force of a service.
-func (s State) Current(service ident.Service) (Accepted, bool) {
+func (s State) Current(service ident.Service) (AcceptedPublication, bool) {
 	versions := s.services[service]
 	if len(versions) == 0 {
-		return Accepted{}, false
+		return AcceptedPublication{}, false
 	}
 	return versions[len(versions)-1], true
 }
 
-// Versions returns the versions of a service that some program may serve by,
-// ascending by revision; the last one is in force.
-func (s State) Versions(service ident.Service) []Accepted { return slices.Clone(s.services[service]) }
+// Versions returns the publications of a service that a program of some version may
+// serve by, ascending by revision; the last one is in force.
+func (s State) Versions(service ident.Service) []AcceptedPublication {
+	return slices.Clone(s.services[service])
+}
 
-// Services returns the names of all services in order.
+// Services returns the names of all services, sorted.
 func (s State) Services() []ident.Service {
 	return slices.Sorted(maps.Keys(s.services))
 }
 
-// DecisionKind says what became of a record.
+// DecisionKind is the kind of a Decision.
 type DecisionKind string
 
 // The kinds.
 const (
 	// AcceptedRecord: the publication is in force from its revision on.
 	AcceptedRecord DecisionKind = "accepted"
-	// RefusedRecord: the service had moved on from the publication's base.
+	// RefusedRecord: the publication's base is not the service's revision.
 	RefusedRecord DecisionKind = "refused"
-	// SnapshotRecord: a snapshot; it changes nothing for a reader that has
-	// read all before it.
+	// SnapshotRecord: the record is a snapshot; it changes nothing for a reader
+	// that has read all records before it.
 	SnapshotRecord DecisionKind = "snapshot"
-	// UnreadableRecord: no record of this schema.
+	// UnreadableRecord: the record cannot be decoded.
 	UnreadableRecord DecisionKind = "unreadable"
 )
 
-// Decision tells what became of one record.
+// Decision is the result of applying one record.
 type Decision struct {
 	Offset ident.Offset
 	Kind   DecisionKind
 	// Publication is set for accepted and refused records.
 	Publication Publication
-	// Current is the service's revision after the record.
+	// Current is the service's revision after an accepted or refused record.
 	Current ident.Revision
-	// Covers is set for snapshots: the first offset that one leaves out.
+	// Covers is set for snapshots: the first offset that is not part of it.
 	Covers ident.Offset
-	// Problem is set for unreadable records and differing snapshots.
+	// Problem is set for unreadable records and for snapshots that differ from
+	// the state.
 	Problem string
 }
 
-// Fold applies records in the order of their offsets and returns the new
-// state with one decision for each record. Records below the state's next
-// offset are left out: they are part of it.
+// Fold applies records, which must be in the order of their offsets, and returns
+// the new state and one decision for each record. Records below the state's next
+// offset are skipped, because they are already part of it.
 func Fold(s State, records []platform.Record) (State, []Decision) {
-	f := folder{state: s}
+	f := stateBuilder{state: s}
 	for _, r := range records {
-		if r.Offset >= f.state.next {
+		if r.Offset >= f.state.nextOffset {
 			f.apply(r)
 		}
 	}
 	return f.state, f.decisions
 }
 
-// folder folds in place what it has copied before.
-type folder struct {
+// stateBuilder applies records to a state. It copies the state's map before the
+// first change, because a State is immutable.
+type stateBuilder struct {
 	state     State
 	copied    bool
 	decisions []Decision
 }
 
-func (f *folder) apply(r platform.Record) {
-	f.state.next = r.Offset + 1
+func (f *stateBuilder) apply(r platform.Record) {
+	f.state.nextOffset = r.Offset + 1
 	d, err := decode(r.Data)
 	switch {
 	case err != nil:
-		f.decide(Decision{Offset: r.Offset, Kind: UnreadableRecord, Problem: err.Error()})
+		f.addDecision(Decision{Offset: r.Offset, Kind: UnreadableRecord, Problem: err.Error()})
 	case d.snapshot != nil:
-		f.snapshot(r.Offset, d.snapshot)
+		f.compareSnapshot(r.Offset, d.snapshot)
 	default:
-		f.publication(r, *d.publication)
+		f.applyPublication(r, *d.publication)
 	}
 }
 
-func (f *folder) decide(d Decision) { f.decisions = append(f.decisions, d) }
+func (f *stateBuilder) addDecision(d Decision) { f.decisions = append(f.decisions, d) }
 
-func (f *folder) publication(r platform.Record, p Publication) {
+func (f *stateBuilder) applyPublication(r platform.Record, p Publication) {
 	current, _ := f.state.Current(p.Service)
 	if p.Base != current.Revision {
-		f.decide(Decision{Offset: r.Offset, Kind: RefusedRecord, Publication: p, Current: current.Revision})
+		f.addDecision(Decision{Offset: r.Offset, Kind: RefusedRecord, Publication: p, Current: current.Revision})
 		return
 	}
 	revision := ident.Revision(r.Offset + 1)
-	f.accept(Accepted{Revision: revision, Publication: p, record: r.Data})
-	f.decide(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, Current: revision})
+	f.accept(AcceptedPublication{Revision: revision, Publication: p, record: r.Data})
+	f.addDecision(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, Current: revision})
 }
 
-// accept puts a publication in force. Earlier ones stay only while a program
-// that cannot understand the new schema may need them.
-func (f *folder) accept(a Accepted) {
+// accept puts a publication in force. Earlier ones of the service are kept only if
+// their schema is lower, for programs that do not understand the new schema.
+func (f *stateBuilder) accept(a AcceptedPublication) {
 	if !f.copied {
 		f.state.services = maps.Clone(f.state.services)
 		f.copied = true
 	}
 	if f.state.services == nil {
-		f.state.services = map[ident.Service][]Accepted{}
+		f.state.services = map[ident.Service][]AcceptedPublication{}
 	}
-	var kept []Accepted
+	var kept []AcceptedPublication
 	for _, earlier := range f.state.services[a.Service] {
 		if earlier.Schema < a.Schema {
 			kept = append(kept, earlier)
@@ -146,18 +152,19 @@
 	f.state.revision = a.Revision
 }
 
-// snapshot compares a snapshot with what this reader folded itself. They can
-// only differ if two programs fold by different rules, which would otherwise
-// show as instances that serve by different documents.
-func (f *folder) snapshot(offset ident.Offset, s *snapshot) {
+// compareSnapshot compares a snapshot with the state that this reader computed
+// itself. They can only differ if two programs apply records by different rules.
+// Without the comparison, that would only show in instances that serve by
+// different documents.
+func (f *stateBuilder) compareSnapshot(offset ident.Offset, s *snapshot) {
 	d := Decision{Offset: offset, Kind: SnapshotRecord, Covers: s.covers}
-	if f.state.revision <= ident.Revision(s.covers) && !equalRecords(s.records, f.state.records(0)) {
+	if f.state.revision <= ident.Revision(s.covers) && !equalRecords(s.records, f.state.recordsAbove(0)) {
 		d.Problem = "snapshot differs from the records that it covers"
 	}
-	f.decide(d)
+	f.addDecision(d)
 }
 
-// reverts reports whether a service would fall behind earlier.
+// reverts reports whether some service has a lower revision in s than in earlier.
 func (s State) reverts(earlier State) bool {
 	for service := range earlier.services {
 		was, _ := earlier.Current(service)
@@ -169,9 +176,10 @@
 	return false
 }
 
-// records returns the publications above a revision, ascending by revision.
-func (s State) records(above ident.Revision) []Accepted {
-	var all []Accepted
+// recordsAbove returns the publications of all services above a revision, ascending
+// by revision.
+func (s State) recordsAbove(above ident.Revision) []AcceptedPublication {
+	var all []AcceptedPublication
 	for _, versions := range s.services {
 		for _, a := range versions {
 			if a.Revision > above {
@@ -179,12 +187,12 @@
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Accepted) int { return cmp.Compare(a.Revision, b.Revision) })
+	slices.SortFunc(all, func(a, b AcceptedPublication) int { return cmp.Compare(a.Revision, b.Revision) })
 	return all
 }
 
-func equalRecords(a, b []Accepted) bool {
-	return slices.EqualFunc(a, b, func(x, y Accepted) bool {
+func equalRecords(a, b []AcceptedPublication) bool {
+	return slices.EqualFunc(a, b, func(x, y AcceptedPublication) bool {
 		return x.Revision == y.Revision && string(x.record) == string(y.record)
 	})
 }
--- a/internal/document/reader_test.go
+++ b/internal/document/reader_test.go
@@ -14,21 +14,25 @@
 
 func init() { testkit.FixSeed() }
 
-const schemas = 3
+const schemaCount = 3
 
-// readerMachine is a reader whose answers come late, beside the whole log.
+// readerMachine is a reader that gets the log's answers late, with the whole log
+// beside it to compare with.
 type readerMachine struct {
 	reader Reader
 	log    []platform.Record
-	first  ident.Offset
-	// underWay are answers of the log that the reader has not seen yet.
-	underWay []answer
-	deltas   []Delta
-	// before is the state's offset at the last check.
-	before ident.Offset
-}
-
-type answer struct {
+	// first is the offset of the first record that has not expired.
+	first ident.Offset
+	// pendingAnswers are answers of the log that the reader has not got yet.
+	pendingAnswers []logAnswer
+	// deltas are answers of peers that the reader has not got yet.
+	deltas []Delta
+	// lastOffset is the state's next offset at the last check.
+	lastOffset ident.Offset
+}
+
+// logAnswer is the answer to one read of the log.
+type logAnswer struct {
 	batch   platform.Batch
 	expired bool
 }
@@ -37,14 +41,16 @@
 	m.log = append(m.log, platform.Record{Offset: ident.Offset(len(m.log)), Data: data})
 }
 
-// at is the state of a reader that read everything below an offset in order.
-func (m *readerMachine) at(next ident.Offset) State {
+// stateAt returns the state of a reader that read all records below an offset in
+// order.
+func (m *readerMachine) stateAt(next ident.Offset) State {
 	state, _ := Fold(State{}, m.log[:next])
 	return state
 }
 
+// drawPrefix returns the state at a drawn offset.
 func (m *readerMachine) drawPrefix(t *rapid.T) State {
-	return m.at(ident.Offset(rapid.IntRange(0, len(m.log)).Draw(t, "prefix")))
+	return m.stateAt(ident.Offset(rapid.IntRange(0, len(m.log)).Draw(t, "prefix")))
 }
 
 func (m *readerMachine) publish(t *rapid.T) {
@@ -55,14 +61,14 @@
 
 func (m *readerMachine) publishOne(t *rapid.T) {
 	service := rapid.SampledFrom([]ident.Service{"spool-llm", "auktion-app"}).Draw(t, "service")
-	current, _ := m.at(ident.Offset(len(m.log))).Current(service)
+	current, _ := m.stateAt(ident.Offset(len(m.log))).Current(service)
 	base := current.Revision
 	if rapid.Bool().Draw(t, "stale") {
 		base = ident.Revision(rapid.IntRange(0, len(m.log)).Draw(t, "base"))
 	}
 	data, err := EncodePublication(Publication{
 		Service: service, Base: base, PublishID: fmt.Sprint(len(m.log)),
-		Schema: rapid.IntRange(1, schemas).Draw(t, "schema"),
+		Schema: rapid.IntRange(1, schemaCount).Draw(t, "schema"),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +76,8 @@
 	m.append(data)
 }
 
-// writeSnapshot: some process wrote its state, perhaps long after reading it.
+// writeSnapshot appends the snapshot of some process, which may have read the state
+// long before.
 func (m *readerMachine) writeSnapshot(t *rapid.T) {
 	data, err := EncodeSnapshot(m.drawPrefix(t))
 	if err != nil {
@@ -79,13 +86,13 @@
 	m.append(data)
 }
 
-// restart: a new process begins with nothing.
+// restart replaces the reader by that of a new process.
 func (m *readerMachine) restart(*rapid.T) {
-	m.reader, m.before, m.underWay, m.deltas = Reader{}, 0, nil, nil
+	m.reader, m.lastOffset, m.pendingAnswers, m.deltas = Reader{}, 0, nil, nil
 }
 
-// search: a new process finds its records expired and looks for a snapshot. A
-// peer's answer may come between the log's.
+// search lets a new process find that its records have expired and look for a
+// snapshot. A peer's answer may come between those of the log.
 func (m *readerMachine) search(t *rapid.T) {
 	m.restart(t)
 	m.expire(t)
@@ -96,7 +103,7 @@
 	m.read(t)
 	if rapid.Bool().Draw(t, "peer") {
 		m.askPeer(t)
-		m.hearPeer(t)
+		m.mergePeer(t)
 	}
 }
 
@@ -108,22 +115,22 @@
 	from := m.reader.From()
 	batch := platform.Batch{Head: ident.Offset(len(m.log)), First: m.first}
 	if from < m.first {
-		m.underWay = append(m.underWay, answer{batch: batch, expired: true})
+		m.pendingAnswers = append(m.pendingAnswers, logAnswer{batch: batch, expired: true})
 		return
 	}
 	if from < batch.Head {
 		end := min(int(from)+rapid.IntRange(1, 4).Draw(t, "limit"), len(m.log))
 		batch.Records = m.log[from:end]
 	}
-	m.underWay = append(m.underWay, answer{batch: batch})
+	m.pendingAnswers = append(m.pendingAnswers, logAnswer{batch: batch})
 }
 
 func (m *readerMachine) deliver(t *rapid.T) {
-	if len(m.underWay) == 0 {
-		t.Skip("no answer is under way")
+	if len(m.pendingAnswers) == 0 {
+		t.Skip("no answer is pending")
 	}
-	next := m.underWay[0]
-	m.underWay = m.underWay[1:]
+	next := m.pendingAnswers[0]
+	m.pendingAnswers = m.pendingAnswers[1:]
 	if next.expired {
 		m.reader.Expired(next.batch.First)
 		return
@@ -131,12 +138,12 @@
 	m.reader.Take(next.batch)
 }
 
-// askPeer: the answer was made by any process at any time after the question.
+// askPeer requests a delta from a peer that has read some part of the log.
 func (m *readerMachine) askPeer(t *rapid.T) {
 	m.deltas = append(m.deltas, m.drawPrefix(t).Delta(m.reader.State().Through()))
 }
 
-func (m *readerMachine) hearPeer(t *rapid.T) {
+func (m *readerMachine) mergePeer(t *rapid.T) {
 	if len(m.deltas) == 0 {
 		t.Skip("no peer was asked")
 	}
@@ -144,35 +151,36 @@
 	m.deltas = m.deltas[1:]
 }
 
-// check: whatever way the reader went, its state is that of the log's order.
+// check checks that the state equals that of reading all records in order, however
+// the reader reached it.
 func (m *readerMachine) check(t *rapid.T) {
 	state := m.reader.State()
-	if state.Next() < m.before {
-		t.Fatalf("went back from %d to %d", m.before, state.Next())
+	if state.Next() < m.lastOffset {
+		t.Fatalf("went back from %d to %d", m.lastOffset, state.Next())
 	}
-	m.before = state.Next()
+	m.lastOffset = state.Next()
 	got, err := EncodeSnapshot(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := EncodeSnapshot(m.at(state.Next()))
+	want, err := EncodeSnapshot(m.stateAt(state.Next()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Fatalf("state at %d is %v, want %v", state.Next(), state, m.at(state.Next()))
+		t.Fatalf("state at %d is %v, want %v", state.Next(), state, m.stateAt(state.Next()))
 	}
 	for _, service := range state.Services() {
-		if kept := len(state.Versions(service)); kept > schemas {
+		if kept := len(state.Versions(service)); kept > schemaCount {
 			t.Fatalf("%d versions kept of %s", kept, service)
 		}
 	}
 }
 
 // Symptom: two instances at the same offset serve by different documents.
-// Sequence: one of them missed records, took a snapshot or a peer's documents
-// in place of them, and an older answer of the log came after that.
-// Cause: a way into the fold that leaves a record out or folds it twice.
+// Sequence: one of them missed records and took a snapshot or a peer's documents
+// instead; then an older answer of the log arrived.
+// Cause: a record is skipped, or applied twice.
 func TestAllWaysToAnOffsetGiveOneState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &readerMachine{}
@@ -183,7 +191,7 @@
 			"read":     m.read,
 			"deliver":  m.deliver,
 			"askPeer":  m.askPeer,
-			"hearPeer": m.hearPeer,
+			"hearPeer": m.mergePeer,
 			"restart":  m.restart,
 			"search":   m.search,
 			"":         m.check,
@@ -191,10 +199,10 @@
 	})
 }
 
-// Symptom: accepted documents vanish from an instance that was cut off.
-// Sequence: its records expire; an operator starts the stream over, believing
-// that no process knows the documents any more.
-// Cause: taking a snapshot that reverts a service.
+// Symptom: accepted documents disappear from an instance that was cut off.
+// Sequence: its records expire; an operator starts the stream over with an empty
+// snapshot, believing that no process knows the documents any more.
+// Cause: the instance takes a snapshot that reverts a service.
 func TestSnapshotThatLacksADocumentIsNotTaken(t *testing.T) {
 	publication, err := EncodePublication(Publication{Service: "spool-llm", PublishID: "a", Schema: 1})
 	if err != nil {
--- a/internal/document/set.go
+++ b/internal/document/set.go
@@ -6,15 +6,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// BuildSet returns the documents by which a program serves that understands
-// schemas up to schema, with one problem for each service whose newest
-// document it cannot use. Such a service keeps the last document that the
-// program understood: from the state, or else from the previous set.
+// BuildSet returns the documents in force for a program that understands schemas
+// up to schema, and one problem for each service whose newest document it cannot
+// use. Such a service keeps the newest document that the program can use, from
+// the state or else from the previous set. previous may be nil.
 func BuildSet(s State, previous *Set, schema int) (*Set, []string) {
 	set := &Set{Revision: s.revision, Services: make(map[ident.Service]Entry, len(s.services))}
 	var problems []string
 	for _, service := range s.Services() {
-		entry, problem := choose(s.services[service], previous.entry(service), schema)
+		entry, problem := chooseEntry(s.services[service], previous.entry(service), schema)
 		if problem != "" {
 			problems = append(problems, fmt.Sprintf("%s: %s", service, problem))
 		}
@@ -32,28 +32,30 @@
 	return s.Services[service]
 }
 
-// choose takes the newest usable version that is not older than the previous.
-func choose(versions []Accepted, previous Entry, schema int) (Entry, string) {
+// chooseEntry returns the newest usable version, or the previous entry if that is
+// newer, and a problem if the newest version is not usable. versions are ascending
+// by revision.
+func chooseEntry(versions []AcceptedPublication, previous Entry, schema int) (Entry, string) {
 	problem := ""
 	for i := len(versions) - 1; i >= 0; i-- {
 		a := versions[i]
 		if a.Revision <= previous.Revision {
 			return previous, problem
 		}
-		d, fault := understand(a, schema)
-		if fault == "" {
+		d, reason := parsePublication(a, schema)
+		if reason == "" {
 			return Entry{Revision: a.Revision, Document: d}, problem
 		}
 		if problem == "" {
-			problem = fault
+			problem = reason
 		}
 	}
 	return previous, problem
 }
 
-// understand parses a publication, or says why this program cannot serve by
-// it.
-func understand(a Accepted, schema int) (*Document, string) {
+// parsePublication returns the document of a publication, or the reason why this
+// program cannot use it.
+func parsePublication(a AcceptedPublication, schema int) (*Document, string) {
 	if a.Schema > schema {
 		return nil, fmt.Sprintf("revision %d has schema %d, this program understands up to %d",
 			a.Revision, a.Schema, schema)
--- a/internal/lease/append.go
+++ b/internal/lease/append.go
@@ -8,17 +8,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// due returns the records to append now. Where one renewal is due, all go
-// with it: one append renews every lease of this process.
-func (m *Manager) due() []Record {
+// dueRecords returns the records to append now. If one renewal is due, all held
+// leases are renewed with it, so that one append renews them all.
+func (m *Manager) dueRecords() []Record {
 	now := time.Now()
-	records := m.releases(func(v view) bool { return m.timing.releasable(now, v) })
+	records := m.takeReleases(func(v leaseView) bool { return m.timing.mayRelease(now, v) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var renewals []Record
 	renew := false
 	for _, want := range *m.wanted.Load() {
-		record, isDue := m.timing.next(now, m.state, m.cfg.Holder, want, m.viewOf(want.Name, now))
+		record, isDue := m.timing.nextRecord(now, m.state, m.cfg.Holder, want, m.viewOf(want.Name, now))
 		switch {
 		case record.Kind == Renewal:
 			renewals = append(renewals, record)
@@ -33,20 +33,22 @@
 	return records
 }
 
-// viewOf returns the view of a lease. Of one without records it begins now.
-func (m *Manager) viewOf(name Name, now time.Time) view {
+// viewOf returns the view of a lease. For a lease without records, waiting times
+// count from the first call. The lock is held.
+func (m *Manager) viewOf(name Name, now time.Time) leaseView {
 	v, known := m.views[name]
 	if !known {
-		v = view{readAt: now}
+		v = leaseView{readAt: now}
 		m.views[name] = v
 	}
 	return v
 }
 
-// releases returns a release for each revoked lease that ready selects. From
-// then on this process does not hold it, whatever becomes of the release: one
-// that takes effect late must not meet a holder that acts again.
-func (m *Manager) releases(ready func(view) bool) []Record {
+// takeReleases returns a release for each revoked lease that ready selects. From
+// then on this process does not hold the lease, whether or not the release is
+// appended: a release that takes effect late must not find its writer acting
+// under the lease again.
+func (m *Manager) takeReleases(ready func(leaseView) bool) []Record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var records []Record
@@ -55,7 +57,7 @@
 		if v.revokedAt.IsZero() || !ready(v) {
 			continue
 		}
-		v.started, v.revokedAt = time.Time{}, time.Time{}
+		v.appendStarted, v.revokedAt = time.Time{}, time.Time{}
 		m.views[name] = v
 		if !known || entry.Record.Holder != m.cfg.Holder {
 			continue
@@ -72,7 +74,7 @@
 	return records
 }
 
-// append adds records to the log and reports whether they may be there.
+// append appends records to the log and reports whether they may be there now.
 func (m *Manager) append(ctx context.Context, records []Record) bool {
 	if len(records) == 0 {
 		return false
@@ -82,33 +84,34 @@
 		records[i].ID = newRecordID()
 		data, err := records[i].Encode()
 		if err != nil {
-			m.cfg.Log.Error("lease record not encoded", "error", err)
+			m.cfg.Log.Error("cannot encode lease record", "error", err)
 			return false
 		}
 		encoded[i] = data
 	}
-	m.begin(records)
+	m.recordAppendStart(records)
 	ctx, cancel := context.WithTimeout(ctx, m.cfg.CallTimeout)
 	defer cancel()
 	m.metrics.appends.Add(1)
 	_, err := m.log.Append(ctx, Stream, encoded)
 	if errors.Is(err, platform.ErrUnavailable) {
-		m.cancel(records)
+		m.dropPending(records)
 		return false
 	}
 	if err != nil {
-		// The records may be in the log, now or later. They are found by
-		// their IDs, and appending anew is harmless: only one of two records
-		// that name the same one is accepted.
+		// The records may be in the log now, or get there later. They are
+		// recognized by their IDs. Appending new ones is harmless: of two records
+		// that supersede the same one, only one is accepted.
 		m.metrics.answersLost.Add(1)
 	}
 	return true
 }
 
-// begin notes when the append of records started. The holder's deadline counts
-// from here: an instant read after the append could lie past the one at which
-// a candidate has read the record, and both would believe that they hold.
-func (m *Manager) begin(records []Record) {
+// recordAppendStart records when the append of records started. The holder's
+// deadline counts from this time. A time taken after the append could be later
+// than a candidate's read of the record, and then both processes could act under
+// the lease at once.
+func (m *Manager) recordAppendStart(records []Record) {
 	started := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,8 +120,8 @@
 	}
 }
 
-// cancel forgets records that are not in the log and never will be.
-func (m *Manager) cancel(records []Record) {
+// dropPending drops records that are not in the log and never will be.
+func (m *Manager) dropPending(records []Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, record := range records {
--- a/internal/lease/fake_test.go
+++ b/internal/lease/fake_test.go
@@ -10,26 +10,27 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// fault is what happens to the next append of a process.
+// fault is a fault of the next append of a process.
 type fault int
 
 const (
 	noFault fault = iota
-	// answerLost: the append takes effect, the answer does not come.
+	// answerLost: the append takes effect, but the answer is lost.
 	answerLost
 	// appendLate: the answer is lost and the append takes effect later.
 	appendLate
-	// appendSlow: effect and answer both come late.
+	// appendSlow: the append takes effect late and is then answered.
 	appendSlow
-	// answerSlow: the append takes effect, the answer comes late.
+	// answerSlow: the append takes effect at once, but the answer comes late.
 	answerSlow
 )
 
-// fakeLog is one stream that forgets records after a while.
+// fakeLog is a log with one stream, whose records expire.
 type fakeLog struct {
 	mu      sync.Mutex
 	records []platform.Record
 	first   ident.Offset
+	// down makes the log unreachable for all processes.
 	down    bool
 	appends int
 }
@@ -51,7 +52,8 @@
 	return offset
 }
 
-// expire forgets what is older than the least time that the leases ask for.
+// expire drops the records that are older than the shortest time for which package
+// lease allows a log to keep them.
 func (l *fakeLog) expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,27 +87,28 @@
 	return batch, nil
 }
 
-// link is one process's way to the log, with the process's own faults. While
-// frozen, every call waits before it leaves and before it returns, as a
-// stopped process does.
-type link struct {
-	log  *fakeLog
-	dead context.Context
+// logLink is one process's access to the log, with faults of its own. While the
+// process is frozen, every call waits before it is sent and before it returns, as
+// in a process that was suspended.
+type logLink struct {
+	log        *fakeLog
+	processCtx context.Context
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// thawed is closed while the process is not frozen.
 	thawed chan struct{}
 	fault  fault
 	delay  time.Duration
 	cut    bool
 }
 
-func newLink(log *fakeLog, dead context.Context) *link {
+func newLink(log *fakeLog, processCtx context.Context) *logLink {
 	thawed := make(chan struct{})
 	close(thawed)
-	return &link{log: log, dead: dead, thawed: thawed}
+	return &logLink{log: log, processCtx: processCtx, thawed: thawed}
 }
 
-func (l *link) freeze() {
+func (l *logLink) freeze() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.isThawed() {
@@ -113,7 +116,7 @@
 	}
 }
 
-func (l *link) thaw() {
+func (l *logLink) thaw() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.isThawed() {
@@ -121,7 +124,7 @@
 	}
 }
 
-func (l *link) isThawed() bool {
+func (l *logLink) isThawed() bool {
 	select {
 	case <-l.thawed:
 		return true
@@ -130,8 +133,8 @@
 	}
 }
 
-// pause waits while the process is frozen and reports whether it waited.
-func (l *link) pause() bool {
+// waitWhileFrozen waits while the process is frozen and reports whether it was.
+func (l *logLink) waitWhileFrozen() bool {
 	l.mu.Lock()
 	thawed, waits := l.thawed, !l.isThawed()
 	l.mu.Unlock()
@@ -139,26 +142,26 @@
 	return waits
 }
 
-// setCut cuts this process alone off from the log.
-func (l *link) setCut(cut bool) {
+// setCut cuts only this process off from the log, or connects it again.
+func (l *logLink) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
 }
 
-func (l *link) unreachable() bool {
+func (l *logLink) unreachable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut || l.dead.Err() != nil || l.log.isDown()
+	return l.cut || l.processCtx.Err() != nil || l.log.isDown()
 }
 
-func (l *link) setFault(f fault, delay time.Duration) {
+func (l *logLink) setFault(f fault, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault, l.delay = f, delay
 }
 
-func (l *link) takeFault() (fault, time.Duration) {
+func (l *logLink) takeFault() (fault, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f := l.fault
@@ -166,9 +169,9 @@
 	return f, l.delay
 }
 
-func (l *link) Append(ctx context.Context, _ string, records [][]byte) (ident.Offset, error) {
-	l.pause()
-	defer l.pause()
+func (l *logLink) Append(ctx context.Context, _ string, records [][]byte) (ident.Offset, error) {
+	l.waitWhileFrozen()
+	defer l.waitWhileFrozen()
 	if l.unreachable() {
 		return 0, platform.ErrUnavailable
 	}
@@ -191,9 +194,9 @@
 	return l.log.add(records), nil
 }
 
-func (l *link) Read(ctx context.Context, _ string, from ident.Offset, limit int, _ time.Duration) (platform.Batch, error) {
-	l.pause()
-	defer l.pause()
+func (l *logLink) Read(ctx context.Context, _ string, from ident.Offset, limit int, _ time.Duration) (platform.Batch, error) {
+	l.waitWhileFrozen()
+	defer l.waitWhileFrozen()
 	if l.unreachable() {
 		return platform.Batch{}, platform.ErrUnavailable
 	}
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -8,79 +8,83 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Limits are the time limits of a table. Forget must be longer than Admission
-// and ListLag; see Table.Forget.
+// Limits are the time limits of a table. ForgetAfter must be longer than
+// MaxProofAge and MaxListLag; see Table.Forget.
 type Limits struct {
-	// Admission is the greatest age of the proof of life with which a peer
-	// can introduce a living instance, or a new life of one, that this
-	// process does not know.
-	Admission time.Duration
-	// Forget is how long a gone instance is remembered.
-	Forget time.Duration
-	// ListLag is how far the platform's list is behind at most. An instance
-	// that was missing for longer, and was silent, has ended.
-	ListLag time.Duration
-	// LocalRefresh and RemoteRefresh are how often new proof of life and load
-	// of one instance are passed on: of upstreams of the own failure domain,
-	// and of all others.
+	// MaxProofAge is the maximum age of the proof of life with which a peer can
+	// introduce a live instance, or a new incarnation of one, that this process
+	// does not know.
+	MaxProofAge time.Duration
+	// ForgetAfter is how long a gone instance is remembered.
+	ForgetAfter time.Duration
+	// MaxListLag is the maximum delay of the platform's list. An instance that
+	// was missing from the list and silent for longer than this has ended.
+	MaxListLag time.Duration
+	// LocalRefresh and RemoteRefresh are the intervals at which new proofs of
+	// life and load of one instance are passed on: LocalRefresh for upstreams in
+	// this process's own failure domain, RemoteRefresh for all other instances.
 	LocalRefresh  time.Duration
 	RemoteRefresh time.Duration
 }
 
-// DefaultLimits suit a list that lags by up to a minute.
+// DefaultLimits returns limits for a platform whose list lags by up to a minute.
 func DefaultLimits() Limits {
 	return Limits{
-		Admission:     2 * time.Minute,
-		Forget:        10 * time.Minute,
-		ListLag:       time.Minute,
+		MaxProofAge:   2 * time.Minute,
+		ForgetAfter:   10 * time.Minute,
+		MaxListLag:    time.Minute,
 		LocalRefresh:  2 * time.Second,
 		RemoteRefresh: 30 * time.Second,
 	}
 }
 
-// Table is one process's knowledge of all instances.
+// Table holds the entries of all instances that one process knows. It numbers
+// its changes, so that a digest needs to carry only those that a peer lacks.
 type Table struct {
 	limits Limits
 	domain ident.FailureDomain
 	self   ident.Instance
-	// sequence numbers the changes that digests carry, from 1.
+	// sequence is the number of the last change; the first has number 1.
 	sequence uint64
 	records  map[ident.Instance]*record
-	// lastFact is the number of the last fact; checksum was computed at
-	// checksumAt.
-	lastFact, checksumAt, checksum uint64
-	// byKey finds the instances by the Key of their present life.
+	// lastFactSequence is the number of the last change that was a Fact or
+	// Departure. checksum is the result of Checksum that was computed when
+	// lastFactSequence was checksumSequence.
+	lastFactSequence, checksumSequence, checksum uint64
+	// byKey maps the key of each instance's current incarnation to its ID.
 	byKey map[uint64]ident.Instance
 }
 
-// record is an entry with what this process needs to know around it.
+// record is an entry with this process's own data about it.
 type record struct {
 	Entry
-	// factAt and figuresAt are the numbers of the last change of the
-	// incarnation, state or description, and of the last announced proof of
-	// life and load.
-	factAt, figuresAt uint64
-	// announced is the Seen that figuresAt stands for.
-	announced time.Time
-	// factFrom and figuresFrom are the peers that told these changes; they
-	// need no echo.
+	// factSequence is the number of the last change that was a Fact or
+	// Departure, and figuresSequence that of the last change of any kind.
+	factSequence, figuresSequence uint64
+	// announcedSeen is the value that Entry.Seen had at figuresSequence.
+	announcedSeen time.Time
+	// factFrom and figuresFrom are the peers that these two changes came from,
+	// empty if from none. The changes are not sent back to them.
 	factFrom, figuresFrom ident.Instance
-	// absentSince is when the platform's list first missed the instance.
+	// absentSince is when the platform's lists began to lack the instance;
+	// zero if the last list had it.
 	absentSince time.Time
 }
 
-// Change tells what a merge did to an entry.
+// Change is the kind of change that a merge made to an entry.
 type Change int
 
-// The changes, in the order of their weight.
+// The kinds of changes, from the least to the most important.
 const (
-	// Nothing that others need to know has changed.
-	Nothing Change = iota
-	// Figures: newer proof of life or load.
+	// NoChange: nothing changed that other processes need to know.
+	NoChange Change = iota
+	// Figures: there is a newer proof of life, and perhaps a newer load.
 	Figures
-	// Fact: a new instance, incarnation or description.
+	// Fact: the instance, its incarnation, state, failure domain or peer address
+	// is new.
 	Fact
-	// Departure: the instance was not known to be leaving before.
+	// Departure: the instance is leaving or gone, and was not known to leave
+	// before.
 	Departure
 )
 
@@ -95,14 +99,14 @@
 	}
 }
 
-// Len returns the number of entries, gone ones included.
+// Len returns the number of entries, including those of gone instances.
 func (t *Table) Len() int { return len(t.records) }
 
-// Sequence returns the number of the last change.
+// Sequence returns the number of the last change; 0 before the first one.
 func (t *Table) Sequence() uint64 { return t.sequence }
 
-// LastFact returns the number of the last change that was a fact.
-func (t *Table) LastFact() uint64 { return t.lastFact }
+// LastFact returns the number of the last change that was a Fact or Departure.
+func (t *Table) LastFact() uint64 { return t.lastFactSequence }
 
 // Find returns the entry of an instance.
 func (t *Table) Find(id ident.Instance) (Entry, bool) {
@@ -113,7 +117,8 @@
 	return r.Entry, true
 }
 
-// All calls yield for each entry, gone ones included, in no order.
+// All calls yield for each entry, including those of gone instances, in no
+// particular order, until yield returns false.
 func (t *Table) All(yield func(Entry) bool) {
 	for _, r := range t.records {
 		if !yield(r.Entry) {
@@ -124,45 +129,49 @@
 
 // MergePeer merges an entry of a peer's digest.
 //
-// What goes wrong without admission: a peer comes back from an hour's partition
-// and still holds an instance as alive that all others have seen end and
-// forgotten; it would be alive again everywhere. An instance that is gone gives
-// no proof of life, so an old proof is the sign of it. That holds for each life:
-// an earlier one may still be remembered where the later one is forgotten.
+// A live incarnation that this process does not know is accepted from a peer only
+// with a recent proof of life. Otherwise a peer that was cut off for an hour, and
+// still holds an instance as alive that all others have seen end and have
+// forgotten, would make it alive again everywhere. The check applies to each
+// incarnation, not only to unknown instances: a process may remember an earlier
+// incarnation and have forgotten a later one.
 func (t *Table) MergePeer(from ident.Instance, e Entry, now time.Time) Change {
 	if e.State == blackboard.Suspect {
 		e.State = blackboard.Alive
 	}
 	r, known := t.records[e.ID]
-	newLife := !known || e.Incarnation > r.Incarnation
-	if !newLife || t.admits(e, now) {
+	isNew := !known || e.Incarnation > r.Incarnation
+	if !isNew || t.mayIntroduce(e, now) {
 		return t.merge(from, e, now)
 	}
 	if !known {
-		return Nothing
+		return NoChange
 	}
-	// Whether or not the later life goes on, the earlier one is over.
+	// Whether or not the later incarnation still lives, the earlier one is over.
 	return t.merge(from, Entry{ID: r.ID, Incarnation: r.Incarnation, State: blackboard.Gone}, now)
 }
 
-func (t *Table) admits(e Entry, now time.Time) bool {
+// mayIntroduce reports whether a peer's entry is recent enough to add an
+// incarnation that this process does not know.
+func (t *Table) mayIntroduce(e Entry, now time.Time) bool {
 	switch e.State {
 	case blackboard.Gone:
-		return now.Sub(e.GoneAt) <= t.limits.Forget
+		return now.Sub(e.GoneAt) <= t.limits.ForgetAfter
 	case blackboard.Leaving:
-		// This process's list may show it as live yet.
+		// The platform's list may still show the instance as live.
 		return true
 	}
-	return now.Sub(e.Seen) <= t.limits.Admission
+	return now.Sub(e.Seen) <= t.limits.MaxProofAge
 }
 
-// Observe merges what this process itself saw of an instance: its answer to a
-// probe or a heartbeat, its own word that it leaves, or a reclaim notice.
+// Observe merges what this process itself observed of an instance: its answer to
+// a probe or a heartbeat, its own report that it is leaving, or a reclaim notice.
 func (t *Table) Observe(e Entry, now time.Time) Change {
 	return t.merge("", e, now)
 }
 
-// merge joins e into the table and numbers the change.
+// merge merges e into the table and numbers the change. from is the peer that
+// sent e, or empty.
 func (t *Table) merge(from ident.Instance, e Entry, now time.Time) Change {
 	if e.State == blackboard.Gone && e.GoneAt.IsZero() {
 		e.GoneAt = now
@@ -172,21 +181,22 @@
 		r = &record{Entry: e}
 		t.records[e.ID] = r
 		t.byKey[Key(e)] = e.ID
-		t.number(r, from, Fact)
+		t.assignSequence(r, from, Fact)
 		if e.State >= blackboard.Leaving {
 			return Departure
 		}
 		return Fact
 	}
 	before := r.Entry
-	r.Entry = Join(before, e)
-	change := t.classify(r, before)
-	t.number(r, from, change)
+	r.Entry = Merge(before, e)
+	change := t.classifyChange(r, before)
+	t.assignSequence(r, from, change)
 	return change
 }
 
-// classify tells what a join changed, from the view of other processes.
-func (t *Table) classify(r *record, before Entry) Change {
+// classifyChange returns the kind of change that a merge made to an entry, as far
+// as it matters to other processes, and updates byKey for a new incarnation.
+func (t *Table) classifyChange(r *record, before Entry) Change {
 	replaced := r.Incarnation != before.Incarnation
 	if replaced {
 		r.absentSince = time.Time{}
@@ -201,48 +211,51 @@
 		return Fact
 	case r.PeerAddress != before.PeerAddress, r.FailureDomain != before.FailureDomain:
 		return Fact
-	case r.Seen.Sub(r.announced) >= t.refresh(r.Entry):
+	case r.Seen.Sub(r.announcedSeen) >= t.refreshInterval(r.Entry):
 		return Figures
 	}
-	return Nothing
+	return NoChange
 }
 
-func (t *Table) refresh(e Entry) time.Duration {
+// refreshInterval returns how often figures of an instance are passed on.
+func (t *Table) refreshInterval(e Entry) time.Duration {
 	if e.FailureDomain == t.domain && e.PeerAddress == "" {
 		return t.limits.LocalRefresh
 	}
 	return t.limits.RemoteRefresh
 }
 
-// number gives a change the next number, so that coming digests carry it.
-func (t *Table) number(r *record, from ident.Instance, change Change) {
-	if change == Nothing {
+// assignSequence gives a change the next number, so that later digests include
+// it.
+func (t *Table) assignSequence(r *record, from ident.Instance, change Change) {
+	if change == NoChange {
 		return
 	}
 	t.sequence++
-	r.announced = r.Seen
-	r.figuresAt = t.sequence
+	r.announcedSeen = r.Seen
+	r.figuresSequence = t.sequence
 	r.figuresFrom = from
 	if change >= Fact {
-		r.factAt = t.sequence
-		t.lastFact = t.sequence
+		r.factSequence = t.sequence
+		t.lastFactSequence = t.sequence
 		r.factFrom = from
 	}
 }
 
 // ApplyList merges the platform's list, which lags and may be older than the
-// one before. It returns the instances that were not known to leave before.
+// previous one. It returns the instances whose departure was not known before.
 //
-// A line that says "live" introduces an instance but is no proof of life and
-// changes nothing of one that is known to leave. An instance that is missing
-// counts as gone only when it is missing for long and silent as well, for gone
-// is for good, and a list may be incomplete.
+// An instance that is listed as live is added to the table, but that is no proof
+// of life and does not change the state of one that is known to leave. An
+// instance that is not listed counts as gone only after it has been both missing
+// and silent for longer than Limits.MaxListLag, because the state "gone" is final
+// and a list may be incomplete.
 func (t *Table) ApplyList(list []platform.Instance, now time.Time) []ident.Instance {
 	var departed []ident.Instance
 	listed := make(map[ident.Instance]bool, len(list))
 	for i := range list {
 		listed[list[i].ID] = true
-		if t.applyLine(&list[i], now) == Departure {
+		if t.applyListed(&list[i], now) == Departure {
 			departed = append(departed, list[i].ID)
 		}
 	}
@@ -251,27 +264,27 @@
 			r.absentSince = time.Time{}
 			continue
 		}
-		if t.endAbsent(r, now) {
+		if t.markGoneIfAbsent(r, now) {
 			departed = append(departed, id)
 		}
 	}
 	return departed
 }
 
-func (t *Table) applyLine(line *platform.Instance, now time.Time) Change {
-	description := *line
+func (t *Table) applyListed(listed *platform.Instance, now time.Time) Change {
+	description := *listed
 	description.State = 0
 	return t.merge("", Entry{
-		ID:            line.ID,
-		Incarnation:   line.Incarnation,
-		State:         stateOf(line.State),
-		FailureDomain: line.FailureDomain,
-		PeerAddress:   line.PeerAddress,
+		ID:            listed.ID,
+		Incarnation:   listed.Incarnation,
+		State:         memberState(listed.State),
+		FailureDomain: listed.FailureDomain,
+		PeerAddress:   listed.PeerAddress,
 		Description:   &description,
 	}, now)
 }
 
-func stateOf(s platform.InstanceState) blackboard.MemberState {
+func memberState(s platform.InstanceState) blackboard.MemberState {
 	switch s {
 	case platform.Leaving:
 		return blackboard.Leaving
@@ -281,19 +294,22 @@
 	return blackboard.Alive
 }
 
-// endAbsent turns an instance into gone when it was missing and silent for
-// long enough, and reports whether that was the first sign of its leaving. An
-// instance that was known before the first list without it, and is missing
-// from a list read ListLag later, is missing from a list made after it started.
-func (t *Table) endAbsent(r *record, now time.Time) bool {
+// markGoneIfAbsent marks an instance as gone if it has been missing from the
+// platform's lists and silent for longer than MaxListLag, and reports whether it
+// was not known to leave before.
+//
+// A single list without the instance may have been made before the instance
+// started. But the instance was known when the first such list was read, so a
+// list that is read MaxListLag later was made after its start.
+func (t *Table) markGoneIfAbsent(r *record, now time.Time) bool {
 	if r.ID == t.self || r.State == blackboard.Gone {
 		return false
 	}
 	if r.absentSince.IsZero() {
 		r.absentSince = now
 	}
-	missing := now.Sub(r.absentSince) > t.limits.ListLag
-	silent := now.Sub(r.Seen) > t.limits.ListLag
+	missing := now.Sub(r.absentSince) > t.limits.MaxListLag
+	silent := now.Sub(r.Seen) > t.limits.MaxListLag
 	if !missing || !silent {
 		return false
 	}
@@ -302,14 +318,14 @@
 	return t.merge("", gone, now) == Departure
 }
 
-// Forget drops the instances that have been gone for long, so that the table
-// stays bounded. A stale "alive" cannot revive one that was dropped: from a
-// peer it is not admitted, since its proof of life is older than GoneAt and so
-// than Limits.Admission; from the platform's list only if that lags by more
-// than Limits.Forget.
+// Forget deletes the instances that have been gone for longer than
+// Limits.ForgetAfter, so that the table stays bounded. A stale "alive" does not
+// bring a deleted instance back: a peer's entry is rejected, since its proof of
+// life is older than GoneAt and therefore than Limits.MaxProofAge, and the
+// platform's list would have to lag by more than Limits.ForgetAfter.
 func (t *Table) Forget(now time.Time) {
 	for id, r := range t.records {
-		if r.State == blackboard.Gone && now.Sub(r.GoneAt) > t.limits.Forget {
+		if r.State == blackboard.Gone && now.Sub(r.GoneAt) > t.limits.ForgetAfter {
 			delete(t.records, id)
 			delete(t.byKey, Key(r.Entry))
 		}
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -18,46 +18,47 @@
 
 // The limits of a pool.
 const (
-	// defaultTimeout bounds a call whose context has no deadline.
+	// defaultTimeout is the timeout of a call whose context has no deadline.
 	defaultTimeout = 5 * time.Second
-	// clientPing is after how much silence a client checks a connection;
-	// gRPC allows no less.
+	// clientPing is the time without traffic after which a client pings the
+	// server; gRPC allows no shorter one.
 	clientPing = 10 * time.Second
-	// condemnAfter is how many calls in a row may run into their deadline
-	// before the connection is given up.
-	condemnAfter = 2
+	// maxConsecutiveTimeouts is the number of calls in a row that run into their
+	// deadline after which a connection is replaced.
+	maxConsecutiveTimeouts = 2
 	// maxReconnectDelay bounds the pause between two attempts to connect, so
 	// that a peer that is back is reached within a heartbeat.
 	maxReconnectDelay = time.Second
-	// idleTimeout drops connections to addresses that are no longer asked.
+	// idleTimeout is the time without calls after which a connection is closed.
 	idleTimeout = 5 * time.Minute
-	// linger is how long the calls in progress on a connection that was given
-	// up may go on.
-	linger = 10 * time.Second
+	// replacedConnGrace is how long a replaced connection stays open for the
+	// calls in progress on it.
+	replacedConnGrace = 10 * time.Second
 )
 
 // Pool holds one connection to each peer address. It is safe for concurrent
 // use.
 type Pool struct {
-	reload *certificate.Reloader
-	dial   []grpc.DialOption
+	reloader    *certificate.Reloader
+	dialOptions []grpc.DialOption
 
 	mu     sync.Mutex
 	conns  map[string]*connection
 	closed bool
 }
 
-// connection is a connection with the calls in a row that it has failed.
+// connection is the connection to one peer. Pool.mu guards its fields except conn.
 type connection struct {
-	conn     *grpc.ClientConn
-	expired  int
+	conn *grpc.ClientConn
+	// timeouts is the number of calls in a row that ran into their deadline.
+	timeouts int
 	lastUsed time.Time
 }
 
-// NewPool returns an empty pool. tlsFiles may be the zero value for plaintext;
-// options are added to those of each connection.
+// NewPool returns an empty pool. The zero value of tlsFiles means plaintext. options
+// are appended to the dial options of each connection.
 func NewPool(tlsFiles TLSFiles, options ...grpc.DialOption) (*Pool, error) {
-	p := &Pool{conns: map[string]*connection{}, dial: options}
+	p := &Pool{conns: map[string]*connection{}, dialOptions: options}
 	if !tlsFiles.Set() {
 		return p, nil
 	}
@@ -65,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.reload = reload
+	p.reloader = reload
 	return p, nil
 }
 
@@ -80,12 +81,12 @@
 	}
 }
 
-// Exchange sends a heartbeat.
+// Exchange sends a heartbeat to a peer.
 func (p *Pool) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.Exchange)
 }
 
-// GetDocuments asks for the records behind a revision.
+// GetDocuments requests from a peer the records above a revision.
 func (p *Pool) GetDocuments(ctx context.Context, address string, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error) {
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.GetDocuments)
 }
@@ -95,13 +96,13 @@
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.PutOutcomes)
 }
 
-// FindOutcome asks for what a peer knows of a key.
+// FindOutcome asks a peer for the outcome of the call with a key.
 func (p *Pool) FindOutcome(ctx context.Context, address string, req *peerv1.FindOutcomeRequest) (*peerv1.FindOutcomeResponse, error) {
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.FindOutcome)
 }
 
-// HandOver gives calls and streams to a peer. Any error means that the peer may
-// have taken them.
+// HandOver hands calls and streams over to a peer. After any error the peer may
+// still have taken them over.
 func (p *Pool) HandOver(ctx context.Context, address string, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
 	return call(ctx, p, address, req, peerv1.PeerServiceClient.HandOver)
 }
@@ -109,7 +110,7 @@
 // method is a method of the generated client.
 type method[Req, Resp any] func(peerv1.PeerServiceClient, context.Context, *Req, ...grpc.CallOption) (*Resp, error)
 
-// call sends one request once. Errors carry a code of errcode.
+// call sends one request, without retries. Its errors have a code of errcode.
 func call[Req, Resp any](ctx context.Context, p *Pool, address string, req *Req, invoke method[Req, Resp]) (*Resp, error) {
 	c, err := p.connect(address)
 	if err != nil {
@@ -121,14 +122,15 @@
 		defer cancel()
 	}
 	resp, err := invoke(peerv1.NewPeerServiceClient(c.conn), ctx, req)
-	p.judge(address, c, err)
+	p.recordResult(address, c, err)
 	if err != nil {
 		return nil, fromStatus(err, "peer "+address)
 	}
 	return resp, nil
 }
 
-// connect returns the connection to an address; it is established on use.
+// connect returns the connection to an address, which gRPC establishes on the first
+// call. Errors are those of gRPC.
 func (p *Pool) connect(address string) (*connection, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,8 +143,8 @@
 		return c, nil
 	}
 	p.dropIdle(now)
-	// The passthrough scheme keeps gRPC from resolving names: a peer is an
-	// IP number and a port.
+	// The passthrough scheme keeps gRPC from resolving names: a peer's address is
+	// an IP address and a port.
 	conn, err := grpc.NewClient("passthrough:///"+address, p.options()...)
 	if err != nil {
 		return nil, err
@@ -152,8 +154,9 @@
 	return c, nil
 }
 
-// dropIdle closes the connections that nobody used for long, since instances
-// come and go and each has its own address. The lock is held.
+// dropIdle closes the connections without calls for idleTimeout. Otherwise they
+// would accumulate, because instances come and go and each has its own address.
+// The lock is held.
 func (p *Pool) dropIdle(now time.Time) {
 	for address, c := range p.conns {
 		if now.Sub(c.lastUsed) > idleTimeout {
@@ -163,12 +166,12 @@
 	}
 }
 
-// options switch off what gRPC would decide by itself: service configuration,
-// name resolution, retries and proxies.
+// options returns the dial options of a connection. They disable what gRPC would
+// decide by itself: service configuration, retries and proxies.
 func (p *Pool) options() []grpc.DialOption {
 	creds := insecure.NewCredentials()
-	if p.reload != nil {
-		creds = newClientCredentials(p.reload)
+	if p.reloader != nil {
+		creds = newClientCredentials(p.reloader)
 	}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
@@ -184,29 +187,29 @@
 			MinConnectTimeout: maxReconnectDelay,
 		}),
 	}
-	return append(options, p.dial...)
+	return append(options, p.dialOptions...)
 }
 
-// judge counts calls that ran into their deadline and gives up a connection
-// after condemnAfter in a row.
+// recordResult counts the calls in a row that ran into their deadline, and replaces
+// the connection after maxConsecutiveTimeouts of them.
 //
-// What goes wrong without: something between the two ends loses track of the
-// connection and swallows its packets. No error shows; calls just expire, while
-// a new connection would work. The pings of gRPC need 13 seconds to notice,
-// which is longer than a departure may take to spread.
-func (p *Pool) judge(address string, c *connection, err error) {
+// A device between the two peers can lose the state of a connection and silently
+// drop its packets. Then no error occurs; calls run into their deadlines, while a
+// new connection would work. The keepalive pings of gRPC need 13 seconds to detect
+// that, which is longer than a departure may take to reach all processes.
+func (p *Pool) recordResult(address string, c *connection, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if status.Code(err) != codes.DeadlineExceeded {
-		c.expired = 0
+		c.timeouts = 0
 		return
 	}
-	c.expired++
-	if c.expired < condemnAfter || p.conns[address] != c {
+	c.timeouts++
+	if c.timeouts < maxConsecutiveTimeouts || p.conns[address] != c {
 		return
 	}
 	delete(p.conns, address)
-	connectionsCondemned.Add(1)
-	// The peer may only be slow: calls in progress keep their own deadlines.
-	time.AfterFunc(linger, func() { _ = c.conn.Close() })
+	connectionsReplaced.Add(1)
+	// The peer may only be slow, so calls in progress may still end.
+	time.AfterFunc(replacedConnGrace, func() { _ = c.conn.Close() })
 }
