--- a/internal/controllers/configuration/capacity_test.go
+++ b/internal/controllers/configuration/capacity_test.go
@@ -20,13 +20,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// BenchmarkQuietHour is the processor time of one process that follows a log
-// and peers without changes, an hour of virtual time each. Reads over a network
-// come on top.
+// BenchmarkQuietHour measures the processor time of one process that follows a
+// log and peers without changes for an hour of virtual time. It leaves out the
+// cost of reads over a network.
 func BenchmarkQuietHour(b *testing.B) {
 	for b.Loop() {
 		var used time.Duration
-		// synctest needs a T.
+		// synctest needs a testing.T.
 		ok := testing.RunTests(func(string, string) (bool, error) { return true, nil }, []testing.InternalTest{{
 			Name: "hour",
 			F: func(t *testing.T) {
@@ -68,9 +68,9 @@
 	return n, err
 }
 
-// BenchmarkBytes is what a process exchanges with the log over Connect for a
-// read without news and for one changed document of 1.4 KB, and the size of a
-// peer's answer with the same change.
+// BenchmarkBytes measures the bytes that a process and the log exchange over
+// Connect for a read that returns no records and for one that returns a changed
+// document of 1.4 KB, and the size of a peer's answer with the same change.
 func BenchmarkBytes(b *testing.B) {
 	log := logstore.New(logstore.Options{})
 	mux := http.NewServeMux()
--- a/internal/controllers/configuration/controller.go
+++ b/internal/controllers/configuration/controller.go
@@ -1,7 +1,7 @@
-// Package configuration keeps the documents in force on the blackboard. It
-// reads the configuration stream of the platform's log and, where the log is
-// down or late, takes revisions from other processes. It never goes back to a
-// lower revision.
+// Package configuration publishes the configuration documents in force on the
+// blackboard. It reads the configuration stream of the platform's log and,
+// where the log is down or late, gets newer revisions from other processes. It
+// never goes back to a lower revision.
 package configuration
 
 import (
@@ -20,7 +20,7 @@
 )
 
 const (
-	// readWait is how long a read waits at the log's head.
+	// readWait is how long a read waits for a record at the log's head.
 	readWait = 4 * time.Second
 	// readTimeout is added to readWait. A read that hangs longer, for
 	// example on a connection that went silent, counts as failed. Together
@@ -31,10 +31,11 @@
 	// firstBackoff and maxBackoff bound the pause after a failed read.
 	firstBackoff = 250 * time.Millisecond
 	maxBackoff   = 4 * time.Second
-	// minPause keeps a log that answers at once, instead of waiting for a
-	// record, from being asked without end.
+	// minPause between two reads at the head keeps this process from sending
+	// reads in a tight loop to a log that answers at once instead of waiting
+	// for a record.
 	minPause = 50 * time.Millisecond
-	// peerInterval is the time between two looks at the peers' revisions.
+	// peerInterval is the time between two checks of the peers' revisions.
 	peerInterval = 500 * time.Millisecond
 	// peerGrace is how long a peer may be ahead before it is asked while the
 	// log is reachable. Usually the log brings the same records sooner.
@@ -43,9 +44,10 @@
 	peerTimeout = 2 * time.Second
 )
 
-// Options are what a Controller works with.
+// Options holds the parameters and dependencies of a Controller.
 type Options struct {
-	// Instance spreads work that any process may do.
+	// Instance sets this process's delay before it writes a snapshot, so that
+	// not all processes write one at the same time.
 	Instance ident.Instance
 	Log      platform.Log
 	// Peers may be nil.
@@ -53,40 +55,41 @@
 	Documents *blackboard.Section[*document.Set]
 	Health    *blackboard.Section[blackboard.ConfigurationHealth]
 	Logger    hclog.Logger
-	// Schema is the newest schema understood; 0 is
+	// Schema is the newest schema understood; 0 means
 	// document.CurrentSchema.
 	Schema int
-	// Snapshots says when to write snapshots; the zero value is
+	// Snapshots says when to write snapshots; the zero value means
 	// DefaultSnapshotPolicy.
 	Snapshots SnapshotPolicy
-	// Random returns numbers in [0, 1) that spread retries; nil is
+	// Random returns numbers in [0, 1) that spread retries; nil means
 	// math/rand.
 	Random func() float64
 }
 
-// Controller owns the sections Documents and Health. Create it with New.
+// Controller is the only writer of the sections Documents and Health. Create it
+// with New.
 type Controller struct {
 	options Options
 	logger  hclog.Logger
-	// progress is what other goroutines may read.
+	// progress is the part of the state that other goroutines may read.
 	progress atomic.Pointer[progress]
 	snapshot snapshotWriter
 
-	// What follows belongs to the goroutine of Run.
+	// Only the goroutine of Run uses the fields below.
 
 	reader document.Reader
-	// set is what was published, nil before the process is ready.
+	// set is the last published set, nil before the process is ready.
 	set *document.Set
-	// problems are the documents of set that could not be used.
+	// problems describes the documents that could not be used in set.
 	problems []string
 	ready    bool
-	// logReachable: the last read succeeded.
+	// logReachable is whether the last read succeeded.
 	logReachable bool
-	// logFailed: some read has failed.
+	// logFailed is whether any read has failed.
 	logFailed bool
-	// backoff is the last pause after a failed read.
+	// backoff is the last pause after a failed read, before jitter.
 	backoff time.Duration
-	// peerAhead is since when a peer is known to be ahead.
+	// peerAhead is when a peer was first seen to be ahead; zero while none is.
 	peerAhead time.Time
 	// first is the oldest offset that the log keeps.
 	first        ident.Offset
@@ -112,21 +115,21 @@
 	return c
 }
 
-// State returns the configuration as far as this process knows it, also before
-// it is ready. It may be called by any goroutine.
+// State returns the configuration that this process knows, which may be
+// incomplete before it is ready. It may be called by any goroutine.
 func (c *Controller) State() document.State { return c.progress.Load().state }
 
-// Revision returns the revision to tell peers: the one up to which this process
-// knows all. The revision in force would not do: a peer that lacks expired
-// records could not tell who has them, as records without effect raise none. It
-// may be called by any goroutine.
+// Revision returns the revision to announce to peers: the one up to which this
+// process knows all records. It is not the revision in force, because records
+// without effect don't raise that one, and so a peer that lacks expired records
+// could not see which process has them. It may be called by any goroutine.
 func (c *Controller) Revision() ident.Revision { return c.State().Through() }
 
-// Delta returns what a process needs that is complete up to a revision. It may
-// be called by any goroutine.
+// Delta returns what a process lacks that knows all records up to the revision
+// above. It may be called by any goroutine.
 func (c *Controller) Delta(above ident.Revision) document.Delta { return c.State().Delta(above) }
 
-// readResult is what one read of the log gave.
+// readResult is the result of one read of the log.
 type readResult struct {
 	batch platform.Batch
 	err   error
@@ -165,8 +168,8 @@
 	}
 }
 
-// wait is zero until the head is reached: a process that is not ready must
-// learn quickly whether the log is down.
+// wait returns how long the next read waits for records at the head. It is zero
+// until the process is ready, so that it learns quickly whether the log is down.
 func (c *Controller) wait() time.Duration {
 	if c.ready {
 		return readWait
--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -11,12 +11,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// take handles the answer of a read and returns the pause before the next.
+// take applies the result of a read and returns the pause before the next read.
 func (c *Controller) take(result readResult) time.Duration {
 	if errors.Is(result.err, platform.ErrExpired) {
 		c.reachable()
 		c.reader.Expired(result.batch.First)
-		c.logger.Warn("log records expired before they were read", "first_kept", result.batch.First)
+		c.logger.Warn("configuration records expired in the log before they were read", "first_kept", result.batch.First)
 		return c.pause()
 	}
 	if result.err != nil {
@@ -41,7 +41,7 @@
 
 func (c *Controller) reachable() {
 	if !c.logReachable {
-		c.logger.Info("platform's log answers")
+		c.logger.Info("read of the configuration stream succeeded, the platform's log is reachable")
 	}
 	c.logReachable = true
 }
@@ -49,20 +49,21 @@
 func (c *Controller) unreachable(err error) {
 	metrics.readFailures.Add(1)
 	if c.logReachable || !c.logFailed {
-		c.logger.Warn("platform's log does not answer", "error", err)
+		c.logger.Warn("cannot read the configuration stream from the platform's log", "error", err)
 	}
 	c.logReachable = false
 	c.logFailed = true
 }
 
-// pause grows up to maxBackoff. A random part keeps processes that failed at
-// the same moment from coming back at the same moment.
+// pause returns the time to back off after a failed read. It doubles up to
+// maxBackoff; its random half keeps processes whose reads failed at the same
+// moment from retrying at the same moment.
 func (c *Controller) pause() time.Duration {
 	c.backoff = min(max(2*c.backoff, firstBackoff), maxBackoff)
 	return c.backoff/2 + time.Duration(c.options.Random()*float64(c.backoff/2))
 }
 
-// note logs and counts what became of new records.
+// note logs and counts how each new record was decided.
 func (c *Controller) note(decisions []document.Decision) {
 	for _, d := range decisions {
 		switch d.Kind {
@@ -78,13 +79,14 @@
 			metrics.unreadable.Add(1)
 		}
 		if d.Problem != "" {
-			c.logger.Error("configuration record", "offset", d.Offset, "problem", d.Problem)
+			c.logger.Error("problem with a configuration record", "offset", d.Offset, "problem", d.Problem)
 		}
 	}
 	c.lastSnapshot.records += len(decisions)
 }
 
-// followPeers takes over what a peer knows beyond this process.
+// followPeers merges the records that the most advanced peer has and this
+// process lacks.
 func (c *Controller) followPeers(ctx context.Context) {
 	if c.options.Peers == nil {
 		return
@@ -103,7 +105,8 @@
 	}
 }
 
-// patienceOver reports whether a peer ahead is to be asked now.
+// patienceOver reports whether to ask the peer that is ahead: at once while the
+// log is unreachable, otherwise after peerGrace.
 func (c *Controller) patienceOver() bool {
 	if c.peerAhead.IsZero() {
 		c.peerAhead = time.Now()
@@ -120,25 +123,25 @@
 	}
 	if err != nil {
 		metrics.mergeFailures.Add(1)
-		c.logger.Warn("no documents from peer", "peer", peer.ID, "error", err)
+		c.logger.Warn("cannot get configuration documents from peer", "peer", peer.ID, "error", err)
 		return
 	}
 	metrics.merges.Add(1)
-	c.logger.Info("documents from peer", "peer", peer.ID, "revision", c.reader.State().Revision())
+	c.logger.Info("merged configuration documents from peer", "peer", peer.ID, "revision", c.reader.State().Revision())
 }
 
-// readyFromPeers: with the log down, a process is ready at the highest
-// revision of its reachable peers. Without any document it is not: they may
-// all be as new as this one.
+// readyFromPeers makes a process ready that has caught up with its reachable
+// peers while the log is down. A process without any document does not become
+// ready this way, since its peers may be just as new.
 func (c *Controller) readyFromPeers() {
 	if !c.logReachable && c.logFailed && c.reader.State().Revision() > 0 {
 		c.ready = true
 	}
 }
 
-// publish brings the sections and the shared progress up to date. Documents
-// stay empty until the process is ready, so that no caller is served by an
-// older document than another instance served by before.
+// publish updates the blackboard's sections and the shared progress. Documents
+// stay empty until the process is ready, so that no caller is served with an
+// older document than one that another instance has already used.
 func (c *Controller) publish() {
 	state := c.reader.State()
 	if c.ready && (c.set == nil || c.set.Revision != state.Revision()) {
@@ -154,7 +157,7 @@
 	if c.options.Health.Value() != health {
 		c.options.Health.Publish(health)
 		if health.Problem != "" && c.everRead() {
-			c.logger.Warn("configuration", "ready", health.Ready, "problem", health.Problem)
+			c.logger.Warn("configuration has a problem", "ready", health.Ready, "problem", health.Problem)
 		}
 	}
 	c.progress.Store(&progress{
@@ -165,10 +168,12 @@
 	})
 }
 
-// everRead reports whether the log was tried; before that nothing is wrong.
+// everRead reports whether any read has ended. Before that, being not ready is
+// no problem to log.
 func (c *Controller) everRead() bool { return c.logReachable || c.logFailed }
 
-// problem says why the process is not ready, or what it cannot follow.
+// problem describes why the process is not ready and which records or documents
+// it cannot use; it is empty if all is well.
 func (c *Controller) problem() string {
 	var all []string
 	if !c.ready {
--- a/internal/controllers/configuration/metrics.go
+++ b/internal/controllers/configuration/metrics.go
@@ -2,8 +2,8 @@
 
 import "expvar"
 
-// metrics are this package's expvar variables; docs/OPERATORS.md has their
-// units and meaning.
+// metrics holds this package's expvar variables; docs/OPERATORS.md describes
+// their units and meaning.
 var metrics = struct {
 	revision, reads, readFailures, accepted, refused, unreadable,
 	merges, mergeFailures, snapshots *expvar.Int
--- a/internal/controllers/configuration/peers.go
+++ b/internal/controllers/configuration/peers.go
@@ -8,7 +8,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Peer is another process and the revision up to which it knows all.
+// Peer is another process and the revision up to which it knows all records.
 type Peer struct {
 	ID ident.Instance
 	// Address is host:port of its peer listener.
@@ -16,17 +16,19 @@
 	Revision ident.Revision
 }
 
-// PeerDocuments is what this controller needs of other processes.
+// PeerDocuments gets configuration documents from other processes.
 type PeerDocuments interface {
-	// Highest returns the reachable peer with the highest revision. It is
-	// false when no peer is reachable, and until every known peer was heard
-	// of or failed once: the one not asked yet may hold a higher revision.
+	// Highest returns the reachable peer with the highest revision. It returns
+	// false while no peer is reachable, and until an exchange with every known
+	// peer has succeeded or failed once: a peer not asked yet may have a higher
+	// revision.
 	Highest() (Peer, bool)
-	// GetDocuments asks a peer for everything above a revision.
+	// GetDocuments requests from a peer everything above a revision.
 	GetDocuments(ctx context.Context, peer Peer, above ident.Revision) (document.Delta, error)
 }
 
-// PeerClient sends a request to the process at an address; *peer.Pool does.
+// PeerClient sends a request to the process at an address. *peer.Pool
+// implements it.
 type PeerClient interface {
 	GetDocuments(ctx context.Context, address string, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error)
 }
@@ -37,8 +39,8 @@
 	highest func() (Peer, bool)
 }
 
-// NewPeers returns PeerDocuments over a client. highest is as in
-// PeerDocuments; membership knows it from the heartbeats.
+// NewPeers returns a PeerDocuments that sends requests with client. highest is
+// as in PeerDocuments; membership knows the revisions from the heartbeats.
 func NewPeers(client PeerClient, highest func() (Peer, bool)) PeerDocuments {
 	return &remotePeers{client: client, highest: highest}
 }
@@ -56,7 +58,7 @@
 	return fromProto(resp), nil
 }
 
-// GetDocuments answers a peer; the peer server's handler Documents.
+// GetDocuments answers a peer's request for documents.
 func (c *Controller) GetDocuments(_ context.Context, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error) {
 	return toProto(c.Delta(ident.Revision(req.GetAboveRevision()))), nil
 }
--- a/internal/controllers/configuration/promise_test.go
+++ b/internal/controllers/configuration/promise_test.go
@@ -19,15 +19,16 @@
 func init() { testkit.FixSeed() }
 
 const (
-	// newSchema is that of the newer program; the older understands one less.
+	// newSchema is the newest schema that the newer program understands; the
+	// older program understands one less.
 	newSchema = 2
-	// inForce is the time within which an accepted change is served by
-	// everywhere.
+	// inForce is the time within which all processes must use an accepted
+	// change.
 	inForce = 12 * time.Second
 	outage  = 2 * time.Minute
 )
 
-// text is a document whose model version tells publications apart.
+// text returns a document whose model version is the publication's ID.
 func text(service ident.Service, publishID string) []byte {
 	return fmt.Appendf(nil, `
 schema = 1
@@ -39,7 +40,7 @@
 `, service, publishID)
 }
 
-// oracle is the plain list of publications in the order of the log.
+// oracle is the plain list of accepted publications in the order of the log.
 type oracle struct{ accepted []oracleEntry }
 
 type oracleEntry struct {
@@ -49,8 +50,8 @@
 	schema   int
 }
 
-// newOracle reads the whole log, expired records included, with the wire
-// types only: it shares no code with the fold.
+// newOracle reads the whole log, expired records included. It uses only the
+// wire types and shares no code with the fold of package document.
 func newOracle(records []platform.Record) oracle {
 	var o oracle
 	for _, r := range records {
@@ -85,7 +86,8 @@
 	return revision
 }
 
-// at returns what a program has to serve by at a revision.
+// at returns the publications that a program with the given schema has to use
+// at a revision.
 func (o oracle) at(revision ident.Revision, schema int) map[ident.Service]oracleEntry {
 	out := map[ident.Service]oracleEntry{}
 	for _, e := range o.accepted {
@@ -103,8 +105,8 @@
 	return o.accepted[len(o.accepted)-1].revision
 }
 
-// inspect checks a set that a process serves by: it is the oracle's at that
-// revision, and no service goes back.
+// inspect checks that a set published by a process equals the oracle's at that
+// revision and that no service goes back to an older revision.
 func (w *world) inspect(p *process, set *document.Set) {
 	want := newOracle(w.log.records()).at(set.Revision, p.schema)
 	if len(want) != len(set.Services) {
@@ -123,11 +125,12 @@
 	}
 }
 
-// machine is the rapid state machine: its methods are what may happen.
+// machine is the rapid state machine; its methods are the events.
 type machine struct {
 	*world
 	published int
-	late      [][]byte
+	// late holds records whose append is still on its way to the log.
+	late [][]byte
 }
 
 var serviceNames = []ident.Service{"spool-llm", "auktion-app", "appli-jumelage"}
@@ -146,8 +149,8 @@
 	return data
 }
 
-// publish: operators race for the same base; some answers are lost, and the
-// record lands now, later or twice; some bases are stale.
+// publish lets operators publish with the same base at once. Some bases are
+// stale. Because answers get lost, a record is appended now, later or twice.
 func (m *machine) publish(t *rapid.T) {
 	service := rapid.SampledFrom(serviceNames).Draw(t, "service")
 	base := newOracle(m.log.records()).current(service)
@@ -184,7 +187,8 @@
 
 func (m *machine) cutDomains(t *rapid.T) { m.setApart(rapid.Bool().Draw(t, "apart")) }
 
-// cutFromLog: one failure domain loses the log, or its connections hang.
+// cutFromLog disconnects one failure domain from the log, or makes its
+// connections hang, or ends both faults.
 func (m *machine) cutFromLog(t *rapid.T) {
 	domain := rapid.IntRange(0, domains-1).Draw(t, "domain")
 	cut, hang := rapid.Bool().Draw(t, "cut"), rapid.Bool().Draw(t, "hang")
@@ -208,7 +212,7 @@
 	}
 }
 
-// expire: the log forgets, also beyond what a snapshot covers.
+// expire removes old records from the log, also ones that no snapshot covers.
 func (m *machine) expire(t *rapid.T) {
 	m.log.expire(ident.Offset(rapid.IntRange(0, len(m.log.records())).Draw(t, "first")))
 }
@@ -219,8 +223,8 @@
 	}).Draw(t, "time"))
 }
 
-// replacedInOutage: the log is down and meanwhile a whole failure domain is replaced. The new
-// processes serve by what the other domain holds.
+// replacedInOutage replaces a whole failure domain while the log is down. The
+// new processes must use the documents that the other domain has.
 func (m *machine) replacedInOutage(t *rapid.T) {
 	m.log.setDown(true)
 	m.setApart(false)
@@ -239,7 +243,7 @@
 }
 
 // heal ends all faults. As long as the documents exist anywhere, all processes
-// serve by the oracle's within seconds.
+// must use the oracle's documents within inForce.
 func (m *machine) heal(t *rapid.T) { m.healed(t) }
 
 func (m *machine) healed(t *rapid.T) bool {
@@ -258,8 +262,8 @@
 	return true
 }
 
-// quiet: without faults, the log has a snapshot of everything in time, so that
-// the next expiry loses nothing.
+// quiet checks that without faults a snapshot of everything is written in time,
+// so that the next expiry loses nothing.
 func (m *machine) quiet(t *rapid.T) {
 	if !m.healed(t) {
 		return
@@ -281,8 +285,9 @@
 	}
 }
 
-// recoverable is false once every process that had read the expired records
-// is gone and they are in no snapshot: the documents exist nowhere.
+// recoverable reports whether the documents still exist anywhere. They don't
+// once the records have expired, no snapshot covers them and every process that
+// had read them is gone.
 func (m *machine) recoverable() bool {
 	covers := m.log.snapshotCovers()
 	m.log.mu.Lock()
@@ -318,12 +323,12 @@
 	}
 }
 
-// Symptom: an instance serves by a document that was never accepted, by a mix
-// of revisions, goes back to an older one, or never gets a change.
-// Sequence: any order of racing operators, lost and late answers, garbage,
-// outages, cuts, silent connections, expired records, replaced instances and
-// failure domains, with an older program among them.
-// Cause: looked for, by comparison with a plain list of the log's records.
+// Compares the documents in use with a plain list of the log's records. An
+// instance must not use a document that was never accepted or a mix of
+// revisions, go back to an older revision, or miss a change, in any order of
+// racing operators, lost and late answers, garbage, outages, partitions, silent
+// connections, expired records, and replaced instances and failure domains.
+// Some of the processes run an older program.
 func TestDocumentsNeverRevertAndArriveEverywhere(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		testkit.Bubble(t, func() { runMachine(r) })
--- a/internal/controllers/configuration/ready_test.go
+++ b/internal/controllers/configuration/ready_test.go
@@ -27,7 +27,7 @@
 	w.log.land(data)
 }
 
-// newServingWorld returns processes that all serve by publication "a".
+// newServingWorld returns processes that all use publication "a".
 func newServingWorld(t *testing.T) *world {
 	t.Helper()
 	w := newWorld()
@@ -36,7 +36,7 @@
 	return w
 }
 
-// slowLog gives one record a second.
+// slowLog returns one record a second.
 type slowLog struct{ platform.Log }
 
 func (l slowLog) Read(ctx context.Context, stream string, from ident.Offset, _ int, wait time.Duration) (platform.Batch, error) {
@@ -44,10 +44,10 @@
 	return l.Log.Read(ctx, stream, from, 1, wait)
 }
 
-// Symptom: callers of one service are served by an older document than before.
-// Sequence: a new instance begins to read the stream and serves by the first
-// of its records while the others serve by the last.
-// Cause: documents on the blackboard before the log's head is reached.
+// Documents must not be published on the blackboard before the log's head is
+// reached. Otherwise a new instance uses the stream's first records while the
+// others use the last, and callers of a service are served with an older
+// document than before.
 func TestNothingIsServedByBeforeTheHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{log: newMemoryLog()}
@@ -58,15 +58,14 @@
 		defer p.stop()
 		snap, err := p.board.Documents.Wait(t.Context(), 0)
 		if err != nil || snap.Value.Revision != 3 {
-			t.Errorf("first served by revision %d, want 3; %v", snap.Value.Revision, err)
+			t.Errorf("first revision in use %d, want 3; %v", snap.Value.Revision, err)
 		}
 	})
 }
 
-// Symptom: as above, after a new instance took an older state from the log.
-// Sequence: the log goes down while a new instance reads it; the peer with the
-// highest revision is known, but does not answer at first.
-// Cause: ready at less than the highest revision of the reachable peers.
+// A process must not be ready below the highest revision of its reachable
+// peers. Here the log goes down while a new instance reads it, and the peer with
+// the highest revision is known but does not answer at first.
 func TestNotReadyBelowTheHighestPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
@@ -92,12 +91,11 @@
 	})
 }
 
-// Symptom: an instance reports a gap in the log for minutes although its peers
-// have none; if all restart meanwhile, the documents are lost.
-// Sequence: an instance is cut from the log while records without effect are
-// appended and expire; no snapshot covers them.
-// Cause: a gap is closed by a snapshot or by a peer's newer revision alone, or
-// snapshots are written by age alone.
+// An instance that is disconnected from the log while records without effect
+// are appended and expire must close the gap from its peers, and a snapshot must
+// soon cover the gap. If only a snapshot or a newer revision closed it, the
+// instance would report the gap for minutes; if snapshots were written by age
+// alone, the documents would be lost when all processes restart meanwhile.
 func TestGapIsClosedByPeersAndThenByASnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newServingWorld(t)
@@ -120,12 +118,11 @@
 	})
 }
 
-// Symptom: a failure domain has no documents, or older ones, until the log is
+// Documents must not exist in the log alone. Here the log is down for hours, all
+// processes of a failure domain are replaced meanwhile, the records expire
+// before the log is back, and then new documents are published. The failure
+// domain must not be without documents, or have older ones, until the log is
 // back.
-// Sequence: the log is down for hours; all processes of a failure domain are
-// replaced meanwhile; the records expire before the log is back, and then new
-// documents are published.
-// Cause: documents that live in the log and nowhere else.
 func TestFailureDomainReplacedWhileTheLogIsDownForHours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newServingWorld(t)
@@ -145,10 +142,9 @@
 	})
 }
 
-// Symptom: an accepted change is gone.
-// Sequence: the platform restores its log from a copy that lacks the newest
-// records.
-// Cause: following the log to a lower revision.
+// No process may follow the log to a lower revision: if the platform restores
+// its log from a copy that lacks the newest records, accepted changes would be
+// undone.
 func TestShorterLogRevertsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
@@ -165,7 +161,7 @@
 	})
 }
 
-// expectEverywhere checks that all processes serve by a publication.
+// expectEverywhere checks that all processes use the publication with this ID.
 func (w *world) expectEverywhere(t *testing.T, id string) {
 	t.Helper()
 	synctest.Wait()
@@ -178,11 +174,10 @@
 	}
 }
 
-// Symptom: a service vanishes from the instances of an older program, or of
-// all, once its newest document cannot be understood.
-// Sequence: a newer program publishes a newer schema; a faulty one publishes
-// what is no document.
-// Cause: serving by the newest document or by none.
+// A process that can't use a service's newest document must keep using the last
+// one that it understood, or the service would vanish from the instances of an
+// older program when a newer program publishes a newer schema, and from all
+// instances when a faulty program publishes something that is no document.
 func TestServesByTheLastDocumentUnderstood(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/controllers/configuration/snapshots.go
+++ b/internal/controllers/configuration/snapshots.go
@@ -11,18 +11,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// SnapshotPolicy says when the configuration is written to the log again.
-// Without that, documents would vanish with the records that published them,
-// which one would notice when a new instance finds none.
+// SnapshotPolicy says when a snapshot of the configuration is appended to the
+// log. Without snapshots, documents would be lost when the records that
+// published them expire, and new instances would find none.
 type SnapshotPolicy struct {
-	// Interval since the newest snapshot. It has to be well below the time
-	// that the log keeps records; a quarter of it leaves room for an outage.
+	// Interval is the age of the newest snapshot at which a new one is due.
+	// It has to be well below the time that the log keeps records; a quarter
+	// of it leaves room for an outage.
 	Interval time.Duration
-	// MaxRecords since the newest snapshot, which bounds what a new process
-	// reads.
+	// MaxRecords is the number of records since the newest snapshot at which
+	// a new one is due. It bounds how many records a new process reads.
 	MaxRecords int
-	// Spread is the time over which processes space themselves out, so that
-	// usually the first one's snapshot spares the others theirs.
+	// Spread is the time over which the processes' attempts are spread once a
+	// snapshot is due, so that usually one process writes it for all.
 	Spread time.Duration
 }
 
@@ -33,67 +34,73 @@
 	Spread:     time.Minute,
 }
 
-// Every returns the policy with another interval.
+// Every returns the policy with its Interval replaced.
 func (p SnapshotPolicy) Every(interval time.Duration) SnapshotPolicy {
 	p.Interval = interval
 	return p
 }
 
-// minSpread is the least delay, in which a snapshot just written is read back.
+// minSpread is the least delay before a process writes a snapshot that is due.
+// In that time it reads one that another process has just written.
 const minSpread = 5 * time.Second
 
-// snapshotCheckInterval is the time between two checks whether one is due.
+// snapshotCheckInterval is the time between two checks whether a snapshot is
+// due.
 const snapshotCheckInterval = 5 * time.Second
 
 // appendTimeout bounds the append of a snapshot.
 const appendTimeout = 5 * time.Second
 
-// seenSnapshot is the newest snapshot that was read from the log.
+// seenSnapshot describes the newest snapshot that was read from the log.
 type seenSnapshot struct {
+	// covers is the first offset that the snapshot does not include.
 	covers ident.Offset
 	// readAt is when this process read it, or started; monotonic.
 	readAt time.Time
-	// records read after it.
+	// records counts the records read since.
 	records int
 }
 
-// progress is what other goroutines see of the controller.
+// progress is the part of the controller's state that other goroutines read.
 type progress struct {
 	state   document.State
 	written seenSnapshot
 	// first is the oldest offset that the log keeps.
 	first ident.Offset
-	// current: the state is that of the log's head.
+	// current is whether state includes all records up to the log's head.
 	current bool
 }
 
-// needed reports whether the log lacks a snapshot.
-func (p SnapshotPolicy) needed(now time.Time, at *progress) bool {
-	if !at.current || at.state.Next() == 0 {
+// needed reports whether the log needs a new snapshot: records that no snapshot
+// covers have expired, or the newest snapshot is too old, or too many records
+// follow it.
+func (p SnapshotPolicy) needed(now time.Time, latest *progress) bool {
+	if !latest.current || latest.state.Next() == 0 {
 		return false
 	}
-	expiring := at.written.covers < at.first
-	old := now.Sub(at.written.readAt) >= p.Interval
-	many := at.written.records >= p.MaxRecords
-	return expiring || old || many
+	uncovered := latest.written.covers < latest.first
+	old := now.Sub(latest.written.readAt) >= p.Interval
+	many := latest.written.records >= p.MaxRecords
+	return uncovered || old || many
 }
 
-// delay is how long an instance leaves the work to others.
+// delay returns how long an instance waits, once a snapshot is due, for another
+// process to write it. It depends on the instance alone.
 func (p SnapshotPolicy) delay(instance ident.Instance) time.Duration {
 	const steps = 1 << 16
 	step := xxhash.Sum64String(string(instance)) % steps
 	return minSpread + p.Spread*time.Duration(step)/steps
 }
 
-// snapshotWriter remembers since when a snapshot is needed.
+// snapshotWriter holds since when a snapshot is needed.
 type snapshotWriter struct {
 	mu sync.Mutex
-	// since is zero while none is needed.
+	// since is zero while none is needed. It restarts after each attempt.
 	since time.Time
 }
 
 // WriteSnapshots writes a snapshot whenever one is due, until ctx ends. One
-// process of an instance does it; that others do it too is harmless.
+// process of an instance has to run it; more do no harm.
 func (c *Controller) WriteSnapshots(ctx context.Context) error {
 	ticker := time.NewTicker(snapshotCheckInterval)
 	defer ticker.Stop()
@@ -104,21 +111,22 @@
 		case <-ticker.C:
 		}
 		if _, err := c.WriteSnapshotIfDue(ctx); err != nil {
-			c.logger.Warn("no snapshot written", "error", err)
+			c.logger.Warn("cannot write configuration snapshot", "error", err)
 		}
 	}
 }
 
 // WriteSnapshotIfDue appends a snapshot of the configuration to the log when
-// the log needs one and no other process has written it meanwhile. Call it
-// every few seconds; it may be called by any goroutine. A lost answer is
-// harmless: the next round sees whether the snapshot is there.
+// the log needs one and no other process has written it meanwhile. It returns
+// whether it has appended one. Call it every few seconds; it may be called by
+// any goroutine. A lost answer is harmless: a later call sees from the log
+// whether the snapshot was appended.
 func (c *Controller) WriteSnapshotIfDue(ctx context.Context) (bool, error) {
-	at := c.progress.Load()
-	if !c.snapshotDue(time.Now(), at) {
+	latest := c.progress.Load()
+	if !c.snapshotDue(time.Now(), latest) {
 		return false, nil
 	}
-	record, err := document.EncodeSnapshot(at.state)
+	record, err := document.EncodeSnapshot(latest.state)
 	if err != nil {
 		return false, err
 	}
@@ -128,15 +136,15 @@
 		return false, err
 	}
 	metrics.snapshots.Add(1)
-	c.logger.Info("snapshot written", "covers", at.state.Next(), "bytes", len(record))
+	c.logger.Info("configuration snapshot written", "covers", latest.state.Next(), "bytes", len(record))
 	return true, nil
 }
 
-func (c *Controller) snapshotDue(now time.Time, at *progress) bool {
+func (c *Controller) snapshotDue(now time.Time, latest *progress) bool {
 	w := &c.snapshot
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !c.options.Snapshots.needed(now, at) {
+	if !c.options.Snapshots.needed(now, latest) {
 		w.since = time.Time{}
 		return false
 	}
--- a/internal/controllers/configuration/world_test.go
+++ b/internal/controllers/configuration/world_test.go
@@ -13,7 +13,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// memoryLog is one stream of the platform's log, with the log's faults.
+// memoryLog is one stream of the platform's log, which can be made to fail.
 type memoryLog struct {
 	mu      sync.Mutex
 	all     []platform.Record // also the expired ones, for the oracle
@@ -58,7 +58,8 @@
 	return slices.Clone(l.all)
 }
 
-// get returns a batch, and a channel to wait on when there is no record yet.
+// get returns a batch, and a channel that is closed at the next append, to wait
+// on when there is no record yet.
 func (l *memoryLog) get(from ident.Offset, limit int) (platform.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,12 +77,12 @@
 	return batch, l.changed, nil
 }
 
-// link is one process's way to the log.
+// link is one process's connection to the log.
 type link struct {
 	log *memoryLog
 	mu  sync.Mutex
 	cut bool
-	// hang: reads never answer, as on a connection that went silent.
+	// hang makes reads never return, as on a connection that went silent.
 	hang bool
 }
 
@@ -146,18 +147,19 @@
 	controller *Controller
 	world      *world
 	stop       func()
-	// served is the highest revision served by for each service.
+	// served is the newest revision used so far for each service.
 	served map[ident.Service]ident.Revision
 }
 
-// world is a few processes in two failure domains and what connects them.
+// world is a few processes in two failure domains, with the log and the
+// connections between them.
 type world struct {
 	log       *memoryLog
 	mu        sync.Mutex
 	processes []*process
-	// apart: the failure domains cannot reach each other.
+	// apart is whether the failure domains cannot reach each other.
 	apart bool
-	// deaf: heartbeats come through, but no answer to GetDocuments.
+	// deaf is whether GetDocuments fails, though heartbeats come through.
 	deaf   bool
 	faults []string
 	lives  int
@@ -176,7 +178,7 @@
 	return w
 }
 
-// start begins a new life at a place.
+// start starts a new incarnation at a place, which is the index in processes.
 func (w *world) start(place int) *process {
 	l := &link{log: w.log}
 	p := w.startWith(place, l)
@@ -184,7 +186,8 @@
 	return p
 }
 
-// startWith uses a way to the log of its own. Odd places run an older program.
+// startWith is start with another connection to the log. Odd places run an
+// older program.
 func (w *world) startWith(place int, log platform.Log) *process {
 	w.lives++
 	p := &process{
@@ -254,7 +257,7 @@
 	return w.deaf
 }
 
-// watch sees every set that the process serves by.
+// watch checks every set that the process publishes.
 func (p *process) watch(ctx context.Context) {
 	version := uint64(0)
 	for {
@@ -281,7 +284,7 @@
 	return out
 }
 
-// highest is what membership knows from the heartbeats.
+// highest returns what membership would know from the heartbeats.
 func (p *process) highest() (Peer, bool) {
 	var best Peer
 	found := false
