--- a/internal/controllers/configuration/capacity_test.go
+++ b/internal/controllers/configuration/capacity_test.go
@@ -43,7 +43,7 @@
 func quietHour(t *testing.T) time.Duration {
 	w := newWorld()
 	defer w.stopAll()
-	w.land(t, "a", 1, text(service, "a"))
+	w.publishNext(t, "a", 1, documentText(service, "a"))
 	time.Sleep(time.Minute)
 	start := testkit.ProcessorTime(t)
 	time.Sleep(time.Hour)
--- a/internal/controllers/configuration/controller.go
+++ b/internal/controllers/configuration/controller.go
@@ -89,10 +89,10 @@
 	logFailed bool
 	// backoff is the last pause after a failed read, before jitter.
 	backoff time.Duration
-	// peerAhead is when a peer was first seen to be ahead; zero while none is.
-	peerAhead time.Time
-	// first is the oldest offset that the log keeps.
-	first        ident.Offset
+	// peerAheadSince is when a peer was first seen to be ahead; zero while none is.
+	peerAheadSince time.Time
+	// firstKept is the oldest offset that the log keeps.
+	firstKept        ident.Offset
 	lastSnapshot seenSnapshot
 }
 
@@ -144,7 +144,7 @@
 
 	results := make(chan readResult, 1)
 	read := func() {
-		from, wait := c.reader.From(), c.wait()
+		from, wait := c.reader.From(), c.headWait()
 		readers.Go(func() { results <- c.read(ctx, from, wait) })
 	}
 	peers := time.NewTicker(peerInterval)
@@ -160,7 +160,7 @@
 		case <-retry.C:
 			read()
 		case result := <-results:
-			retry.Reset(c.take(result))
+			retry.Reset(c.applyRead(result))
 		case <-peers.C:
 			c.followPeers(ctx)
 		}
@@ -168,9 +168,9 @@
 	}
 }
 
-// wait returns how long the next read waits for records at the head. It is zero
+// headWait returns how long the next read waits for records at the head. It is zero
 // until the process is ready, so that it learns quickly whether the log is down.
-func (c *Controller) wait() time.Duration {
+func (c *Controller) headWait() time.Duration {
 	if c.ready {
 		return readWait
 	}
--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -11,42 +11,42 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// take applies the result of a read and returns the pause before the next read.
-func (c *Controller) take(result readResult) time.Duration {
+// applyRead applies the result of a read and returns the pause before the next read.
+func (c *Controller) applyRead(result readResult) time.Duration {
 	if errors.Is(result.err, platform.ErrExpired) {
-		c.reachable()
+		c.markReachable()
 		c.reader.Expired(result.batch.First)
 		c.logger.Warn("configuration records expired in the log before they were read", "first_kept", result.batch.First)
-		return c.pause()
+		return c.nextBackoff()
 	}
 	if result.err != nil {
-		c.unreachable(result.err)
-		return c.pause()
+		c.markUnreachable(result.err)
+		return c.nextBackoff()
 	}
-	c.reachable()
-	c.first = result.batch.First
+	c.markReachable()
+	c.firstKept = result.batch.First
 	before := c.reader.From()
-	c.note(c.reader.Take(result.batch))
+	c.recordDecisions(c.reader.Take(result.batch))
 	if c.reader.AtHead() {
 		c.ready = true
 		c.backoff = 0
 		return minPause
 	}
 	if c.reader.From() == before {
-		return c.pause()
+		return c.nextBackoff()
 	}
 	c.backoff = 0
 	return 0
 }
 
-func (c *Controller) reachable() {
+func (c *Controller) markReachable() {
 	if !c.logReachable {
 		c.logger.Info("read of the configuration stream succeeded, the platform's log is reachable")
 	}
 	c.logReachable = true
 }
 
-func (c *Controller) unreachable(err error) {
+func (c *Controller) markUnreachable(err error) {
 	metrics.readFailures.Add(1)
 	if c.logReachable || !c.logFailed {
 		c.logger.Warn("cannot read the configuration stream from the platform's log", "error", err)
@@ -55,16 +55,16 @@
 	c.logFailed = true
 }
 
-// pause returns the time to back off after a failed read. It doubles up to
+// nextBackoff returns the time to back off after a failed read. It doubles up to
 // maxBackoff; its random half keeps processes whose reads failed at the same
 // moment from retrying at the same moment.
-func (c *Controller) pause() time.Duration {
+func (c *Controller) nextBackoff() time.Duration {
 	c.backoff = min(max(2*c.backoff, firstBackoff), maxBackoff)
 	return c.backoff/2 + time.Duration(c.options.Random()*float64(c.backoff/2))
 }
 
-// note logs and counts how each new record was decided.
-func (c *Controller) note(decisions []document.Decision) {
+// recordDecisions logs and counts how each new record was decided.
+func (c *Controller) recordDecisions(decisions []document.Decision) {
 	for _, d := range decisions {
 		switch d.Kind {
 		case document.AcceptedRecord:
@@ -96,8 +96,8 @@
 		return
 	}
 	if peer.Revision <= c.reader.State().Through() {
-		c.peerAhead = time.Time{}
-	} else if c.patienceOver() {
+		c.peerAheadSince = time.Time{}
+	} else if c.shouldAskPeer() {
 		c.merge(ctx, peer)
 	}
 	if peer.Revision <= c.reader.State().Through() {
@@ -105,13 +105,13 @@
 	}
 }
 
-// patienceOver reports whether to ask the peer that is ahead: at once while the
+// shouldAskPeer reports whether to ask the peer that is ahead: at once while the
 // log is unreachable, otherwise after peerGrace.
-func (c *Controller) patienceOver() bool {
-	if c.peerAhead.IsZero() {
-		c.peerAhead = time.Now()
+func (c *Controller) shouldAskPeer() bool {
+	if c.peerAheadSince.IsZero() {
+		c.peerAheadSince = time.Now()
 	}
-	return !c.logReachable && c.logFailed || time.Since(c.peerAhead) >= peerGrace
+	return !c.logReachable && c.logFailed || time.Since(c.peerAheadSince) >= peerGrace
 }
 
 func (c *Controller) merge(ctx context.Context, peer Peer) {
@@ -156,21 +156,21 @@
 	}
 	if c.options.Health.Value() != health {
 		c.options.Health.Publish(health)
-		if health.Problem != "" && c.everRead() {
+		if health.Problem != "" && c.readTried() {
 			c.logger.Warn("configuration has a problem", "ready", health.Ready, "problem", health.Problem)
 		}
 	}
 	c.progress.Store(&progress{
 		state:   state,
-		written: c.lastSnapshot,
-		first:   c.first,
-		current: c.ready && c.logReachable && c.reader.AtHead(),
+		newestSnapshot: c.lastSnapshot,
+		firstKept:   c.firstKept,
+		atHead: c.ready && c.logReachable && c.reader.AtHead(),
 	})
 }
 
-// everRead reports whether any read has ended. Before that, being not ready is
+// readTried reports whether any read has ended. Before that, being not ready is
 // no problem to log.
-func (c *Controller) everRead() bool { return c.logReachable || c.logFailed }
+func (c *Controller) readTried() bool { return c.logReachable || c.logFailed }
 
 // problem describes why the process is not ready and which records or documents
 // it cannot use; it is empty if all is well.
--- a/internal/controllers/configuration/promise_test.go
+++ b/internal/controllers/configuration/promise_test.go
@@ -22,14 +22,14 @@
 	// newSchema is the newest schema that the newer program understands; the
 	// older program understands one less.
 	newSchema = 2
-	// inForce is the time within which all processes must use an accepted
+	// changeDeadline is the time within which all processes must use an accepted
 	// change.
-	inForce = 12 * time.Second
+	changeDeadline = 12 * time.Second
 	outage  = 2 * time.Minute
 )
 
-// text returns a document whose model version is the publication's ID.
-func text(service ident.Service, publishID string) []byte {
+// documentText returns a document whose model version is the publication's ID.
+func documentText(service ident.Service, publishID string) []byte {
 	return fmt.Appendf(nil, `
 schema = 1
 service = "%s"
@@ -63,7 +63,7 @@
 		if p.GetService() == "" || p.GetPublishId() == "" {
 			continue
 		}
-		if uint64(o.current(ident.Service(p.Service))) != p.BaseRevision {
+		if uint64(o.currentRevision(ident.Service(p.Service))) != p.BaseRevision {
 			continue
 		}
 		o.accepted = append(o.accepted, oracleEntry{
@@ -76,7 +76,7 @@
 	return o
 }
 
-func (o oracle) current(service ident.Service) ident.Revision {
+func (o oracle) currentRevision(service ident.Service) ident.Revision {
 	revision := ident.Revision(0)
 	for _, e := range o.accepted {
 		if e.service == service {
@@ -86,9 +86,9 @@
 	return revision
 }
 
-// at returns the publications that a program with the given schema has to use
+// servedAt returns the publications that a program with the given schema has to use
 // at a revision.
-func (o oracle) at(revision ident.Revision, schema int) map[ident.Service]oracleEntry {
+func (o oracle) servedAt(revision ident.Revision, schema int) map[ident.Service]oracleEntry {
 	out := map[ident.Service]oracleEntry{}
 	for _, e := range o.accepted {
 		if e.revision <= revision && e.schema <= schema {
@@ -98,28 +98,28 @@
 	return out
 }
 
-func (o oracle) last() ident.Revision {
+func (o oracle) lastRevision() ident.Revision {
 	if len(o.accepted) == 0 {
 		return 0
 	}
 	return o.accepted[len(o.accepted)-1].revision
 }
 
-// inspect checks that a set published by a process equals the oracle's at that
+// checkPublished checks that a set published by a process equals the oracle's at that
 // revision and that no service goes back to an older revision.
-func (w *world) inspect(p *process, set *document.Set) {
-	want := newOracle(w.log.records()).at(set.Revision, p.schema)
+func (w *world) checkPublished(p *process, set *document.Set) {
+	want := newOracle(w.log.records()).servedAt(set.Revision, p.schema)
 	if len(want) != len(set.Services) {
-		w.fault("%s at %d serves %d services, want %d", p.name, set.Revision, len(set.Services), len(want))
+		w.recordFault("%s at %d serves %d services, want %d", p.name, set.Revision, len(set.Services), len(want))
 	}
 	for service, entry := range set.Services {
 		e := want[service]
 		if e.revision != entry.Revision || e.id != entry.Document.Model.Version {
-			w.fault("%s at %d serves %s by %d (%s), want %d (%s)", p.name, set.Revision, service,
+			w.recordFault("%s at %d serves %s by %d (%s), want %d (%s)", p.name, set.Revision, service,
 				entry.Revision, entry.Document.Model.Version, e.revision, e.id)
 		}
 		if entry.Revision < p.served[service] {
-			w.fault("%s went back from %d to %d", p.name, p.served[service], entry.Revision)
+			w.recordFault("%s went back from %d to %d", p.name, p.served[service], entry.Revision)
 		}
 		p.served[service] = entry.Revision
 	}
@@ -129,8 +129,8 @@
 type machine struct {
 	*world
 	published int
-	// late holds records whose append is still on its way to the log.
-	late [][]byte
+	// delayed holds records whose append is still on its way to the log.
+	delayed [][]byte
 }
 
 var serviceNames = []ident.Service{"spool-llm", "auktion-app", "appli-jumelage"}
@@ -141,7 +141,7 @@
 	data, err := document.EncodePublication(document.Publication{
 		Service: service, Base: base, PublishID: id,
 		Schema:   rapid.IntRange(1, newSchema).Draw(t, "schema"),
-		Document: text(service, id),
+		Document: documentText(service, id),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 // stale. Because answers get lost, a record is appended now, later or twice.
 func (m *machine) publish(t *rapid.T) {
 	service := rapid.SampledFrom(serviceNames).Draw(t, "service")
-	base := newOracle(m.log.records()).current(service)
+	base := newOracle(m.log.records()).currentRevision(service)
 	if rapid.IntRange(0, 4).Draw(t, "stale") == 0 {
 		base = ident.Revision(rapid.IntRange(0, int(base)).Draw(t, "base"))
 	}
@@ -161,31 +161,31 @@
 		data := m.record(t, service, base)
 		switch rapid.SampledFrom([]string{"now", "later", "twice"}).Draw(t, "lands") {
 		case "now":
-			m.log.land(data)
+			m.log.append(data)
 		case "later":
-			m.late = append(m.late, data)
+			m.delayed = append(m.delayed, data)
 		case "twice":
-			m.log.land(data)
-			m.late = append(m.late, data)
+			m.log.append(data)
+			m.delayed = append(m.delayed, data)
 		}
 	}
 }
 
-func (m *machine) landLate(t *rapid.T) {
-	if len(m.late) == 0 {
+func (m *machine) appendDelayed(t *rapid.T) {
+	if len(m.delayed) == 0 {
 		t.Skip("nothing is under way")
 	}
-	m.log.land(m.late[0])
-	m.late = m.late[1:]
+	m.log.append(m.delayed[0])
+	m.delayed = m.delayed[1:]
 }
 
-func (m *machine) garbage(t *rapid.T) {
-	m.log.land(rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(t, "bytes"))
+func (m *machine) appendGarbage(t *rapid.T) {
+	m.log.append(rapid.SliceOfN(rapid.Byte(), 0, 8).Draw(t, "bytes"))
 }
 
 func (m *machine) logDown(t *rapid.T) { m.log.setDown(rapid.Bool().Draw(t, "down")) }
 
-func (m *machine) cutDomains(t *rapid.T) { m.setApart(rapid.Bool().Draw(t, "apart")) }
+func (m *machine) cutDomains(t *rapid.T) { m.setPartitioned(rapid.Bool().Draw(t, "apart")) }
 
 // cutFromLog disconnects one failure domain from the log, or makes its
 // connections hang, or ends both faults.
@@ -217,7 +217,7 @@
 	m.log.expire(ident.Offset(rapid.IntRange(0, len(m.log.records())).Draw(t, "first")))
 }
 
-func (m *machine) pass(t *rapid.T) {
+func (m *machine) passTime(t *rapid.T) {
 	time.Sleep(rapid.SampledFrom([]time.Duration{
 		100 * time.Millisecond, time.Second, 5 * time.Second, time.Minute,
 	}).Draw(t, "time"))
@@ -227,7 +227,7 @@
 // new processes must use the documents that the other domain has.
 func (m *machine) replacedInOutage(t *rapid.T) {
 	m.log.setDown(true)
-	m.setApart(false)
+	m.setPartitioned(false)
 	m.replaceDomain(t)
 	highest := ident.Revision(0)
 	for _, p := range m.processes {
@@ -248,7 +248,7 @@
 
 func (m *machine) healed(t *rapid.T) bool {
 	m.log.setDown(false)
-	m.setApart(false)
+	m.setPartitioned(false)
 	for _, p := range m.processes {
 		p.link.set(false, false)
 	}
@@ -256,7 +256,7 @@
 	if !m.recoverable() {
 		return false
 	}
-	time.Sleep(inForce)
+	time.Sleep(changeDeadline)
 	synctest.Wait()
 	m.checkEverywhere(t)
 	return true
@@ -269,14 +269,14 @@
 		return
 	}
 	published := ident.Offset(len(m.log.records()))
-	time.Sleep(DefaultSnapshotPolicy.Interval + DefaultSnapshotPolicy.Spread + 2*minSpread)
+	time.Sleep(DefaultSnapshotPolicy.Interval + DefaultSnapshotPolicy.Spread + 2*minSnapshotDelay)
 	if m.log.snapshotCovers() < published {
 		t.Fatalf("snapshot covers %d of %d records", m.log.snapshotCovers(), published)
 	}
 }
 
 func (m *machine) checkEverywhere(t *rapid.T) {
-	want := newOracle(m.log.records()).last()
+	want := newOracle(m.log.records()).lastRevision()
 	for _, p := range m.processes {
 		health := p.board.Configuration.Value()
 		if set := p.board.Documents.Value(); set.Revision != want || !health.Ready {
@@ -340,15 +340,15 @@
 	defer m.stopAll()
 	t.Repeat(map[string]func(*rapid.T){
 		"publish":       m.publish,
-		"landLate":      m.landLate,
-		"garbage":       m.garbage,
+		"landLate":      m.appendDelayed,
+		"garbage":       m.appendGarbage,
 		"logDown":       m.logDown,
 		"cutDomains":    m.cutDomains,
 		"cutFromLog":    m.cutFromLog,
 		"replaceOne":    m.replaceOne,
 		"replaceDomain": m.replaceDomain,
 		"expire":        m.expire,
-		"pass":          m.pass,
+		"pass":          m.passTime,
 		"outage":        m.replacedInOutage,
 		"heal":          m.heal,
 		"quiet":         m.quiet,
--- a/internal/controllers/configuration/ready_test.go
+++ b/internal/controllers/configuration/ready_test.go
@@ -14,25 +14,25 @@
 
 const service ident.Service = "spool-llm"
 
-// land publishes the next version of the service's document.
-func (w *world) land(t *testing.T, id string, schema int, text []byte) {
+// publishNext publishes the next version of the service's document.
+func (w *world) publishNext(t *testing.T, id string, schema int, text []byte) {
 	t.Helper()
 	data, err := document.EncodePublication(document.Publication{
-		Service: service, Base: newOracle(w.log.records()).current(service),
+		Service: service, Base: newOracle(w.log.records()).currentRevision(service),
 		PublishID: id, Schema: schema, Document: text,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.log.land(data)
+	w.log.append(data)
 }
 
 // newServingWorld returns processes that all use publication "a".
 func newServingWorld(t *testing.T) *world {
 	t.Helper()
 	w := newWorld()
-	w.land(t, "a", 1, text(service, "a"))
-	time.Sleep(inForce)
+	w.publishNext(t, "a", 1, documentText(service, "a"))
+	time.Sleep(changeDeadline)
 	return w
 }
 
@@ -52,9 +52,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{log: newMemoryLog()}
 		for _, id := range []string{"a", "b", "c"} {
-			w.land(t, id, 1, text(service, id))
+			w.publishNext(t, id, 1, documentText(service, id))
 		}
-		p := w.startWith(0, slowLog{&link{log: w.log}})
+		p := w.startWithLog(0, slowLog{&link{log: w.log}})
 		defer p.stop()
 		snap, err := p.board.Documents.Wait(t.Context(), 0)
 		if err != nil || snap.Value.Revision != 3 {
@@ -71,11 +71,11 @@
 		w := newWorld()
 		defer func() { w.stopAll() }()
 		for _, id := range []string{"a", "b", "c"} {
-			w.land(t, id, 1, text(service, id))
+			w.publishNext(t, id, 1, documentText(service, id))
 		}
-		time.Sleep(inForce)
-		w.setDeaf(true)
-		p := w.startWith(0, slowLog{&link{log: w.log}})
+		time.Sleep(changeDeadline)
+		w.setDocumentsBlocked(true)
+		p := w.startWithLog(0, slowLog{&link{log: w.log}})
 		defer p.stop()
 		time.Sleep(1500 * time.Millisecond)
 		w.log.setDown(true)
@@ -83,8 +83,8 @@
 		if health := p.board.Configuration.Value(); health.Ready || p.controller.Revision() != 1 {
 			t.Errorf("at revision %d, peers at 3; health %+v", p.controller.Revision(), health)
 		}
-		w.setDeaf(false)
-		time.Sleep(inForce)
+		w.setDocumentsBlocked(false)
+		time.Sleep(changeDeadline)
 		if !p.board.Configuration.Value().Ready || p.board.Documents.Value().Revision != 3 {
 			t.Errorf("not ready although a peer answers: %+v", p.board.Configuration.Value())
 		}
@@ -101,17 +101,17 @@
 		w := newServingWorld(t)
 		defer w.stopAll()
 		w.processes[0].link.set(true, false)
-		time.Sleep(inForce)
-		w.log.land([]byte("?"))
-		time.Sleep(inForce)
+		time.Sleep(changeDeadline)
+		w.log.append([]byte("?"))
+		time.Sleep(changeDeadline)
 		w.log.expire(2)
 		w.processes[0].link.set(false, false)
-		w.log.land([]byte("?"))
-		time.Sleep(minSpread)
+		w.log.append([]byte("?"))
+		time.Sleep(minSnapshotDelay)
 		if health := w.processes[0].board.Configuration.Value(); health.Problem != "" || !health.LogReachable {
 			t.Errorf("gap stays open: %+v", health)
 		}
-		time.Sleep(DefaultSnapshotPolicy.Spread + 2*minSpread)
+		time.Sleep(DefaultSnapshotPolicy.Spread + 2*minSnapshotDelay)
 		if covers := w.log.snapshotCovers(); covers < 2 {
 			t.Errorf("snapshot covers %d, records below 2 are gone", covers)
 		}
@@ -131,13 +131,13 @@
 		time.Sleep(2 * time.Hour)
 		w.replace(0)
 		w.replace(1)
-		time.Sleep(inForce)
+		time.Sleep(changeDeadline)
 		w.expectEverywhere(t, "a")
 		time.Sleep(2 * time.Hour)
 		w.log.expire(ident.Offset(len(w.log.records())))
 		w.log.setDown(false)
-		w.land(t, "b", 1, text(service, "b"))
-		time.Sleep(inForce)
+		w.publishNext(t, "b", 1, documentText(service, "b"))
+		time.Sleep(changeDeadline)
 		w.expectEverywhere(t, "b")
 	})
 }
@@ -149,11 +149,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
 		defer w.stopAll()
-		w.land(t, "a", 1, text(service, "a"))
-		w.land(t, "b", 1, text(service, "b"))
-		time.Sleep(inForce)
+		w.publishNext(t, "a", 1, documentText(service, "a"))
+		w.publishNext(t, "b", 1, documentText(service, "b"))
+		time.Sleep(changeDeadline)
 		w.log.truncate(1)
-		time.Sleep(inForce)
+		time.Sleep(changeDeadline)
 		w.expectEverywhere(t, "b")
 		if p := w.processes[0].board.Configuration.Value().Problem; !strings.Contains(p, "not reverting") {
 			t.Errorf("problem %q", p)
@@ -185,17 +185,17 @@
 		text    []byte
 		problem string
 	}{
-		{"a newer schema", newSchema + 1, text(service, "b"), "has schema 3"},
+		{"a newer schema", newSchema + 1, documentText(service, "b"), "has schema 3"},
 		{"no document", 1, []byte("?"), "is not valid"},
-		{"another service's document", 1, text("auktion-app", "b"), "describes service"},
+		{"another service's document", 1, documentText("auktion-app", "b"), "describes service"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newServingWorld(t)
 				defer w.stopAll()
-				w.land(t, "b", c.schema, c.text)
-				time.Sleep(inForce)
+				w.publishNext(t, "b", c.schema, c.text)
+				time.Sleep(changeDeadline)
 				for _, p := range w.processes {
 					served, ok := p.board.Documents.Value().Find(service)
 					health := p.board.Configuration.Value()
--- a/internal/controllers/configuration/snapshots.go
+++ b/internal/controllers/configuration/snapshots.go
@@ -40,9 +40,9 @@
 	return p
 }
 
-// minSpread is the least delay before a process writes a snapshot that is due.
+// minSnapshotDelay is the least delay before a process writes a snapshot that is due.
 // In that time it reads one that another process has just written.
-const minSpread = 5 * time.Second
+const minSnapshotDelay = 5 * time.Second
 
 // snapshotCheckInterval is the time between two checks whether a snapshot is
 // due.
@@ -64,23 +64,23 @@
 // progress is the part of the controller's state that other goroutines read.
 type progress struct {
 	state   document.State
-	written seenSnapshot
-	// first is the oldest offset that the log keeps.
-	first ident.Offset
-	// current is whether state includes all records up to the log's head.
-	current bool
+	newestSnapshot seenSnapshot
+	// firstKept is the oldest offset that the log keeps.
+	firstKept ident.Offset
+	// atHead is whether state includes all records up to the log's head.
+	atHead bool
 }
 
 // needed reports whether the log needs a new snapshot: records that no snapshot
 // covers have expired, or the newest snapshot is too old, or too many records
 // follow it.
 func (p SnapshotPolicy) needed(now time.Time, latest *progress) bool {
-	if !latest.current || latest.state.Next() == 0 {
+	if !latest.atHead || latest.state.Next() == 0 {
 		return false
 	}
-	uncovered := latest.written.covers < latest.first
-	old := now.Sub(latest.written.readAt) >= p.Interval
-	many := latest.written.records >= p.MaxRecords
+	uncovered := latest.newestSnapshot.covers < latest.firstKept
+	old := now.Sub(latest.newestSnapshot.readAt) >= p.Interval
+	many := latest.newestSnapshot.records >= p.MaxRecords
 	return uncovered || old || many
 }
 
@@ -89,14 +89,14 @@
 func (p SnapshotPolicy) delay(instance ident.Instance) time.Duration {
 	const steps = 1 << 16
 	step := xxhash.Sum64String(string(instance)) % steps
-	return minSpread + p.Spread*time.Duration(step)/steps
+	return minSnapshotDelay + p.Spread*time.Duration(step)/steps
 }
 
 // snapshotWriter holds since when a snapshot is needed.
 type snapshotWriter struct {
 	mu sync.Mutex
-	// since is zero while none is needed. It restarts after each attempt.
-	since time.Time
+	// neededSince is zero while none is needed. It restarts after each attempt.
+	neededSince time.Time
 }
 
 // WriteSnapshots writes a snapshot whenever one is due, until ctx ends. One
@@ -145,15 +145,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !c.options.Snapshots.needed(now, latest) {
-		w.since = time.Time{}
+		w.neededSince = time.Time{}
 		return false
 	}
-	if w.since.IsZero() {
-		w.since = now
+	if w.neededSince.IsZero() {
+		w.neededSince = now
 	}
-	if now.Sub(w.since) < c.options.Snapshots.delay(c.options.Instance) {
+	if now.Sub(w.neededSince) < c.options.Snapshots.delay(c.options.Instance) {
 		return false
 	}
-	w.since = now
+	w.neededSince = now
 	return true
 }
--- a/internal/controllers/configuration/world_test.go
+++ b/internal/controllers/configuration/world_test.go
@@ -24,7 +24,7 @@
 
 func newMemoryLog() *memoryLog { return &memoryLog{changed: make(chan struct{})} }
 
-func (l *memoryLog) land(data []byte) ident.Offset {
+func (l *memoryLog) append(data []byte) ident.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offset := ident.Offset(len(l.all))
@@ -102,7 +102,7 @@
 	if cut, hang := l.state(); cut || hang || l.log.isDown() {
 		return 0, platform.ErrUnavailable
 	}
-	return l.log.land(records[0]), nil
+	return l.log.append(records[0]), nil
 }
 
 func (l *memoryLog) isDown() bool {
@@ -157,22 +157,22 @@
 	log       *memoryLog
 	mu        sync.Mutex
 	processes []*process
-	// apart is whether the failure domains cannot reach each other.
-	apart bool
-	// deaf is whether GetDocuments fails, though heartbeats come through.
-	deaf   bool
+	// partitioned is whether the failure domains cannot reach each other.
+	partitioned bool
+	// documentsBlocked is whether GetDocuments fails, though heartbeats come through.
+	documentsBlocked   bool
 	faults []string
-	lives  int
+	incarnations  int
 }
 
 const (
 	domains          = 2
-	processesADomain = 2
+	processesPerDomain = 2
 )
 
 func newWorld() *world {
 	w := &world{log: newMemoryLog()}
-	for i := range domains * processesADomain {
+	for i := range domains * processesPerDomain {
 		w.processes = append(w.processes, w.start(i))
 	}
 	return w
@@ -181,18 +181,18 @@
 // start starts a new incarnation at a place, which is the index in processes.
 func (w *world) start(place int) *process {
 	l := &link{log: w.log}
-	p := w.startWith(place, l)
+	p := w.startWithLog(place, l)
 	p.link = l
 	return p
 }
 
-// startWith is start with another connection to the log. Odd places run an
+// startWithLog is start with another connection to the log. Odd places run an
 // older program.
-func (w *world) startWith(place int, log platform.Log) *process {
-	w.lives++
+func (w *world) startWithLog(place int, log platform.Log) *process {
+	w.incarnations++
 	p := &process{
-		name:   fmt.Sprintf("entry-%d-life-%d", place, w.lives),
-		domain: place / processesADomain,
+		name:   fmt.Sprintf("entry-%d-life-%d", place, w.incarnations),
+		domain: place / processesPerDomain,
 		schema: newSchema - place%2,
 		board:  blackboard.NewBoard(),
 		world:  w,
@@ -233,28 +233,28 @@
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
+func (w *world) recordFault(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = append(w.faults, fmt.Sprintf(format, args...))
 }
 
-func (w *world) setApart(apart bool) {
+func (w *world) setPartitioned(apart bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.apart = apart
+	w.partitioned = apart
 }
 
-func (w *world) setDeaf(deaf bool) {
+func (w *world) setDocumentsBlocked(deaf bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.deaf = deaf
+	w.documentsBlocked = deaf
 }
 
-func (w *world) isDeaf() bool {
+func (w *world) areDocumentsBlocked() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.deaf
+	return w.documentsBlocked
 }
 
 // watch checks every set that the process publishes.
@@ -266,7 +266,7 @@
 			return
 		}
 		version = snap.Version
-		p.world.inspect(p, snap.Value)
+		p.world.checkPublished(p, snap.Value)
 	}
 }
 
@@ -276,7 +276,7 @@
 	defer p.world.mu.Unlock()
 	var out []*process
 	for _, other := range p.world.processes {
-		near := other.domain == p.domain || !p.world.apart
+		near := other.domain == p.domain || !p.world.partitioned
 		if other != p && near {
 			out = append(out, other)
 		}
@@ -300,7 +300,7 @@
 // GetDocuments implements PeerClient.
 func (p *process) GetDocuments(ctx context.Context, address string, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error) {
 	for _, other := range p.reachable() {
-		if other.name == address && !p.world.isDeaf() {
+		if other.name == address && !p.world.areDocumentsBlocked() {
 			return other.controller.GetDocuments(ctx, req)
 		}
 	}
