--- a/internal/controllers/membership/codec.go
+++ b/internal/controllers/membership/codec.go
@@ -10,7 +10,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// encodeFacts returns the wire form of facts. Times travel as ages, since the
+// encodeFacts returns the wire form of facts. Times are sent as ages, since the
 // clocks of two instances cannot be compared.
 func encodeFacts(facts []membership.Entry, describe bool, now time.Time) []*peerv1.MemberEntry {
 	out := make([]*peerv1.MemberEntry, 0, len(facts))
@@ -42,7 +42,7 @@
 	return line
 }
 
-// encodeFigures returns nil for none.
+// encodeFigures returns the wire form of figures, nil if there are none.
 func encodeFigures(figures []membership.Entry, now time.Time) *peerv1.Figures {
 	if len(figures) == 0 {
 		return nil
@@ -59,7 +59,7 @@
 	return out
 }
 
-// checkFigures reports whether all lists have the same length.
+// checkFigures reports whether all lists of figures have the same length.
 func checkFigures(f *peerv1.Figures) bool {
 	n := len(f.GetKey())
 	for _, list := range [][]uint32{f.GetRunning(), f.GetQueued(), f.GetQueuedPrefillTokens(), f.GetLoadAgeMs(), f.GetAgeMs()} {
@@ -70,8 +70,8 @@
 	return true
 }
 
-// decodeFigures returns the i-th element as an entry that says no more than
-// that the instance was alive.
+// decodeFigures returns the figures at index i as an entry of the known instance
+// in state Alive.
 func decodeFigures(f *peerv1.Figures, i int, known membership.Entry, now time.Time) membership.Entry {
 	return membership.Entry{
 		ID:            known.ID,
@@ -99,8 +99,9 @@
 	}
 }
 
-// checkFact reports whether a line names an instance and a state that this
-// program knows. A newer program may tell of others; they are left out.
+// checkFact reports whether a line has an instance ID and a state that this
+// program knows. Lines with other states, which a newer program may send, are
+// ignored.
 func checkFact(line *peerv1.MemberEntry) bool {
 	state := blackboard.MemberState(line.GetState())
 	return line.GetInstanceId() != "" && state >= blackboard.Alive && state <= blackboard.Gone
@@ -148,11 +149,12 @@
 	}
 }
 
-// maxAge is the greatest age on the wire. Older is as good as never.
+// maxAge is the greatest age on the wire; a greater one is sent as maxAge. By
+// then the difference matters no more.
 const maxAge = 24 * time.Hour
 
-// encodeAge returns milliseconds plus one, or 0 for the zero time. An age never
-// gets smaller on its way: it is rounded up.
+// encodeAge returns the age in milliseconds plus one, or 0 for the zero time. It
+// rounds up, so that an age never gets smaller when it is passed on.
 func encodeAge(at, now time.Time) uint32 {
 	if at.IsZero() {
 		return 0
--- a/internal/controllers/membership/config.go
+++ b/internal/controllers/membership/config.go
@@ -1,5 +1,10 @@
-// Package membership keeps this process's table of instances and exchanges it
-// with other gateways by heartbeats. It is the one writer of board.Members.
+// Package membership maintains this process's table of instances and exchanges
+// it with other gateways in heartbeats. It is the only writer of board.Members.
+//
+// A heartbeat carries facts (state and incarnation of an instance, or that it
+// has departed) and figures (when an instance was last seen alive, and its
+// load). Departures are also pushed at once, without waiting for the next
+// heartbeat.
 package membership
 
 import (
@@ -17,32 +22,35 @@
 
 // Config says how a process takes part in the membership.
 type Config struct {
-	// Self describes this process's own instance. PeerAddress is where it
-	// serves peers; it is empty for a process that only asks.
+	// Self describes this process's own instance. Its PeerAddress is where it
+	// serves peers; it is empty for a process that only sends requests.
 	Self platform.Instance
-	// Seeds are peer addresses to ask while no peer is known, for a start
-	// while the platform's list is down.
+	// Seeds are the addresses of peers to contact while no peer is known. They
+	// let a process start while the platform's list is unavailable.
 	Seeds []string
 	// Interval is the time between two heartbeats to one peer.
 	Interval time.Duration
 	// Timeout is how long an exchange may take.
 	Timeout time.Duration
-	// LocalAll is up to how many peers of the own failure domain all get
-	// each heartbeat. Of more, three do; see chooseTargets.
+	// LocalAll is the largest number of peers in the own failure domain that
+	// all get each heartbeat. If there are more, three of them get it; see
+	// chooseTargets.
 	LocalAll int
-	// RemotePerDomain peers of each other failure domain get each heartbeat
-	// while these are not more than RemoteAll. Of more, two do.
+	// RemotePerDomain is how many peers of each other failure domain get each
+	// heartbeat, as long as these are not more than RemoteAll in total. If
+	// they were more, two peers of all the other domains get it.
 	RemotePerDomain int
 	RemoteAll       int
-	// IntroductionFanout more peers get the heartbeat while they were never
-	// heard of, so that a new process soon knows what all peers have.
+	// IntroductionFanout is how many peers without any contact so far get the
+	// heartbeat in addition, so that a new process soon knows what all peers
+	// have.
 	IntroductionFanout int
-	// MaxFigures bounds the lines of a digest that carry only load.
+	// MaxFigures bounds the figures in a digest.
 	MaxFigures int
-	// FullInterval is the least time between two full digests asked for.
+	// FullInterval is the least time between two requests for a full digest.
 	FullInterval time.Duration
-	// PushAttempts is how often a departure is sent to one peer before it is
-	// left to the next heartbeats.
+	// PushAttempts is how many attempts in a row may fail to push a departure
+	// to one receiver before it is left to the next heartbeats.
 	PushAttempts int
 	Limits       membership.Limits
 	Suspicion    membership.Suspicion
@@ -51,11 +59,12 @@
 	PeerFailures int
 }
 
-// DefaultConfig returns the settings in use. Everyone in the failure domain
-// hears of a departure within 2 s and everyone else within 4 s, unless a link
-// loses more than two exchanges in a row. A hop inside the domain then takes at
-// most 3 times Timeout; a hop to another domain tries two peers by turns, of
-// which one may be dead, and takes at most 6 times Timeout.
+// DefaultConfig returns the settings in use. With them, every process in the
+// failure domain of the first sign knows of a departure within 2 s and all
+// others within 4 s, unless a link loses more than two exchanges in a row: a hop
+// inside the domain takes at most 3 times Timeout; a hop to another domain
+// tries two peers in turn, of which one may be dead, and takes at most 6 times
+// Timeout.
 func DefaultConfig(self platform.Instance) Config {
 	return Config{
 		Self:               self,
@@ -74,28 +83,28 @@
 	}
 }
 
-// Transport sends an exchange to the peer at an address. An error means that
-// the peer may or may not have merged the digest; both are harmless.
+// Transport sends a heartbeat to the peer at an address. After an error the
+// peer may or may not have merged the digest; both are harmless.
 type Transport interface {
 	Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error)
 }
 
-// Configuration is the part of the configuration controller that heartbeats
-// carry to the peers. What the peers have is read by Controller.Highest.
+// Configuration tells which configuration this process has, which heartbeats
+// announce to the peers. Controller.Highest returns what the peers announced.
 type Configuration interface {
-	// Revision is the highest revision that this process knows.
+	// Revision returns the highest revision that this process knows.
 	Revision() ident.Revision
 }
 
-// Deps is what the controller works with.
+// Deps holds the controller's dependencies.
 type Deps struct {
 	Board     *blackboard.Board
 	Transport Transport
 	// Configuration may be nil.
 	Configuration Configuration
 	Log           hclog.Logger
-	// OnOwnDeparture is called once, in a goroutine of its own, when this
-	// process learns from elsewhere that its own instance is leaving. It may
-	// be nil.
+	// OnOwnDeparture is called at most once, in a goroutine of its own, when
+	// the platform's list or a peer reports that this process's own instance
+	// is leaving. It may be nil.
 	OnOwnDeparture func()
 }
--- a/internal/controllers/membership/controller.go
+++ b/internal/controllers/membership/controller.go
@@ -15,51 +15,58 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Controller keeps the table of one process. All methods are safe for
-// concurrent use.
+// Controller maintains the membership table of one process. All exported
+// methods are safe for concurrent use.
 type Controller struct {
 	config Config
 	deps   Deps
-	// epoch tells this run of the process from earlier ones.
+	// epoch is a random number that distinguishes this run of the process
+	// from earlier ones; never 0.
 	epoch uint64
-	// departures wakes the pushing loop.
+	// departures wakes the goroutine that pushes departures.
 	departures chan struct{}
 
 	mu       sync.Mutex
 	table    *membership.Table
 	sessions map[ident.Instance]*session
-	// recent is a number of the table from at least recentWindow ago.
+	// recent is the table's change number from one to two recentWindows ago,
+	// nextRecent that from up to one recentWindow ago.
 	recent, nextRecent mark
 	// published is the last published state of each instance.
-	published     map[ident.Instance]blackboard.Member
+	published map[ident.Instance]blackboard.Member
+	// publishedFact is the change number of the last published fact.
 	publishedFact uint64
-	// listed: the platform's list was read at least once.
+	// listed is whether the platform's list was read at least once.
 	listed bool
-	// mismatch: a peer's facts differed from ours since lastFull.
+	// mismatch is whether a peer's facts have differed from ours since
+	// lastFull, the time of the last request for a full digest.
 	mismatch bool
 	lastFull time.Time
-	// turn counts heartbeats and rounds counts pushes; both rotate through
-	// the peers, from a start of this process's own.
+	// turn counts rounds of heartbeats and rounds counts rounds of pushes.
+	// Both rotate through the peers. start is the position at which this
+	// process begins; it differs between processes.
 	start, turn, rounds int
-	// pushLocal and pushRemote are the numbers of the last departures that
-	// the own failure domain and the others have to hear of at once.
+	// pushLocal and pushRemote are the change numbers of the last departures
+	// that have to be pushed to the own failure domain and to the others.
 	pushLocal, pushRemote uint64
-	pushes                map[string]*push
-	ownDeparture          sync.Once
+	// pushes holds the pushes by their keys; see receivers.
+	pushes       map[string]*push
+	ownDeparture sync.Once
 }
 
-// mark is a number of the table and when it was reached.
+// mark is a change number of the table and when it was reached.
 type mark struct {
 	sequence uint64
 	at       time.Time
 }
 
-// maxStart keeps the sum of start and turn well within an int.
+// maxStart bounds start, so that the sum of start and turn fits into an int.
 const maxStart = 1 << 16
 
 func hash(id ident.Instance) uint64 { return xxhash.Sum64String(string(id)) }
 
-// recentWindow is how far back the first digest to a peer reaches.
+// recentWindow is the least age of the changes that the first digest to a peer
+// leaves out.
 const recentWindow = 15 * time.Second
 
 // New returns a controller that knows only its own instance.
@@ -91,7 +98,7 @@
 	return c
 }
 
-// Run sends heartbeats and spreads departures until ctx ends.
+// Run sends heartbeats and pushes departures until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return c.beat(ctx) })
@@ -100,7 +107,7 @@
 	return group.Wait()
 }
 
-// watchStopping tells the peers when this process begins to leave.
+// watchStopping announces to the peers when this process begins to leave.
 func (c *Controller) watchStopping(ctx context.Context) error {
 	snap := c.deps.Board.Stopping.Load()
 	for !snap.Value {
@@ -128,9 +135,9 @@
 	c.publish(now)
 }
 
-// NoteLeaving records the first sign that an instance is leaving: a reclaim
-// notice, its own report, or its refusal of a request. Peers are told at once.
-// The data path may call it for every refusal.
+// NoteLeaving records a sign that an instance is leaving: a reclaim notice, its
+// own report, or its refusal of a request. The first sign is pushed to the peers
+// at once. The data path may call it for every refusal.
 func (c *Controller) NoteLeaving(id ident.Instance, incarnation ident.Incarnation) {
 	if c.knownToLeave(id, incarnation) {
 		return
@@ -148,8 +155,9 @@
 	c.publish(now)
 }
 
-// knownToLeave looks at the published snapshot, so that a burst of refusals by
-// the same upstream takes no lock.
+// knownToLeave reports whether the published snapshot shows that an incarnation
+// is leaving or gone. It takes no lock, so that a burst of refusals by one
+// upstream is cheap.
 func (c *Controller) knownToLeave(id ident.Instance, incarnation ident.Incarnation) bool {
 	m, ok := c.deps.Board.Members.Value().ByID[id]
 	if !ok {
@@ -158,16 +166,16 @@
 	return m.Incarnation > incarnation || (m.Incarnation == incarnation && m.State >= blackboard.Leaving)
 }
 
-// Observation is an instance's own answer to this process.
+// Observation is what an instance's own answer to this process says.
 type Observation struct {
 	Instance    ident.Instance
 	Incarnation ident.Incarnation
 	Leaving     bool
-	// Load is zero when the answer told none.
+	// Load is zero when the answer carried none.
 	Load membership.Load
 }
 
-// Observe records an instance's own answer: proof of life and load.
+// Observe records an instance's own answer: that it is alive, and its load.
 func (c *Controller) Observe(o Observation) {
 	if o.Leaving {
 		c.NoteLeaving(o.Instance, o.Incarnation)
@@ -190,8 +198,8 @@
 	}
 }
 
-// Entries returns a copy of all entries that are not gone, with their latest
-// load as told by any process.
+// Entries returns a copy of all entries that are not gone, with the latest load
+// that any process has reported.
 func (c *Controller) Entries() []membership.Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,7 +212,7 @@
 	return out
 }
 
-// departed asks for a push of departures to an audience. The lock is held.
+// departed requests a push of departures to an audience. The caller holds mu.
 func (c *Controller) departed(ids []ident.Instance, to audience) {
 	c.pushLocal = c.table.Sequence()
 	if to == everyone {
@@ -219,23 +227,24 @@
 	}
 }
 
-// tellOwner reports that somebody else knows this instance to be leaving.
+// tellOwner calls OnOwnDeparture, unless that has happened already.
 func (c *Controller) tellOwner() {
 	if c.deps.OnOwnDeparture != nil {
 		c.ownDeparture.Do(func() { go c.deps.OnOwnDeparture() })
 	}
 }
 
-// publishFacts publishes unless only proofs of life and loads have changed since
-// the last time; a suspicion that these clear waits for the next turn.
+// publishFacts publishes unless only figures have changed since the last time. A
+// suspicion that new figures clear is published with the next heartbeat.
 func (c *Controller) publishFacts(now time.Time) {
 	if c.table.LastFact() != c.publishedFact {
 		c.publish(now)
 	}
 }
 
-// publish replaces board.Members when a state differs from the published one.
-// The lock is held, so there is one writer.
+// publish removes outdated entries from the table and replaces board.Members if
+// a state, incarnation or description differs from the published one. The caller
+// holds mu, so there is one writer.
 func (c *Controller) publish(now time.Time) {
 	c.table.Forget(now)
 	c.publishedFact = c.table.LastFact()
@@ -255,6 +264,7 @@
 	c.deps.Board.Members.Publish(&blackboard.Members{ByID: next})
 }
 
+// differs reports whether the table differs from the published members.
 func (c *Controller) differs(now time.Time) bool {
 	if c.table.Len() != len(c.published) {
 		return true
@@ -271,6 +281,8 @@
 	return false
 }
 
+// effective returns an entry's state, or Suspect for an instance that is alive
+// but was not seen for too long or failed PeerFailures exchanges in a row.
 func (c *Controller) effective(e membership.Entry, now time.Time) blackboard.MemberState {
 	state := c.table.Effective(e, c.config.Suspicion, now)
 	s, ok := c.sessions[e.ID]
@@ -289,7 +301,8 @@
 	}
 }
 
-// instanceOf returns the description, or as much of it as the digests carry.
+// instanceOf returns an entry's description, or if it has none, the parts that
+// facts carry. Only gateways have a PeerAddress.
 func instanceOf(e membership.Entry) platform.Instance {
 	if e.Description != nil {
 		return *e.Description
--- a/internal/controllers/membership/cost_test.go
+++ b/internal/controllers/membership/cost_test.go
@@ -15,15 +15,16 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// size is a fleet to measure.
+// size is the size of a fleet to measure.
 type size struct{ gateways, upstreams, domains int }
 
 var sizes = []size{{9, 13, 4}, {50, 104, 5}, {100, 210, 10}, {200, 420, 10}, {330, 690, 10}}
 
-// probers is how many gateways probe an upstream at sizes beyond today's.
+// probers is how many gateways probe an upstream in fleets with more than 64
+// upstreams. In smaller ones all do.
 const probers = 2
 
-// TestCost prints what the heartbeats cost; MEMBERSHIP_COST=1 asks for it.
+// TestCost prints what the heartbeats cost. It runs if MEMBERSHIP_COST is set.
 func TestCost(t *testing.T) {
 	if os.Getenv("MEMBERSHIP_COST") == "" {
 		t.Skip("set MEMBERSHIP_COST=1 to measure")
@@ -35,9 +36,9 @@
 	}
 }
 
-// measure runs a fleet for a while with probes that tell a new load each second,
-// and prints the messages and encoded bytes a second of one process, both
-// directions, and the age of the loads as the processes know them.
+// measure runs a fleet for a while with probes that report a new load each
+// second. It prints one process's messages and encoded bytes a second in both
+// directions, and the mean age of the loads that the processes know.
 func measure(t *testing.T, s size) {
 	const warm, window = 60 * time.Second, 40 * time.Second
 	f := newFleet(s.gateways, s.upstreams, s.domains, nil)
@@ -59,7 +60,7 @@
 	bytes, messages = f.bytes-bytes, f.messages-messages
 	f.mu.Unlock()
 	seconds := window.Seconds()
-	// Each message leaves one process and enters another.
+	// Each message counts at its sender and at its receiver.
 	perNode := 2 / seconds / float64(s.gateways)
 	local, remote, suspects := f.ages()
 	t.Logf("%d+%d: %.1f messages/s %.2f KB/s a node; load age ms local %d remote %d; suspects %d",
@@ -106,8 +107,9 @@
 	}
 }
 
-// ages returns the mean age of the loads in milliseconds, and the greatest
-// number of instances that a process suspects without cause.
+// ages returns the mean age of the loads in milliseconds, by whether the
+// instance is in the own failure domain, and the greatest number of instances
+// that a process wrongly suspects.
 func (f *fleet) ages() (local, remote int64, suspects int) {
 	var sum [2]time.Duration
 	var count [2]int64
@@ -145,8 +147,9 @@
 	}
 }
 
-// BenchmarkExchange is one heartbeat between two processes that know all and
-// probe their share, served and merged, with the wire format's conversion.
+// BenchmarkExchange measures one heartbeat, from the request to the merged
+// answer, between two processes that know all instances. It includes conversion
+// to and from the wire format.
 func BenchmarkExchange(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleet) {
 		from, to := f.nodes[0], f.nodes[len(f.nodes)-1]
@@ -162,7 +165,8 @@
 	})
 }
 
-// BenchmarkPublish is a change of state: a new snapshot of all members.
+// BenchmarkPublish measures the publication of a new snapshot of all members, as
+// after a change of state.
 func BenchmarkPublish(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleet) {
 		n := f.nodes[0]
@@ -173,7 +177,7 @@
 	})
 }
 
-// BenchmarkLoad is what the data path pays to read the members.
+// BenchmarkLoad measures how long the data path takes to read a member.
 func BenchmarkLoad(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleet) {
 		n := f.nodes[0]
--- a/internal/controllers/membership/departure_test.go
+++ b/internal/controllers/membership/departure_test.go
@@ -13,43 +13,45 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// The bound of promise 5, from the first sign at any process.
+// Within these times after the first sign of a departure at any process, all
+// processes have to know of it (promise 5).
 const (
 	boundWithin  = 2 * time.Second
 	boundBetween = 4 * time.Second
-	// boundHealed is the bound after a partition ends: what failed before
-	// waits for the next heartbeats.
+	// boundHealed applies after a partition ends: pushes that failed before
+	// are left to the next heartbeats.
 	boundHealed = 6 * time.Second
 )
 
-// life is one incarnation of an upstream.
+// life identifies one incarnation of an upstream.
 type life struct {
 	id          ident.Instance
 	incarnation ident.Incarnation
 }
 
-// sign is the first sign of a departure, as the oracle saw it.
+// sign is the first sign of a departure: when it came, and the failure domain of
+// the process that got it.
 type sign struct {
 	at     time.Time
 	domain ident.FailureDomain
 }
 
-// departureMachine drives a fleet and holds what must be true of it.
+// departureMachine drives a fleet and checks how departures spread in it.
 type departureMachine struct {
 	fleet *fleet
 	start time.Time
 	signs map[life]sign
-	// knew is what each process has once shown as leaving.
+	// knew holds the incarnations that each process has shown as leaving.
 	knew map[*node]map[life]bool
-	// healed is when the last partition ended; partitions now are in the
-	// fleet.
+	// healed is when the last partition ended.
 	healed time.Time
-	apart  bool
-	// stale is a list from the beginning, in which everything is live.
+	// apart is whether a failure domain is cut off now.
+	apart bool
+	// stale is the list of the beginning, in which everything is live.
 	stale []platform.Instance
 }
 
-// sparse makes a heartbeat reach as small a part of the fleet as in one of
+// sparse makes heartbeats reach as small a share of the fleet as if it had
 // hundreds of processes.
 func sparse(c *Config) {
 	c.LocalAll = 1
@@ -57,7 +59,7 @@
 	c.IntroductionFanout = 0
 }
 
-// pushOnly leaves out the heartbeats.
+// pushOnly turns off the heartbeats.
 func pushOnly(c *Config) { c.Interval = time.Hour }
 
 func newDepartureMachine(lossSeed uint64, tune func(*Config)) *departureMachine {
@@ -93,10 +95,10 @@
 			n, u := drawNode(t), m.fleet.upstreams[drawUpstream(t)]
 			n.Observe(Observation{Instance: u.ID, Incarnation: u.Incarnation})
 		},
-		// A lagging list still shows every first life as live.
+		// A stale list still shows every first incarnation as live.
 		"stale list": func(t *rapid.T) { drawNode(t).ApplyList(m.stale) },
 		"list":       func(t *rapid.T) { drawNode(t).ApplyList(m.fleet.list()) },
-		// The same ID and address come back with a new incarnation.
+		// The same ID and address are used by a new incarnation.
 		"reuse": func(t *rapid.T) {
 			i := drawUpstream(t)
 			if _, left := m.signs[lifeOf(m.fleet.upstreams[i])]; left {
@@ -132,15 +134,15 @@
 
 func lifeOf(u platform.Instance) life { return life{u.ID, u.Incarnation} }
 
-// note records a first sign unless there was one.
+// note records a sign unless there was an earlier one of the same departure.
 func (m *departureMachine) note(n *node, u platform.Instance) {
 	if _, ok := m.signs[lifeOf(u)]; !ok {
 		m.signs[lifeOf(u)] = sign{at: time.Now(), domain: n.self.FailureDomain}
 	}
 }
 
-// wait checks on the way, so that no moment in which the bound is broken
-// escapes.
+// wait lets time pass and checks every 100 ms, so that it finds bounds that are
+// exceeded only for a while.
 func (m *departureMachine) wait(t *rapid.T, d time.Duration) {
 	const step = 100 * time.Millisecond
 	for ; d > 0; d -= step {
@@ -162,8 +164,8 @@
 	state, incarnation := n.state(l.id)
 	works := incarnation <= l.incarnation && state < blackboard.Leaving
 	if !works {
-		// Of a life that it knows only as an earlier one that left, it may
-		// still hear "alive" first.
+		// If it knows only an earlier incarnation, it may still receive
+		// this one as alive first.
 		m.knew[n][l] = incarnation >= l.incarnation
 		return
 	}
@@ -176,7 +178,7 @@
 	}
 }
 
-// due is when a process has to know of a departure.
+// due returns the time by which a process has to know of a departure.
 func (m *departureMachine) due(n *node, s sign) time.Time {
 	if n.self.FailureDomain == s.domain {
 		return s.at.Add(boundWithin)
@@ -191,20 +193,20 @@
 	return due
 }
 
-// bubble hides the type of t, for rapid asks a *testing.T for its deadline, which
-// a synctest bubble does not allow.
+// bubble hides the type of t: rapid calls Deadline on a *testing.T, which is not
+// allowed in a synctest bubble.
 type bubble struct{ rapid.TB }
 
-// Symptom: an upstream that is leaving still gets work.
-// Sequence: the first sign reaches one process; digests and answers are lost, at
-// most two in a row on a link; failure domains are cut off and come back; lists
-// lag and say "live" again; an ID and address return with a new incarnation.
-// Cause: the sign is not passed on in time, or something older overrides it.
+// An upstream must get no work after it has begun to leave, so every process has
+// to know of the first sign in time, and nothing older may override it.
+// Meanwhile digests and answers are lost, at most two in a row on a link;
+// failure domains are cut off and reconnected; stale lists say "live" again; and
+// IDs and addresses are reused by new incarnations.
 func TestDeparturesSpreadInTimeAndForGood(t *testing.T) {
 	checkDepartures(t, nil)
 }
 
-// The same in a fleet whose heartbeats reach few.
+// The same in a fleet whose heartbeats reach few peers.
 func TestDeparturesSpreadInALargeFleet(t *testing.T) {
 	checkDepartures(t, sparse)
 }
@@ -221,10 +223,9 @@
 	})
 }
 
-// Symptom: a failure domain with dead gateways hears late of a departure.
-// Sequence: all gateways but one of each other domain die without a word; then
-// the first sign arrives.
-// Cause: the push tries only dead ones.
+// A push must not try dead gateways only: in each of the other domains all
+// gateways but one crash before the first sign, and the departure must still
+// reach the survivors in time.
 func TestDepartureReachesDomainsWithDeadPeers(t *testing.T) {
 	for survivor := range 3 {
 		synctest.Test(t, func(t *testing.T) {
@@ -241,9 +242,9 @@
 	}
 }
 
-// Symptom: most gateways of a large failure domain hear late of a departure.
-// Sequence: the first sign arrives in another domain, whose push reaches two.
-// Cause: these do not pass it on at once.
+// The push from another failure domain reaches two gateways of a domain. They
+// must pass the departure on at once, or most gateways of a large domain get it
+// late.
 func TestDepartureIsPassedOnWithinADomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(60, 2, 2, pushOnly)
@@ -253,8 +254,8 @@
 	})
 }
 
-// expectSpread gives one process a first sign and expects all that live to know
-// of it in time.
+// expectSpread gives one process a first sign and checks that all processes that
+// are not dead know of the departure after bound.
 func (f *fleet) expectSpread(t *testing.T, bound time.Duration) {
 	u := f.upstreams[0]
 	f.nodes[0].NoteLeaving(u.ID, u.Incarnation)
@@ -267,9 +268,9 @@
 	}
 }
 
-// Symptom: an instance works on until the platform ends it, losing its calls.
-// Sequence: the reclaim notice reaches a peer but not the instance itself.
-// Cause: nobody looks for the own instance among the departures of others.
+// A process must find its own instance among the departures that peers report.
+// If a reclaim notice reaches only a peer, the instance would otherwise work on
+// until the platform ends it, and lose its calls.
 func TestOwnDepartureIsNoticedFromPeers(t *testing.T) {
 	for _, at := range []int{1, 4} {
 		synctest.Test(t, func(t *testing.T) {
@@ -287,10 +288,10 @@
 	}
 }
 
-// Symptom: a new process sends work to an upstream that left before it began.
-// Sequence: the sign is a minute old; the new process reads a list that does not
-// show it yet.
-// Cause: peers tell only what changed lately, and nothing compares the facts.
+// A new process must learn of a departure that is a minute old, although peers
+// first send only recent changes and its list does not show the departure yet.
+// Comparing the checksums has to reveal the difference, or the process sends
+// work to the upstream.
 func TestOldNewsReachesANewProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2, 1, 1, nil)
@@ -320,18 +321,17 @@
 	})
 }
 
-// Symptom: a process takes a stale "live" for true, though a peer knew of the
-// end.
-// Sequence: one process sees an instance end that the other never heard of; the
-// checksums, which leave out the gone, are equal; then the stale list arrives.
-// Cause: equal checksums are taken to cover the gone as well.
+// Checksums leave out gone instances, so equal checksums must not be taken to
+// mean that the peer knows of all ends. One process sees the end of an instance
+// that the other does not know; the checksums are equal; then the other reads a
+// stale list in which the instance is live and must not believe it.
 func TestEndsAreToldThoughChecksumsAreEqual(t *testing.T) {
 	for tenths := range 10 {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(2, 0, 2, nil)
 			defer f.run()()
 			time.Sleep(5 * time.Second)
-			// The push of the news fails.
+			// The push of the departure fails.
 			f.setCut("hall-a", true)
 			u := platform.Instance{ID: "u", Incarnation: 1, Role: platform.RoleEngine, FailureDomain: "hall-a", State: platform.Ended}
 			f.nodes[0].ApplyList(append(f.list(), u))
@@ -348,10 +348,9 @@
 	}
 }
 
-// Symptom: a process sends work to an upstream that its peers knew to leave.
-// Sequence: the sign reaches one process; another, whose list lags, has not heard
-// of the instance yet; then its list says "live".
-// Cause: a sign about an unknown instance is dropped.
+// A sign about an unknown instance must not be dropped: another process, whose
+// list is late, does not know the instance yet, and when its list then says
+// "live", it would send work to an upstream that its peers know to be leaving.
 func TestSignOfAnUnknownInstanceCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(8, 0, 4, nil)
--- a/internal/controllers/membership/exchange.go
+++ b/internal/controllers/membership/exchange.go
@@ -13,22 +13,24 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/membership"
 )
 
-// session is how far this process and one run of a peer inform each other.
+// session records how much of each other's table this process and one run of a
+// peer have merged.
 //
-// It only saves bytes. A position that is wrong, because one side restarted or
-// an answer was lost, shows in the checksums, and a full digest follows.
+// It only serves to send less. A position that is wrong because one side
+// restarted or an answer was lost makes the checksums differ, and then a full
+// digest is requested.
 type session struct {
-	// epoch of the peer's run; 0: not known.
+	// epoch is that of the peer's run; 0 means not known.
 	epoch uint64
 	// acknowledged is how far the peer has merged our table.
 	acknowledged membership.Position
 	// merged is how far we have merged the peer's table.
 	merged membership.Position
 	// contact is how the last exchange with the peer ended, and failures how
-	// many in a row failed.
+	// many in a row have failed.
 	contact  contact
 	failures int
-	// revision is the highest configuration revision that the peer told.
+	// revision is the highest configuration revision that the peer announced.
 	revision ident.Revision
 }
 
@@ -41,29 +43,30 @@
 	contactMade
 )
 
-// heard notes that the peer has just asked or answered.
+// heard records that a request or answer of the peer has just arrived.
 func (s *session) heard(revision ident.Revision) {
 	s.contact = contactMade
 	s.failures = 0
 	s.revision = max(s.revision, revision)
 }
 
-// advance moves a position forward.
+// advance moves a position forward, never back.
 func advance(p *membership.Position, facts, figures uint64) {
 	p.Facts = max(p.Facts, facts)
 	p.Figures = max(p.Figures, figures)
 }
 
-// outgoing is a request with what its answer will mean.
+// outgoing is a request and what is needed to apply its answer.
 type outgoing struct {
 	request *peerv1.ExchangeRequest
-	// epoch of the peer that the digest was made for.
+	// epoch is that of the peer's run for which the digest was made; 0 means
+	// not known.
 	epoch  uint64
 	digest membership.Digest
 }
 
-// exchange sends one heartbeat and merges the answer. It returns the number of
-// the table up to which the peer now has all facts.
+// exchange sends one heartbeat and merges the answer. It returns the change
+// number up to which the peer now has all facts.
 func (c *Controller) exchange(ctx context.Context, peer target) (uint64, error) {
 	out := c.buildRequest(peer)
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
@@ -110,9 +113,9 @@
 	return c.config.MaxFigures
 }
 
-// needsFull reports whether to ask for a full digest: when the checksums have
-// differed since the last one, as they do after the first answer to a new
-// process. mismatch is set by mergeResponse.
+// needsFull reports whether to request a full digest, at most one every
+// FullInterval: when checksums have differed since the last one, as they do
+// after the first answer to a new process. mergeResponse sets mismatch.
 func (c *Controller) needsFull(now time.Time) bool {
 	if !c.mismatch || now.Sub(c.lastFull) < c.config.FullInterval {
 		return false
@@ -159,8 +162,8 @@
 	s.heard(ident.Revision(resp.GetRevision()))
 }
 
-// compareFacts reports whether the peer held the same facts when it sent. If so,
-// it need not be told those that it heard of from others.
+// compareFacts reports whether the peer had the same facts when it sent the
+// position. If so, the facts that it got from others need not be sent to it.
 func (c *Controller) compareFacts(s *session, position *peerv1.DigestPosition) bool {
 	if c.table.Checksum() != position.GetChecksum() {
 		return false
@@ -200,7 +203,8 @@
 	}
 	c.mergeFacts(from, domain, req.GetMembers(), now)
 	c.mergeFigures(from, req.GetFigures(), now)
-	// A process that only asks serves no peers and is no instance of its own.
+	// A process without a peer address serves no peers and is not an instance
+	// of its own, so it gets no entry.
 	if req.GetPeerAddress() != "" {
 		c.observePeer(membership.Entry{
 			ID:            from,
@@ -247,14 +251,15 @@
 	return s
 }
 
-// recentPosition is the position of a peer without history: what is older it
-// has from others, or the checksums differ.
+// recentPosition returns the position assumed for a peer without a session: it
+// has older changes from others, or the checksums differ and it requests a full
+// digest.
 func (c *Controller) recentPosition() membership.Position {
 	return membership.Position{Facts: c.recent.sequence, Figures: c.recent.sequence}
 }
 
-// sessionOfRun returns the session with one run of a peer. A new run of the
-// peer knows nothing of what the earlier one had merged.
+// sessionOfRun returns the session with one run of a peer. A new run starts a
+// new session, because it has nothing of what the earlier one had merged.
 func (c *Controller) sessionOfRun(id ident.Instance, epoch uint64) *session {
 	s := c.session(id)
 	if s.epoch != 0 && s.epoch != epoch {
@@ -264,8 +269,9 @@
 	return s
 }
 
-// mergeFacts merges the facts of a digest. A departure that comes from another failure
-// domain is pushed on within the own one; its sender does that in its own.
+// mergeFacts merges the facts of a digest. A departure received from another
+// failure domain is pushed to the own one; within a domain, the sender pushes it
+// to all peers itself.
 func (c *Controller) mergeFacts(from ident.Instance, domain ident.FailureDomain, lines []*peerv1.MemberEntry, now time.Time) {
 	var departed []ident.Instance
 	for _, line := range lines {
@@ -288,8 +294,8 @@
 	c.departed(departed, ownDomain)
 }
 
-// mergeFigures merges the figures of a digest. Those of instances, or lives of
-// instances, that this process does not know are worth nothing to it.
+// mergeFigures merges the figures of a digest. It ignores those of instances or
+// incarnations that this process does not know.
 func (c *Controller) mergeFigures(from ident.Instance, figures *peerv1.Figures, now time.Time) {
 	if !checkFigures(figures) {
 		return
@@ -302,7 +308,8 @@
 	}
 }
 
-// observePeer records that a peer has just answered or asked.
+// observePeer records in the table that a peer has just sent a request or an
+// answer.
 func (c *Controller) observePeer(e membership.Entry, now time.Time) {
 	if e.ID == "" || e.ID == c.config.Self.ID {
 		return
@@ -319,7 +326,7 @@
 	return c.deps.Configuration.Revision()
 }
 
-// noteFailure notes that a peer did not answer.
+// noteFailure records that an exchange with a peer failed.
 func (c *Controller) noteFailure(id ident.Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -329,8 +336,9 @@
 }
 
 // Highest returns the reachable peer with the highest configuration revision.
-// It is false when no peer is reachable, and until every known peer was heard
-// of or failed once: the one not asked yet may hold a higher revision.
+// It returns false while no peer is reachable, and until an exchange with every
+// known peer has succeeded or failed once: a peer not asked yet may have a
+// higher revision.
 func (c *Controller) Highest() (ident.Instance, ident.Revision, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -352,7 +360,7 @@
 	return best, highest, best != ""
 }
 
-// PeerAddress returns the address of a peer that serves exchanges.
+// PeerAddress returns the address of a peer and whether it serves exchanges.
 func (c *Controller) PeerAddress(id ident.Instance) (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controllers/membership/fleet_test.go
+++ b/internal/controllers/membership/fleet_test.go
@@ -24,8 +24,8 @@
 
 const hop = time.Millisecond
 
-// fleet is a set of controllers over a transport in memory that loses messages
-// and keeps failure domains apart on demand.
+// fleet is a set of controllers connected by a transport in memory that can lose
+// messages and cut off failure domains.
 type fleet struct {
 	nodes     []*node
 	byAddress map[string]*node
@@ -34,15 +34,16 @@
 	mu sync.Mutex
 	// lossSeed chooses which messages are lost; 0 loses none.
 	lossSeed uint64
-	// runs counts the messages in a row that a link has lost.
+	// runs counts the exchanges in a row that a link has lost.
 	runs map[string]int
 	sent map[string]int
 	cut  map[ident.FailureDomain]bool
-	// bytes and messages count both directions.
+	// bytes and messages count requests and answers.
 	bytes, messages int
 }
 
-// maxLossRun is the loss that the bound of promise 5 allows for.
+// maxLossRun is how many exchanges in a row a link may lose without the bounds
+// on departures being exceeded.
 const maxLossRun = 2
 
 type node struct {
@@ -58,7 +59,7 @@
 	return m.State, m.Incarnation
 }
 
-// newFleet starts gateways and names upstreams, spread over failure domains.
+// newFleet creates gateways and upstreams in turn in each failure domain.
 func newFleet(gateways, upstreams, domains int, tune func(*Config)) *fleet {
 	f := &fleet{byAddress: map[string]*node{}, runs: map[string]int{}, sent: map[string]int{}, cut: map[ident.FailureDomain]bool{}}
 	for i := range upstreams {
@@ -116,8 +117,8 @@
 	f.byAddress[self.PeerAddress] = n
 }
 
-// at returns the node at an address, or nil. A node can be added while others
-// run.
+// at returns the node at an address, or nil. It may be called while a node is
+// added.
 func (f *fleet) at(address string) *node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,7 +133,7 @@
 	return list
 }
 
-// run starts all controllers; stop ends them and waits for their goroutines.
+// run starts all controllers. stop ends them and waits for their goroutines.
 func (f *fleet) run() (stop func()) {
 	var all sync.WaitGroup
 	for _, n := range f.nodes {
@@ -148,7 +149,7 @@
 	}
 }
 
-// kill ends a process without a word.
+// kill ends a process without announcing it.
 func (f *fleet) kill(n *node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,13 +157,14 @@
 	n.cancel()
 }
 
-// link is one process's way to the others.
+// link is one process's connection to the others.
 type link struct {
 	fleet *fleet
 	from  *node
 }
 
-// Exchange implements Transport. A lost message shows only by its deadline.
+// Exchange implements Transport. If a message is lost, it returns only when ctx
+// expires.
 func (l *link) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	time.Sleep(hop)
 	to := l.fleet.at(address)
@@ -194,8 +196,8 @@
 	f.messages++
 }
 
-// loses decides about one message. An exchange counts as one toward the run of
-// losses, whichever of its two messages is lost.
+// loses decides whether one message is lost. An exchange counts as one loss in
+// runs, whichever of its two messages is lost.
 func (f *fleet) loses(from, to *node, part string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,7 +222,8 @@
 	return lost
 }
 
-// Everyone finds everyone: by the list, and without it from seeds.
+// Every process learns of all instances, from the list or, without it, from
+// seeds.
 func TestFleetFindsItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(8, 13, 4, nil)
@@ -251,10 +254,10 @@
 	})
 }
 
-// Symptom: operators see members without a role that are suspect, and later
-// departures of instances that never were. Sequence: a controller process asks
-// a gateway for what it knows, under a name of its own. Cause: whoever sent a
-// heartbeat was taken for an instance.
+// The sender of a heartbeat must not be taken for an instance if it has no peer
+// address. When a controller process sends one under a name of its own, operators
+// would see suspect members without a role, and later departures of instances
+// that never existed.
 func TestProcessThatOnlyAsksIsNoMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 1, 1, nil)
--- a/internal/controllers/membership/fuzz_test.go
+++ b/internal/controllers/membership/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/membership"
 )
 
-// FuzzExchange sends heartbeats that a peer's fault may have garbled. They are
-// refused or merged; the process answers the next good one all the same.
+// FuzzExchange sends malformed heartbeats, as a faulty peer may. They are
+// rejected or merged, and the process must still answer the next valid one.
 func FuzzExchange(f *testing.F) {
 	strange := &peerv1.ExchangeRequest{
 		From:     "p",
--- a/internal/controllers/membership/beat.go
+++ b/internal/controllers/membership/heartbeat.go
@@ -9,7 +9,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// beat sends the heartbeats. A peer that does not answer delays no other.
+// beat sends a round of heartbeats every Interval. A peer that does not answer
+// doesn't delay the heartbeats to others.
 func (c *Controller) beat(ctx context.Context) error {
 	var exchanges sync.WaitGroup
 	defer exchanges.Wait()
@@ -29,20 +30,22 @@
 	}
 }
 
-// pause returns the time to the next heartbeat. It differs by a tenth at most
-// between processes and turns, so that those that started together drift apart.
+// pause returns the time until the next round of heartbeats: Interval plus or
+// minus up to a tenth. It varies between processes and turns, so that processes
+// that started at the same time don't keep sending at the same time.
 func (c *Controller) pause() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// stride has no factor in common with steps, so that all steps come up.
+	// stride and steps have no common factor, so that every step occurs.
 	const steps, stride = 100, 37
 	step := (c.start + c.turn*stride) % steps
 	tenth := c.config.Interval / 10
 	return c.config.Interval - tenth + 2*tenth*time.Duration(step)/steps
 }
 
-// nextTargets also does what is due once an interval: suspicion depends on time
-// alone, and nothing else would publish it.
+// nextTargets returns the receivers of the next round of heartbeats. It also
+// does what is due once an interval, such as publishing: an instance becomes
+// suspect by the passing of time alone, and nothing else would publish that.
 func (c *Controller) nextTargets() []target {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +62,8 @@
 	return c.addUnheard(chosen, peers)
 }
 
-// addUnheard adds peers that this process has had no contact with yet.
+// addUnheard adds up to IntroductionFanout peers with which this process has had
+// no contact yet.
 func (c *Controller) addUnheard(chosen []target, peers map[ident.FailureDomain][]target) []target {
 	added := 0
 	for _, list := range peers {
@@ -77,6 +81,7 @@
 	return chosen
 }
 
+// seedTargets returns the next seeds to contact.
 func (c *Controller) seedTargets() []target {
 	var out []target
 	for _, address := range c.config.Seeds {
@@ -87,11 +92,12 @@
 	return take(out, c.turn, seedFanout)
 }
 
-// seedFanout is how many seeds are asked in one turn.
+// seedFanout is how many seeds get a heartbeat in one turn.
 const seedFanout = 3
 
-// reachable leaves out peers that do not answer, but for one in a turn, so that
-// a ring closes around the dead, and those that are back are found.
+// reachable leaves out peers that do not answer, so that the ring of
+// chooseTargets links the peers on either side of a dead one. In each turn it
+// keeps one peer per domain regardless, to find those that answer again.
 func (c *Controller) reachable(peers map[ident.FailureDomain][]target) map[ident.FailureDomain][]target {
 	out := map[ident.FailureDomain][]target{}
 	for domain, list := range peers {
@@ -105,7 +111,7 @@
 	return out
 }
 
-// advanceRecent keeps recent at a number from one to two windows ago.
+// advanceRecent keeps recent at a change number from one to two windows ago.
 func (c *Controller) advanceRecent(now time.Time) {
 	if now.Sub(c.nextRecent.at) < recentWindow {
 		return
@@ -114,7 +120,7 @@
 	c.nextRecent = mark{sequence: c.table.Sequence(), at: now}
 }
 
-// dropSessions forgets the sessions with instances that the table forgot.
+// dropSessions removes the sessions with instances that the table has removed.
 func (c *Controller) dropSessions() {
 	for id := range c.sessions {
 		if _, ok := c.table.Find(id); !ok {
@@ -123,7 +129,8 @@
 	}
 }
 
-// checkOwnDeparture looks for the own instance among departed ones.
+// checkOwnDeparture calls OnOwnDeparture if the own instance is among the
+// departed ones and this process is not stopping yet.
 func (c *Controller) checkOwnDeparture(departed []ident.Instance) {
 	for _, id := range departed {
 		if id == c.config.Self.ID && !c.deps.Board.Stopping.Value() {
--- a/internal/controllers/membership/spread.go
+++ b/internal/controllers/membership/push.go
@@ -10,35 +10,36 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 )
 
-// audience says who has to hear of a departure at once.
+// audience says to whom a departure is pushed.
 type audience int
 
 const (
-	// ownDomain: all peers of the own failure domain.
+	// ownDomain means all peers of the own failure domain.
 	ownDomain audience = iota
-	// everyone: these, and a few peers of each other failure domain, which
-	// tell theirs.
+	// everyone means all peers of the own failure domain and a few of each
+	// other failure domain, which push it to theirs.
 	everyone
 )
 
-// pushDelay lets the departures of one reclaim wave travel together.
+// pushDelay is the wait before a round of pushes, so that the departures of
+// instances that are reclaimed together are sent together.
 const pushDelay = 20 * time.Millisecond
 
-// push is the sending of departures to one peer, or to any peer of another
-// failure domain.
+// push is the state of sending departures to one peer of the own failure domain,
+// or to any peer of another.
 type push struct {
+	// remote is whether the receiver is in another failure domain.
 	remote  bool
 	running bool
-	// informed is the number of the table up to which the receiver has all
-	// facts.
+	// informed is the change number up to which the receiver has all facts.
 	informed uint64
-	// failed counts the attempts in a row that failed since wanted rose to
+	// failed counts the failed attempts in a row since wanted changed to
 	// tried.
 	failed int
 	tried  uint64
 }
 
-// spread pushes departures without waiting for the next heartbeat.
+// spread starts pushes when there are departures, until ctx ends.
 func (c *Controller) spread(ctx context.Context) error {
 	var pushes sync.WaitGroup
 	defer pushes.Wait()
@@ -73,9 +74,10 @@
 	}
 }
 
-// receivers returns the peers of a domain that a push tries, by the push's key:
-// each peer of the own domain by itself; of another domain a few, each with the
-// others as substitutes.
+// receivers returns the pushes needed for a failure domain: the peers to try, by
+// the push's key. In the own domain each peer gets a push of its own. Another
+// domain gets RemotePerDomain pushes; each tries all its peers, from a different
+// one on.
 func (c *Controller) receivers(domain ident.FailureDomain, peers []target) map[string][]target {
 	out := map[string][]target{}
 	if domain == c.config.Self.FailureDomain {
@@ -92,7 +94,7 @@
 }
 
 // startPush starts a push unless one to the same receiver is running, which
-// then sends the new departures as well. The lock is held.
+// then sends the new departures as well. The caller holds mu.
 func (c *Controller) startPush(ctx context.Context, pushes *sync.WaitGroup, key string, candidates []target, remote bool) {
 	p, ok := c.pushes[key]
 	if !ok {
@@ -107,7 +109,8 @@
 	pushes.Go(func() { c.runPush(ctx, p, candidates) })
 }
 
-// wanted returns the number of the last departure that a receiver has to know.
+// wanted returns the change number up to which a push's receiver has to know all
+// facts. The caller holds mu.
 func (c *Controller) wanted(p *push) uint64 {
 	if p.remote {
 		return c.pushRemote
@@ -115,8 +118,8 @@
 	return c.pushLocal
 }
 
-// runPush sends until the receiver knows all departures, or PushAttempts in a
-// row have failed. What is left goes with the next heartbeats.
+// runPush sends until the receiver knows all departures or PushAttempts attempts
+// in a row have failed. The next heartbeats carry what is left.
 func (c *Controller) runPush(ctx context.Context, p *push, candidates []target) {
 	for attempt := 0; ; attempt++ {
 		start := time.Now()
@@ -124,17 +127,18 @@
 		if c.settlePush(p, informed, err) {
 			return
 		}
-		// A refused connection fails at once; the attempts are meant to
-		// last until the peer may be back.
+		// A refused connection fails at once. Waiting out the rest of
+		// Timeout gives the peer time to answer again before the last
+		// attempt.
 		if err != nil && !pause.For(ctx, c.config.Timeout-time.Since(start)) {
 			return
 		}
 	}
 }
 
-// settlePush notes the end of an attempt and reports whether the push is over.
-// Deciding that and clearing running are one step, so that a departure that
-// comes in between is not left to a push that has just ended.
+// settlePush records the result of an attempt and reports whether the push is
+// over. It decides that and clears running under one lock, so that startPush
+// can't leave a new departure to a push that has just ended.
 func (c *Controller) settlePush(p *push, informed uint64, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controllers/membership/targets.go
+++ b/internal/controllers/membership/targets.go
@@ -10,19 +10,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/membership"
 )
 
-// target is a peer to exchange with.
+// target is a peer to send a heartbeat to.
 type target struct {
 	// id is empty for a seed, whose instance is not known yet.
 	id      ident.Instance
 	domain  ident.FailureDomain
 	address string
-	// figures: exchange proof of life and load as well as facts.
+	// figures is whether to exchange figures as well as facts.
 	figures bool
 }
 
 // peersByDomain returns the peers that serve exchanges, by failure domain and
-// in the order of their IDs. Leaving ones are among them, since they still have
-// work to route; suspect ones too, for only an answer clears them.
+// sorted by ID. It includes leaving peers, since they still have work to route,
+// and suspect ones, since only their answer clears the suspicion.
 func peersByDomain(table *membership.Table, self ident.Instance) map[ident.FailureDomain][]target {
 	out := map[ident.FailureDomain][]target{}
 	for e := range table.All {
@@ -42,49 +42,50 @@
 	return e.PeerAddress != "" && e.State != blackboard.Gone && e.ID != self
 }
 
-// turns is where a process stands in its rotation. start is its own, so that not
-// all choose the same peers in one turn.
+// turns is a process's position in its rotation through the peers. start differs
+// between processes, so that not all choose the same peers in one turn.
 type turns struct{ start, turn int }
 
-// chooseTargets returns whom to send a heartbeat.
+// chooseTargets returns the peers to send a heartbeat to.
 //
 // In a small fleet these are all peers of the own failure domain and some of
-// each other, with figures. In a large one figures flow along fixed links: two
-// in the own domain, which make a ring with chords, and one to another domain;
-// a fixed link needs to carry each figure once. One more peer of the own and of
-// another domain, in turn, gets the facts, so that no link that is broken keeps
-// parts of the fleet apart.
-func chooseTargets(peers map[ident.FailureDomain][]target, config Config, at turns) []target {
+// each other domain, with figures. In a large fleet figures are sent along fixed
+// links, since a fixed link has to carry each figure only once: two links in the
+// own domain, which form a ring with chords, and one to another domain. In
+// addition, one peer of the own domain and one of another, in rotation, get the
+// facts, so that a broken link can't separate parts of the fleet.
+func chooseTargets(peers map[ident.FailureDomain][]target, config Config, r turns) []target {
 	own := config.Self.FailureDomain
-	chosen := chooseLocal(peers[own], config, at)
-	return append(chosen, chooseRemote(peers, otherDomains(peers, own), config, at)...)
+	chosen := chooseLocal(peers[own], config, r)
+	return append(chosen, chooseRemote(peers, otherDomains(peers, own), config, r)...)
 }
 
-func chooseLocal(local []target, config Config, at turns) []target {
+func chooseLocal(local []target, config Config, r turns) []target {
 	if len(local) <= config.LocalAll {
 		return withFigures(take(local, 0, len(local)))
 	}
+	// The ring is the order of IDs, starting after the own one.
 	successors := append(peersAfter(local, config.Self.ID), peersBefore(local, config.Self.ID)...)
 	chord := int(math.Sqrt(float64(len(local))))
 	ring := withFigures([]target{successors[0], successors[chord]})
-	return append(ring, take(local, at.start+at.turn, 1)...)
+	return append(ring, take(local, r.start+r.turn, 1)...)
 }
 
-func chooseRemote(peers map[ident.FailureDomain][]target, domains []ident.FailureDomain, config Config, at turns) []target {
+func chooseRemote(peers map[ident.FailureDomain][]target, domains []ident.FailureDomain, config Config, r turns) []target {
 	if len(domains) == 0 {
 		return nil
 	}
 	if len(domains)*config.RemotePerDomain <= config.RemoteAll {
 		var all []target
 		for _, domain := range domains {
-			all = append(all, take(peers[domain], at.start+at.turn*config.RemotePerDomain, config.RemotePerDomain)...)
+			all = append(all, take(peers[domain], r.start+r.turn*config.RemotePerDomain, config.RemotePerDomain)...)
 		}
 		return withFigures(all)
 	}
-	link := domains[at.start%len(domains)]
-	next := domains[(at.start+at.turn)%len(domains)]
-	chosen := withFigures(take(peers[link], at.start/len(domains), 1))
-	return append(chosen, take(peers[next], at.start+at.turn/len(domains), 1)...)
+	link := domains[r.start%len(domains)]
+	next := domains[(r.start+r.turn)%len(domains)]
+	chosen := withFigures(take(peers[link], r.start/len(domains), 1))
+	return append(chosen, take(peers[next], r.start+r.turn/len(domains), 1)...)
 }
 
 func withFigures(targets []target) []target {
@@ -102,7 +103,7 @@
 	return peers[:positionOf(peers, self)]
 }
 
-// positionOf returns where self would stand among the peers.
+// positionOf returns the index of self in the order of the peers' IDs.
 func positionOf(peers []target, self ident.Instance) int {
 	i, _ := slices.BinarySearchFunc(peers, self, func(p target, id ident.Instance) int { return cmp.Compare(p.id, id) })
 	return i
@@ -119,7 +120,8 @@
 	return domains
 }
 
-// take returns up to count elements from position start on, around the end.
+// take returns up to count elements from index start on, continuing at the
+// beginning after the end.
 func take(from []target, start, count int) []target {
 	if len(from) == 0 {
 		return nil
