--- a/internal/controllers/configuration/controller.go
+++ b/internal/controllers/configuration/controller.go
@@ -89,7 +89,8 @@
 	logFailed bool
 	// backoff is the last pause after a failed read, before jitter.
 	backoff time.Duration
-	// peerAheadSince is when a peer was first seen to be ahead; zero while none is.
+	// peerAheadSince is when a peer was first seen to be ahead; zero while none
+	// is.
 	peerAheadSince time.Time
 	// firstKept is the oldest offset that the log keeps.
 	firstKept        ident.Offset
@@ -168,8 +169,9 @@
 	}
 }
 
-// headWait returns how long the next read waits for records at the head. It is zero
-// until the process is ready, so that it learns quickly whether the log is down.
+// headWait returns how long the next read waits for records at the head. It is
+// zero until the process is ready, so that it learns quickly whether the log is
+// down.
 func (c *Controller) headWait() time.Duration {
 	if c.ready {
 		return readWait
--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -11,7 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// applyRead applies the result of a read and returns the pause before the next read.
+// applyRead applies the result of a read and returns the pause before the next
+// read.
 func (c *Controller) applyRead(result readResult) time.Duration {
 	if errors.Is(result.err, platform.ErrExpired) {
 		c.markReachable()
@@ -55,8 +56,8 @@
 	c.logFailed = true
 }
 
-// nextBackoff returns the time to back off after a failed read. It doubles up to
-// maxBackoff; its random half keeps processes whose reads failed at the same
+// nextBackoff returns the time to back off after a failed read. It doubles up
+// to maxBackoff; its random half keeps processes whose reads failed at the same
 // moment from retrying at the same moment.
 func (c *Controller) nextBackoff() time.Duration {
 	c.backoff = min(max(2*c.backoff, firstBackoff), maxBackoff)
@@ -105,8 +106,8 @@
 	}
 }
 
-// shouldAskPeer reports whether to ask the peer that is ahead: at once while the
-// log is unreachable, otherwise after peerGrace.
+// shouldAskPeer reports whether to ask the peer that is ahead: at once while
+// the log is unreachable, otherwise after peerGrace.
 func (c *Controller) shouldAskPeer() bool {
 	if c.peerAheadSince.IsZero() {
 		c.peerAheadSince = time.Now()
--- a/internal/controllers/configuration/promise_test.go
+++ b/internal/controllers/configuration/promise_test.go
@@ -22,8 +22,8 @@
 	// newSchema is the newest schema that the newer program understands; the
 	// older program understands one less.
 	newSchema = 2
-	// changeDeadline is the time within which all processes must use an accepted
-	// change.
+	// changeDeadline is the time within which all processes must use an
+	// accepted change.
 	changeDeadline = 12 * time.Second
 	outage  = 2 * time.Minute
 )
@@ -86,8 +86,8 @@
 	return revision
 }
 
-// servedAt returns the publications that a program with the given schema has to use
-// at a revision.
+// servedAt returns the publications that a program with the given schema has to
+// use at a revision.
 func (o oracle) servedAt(revision ident.Revision, schema int) map[ident.Service]oracleEntry {
 	out := map[ident.Service]oracleEntry{}
 	for _, e := range o.accepted {
@@ -105,8 +105,8 @@
 	return o.accepted[len(o.accepted)-1].revision
 }
 
-// checkPublished checks that a set published by a process equals the oracle's at that
-// revision and that no service goes back to an older revision.
+// checkPublished checks that a set published by a process equals the oracle's
+// at that revision and that no service goes back to an older revision.
 func (w *world) checkPublished(p *process, set *document.Set) {
 	want := newOracle(w.log.records()).servedAt(set.Revision, p.schema)
 	if len(want) != len(set.Services) {
--- a/internal/controllers/configuration/ready_test.go
+++ b/internal/controllers/configuration/ready_test.go
@@ -64,8 +64,8 @@
 }
 
 // A process must not be ready below the highest revision of its reachable
-// peers. Here the log goes down while a new instance reads it, and the peer with
-// the highest revision is known but does not answer at first.
+// peers. Here the log goes down while a new instance reads it, and the peer
+// with the highest revision is known but does not answer at first.
 func TestNotReadyBelowTheHighestPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
@@ -92,10 +92,10 @@
 }
 
 // An instance that is disconnected from the log while records without effect
-// are appended and expire must close the gap from its peers, and a snapshot must
-// soon cover the gap. If only a snapshot or a newer revision closed it, the
-// instance would report the gap for minutes; if snapshots were written by age
-// alone, the documents would be lost when all processes restart meanwhile.
+// are appended and expire must close the gap from its peers, and a snapshot
+// must soon cover the gap. If only a snapshot or a newer revision closed it,
+// the instance would report the gap for minutes; if snapshots were written by
+// age alone, the documents would be lost when all processes restart meanwhile.
 func TestGapIsClosedByPeersAndThenByASnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newServingWorld(t)
@@ -118,8 +118,8 @@
 	})
 }
 
-// Documents must not exist in the log alone. Here the log is down for hours, all
-// processes of a failure domain are replaced meanwhile, the records expire
+// Documents must not exist in the log alone. Here the log is down for hours,
+// all processes of a failure domain are replaced meanwhile, the records expire
 // before the log is back, and then new documents are published. The failure
 // domain must not be without documents, or have older ones, until the log is
 // back.
--- a/internal/controllers/configuration/snapshots.go
+++ b/internal/controllers/configuration/snapshots.go
@@ -40,8 +40,8 @@
 	return p
 }
 
-// minSnapshotDelay is the least delay before a process writes a snapshot that is due.
-// In that time it reads one that another process has just written.
+// minSnapshotDelay is the least delay before a process writes a snapshot that
+// is due. In that time it reads one that another process has just written.
 const minSnapshotDelay = 5 * time.Second
 
 // snapshotCheckInterval is the time between two checks whether a snapshot is
--- a/internal/controllers/configuration/world_test.go
+++ b/internal/controllers/configuration/world_test.go
@@ -159,7 +159,8 @@
 	processes []*process
 	// partitioned is whether the failure domains cannot reach each other.
 	partitioned bool
-	// documentsBlocked is whether GetDocuments fails, though heartbeats come through.
+	// documentsBlocked is whether GetDocuments fails, though heartbeats come
+	// through.
 	documentsBlocked   bool
 	faults []string
 	incarnations  int
--- a/internal/controllers/membership/codec.go
+++ b/internal/controllers/membership/codec.go
@@ -59,8 +59,8 @@
 	return out
 }
 
-// checkFigures reports whether all lists of figures have the same length.
-func checkFigures(f *peerv1.Figures) bool {
+// validFigures reports whether all lists of figures have the same length.
+func validFigures(f *peerv1.Figures) bool {
 	n := len(f.GetKey())
 	for _, list := range [][]uint32{f.GetRunning(), f.GetQueued(), f.GetQueuedPrefillTokens(), f.GetLoadAgeMs(), f.GetAgeMs()} {
 		if len(list) != n {
@@ -70,8 +70,8 @@
 	return true
 }
 
-// decodeFigures returns the figures at index i as an entry of the known instance
-// in state Alive.
+// decodeFigures returns the figures at index i as an entry of the known
+// instance in state Alive.
 func decodeFigures(f *peerv1.Figures, i int, known membership.Entry, now time.Time) membership.Entry {
 	return membership.Entry{
 		ID:            known.ID,
@@ -99,10 +99,10 @@
 	}
 }
 
-// checkFact reports whether a line has an instance ID and a state that this
+// validFact reports whether a line has an instance ID and a state that this
 // program knows. Lines with other states, which a newer program may send, are
 // ignored.
-func checkFact(line *peerv1.MemberEntry) bool {
+func validFact(line *peerv1.MemberEntry) bool {
 	state := blackboard.MemberState(line.GetState())
 	return line.GetInstanceId() != "" && state >= blackboard.Alive && state <= blackboard.Gone
 }
@@ -153,8 +153,8 @@
 // then the difference matters no more.
 const maxAge = 24 * time.Hour
 
-// encodeAge returns the age in milliseconds plus one, or 0 for the zero time. It
-// rounds up, so that an age never gets smaller when it is passed on.
+// encodeAge returns the age in milliseconds plus one, or 0 for the zero time.
+// It rounds up, so that an age never gets smaller when it is passed on.
 func encodeAge(at, now time.Time) uint32 {
 	if at.IsZero() {
 		return 0
--- a/internal/controllers/membership/config.go
+++ b/internal/controllers/membership/config.go
@@ -61,8 +61,8 @@
 
 // DefaultConfig returns the settings in use. With them, every process in the
 // failure domain of the first sign knows of a departure within 2 s and all
-// others within 4 s, unless a link loses more than two exchanges in a row: a hop
-// inside the domain takes at most 3 times Timeout; a hop to another domain
+// others within 4 s, unless a link loses more than two exchanges in a row: a
+// hop inside the domain takes at most 3 times Timeout; a hop to another domain
 // tries two peers in turn, of which one may be dead, and takes at most 6 times
 // Timeout.
 func DefaultConfig(self platform.Instance) Config {
--- a/internal/controllers/membership/controller.go
+++ b/internal/controllers/membership/controller.go
@@ -23,8 +23,8 @@
 	// epoch is a random number that distinguishes this run of the process
 	// from earlier ones; never 0.
 	epoch uint64
-	// departures wakes the goroutine that pushes departures.
-	departures chan struct{}
+	// pushWake wakes the goroutine that pushes departures.
+	pushWake chan struct{}
 
 	mu       sync.Mutex
 	table    *membership.Table
@@ -34,18 +34,18 @@
 	recent, nextRecent mark
 	// published is the last published state of each instance.
 	published map[ident.Instance]blackboard.Member
-	// publishedFact is the change number of the last published fact.
-	publishedFact uint64
-	// listed is whether the platform's list was read at least once.
-	listed bool
-	// mismatch is whether a peer's facts have differed from ours since
-	// lastFull, the time of the last request for a full digest.
-	mismatch bool
-	lastFull time.Time
-	// turn counts rounds of heartbeats and rounds counts rounds of pushes.
-	// Both rotate through the peers. start is the position at which this
-	// process begins; it differs between processes.
-	start, turn, rounds int
+	// lastPublishedFact is the change number of the last published fact.
+	lastPublishedFact uint64
+	// listRead is whether the platform's list was read at least once.
+	listRead bool
+	// factsDiffer is whether a peer's facts have differed from ours since
+	// lastFullRequest.
+	factsDiffer     bool
+	lastFullRequest time.Time
+	// turn counts rounds of heartbeats and pushRounds counts rounds of
+	// pushes. Both rotate through the peers from rotationStart on, which
+	// differs between processes.
+	rotationStart, turn, pushRounds int
 	// pushLocal and pushRemote are the change numbers of the last departures
 	// that have to be pushed to the own failure domain and to the others.
 	pushLocal, pushRemote uint64
@@ -60,8 +60,9 @@
 	at       time.Time
 }
 
-// maxStart bounds start, so that the sum of start and turn fits into an int.
-const maxStart = 1 << 16
+// maxRotationStart bounds rotationStart, so that its sum with turn fits into an
+// int.
+const maxRotationStart = 1 << 16
 
 func hash(id ident.Instance) uint64 { return xxhash.Sum64String(string(id)) }
 
@@ -73,15 +74,15 @@
 func New(config Config, deps Deps) *Controller {
 	now := time.Now()
 	c := &Controller{
-		config:     config,
-		deps:       deps,
-		epoch:      rand.Uint64() | 1,
-		start:      int(hash(config.Self.ID) % maxStart),
-		departures: make(chan struct{}, 1),
-		table:      membership.NewTable(config.Self.ID, config.Self.FailureDomain, config.Limits),
-		sessions:   map[ident.Instance]*session{},
-		published:  map[ident.Instance]blackboard.Member{},
-		pushes:     map[string]*push{},
+		config:        config,
+		deps:          deps,
+		epoch:         rand.Uint64() | 1,
+		rotationStart: int(hash(config.Self.ID) % maxRotationStart),
+		pushWake:      make(chan struct{}, 1),
+		table:         membership.NewTable(config.Self.ID, config.Self.FailureDomain, config.Limits),
+		sessions:      map[ident.Instance]*session{},
+		published:     map[ident.Instance]blackboard.Member{},
+		pushes:        map[string]*push{},
 	}
 	description := config.Self
 	description.State = 0
@@ -101,8 +102,8 @@
 // Run sends heartbeats and pushes departures until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return c.beat(ctx) })
-	group.Go(func() error { return c.spread(ctx) })
+	group.Go(func() error { return c.sendHeartbeats(ctx) })
+	group.Go(func() error { return c.pushDepartures(ctx) })
 	group.Go(func() error { return c.watchStopping(ctx) })
 	return group.Wait()
 }
@@ -127,17 +128,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.listed = true
+	c.listRead = true
 	departed := c.table.ApplyList(list, now)
 	if len(departed) > 0 {
-		c.departed(departed, everyone)
+		c.handleDepartures(departed, everyone)
 	}
 	c.publish(now)
 }
 
 // NoteLeaving records a sign that an instance is leaving: a reclaim notice, its
-// own report, or its refusal of a request. The first sign is pushed to the peers
-// at once. The data path may call it for every refusal.
+// own report, or its refusal of a request. The first sign is pushed to the
+// peers at once. The data path may call it for every refusal.
 func (c *Controller) NoteLeaving(id ident.Instance, incarnation ident.Incarnation) {
 	if c.knownToLeave(id, incarnation) {
 		return
@@ -150,7 +151,7 @@
 		e.FailureDomain = known.FailureDomain
 	}
 	if c.table.Observe(e, now) == membership.Departure {
-		c.departed([]ident.Instance{id}, everyone)
+		c.handleDepartures([]ident.Instance{id}, everyone)
 	}
 	c.publish(now)
 }
@@ -212,8 +213,9 @@
 	return out
 }
 
-// departed requests a push of departures to an audience. The caller holds mu.
-func (c *Controller) departed(ids []ident.Instance, to audience) {
+// handleDepartures requests a push of departures to an audience. The caller
+// holds mu.
+func (c *Controller) handleDepartures(ids []ident.Instance, to audience) {
 	c.pushLocal = c.table.Sequence()
 	if to == everyone {
 		c.pushRemote = c.table.Sequence()
@@ -222,38 +224,38 @@
 	c.deps.Log.Info("instances are leaving", "instances", ids)
 	c.checkOwnDeparture(ids)
 	select {
-	case c.departures <- struct{}{}:
+	case c.pushWake <- struct{}{}:
 	default:
 	}
 }
 
-// tellOwner calls OnOwnDeparture, unless that has happened already.
-func (c *Controller) tellOwner() {
+// notifyOwnDeparture calls OnOwnDeparture, unless that has happened already.
+func (c *Controller) notifyOwnDeparture() {
 	if c.deps.OnOwnDeparture != nil {
 		c.ownDeparture.Do(func() { go c.deps.OnOwnDeparture() })
 	}
 }
 
-// publishFacts publishes unless only figures have changed since the last time. A
-// suspicion that new figures clear is published with the next heartbeat.
+// publishFacts publishes unless only figures have changed since the last time.
+// A suspicion that new figures clear is published with the next heartbeat.
 func (c *Controller) publishFacts(now time.Time) {
-	if c.table.LastFact() != c.publishedFact {
+	if c.table.LastFact() != c.lastPublishedFact {
 		c.publish(now)
 	}
 }
 
 // publish removes outdated entries from the table and replaces board.Members if
-// a state, incarnation or description differs from the published one. The caller
-// holds mu, so there is one writer.
+// a state, incarnation or description differs from the published one. The
+// caller holds mu, so there is one writer.
 func (c *Controller) publish(now time.Time) {
 	c.table.Forget(now)
-	c.publishedFact = c.table.LastFact()
-	if !c.differs(now) {
+	c.lastPublishedFact = c.table.LastFact()
+	if !c.membersChanged(now) {
 		return
 	}
 	next := make(map[ident.Instance]blackboard.Member, c.table.Len())
 	for e := range c.table.All {
-		m := c.member(e, now)
+		m := c.newMember(e, now)
 		old, ok := c.published[e.ID]
 		if ok && old.State == m.State && old.Incarnation == m.Incarnation {
 			m.Since = old.Since
@@ -264,14 +266,14 @@
 	c.deps.Board.Members.Publish(&blackboard.Members{ByID: next})
 }
 
-// differs reports whether the table differs from the published members.
-func (c *Controller) differs(now time.Time) bool {
+// membersChanged reports whether the table differs from the published members.
+func (c *Controller) membersChanged(now time.Time) bool {
 	if c.table.Len() != len(c.published) {
 		return true
 	}
 	for e := range c.table.All {
 		old, ok := c.published[e.ID]
-		if !ok || old.State != c.effective(e, now) || old.Incarnation != e.Incarnation {
+		if !ok || old.State != c.effectiveState(e, now) || old.Incarnation != e.Incarnation {
 			return true
 		}
 		if old.Instance != instanceOf(e) {
@@ -281,9 +283,10 @@
 	return false
 }
 
-// effective returns an entry's state, or Suspect for an instance that is alive
-// but was not seen for too long or failed PeerFailures exchanges in a row.
-func (c *Controller) effective(e membership.Entry, now time.Time) blackboard.MemberState {
+// effectiveState returns an entry's state, or Suspect for an instance that is
+// alive but was not seen for too long or failed PeerFailures exchanges in a
+// row.
+func (c *Controller) effectiveState(e membership.Entry, now time.Time) blackboard.MemberState {
 	state := c.table.Effective(e, c.config.Suspicion, now)
 	s, ok := c.sessions[e.ID]
 	if ok && state == blackboard.Alive && s.failures >= c.config.PeerFailures {
@@ -292,11 +295,11 @@
 	return state
 }
 
-func (c *Controller) member(e membership.Entry, now time.Time) blackboard.Member {
+func (c *Controller) newMember(e membership.Entry, now time.Time) blackboard.Member {
 	return blackboard.Member{
 		Instance:    instanceOf(e),
 		Incarnation: e.Incarnation,
-		State:       c.effective(e, now),
+		State:       c.effectiveState(e, now),
 		Since:       now,
 	}
 }
--- a/internal/controllers/membership/cost_test.go
+++ b/internal/controllers/membership/cost_test.go
@@ -15,10 +15,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// size is the size of a fleet to measure.
-type size struct{ gateways, upstreams, domains int }
+// fleetSize is the size of a fleet to measure.
+type fleetSize struct{ gateways, upstreams, domains int }
 
-var sizes = []size{{9, 13, 4}, {50, 104, 5}, {100, 210, 10}, {200, 420, 10}, {330, 690, 10}}
+var sizes = []fleetSize{{9, 13, 4}, {50, 104, 5}, {100, 210, 10}, {200, 420, 10}, {330, 690, 10}}
 
 // probers is how many gateways probe an upstream in fleets with more than 64
 // upstreams. In smaller ones all do.
@@ -39,7 +39,7 @@
 // measure runs a fleet for a while with probes that report a new load each
 // second. It prints one process's messages and encoded bytes a second in both
 // directions, and the mean age of the loads that the processes know.
-func measure(t *testing.T, s size) {
+func measure(t *testing.T, s fleetSize) {
 	const warm, window = 60 * time.Second, 40 * time.Second
 	f := newFleet(s.gateways, s.upstreams, s.domains, nil)
 	stop := f.run()
@@ -138,7 +138,7 @@
 
 // benchmarkSizes runs a benchmark at each size on the table of one process.
 func benchmarkSizes(b *testing.B, run func(b *testing.B, f *fleet)) {
-	for _, s := range []size{sizes[0], sizes[2], sizes[4]} {
+	for _, s := range []fleetSize{sizes[0], sizes[2], sizes[4]} {
 		b.Run(fmt.Sprintf("%d+%d", s.gateways, s.upstreams), func(b *testing.B) {
 			f := newFleet(s.gateways, s.upstreams, s.domains, nil)
 			b.ReportAllocs()
@@ -165,8 +165,8 @@
 	})
 }
 
-// BenchmarkPublish measures the publication of a new snapshot of all members, as
-// after a change of state.
+// BenchmarkPublish measures the publication of a new snapshot of all members,
+// as after a change of state.
 func BenchmarkPublish(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, f *fleet) {
 		n := f.nodes[0]
--- a/internal/controllers/membership/departure_test.go
+++ b/internal/controllers/membership/departure_test.go
@@ -16,22 +16,22 @@
 // Within these times after the first sign of a departure at any process, all
 // processes have to know of it (promise 5).
 const (
-	boundWithin  = 2 * time.Second
-	boundBetween = 4 * time.Second
-	// boundHealed applies after a partition ends: pushes that failed before
-	// are left to the next heartbeats.
-	boundHealed = 6 * time.Second
+	maxDelayWithinDomain   = 2 * time.Second
+	maxDelayBetweenDomains = 4 * time.Second
+	// maxDelayAfterPartition applies after a partition ends: pushes that failed
+	// before are left to the next heartbeats.
+	maxDelayAfterPartition = 6 * time.Second
 )
 
-// life identifies one incarnation of an upstream.
-type life struct {
+// incarnationID identifies one incarnation of an upstream.
+type incarnationID struct {
 	id          ident.Instance
 	incarnation ident.Incarnation
 }
 
-// sign is the first sign of a departure: when it came, and the failure domain of
-// the process that got it.
-type sign struct {
+// firstSign is the first sign of a departure: when it came, and the failure
+// domain of the process that got it.
+type firstSign struct {
 	at     time.Time
 	domain ident.FailureDomain
 }
@@ -40,20 +40,21 @@
 type departureMachine struct {
 	fleet *fleet
 	start time.Time
-	signs map[life]sign
-	// knew holds the incarnations that each process has shown as leaving.
-	knew map[*node]map[life]bool
+	signs map[incarnationID]firstSign
+	// knewLeaving holds the incarnations that each process has shown as
+	// leaving.
+	knewLeaving map[*node]map[incarnationID]bool
 	// healed is when the last partition ended.
 	healed time.Time
-	// apart is whether a failure domain is cut off now.
-	apart bool
+	// partitioned is whether a failure domain is cut off now.
+	partitioned bool
 	// stale is the list of the beginning, in which everything is live.
 	stale []platform.Instance
 }
 
-// sparse makes heartbeats reach as small a share of the fleet as if it had
-// hundreds of processes.
-func sparse(c *Config) {
+// sparseHeartbeats makes heartbeats reach as small a share of the fleet as if
+// it had hundreds of processes.
+func sparseHeartbeats(c *Config) {
 	c.LocalAll = 1
 	c.RemoteAll = 1
 	c.IntroductionFanout = 0
@@ -64,15 +65,15 @@
 
 func newDepartureMachine(lossSeed uint64, tune func(*Config)) *departureMachine {
 	m := &departureMachine{
-		fleet: newFleet(9, 3, 3, tune),
-		start: time.Now(),
-		signs: map[life]sign{},
-		knew:  map[*node]map[life]bool{},
+		fleet:       newFleet(9, 3, 3, tune),
+		start:       time.Now(),
+		signs:       map[incarnationID]firstSign{},
+		knewLeaving: map[*node]map[incarnationID]bool{},
 	}
 	m.fleet.lossSeed = lossSeed
 	m.stale = m.fleet.list()
 	for _, n := range m.fleet.nodes {
-		m.knew[n] = map[life]bool{}
+		m.knewLeaving[n] = map[incarnationID]bool{}
 	}
 	return m
 }
@@ -88,7 +89,7 @@
 		},
 		"first sign": func(t *rapid.T) {
 			n, u := drawNode(t), m.fleet.upstreams[drawUpstream(t)]
-			m.note(n, u)
+			m.recordSign(n, u)
 			n.NoteLeaving(u.ID, u.Incarnation)
 		},
 		"report": func(t *rapid.T) {
@@ -101,7 +102,7 @@
 		// The same ID and address are used by a new incarnation.
 		"reuse": func(t *rapid.T) {
 			i := drawUpstream(t)
-			if _, left := m.signs[lifeOf(m.fleet.upstreams[i])]; left {
+			if _, left := m.signs[incarnationOf(m.fleet.upstreams[i])]; left {
 				m.fleet.upstreams[i].Incarnation += 1000
 				drawNode(t).ApplyList(m.fleet.list())
 			}
@@ -109,7 +110,7 @@
 		"cut": func(t *rapid.T) {
 			domain := rapid.SampledFrom([]ident.FailureDomain{"hall-a", "hall-b"}).Draw(t, "domain")
 			m.fleet.setCut(domain, true)
-			m.apart = true
+			m.partitioned = true
 		},
 		"heal": func(t *rapid.T) { m.heal() },
 		"":     m.check,
@@ -123,21 +124,22 @@
 }
 
 func (m *departureMachine) heal() {
-	if !m.apart {
+	if !m.partitioned {
 		return
 	}
 	m.fleet.setCut("hall-a", false)
 	m.fleet.setCut("hall-b", false)
-	m.apart = false
+	m.partitioned = false
 	m.healed = time.Now()
 }
 
-func lifeOf(u platform.Instance) life { return life{u.ID, u.Incarnation} }
+func incarnationOf(u platform.Instance) incarnationID { return incarnationID{u.ID, u.Incarnation} }
 
-// note records a sign unless there was an earlier one of the same departure.
-func (m *departureMachine) note(n *node, u platform.Instance) {
-	if _, ok := m.signs[lifeOf(u)]; !ok {
-		m.signs[lifeOf(u)] = sign{at: time.Now(), domain: n.self.FailureDomain}
+// recordSign records a sign unless there was an earlier one of the same
+// departure.
+func (m *departureMachine) recordSign(n *node, u platform.Instance) {
+	if _, ok := m.signs[incarnationOf(u)]; !ok {
+		m.signs[incarnationOf(u)] = firstSign{at: time.Now(), domain: n.self.FailureDomain}
 	}
 }
 
@@ -155,21 +157,21 @@
 	synctest.Wait()
 	for _, n := range m.fleet.nodes {
 		for l, s := range m.signs {
-			m.checkLife(t, n, l, s)
+			m.checkIncarnation(t, n, l, s)
 		}
 	}
 }
 
-func (m *departureMachine) checkLife(t *rapid.T, n *node, l life, s sign) {
+func (m *departureMachine) checkIncarnation(t *rapid.T, n *node, l incarnationID, s firstSign) {
 	state, incarnation := n.state(l.id)
 	works := incarnation <= l.incarnation && state < blackboard.Leaving
 	if !works {
 		// If it knows only an earlier incarnation, it may still receive
 		// this one as alive first.
-		m.knew[n][l] = incarnation >= l.incarnation
+		m.knewLeaving[n][l] = incarnation >= l.incarnation
 		return
 	}
-	if m.knew[n][l] {
+	if m.knewLeaving[n][l] {
 		t.Fatalf("%s: %s incarnation %d is in state %v again", n.self.ID, l.id, l.incarnation, state)
 	}
 	if now := time.Now(); now.After(m.due(n, s)) {
@@ -179,36 +181,36 @@
 }
 
 // due returns the time by which a process has to know of a departure.
-func (m *departureMachine) due(n *node, s sign) time.Time {
+func (m *departureMachine) due(n *node, s firstSign) time.Time {
 	if n.self.FailureDomain == s.domain {
-		return s.at.Add(boundWithin)
+		return s.at.Add(maxDelayWithinDomain)
 	}
-	if m.apart {
+	if m.partitioned {
 		return time.Now()
 	}
-	due := s.at.Add(boundBetween)
-	if healed := m.healed.Add(boundHealed); !m.healed.IsZero() && healed.After(due) {
+	due := s.at.Add(maxDelayBetweenDomains)
+	if healed := m.healed.Add(maxDelayAfterPartition); !m.healed.IsZero() && healed.After(due) {
 		return healed
 	}
 	return due
 }
 
-// bubble hides the type of t: rapid calls Deadline on a *testing.T, which is not
-// allowed in a synctest bubble.
+// bubble hides the type of t: rapid calls Deadline on a *testing.T, which is
+// not allowed in a synctest bubble.
 type bubble struct{ rapid.TB }
 
-// An upstream must get no work after it has begun to leave, so every process has
-// to know of the first sign in time, and nothing older may override it.
+// An upstream must get no work after it has begun to leave, so every process
+// has to know of the first sign in time, and nothing older may override it.
 // Meanwhile digests and answers are lost, at most two in a row on a link;
-// failure domains are cut off and reconnected; stale lists say "live" again; and
-// IDs and addresses are reused by new incarnations.
+// failure domains are cut off and reconnected; stale lists say "live" again;
+// and IDs and addresses are reused by new incarnations.
 func TestDeparturesSpreadInTimeAndForGood(t *testing.T) {
 	checkDepartures(t, nil)
 }
 
 // The same in a fleet whose heartbeats reach few peers.
 func TestDeparturesSpreadInALargeFleet(t *testing.T) {
-	checkDepartures(t, sparse)
+	checkDepartures(t, sparseHeartbeats)
 }
 
 func checkDepartures(t *testing.T, tune func(*Config)) {
@@ -218,7 +220,7 @@
 			defer m.fleet.run()()
 			t.Repeat(m.actions())
 			m.heal()
-			m.wait(t, boundHealed+time.Second)
+			m.wait(t, maxDelayAfterPartition+time.Second)
 		})
 	})
 }
@@ -237,7 +239,7 @@
 					f.kill(n)
 				}
 			}
-			f.expectSpread(t, boundBetween)
+			f.expectSpread(t, maxDelayBetweenDomains)
 		})
 	}
 }
@@ -250,12 +252,12 @@
 		f := newFleet(60, 2, 2, pushOnly)
 		defer f.run()()
 		time.Sleep(time.Second)
-		f.expectSpread(t, boundBetween/2)
+		f.expectSpread(t, maxDelayBetweenDomains/2)
 	})
 }
 
-// expectSpread gives one process a first sign and checks that all processes that
-// are not dead know of the departure after bound.
+// expectSpread gives one process a first sign and checks that all processes
+// that are not dead know of the departure after bound.
 func (f *fleet) expectSpread(t *testing.T, bound time.Duration) {
 	u := f.upstreams[0]
 	f.nodes[0].NoteLeaving(u.ID, u.Incarnation)
@@ -281,7 +283,7 @@
 			f.nodes[at].NoteLeaving(f.nodes[5].self.ID, f.nodes[5].self.Incarnation)
 			select {
 			case <-told:
-			case <-time.After(boundBetween):
+			case <-time.After(maxDelayBetweenDomains):
 				t.Errorf("not told of the sign at %s", f.nodes[at].self.ID)
 			}
 		})
@@ -310,7 +312,7 @@
 			_ = newcomer.Run(ctx)
 			close(done)
 		}()
-		time.Sleep(boundWithin)
+		time.Sleep(maxDelayWithinDomain)
 		synctest.Wait()
 		if state, _ := newcomer.state(u.ID); state != blackboard.Leaving {
 			t.Errorf("state %v", state)
@@ -337,7 +339,7 @@
 			f.nodes[0].ApplyList(append(f.list(), u))
 			time.Sleep(5*time.Second + time.Duration(tenths)*100*time.Millisecond)
 			f.setCut("hall-a", false)
-			time.Sleep(boundHealed)
+			time.Sleep(maxDelayAfterPartition)
 			u.State = platform.Live
 			f.nodes[1].ApplyList(append(f.list(), u))
 			synctest.Wait()
@@ -358,7 +360,7 @@
 		time.Sleep(5 * time.Second)
 		u := platform.Instance{ID: "u", Incarnation: 1, Role: platform.RoleEngine, FailureDomain: "hall-a", State: platform.Live}
 		f.nodes[0].NoteLeaving(u.ID, u.Incarnation)
-		time.Sleep(boundBetween)
+		time.Sleep(maxDelayBetweenDomains)
 		for _, n := range f.nodes {
 			n.ApplyList(append(f.list(), u))
 		}
--- a/internal/controllers/membership/exchange.go
+++ b/internal/controllers/membership/exchange.go
@@ -43,8 +43,8 @@
 	contactMade
 )
 
-// heard records that a request or answer of the peer has just arrived.
-func (s *session) heard(revision ident.Revision) {
+// recordContact records that a request or answer of the peer has just arrived.
+func (s *session) recordContact(revision ident.Revision) {
 	s.contact = contactMade
 	s.failures = 0
 	s.revision = max(s.revision, revision)
@@ -102,7 +102,7 @@
 	}
 	request.Position.FactsOnly = !peer.figures
 	request.Position.NeedsFull = c.needsFull(now)
-	request.Position.NeedsDescriptions = request.Position.NeedsFull && !c.listed
+	request.Position.NeedsDescriptions = request.Position.NeedsFull && !c.listRead
 	return outgoing{request: request, epoch: s.epoch, digest: digest}
 }
 
@@ -115,13 +115,13 @@
 
 // needsFull reports whether to request a full digest, at most one every
 // FullInterval: when checksums have differed since the last one, as they do
-// after the first answer to a new process. mergeResponse sets mismatch.
+// after the first answer to a new process. mergeResponse sets factsDiffer.
 func (c *Controller) needsFull(now time.Time) bool {
-	if !c.mismatch || now.Sub(c.lastFull) < c.config.FullInterval {
+	if !c.factsDiffer || now.Sub(c.lastFullRequest) < c.config.FullInterval {
 		return false
 	}
-	c.lastFull = now
-	c.mismatch = false
+	c.lastFullRequest = now
+	c.factsDiffer = false
 	fullDigestsAsked.Add(1)
 	return true
 }
@@ -157,9 +157,9 @@
 		FailureDomain: ident.FailureDomain(resp.GetFailureDomain()),
 		PeerAddress:   peer.address,
 	}, now)
-	c.mismatch = c.mismatch || !c.compareFacts(s, position)
+	c.factsDiffer = c.factsDiffer || !c.compareFacts(s, position)
 	c.publishFacts(now)
-	s.heard(ident.Revision(resp.GetRevision()))
+	s.recordContact(ident.Revision(resp.GetRevision()))
 }
 
 // compareFacts reports whether the peer had the same facts when it sent the
@@ -179,7 +179,7 @@
 	if req.GetFrom() == "" || req.GetPosition().GetEpoch() == 0 {
 		return nil, errcode.New(errcode.InvalidArgument, "heartbeat without sender or epoch")
 	}
-	if !checkFigures(req.GetFigures()) {
+	if !validFigures(req.GetFigures()) {
 		return nil, errcode.New(errcode.InvalidArgument, "heartbeat with figures of different lengths")
 	}
 	exchangesServed.Add(1)
@@ -215,7 +215,7 @@
 	}
 	c.publishFacts(now)
 	c.compareFacts(s, position)
-	s.heard(ident.Revision(req.GetRevision()))
+	s.recordContact(ident.Revision(req.GetRevision()))
 	return c.buildResponse(s, from, position, now)
 }
 
@@ -270,12 +270,12 @@
 }
 
 // mergeFacts merges the facts of a digest. A departure received from another
-// failure domain is pushed to the own one; within a domain, the sender pushes it
-// to all peers itself.
+// failure domain is pushed to the own one; within a domain, the sender pushes
+// it to all peers itself.
 func (c *Controller) mergeFacts(from ident.Instance, domain ident.FailureDomain, lines []*peerv1.MemberEntry, now time.Time) {
 	var departed []ident.Instance
 	for _, line := range lines {
-		if !checkFact(line) {
+		if !validFact(line) {
 			continue
 		}
 		e := decodeFact(line, now)
@@ -291,13 +291,13 @@
 		c.checkOwnDeparture(departed)
 		return
 	}
-	c.departed(departed, ownDomain)
+	c.handleDepartures(departed, ownDomain)
 }
 
 // mergeFigures merges the figures of a digest. It ignores those of instances or
 // incarnations that this process does not know.
 func (c *Controller) mergeFigures(from ident.Instance, figures *peerv1.Figures, now time.Time) {
-	if !checkFigures(figures) {
+	if !validFigures(figures) {
 		return
 	}
 	for i, key := range figures.GetKey() {
--- a/internal/controllers/membership/fleet_test.go
+++ b/internal/controllers/membership/fleet_test.go
@@ -22,10 +22,10 @@
 
 func init() { testkit.FixSeed() }
 
-const hop = time.Millisecond
+const hopTime = time.Millisecond
 
-// fleet is a set of controllers connected by a transport in memory that can lose
-// messages and cut off failure domains.
+// fleet is a set of controllers connected by a transport in memory that can
+// lose messages and cut off failure domains.
 type fleet struct {
 	nodes     []*node
 	byAddress map[string]*node
@@ -34,10 +34,10 @@
 	mu sync.Mutex
 	// lossSeed chooses which messages are lost; 0 loses none.
 	lossSeed uint64
-	// runs counts the exchanges in a row that a link has lost.
-	runs map[string]int
-	sent map[string]int
-	cut  map[ident.FailureDomain]bool
+	// lossRuns counts the exchanges in a row that a link has lost.
+	lossRuns map[string]int
+	sent     map[string]int
+	cut      map[ident.FailureDomain]bool
 	// bytes and messages count requests and answers.
 	bytes, messages int
 }
@@ -61,7 +61,7 @@
 
 // newFleet creates gateways and upstreams in turn in each failure domain.
 func newFleet(gateways, upstreams, domains int, tune func(*Config)) *fleet {
-	f := &fleet{byAddress: map[string]*node{}, runs: map[string]int{}, sent: map[string]int{}, cut: map[ident.FailureDomain]bool{}}
+	f := &fleet{byAddress: map[string]*node{}, lossRuns: map[string]int{}, sent: map[string]int{}, cut: map[ident.FailureDomain]bool{}}
 	for i := range upstreams {
 		f.upstreams = append(f.upstreams, platform.Instance{
 			ID:            ident.Instance(fmt.Sprintf("i-%017d", i)),
@@ -117,9 +117,9 @@
 	f.byAddress[self.PeerAddress] = n
 }
 
-// at returns the node at an address, or nil. It may be called while a node is
-// added.
-func (f *fleet) at(address string) *node {
+// nodeAt returns the node at an address, or nil. It may be called while a node
+// is added.
+func (f *fleet) nodeAt(address string) *node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.byAddress[address]
@@ -166,25 +166,25 @@
 // Exchange implements Transport. If a message is lost, it returns only when ctx
 // expires.
 func (l *link) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
-	time.Sleep(hop)
-	to := l.fleet.at(address)
-	if to == nil || l.fleet.loses(l.from, to, "request") {
-		return nil, expire(ctx)
+	time.Sleep(hopTime)
+	to := l.fleet.nodeAt(address)
+	if to == nil || l.fleet.loseMessage(l.from, to, "request") {
+		return nil, waitUntilExpired(ctx)
 	}
 	l.fleet.count(proto.Size(req))
 	resp, err := to.Exchange(ctx, req)
-	time.Sleep(hop)
+	time.Sleep(hopTime)
 	if err != nil {
 		return nil, err
 	}
 	l.fleet.count(proto.Size(resp))
-	if l.fleet.loses(l.from, to, "answer") {
-		return nil, expire(ctx)
+	if l.fleet.loseMessage(l.from, to, "answer") {
+		return nil, waitUntilExpired(ctx)
 	}
 	return resp, nil
 }
 
-func expire(ctx context.Context) error {
+func waitUntilExpired(ctx context.Context) error {
 	<-ctx.Done()
 	return errcode.Wrap(errcode.DeadlineExceeded, ctx.Err(), "lost")
 }
@@ -196,9 +196,9 @@
 	f.messages++
 }
 
-// loses decides whether one message is lost. An exchange counts as one loss in
-// runs, whichever of its two messages is lost.
-func (f *fleet) loses(from, to *node, part string) bool {
+// loseMessage decides whether one message is lost. An exchange counts as one
+// loss in lossRuns, whichever of its two messages is lost.
+func (f *fleet) loseMessage(from, to *node, part string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if from.dead || to.dead {
@@ -213,11 +213,11 @@
 	}
 	link := string(from.self.ID) + ">" + string(to.self.ID)
 	f.sent[link]++
-	lost := f.runs[link] < maxLossRun && xxhash.Sum64String(fmt.Sprint(f.lossSeed, link, part, f.sent[link]))%2 == 0
+	lost := f.lossRuns[link] < maxLossRun && xxhash.Sum64String(fmt.Sprint(f.lossSeed, link, part, f.sent[link]))%2 == 0
 	if lost {
-		f.runs[link]++
+		f.lossRuns[link]++
 	} else if part == "answer" {
-		f.runs[link] = 0
+		f.lossRuns[link] = 0
 	}
 	return lost
 }
@@ -255,9 +255,9 @@
 }
 
 // The sender of a heartbeat must not be taken for an instance if it has no peer
-// address. When a controller process sends one under a name of its own, operators
-// would see suspect members without a role, and later departures of instances
-// that never existed.
+// address. When a controller process sends one under a name of its own,
+// operators would see suspect members without a role, and later departures of
+// instances that never existed.
 func TestProcessThatOnlyAsksIsNoMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 1, 1, nil)
--- a/internal/controllers/membership/heartbeat.go
+++ b/internal/controllers/membership/heartbeat.go
@@ -9,9 +9,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// beat sends a round of heartbeats every Interval. A peer that does not answer
-// doesn't delay the heartbeats to others.
-func (c *Controller) beat(ctx context.Context) error {
+// sendHeartbeats sends a round of heartbeats every Interval. A peer that does
+// not answer doesn't delay the heartbeats to others.
+func (c *Controller) sendHeartbeats(ctx context.Context) error {
 	var exchanges sync.WaitGroup
 	defer exchanges.Wait()
 	for {
@@ -23,22 +23,22 @@
 			})
 		}
 		select {
-		case <-time.After(c.pause()):
+		case <-time.After(c.nextInterval()):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// pause returns the time until the next round of heartbeats: Interval plus or
-// minus up to a tenth. It varies between processes and turns, so that processes
-// that started at the same time don't keep sending at the same time.
-func (c *Controller) pause() time.Duration {
+// nextInterval returns the time until the next round of heartbeats: Interval
+// plus or minus up to a tenth. It varies between processes and turns, so that
+// processes that started at the same time don't keep sending at the same time.
+func (c *Controller) nextInterval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// stride and steps have no common factor, so that every step occurs.
 	const steps, stride = 100, 37
-	step := (c.start + c.turn*stride) % steps
+	step := (c.rotationStart + c.turn*stride) % steps
 	tenth := c.config.Interval / 10
 	return c.config.Interval - tenth + 2*tenth*time.Duration(step)/steps
 }
@@ -54,17 +54,17 @@
 	c.advanceRecent(now)
 	c.dropSessions()
 	peers := peersByDomain(c.table, c.config.Self.ID)
-	chosen := chooseTargets(c.reachable(peers), c.config, turns{start: c.start, turn: c.turn})
+	chosen := chooseTargets(c.reachable(peers), c.config, rotation{start: c.rotationStart, turn: c.turn})
 	c.turn++
 	if len(peers) == 0 {
 		return c.seedTargets()
 	}
-	return c.addUnheard(chosen, peers)
+	return c.addUncontacted(chosen, peers)
 }
 
-// addUnheard adds up to IntroductionFanout peers with which this process has had
-// no contact yet.
-func (c *Controller) addUnheard(chosen []target, peers map[ident.FailureDomain][]target) []target {
+// addUncontacted adds up to IntroductionFanout peers with which this process
+// has had no contact yet.
+func (c *Controller) addUncontacted(chosen []target, peers map[ident.FailureDomain][]target) []target {
 	added := 0
 	for _, list := range peers {
 		for _, peer := range list {
@@ -89,7 +89,7 @@
 			out = append(out, target{address: address})
 		}
 	}
-	return take(out, c.turn, seedFanout)
+	return takeRotated(out, c.turn, seedFanout)
 }
 
 // seedFanout is how many seeds get a heartbeat in one turn.
@@ -134,7 +134,7 @@
 func (c *Controller) checkOwnDeparture(departed []ident.Instance) {
 	for _, id := range departed {
 		if id == c.config.Self.ID && !c.deps.Board.Stopping.Value() {
-			c.tellOwner()
+			c.notifyOwnDeparture()
 		}
 	}
 }
--- a/internal/controllers/membership/metrics.go
+++ b/internal/controllers/membership/metrics.go
@@ -2,8 +2,8 @@
 
 import "expvar"
 
-// Counters of this process. Bytes are those of the encoded messages, without the
-// transport's headers.
+// Counters of this process. Bytes are those of the encoded messages, without
+// the transport's headers.
 var (
 	exchangesSent    = expvar.NewInt("goldcrestspool.membership.exchanges_sent")
 	exchangesFailed  = expvar.NewInt("goldcrestspool.membership.exchanges_failed")
--- a/internal/controllers/membership/push.go
+++ b/internal/controllers/membership/push.go
@@ -25,27 +25,28 @@
 // instances that are reclaimed together are sent together.
 const pushDelay = 20 * time.Millisecond
 
-// push is the state of sending departures to one peer of the own failure domain,
-// or to any peer of another.
+// push is the state of sending departures to one peer of the own failure
+// domain, or to any peer of another.
 type push struct {
 	// remote is whether the receiver is in another failure domain.
 	remote  bool
 	running bool
-	// informed is the change number up to which the receiver has all facts.
-	informed uint64
+	// informedThrough is the change number up to which the receiver has all
+	// facts.
+	informedThrough uint64
 	// failed counts the failed attempts in a row since wanted changed to
-	// tried.
-	failed int
-	tried  uint64
+	// failedFor.
+	failed    int
+	failedFor uint64
 }
 
-// spread starts pushes when there are departures, until ctx ends.
-func (c *Controller) spread(ctx context.Context) error {
+// pushDepartures starts pushes when there are departures, until ctx ends.
+func (c *Controller) pushDepartures(ctx context.Context) error {
 	var pushes sync.WaitGroup
 	defer pushes.Wait()
 	for {
 		select {
-		case <-c.departures:
+		case <-c.pushWake:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -59,7 +60,7 @@
 func (c *Controller) startPushes(ctx context.Context, pushes *sync.WaitGroup) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rounds++
+	c.pushRounds++
 	current := map[string]bool{}
 	for domain, peers := range peersByDomain(c.table, c.config.Self.ID) {
 		for key, candidates := range c.receivers(domain, peers) {
@@ -74,10 +75,10 @@
 	}
 }
 
-// receivers returns the pushes needed for a failure domain: the peers to try, by
-// the push's key. In the own domain each peer gets a push of its own. Another
-// domain gets RemotePerDomain pushes; each tries all its peers, from a different
-// one on.
+// receivers returns the pushes needed for a failure domain: the peers to try,
+// by the push's key. In the own domain each peer gets a push of its own.
+// Another domain gets RemotePerDomain pushes; each tries all its peers, from a
+// different one on.
 func (c *Controller) receivers(domain ident.FailureDomain, peers []target) map[string][]target {
 	out := map[string][]target{}
 	if domain == c.config.Self.FailureDomain {
@@ -88,7 +89,7 @@
 	}
 	for slot := range min(c.config.RemotePerDomain, len(peers)) {
 		key := string(domain) + "#" + strconv.Itoa(slot)
-		out[key] = take(peers, c.start+c.rounds+slot, len(peers))
+		out[key] = takeRotated(peers, c.rotationStart+c.pushRounds+slot, len(peers))
 	}
 	return out
 }
@@ -101,7 +102,7 @@
 		p = &push{remote: remote}
 		c.pushes[key] = p
 	}
-	if p.running || p.informed >= c.wanted(p) {
+	if p.running || p.informedThrough >= c.wanted(p) {
 		return
 	}
 	p.running = true
@@ -109,8 +110,8 @@
 	pushes.Go(func() { c.runPush(ctx, p, candidates) })
 }
 
-// wanted returns the change number up to which a push's receiver has to know all
-// facts. The caller holds mu.
+// wanted returns the change number up to which a push's receiver has to know
+// all facts. The caller holds mu.
 func (c *Controller) wanted(p *push) uint64 {
 	if p.remote {
 		return c.pushRemote
@@ -118,13 +119,13 @@
 	return c.pushLocal
 }
 
-// runPush sends until the receiver knows all departures or PushAttempts attempts
-// in a row have failed. The next heartbeats carry what is left.
+// runPush sends until the receiver knows all departures or PushAttempts
+// attempts in a row have failed. The next heartbeats carry what is left.
 func (c *Controller) runPush(ctx context.Context, p *push, candidates []target) {
 	for attempt := 0; ; attempt++ {
 		start := time.Now()
 		informed, err := c.exchange(ctx, candidates[attempt%len(candidates)])
-		if c.settlePush(p, informed, err) {
+		if c.finishAttempt(p, informed, err) {
 			return
 		}
 		// A refused connection fails at once. Waiting out the rest of
@@ -136,24 +137,24 @@
 	}
 }
 
-// settlePush records the result of an attempt and reports whether the push is
-// over. It decides that and clears running under one lock, so that startPush
+// finishAttempt records the result of an attempt and reports whether the push
+// is over. It decides that and clears running under one lock, so that startPush
 // can't leave a new departure to a push that has just ended.
-func (c *Controller) settlePush(p *push, informed uint64, err error) bool {
+func (c *Controller) finishAttempt(p *push, informed uint64, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wanted := c.wanted(p)
-	if p.tried != wanted {
-		p.tried = wanted
+	if p.failedFor != wanted {
+		p.failedFor = wanted
 		p.failed = 0
 	}
 	if err == nil {
-		p.informed = max(p.informed, informed)
+		p.informedThrough = max(p.informedThrough, informed)
 		p.failed = 0
 	} else {
 		p.failed++
 	}
-	if p.informed < wanted && p.failed < c.config.PushAttempts {
+	if p.informedThrough < wanted && p.failed < c.config.PushAttempts {
 		return false
 	}
 	p.running = false
--- a/internal/controllers/membership/targets.go
+++ b/internal/controllers/membership/targets.go
@@ -42,50 +42,50 @@
 	return e.PeerAddress != "" && e.State != blackboard.Gone && e.ID != self
 }
 
-// turns is a process's position in its rotation through the peers. start differs
-// between processes, so that not all choose the same peers in one turn.
-type turns struct{ start, turn int }
+// rotation is a process's position in its rotation through the peers. start
+// differs between processes, so that not all choose the same peers in one turn.
+type rotation struct{ start, turn int }
 
 // chooseTargets returns the peers to send a heartbeat to.
 //
 // In a small fleet these are all peers of the own failure domain and some of
-// each other domain, with figures. In a large fleet figures are sent along fixed
-// links, since a fixed link has to carry each figure only once: two links in the
-// own domain, which form a ring with chords, and one to another domain. In
-// addition, one peer of the own domain and one of another, in rotation, get the
-// facts, so that a broken link can't separate parts of the fleet.
-func chooseTargets(peers map[ident.FailureDomain][]target, config Config, r turns) []target {
+// each other domain, with figures. In a large fleet figures are sent along
+// fixed links, since a fixed link has to carry each figure only once: two links
+// in the own domain, which form a ring with chords, and one to another domain.
+// In addition, one peer of the own domain and one of another, in rotation, get
+// the facts, so that a broken link can't separate parts of the fleet.
+func chooseTargets(peers map[ident.FailureDomain][]target, config Config, r rotation) []target {
 	own := config.Self.FailureDomain
 	chosen := chooseLocal(peers[own], config, r)
 	return append(chosen, chooseRemote(peers, otherDomains(peers, own), config, r)...)
 }
 
-func chooseLocal(local []target, config Config, r turns) []target {
+func chooseLocal(local []target, config Config, r rotation) []target {
 	if len(local) <= config.LocalAll {
-		return withFigures(take(local, 0, len(local)))
+		return withFigures(takeRotated(local, 0, len(local)))
 	}
 	// The ring is the order of IDs, starting after the own one.
 	successors := append(peersAfter(local, config.Self.ID), peersBefore(local, config.Self.ID)...)
 	chord := int(math.Sqrt(float64(len(local))))
 	ring := withFigures([]target{successors[0], successors[chord]})
-	return append(ring, take(local, r.start+r.turn, 1)...)
+	return append(ring, takeRotated(local, r.start+r.turn, 1)...)
 }
 
-func chooseRemote(peers map[ident.FailureDomain][]target, domains []ident.FailureDomain, config Config, r turns) []target {
+func chooseRemote(peers map[ident.FailureDomain][]target, domains []ident.FailureDomain, config Config, r rotation) []target {
 	if len(domains) == 0 {
 		return nil
 	}
 	if len(domains)*config.RemotePerDomain <= config.RemoteAll {
 		var all []target
 		for _, domain := range domains {
-			all = append(all, take(peers[domain], r.start+r.turn*config.RemotePerDomain, config.RemotePerDomain)...)
+			all = append(all, takeRotated(peers[domain], r.start+r.turn*config.RemotePerDomain, config.RemotePerDomain)...)
 		}
 		return withFigures(all)
 	}
 	link := domains[r.start%len(domains)]
 	next := domains[(r.start+r.turn)%len(domains)]
-	chosen := withFigures(take(peers[link], r.start/len(domains), 1))
-	return append(chosen, take(peers[next], r.start+r.turn/len(domains), 1)...)
+	chosen := withFigures(takeRotated(peers[link], r.start/len(domains), 1))
+	return append(chosen, takeRotated(peers[next], r.start+r.turn/len(domains), 1)...)
 }
 
 func withFigures(targets []target) []target {
@@ -120,9 +120,9 @@
 	return domains
 }
 
-// take returns up to count elements from index start on, continuing at the
-// beginning after the end.
-func take(from []target, start, count int) []target {
+// takeRotated returns up to count elements from index start on, continuing at
+// the beginning after the end.
+func takeRotated(from []target, start, count int) []target {
 	if len(from) == 0 {
 		return nil
 	}
