--- a/internal/controllers/fleet/act.go
+++ b/internal/controllers/fleet/act.go
@@ -12,12 +12,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// act carries one action out if the lease is still held when it leaves.
+// act executes one action if the lease is still held.
 func (c *Controller) act(ctx context.Context, grant lease.Grant, doc *document.Document, m *memory, o observation, action planner.Action) {
-	// What goes wrong without this check: a frozen process wakes and goes on
-	// with a plan that another holder has replaced. What slips through between
-	// this line and the request is refused by its fence, or repaired by the
-	// new holder, which plans from what is there.
+	// Without this check, a process that was paused would go on with a plan
+	// that another holder has replaced. If the lease ends between this line
+	// and the request, the cloud rejects the request by its fence, or the new
+	// holder corrects its effect, since it plans from the current state.
 	if !grant.Valid() {
 		actionsWithheld.Add(1)
 		return
@@ -28,20 +28,20 @@
 	switch action.Kind {
 	case planner.Start:
 		err := c.start(ctx, grant, doc, m, action)
-		log.Info("start", "start_id", action.StartID, "failure_domain", action.Offering.FailureDomain,
+		log.Info("start instance", "start_id", action.StartID, "failure_domain", action.Offering.FailureDomain,
 			"class", action.Offering.Class, "reclaimable", action.Offering.Reclaimable, "error", err)
 	case planner.Drain:
 		err := c.drain(ctx, m, o, action.Instance)
-		log.Info("drain", "upstream", action.Instance, "error", err)
+		log.Info("drain upstream", "upstream", action.Instance, "error", err)
 	case planner.Stop:
 		err := c.deps.Cloud.Stop(ctx, action.Instance, grant.Fence)
 		stops.Add(1)
-		log.Info("stop", "upstream", action.Instance, "error", err)
+		log.Info("stop upstream", "upstream", action.Instance, "error", err)
 	}
 }
 
-// start asks the cloud for an instance. A start whose answer was lost stays
-// pending and is asked for again with the same ID.
+// start requests an instance from the cloud. A start whose answer was lost stays
+// pending and is requested again with the same ID.
 func (c *Controller) start(ctx context.Context, grant lease.Grant, doc *document.Document, m *memory, action planner.Action) error {
 	p := m.pendingStart(action, time.Now())
 	role := platform.RoleEngine
@@ -62,7 +62,8 @@
 	return err
 }
 
-// pendingStart returns the pending start of an action, a new one if need be.
+// pendingStart returns the pending start of an action and adds it if there is
+// none yet. The pointer is valid until m.pending changes.
 func (m *memory) pendingStart(action planner.Action, now time.Time) *pending {
 	for i := range m.pending {
 		if m.pending[i].StartID == action.StartID {
@@ -77,7 +78,8 @@
 	return &m.pending[len(m.pending)-1]
 }
 
-// answerStart notes how a start ended.
+// answerStart records the result of a start. A start that certainly had no
+// effect is no longer pending.
 func (m *memory) answerStart(p *pending, id ident.Instance, err error, now time.Time) {
 	refused := errors.Is(err, platform.ErrNoCapacity)
 	notSent := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrOldFence)
@@ -93,6 +95,7 @@
 	}
 }
 
+// drop removes a pending start.
 func (m *memory) drop(startID string) {
 	for i := range m.pending {
 		if m.pending[i].StartID == startID {
@@ -102,8 +105,9 @@
 	}
 }
 
-// drain announces an upstream as leaving. It counts as draining only once a
-// gateway has heard it; until then a later round announces it again.
+// drain announces an upstream as leaving. The upstream counts as draining only
+// once a gateway has acknowledged that; until then later rounds announce it
+// again.
 func (c *Controller) drain(ctx context.Context, m *memory, o observation, id ident.Instance) error {
 	for _, instance := range o.instances {
 		if instance.ID != id {
--- a/internal/controllers/fleet/actual.go
+++ b/internal/controllers/fleet/actual.go
@@ -1,7 +1,7 @@
-// Package fleet keeps the size and mix of each service's upstreams. It runs
-// the planner under a lease over the service's whole fleet and carries its
-// actions out. It repairs from state: a new holder reads what is there and
-// plans anew.
+// Package fleet keeps the number and mix of each service's upstreams as its
+// document requires. It runs the planner under a lease on the service's whole
+// fleet and executes the planner's actions. It works from the current state
+// alone: a new holder of the lease reads which instances exist and plans anew.
 package fleet
 
 import (
@@ -12,21 +12,22 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// upstreamKey tells two lives of an instance apart.
+// upstreamKey identifies one incarnation of an instance.
 type upstreamKey struct {
 	id          ident.Instance
 	incarnation ident.Incarnation
 }
 
-// load is what an upstream told of itself.
+// load is the state that an upstream reported about itself.
 type load struct {
 	running, queued int
 	leaving         bool
-	// asOf is when the figures were true.
+	// asOf is when the values were true.
 	asOf time.Time
 }
 
-// pending is a start that this holder asked for.
+// pending is a start that this holder has requested and whose instance is not
+// listed yet.
 type pending struct {
 	planner.Pending
 	askedAt time.Time
@@ -38,35 +39,39 @@
 	// listedWithin is how long the platform may take to list an instance that
 	// it has started. After that the start counts as failed.
 	listedWithin = 2 * time.Minute
-	// settle is how long a new holder starts nothing: the starts of the
-	// holder before it must be listed, or they would be asked for twice.
+	// settle is how long a new holder starts nothing. Meanwhile the instances
+	// that the previous holder started get listed; otherwise they would be
+	// requested twice.
 	settle = 10 * time.Second
 	// oldestListing is the age of the platform's list above which nothing is
-	// planned by it.
+	// planned from it.
 	oldestListing = 15 * time.Second
-	// drainGrace is when, after the announcement, no gateway sends work to an
-	// upstream any more. The membership takes at most 4 s.
+	// drainGrace is the time after the announcement in which gateways may
+	// still send work to an upstream. The membership needs at most 4 s.
 	drainGrace = 6 * time.Second
-	// askLeavingEvery is the time between two questions what drains.
+	// askLeavingEvery is the time between two requests for the leaving
+	// instances.
 	askLeavingEvery = 30 * time.Second
 )
 
-// memory is what one holder of a service's lease knows besides the platform's
-// list. Losing it costs time and never correctness.
+// memory is what one holder of a service's lease knows in addition to the
+// platform's list. Losing it delays actions but makes none wrong.
 type memory struct {
-	fence   ident.Fence
-	since   time.Time
+	fence ident.Fence
+	// since is when the holder got the lease.
+	since time.Time
+	// starts counts the starts requested so far.
 	starts  int
 	pending []pending
-	// failures by offering.
+	// failures holds the failed starts in a row of each offering.
 	failures map[planner.Offering]planner.Failures
-	// served are the upstreams that have answered at least once.
+	// served holds the upstreams that have answered at least once.
 	served map[upstreamKey]bool
-	// askedAt is when a gateway last told what drains.
+	// askedAt is when a gateway last answered which instances are leaving.
 	askedAt time.Time
-	// draining is when this holder learnt that an upstream drains.
+	// draining is when this holder learnt that an upstream is leaving.
 	draining map[upstreamKey]time.Time
-	// loads are what the upstreams that answered told at loadsAt.
+	// loads holds the loads of the upstreams that answered at loadsAt.
 	loads   map[upstreamKey]load
 	loadsAt time.Time
 	// reclaims estimates how often each offering is reclaimed.
@@ -85,17 +90,18 @@
 	}
 }
 
-// observation is what one round has read.
+// observation is what one round has read about a service.
 type observation struct {
 	instances []platform.Instance
-	// noticed are the instances with a reclaim notice.
+	// noticed holds the incarnations with a reclaim notice.
 	noticed map[upstreamKey]bool
 	loads   map[upstreamKey]load
-	slots   float64
+	// slots is how many requests keep one upstream busy.
+	slots float64
 }
 
-// actual returns what the planner counts, and forgets the starts that are
-// settled.
+// actual returns the planner's input, and removes the pending starts that have
+// succeeded or failed.
 func (m *memory) actual(service ident.Service, o observation, now time.Time) planner.Actual {
 	m.settlePending(o, now)
 	actual := planner.Actual{Service: service, Failures: m.failures, Holder: m.fence, Starts: m.starts}
@@ -116,7 +122,7 @@
 	return actual
 }
 
-// count tells how the planner counts one listed instance.
+// count returns one listed instance as the planner counts it.
 func (m *memory) count(instance platform.Instance, o observation, now time.Time) planner.Instance {
 	k := key(instance)
 	l, answered := o.loads[k]
@@ -137,7 +143,7 @@
 		counted.State = planner.Draining
 		counted.Idle = answered && counted.Running == 0 && l.asOf.Sub(since) >= drainGrace
 	case l.leaving:
-		// Somebody else has told it to stop.
+		// Something other than this holder has told it to stop.
 		counted.State = planner.Leaving
 	case m.served[k]:
 		counted.State = planner.Serving
@@ -145,8 +151,8 @@
 	return counted
 }
 
-// settlePending forgets the starts that are listed now, and counts those as
-// failed that never were.
+// settlePending removes the pending starts whose instance is listed now, and
+// counts those as failed that were not listed within listedWithin.
 func (m *memory) settlePending(o observation, now time.Time) {
 	listed := make(map[ident.Instance]bool)
 	for _, instance := range o.instances {
@@ -166,14 +172,16 @@
 	m.pending = open
 }
 
+// fail counts a failed start of an offering.
 func (m *memory) fail(offering planner.Offering, now time.Time) {
 	f := m.failures[offering]
 	m.failures[offering] = planner.Failures{Count: f.Count + 1, Last: now}
 }
 
-// mayStart reports whether this holder has held the lease for long enough to
-// see all that earlier holders started, and whether no start of the offering
-// was refused since the plan was made: the others would be refused as well.
+// mayStart reports whether this holder has held the lease long enough for all
+// instances that earlier holders started to be listed, and no start of the
+// offering has failed since the plan was made: the other starts of the offering
+// in this plan would fail as well.
 func (m *memory) mayStart(offering planner.Offering, planned time.Time) bool {
 	settled := planned.Sub(m.since) >= settle
 	return settled && m.failures[offering].Last.Before(planned)
--- a/internal/controllers/fleet/controller.go
+++ b/internal/controllers/fleet/controller.go
@@ -18,7 +18,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Leases tells whether this process may act; lease.Manager does.
+// Leases returns the leases that this process holds. *lease.Manager implements
+// it.
 type Leases interface {
 	Grant(name lease.Name) (lease.Grant, bool)
 }
@@ -29,28 +30,30 @@
 	Plain(address string) upstream.Plain
 }
 
-// Gateways are told which upstreams shall get no new work, and can tell which
-// ones they know as leaving.
+// Gateways announces to the gateways which upstreams must get no new work, and
+// asks them which instances they know as leaving.
 type Gateways interface {
-	// AnnounceLeaving returns an error when no gateway has heard it.
+	// AnnounceLeaving announces upstreams as leaving. It returns an error if
+	// no gateway has acknowledged the announcement.
 	AnnounceLeaving(ctx context.Context, upstreams []platform.Instance) error
-	// Leaving returns the instances that a gateway knows as leaving.
+	// Leaving returns the instances that one gateway knows as leaving.
 	Leaving(ctx context.Context) (map[ident.Instance]ident.Incarnation, error)
 }
 
-// Config says how often to plan and how long a request may take.
+// Config holds the intervals, limits and capacities that the controller uses.
 type Config struct {
 	// Interval is the time between two rounds.
 	Interval time.Duration
-	// LoadInterval is the least time between two questions to an upstream for
-	// its load, which are what a holder spends most on.
+	// LoadInterval is the least time between two requests to an upstream for
+	// its load. These are the largest part of the controller's cost.
 	LoadInterval time.Duration
-	// Flight bounds one request. It must not exceed the leases' margin.
+	// Flight bounds the time of one request. It must not exceed the leases'
+	// margin.
 	Flight time.Duration
-	// Parallel bounds the requests in progress.
+	// Parallel bounds the load requests in progress.
 	Parallel int
 	// SlotsPerEngine and SlotsPerPlain are how many requests keep one
-	// upstream busy. Documents do not say it yet.
+	// upstream busy. Documents do not specify it yet.
 	SlotsPerEngine, SlotsPerPlain float64
 }
 
@@ -62,7 +65,7 @@
 	DefaultSlotsPerPlain  = 32
 )
 
-// Deps is what the controller works with.
+// Deps holds the controller's dependencies.
 type Deps struct {
 	Documents *blackboard.Section[*document.Set]
 	Listing   *blackboard.Section[blackboard.Listing]
@@ -73,17 +76,19 @@
 	Log       hclog.Logger
 }
 
-// Controller keeps the fleets. Create it with New.
+// Controller manages the fleets of the services whose lease this process holds.
+// Create it with New.
 type Controller struct {
 	config   Config
 	deps     Deps
 	memories map[ident.Service]*memory
-	// noticed and after are the reclaim notices read so far.
+	// noticed holds the incarnations whose reclaim notice was read, and after
+	// is the sequence number of the last notice.
 	noticed map[upstreamKey]bool
 	after   uint64
 }
 
-// New returns a controller that has looked at nothing yet.
+// New returns a controller that has read nothing yet.
 func New(config Config, deps Deps) *Controller {
 	return &Controller{
 		config:   config,
@@ -93,18 +98,18 @@
 	}
 }
 
-// Run plans and acts until ctx ends. A request that has left is not given up
-// then, since it could land after the lease was released.
+// Run plans and executes the plans until ctx ends. It does not cancel a round in
+// progress then, since a cancelled request could still take effect after the
+// lease was released.
 func (c *Controller) Run(ctx context.Context) error {
 	finish := context.WithoutCancel(ctx)
 	return rounds.Run(ctx, c.config.Interval, func() { c.Round(finish) })
 }
 
-// Round plans each service whose fleet this process holds and carries the plan
-// out.
+// Round plans each service whose lease this process holds and executes the plan.
 //
-// It does nothing without a recent list: an instance that is not seen would be
-// started a second time, or counted although it has ended.
+// It does nothing without a recent list of instances: an instance that the list
+// lacks would be started a second time, and one that has ended would be counted.
 func (c *Controller) Round(ctx context.Context) {
 	if time.Since(c.deps.Listing.Value().ReadAt) > oldestListing {
 		roundsWithoutList.Add(1)
@@ -125,8 +130,8 @@
 	c.memories = held
 }
 
-// memoryOf returns the memory of the holder with this fence, and asks the
-// gateways what drains when that is due.
+// memoryOf returns the state that was kept under this grant's fence, or a new
+// one. It reads the leaving instances from a gateway when that is due.
 func (c *Controller) memoryOf(ctx context.Context, service ident.Service, grant lease.Grant) *memory {
 	m := c.memories[service]
 	now := time.Now()
@@ -139,14 +144,15 @@
 	return m
 }
 
-// askLeaving learns from a gateway what drains already: for an earlier holder,
-// or because the answer to an announcement was lost.
+// askLeaving reads from a gateway which instances are leaving already: because
+// an earlier holder announced them, or because the answer to an announcement was
+// lost.
 func (c *Controller) askLeaving(ctx context.Context, m *memory, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
 	defer cancel()
 	leaving, err := c.deps.Gateways.Leaving(ctx)
 	if err != nil {
-		c.deps.Log.Debug("gateways do not tell what drains", "error", err)
+		c.deps.Log.Debug("cannot read the leaving instances from a gateway", "error", err)
 		return
 	}
 	m.askedAt = now
@@ -158,7 +164,7 @@
 	}
 }
 
-// planService plans one service and carries the plan out.
+// planService plans one service and executes the plan.
 func (c *Controller) planService(ctx context.Context, grant lease.Grant, doc *document.Document, m *memory) {
 	o := c.observe(ctx, doc, m)
 	now := time.Now()
@@ -173,7 +179,8 @@
 	}
 }
 
-// observe reads the service's upstreams.
+// observe returns the service's listed upstreams and their loads, which it reads
+// anew when that is due.
 func (c *Controller) observe(ctx context.Context, doc *document.Document, m *memory) observation {
 	o := observation{noticed: c.noticed, slots: c.config.SlotsPerEngine}
 	if doc.Kind == document.Plain {
@@ -192,7 +199,8 @@
 	return o
 }
 
-// askAll reads the loads of all upstreams that answer.
+// askAll reads the loads of all instances and leaves out those that do not
+// answer.
 func (c *Controller) askAll(ctx context.Context, instances []platform.Instance) map[upstreamKey]load {
 	var mu sync.Mutex
 	loads := make(map[upstreamKey]load)
@@ -214,7 +222,7 @@
 	return loads
 }
 
-// ask reads one upstream's load.
+// ask reads one upstream's load from the upstream.
 func (c *Controller) ask(ctx context.Context, instance platform.Instance) (load, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
 	defer cancel()
@@ -227,13 +235,13 @@
 	return load{running: report.Running, queued: report.Queued, leaving: report.Leaving, asOf: now.Add(-report.Age)}, err
 }
 
-// readNotices reads the reclaim notices that are new.
+// readNotices reads the reclaim notices that it has not read yet.
 func (c *Controller) readNotices(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
 	defer cancel()
 	notices, err := c.deps.Cloud.Notices(ctx, c.after)
 	if err != nil {
-		c.deps.Log.Debug("reclaim notices not read", "error", err)
+		c.deps.Log.Debug("cannot read the reclaim notices", "error", err)
 		return
 	}
 	for _, notice := range notices {
--- a/internal/controllers/fleet/estimate.go
+++ b/internal/controllers/fleet/estimate.go
@@ -7,47 +7,55 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/planner"
 )
 
-// peakHold follows the demand up at once and down slowly, so that a short lull
-// in a rush stops nothing.
+// peakHold is an estimate of the demand that rises at once and decays slowly, so
+// that no upstream is stopped in a short pause of high load. Demand is in
+// upstreams that are fully busy.
 type peakHold struct {
 	value float64
 	at    time.Time
 }
 
-// halfLife is the time in which a peak that is over counts half.
+// halfLife is the time in which a past peak decays to half.
 const halfLife = 3 * time.Minute
 
-// assumedUse is the use of each upstream that a new holder assumes, who has not
-// seen the demand before: as much as calls for neither more nor fewer.
+// assumedUse is the utilization of each upstream that a new holder assumes, since
+// it has not seen the demand before: one at which the planner wants neither more
+// nor fewer upstreams.
 const assumedUse = 0.7
 
-// seed sets the demand that a new holder assumes.
+// seed sets the demand that a new holder assumes for the existing upstreams.
 func (p *peakHold) seed(upstreams int, now time.Time) {
 	p.value, p.at = assumedUse*float64(upstreams), now
 }
 
-// update returns the demand to plan for.
+// update adds the current demand and returns the demand to plan for.
 func (p *peakHold) update(demand float64, now time.Time) float64 {
-	faded := p.value * math.Exp2(-now.Sub(p.at).Seconds()/halfLife.Seconds())
-	p.value, p.at = max(demand, faded), now
+	decayed := p.value * math.Exp2(-now.Sub(p.at).Seconds()/halfLife.Seconds())
+	p.value, p.at = max(demand, decayed), now
 	return p.value
 }
 
-// What is assumed of reclaims before any was seen, and how much it weighs.
 const (
+	// assumedPerHour is the rate of reclaims per instance and hour that is
+	// assumed before any was seen. It weighs as much as assumedHours hours
+	// of observation of one instance.
 	assumedPerHour = 0.05
 	assumedHours   = 20
-	// lostByReclaim is the work of one upstream that a reclaim costs: tokens
-	// computed again by others, and the start of a replacement.
+	// lostByReclaim is the cost of a reclaim in working time of one upstream:
+	// others recompute its tokens, and a replacement has to start.
 	lostByReclaim = 5 * time.Minute
 )
 
 // reclaimRates estimates how often instances of an offering are reclaimed.
 type reclaimRates struct {
+	// exposed holds the observed hours, summed over the instances.
 	exposed map[planner.Offering]float64
-	count   map[planner.Offering]float64
-	seen    map[upstreamKey]bool
-	at      time.Time
+	// count holds the reclaims seen.
+	count map[planner.Offering]float64
+	// seen holds the incarnations whose reclaim was counted.
+	seen map[upstreamKey]bool
+	// at is the time of the last update.
+	at time.Time
 }
 
 func newReclaimRates(now time.Time) *reclaimRates {
@@ -59,7 +67,7 @@
 	}
 }
 
-// update counts the hours since the last update and the reclaims that are new.
+// update adds the hours since the last update and the reclaims that are new.
 func (r *reclaimRates) update(o observation, now time.Time) {
 	hours := now.Sub(r.at).Hours()
 	r.at = now
@@ -76,7 +84,8 @@
 	}
 }
 
-// estimate weighs what was seen with what is assumed.
+// estimate returns the rates by offering, which combine what was seen with what
+// is assumed.
 func (r *reclaimRates) estimate() planner.Reclaims {
 	perHour := make(map[planner.Offering]float64)
 	for offering, hours := range r.exposed {
--- a/internal/controllers/fleet/fleet_test.go
+++ b/internal/controllers/fleet/fleet_test.go
@@ -16,26 +16,27 @@
 func init() { testkit.FixSeed() }
 
 // virtualTime hides the test's deadline from rapid: it is in real time, and
-// must not be read in a bubble of virtual time.
+// must not be read in a synctest bubble, which has virtual time.
 type virtualTime struct{ rapid.TB }
 
 const (
 	// healTime is enough for back-offs of two minutes, for starts that were
-	// never listed to be given up, and for the memory of a rush to fade.
+	// never listed to count as failed, and for the estimate of a past load
+	// spike to decay.
 	healTime = 30 * time.Minute
 	// restTime is for how long nothing may change then.
 	restTime = 3 * time.Minute
-	// restSize spread over three failure domains leaves the least 3 upstreams
-	// when one is lost.
+	// restSize is the right number of upstreams without load: spread over
+	// three failure domains, the required 3 are left when a domain is lost.
 	restSize = 5
 )
 
-// machine runs two controllers against the world.
+// machine runs two controllers in a world.
 type machine struct {
 	*world
 	processes [2]*process
 	lives     int
-	// busy: gateways send a request to each upstream each second.
+	// busy makes gateways send a request to each upstream each second.
 	busy bool
 }
 
@@ -52,13 +53,13 @@
 	m.processes[i] = m.startProcess(ident.Instance(fmt.Sprintf("entry-%d-%d", i, m.lives)), i)
 }
 
-// stop ends a process; its last requests may still be on their way.
+// stop ends a process. Its last requests may still take effect later.
 func (m *machine) stop(i int) {
 	m.processes[i].stop()
 	m.processes[i].done.Wait()
 }
 
-// fataler is a test or one check of rapid.
+// fataler is what *testing.T and *rapid.T have in common here.
 type fataler interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
@@ -107,7 +108,7 @@
 	m.cut = cut
 }
 
-// heal ends all faults and expects a fleet that comes to rest at the right size.
+// heal ends all faults and checks that the fleet settles at the right size.
 func (m *machine) heal(t fataler) {
 	m.cloud.SetOutage(false)
 	m.log.SetOutage(false)
@@ -129,11 +130,11 @@
 	}
 }
 
-// Symptom: more upstreams than the document allows, fewer than it asks for, or
-// requests cut off by a planned stop. Sequence: controllers that come and go,
-// starts and stops whose answer is lost or that take effect late, starts that
-// are refused, whole failure domains reclaimed, gateways and log not reachable.
-// Cause: a holder that acts on what it remembers instead of on what is there.
+// A holder that acts on what it remembers instead of the current state causes
+// more upstreams than the document allows, fewer than it requires, or requests
+// aborted by a planned stop. Meanwhile controllers restart, starts and stops
+// lose their answers or take effect late, starts are refused, whole failure
+// domains are reclaimed, and gateways and log are unreachable.
 func TestFleetKeepsItsBoundsUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(virtualTime{t}, func(t *rapid.T) {
--- a/internal/controllers/fleet/metrics.go
+++ b/internal/controllers/fleet/metrics.go
@@ -3,7 +3,7 @@
 import "expvar"
 
 // Counters of this process. Starts and stops count the requests to the cloud,
-// also those that failed.
+// including those that failed.
 var (
 	starts            = expvar.NewInt("goldcrestspool.fleet.starts")
 	startsFailed      = expvar.NewInt("goldcrestspool.fleet.starts_failed")
--- a/internal/controllers/fleet/scenario_test.go
+++ b/internal/controllers/fleet/scenario_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Each case's name tells the symptom that its mechanism prevents; sequence and
-// cause stand in the case.
+// The name of each case is the fault that it guards against; the comment in the
+// case says how the fault comes about.
 func TestFleetScenarios(t *testing.T) {
 	cases := []struct {
 		name string
 		run  func(t *testing.T, m *machine)
 	}{
 		{
-			// A holder dies after it announced upstreams as leaving and before
-			// they were stopped. Its successor knows only the platform's list,
-			// which calls them live.
+			// A holder ends after it has announced upstreams as leaving and
+			// before they are stopped. The next holder knows only the
+			// platform's list, which shows them as live.
 			name: "upstreams that get no work count as serving for ever",
 			run: func(t *testing.T, m *machine) {
 				m.rush(t)
@@ -29,19 +29,19 @@
 			},
 		},
 		{
-			// The gateways cannot be reached while there is too much.
+			// The gateways are unreachable while there are too many upstreams.
 			name: "an upstream is stopped that gateways still use",
 			run: func(t *testing.T, m *machine) {
 				m.rush(t)
 				m.setCut(true)
 				m.advance(t, 15*time.Minute)
 				if got := m.size(); got != most {
-					t.Errorf("%d upstreams, want all %d while no gateway hears", got, most)
+					t.Errorf("%d upstreams, want all %d while no gateway is reachable", got, most)
 				}
 			},
 		},
 		{
-			// A start is answered with yes, and the instance never comes.
+			// A start succeeds, but its instance is never listed.
 			name: "the fleet waits for ever for an instance that died at its start",
 			run: func(t *testing.T, m *machine) {
 				m.mu.Lock()
@@ -51,7 +51,7 @@
 			},
 		},
 		{
-			// Work pauses for less than the demand's memory.
+			// The load pauses for less time than a peak of demand counts.
 			name: "a short lull in a rush stops upstreams",
 			run: func(t *testing.T, m *machine) {
 				m.rush(t)
@@ -63,7 +63,8 @@
 			},
 		},
 		{
-			// A new holder takes over in a lull. It has not seen the rush.
+			// A new holder takes over in a pause of a load spike, which it
+			// has not seen.
 			name: "a takeover in a lull stops upstreams",
 			run: func(t *testing.T, m *machine) {
 				m.rush(t)
@@ -79,17 +80,18 @@
 			},
 		},
 		{
-			// Every start is refused, for a quarter of an hour.
+			// Every start is refused for a quarter of an hour.
 			name: "refused starts are asked for without pause",
 			run: func(t *testing.T, m *machine) {
 				for _, domain := range domains {
 					m.cloud.SetCapacity(domain, "cpu", false)
 				}
 				m.advance(t, 15*time.Minute)
-				// 6 offerings at 5, 10, 20, 40, 80 and then each 120 s.
+				// 6 offerings, with back-offs of 5, 10, 20, 40, 80 and then
+				// always 120 s.
 				const limit = 6 * 14
 				if m.asked == 0 || m.asked > limit {
-					t.Errorf("%d starts asked for in a quarter of an hour, at most %d expected", m.asked, limit)
+					t.Errorf("%d starts requested in a quarter of an hour, at most %d expected", m.asked, limit)
 				}
 			},
 		},
@@ -106,17 +108,17 @@
 	}
 }
 
-// rush brings the fleet to its maximum and then ends the work.
+// rush lets load bring the fleet to its maximum and then ends the load.
 func (m *machine) rush(t *testing.T) {
 	m.busy = true
 	m.advance(t, 3*time.Minute)
 	if got := m.size(); got != most {
-		t.Fatalf("%d upstreams in a rush, want %d", got, most)
+		t.Fatalf("%d upstreams in a load spike, want %d", got, most)
 	}
 	m.busy = false
 }
 
-// awaitDrain waits until an upstream is announced as leaving.
+// awaitDrain waits until the first upstream is announced as leaving.
 func (m *machine) awaitDrain(t *testing.T) {
 	for limit := time.Now().Add(healTime); m.size() == most; {
 		if time.Now().After(limit) {
--- a/internal/controllers/fleet/world_test.go
+++ b/internal/controllers/fleet/world_test.go
@@ -24,15 +24,15 @@
 	service = ident.Service("auktion-app")
 	least   = 3
 	most    = 8
-	// listLag is how late the platform's list is, and startTime how long an
-	// instance takes until it is in it and serves.
+	// listLag is how late the platform's list is, and startTime how long it
+	// takes until an instance registers there and serves.
 	listLag   = time.Second
 	startTime = 2 * time.Second
-	// spreadTime is how long gateways go on sending work to an upstream after
-	// one of them has heard that it is leaving.
+	// spreadTime is how long gateways still send work to an upstream after
+	// one of them knows that it is leaving.
 	spreadTime = 4 * time.Second
-	// requestTime is how long a request runs, and reclaimTime how much time
-	// the notice of a reclaim gives.
+	// requestTime is how long a request runs, and reclaimTime how long before
+	// the reclaim its notice comes.
 	requestTime = 15 * time.Second
 	reclaimTime = 5 * time.Second
 	flight      = 2 * time.Second
@@ -46,37 +46,41 @@
 	id      ident.Instance
 	domain  ident.FailureDomain
 	running int
-	// leavingAt is when a gateway heard that it is leaving; stopping is set
-	// by the cloud.
+	// leavingAt is when it was announced as leaving to a gateway.
 	leavingAt time.Time
-	stopping  bool
+	// stopping is whether the cloud is ending it.
+	stopping bool
 }
 
+// sendable reports whether gateways send work to it.
 func (a *app) sendable(now time.Time) bool {
 	return !a.stopping && (a.leavingAt.IsZero() || now.Sub(a.leavingAt) < spreadTime)
 }
 
-// counted: it exists and nothing has told it to go.
+// counted reports whether it counts towards the fleet's size: it is neither
+// leaving nor stopping.
 func (a *app) counted() bool { return !a.stopping && a.leavingAt.IsZero() }
 
-// world is the platform, the upstreams and the gateways.
+// world simulates the platform, the upstreams and the gateways.
 type world struct {
 	list  *instances.List
 	cloud *cloud.Cloud
 	log   *logstore.Log
 
-	mu       sync.Mutex
-	apps     map[ident.Instance]*app
+	mu   sync.Mutex
+	apps map[ident.Instance]*app
+	// cut is whether the gateways are unreachable.
 	cut      bool
 	problems []string
 	stops    int
-	// duds is how many of the next starts fail after the cloud said yes.
+	// duds is how many of the next starts succeed without an instance ever
+	// being listed.
 	duds int
-	// asked counts the starts that were asked for.
+	// asked counts the requested starts.
 	asked int
 }
 
-// Start implements platform.Cloud and counts.
+// Start implements platform.Cloud and counts the requests.
 func (w *world) Start(ctx context.Context, req platform.StartRequest) (ident.Instance, error) {
 	w.mu.Lock()
 	w.asked++
@@ -100,6 +104,7 @@
 	return w
 }
 
+// problem records a broken rule. The caller holds mu.
 func (w *world) problem(format string, args ...any) {
 	w.problems = append(w.problems, fmt.Sprintf(format, args...))
 }
@@ -114,7 +119,7 @@
 	}
 	w.apps[id] = &app{id: id, domain: req.FailureDomain}
 	if count := w.count(); count > most {
-		w.problem("%d upstreams, at most %d wanted", count, most)
+		w.problem("%d upstreams, at most %d allowed", count, most)
 	}
 	time.AfterFunc(startTime, func() {
 		w.list.Register(platform.Instance{
@@ -134,7 +139,7 @@
 	return count
 }
 
-// stopped is called by the cloud when an instance is told to stop.
+// stopped is called by the cloud when it stops an instance.
 func (w *world) stopped(id ident.Instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,14 +157,15 @@
 	w.end(a)
 }
 
-// end is called with the lock held.
+// end removes an upstream. The caller holds mu.
 func (w *world) end(a *app) {
 	a.stopping = true
 	delete(w.apps, a.id)
 	w.list.SetState(a.id, 0, platform.Ended)
 }
 
-// reclaim ends all instances of a failure domain after a notice.
+// reclaim announces the reclaim of all instances of a failure domain and ends
+// them reclaimTime later.
 func (w *world) reclaim(domain ident.FailureDomain) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,7 +188,7 @@
 	}
 }
 
-// send gives each upstream one more request, as gateways would.
+// send sends one more request to each upstream to which gateways send work.
 func (w *world) send() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,7 +219,7 @@
 		}
 		a.leavingAt = time.Now()
 		if serving := w.count(); serving < least && !a.stopping {
-			w.problem("draining %s leaves %d of at least %d", u.ID, serving, least)
+			w.problem("draining %s leaves %d upstreams, want at least %d", u.ID, serving, least)
 		}
 	}
 	return nil
@@ -240,10 +246,10 @@
 	return plain{world: w, id: ident.Instance(address)}
 }
 
-// Engine implements fleet.Dialer; there are none.
+// Engine implements fleet.Dialer. The fleet has no engines.
 func (w *world) Engine(string) upstream.Engine { return nil }
 
-// plain answers for one upstream.
+// plain implements the client of one upstream.
 type plain struct {
 	upstream.Plain
 	world *world
@@ -260,7 +266,7 @@
 	return upstream.Health{Instance: p.id, Running: a.running, Leaving: a.stopping}, nil
 }
 
-// process is one controller.
+// process is one running controller and its leases.
 type process struct {
 	leases *lease.Manager
 	stop   context.CancelFunc
--- a/internal/controllers/instances/instances.go
+++ b/internal/controllers/instances/instances.go
@@ -1,5 +1,5 @@
 // Package instances reads the platform's list of instances and the cloud's
-// reclaim notices, and feeds both to the membership.
+// reclaim notices, and passes both to the membership.
 package instances
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Membership takes what the platform says.
+// Membership receives the lists and notices.
 type Membership interface {
 	ApplyList(list []platform.Instance)
 	NoteLeaving(id ident.Instance, incarnation ident.Incarnation)
@@ -25,7 +25,7 @@
 	Notices(ctx context.Context, after uint64) ([]platform.Notice, error)
 }
 
-// Config says whose notices matter and how often to read.
+// Config identifies this process's own instance and sets how often to read.
 type Config struct {
 	// Self and Incarnation are those of this process's own instance.
 	Self        ident.Instance
@@ -38,7 +38,7 @@
 }
 
 // DefaultConfig returns the settings in use. Notices are read more often than
-// the list, since only seconds may remain.
+// the list, since an instance may end seconds after its notice.
 func DefaultConfig(self ident.Instance, incarnation ident.Incarnation) Config {
 	return Config{
 		Self:           self,
@@ -49,26 +49,26 @@
 	}
 }
 
-// Deps is what the controller works with.
+// Deps holds the controller's dependencies.
 type Deps struct {
 	List       platform.Instances
 	Notices    Notices
 	Membership Membership
 	Log        hclog.Logger
-	// OnOwnNotice is called for each notice of this process's own instance,
-	// from the reading goroutine: it must not block. endsIn counts from when
-	// the notice was read.
+	// OnOwnNotice is called for each notice of this process's own instance, in
+	// the goroutine that reads notices, so it must not block. endsIn is the
+	// time until the instance ends, counted from the call. It may be nil.
 	OnOwnNotice func(endsIn time.Duration)
 }
 
-// Controller reads the platform. While the platform is down it changes
-// nothing, so the last list stays in force.
+// Controller reads the platform's list and notices. While the platform is down
+// it changes nothing, so the last list stays in force.
 type Controller struct {
 	config Config
 	deps   Deps
-	// after is the sequence of the last notice; only Run's goroutine for
-	// notices uses it.
-	after uint64
+	// lastNotice is the sequence number of the last notice. Only the goroutine
+	// that reads notices uses it.
+	lastNotice uint64
 }
 
 // New returns a controller that has read nothing yet.
@@ -90,7 +90,7 @@
 	list, err := c.deps.List.List(ctx)
 	if err != nil {
 		listFailures.Add(1)
-		c.deps.Log.Debug("reading the instance list failed", "error", err)
+		c.deps.Log.Debug("cannot read the instance list", "error", err)
 		return
 	}
 	c.deps.Membership.ApplyList(list)
@@ -99,13 +99,14 @@
 func (c *Controller) readNotices(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
-	// EndsIn counts from when the notice was read; the answer may have
-	// travelled, so the reading counts from the request.
+	// EndsIn counts from when the platform answered. It isn't known how long
+	// the answer took to arrive, so the whole time since the request is
+	// subtracted.
 	start := time.Now()
-	notices, err := c.deps.Notices.Notices(ctx, c.after)
+	notices, err := c.deps.Notices.Notices(ctx, c.lastNotice)
 	if err != nil {
 		noticeFailures.Add(1)
-		c.deps.Log.Debug("reading the notices failed", "error", err)
+		c.deps.Log.Debug("cannot read the reclaim notices", "error", err)
 		return
 	}
 	for _, n := range notices {
@@ -113,11 +114,12 @@
 	}
 }
 
-func (c *Controller) apply(n platform.Notice, travelled time.Duration) {
-	c.after = max(c.after, n.Sequence)
+// apply records a notice. sinceRequest is the time since it was requested.
+func (c *Controller) apply(n platform.Notice, sinceRequest time.Duration) {
+	c.lastNotice = max(c.lastNotice, n.Sequence)
 	c.deps.Membership.NoteLeaving(n.Instance, n.Incarnation)
 	own := n.Instance == c.config.Self && n.Incarnation == c.config.Incarnation
 	if own && c.deps.OnOwnNotice != nil {
-		c.deps.OnOwnNotice(n.EndsIn - travelled)
+		c.deps.OnOwnNotice(n.EndsIn - sinceRequest)
 	}
 }
--- a/internal/controllers/instances/instances_test.go
+++ b/internal/controllers/instances/instances_test.go
@@ -16,7 +16,8 @@
 
 func init() { testkit.OneProcessor() }
 
-// fakePlatform is the list and the notices; while down it answers neither.
+// fakePlatform implements the list and the notices. While it is down, reads
+// fail.
 type fakePlatform struct {
 	mu      sync.Mutex
 	down    bool
@@ -51,7 +52,7 @@
 	return out, nil
 }
 
-// recorder is the membership.
+// recorder is a membership that records the calls.
 type recorder struct {
 	lists   int
 	leaving []ident.Instance
@@ -62,11 +63,10 @@
 	r.leaving = append(r.leaving, id)
 }
 
-// Symptom: an instance does not stop in time, or stops for a notice that was
-// not its own.
-// Sequence: the platform is down at the start; then notices arrive for another
-// instance, for an earlier life of this one, and for this one.
-// Cause: notices are lost, repeated or mistaken.
+// A lost, repeated or wrongly attributed notice would make an instance stop too
+// late, or for a notice that was not its own. The platform is down at the start;
+// then notices arrive for another instance, for an earlier incarnation of this
+// one, and for this one.
 func TestNoticesReachTheRightOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePlatform{down: true}
@@ -98,7 +98,7 @@
 		time.Sleep(10 * time.Second)
 		cancel()
 		<-done
-		// The 100 ms on the way count.
+		// The 100 ms that the request took are subtracted.
 		if len(ends) != 1 || ends[0] != 29900*time.Millisecond {
 			t.Errorf("told %v, want once 29.9s", ends)
 		}
