--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -82,8 +82,8 @@
 		fleet.Config{
 			Interval:       s.Control.Interval,
 			LoadInterval:   fleet.DefaultLoadInterval,
-			Flight:         s.Control.Margin,
-			Parallel:       fleet.DefaultParallel,
+			RequestTimeout: s.Control.Margin,
+			MaxParallel:    fleet.DefaultMaxParallel,
 			SlotsPerEngine: fleet.DefaultSlotsPerEngine,
 			SlotsPerPlain:  fleet.DefaultSlotsPerPlain,
 		},
--- a/internal/controllers/fleet/act.go
+++ b/internal/controllers/fleet/act.go
@@ -12,17 +12,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// act executes one action if the lease is still held.
-func (c *Controller) act(ctx context.Context, grant lease.Grant, doc *document.Document, m *memory, o observation, action planner.Action) {
+// execute executes one action if the lease is still held.
+func (c *Controller) execute(ctx context.Context, grant lease.Grant, doc *document.Document, m *holderState, o observation, action planner.Action) {
 	// Without this check, a process that was paused would go on with a plan
 	// that another holder has replaced. If the lease ends between this line
 	// and the request, the cloud rejects the request by its fence, or the new
 	// holder corrects its effect, since it plans from the current state.
 	if !grant.Valid() {
-		actionsWithheld.Add(1)
+		actionsWithheldLeaseLost.Add(1)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	log := c.deps.Log.With("service", doc.Service, "reason", action.Reason, "fence", grant.Fence)
 	switch action.Kind {
@@ -42,7 +42,7 @@
 
 // start requests an instance from the cloud. A start whose answer was lost stays
 // pending and is requested again with the same ID.
-func (c *Controller) start(ctx context.Context, grant lease.Grant, doc *document.Document, m *memory, action planner.Action) error {
+func (c *Controller) start(ctx context.Context, grant lease.Grant, doc *document.Document, m *holderState, action planner.Action) error {
 	p := m.pendingStart(action, time.Now())
 	role := platform.RoleEngine
 	if doc.Kind == document.Plain {
@@ -58,29 +58,29 @@
 		Reclaimable:   action.Offering.Reclaimable,
 		Fence:         grant.Fence,
 	})
-	m.answerStart(p, id, err, time.Now())
+	m.recordStartResult(p, id, err, time.Now())
 	return err
 }
 
 // pendingStart returns the pending start of an action and adds it if there is
 // none yet. The pointer is valid until m.pending changes.
-func (m *memory) pendingStart(action planner.Action, now time.Time) *pending {
+func (m *holderState) pendingStart(action planner.Action, now time.Time) *pending {
 	for i := range m.pending {
 		if m.pending[i].StartID == action.StartID {
 			return &m.pending[i]
 		}
 	}
-	m.starts++
+	m.startsRequested++
 	m.pending = append(m.pending, pending{
-		Pending: planner.Pending{StartID: action.StartID, Offering: action.Offering},
-		askedAt: now,
+		Pending:     planner.Pending{StartID: action.StartID, Offering: action.Offering},
+		requestedAt: now,
 	})
 	return &m.pending[len(m.pending)-1]
 }
 
-// answerStart records the result of a start. A start that certainly had no
+// recordStartResult records the result of a start. A start that certainly had no
 // effect is no longer pending.
-func (m *memory) answerStart(p *pending, id ident.Instance, err error, now time.Time) {
+func (m *holderState) recordStartResult(p *pending, id ident.Instance, err error, now time.Time) {
 	refused := errors.Is(err, platform.ErrNoCapacity)
 	notSent := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrOldFence)
 	switch {
@@ -88,15 +88,15 @@
 		p.Answered, p.instance = true, id
 	case refused || notSent:
 		startsFailed.Add(1)
-		m.drop(p.StartID)
+		m.dropPending(p.StartID)
 	}
 	if refused {
-		m.fail(p.Offering, now)
+		m.recordFailure(p.Offering, now)
 	}
 }
 
-// drop removes a pending start.
-func (m *memory) drop(startID string) {
+// dropPending removes a pending start.
+func (m *holderState) dropPending(startID string) {
 	for i := range m.pending {
 		if m.pending[i].StartID == startID {
 			m.pending = append(m.pending[:i], m.pending[i+1:]...)
@@ -108,7 +108,7 @@
 // drain announces an upstream as leaving. The upstream counts as draining only
 // once a gateway has acknowledged that; until then later rounds announce it
 // again.
-func (c *Controller) drain(ctx context.Context, m *memory, o observation, id ident.Instance) error {
+func (c *Controller) drain(ctx context.Context, m *holderState, o observation, id ident.Instance) error {
 	for _, instance := range o.instances {
 		if instance.ID != id {
 			continue
@@ -117,7 +117,7 @@
 			return err
 		}
 		drains.Add(1)
-		m.draining[key(instance)] = time.Now()
+		m.drainingSince[key(instance)] = time.Now()
 	}
 	return nil
 }
--- a/internal/controllers/fleet/actual.go
+++ b/internal/controllers/fleet/actual.go
@@ -30,63 +30,63 @@
 // listed yet.
 type pending struct {
 	planner.Pending
-	askedAt time.Time
+	requestedAt time.Time
 	// instance is set once the cloud has answered.
 	instance ident.Instance
 }
 
 const (
-	// listedWithin is how long the platform may take to list an instance that
+	// listTimeout is how long the platform may take to list an instance that
 	// it has started. After that the start counts as failed.
-	listedWithin = 2 * time.Minute
-	// settle is how long a new holder starts nothing. Meanwhile the instances
+	listTimeout = 2 * time.Minute
+	// takeoverWait is how long a new holder starts nothing. Meanwhile the instances
 	// that the previous holder started get listed; otherwise they would be
 	// requested twice.
-	settle = 10 * time.Second
-	// oldestListing is the age of the platform's list above which nothing is
+	takeoverWait = 10 * time.Second
+	// maxListingAge is the age of the platform's list above which nothing is
 	// planned from it.
-	oldestListing = 15 * time.Second
+	maxListingAge = 15 * time.Second
 	// drainGrace is the time after the announcement in which gateways may
 	// still send work to an upstream. The membership needs at most 4 s.
 	drainGrace = 6 * time.Second
-	// askLeavingEvery is the time between two requests for the leaving
+	// leavingReadInterval is the time between two requests for the leaving
 	// instances.
-	askLeavingEvery = 30 * time.Second
+	leavingReadInterval = 30 * time.Second
 )
 
-// memory is what one holder of a service's lease knows in addition to the
+// holderState is what one holder of a service's lease knows in addition to the
 // platform's list. Losing it delays actions but makes none wrong.
-type memory struct {
+type holderState struct {
 	fence ident.Fence
-	// since is when the holder got the lease.
-	since time.Time
-	// starts counts the starts requested so far.
-	starts  int
-	pending []pending
+	// heldSince is when the holder got the lease.
+	heldSince time.Time
+	// startsRequested counts the starts requested so far.
+	startsRequested int
+	pending         []pending
 	// failures holds the failed starts in a row of each offering.
 	failures map[planner.Offering]planner.Failures
 	// served holds the upstreams that have answered at least once.
 	served map[upstreamKey]bool
-	// askedAt is when a gateway last answered which instances are leaving.
-	askedAt time.Time
-	// draining is when this holder learnt that an upstream is leaving.
-	draining map[upstreamKey]time.Time
+	// leavingReadAt is when a gateway last answered which instances are leaving.
+	leavingReadAt time.Time
+	// drainingSince is when this holder learnt that an upstream is leaving.
+	drainingSince map[upstreamKey]time.Time
 	// loads holds the loads of the upstreams that answered at loadsAt.
-	loads   map[upstreamKey]load
-	loadsAt time.Time
+	loads       map[upstreamKey]load
+	loadsReadAt time.Time
 	// reclaims estimates how often each offering is reclaimed.
 	reclaims *reclaimRates
 	demand   peakHold
 }
 
-func newMemory(fence ident.Fence, now time.Time) *memory {
-	return &memory{
-		fence:    fence,
-		since:    now,
-		failures: make(map[planner.Offering]planner.Failures),
-		served:   make(map[upstreamKey]bool),
-		draining: make(map[upstreamKey]time.Time),
-		reclaims: newReclaimRates(now),
+func newHolderState(fence ident.Fence, now time.Time) *holderState {
+	return &holderState{
+		fence:         fence,
+		heldSince:     now,
+		failures:      make(map[planner.Offering]planner.Failures),
+		served:        make(map[upstreamKey]bool),
+		drainingSince: make(map[upstreamKey]time.Time),
+		reclaims:      newReclaimRates(now),
 	}
 }
 
@@ -100,19 +100,19 @@
 	slots float64
 }
 
-// actual returns the planner's input, and removes the pending starts that have
+// plannerInput returns the planner's input, and removes the pending starts that have
 // succeeded or failed.
-func (m *memory) actual(service ident.Service, o observation, now time.Time) planner.Actual {
-	m.settlePending(o, now)
-	actual := planner.Actual{Service: service, Failures: m.failures, Holder: m.fence, Starts: m.starts}
+func (m *holderState) plannerInput(service ident.Service, o observation, now time.Time) planner.Actual {
+	m.resolvePending(o, now)
+	actual := planner.Actual{Service: service, Failures: m.failures, Holder: m.fence, Starts: m.startsRequested}
 	work := 0
 	for _, instance := range o.instances {
-		counted := m.count(instance, o, now)
+		counted := m.countInstance(instance, o, now)
 		l := o.loads[key(instance)]
 		work += l.running + l.queued
 		actual.Instances = append(actual.Instances, counted)
 	}
-	if m.demand.at.IsZero() {
+	if m.demand.updatedAt.IsZero() {
 		m.demand.seed(len(o.instances), now)
 	}
 	for _, p := range m.pending {
@@ -122,14 +122,14 @@
 	return actual
 }
 
-// count returns one listed instance as the planner counts it.
-func (m *memory) count(instance platform.Instance, o observation, now time.Time) planner.Instance {
+// countInstance returns one listed instance as the planner counts it.
+func (m *holderState) countInstance(instance platform.Instance, o observation, now time.Time) planner.Instance {
 	k := key(instance)
 	l, answered := o.loads[k]
 	if answered {
 		m.served[k] = true
 	}
-	since, draining := m.draining[k]
+	since, draining := m.drainingSince[k]
 	counted := planner.Instance{
 		ID:       instance.ID,
 		Offering: offeringOf(instance),
@@ -151,9 +151,9 @@
 	return counted
 }
 
-// settlePending removes the pending starts whose instance is listed now, and
+// resolvePending removes the pending starts whose instance is listed now, and
 // counts those as failed that were not listed within listedWithin.
-func (m *memory) settlePending(o observation, now time.Time) {
+func (m *holderState) resolvePending(o observation, now time.Time) {
 	listed := make(map[ident.Instance]bool)
 	for _, instance := range o.instances {
 		listed[instance.ID] = true
@@ -163,8 +163,8 @@
 		switch {
 		case p.Answered && listed[p.instance]:
 			delete(m.failures, p.Offering)
-		case now.Sub(p.askedAt) > listedWithin:
-			m.fail(p.Offering, now)
+		case now.Sub(p.requestedAt) > listTimeout:
+			m.recordFailure(p.Offering, now)
 		default:
 			open = append(open, p)
 		}
@@ -172,8 +172,8 @@
 	m.pending = open
 }
 
-// fail counts a failed start of an offering.
-func (m *memory) fail(offering planner.Offering, now time.Time) {
+// recordFailure counts a failed start of an offering.
+func (m *holderState) recordFailure(offering planner.Offering, now time.Time) {
 	f := m.failures[offering]
 	m.failures[offering] = planner.Failures{Count: f.Count + 1, Last: now}
 }
@@ -182,8 +182,8 @@
 // instances that earlier holders started to be listed, and no start of the
 // offering has failed since the plan was made: the other starts of the offering
 // in this plan would fail as well.
-func (m *memory) mayStart(offering planner.Offering, planned time.Time) bool {
-	settled := planned.Sub(m.since) >= settle
+func (m *holderState) mayStart(offering planner.Offering, planned time.Time) bool {
+	settled := planned.Sub(m.heldSince) >= takeoverWait
 	return settled && m.failures[offering].Last.Before(planned)
 }
 
--- a/internal/controllers/fleet/controller.go
+++ b/internal/controllers/fleet/controller.go
@@ -47,11 +47,11 @@
 	// LoadInterval is the least time between two requests to an upstream for
 	// its load. These are the largest part of the controller's cost.
 	LoadInterval time.Duration
-	// Flight bounds the time of one request. It must not exceed the leases'
+	// RequestTimeout bounds the time of one request. It must not exceed the leases'
 	// margin.
-	Flight time.Duration
-	// Parallel bounds the load requests in progress.
-	Parallel int
+	RequestTimeout time.Duration
+	// MaxParallel bounds the load requests in progress.
+	MaxParallel int
 	// SlotsPerEngine and SlotsPerPlain are how many requests keep one
 	// upstream busy. Documents do not specify it yet.
 	SlotsPerEngine, SlotsPerPlain float64
@@ -59,7 +59,7 @@
 
 // The defaults of Config.
 const (
-	DefaultParallel       = 32
+	DefaultMaxParallel    = 32
 	DefaultLoadInterval   = 5 * time.Second
 	DefaultSlotsPerEngine = 16
 	DefaultSlotsPerPlain  = 32
@@ -79,22 +79,22 @@
 // Controller manages the fleets of the services whose lease this process holds.
 // Create it with New.
 type Controller struct {
-	config   Config
-	deps     Deps
-	memories map[ident.Service]*memory
+	config Config
+	deps   Deps
+	states map[ident.Service]*holderState
 	// noticed holds the incarnations whose reclaim notice was read, and after
 	// is the sequence number of the last notice.
-	noticed map[upstreamKey]bool
-	after   uint64
+	noticed    map[upstreamKey]bool
+	lastNotice uint64
 }
 
 // New returns a controller that has read nothing yet.
 func New(config Config, deps Deps) *Controller {
 	return &Controller{
-		config:   config,
-		deps:     deps,
-		memories: make(map[ident.Service]*memory),
-		noticed:  make(map[upstreamKey]bool),
+		config:  config,
+		deps:    deps,
+		states:  make(map[ident.Service]*holderState),
+		noticed: make(map[upstreamKey]bool),
 	}
 }
 
@@ -111,77 +111,77 @@
 // It does nothing without a recent list of instances: an instance that the list
 // lacks would be started a second time, and one that has ended would be counted.
 func (c *Controller) Round(ctx context.Context) {
-	if time.Since(c.deps.Listing.Value().ReadAt) > oldestListing {
+	if time.Since(c.deps.Listing.Value().ReadAt) > maxListingAge {
 		roundsWithoutList.Add(1)
 		return
 	}
-	held := make(map[ident.Service]*memory)
+	held := make(map[ident.Service]*holderState)
 	for service, entry := range c.deps.Documents.Value().Services {
 		grant, holds := c.deps.Leases.Grant(lease.Name{Service: service})
 		if !holds {
 			continue
 		}
-		held[service] = c.memoryOf(ctx, service, grant)
+		held[service] = c.stateOf(ctx, service, grant)
 		if len(held) == 1 {
 			c.readNotices(ctx)
 		}
 		c.planService(ctx, grant, entry.Document, held[service])
 	}
-	c.memories = held
+	c.states = held
 }
 
-// memoryOf returns the state that was kept under this grant's fence, or a new
+// stateOf returns the state that was kept under this grant's fence, or a new
 // one. It reads the leaving instances from a gateway when that is due.
-func (c *Controller) memoryOf(ctx context.Context, service ident.Service, grant lease.Grant) *memory {
-	m := c.memories[service]
+func (c *Controller) stateOf(ctx context.Context, service ident.Service, grant lease.Grant) *holderState {
+	m := c.states[service]
 	now := time.Now()
 	if m == nil || m.fence != grant.Fence {
-		m = newMemory(grant.Fence, now)
+		m = newHolderState(grant.Fence, now)
 	}
-	if now.Sub(m.askedAt) >= askLeavingEvery {
-		c.askLeaving(ctx, m, now)
+	if now.Sub(m.leavingReadAt) >= leavingReadInterval {
+		c.readLeaving(ctx, m, now)
 	}
 	return m
 }
 
-// askLeaving reads from a gateway which instances are leaving already: because
+// readLeaving reads from a gateway which instances are leaving already: because
 // an earlier holder announced them, or because the answer to an announcement was
 // lost.
-func (c *Controller) askLeaving(ctx context.Context, m *memory, now time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+func (c *Controller) readLeaving(ctx context.Context, m *holderState, now time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	leaving, err := c.deps.Gateways.Leaving(ctx)
 	if err != nil {
 		c.deps.Log.Debug("cannot read the leaving instances from a gateway", "error", err)
 		return
 	}
-	m.askedAt = now
+	m.leavingReadAt = now
 	for id, incarnation := range leaving {
 		k := upstreamKey{id, incarnation}
-		if _, known := m.draining[k]; !known {
-			m.draining[k] = now
+		if _, known := m.drainingSince[k]; !known {
+			m.drainingSince[k] = now
 		}
 	}
 }
 
 // planService plans one service and executes the plan.
-func (c *Controller) planService(ctx context.Context, grant lease.Grant, doc *document.Document, m *memory) {
+func (c *Controller) planService(ctx context.Context, grant lease.Grant, doc *document.Document, m *holderState) {
 	o := c.observe(ctx, doc, m)
 	now := time.Now()
 	m.reclaims.update(o, now)
-	actual := m.actual(doc.Service, o, now)
+	actual := m.plannerInput(doc.Service, o, now)
 	wanted := planner.Wanted{Placement: doc.Placement, Reclaims: m.reclaims.estimate()}
 	for _, action := range planner.Plan(actual, wanted, now) {
 		if action.Kind == planner.Start && !m.mayStart(action.Offering, now) {
 			continue
 		}
-		c.act(ctx, grant, doc, m, o, action)
+		c.execute(ctx, grant, doc, m, o, action)
 	}
 }
 
 // observe returns the service's listed upstreams and their loads, which it reads
 // anew when that is due.
-func (c *Controller) observe(ctx context.Context, doc *document.Document, m *memory) observation {
+func (c *Controller) observe(ctx context.Context, doc *document.Document, m *holderState) observation {
 	o := observation{noticed: c.noticed, slots: c.config.SlotsPerEngine}
 	if doc.Kind == document.Plain {
 		o.slots = c.config.SlotsPerPlain
@@ -192,23 +192,23 @@
 			o.instances = append(o.instances, instance)
 		}
 	}
-	if now := time.Now(); now.Sub(m.loadsAt) >= c.config.LoadInterval {
-		m.loads, m.loadsAt = c.askAll(ctx, o.instances), now
+	if now := time.Now(); now.Sub(m.loadsReadAt) >= c.config.LoadInterval {
+		m.loads, m.loadsReadAt = c.readLoads(ctx, o.instances), now
 	}
 	o.loads = m.loads
 	return o
 }
 
-// askAll reads the loads of all instances and leaves out those that do not
+// readLoads reads the loads of all instances and leaves out those that do not
 // answer.
-func (c *Controller) askAll(ctx context.Context, instances []platform.Instance) map[upstreamKey]load {
+func (c *Controller) readLoads(ctx context.Context, instances []platform.Instance) map[upstreamKey]load {
 	var mu sync.Mutex
 	loads := make(map[upstreamKey]load)
 	var group errgroup.Group
-	group.SetLimit(c.config.Parallel)
+	group.SetLimit(c.config.MaxParallel)
 	for _, instance := range instances {
 		group.Go(func() error {
-			l, err := c.ask(ctx, instance)
+			l, err := c.readLoad(ctx, instance)
 			if err != nil {
 				return nil
 			}
@@ -222,9 +222,9 @@
 	return loads
 }
 
-// ask reads one upstream's load from the upstream.
-func (c *Controller) ask(ctx context.Context, instance platform.Instance) (load, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+// readLoad reads one upstream's load from the upstream.
+func (c *Controller) readLoad(ctx context.Context, instance platform.Instance) (load, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	now := time.Now()
 	if instance.Role == platform.RolePlain {
@@ -237,15 +237,15 @@
 
 // readNotices reads the reclaim notices that it has not read yet.
 func (c *Controller) readNotices(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
-	notices, err := c.deps.Cloud.Notices(ctx, c.after)
+	notices, err := c.deps.Cloud.Notices(ctx, c.lastNotice)
 	if err != nil {
 		c.deps.Log.Debug("cannot read the reclaim notices", "error", err)
 		return
 	}
 	for _, notice := range notices {
 		c.noticed[upstreamKey{notice.Instance, notice.Incarnation}] = true
-		c.after = max(c.after, notice.Sequence)
+		c.lastNotice = max(c.lastNotice, notice.Sequence)
 	}
 }
--- a/internal/controllers/fleet/world_test.go
+++ b/internal/controllers/fleet/world_test.go
@@ -283,7 +283,7 @@
 	p.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: flight}, w.log)
 	p.leases.Want([]lease.Wanted{{Name: lease.Name{Service: service}, Rank: rank}})
 	controller := fleet.New(
-		fleet.Config{Interval: time.Second, LoadInterval: fleet.DefaultLoadInterval, Flight: flight, Parallel: 4, SlotsPerEngine: slots, SlotsPerPlain: slots},
+		fleet.Config{Interval: time.Second, LoadInterval: fleet.DefaultLoadInterval, RequestTimeout: flight, MaxParallel: 4, SlotsPerEngine: slots, SlotsPerPlain: slots},
 		fleet.Deps{
 			Documents: documents, Listing: listed, Leases: p.leases, Cloud: w,
 			Dialer: w, Gateways: w, Log: hclog.NewNullLogger(),
--- a/internal/controllers/instances/instances.go
+++ b/internal/controllers/instances/instances.go
@@ -110,12 +110,12 @@
 		return
 	}
 	for _, n := range notices {
-		c.apply(n, time.Since(start))
+		c.applyNotice(n, time.Since(start))
 	}
 }
 
-// apply records a notice. sinceRequest is the time since it was requested.
-func (c *Controller) apply(n platform.Notice, sinceRequest time.Duration) {
+// applyNotice records a notice. sinceRequest is the time since it was requested.
+func (c *Controller) applyNotice(n platform.Notice, sinceRequest time.Duration) {
 	c.lastNotice = max(c.lastNotice, n.Sequence)
 	c.deps.Membership.NoteLeaving(n.Instance, n.Incarnation)
 	own := n.Instance == c.config.Self && n.Incarnation == c.config.Incarnation
--- a/internal/controllers/orders/controller.go
+++ b/internal/controllers/orders/controller.go
@@ -46,7 +46,7 @@
 	Parallel int
 }
 
-// DefaultParallel is the usual Config.Parallel.
+// DefaultParallel is the usual Config.MaxParallel.
 const DefaultParallel = 32
 
 // Deps is what the controller works with.
