--- a/internal/controllers/fleet/act.go
+++ b/internal/controllers/fleet/act.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// start requests an instance from the cloud. A start whose answer was lost stays
-// pending and is requested again with the same ID.
+// start requests an instance from the cloud. A start whose answer was lost
+// stays pending and is requested again with the same ID.
 func (c *Controller) start(ctx context.Context, grant lease.Grant, doc *document.Document, m *holderState, action planner.Action) error {
 	p := m.pendingStart(action, time.Now())
 	role := platform.RoleEngine
@@ -78,8 +78,8 @@
 	return &m.pending[len(m.pending)-1]
 }
 
-// recordStartResult records the result of a start. A start that certainly had no
-// effect is no longer pending.
+// recordStartResult records the result of a start. A start that certainly had
+// no effect is no longer pending.
 func (m *holderState) recordStartResult(p *pending, id ident.Instance, err error, now time.Time) {
 	refused := errors.Is(err, platform.ErrNoCapacity)
 	notSent := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrOldFence)
--- a/internal/controllers/fleet/actual.go
+++ b/internal/controllers/fleet/actual.go
@@ -39,9 +39,9 @@
 	// listTimeout is how long the platform may take to list an instance that
 	// it has started. After that the start counts as failed.
 	listTimeout = 2 * time.Minute
-	// takeoverWait is how long a new holder starts nothing. Meanwhile the instances
-	// that the previous holder started get listed; otherwise they would be
-	// requested twice.
+	// takeoverWait is how long a new holder starts nothing. Meanwhile the
+	// instances that the previous holder started get listed; otherwise they
+	// would be requested twice.
 	takeoverWait = 10 * time.Second
 	// maxListingAge is the age of the platform's list above which nothing is
 	// planned from it.
@@ -67,7 +67,8 @@
 	failures map[planner.Offering]planner.Failures
 	// served holds the upstreams that have answered at least once.
 	served map[upstreamKey]bool
-	// leavingReadAt is when a gateway last answered which instances are leaving.
+	// leavingReadAt is when a gateway last answered which instances are
+	// leaving.
 	leavingReadAt time.Time
 	// drainingSince is when this holder learnt that an upstream is leaving.
 	drainingSince map[upstreamKey]time.Time
@@ -100,8 +101,8 @@
 	slots float64
 }
 
-// plannerInput returns the planner's input, and removes the pending starts that have
-// succeeded or failed.
+// plannerInput returns the planner's input, and removes the pending starts that
+// have succeeded or failed.
 func (m *holderState) plannerInput(service ident.Service, o observation, now time.Time) planner.Actual {
 	m.resolvePending(o, now)
 	actual := planner.Actual{Service: service, Failures: m.failures, Holder: m.fence, Starts: m.startsRequested}
--- a/internal/controllers/fleet/controller.go
+++ b/internal/controllers/fleet/controller.go
@@ -47,8 +47,8 @@
 	// LoadInterval is the least time between two requests to an upstream for
 	// its load. These are the largest part of the controller's cost.
 	LoadInterval time.Duration
-	// RequestTimeout bounds the time of one request. It must not exceed the leases'
-	// margin.
+	// RequestTimeout bounds the time of one request. It must not exceed the
+	// leases' margin.
 	RequestTimeout time.Duration
 	// MaxParallel bounds the load requests in progress.
 	MaxParallel int
@@ -98,18 +98,20 @@
 	}
 }
 
-// Run plans and executes the plans until ctx ends. It does not cancel a round in
-// progress then, since a cancelled request could still take effect after the
+// Run plans and executes the plans until ctx ends. It does not cancel a round
+// in progress then, since a cancelled request could still take effect after the
 // lease was released.
 func (c *Controller) Run(ctx context.Context) error {
 	finish := context.WithoutCancel(ctx)
 	return rounds.Run(ctx, c.config.Interval, func() { c.Round(finish) })
 }
 
-// Round plans each service whose lease this process holds and executes the plan.
+// Round plans each service whose lease this process holds and executes the
+// plan.
 //
 // It does nothing without a recent list of instances: an instance that the list
-// lacks would be started a second time, and one that has ended would be counted.
+// lacks would be started a second time, and one that has ended would be
+// counted.
 func (c *Controller) Round(ctx context.Context) {
 	if time.Since(c.deps.Listing.Value().ReadAt) > maxListingAge {
 		roundsWithoutList.Add(1)
@@ -145,8 +147,8 @@
 }
 
 // readLeaving reads from a gateway which instances are leaving already: because
-// an earlier holder announced them, or because the answer to an announcement was
-// lost.
+// an earlier holder announced them, or because the answer to an announcement
+// was lost.
 func (c *Controller) readLeaving(ctx context.Context, m *holderState, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
@@ -179,8 +181,8 @@
 	}
 }
 
-// observe returns the service's listed upstreams and their loads, which it reads
-// anew when that is due.
+// observe returns the service's listed upstreams and their loads, which it
+// reads anew when that is due.
 func (c *Controller) observe(ctx context.Context, doc *document.Document, m *holderState) observation {
 	o := observation{noticed: c.noticed, slots: c.config.SlotsPerEngine}
 	if doc.Kind == document.Plain {
--- a/internal/controllers/fleet/estimate.go
+++ b/internal/controllers/fleet/estimate.go
@@ -7,8 +7,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/planner"
 )
 
-// peakHold is an estimate of the demand that rises at once and decays slowly, so
-// that no upstream is stopped in a short pause of high load. Demand is in
+// peakHold is an estimate of the demand that rises at once and decays slowly,
+// so that no upstream is stopped in a short pause of high load. Demand is in
 // upstreams that are fully busy.
 type peakHold struct {
 	value     float64
@@ -18,9 +18,9 @@
 // peakHalfLife is the time in which a past peak decays to half.
 const peakHalfLife = 3 * time.Minute
 
-// assumedUtilization is the utilization of each upstream that a new holder assumes, since
-// it has not seen the demand before: one at which the planner wants neither more
-// nor fewer upstreams.
+// assumedUtilization is the utilization of each upstream that a new holder
+// assumes, since it has not seen the demand before: one at which the planner
+// wants neither more nor fewer upstreams.
 const assumedUtilization = 0.7
 
 // seed sets the demand that a new holder assumes for the existing upstreams.
@@ -36,13 +36,13 @@
 }
 
 const (
-	// assumedReclaimsPerHour is the rate of reclaims per instance and hour that is
-	// assumed before any was seen. It weighs as much as assumedHours hours
+	// assumedReclaimsPerHour is the rate of reclaims per instance and hour that
+	// is assumed before any was seen. It weighs as much as assumedHours hours
 	// of observation of one instance.
 	assumedReclaimsPerHour = 0.05
 	assumedWeightHours     = 20
-	// workLostByReclaim is the cost of a reclaim in working time of one upstream:
-	// others recompute its tokens, and a replacement has to start.
+	// workLostByReclaim is the cost of a reclaim in working time of one
+	// upstream: others recompute its tokens, and a replacement has to start.
 	workLostByReclaim = 5 * time.Minute
 )
 
--- a/internal/controllers/fleet/fleet_test.go
+++ b/internal/controllers/fleet/fleet_test.go
@@ -24,18 +24,18 @@
 	// never listed to count as failed, and for the estimate of a past load
 	// spike to decay.
 	healTime = 30 * time.Minute
-	// restTime is for how long nothing may change then.
-	restTime = 3 * time.Minute
-	// restSize is the right number of upstreams without load: spread over
+	// steadyTime is for how long nothing may change then.
+	steadyTime = 3 * time.Minute
+	// steadySize is the right number of upstreams without load: spread over
 	// three failure domains, the required 3 are left when a domain is lost.
-	restSize = 5
+	steadySize = 5
 )
 
 // machine runs two controllers in a world.
 type machine struct {
 	*world
-	processes [2]*process
-	lives     int
+	processes    [2]*process
+	incarnations int
 	// busy makes gateways send a request to each upstream each second.
 	busy bool
 }
@@ -49,8 +49,8 @@
 }
 
 func (m *machine) start(i int) {
-	m.lives++
-	m.processes[i] = m.startProcess(ident.Instance(fmt.Sprintf("entry-%d-%d", i, m.lives)), i)
+	m.incarnations++
+	m.processes[i] = m.startProcess(ident.Instance(fmt.Sprintf("entry-%d-%d", i, m.incarnations)), i)
 }
 
 // stop ends a process. Its last requests may still take effect later.
@@ -83,8 +83,8 @@
 	}
 }
 
-// end stops all goroutines.
-func (m *machine) end() {
+// stopAll stops all goroutines.
+func (m *machine) stopAll() {
 	m.stop(0)
 	m.stop(1)
 	time.Sleep(time.Minute)
@@ -93,7 +93,7 @@
 func (m *machine) size() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.count()
+	return m.countUpstreams()
 }
 
 func (m *machine) stopCount() int {
@@ -102,29 +102,29 @@
 	return m.stops
 }
 
-func (m *machine) setCut(cut bool) {
+func (m *machine) setGatewaysCut(cut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut = cut
+	m.gatewaysCut = cut
 }
 
 // heal ends all faults and checks that the fleet settles at the right size.
 func (m *machine) heal(t fataler) {
 	m.cloud.SetOutage(false)
 	m.log.SetOutage(false)
-	m.setCut(false)
+	m.setGatewaysCut(false)
 	m.busy = false
 	for _, domain := range domains {
 		m.cloud.SetCapacity(domain, "cpu", true)
 	}
 	began := time.Now()
 	stops, restSince := -1, began
-	for time.Since(restSince) < restTime {
+	for time.Since(restSince) < steadyTime {
 		if time.Since(began) > healTime {
-			t.Fatalf("no rest: %d upstreams, want %d", m.size(), restSize)
+			t.Fatalf("no rest: %d upstreams, want %d", m.size(), steadySize)
 		}
 		m.advance(t, 10*time.Second)
-		if m.size() != restSize || m.stopCount() != stops {
+		if m.size() != steadySize || m.stopCount() != stops {
 			stops, restSince = m.stopCount(), time.Now()
 		}
 	}
@@ -139,7 +139,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(virtualTime{t}, func(t *rapid.T) {
 			m := newMachine()
-			defer m.end()
+			defer m.stopAll()
 			domain := func() ident.FailureDomain { return rapid.SampledFrom(domains).Draw(t, "domain") }
 			t.Repeat(map[string]func(*rapid.T){
 				"wait": func(t *rapid.T) {
@@ -157,11 +157,11 @@
 				"dud": func(t *rapid.T) {
 					m.mu.Lock()
 					defer m.mu.Unlock()
-					m.duds = 1
+					m.unlistedStarts = 1
 				},
 				"cloud":    func(t *rapid.T) { m.cloud.SetOutage(rapid.Bool().Draw(t, "down")) },
 				"log":      func(t *rapid.T) { m.log.SetOutage(rapid.Bool().Draw(t, "down")) },
-				"gateways": func(t *rapid.T) { m.setCut(rapid.Bool().Draw(t, "cut")) },
+				"gateways": func(t *rapid.T) { m.setGatewaysCut(rapid.Bool().Draw(t, "cut")) },
 				"reclaim":  func(t *rapid.T) { m.reclaim(domain()) },
 				"restart": func(t *rapid.T) {
 					i := rapid.IntRange(0, 1).Draw(t, "process")
--- a/internal/controllers/fleet/scenario_test.go
+++ b/internal/controllers/fleet/scenario_test.go
@@ -19,24 +19,24 @@
 			// platform's list, which shows them as live.
 			name: "upstreams that get no work count as serving for ever",
 			run: func(t *testing.T, m *machine) {
-				m.rush(t)
+				m.loadSpike(t)
 				m.awaitDrain(t)
 				m.stop(0)
 				m.stop(1)
 				m.start(0)
 				m.start(1)
-				m.rush(t)
+				m.loadSpike(t)
 			},
 		},
 		{
 			// The gateways are unreachable while there are too many upstreams.
 			name: "an upstream is stopped that gateways still use",
 			run: func(t *testing.T, m *machine) {
-				m.rush(t)
-				m.setCut(true)
+				m.loadSpike(t)
+				m.setGatewaysCut(true)
 				m.advance(t, 15*time.Minute)
-				if got := m.size(); got != most {
-					t.Errorf("%d upstreams, want all %d while no gateway is reachable", got, most)
+				if got := m.size(); got != maxUpstreams {
+					t.Errorf("%d upstreams, want all %d while no gateway is reachable", got, maxUpstreams)
 				}
 			},
 		},
@@ -45,7 +45,7 @@
 			name: "the fleet waits for ever for an instance that died at its start",
 			run: func(t *testing.T, m *machine) {
 				m.mu.Lock()
-				m.duds = 3
+				m.unlistedStarts = 3
 				m.mu.Unlock()
 				m.advance(t, time.Minute)
 			},
@@ -54,11 +54,11 @@
 			// The load pauses for less time than a peak of demand counts.
 			name: "a short lull in a rush stops upstreams",
 			run: func(t *testing.T, m *machine) {
-				m.rush(t)
+				m.loadSpike(t)
 				m.busy = false
 				m.advance(t, time.Minute)
-				if got := m.size(); got != most {
-					t.Errorf("%d upstreams after a lull, want %d", got, most)
+				if got := m.size(); got != maxUpstreams {
+					t.Errorf("%d upstreams after a lull, want %d", got, maxUpstreams)
 				}
 			},
 		},
@@ -67,15 +67,15 @@
 			// has not seen.
 			name: "a takeover in a lull stops upstreams",
 			run: func(t *testing.T, m *machine) {
-				m.rush(t)
+				m.loadSpike(t)
 				m.advance(t, 2*requestTime)
 				for i := range m.processes {
 					m.stop(i)
 					m.start(i)
 				}
 				m.advance(t, time.Minute)
-				if got := m.size(); got != most {
-					t.Errorf("%d upstreams after a takeover, want %d", got, most)
+				if got := m.size(); got != maxUpstreams {
+					t.Errorf("%d upstreams after a takeover, want %d", got, maxUpstreams)
 				}
 			},
 		},
@@ -90,8 +90,8 @@
 				// 6 offerings, with back-offs of 5, 10, 20, 40, 80 and then
 				// always 120 s.
 				const limit = 6 * 14
-				if m.asked == 0 || m.asked > limit {
-					t.Errorf("%d starts requested in a quarter of an hour, at most %d expected", m.asked, limit)
+				if m.startsRequested == 0 || m.startsRequested > limit {
+					t.Errorf("%d starts requested in a quarter of an hour, at most %d expected", m.startsRequested, limit)
 				}
 			},
 		},
@@ -100,7 +100,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := newMachine()
-				defer m.end()
+				defer m.stopAll()
 				c.run(t, m)
 				m.heal(t)
 			})
@@ -108,19 +108,19 @@
 	}
 }
 
-// rush lets load bring the fleet to its maximum and then ends the load.
-func (m *machine) rush(t *testing.T) {
+// loadSpike lets load bring the fleet to its maximum and then ends the load.
+func (m *machine) loadSpike(t *testing.T) {
 	m.busy = true
 	m.advance(t, 3*time.Minute)
-	if got := m.size(); got != most {
-		t.Fatalf("%d upstreams in a load spike, want %d", got, most)
+	if got := m.size(); got != maxUpstreams {
+		t.Fatalf("%d upstreams in a load spike, want %d", got, maxUpstreams)
 	}
 	m.busy = false
 }
 
 // awaitDrain waits until the first upstream is announced as leaving.
 func (m *machine) awaitDrain(t *testing.T) {
-	for limit := time.Now().Add(healTime); m.size() == most; {
+	for limit := time.Now().Add(healTime); m.size() == maxUpstreams; {
 		if time.Now().After(limit) {
 			t.Fatal("nothing is drained")
 		}
--- a/internal/controllers/fleet/world_test.go
+++ b/internal/controllers/fleet/world_test.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	service = ident.Service("auktion-app")
-	least   = 3
-	most    = 8
+	service      = ident.Service("auktion-app")
+	minUpstreams = 3
+	maxUpstreams = 8
 	// listLag is how late the platform's list is, and startTime how long it
 	// takes until an instance registers there and serves.
 	listLag   = time.Second
@@ -33,10 +33,10 @@
 	spreadTime = 4 * time.Second
 	// requestTime is how long a request runs, and reclaimTime how long before
 	// the reclaim its notice comes.
-	requestTime = 15 * time.Second
-	reclaimTime = 5 * time.Second
-	flight      = 2 * time.Second
-	slots       = 4
+	requestTime    = 15 * time.Second
+	reclaimTime    = 5 * time.Second
+	requestTimeout = 2 * time.Second
+	slots          = 4
 )
 
 var domains = []ident.FailureDomain{"hall-a", "hall-b", "hall-c"}
@@ -52,14 +52,14 @@
 	stopping bool
 }
 
-// sendable reports whether gateways send work to it.
-func (a *app) sendable(now time.Time) bool {
+// receivesWork reports whether gateways send work to it.
+func (a *app) receivesWork(now time.Time) bool {
 	return !a.stopping && (a.leavingAt.IsZero() || now.Sub(a.leavingAt) < spreadTime)
 }
 
-// counted reports whether it counts towards the fleet's size: it is neither
+// counts reports whether it counts towards the fleet's size: it is neither
 // leaving nor stopping.
-func (a *app) counted() bool { return !a.stopping && a.leavingAt.IsZero() }
+func (a *app) counts() bool { return !a.stopping && a.leavingAt.IsZero() }
 
 // world simulates the platform, the upstreams and the gateways.
 type world struct {
@@ -69,21 +69,21 @@
 
 	mu   sync.Mutex
 	apps map[ident.Instance]*app
-	// cut is whether the gateways are unreachable.
-	cut      bool
-	problems []string
-	stops    int
-	// duds is how many of the next starts succeed without an instance ever
-	// being listed.
-	duds int
-	// asked counts the requested starts.
-	asked int
+	// gatewaysCut is whether the gateways are unreachable.
+	gatewaysCut bool
+	problems    []string
+	stops       int
+	// unlistedStarts is how many of the next starts succeed without an instance
+	// ever being listed.
+	unlistedStarts int
+	// startsRequested counts the requested starts.
+	startsRequested int
 }
 
 // Start implements platform.Cloud and counts the requests.
 func (w *world) Start(ctx context.Context, req platform.StartRequest) (ident.Instance, error) {
 	w.mu.Lock()
-	w.asked++
+	w.startsRequested++
 	w.mu.Unlock()
 	return w.cloud.Start(ctx, req)
 }
@@ -104,8 +104,8 @@
 	return w
 }
 
-// problem records a broken rule. The caller holds mu.
-func (w *world) problem(format string, args ...any) {
+// recordProblem records a broken rule. The caller holds mu.
+func (w *world) recordProblem(format string, args ...any) {
 	w.problems = append(w.problems, fmt.Sprintf(format, args...))
 }
 
@@ -113,13 +113,13 @@
 func (w *world) started(id ident.Instance, req platform.StartRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.duds > 0 {
-		w.duds--
+	if w.unlistedStarts > 0 {
+		w.unlistedStarts--
 		return
 	}
 	w.apps[id] = &app{id: id, domain: req.FailureDomain}
-	if count := w.count(); count > most {
-		w.problem("%d upstreams, at most %d allowed", count, most)
+	if count := w.countUpstreams(); count > maxUpstreams {
+		w.recordProblem("%d upstreams, at most %d allowed", count, maxUpstreams)
 	}
 	time.AfterFunc(startTime, func() {
 		w.list.Register(platform.Instance{
@@ -129,10 +129,10 @@
 	})
 }
 
-func (w *world) count() int {
+func (w *world) countUpstreams() int {
 	count := 0
 	for _, a := range w.apps {
-		if a.counted() {
+		if a.counts() {
 			count++
 		}
 	}
@@ -148,17 +148,17 @@
 		return
 	}
 	if a.running > 0 {
-		w.problem("%s was stopped with %d requests running", id, a.running)
+		w.recordProblem("%s was stopped with %d requests running", id, a.running)
 	}
 	if a.leavingAt.IsZero() || time.Since(a.leavingAt) < spreadTime {
-		w.problem("%s was stopped while gateways still send it work", id)
+		w.recordProblem("%s was stopped while gateways still send it work", id)
 	}
 	w.stops++
-	w.end(a)
+	w.endUpstream(a)
 }
 
-// end removes an upstream. The caller holds mu.
-func (w *world) end(a *app) {
+// endUpstream removes an upstream. The caller holds mu.
+func (w *world) endUpstream(a *app) {
 	a.stopping = true
 	delete(w.apps, a.id)
 	w.list.SetState(a.id, 0, platform.Ended)
@@ -183,7 +183,7 @@
 		time.AfterFunc(reclaimTime, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.end(a)
+			w.endUpstream(a)
 		})
 	}
 }
@@ -193,7 +193,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.apps {
-		if _, listed := w.list.Find(a.id); !listed || !a.sendable(time.Now()) {
+		if _, listed := w.list.Find(a.id); !listed || !a.receivesWork(time.Now()) {
 			continue
 		}
 		a.running++
@@ -209,7 +209,7 @@
 func (w *world) AnnounceLeaving(_ context.Context, upstreams []platform.Instance) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cut {
+	if w.gatewaysCut {
 		return platform.ErrUnavailable
 	}
 	for _, u := range upstreams {
@@ -218,8 +218,8 @@
 			continue
 		}
 		a.leavingAt = time.Now()
-		if serving := w.count(); serving < least && !a.stopping {
-			w.problem("draining %s leaves %d upstreams, want at least %d", u.ID, serving, least)
+		if serving := w.countUpstreams(); serving < minUpstreams && !a.stopping {
+			w.recordProblem("draining %s leaves %d upstreams, want at least %d", u.ID, serving, minUpstreams)
 		}
 	}
 	return nil
@@ -229,7 +229,7 @@
 func (w *world) Leaving(context.Context) (map[ident.Instance]ident.Incarnation, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cut {
+	if w.gatewaysCut {
 		return nil, platform.ErrUnavailable
 	}
 	leaving := make(map[ident.Instance]ident.Incarnation)
@@ -280,10 +280,10 @@
 	doc := &document.Document{Service: service, Kind: document.Plain, Placement: placement()}
 	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{service: {Document: doc}}})
 	listed := blackboard.NewSection(blackboard.Listing{})
-	p.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: flight}, w.log)
+	p.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: requestTimeout}, w.log)
 	p.leases.Want([]lease.Wanted{{Name: lease.Name{Service: service}, Rank: rank}})
 	controller := fleet.New(
-		fleet.Config{Interval: time.Second, LoadInterval: fleet.DefaultLoadInterval, RequestTimeout: flight, MaxParallel: 4, SlotsPerEngine: slots, SlotsPerPlain: slots},
+		fleet.Config{Interval: time.Second, LoadInterval: fleet.DefaultLoadInterval, RequestTimeout: requestTimeout, MaxParallel: 4, SlotsPerEngine: slots, SlotsPerPlain: slots},
 		fleet.Deps{
 			Documents: documents, Listing: listed, Leases: p.leases, Cloud: w,
 			Dialer: w, Gateways: w, Log: hclog.NewNullLogger(),
@@ -302,7 +302,7 @@
 }
 
 func placement() document.Placement {
-	p := document.Placement{Min: least, Max: most, OnDemandShare: 0.3}
+	p := document.Placement{Min: minUpstreams, Max: maxUpstreams, OnDemandShare: 0.3}
 	for i, domain := range domains {
 		for _, reclaimable := range []bool{false, true} {
 			price := document.Price{FailureDomain: domain, Class: "cpu", Reclaimable: reclaimable, CentsPerHour: float64(10 + i)}
--- a/internal/controllers/instances/instances.go
+++ b/internal/controllers/instances/instances.go
@@ -114,7 +114,8 @@
 	}
 }
 
-// applyNotice records a notice. sinceRequest is the time since it was requested.
+// applyNotice records a notice. sinceRequest is the time since it was
+// requested.
 func (c *Controller) applyNotice(n platform.Notice, sinceRequest time.Duration) {
 	c.lastNotice = max(c.lastNotice, n.Sequence)
 	c.deps.Membership.NoteLeaving(n.Instance, n.Incarnation)
--- a/internal/controllers/instances/instances_test.go
+++ b/internal/controllers/instances/instances_test.go
@@ -64,9 +64,9 @@
 }
 
 // A lost, repeated or wrongly attributed notice would make an instance stop too
-// late, or for a notice that was not its own. The platform is down at the start;
-// then notices arrive for another instance, for an earlier incarnation of this
-// one, and for this one.
+// late, or for a notice that was not its own. The platform is down at the
+// start; then notices arrive for another instance, for an earlier incarnation
+// of this one, and for this one.
 func TestNoticesReachTheRightOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePlatform{down: true}
