--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,7 @@
-// Package controller is the process that takes the leased decisions: which
-// upstreams to start and to stop, and what model engines run. One runs beside
-// the gateway on each entry instance. Callers never wait for it.
+// Package controller is the process that makes the decisions for which a lease
+// is needed: which upstreams to start and stop, and which model and version the
+// engines run. One runs beside the gateway on each entry instance. Callers never
+// wait for it.
 package controller
 
 import (
@@ -32,14 +33,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// closeTimeout bounds the end of a stop, after the release of the leases, which
-// the log's timeout bounds.
+// closeTimeout bounds the last part of a stop, after the release of the leases.
+// The platform's timeout bounds the release.
 const closeTimeout = 500 * time.Millisecond
 
-// statusPath shows the leases as this process knows them.
+// statusPath serves the leases that this process knows.
 const statusPath = "GET /status"
 
-// Process is one controller. Create it with New.
+// Process is one controller process. Create it with New.
 type Process struct {
 	settings  *settings.Controller
 	telemetry *telemetry.Telemetry
@@ -60,7 +61,7 @@
 	fleet         *fleet.Controller
 }
 
-// New opens the operators' port and wires the parts. Run starts them.
+// New opens the operators' port and creates the parts. Run starts them.
 func New(s *settings.Controller) (*Process, error) {
 	t, err := telemetry.Setup(telemetryConfig(s))
 	if err != nil {
@@ -91,8 +92,9 @@
 	}
 }
 
-// Run works until it is told to stop. Then it ends the rounds, releases its
-// leases so that another process takes them over at once, and returns.
+// Run runs the controllers until the stop signal or the first failure. Then it
+// ends their rounds, releases its leases so that another process can take them
+// over at once, and returns.
 func (p *Process) Run(signals program.Signals, stdout io.Writer) error {
 	rounds, endRounds := context.WithCancel(signals.Kill)
 	defer endRounds()
@@ -117,7 +119,8 @@
 		p.log.Info("stopping")
 	case err = <-failed:
 	}
-	// The leases go last: no order may land after its lease was released.
+	// The leases are released last, since no order may take effect after its
+	// lease was released.
 	endRounds()
 	waitOrKill(&roundsDone, signals.Kill)
 	endHolding()
@@ -125,7 +128,7 @@
 	return errors.Join(err, p.close(signals, server))
 }
 
-// loops are the rounds that end before the leases are released.
+// loops returns the loops that have to end before the leases are released.
 func (p *Process) loops() []func(context.Context) error {
 	return []func(context.Context) error{
 		p.configuration.Run,
@@ -136,7 +139,8 @@
 	}
 }
 
-// report sends a loop's failure, once. The end of its context is none.
+// report sends a loop's error unless another was sent before. The end of the
+// loop's context is no failure.
 func report(failed chan<- error, err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
@@ -174,8 +178,8 @@
 	return signals.Kill.Err()
 }
 
-// listening is the line on stdout by which whoever started the process learns
-// the port that the kernel chose.
+// listening is the line on stdout that tells whoever started the process its
+// address, including a port that the kernel chose.
 type listening struct {
 	Event     string         `json:"event"`
 	Instance  ident.Instance `json:"instance"`
@@ -196,7 +200,8 @@
 	})
 }
 
-// ready reports whether this process could take decisions.
+// ready reports whether this process has what it needs for decisions, and if not,
+// what it lacks.
 func (p *Process) ready() (bool, string) {
 	if health := p.health.Value(); !health.Ready {
 		return false, "documents: " + health.Problem
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -30,8 +30,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds waits for another goroutine; nothing is concluded from how
-// long they take.
+// patience bounds the waits for another goroutine. No test depends on how long a
+// wait takes.
 const patience = 30 * time.Second
 
 // startPlatform serves a platform with one document and two entry instances.
@@ -42,7 +42,7 @@
 	return server.URL, log
 }
 
-// servePlatform is startPlatform with a log of the caller's.
+// servePlatform is startPlatform with the caller's log.
 func servePlatform(t *testing.T, log *logstore.Log) (*httptest.Server, *instances.List) {
 	t.Helper()
 	list := instances.New(0)
@@ -130,7 +130,7 @@
 	r.awaitStatus(t, path, http.StatusOK, ok)
 }
 
-// awaitStatus is await with another status.
+// awaitStatus is await with another HTTP status.
 func (r *running) awaitStatus(t *testing.T, path string, status int, ok func(body []byte) bool) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -150,7 +150,8 @@
 
 func anything([]byte) bool { return true }
 
-// holdsFleet: it holds the lease over the service's fleet.
+// holdsFleet reports whether a status page shows that the process holds the lease
+// for the service's fleet.
 func holdsFleet(body []byte) bool {
 	var statuses []struct {
 		Lease lease.Name
@@ -167,8 +168,8 @@
 	return false
 }
 
-// Symptom: after each update of a controller nobody acts for the length of a
-// lease. Sequence: a holder is told to stop. Cause: it ends without a release.
+// A holder that is stopped must release its lease. Otherwise no process could act
+// for the length of a lease after each update of a controller.
 func TestStoppedHolderReleasesItsLease(t *testing.T) {
 	address, log := startPlatform(t)
 	first := start(t, "entry-1", address)
@@ -194,10 +195,9 @@
 	}
 }
 
-// Symptom: a controller that starts while the platform is down, or after it,
-// ends or hangs, and a machine cannot be replaced. Sequence: it starts, is told
-// to stop while nothing or nobody answers. Cause: a start or a stop that needs
-// the platform.
+// Start and stop must not need the platform. Otherwise a controller that starts
+// or stops while the platform is down, or its requests hang, would end or hang,
+// and a machine could not be replaced.
 func TestStopsWithoutAPlatform(t *testing.T) {
 	silent := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-silent }))
@@ -218,9 +218,8 @@
 	}
 }
 
-// Symptom: a holder cannot be stopped during an outage. Sequence: it holds
-// leases, the platform goes down, it is told to stop. Cause: a release that
-// is tried until it succeeds.
+// The release of a lease must not be repeated until it succeeds. Otherwise a
+// holder could not be stopped while the platform is down.
 func TestHolderStopsWhileThePlatformIsDown(t *testing.T) {
 	server, _ := servePlatform(t, logstore.New(logstore.Options{}))
 	process := start(t, "entry-1", server.URL)
@@ -230,10 +229,9 @@
 	process.stopAndExpectNil(t)
 }
 
-// Symptom: a controller that started before its instance was in the platform's
-// list never takes part. Sequence: it is ready, with leases in the documents,
-// and claims none; then its instance is listed. Cause: a list that is read
-// once, or a claim by a process that nobody knows.
+// A controller that starts before its instance is listed must claim no lease
+// until then, and must claim one once its instance is listed. If it read the list
+// only once, it would never take part.
 func TestUnlistedInstanceClaimsOnceListed(t *testing.T) {
 	server, list := servePlatform(t, logstore.New(logstore.Options{}))
 	process := start(t, "entry-9", server.URL)
--- a/internal/controller/gateways.go
+++ b/internal/controller/gateways.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// toldPerDomain is how many gateways of each failure domain hear an
-	// announcement at first hand. They spread it as any other departure.
+	// toldPerDomain is how many gateways of each failure domain an
+	// announcement is sent to. They pass it on as any other departure.
 	toldPerDomain = 2
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = time.Second
-	// senderSuffix tells a controller from the gateway beside it: they share
-	// an instance, and the heartbeats of one must not stand for the other.
+	// senderSuffix distinguishes a controller from the gateway beside it.
+	// They share an instance, and a heartbeat of one must not be taken for
+	// one of the other.
 	senderSuffix = "/controller"
 )
 
-// gateways speaks to gateways by the peers' protocol. It implements
+// gateways sends requests to gateways by the peers' protocol. It implements
 // fleet.Gateways.
 type gateways struct {
 	self    settings.Instance
@@ -39,8 +40,9 @@
 	return &gateways{self: self, pool: pool, listing: listing, epoch: rand.Uint64() | 1}
 }
 
-// AnnounceLeaving tells some gateways of each failure domain that upstreams get
-// no new work any more. It fails when no gateway has heard it.
+// AnnounceLeaving announces upstreams as leaving to some gateways of each failure
+// domain, so that they get no new work. It returns an error if no gateway has
+// acknowledged that.
 func (g *gateways) AnnounceLeaving(ctx context.Context, upstreams []platform.Instance) error {
 	request := g.request()
 	for _, u := range upstreams {
@@ -51,7 +53,7 @@
 			FailureDomain: string(u.FailureDomain),
 		})
 	}
-	heard := 0
+	acknowledged := 0
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for _, address := range g.addresses() {
@@ -61,17 +63,18 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			heard++
+			acknowledged++
 		})
 	}
 	group.Wait()
-	if heard == 0 {
-		return errcode.New(errcode.Unavailable, "no gateway heard the announcement")
+	if acknowledged == 0 {
+		return errcode.New(errcode.Unavailable, "no gateway acknowledged the announcement")
 	}
 	return nil
 }
 
-// Leaving returns what the first gateway that answers knows as leaving.
+// Leaving returns the instances that the first gateway that answers knows as
+// leaving.
 func (g *gateways) Leaving(ctx context.Context) (map[ident.Instance]ident.Incarnation, error) {
 	request := g.request()
 	request.Position.NeedsFull = true
@@ -106,8 +109,8 @@
 	return g.pool.Exchange(ctx, address, request)
 }
 
-// addresses returns some live gateways of each failure domain, those of this
-// process's own first.
+// addresses returns the peer addresses of some live gateways of each failure
+// domain, those of this process's own domain first.
 func (g *gateways) addresses() []string {
 	var own, others []string
 	chosen := make(map[ident.FailureDomain]int)
--- a/internal/controller/gateways_test.go
+++ b/internal/controller/gateways_test.go
@@ -15,8 +15,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 )
 
-// startGateway serves the peers' protocol with a real membership that knows an
-// upstream.
+// startGateway starts a server for the peers' protocol with a real membership
+// that knows one upstream.
 func startGateway(t *testing.T, id platform.Instance, upstream platform.Instance) (*blackboard.Board, platform.Instance) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,10 +44,10 @@
 	return board, id
 }
 
-// Symptom: an upstream that is to be stopped goes on getting work, or a new
-// holder does not know that it drains. Sequence: a controller announces it to
-// the gateways; another controller asks. Cause: the two programs do not mean
-// the same by a digest.
+// Controllers and gateways must agree on the meaning of a digest: a controller
+// announces an upstream as leaving to the gateways, and another controller reads
+// from them that it is. Otherwise an upstream that is to be stopped would go on
+// getting work, or a new holder would not know that it is draining.
 func TestGatewaysHearAndTellWhatDrains(t *testing.T) {
 	upstream := platform.Instance{
 		ID: "app-1", Incarnation: 3, Role: platform.RolePlain, Service: "auktion-app", FailureDomain: "hall-a", State: platform.Live,
@@ -76,7 +76,7 @@
 	successor := newGateways(settings.Instance{ID: "entry-9", Incarnation: 1, FailureDomain: "hall-c"}, pool, listing)
 	leaving, err := successor.Leaving(t.Context())
 	if err != nil || len(leaving) != 1 || leaving["app-1"] != 3 {
-		t.Errorf("a new holder hears %v, %v; want app-1 of incarnation 3", leaving, err)
+		t.Errorf("a new holder reads %v, %v; want app-1 of incarnation 3", leaving, err)
 	}
 }
 
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -13,22 +13,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// The times between two reads of the platform's list: for a candidate, and one
-// that is not in the list yet; and for a process that only watches whether it
-// has become a candidate.
+// The times between two reads of the platform's list.
 const (
+	// candidateListing applies to a process that is a candidate for a lease
+	// or that is not in the list yet.
 	candidateListing = 2 * time.Second
-	watcherListing   = 10 * time.Second
+	// watcherListing applies to a process that only checks whether it has
+	// become a candidate.
+	watcherListing = 10 * time.Second
 )
 
-// runListing reads the platform's list and tells the lease manager which
-// leases this process is a candidate for. It is the one writer of p.listing.
+// runListing reads the platform's list and passes to the lease manager the
+// leases for which this process is a candidate. It is the only writer of
+// p.listing.
 func (p *Process) runListing(ctx context.Context) error {
 	for {
 		p.readList(ctx)
-		// Loaded once: what goes wrong otherwise is that documents come between
-		// the decision and the wait, which then waits for the ones after them,
-		// and no lease is claimed until the pause is over.
+		// The documents are loaded once for the decision and for the wait.
+		// Otherwise, if new documents came in between, the wait would be for
+		// a change after these, and no lease would be claimed until the pause
+		// is over.
 		documents := p.documents.Load()
 		wanted := p.candidacies(documents.Value)
 		p.leases.Want(wanted)
@@ -43,10 +47,10 @@
 
 // listingPause returns the time until the next read of the list.
 //
-// What goes wrong without the look at the own instance: the list lags, so a
-// process that starts with its instance reads it before that one is there, and
-// takes itself for a watcher. In a system that starts, nobody then controls
-// anything for as long as a watcher waits.
+// A process whose own instance is not listed yet reads the list as often as a
+// candidate. The list lags, so a process that starts together with its instance
+// reads it before the instance is there. If it then paused as long as a watcher,
+// a system that has just started would have no controller for that time.
 func (p *Process) listingPause(wanted []lease.Wanted) time.Duration {
 	self := p.settings.Instance.ID
 	listed := slices.ContainsFunc(p.listing.Value().Instances, func(i platform.Instance) bool { return i.ID == self })
@@ -62,15 +66,15 @@
 	began := time.Now()
 	list, err := p.platform.List(ctx)
 	if err != nil {
-		p.log.Debug("instance list not read", "error", err)
+		p.log.Debug("cannot read the instance list", "error", err)
 		return
 	}
 	p.listing.Publish(blackboard.Listing{Instances: list, ReadAt: began})
 }
 
 // candidacies returns the leases that this process wants: those for which it
-// is a candidate, and those that it holds. A holder stays one when the list
-// changes, so that the list's lag moves no lease.
+// is a candidate, and those that it holds. It keeps a lease that it holds when
+// the list changes, so that a list that lags moves no lease.
 func (p *Process) candidacies(documents *document.Set) []lease.Wanted {
 	instances := p.listing.Value().Instances
 	held := make(map[lease.Name]bool)
@@ -87,8 +91,8 @@
 	return wanted
 }
 
-// leaseNames returns the leases that exist: one over each service's fleet, and
-// one for the engines of each failure domain that has any.
+// leaseNames returns the names of all leases: one for each service's fleet, and
+// for each model service one for each failure domain that has live engines.
 func leaseNames(set *document.Set, instances []platform.Instance) []lease.Name {
 	var names []lease.Name
 	for _, service := range slices.Sorted(maps.Keys(set.Services)) {
--- a/internal/controller/listing_test.go
+++ b/internal/controller/listing_test.go
@@ -10,9 +10,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 )
 
-// Symptom: nobody controls a system for 10 s after it was started. Sequence: a
-// controller reads the platform's list, which lags, before its instance is in
-// it. Cause: it takes itself for a watcher and waits as long as one.
+// A controller that reads the platform's list, which lags, before its own
+// instance is in it must not pause as long as a process that is no candidate.
+// Otherwise a system would have no controller for 10 s after its start.
 func TestListingPause(t *testing.T) {
 	self := platform.Instance{ID: "entry-1"}
 	other := platform.Instance{ID: "entry-2"}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -14,21 +14,21 @@
 	Lease  lease.Name     `json:"lease"`
 	Holder ident.Instance `json:"holder,omitempty"`
 	Fence  ident.Fence    `json:"fence,omitempty"`
-	// Held: this process may act under it now.
+	// Held is whether this process may act under the lease now.
 	Held bool `json:"held"`
-	// RemainingMS is for how long, if nothing renews it.
+	// RemainingMS is for how many milliseconds, unless it is renewed.
 	RemainingMS int64 `json:"remaining_ms,omitempty"`
 }
 
-// serveStatus answers with the leases. A process that is no candidate reads
-// none, so their holders may be missing.
+// serveStatus answers with the leases. The holders may be missing, since a
+// process that is no candidate does not read them.
 func (p *Process) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	statuses := []leaseStatus{}
 	for _, name := range leaseNames(p.documents.Value(), p.listing.Value().Instances) {
 		statuses = append(statuses, p.statusOf(name))
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The client may be gone; there is nobody left to tell.
+	// An error means that the client is gone, so it can't be reported to it.
 	_ = json.NewEncoder(w).Encode(statuses)
 }
 
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -13,10 +13,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// renewalsPerLease is how many renewals a lease's length has room for.
+// renewalsPerLease is how many times a lease is renewed within its length.
 const renewalsPerLease = 3
 
-// wire creates the parts, which meet on the blackboard's sections.
+// wire creates the parts. They exchange data through the blackboard's sections.
 func (p *Process) wire() error {
 	s := p.settings
 	p.documents = blackboard.NewSection(&document.Set{})
--- a/internal/controllers/configuration/controller.go
+++ b/internal/controllers/configuration/controller.go
@@ -93,7 +93,7 @@
 	// is.
 	peerAheadSince time.Time
 	// firstKept is the oldest offset that the log keeps.
-	firstKept        ident.Offset
+	firstKept    ident.Offset
 	lastSnapshot seenSnapshot
 }
 
--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -162,10 +162,10 @@
 		}
 	}
 	c.progress.Store(&progress{
-		state:   state,
+		state:          state,
 		newestSnapshot: c.lastSnapshot,
-		firstKept:   c.firstKept,
-		atHead: c.ready && c.logReachable && c.reader.AtHead(),
+		firstKept:      c.firstKept,
+		atHead:         c.ready && c.logReachable && c.reader.AtHead(),
 	})
 }
 
--- a/internal/controllers/configuration/promise_test.go
+++ b/internal/controllers/configuration/promise_test.go
@@ -25,7 +25,7 @@
 	// changeDeadline is the time within which all processes must use an
 	// accepted change.
 	changeDeadline = 12 * time.Second
-	outage  = 2 * time.Minute
+	outage         = 2 * time.Minute
 )
 
 // documentText returns a document whose model version is the publication's ID.
--- a/internal/controllers/configuration/snapshots.go
+++ b/internal/controllers/configuration/snapshots.go
@@ -63,7 +63,7 @@
 
 // progress is the part of the controller's state that other goroutines read.
 type progress struct {
-	state   document.State
+	state          document.State
 	newestSnapshot seenSnapshot
 	// firstKept is the oldest offset that the log keeps.
 	firstKept ident.Offset
--- a/internal/controllers/configuration/world_test.go
+++ b/internal/controllers/configuration/world_test.go
@@ -161,13 +161,13 @@
 	partitioned bool
 	// documentsBlocked is whether GetDocuments fails, though heartbeats come
 	// through.
-	documentsBlocked   bool
-	faults []string
-	incarnations  int
+	documentsBlocked bool
+	faults           []string
+	incarnations     int
 }
 
 const (
-	domains          = 2
+	domains            = 2
 	processesPerDomain = 2
 )
 
--- a/internal/controllers/fleet/controller.go
+++ b/internal/controllers/fleet/controller.go
@@ -135,21 +135,21 @@
 // stateOf returns the state that was kept under this grant's fence, or a new
 // one. It reads the leaving instances from a gateway when that is due.
 func (c *Controller) stateOf(ctx context.Context, service ident.Service, grant lease.Grant) *holderState {
-	m := c.states[service]
+	h := c.states[service]
 	now := time.Now()
-	if m == nil || m.fence != grant.Fence {
-		m = newHolderState(grant.Fence, now)
+	if h == nil || h.fence != grant.Fence {
+		h = newHolderState(grant.Fence, now)
 	}
-	if now.Sub(m.leavingReadAt) >= leavingReadInterval {
-		c.readLeaving(ctx, m, now)
+	if now.Sub(h.leavingReadAt) >= leavingReadInterval {
+		c.readLeaving(ctx, h, now)
 	}
-	return m
+	return h
 }
 
 // readLeaving reads from a gateway which instances are leaving already: because
 // an earlier holder announced them, or because the answer to an announcement
 // was lost.
-func (c *Controller) readLeaving(ctx context.Context, m *holderState, now time.Time) {
+func (c *Controller) readLeaving(ctx context.Context, h *holderState, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	leaving, err := c.deps.Gateways.Leaving(ctx)
@@ -157,33 +157,33 @@
 		c.deps.Log.Debug("cannot read the leaving instances from a gateway", "error", err)
 		return
 	}
-	m.leavingReadAt = now
+	h.leavingReadAt = now
 	for id, incarnation := range leaving {
 		k := upstreamKey{id, incarnation}
-		if _, known := m.drainingSince[k]; !known {
-			m.drainingSince[k] = now
+		if _, known := h.drainingSince[k]; !known {
+			h.drainingSince[k] = now
 		}
 	}
 }
 
 // planService plans one service and executes the plan.
-func (c *Controller) planService(ctx context.Context, grant lease.Grant, doc *document.Document, m *holderState) {
-	o := c.observe(ctx, doc, m)
+func (c *Controller) planService(ctx context.Context, grant lease.Grant, doc *document.Document, h *holderState) {
+	o := c.observe(ctx, doc, h)
 	now := time.Now()
-	m.reclaims.update(o, now)
-	actual := m.plannerInput(doc.Service, o, now)
-	wanted := planner.Wanted{Placement: doc.Placement, Reclaims: m.reclaims.estimate()}
+	h.reclaims.update(o, now)
+	actual := h.plannerInput(doc.Service, o, now)
+	wanted := planner.Wanted{Placement: doc.Placement, Reclaims: h.reclaims.estimate()}
 	for _, action := range planner.Plan(actual, wanted, now) {
-		if action.Kind == planner.Start && !m.mayStart(action.Offering, now) {
+		if action.Kind == planner.Start && !h.mayStart(action.Offering, now) {
 			continue
 		}
-		c.execute(ctx, grant, doc, m, o, action)
+		c.execute(ctx, grant, doc, h, o, action)
 	}
 }
 
 // observe returns the service's listed upstreams and their loads, which it
 // reads anew when that is due.
-func (c *Controller) observe(ctx context.Context, doc *document.Document, m *holderState) observation {
+func (c *Controller) observe(ctx context.Context, doc *document.Document, h *holderState) observation {
 	o := observation{noticed: c.noticed, slots: c.config.SlotsPerEngine}
 	if doc.Kind == document.Plain {
 		o.slots = c.config.SlotsPerPlain
@@ -194,10 +194,10 @@
 			o.instances = append(o.instances, instance)
 		}
 	}
-	if now := time.Now(); now.Sub(m.loadsReadAt) >= c.config.LoadInterval {
-		m.loads, m.loadsReadAt = c.readLoads(ctx, o.instances), now
+	if now := time.Now(); now.Sub(h.loadsReadAt) >= c.config.LoadInterval {
+		h.loads, h.loadsReadAt = c.readLoads(ctx, o.instances), now
 	}
-	o.loads = m.loads
+	o.loads = h.loads
 	return o
 }
 
--- a/internal/controllers/fleet/estimate.go
+++ b/internal/controllers/fleet/estimate.go
@@ -37,7 +37,7 @@
 
 const (
 	// assumedReclaimsPerHour is the rate of reclaims per instance and hour that
-	// is assumed before any was seen. It weighs as much as assumedHours hours
+	// is assumed before any was seen. It weighs as much as assumedWeightHours hours
 	// of observation of one instance.
 	assumedReclaimsPerHour = 0.05
 	assumedWeightHours     = 20
--- a/internal/controllers/fleet/act.go
+++ b/internal/controllers/fleet/execute.go
@@ -12,8 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// execute executes one action if the lease is still held.
-func (c *Controller) execute(ctx context.Context, grant lease.Grant, doc *document.Document, m *holderState, o observation, action planner.Action) {
+// execute performs one action if the lease is still held.
+func (c *Controller) execute(ctx context.Context, grant lease.Grant, doc *document.Document, h *holderState, o observation, action planner.Action) {
 	// Without this check, a process that was paused would go on with a plan
 	// that another holder has replaced. If the lease ends between this line
 	// and the request, the cloud rejects the request by its fence, or the new
@@ -27,11 +27,11 @@
 	log := c.deps.Log.With("service", doc.Service, "reason", action.Reason, "fence", grant.Fence)
 	switch action.Kind {
 	case planner.Start:
-		err := c.start(ctx, grant, doc, m, action)
+		err := c.start(ctx, grant, doc, h, action)
 		log.Info("start instance", "start_id", action.StartID, "failure_domain", action.Offering.FailureDomain,
 			"class", action.Offering.Class, "reclaimable", action.Offering.Reclaimable, "error", err)
 	case planner.Drain:
-		err := c.drain(ctx, m, o, action.Instance)
+		err := c.drain(ctx, h, o, action.Instance)
 		log.Info("drain upstream", "upstream", action.Instance, "error", err)
 	case planner.Stop:
 		err := c.deps.Cloud.Stop(ctx, action.Instance, grant.Fence)
@@ -42,8 +42,8 @@
 
 // start requests an instance from the cloud. A start whose answer was lost
 // stays pending and is requested again with the same ID.
-func (c *Controller) start(ctx context.Context, grant lease.Grant, doc *document.Document, m *holderState, action planner.Action) error {
-	p := m.pendingStart(action, time.Now())
+func (c *Controller) start(ctx context.Context, grant lease.Grant, doc *document.Document, h *holderState, action planner.Action) error {
+	p := h.pendingStart(action, time.Now())
 	role := platform.RoleEngine
 	if doc.Kind == document.Plain {
 		role = platform.RolePlain
@@ -58,29 +58,29 @@
 		Reclaimable:   action.Offering.Reclaimable,
 		Fence:         grant.Fence,
 	})
-	m.recordStartResult(p, id, err, time.Now())
+	h.recordStartResult(p, id, err, time.Now())
 	return err
 }
 
 // pendingStart returns the pending start of an action and adds it if there is
-// none yet. The pointer is valid until m.pending changes.
-func (m *holderState) pendingStart(action planner.Action, now time.Time) *pending {
-	for i := range m.pending {
-		if m.pending[i].StartID == action.StartID {
-			return &m.pending[i]
+// none yet. The pointer is valid until h.pending changes.
+func (h *holderState) pendingStart(action planner.Action, now time.Time) *pending {
+	for i := range h.pending {
+		if h.pending[i].StartID == action.StartID {
+			return &h.pending[i]
 		}
 	}
-	m.startsRequested++
-	m.pending = append(m.pending, pending{
+	h.startsRequested++
+	h.pending = append(h.pending, pending{
 		Pending:     planner.Pending{StartID: action.StartID, Offering: action.Offering},
 		requestedAt: now,
 	})
-	return &m.pending[len(m.pending)-1]
+	return &h.pending[len(h.pending)-1]
 }
 
 // recordStartResult records the result of a start. A start that certainly had
 // no effect is no longer pending.
-func (m *holderState) recordStartResult(p *pending, id ident.Instance, err error, now time.Time) {
+func (h *holderState) recordStartResult(p *pending, id ident.Instance, err error, now time.Time) {
 	refused := errors.Is(err, platform.ErrNoCapacity)
 	notSent := errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrOldFence)
 	switch {
@@ -88,18 +88,18 @@
 		p.Answered, p.instance = true, id
 	case refused || notSent:
 		startsFailed.Add(1)
-		m.dropPending(p.StartID)
+		h.dropPending(p.StartID)
 	}
 	if refused {
-		m.recordFailure(p.Offering, now)
+		h.recordFailure(p.Offering, now)
 	}
 }
 
 // dropPending removes a pending start.
-func (m *holderState) dropPending(startID string) {
-	for i := range m.pending {
-		if m.pending[i].StartID == startID {
-			m.pending = append(m.pending[:i], m.pending[i+1:]...)
+func (h *holderState) dropPending(startID string) {
+	for i := range h.pending {
+		if h.pending[i].StartID == startID {
+			h.pending = append(h.pending[:i], h.pending[i+1:]...)
 			return
 		}
 	}
@@ -108,7 +108,7 @@
 // drain announces an upstream as leaving. The upstream counts as draining only
 // once a gateway has acknowledged that; until then later rounds announce it
 // again.
-func (c *Controller) drain(ctx context.Context, m *holderState, o observation, id ident.Instance) error {
+func (c *Controller) drain(ctx context.Context, h *holderState, o observation, id ident.Instance) error {
 	for _, instance := range o.instances {
 		if instance.ID != id {
 			continue
@@ -117,7 +117,7 @@
 			return err
 		}
 		drains.Add(1)
-		m.drainingSince[key(instance)] = time.Now()
+		h.drainingSince[key(instance)] = time.Now()
 	}
 	return nil
 }
--- a/internal/controllers/fleet/fleet_test.go
+++ b/internal/controllers/fleet/fleet_test.go
@@ -118,14 +118,14 @@
 		m.cloud.SetCapacity(domain, "cpu", true)
 	}
 	began := time.Now()
-	stops, restSince := -1, began
-	for time.Since(restSince) < steadyTime {
+	stops, steadySince := -1, began
+	for time.Since(steadySince) < steadyTime {
 		if time.Since(began) > healTime {
-			t.Fatalf("no rest: %d upstreams, want %d", m.size(), steadySize)
+			t.Fatalf("not steady: %d upstreams, want %d", m.size(), steadySize)
 		}
 		m.advance(t, 10*time.Second)
 		if m.size() != steadySize || m.stopCount() != stops {
-			stops, restSince = m.stopCount(), time.Now()
+			stops, steadySince = m.stopCount(), time.Now()
 		}
 	}
 }
--- a/internal/controllers/fleet/actual.go
+++ b/internal/controllers/fleet/holderstate.go
@@ -103,34 +103,34 @@
 
 // plannerInput returns the planner's input, and removes the pending starts that
 // have succeeded or failed.
-func (m *holderState) plannerInput(service ident.Service, o observation, now time.Time) planner.Actual {
-	m.resolvePending(o, now)
-	actual := planner.Actual{Service: service, Failures: m.failures, Holder: m.fence, Starts: m.startsRequested}
+func (h *holderState) plannerInput(service ident.Service, o observation, now time.Time) planner.Actual {
+	h.resolvePending(o, now)
+	actual := planner.Actual{Service: service, Failures: h.failures, Holder: h.fence, Starts: h.startsRequested}
 	work := 0
 	for _, instance := range o.instances {
-		counted := m.countInstance(instance, o, now)
+		counted := h.countInstance(instance, o, now)
 		l := o.loads[key(instance)]
 		work += l.running + l.queued
 		actual.Instances = append(actual.Instances, counted)
 	}
-	if m.demand.updatedAt.IsZero() {
-		m.demand.seed(len(o.instances), now)
+	if h.demand.updatedAt.IsZero() {
+		h.demand.seed(len(o.instances), now)
 	}
-	for _, p := range m.pending {
+	for _, p := range h.pending {
 		actual.Pending = append(actual.Pending, p.Pending)
 	}
-	actual.Demand = m.demand.update(float64(work)/o.slots, now)
+	actual.Demand = h.demand.update(float64(work)/o.slots, now)
 	return actual
 }
 
 // countInstance returns one listed instance as the planner counts it.
-func (m *holderState) countInstance(instance platform.Instance, o observation, now time.Time) planner.Instance {
+func (h *holderState) countInstance(instance platform.Instance, o observation, now time.Time) planner.Instance {
 	k := key(instance)
 	l, answered := o.loads[k]
 	if answered {
-		m.served[k] = true
+		h.served[k] = true
 	}
-	since, draining := m.drainingSince[k]
+	since, draining := h.drainingSince[k]
 	counted := planner.Instance{
 		ID:       instance.ID,
 		Offering: offeringOf(instance),
@@ -146,7 +146,7 @@
 	case l.leaving:
 		// Something other than this holder has told it to stop.
 		counted.State = planner.Leaving
-	case m.served[k]:
+	case h.served[k]:
 		counted.State = planner.Serving
 	}
 	return counted
@@ -154,38 +154,38 @@
 
 // resolvePending removes the pending starts whose instance is listed now, and
 // counts those as failed that were not listed within listedWithin.
-func (m *holderState) resolvePending(o observation, now time.Time) {
+func (h *holderState) resolvePending(o observation, now time.Time) {
 	listed := make(map[ident.Instance]bool)
 	for _, instance := range o.instances {
 		listed[instance.ID] = true
 	}
 	var open []pending
-	for _, p := range m.pending {
+	for _, p := range h.pending {
 		switch {
 		case p.Answered && listed[p.instance]:
-			delete(m.failures, p.Offering)
+			delete(h.failures, p.Offering)
 		case now.Sub(p.requestedAt) > listTimeout:
-			m.recordFailure(p.Offering, now)
+			h.recordFailure(p.Offering, now)
 		default:
 			open = append(open, p)
 		}
 	}
-	m.pending = open
+	h.pending = open
 }
 
 // recordFailure counts a failed start of an offering.
-func (m *holderState) recordFailure(offering planner.Offering, now time.Time) {
-	f := m.failures[offering]
-	m.failures[offering] = planner.Failures{Count: f.Count + 1, Last: now}
+func (h *holderState) recordFailure(offering planner.Offering, now time.Time) {
+	f := h.failures[offering]
+	h.failures[offering] = planner.Failures{Count: f.Count + 1, Last: now}
 }
 
 // mayStart reports whether this holder has held the lease long enough for all
 // instances that earlier holders started to be listed, and no start of the
 // offering has failed since the plan was made: the other starts of the offering
 // in this plan would fail as well.
-func (m *holderState) mayStart(offering planner.Offering, planned time.Time) bool {
-	settled := planned.Sub(m.heldSince) >= takeoverWait
-	return settled && m.failures[offering].Last.Before(planned)
+func (h *holderState) mayStart(offering planner.Offering, planned time.Time) bool {
+	settled := planned.Sub(h.heldSince) >= takeoverWait
+	return settled && h.failures[offering].Last.Before(planned)
 }
 
 func key(instance platform.Instance) upstreamKey {
--- a/internal/controllers/orders/controller.go
+++ b/internal/controllers/orders/controller.go
@@ -18,7 +18,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Leases tells whether this process may act; lease.Manager does.
+// Leases returns the leases that this process holds. *lease.Manager implements
+// it.
 type Leases interface {
 	Grant(name lease.Name) (lease.Grant, bool)
 }
@@ -28,28 +29,30 @@
 	Engine(address string) upstream.Engine
 }
 
-// Weights grants transfers of weights. An engine is ordered to another version
-// only when the store has granted one, because it is rate-limited.
+// Weights reserves transfers of weights. An engine gets an order for another
+// version only after the store has granted a transfer, because the store is
+// rate-limited.
 type Weights interface {
 	Reserve(ctx context.Context, model, version string) (platform.Transfer, error)
 }
 
-// Config says how often to look and how long an order may take.
+// Config holds the controller's interval and limits.
 type Config struct {
-	// Interval is the time between two looks at all engines.
+	// Interval is the time between two rounds.
 	Interval time.Duration
-	// Flight bounds one order. It must not exceed the leases' margin: an
-	// order that leaves right before the deadline has then landed, or was
-	// given up, before another holder can exist.
+	// Flight bounds the time of one request. It must not exceed the leases'
+	// margin: then an order that was sent right before the lease's deadline
+	// has been applied, or its request has timed out, before another process
+	// can hold the lease.
 	Flight time.Duration
 	// Parallel bounds the requests in progress.
 	Parallel int
 }
 
-// DefaultParallel is the usual Config.MaxParallel.
+// DefaultParallel is the usual Config.Parallel.
 const DefaultParallel = 32
 
-// Deps is what the controller works with.
+// Deps holds the controller's dependencies.
 type Deps struct {
 	Documents *blackboard.Section[*document.Set]
 	Listing   *blackboard.Section[blackboard.Listing]
@@ -59,32 +62,35 @@
 	Log       hclog.Logger
 }
 
-// Controller orders engines. Create it with New.
+// Controller sends orders to engines. Create it with New.
 type Controller struct {
 	config Config
 	deps   Deps
-	known  map[engineKey]Engine
+	// known holds the engines that answered in the last round.
+	known map[engineKey]Engine
 }
 
-// engineKey tells two lives of an instance apart.
+// engineKey identifies one incarnation of an instance.
 type engineKey struct {
 	id          ident.Instance
 	incarnation ident.Incarnation
 }
 
-// New returns a controller that has looked at nothing yet.
+// New returns a controller that has read no reports yet.
 func New(config Config, deps Deps) *Controller {
 	return &Controller{config: config, deps: deps, known: make(map[engineKey]Engine)}
 }
 
-// Run looks and orders until ctx ends. An order that has left is not given up
-// then, since it could land after the lease was released.
+// Run reads reports and sends orders until ctx ends. It does not cancel a round
+// in progress then, since a cancelled order could still be applied after the
+// lease was released.
 func (c *Controller) Run(ctx context.Context) error {
 	finish := context.WithoutCancel(ctx)
 	return rounds.Run(ctx, c.config.Interval, func() { c.Round(finish) })
 }
 
-// Round looks at all engines of held leases once and orders what is due.
+// Round reads the reports of all engines under the held leases once and sends the
+// orders that are due.
 func (c *Controller) Round(ctx context.Context) {
 	seen := make(map[engineKey]Engine)
 	for name, instances := range c.held() {
@@ -101,7 +107,8 @@
 	c.known = seen
 }
 
-// held returns the live engines by the leases that this process holds.
+// held returns the live engines, by lease, for the leases that this process
+// holds.
 func (c *Controller) held() map[lease.Name][]platform.Instance {
 	documents := c.deps.Documents.Value()
 	held := make(map[lease.Name][]platform.Instance)
@@ -119,8 +126,8 @@
 	return held
 }
 
-// look asks engines for their reports. One that does not answer, or that is
-// leaving, is left out.
+// look reads the engines' reports. It leaves out engines that do not answer or
+// are leaving.
 func (c *Controller) look(ctx context.Context, instances []platform.Instance) map[ident.Instance]*Engine {
 	var mu sync.Mutex
 	engines := make(map[ident.Instance]*Engine)
@@ -148,7 +155,7 @@
 	return engines
 }
 
-// sendDue orders the engines of one lease that are due.
+// sendDue sends the wanted order to the engines of one lease that are due.
 func (c *Controller) sendDue(ctx context.Context, name lease.Name, model document.ModelSpec, engines map[ident.Instance]*Engine) {
 	grant, held := c.deps.Leases.Grant(name)
 	if !held {
@@ -171,21 +178,22 @@
 	_ = group.Wait()
 }
 
-// send sends one order if the lease is still held when it leaves.
+// send sends one order if the lease is still held at that moment.
 func (c *Controller) send(ctx context.Context, grant lease.Grant, engine *Engine, wanted upstream.Order) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
 	defer cancel()
 	if !engine.at(wanted) && !equal(engine.Last, wanted) {
 		if _, err := c.deps.Weights.Reserve(ctx, wanted.Model, wanted.Version); err != nil {
 			reservationsRefused.Add(1)
-			c.deps.Log.Debug("no transfer of weights", "engine", engine.ID, "error", err)
+			c.deps.Log.Debug("cannot reserve a transfer of weights", "engine", engine.ID, "error", err)
 			return
 		}
 	}
-	// What went wrong without this check: the process is frozen, or waits for
-	// the store, until its lease is another's, and goes on as if nothing had
-	// happened. Check and send stand next to each other, so that only a freeze
-	// between these two lines is left to the fence and to the repair.
+	// Without this check, a process that was paused, or waited for the store,
+	// until another process held the lease would still send its order. Check
+	// and send directly follow each other: only an order from a process that
+	// is paused between them has to be rejected by its fence or be corrected
+	// by the new holder.
 	if !grant.Valid() {
 		ordersWithheld.Add(1)
 		return
@@ -195,19 +203,22 @@
 	c.note(engine, wanted, err)
 }
 
+// note logs and counts the result of an order. After an error the order counts
+// as not sent.
 func (c *Controller) note(engine *Engine, wanted upstream.Order, err error) {
 	log := c.deps.Log.With("engine", engine.ID, "model", wanted.Model, "version", wanted.Version, "fence", wanted.Fence)
 	switch {
 	case err == nil:
 		ordersApplied.Add(1)
-		log.Info("engine ordered", "from", engine.Version)
+		log.Info("engine accepted order", "from", engine.Version)
 	case errors.Is(err, upstream.ErrOldFence):
 		ordersRefused.Add(1)
-		log.Warn("engine obeys a newer holder")
+		log.Warn("engine rejected order, it has applied one of a newer lease holder")
 	default:
-		// It may have been applied, or be applied yet: its report tells.
+		// The order may have been applied or may still be; the engine's next
+		// report shows it.
 		ordersFailed.Add(1)
-		log.Debug("order failed", "error", err)
+		log.Debug("cannot send order to engine", "error", err)
 	}
 	if err != nil {
 		engine.Last = upstream.Order{}
--- a/internal/controllers/orders/decide.go
+++ b/internal/controllers/orders/decide.go
@@ -1,10 +1,11 @@
 // Package orders keeps the model engines of a service and failure domain at the
-// model and version that the service's document wants. It runs under a lease;
-// every order is absolute and carries the lease's fencing number.
+// model and version that the service's document specifies. It runs under a
+// lease. Every order states the whole wanted state and carries the lease's
+// fencing number.
 //
-// Engines that check the number refuse what an earlier holder sends late. For
-// engines that ignore it the holder never stops comparing what they report with
-// what is wanted, and orders again until both agree: it repairs from state.
+// Engines that check the number reject late orders of an earlier holder. For
+// engines that ignore it, the holder keeps comparing their reports with the
+// wanted state and repeats its order until both agree.
 package orders
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Engine is what this holder knows of one engine.
+// Engine is what this holder knows about one engine.
 type Engine struct {
 	ID          ident.Instance
 	Incarnation ident.Incarnation
@@ -24,46 +25,50 @@
 	// Model and Version are those that it reported last. An engine without
 	// a version serves nothing.
 	Model, Version string
-	// Fence is the number of the order that it applied last, 0 where it does
-	// not tell. It shows an order of another holder before that one's version
-	// is loaded, also where the engine does not check the number.
+	// Fence is the fencing number of the order that it applied last, 0 if it
+	// does not report it. It reveals an order of another holder before the
+	// version of that order is loaded, even if the engine does not check the
+	// number.
 	Fence ident.Fence
-	// Last is the order that this holder sent last, and when. Its fence is 0
-	// before the first one.
+	// Last is the last order that this holder sent, at LastAt. Its fence is 0
+	// before the first one and after one that failed.
 	Last   upstream.Order
 	LastAt time.Time
 }
 
-// at reports whether the engine runs what an order wants, as far as it tells.
+// at reports whether the engine's reported model and version are those of an
+// order.
 func (e Engine) at(order upstream.Order) bool {
 	return e.Model == order.Model && e.Version == order.Version
 }
 
-// follows reports whether the engine does what an order wants, and obeyed no
-// other one since.
+// follows reports whether the engine runs what an order wants and has not
+// reported another order since.
 func (e Engine) follows(order upstream.Order) bool {
 	return e.at(order) && (e.Fence == 0 || e.Fence == order.Fence)
 }
 
 const (
-	// repeatEvery is the time between two equal orders to an engine that does
-	// not report what it was ordered to, for example because it still loads.
+	// repeatEvery is the time between two equal orders to an engine whose
+	// report differs from the order, for example because it still loads.
 	repeatEvery = 2 * time.Second
-	// changingPart of the engines may change their version at once: 1 in 4.
+	// changingPart limits how many engines may change their version at once:
+	// 1 in 4, but at least one.
 	changingPart = 4
 )
 
-// Decide returns the engines that shall get the wanted order now.
+// Decide returns the engines to which the wanted order has to be sent now.
 //
-// Each engine gets it once from each holder: that raises its fencing number,
-// and covers what reports do not tell, the adapters and the role. From then on
-// it gets the order whenever its report differs. Reports lag, so some orders
-// are repeated needlessly; they are absolute, which makes that harmless. Only a part of the engines
-// changes version at once, so that the others go on serving.
+// Each engine gets the order once from each holder. This raises its fencing
+// number and sets the adapters and the role, which reports do not show. After
+// that it gets the order whenever its report differs. Since reports lag, some
+// orders are repeated needlessly; that is harmless, because an order states the
+// whole wanted state. Only a part of the engines changes version at once, so
+// that the others go on serving.
 func Decide(engines []Engine, wanted upstream.Order, now time.Time) []ident.Instance {
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
-	room := max(1, len(engines)/changingPart) - countChanging(engines, wanted)
+	changesLeft := max(1, len(engines)/changingPart) - countChanging(engines, wanted)
 	var due []ident.Instance
 	for _, engine := range engines {
 		switch {
@@ -73,15 +78,16 @@
 			}
 		case engine.at(wanted), engine.Version == "":
 			due = append(due, engine.ID)
-		case room > 0:
-			room--
+		case changesLeft > 0:
+			changesLeft--
 			due = append(due, engine.ID)
 		}
 	}
 	return due
 }
 
-// countChanging counts the engines that load the wanted version.
+// countChanging returns how many engines are loading the wanted version in place
+// of another.
 func countChanging(engines []Engine, wanted upstream.Order) int {
 	count := 0
 	for _, engine := range engines {
--- a/internal/controllers/orders/decide_test.go
+++ b/internal/controllers/orders/decide_test.go
@@ -12,9 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Symptom: a service answers nobody while a new version is rolled out.
-// Sequence: all engines get the order at once. Cause: each of them stops
-// serving while it loads.
+// Engines stop serving while they load a version. If all of them got the order
+// for a new version at once, the service would answer nobody meanwhile.
 func TestOnlyAPartOfTheEnginesChangesAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := upstream.Order{Fence: 5, Model: "m", Version: "2"}
--- a/internal/controllers/orders/late_order_test.go
+++ b/internal/controllers/orders/late_order_test.go
@@ -23,17 +23,18 @@
 
 func init() { testkit.OneProcessor() }
 
-// step is how finely the tests look at an engine.
+// step is the time between two reads of the engine's report.
 const step = 50 * time.Millisecond
 
-// setting is what a scene varies.
+// setting holds the parameters of a scene.
 type setting struct {
+	// checks is whether the engine checks fencing numbers.
 	checks   bool
 	loadTime time.Duration
 	margin   time.Duration
-	// version that the engine runs at the start.
+	// version is the one that the engine runs at the start.
 	version string
-	// freezeBeforeCheck freezes holders before their last check of the lease
+	// freezeBeforeCheck pauses holders before their last check of the lease
 	// instead of after it.
 	freezeBeforeCheck bool
 	// interval is the time between two rounds, and between two reads of the
@@ -41,17 +42,17 @@
 	interval time.Duration
 }
 
-// link is one process's way to the log and to the engines.
+// link is one process's connection to the log and to the engines.
 type link struct {
 	log platform.Log
-	// flight is how long an order takes; it lands also when its sender has
-	// given it up.
+	// flight is the time after which the engine applies an order. It applies
+	// it even if its sender has timed out by then.
 	flight time.Duration
 
 	mu sync.Mutex
-	// cut: the log is not reachable.
+	// cut is whether the log is unreachable.
 	cut bool
-	// thawed is closed while the process runs.
+	// thawed is closed while the process is not paused.
 	thawed chan struct{}
 }
 
@@ -73,9 +74,9 @@
 	return l.cut
 }
 
-// freeze stops the process at its next append, read or order until the
-// returned function runs. Reports still work, so that a round gets as far as
-// its first order: the process stops between the check and the send.
+// freeze pauses the process at its next append, read or order until the returned
+// function is called. Reports still work, so that a round gets as far as its
+// first order: the process is paused between the check and the send.
 func (l *link) freeze() func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +126,7 @@
 	}
 }
 
-// holder is one controller process with its own view of the documents.
+// holder is one controller process with its own documents and list.
 type holder struct {
 	link      *link
 	leases    *lease.Manager
@@ -133,12 +134,13 @@
 	listing   *blackboard.Section[blackboard.Listing]
 }
 
-// Engine implements orders.Dialer: there is one engine.
+// dialer implements orders.Dialer. It has one engine for all addresses.
 type dialer struct{ engine upstream.Engine }
 
 func (d dialer) Engine(string) upstream.Engine { return d.engine }
 
-// weights grants every transfer, when the process is frozen there only later.
+// weights grants every transfer, but if freezes is set, only while the process is
+// not paused.
 type weights struct {
 	link    *link
 	freezes bool
@@ -176,7 +178,7 @@
 
 var leaseName = lease.Name{Service: "spool-llm", FailureDomain: "hall-a"}
 
-// list makes the engine known to the holder.
+// list adds the engine to the holder's list of instances.
 func (h *holder) list() {
 	h.listing.Publish(blackboard.Listing{Instances: []platform.Instance{{
 		ID: "engine-1", Incarnation: 1, Role: platform.RoleEngine, Service: leaseName.Service,
@@ -191,8 +193,8 @@
 	return &document.Set{Services: map[ident.Service]document.Entry{leaseName.Service: {Document: doc}}}
 }
 
-// scene is one engine with an old holder that wants version 1 and its
-// successor that wants version 2.
+// scene is one engine, an old holder that wants version 1, and a new holder that
+// wants version 2.
 type scene struct {
 	engine   *engine.Engine
 	old, new *holder
@@ -214,13 +216,13 @@
 	s.old.want()
 	time.Sleep(5 * time.Second)
 	s.new.want()
-	// From now on the successor watches each renewal as it comes.
+	// From now on the new holder sees each renewal when it is appended.
 	time.Sleep(5 * time.Second)
 	return s
 }
 
-// wrongFor watches the engine for a while and returns for how long it had
-// version 1 after it had version 2.
+// wrongFor watches the engine for the time watch and returns for how long it did
+// not run version 2 after it first did.
 func (s *scene) wrongFor(t *testing.T, watch time.Duration) time.Duration {
 	t.Helper()
 	var wrong time.Duration
@@ -242,7 +244,7 @@
 	return wrong
 }
 
-// inBubble runs a test in virtual time and ends its processes.
+// inBubble runs a test in virtual time and stops its processes at the end.
 func inBubble(t *testing.T, run func(t *testing.T, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -254,16 +256,16 @@
 	})
 }
 
-// Symptom: an engine goes back to an old version, for good. Sequence: a holder
-// is frozen right before it sends an order; its lease passes on and the new
-// holder orders the new version; then the old holder wakes and its order
-// arrives. Cause: the order was checked before the freeze.
+// A holder is paused right before it sends an order, after it has checked its
+// lease. Another process gets the lease and orders the new version; then the old
+// holder resumes and its order arrives. The engine must not go back to the old
+// version for good.
 func TestLateOrderOfAFrozenHolderIsRepaired(t *testing.T) {
 	const (
 		interval = time.Second
 		flight   = 200 * time.Millisecond
-		// bound is one round until the report is read, the order's flight,
-		// and the grain of the test.
+		// bound is the time of one round, after which the report is read,
+		// plus the order's flight, plus the resolution of the test.
 		bound = interval + flight + step
 	)
 	cases := []struct {
@@ -306,10 +308,10 @@
 	}
 }
 
-// Symptom: as above, without any freeze. Sequence: the old holder loses the
-// log; an engine appears shortly before its deadline and gets an order that
-// flies for a while; meanwhile the lease passes on. Cause: the order leaves
-// under a valid lease and lands after it. The margin is there for it.
+// The margin keeps an order that was sent under a valid lease from being applied
+// after the lease has passed to another holder. The old holder loses the log; an
+// engine appears shortly before the lease's deadline and gets an order that takes
+// a while; meanwhile the new holder gets the lease.
 func TestMarginKeepsOrdersInFlightOutOfTheNextLease(t *testing.T) {
 	worst := func(margin time.Duration) time.Duration {
 		var worst time.Duration
--- a/internal/controllers/probing/caches.go
+++ b/internal/controllers/probing/caches.go
@@ -9,8 +9,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Caches keeps one cache view for each engine. Its methods belong to the
-// goroutine of Controller.Run; the views are read by others.
+// Caches holds one cache view for each engine. Only the goroutine of
+// Controller.Run may call its methods; other goroutines read the views.
 type Caches struct {
 	params cacheview.Params
 	views  map[ident.Instance]engineCache
@@ -38,12 +38,13 @@
 func (c *Caches) Forget(id ident.Instance) { delete(c.views, id) }
 
 // View implements CacheIndex. An engine that this process does not probe has a
-// view too, for the prefixes that it places there itself.
+// view too, which holds the prefixes that this process sends there.
 func (c *Caches) View(id ident.Instance, incarnation ident.Incarnation) blackboard.CachedPrefix {
 	return c.view(id, incarnation)
 }
 
-// view returns the view of one incarnation. A later one starts empty.
+// view returns the view of one incarnation. A later incarnation starts with an
+// empty view.
 func (c *Caches) view(id ident.Instance, incarnation ident.Incarnation) *cacheview.View {
 	e, ok := c.views[id]
 	if !ok || e.incarnation < incarnation {
--- a/internal/controllers/probing/config.go
+++ b/internal/controllers/probing/config.go
@@ -1,6 +1,6 @@
-// Package probing asks upstreams for their health and load, pulls the engines'
-// cache events, and publishes what routing decides by. It is the one writer of
-// board.Upstreams.
+// Package probing reads the health and load of upstreams and the engines' cache
+// events, and publishes the upstreams' states for routing. It is the only writer
+// of board.Upstreams.
 package probing
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Config says which upstreams this process probes and how often.
+// Config sets which upstreams this process probes and how often.
 type Config struct {
 	Self          ident.Instance
 	FailureDomain ident.FailureDomain
@@ -23,12 +23,13 @@
 	Interval time.Duration
 	// Timeout bounds one probe.
 	Timeout time.Duration
-	// PublishInterval is the least time between two publications that bring
-	// only new load. Changes of state are published at once.
+	// PublishInterval is the least time between two publications that change
+	// only loads. Changes of state are published at once.
 	PublishInterval time.Duration
 	// ProbeAllUpTo is the number of upstreams up to which every gateway
-	// probes all. Of more, ProbersPerUpstream gateways of the upstream's
-	// failure domain do, and the others learn it from digests.
+	// probes all. If there are more, ProbersPerUpstream gateways of each
+	// upstream's failure domain probe it, and the others get the results
+	// from the membership's digests.
 	ProbeAllUpTo       int
 	ProbersPerUpstream int
 	// FailuresToSuspect is how many probes in a row must fail before this
@@ -57,26 +58,27 @@
 	Plain(address string) upstream.Plain
 }
 
-// Membership is the part of the membership controller that probing uses.
+// Membership is the part of the membership controller that probing uses: it
+// receives observations and returns all entries with their loads.
 type Membership interface {
 	Observe(controller.Observation)
 	Entries() []membership.Entry
 }
 
-// CacheIndex keeps what is believed of the engines' caches. Probing calls it
-// from one goroutine; views are read by others.
+// CacheIndex estimates the contents of the engines' caches. Probing calls it
+// from one goroutine; other goroutines read the views.
 type CacheIndex interface {
-	// Apply takes the events that one pull returned, in their order; a gap
-	// in their sequence numbers is for the index to notice. events may be
-	// empty. A new incarnation starts with an empty cache and sequence 1.
+	// Apply adds the events that one pull returned, in their order. The index
+	// has to detect gaps in their sequence numbers. events may be empty. A
+	// new incarnation starts with an empty cache and sequence number 1.
 	Apply(id ident.Instance, incarnation ident.Incarnation, events []upstream.CacheEvent)
-	// Forget drops an upstream that is gone.
+	// Forget removes an upstream that is gone.
 	Forget(id ident.Instance)
-	// View returns the belief as routing reads it.
+	// View returns the estimate for routing. It may be read by any goroutine.
 	View(id ident.Instance, incarnation ident.Incarnation) blackboard.CachedPrefix
 }
 
-// Deps is what the controller works with.
+// Deps holds the controller's dependencies.
 type Deps struct {
 	Board      *blackboard.Board
 	Membership Membership
--- a/internal/controllers/probing/controller.go
+++ b/internal/controllers/probing/controller.go
@@ -13,25 +13,26 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Controller probes upstreams. Its state belongs to Run's goroutine.
+// Controller probes upstreams. Only the goroutine of Run uses its state.
 type Controller struct {
 	config  Config
 	deps    Deps
 	probes  map[ident.Instance]*probeState
 	results chan result
-	// dirty: load has changed since the last publication.
+	// dirty is whether a load has changed since the last publication.
 	dirty bool
 }
 
-// probeState is what this process's own probes told of one life of an upstream.
+// probeState is the result of this process's own probes of one incarnation of an
+// upstream.
 type probeState struct {
 	incarnation ident.Incarnation
 	running     bool
 	failures    int
 	report      upstream.Report
-	// asOf is zero before the first answer.
+	// asOf is when report was true. It is zero before the first answer.
 	asOf time.Time
-	// lastEvent is the sequence of the last cache event.
+	// lastEvent is the sequence number of the last cache event.
 	lastEvent uint64
 }
 
@@ -78,8 +79,9 @@
 	}
 }
 
-// startNew probes at once what was never probed, so that a new upstream is used
-// as soon as it answers.
+// startNew probes upstreams that were never probed at once, so that a new one is
+// used as soon as it answers. It also removes the state of upstreams that are
+// gone.
 func (c *Controller) startNew(ctx context.Context, running *sync.WaitGroup, members *blackboard.Members) {
 	for _, instance := range c.assigned(members) {
 		p, ok := c.probes[instance.ID]
@@ -96,7 +98,7 @@
 	}
 }
 
-// start probes an upstream unless a probe of it is running.
+// start starts a probe of an upstream unless one is running.
 func (c *Controller) start(ctx context.Context, running *sync.WaitGroup, instance platform.Instance) {
 	p, ok := c.probes[instance.ID]
 	if !ok || p.incarnation != instance.Incarnation {
@@ -117,15 +119,15 @@
 	})
 }
 
-// isUpstream reports whether an instance is an upstream that can be reached.
-// One that is only known by its ID has no address yet.
+// isUpstream reports whether an instance is an upstream with a known address. An
+// instance of which only the ID is known has none yet.
 func isUpstream(instance platform.Instance) bool {
 	upstreamRole := instance.Role == platform.RoleEngine || instance.Role == platform.RolePlain
 	return upstreamRole && instance.Address != ""
 }
 
-// settle takes the end of a probe and reports whether it changes the state by
-// which routing decides.
+// settle applies the result of a probe and reports whether it changes the state
+// that routing uses.
 func (c *Controller) settle(r result) bool {
 	p, ok := c.probes[r.id]
 	if !ok || p.incarnation != r.incarnation {
@@ -145,11 +147,13 @@
 	return recovered
 }
 
+// settleFailure counts a failed probe and reports whether it makes the upstream
+// suspect.
 func (c *Controller) settleFailure(r result, p *probeState) bool {
 	p.failures++
 	probesFailed.Add(1)
 	if p.failures == c.config.FailuresToSuspect {
-		c.deps.Log.Warn("upstream does not answer", "upstream", r.id, "error", r.err)
+		c.deps.Log.Warn("upstream is suspect, its probes fail", "upstream", r.id, "error", r.err)
 		return true
 	}
 	return false
@@ -179,7 +183,7 @@
 	c.deps.Cache.Apply(r.id, r.incarnation, r.events)
 }
 
-// forgetGone drops what is kept of upstreams that are gone.
+// forgetGone removes the state of upstreams that are gone.
 func (c *Controller) forgetGone(members *blackboard.Members) {
 	for id := range c.probes {
 		m, ok := members.ByID[id]
--- a/internal/controllers/probing/probe.go
+++ b/internal/controllers/probing/probe.go
@@ -10,21 +10,22 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// result is the end of one probe.
+// result is the result of one probe.
 type result struct {
 	id ident.Instance
-	// incarnation is the life that was probed.
+	// incarnation is the one that was probed.
 	incarnation ident.Incarnation
 	report      upstream.Report
-	// asOf is when the figures were true.
+	// asOf is when report was true.
 	asOf   time.Time
 	err    error
 	events []upstream.CacheEvent
-	// eventsErr is nil when events is the answer of a pull.
+	// eventsErr is the error of the pull of cache events.
 	eventsErr error
 }
 
-// probe asks one upstream. after is the last cache event already known.
+// probe probes one upstream. after is the sequence number of the last cache event
+// that is already known.
 func (c *Controller) probe(ctx context.Context, instance platform.Instance, after uint64) result {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
@@ -54,11 +55,13 @@
 	}, err
 }
 
-// checkIdentity fails when the answer is another instance's.
+// checkIdentity returns an error if a report comes from another instance or an
+// earlier incarnation. It fills in the instance's ID and incarnation if the
+// report has none.
 //
-// What goes wrong without: an instance ends, the platform gives its address to
-// a new one, and until the lagging list says so the new one's answers keep the
-// old one alive, with the old one's service and price.
+// Without the check, if an instance ends and the platform gives its address to a
+// new one, the answers of the new one would keep the old one alive, with its
+// service and price, until the list, which lags, shows the change.
 func checkIdentity(instance platform.Instance, report *upstream.Report) error {
 	if report.Instance == "" {
 		report.Instance = instance.ID
--- a/internal/controllers/probing/probing_test.go
+++ b/internal/controllers/probing/probing_test.go
@@ -24,7 +24,7 @@
 
 func init() { testkit.OneProcessor() }
 
-// engines answer probes by address.
+// engines holds the reports with which the engines at each address answer probes.
 type engines struct {
 	mu      sync.Mutex
 	reports map[string]upstream.Report
@@ -53,7 +53,7 @@
 	address string
 }
 
-// Report does not answer at an address where nothing is.
+// Report does not answer at an address without a report.
 func (e *engine) Report(ctx context.Context) (upstream.Report, error) {
 	e.all.mu.Lock()
 	report, ok := e.all.reports[e.address]
@@ -78,14 +78,14 @@
 	return out, nil
 }
 
-// alone is a transport without peers.
+// alone is a transport that reaches no peers.
 type alone struct{}
 
 func (alone) Exchange(context.Context, string, *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	return nil, errors.New("no peer")
 }
 
-// bench is one process with its engines.
+// bench is one gateway process with its membership, probing and engines.
 type bench struct {
 	t       *testing.T
 	board   *blackboard.Board
@@ -140,8 +140,8 @@
 	b.t.Errorf("%s is not published", id)
 }
 
-// An upstream is used once it answers, avoided while it does not, and used
-// again.
+// An upstream is used once it answers, avoided while it doesn't, and used once it
+// answers again.
 func TestAnswersDecide(t *testing.T) {
 	runBench(t, func(b *bench) {
 		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
@@ -161,10 +161,9 @@
 	})
 }
 
-// Symptom: an upstream that says it leaves, or refuses, gets more work.
-// Sequence: the list says live; the upstream's own report, or its refusal of a
-// request, says leaving.
-// Cause: its own word waits for the next list or probe.
+// An upstream that reports that it is leaving, or refuses a request for that
+// reason, must get no more work at once, not only after the next list or probe,
+// and although the list still shows it as live.
 func TestOwnWordCountsAtOnce(t *testing.T) {
 	runBench(t, func(b *bench) {
 		list := []platform.Instance{engineInstance("u", 1, "a:1"), engineInstance("v", 1, "a:2")}
@@ -185,10 +184,10 @@
 	})
 }
 
-// Symptom: requests for one service reach an instance of another.
-// Sequence: an upstream ends without a word; its address goes to a new instance,
-// which answers; the list still shows the old one.
-// Cause: any answer at the address is taken for the old instance's.
+// An answer at an instance's address must not count as that instance's if
+// another instance sent it. Otherwise, if an upstream crashes and its address
+// goes to a new instance while the list still shows the old one, requests for
+// one service reach an instance of another.
 func TestReusedAddressIsNoProofOfLife(t *testing.T) {
 	runBench(t, func(b *bench) {
 		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
@@ -217,7 +216,7 @@
 			return b.board.Upstreams.Value().ByService["spool-llm"][0].Cache.Cached([]uint64{7, 8}, time.Now())
 		}
 		if got := cached(); got < 1.5 {
-			t.Errorf("%v blocks believed cached, want about 2", got)
+			t.Errorf("estimated %v cached blocks, want about 2", got)
 		}
 		b.engines.mu.Lock()
 		b.engines.events = nil
@@ -226,13 +225,13 @@
 		b.members.ApplyList([]platform.Instance{engineInstance("u", 2, "a:1")})
 		time.Sleep(2 * time.Second)
 		if got := cached(); got != 0 {
-			t.Errorf("%v blocks believed cached in a new life", got)
+			t.Errorf("estimated %v cached blocks in a new incarnation, want 0", got)
 		}
 	})
 }
 
-// At scale each upstream is probed by a few gateways of its domain, and every
-// one by some.
+// In a large fleet each upstream is probed by ProbersPerUpstream gateways, and
+// none is left out.
 func TestSharesCoverAllUpstreams(t *testing.T) {
 	const gateways, upstreams = 33, 69
 	members := &blackboard.Members{ByID: map[ident.Instance]blackboard.Member{}}
@@ -265,14 +264,14 @@
 	}
 }
 
-// known is a membership that holds entries and takes no observations.
+// known is a membership with fixed entries that ignores observations.
 type known []membership.Entry
 
 func (known) Observe(controller.Observation) {}
 func (k known) Entries() []membership.Entry  { return k }
 
-// BenchmarkPublish is a new snapshot of all upstreams, as after each round of
-// probes or digests.
+// BenchmarkPublish measures the publication of a new snapshot of all upstreams,
+// as after each round of probes or digests.
 func BenchmarkPublish(b *testing.B) {
 	for _, upstreams := range []int{13, 210, 690} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
--- a/internal/controllers/probing/publish.go
+++ b/internal/controllers/probing/publish.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// sharing reports whether the upstreams are too many for every gateway to
+// sharing reports whether there are too many upstreams for every gateway to
 // probe them all.
 func (c *Controller) sharing(members *blackboard.Members) bool {
 	count := 0
@@ -37,8 +37,9 @@
 	return count > c.config.ProbeAllUpTo
 }
 
-// owns reports whether this process is among the probers of an upstream: the
-// gateways of its failure domain, or all when the domain has none.
+// owns reports whether this process is among the probers of an upstream. They
+// are chosen from the gateways of the upstream's failure domain, or from all
+// gateways if the domain has none.
 func (c *Controller) owns(instance platform.Instance, gateways map[ident.FailureDomain][]ident.Instance) bool {
 	candidates := gateways[instance.FailureDomain]
 	if len(candidates) == 0 {
@@ -51,6 +52,7 @@
 	return membership.Owns(c.config.Self, candidates, instance.ID, c.config.ProbersPerUpstream)
 }
 
+// gatewaysByDomain returns the gateways that are alive, in no order.
 func gatewaysByDomain(members *blackboard.Members) map[ident.FailureDomain][]ident.Instance {
 	out := map[ident.FailureDomain][]ident.Instance{}
 	for id, m := range members.ByID {
@@ -72,7 +74,7 @@
 	return out
 }
 
-// publish replaces board.Upstreams.
+// publish replaces board.Upstreams. Leaving upstreams are included.
 func (c *Controller) publish(members *blackboard.Members) {
 	c.dirty = false
 	loads := c.loads()
@@ -90,7 +92,7 @@
 	c.deps.Board.Upstreams.Publish(&blackboard.Upstreams{ByService: byService})
 }
 
-// loads returns the latest load of each upstream as told by any process.
+// loads returns the latest load of each instance that any process has reported.
 func (c *Controller) loads() map[ident.Instance]membership.Load {
 	entries := c.deps.Membership.Entries()
 	out := make(map[ident.Instance]membership.Load, len(entries))
@@ -102,7 +104,8 @@
 	return out
 }
 
-// describe joins the merged state with what this process's own probes told.
+// describe combines the membership's state and load of an upstream with the
+// results of this process's own probes. The later load counts.
 func (c *Controller) describe(m blackboard.Member, load membership.Load) blackboard.Upstream {
 	u := blackboard.Upstream{Instance: m.Instance, State: m.State}
 	if c.deps.Cache != nil && m.Instance.Role == platform.RoleEngine {
