--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
 // Package controller is the process that makes the decisions for which a lease
 // is needed: which upstreams to start and stop, and which model and version the
-// engines run. One runs beside the gateway on each entry instance. Callers never
-// wait for it.
+// engines run. One runs beside the gateway on each entry instance. Callers
+// never wait for it.
 package controller
 
 import (
@@ -106,10 +106,10 @@
 	server := p.operations()
 	holdingDone.Go(func() { p.leases.Run(holding) })
 	for _, loop := range p.loops() {
-		roundsDone.Go(func() { report(failed, loop(rounds)) })
+		roundsDone.Go(func() { reportFailure(failed, loop(rounds)) })
 	}
-	go func() { report(failed, server.Serve()) }()
-	if err := p.announce(stdout); err != nil {
+	go func() { reportFailure(failed, server.Serve()) }()
+	if err := p.announceListening(stdout); err != nil {
 		return err
 	}
 
@@ -133,15 +133,15 @@
 	return []func(context.Context) error{
 		p.configuration.Run,
 		p.configuration.WriteSnapshots,
-		p.runListing,
+		p.runListReader,
 		p.orders.Run,
 		p.fleet.Run,
 	}
 }
 
-// report sends a loop's error unless another was sent before. The end of the
-// loop's context is no failure.
-func report(failed chan<- error, err error) {
+// reportFailure sends a loop's error unless another was sent before. The end of
+// the loop's context is no failure.
+func reportFailure(failed chan<- error, err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
 	}
@@ -186,7 +186,7 @@
 	Operators string         `json:"operators"`
 }
 
-func (p *Process) announce(stdout io.Writer) error {
+func (p *Process) announceListening(stdout io.Writer) error {
 	line := listening{Event: "listening", Instance: p.settings.Instance.ID, Operators: p.listener.Addr().String()}
 	return errcode.Wrap(errcode.Internal, json.NewEncoder(stdout).Encode(line), "announce")
 }
@@ -200,8 +200,8 @@
 	})
 }
 
-// ready reports whether this process has what it needs for decisions, and if not,
-// what it lacks.
+// ready reports whether this process has what it needs for decisions, and if
+// not, what it lacks.
 func (p *Process) ready() (bool, string) {
 	if health := p.health.Value(); !health.Ready {
 		return false, "documents: " + health.Problem
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -30,9 +30,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds the waits for another goroutine. No test depends on how long a
-// wait takes.
-const patience = 30 * time.Second
+// waitLimit bounds the waits for another goroutine. No test depends on how long
+// a wait takes.
+const waitLimit = 30 * time.Second
 
 // startPlatform serves a platform with one document and two entry instances.
 func startPlatform(t *testing.T) (address string, log *logstore.Log) {
@@ -74,14 +74,14 @@
 	}
 }
 
-// running is a controller that runs in this process.
-type running struct {
+// testProcess is a controller that runs in this process.
+type testProcess struct {
 	operators string
 	stop      context.CancelFunc
 	ended     chan error
 }
 
-func start(t *testing.T, id, address string) *running {
+func startTestProcess(t *testing.T, id, address string) *testProcess {
 	t.Helper()
 	s, findings := settings.ParseController("test", []byte(`
 [instance]
@@ -108,7 +108,7 @@
 	stopCtx, stop := context.WithCancel(context.Background())
 	kill, endKill := context.WithCancel(context.Background())
 	reader, writer := io.Pipe()
-	r := &running{stop: stop, ended: make(chan error, 1)}
+	r := &testProcess{stop: stop, ended: make(chan error, 1)}
 	go func() { r.ended <- process.Run(program.Signals{Stop: stopCtx, Kill: kill}, writer) }()
 	line, err := bufio.NewReader(reader).ReadBytes('\n')
 	if err != nil {
@@ -125,16 +125,16 @@
 
 // await waits until the controller answers a path with 200 and a body that ok
 // accepts.
-func (r *running) await(t *testing.T, path string, ok func(body []byte) bool) {
+func (r *testProcess) await(t *testing.T, path string, ok func(body []byte) bool) {
 	t.Helper()
 	r.awaitStatus(t, path, http.StatusOK, ok)
 }
 
 // awaitStatus is await with another HTTP status.
-func (r *running) awaitStatus(t *testing.T, path string, status int, ok func(body []byte) bool) {
+func (r *testProcess) awaitStatus(t *testing.T, path string, status int, ok func(body []byte) bool) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
+	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
 		resp, err := client.Get("http://" + r.operators + path)
 		if err != nil {
 			continue
@@ -145,13 +145,13 @@
 			return
 		}
 	}
-	t.Fatalf("%s: not as expected within %v", path, patience)
+	t.Fatalf("%s: not as expected within %v", path, waitLimit)
 }
 
-func anything([]byte) bool { return true }
+func anyBody([]byte) bool { return true }
 
-// holdsFleet reports whether a status page shows that the process holds the lease
-// for the service's fleet.
+// holdsFleet reports whether a status page shows that the process holds the
+// lease for the service's fleet.
 func holdsFleet(body []byte) bool {
 	var statuses []struct {
 		Lease lease.Name
@@ -168,12 +168,12 @@
 	return false
 }
 
-// A holder that is stopped must release its lease. Otherwise no process could act
-// for the length of a lease after each update of a controller.
+// A holder that is stopped must release its lease. Otherwise no process could
+// act for the length of a lease after each update of a controller.
 func TestStoppedHolderReleasesItsLease(t *testing.T) {
 	address, log := startPlatform(t)
-	first := start(t, "entry-1", address)
-	first.await(t, "/readyz", anything)
+	first := startTestProcess(t, "entry-1", address)
+	first.await(t, "/readyz", anyBody)
 	first.await(t, "/status", holdsFleet)
 	first.stop()
 	if err := <-first.ended; err != nil {
@@ -187,7 +187,7 @@
 	if err != nil || last.Kind != lease.Release {
 		t.Fatalf("the last record is %+v (%v), want a release", last, err)
 	}
-	second := start(t, "entry-2", address)
+	second := startTestProcess(t, "entry-2", address)
 	second.await(t, "/status", holdsFleet)
 	second.stop()
 	if err := <-second.ended; err != nil {
@@ -211,8 +211,8 @@
 	listener.Close()
 	for name, address := range map[string]string{"nobody listens": refusing, "requests hang": server.URL} {
 		t.Run(name, func(t *testing.T) {
-			process := start(t, "entry-1", address)
-			process.awaitStatus(t, "/readyz", http.StatusServiceUnavailable, anything)
+			process := startTestProcess(t, "entry-1", address)
+			process.awaitStatus(t, "/readyz", http.StatusServiceUnavailable, anyBody)
 			process.stopAndExpectNil(t)
 		})
 	}
@@ -222,7 +222,7 @@
 // holder could not be stopped while the platform is down.
 func TestHolderStopsWhileThePlatformIsDown(t *testing.T) {
 	server, _ := servePlatform(t, logstore.New(logstore.Options{}))
-	process := start(t, "entry-1", server.URL)
+	process := startTestProcess(t, "entry-1", server.URL)
 	process.await(t, "/status", holdsFleet)
 	server.Listener.Close()
 	server.CloseClientConnections()
@@ -230,19 +230,19 @@
 }
 
 // A controller that starts before its instance is listed must claim no lease
-// until then, and must claim one once its instance is listed. If it read the list
-// only once, it would never take part.
+// until then, and must claim one once its instance is listed. If it read the
+// list only once, it would never take part.
 func TestUnlistedInstanceClaimsOnceListed(t *testing.T) {
 	server, list := servePlatform(t, logstore.New(logstore.Options{}))
-	process := start(t, "entry-9", server.URL)
-	process.await(t, "/readyz", anything)
+	process := startTestProcess(t, "entry-9", server.URL)
+	process.await(t, "/readyz", anyBody)
 	process.await(t, "/status", func(body []byte) bool { return len(body) > len("[]\n") && !holdsFleet(body) })
 	list.Register(platform.Instance{ID: "entry-9", Incarnation: 1, Role: platform.RoleEntry, FailureDomain: "hall-a", State: platform.Live})
 	process.await(t, "/status", holdsFleet)
 	process.stopAndExpectNil(t)
 }
 
-func (r *running) stopAndExpectNil(t *testing.T) {
+func (r *testProcess) stopAndExpectNil(t *testing.T) {
 	t.Helper()
 	r.stop()
 	select {
@@ -250,7 +250,7 @@
 		if err != nil {
 			t.Errorf("a graceful stop ended with %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitLimit):
 		t.Fatal("a graceful stop never ended")
 	}
 }
--- a/internal/controller/gateways.go
+++ b/internal/controller/gateways.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// toldPerDomain is how many gateways of each failure domain an
+	// announcedPerDomain is how many gateways of each failure domain an
 	// announcement is sent to. They pass it on as any other departure.
-	toldPerDomain = 2
+	announcedPerDomain = 2
 	// exchangeTimeout bounds one exchange.
 	exchangeTimeout = time.Second
 	// senderSuffix distinguishes a controller from the gateway beside it.
@@ -40,9 +40,9 @@
 	return &gateways{self: self, pool: pool, listing: listing, epoch: rand.Uint64() | 1}
 }
 
-// AnnounceLeaving announces upstreams as leaving to some gateways of each failure
-// domain, so that they get no new work. It returns an error if no gateway has
-// acknowledged that.
+// AnnounceLeaving announces upstreams as leaving to some gateways of each
+// failure domain, so that they get no new work. It returns an error if no
+// gateway has acknowledged that.
 func (g *gateways) AnnounceLeaving(ctx context.Context, upstreams []platform.Instance) error {
 	request := g.request()
 	for _, u := range upstreams {
@@ -116,7 +116,7 @@
 	chosen := make(map[ident.FailureDomain]int)
 	for _, instance := range g.listing.Value().Instances {
 		isGateway := instance.Role == platform.RoleEntry && instance.State == platform.Live && instance.PeerAddress != ""
-		if !isGateway || chosen[instance.FailureDomain] >= toldPerDomain {
+		if !isGateway || chosen[instance.FailureDomain] >= announcedPerDomain {
 			continue
 		}
 		chosen[instance.FailureDomain]++
--- a/internal/controller/gateways_test.go
+++ b/internal/controller/gateways_test.go
@@ -45,9 +45,9 @@
 }
 
 // Controllers and gateways must agree on the meaning of a digest: a controller
-// announces an upstream as leaving to the gateways, and another controller reads
-// from them that it is. Otherwise an upstream that is to be stopped would go on
-// getting work, or a new holder would not know that it is draining.
+// announces an upstream as leaving to the gateways, and another controller
+// reads from them that it is. Otherwise an upstream that is to be stopped would
+// go on getting work, or a new holder would not know that it is draining.
 func TestGatewaysHearAndTellWhatDrains(t *testing.T) {
 	upstream := platform.Instance{
 		ID: "app-1", Incarnation: 3, Role: platform.RolePlain, Service: "auktion-app", FailureDomain: "hall-a", State: platform.Live,
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -15,18 +15,18 @@
 
 // The times between two reads of the platform's list.
 const (
-	// candidateListing applies to a process that is a candidate for a lease
-	// or that is not in the list yet.
-	candidateListing = 2 * time.Second
-	// watcherListing applies to a process that only checks whether it has
+	// candidateListInterval applies to a process that is a candidate for a
+	// lease or that is not in the list yet.
+	candidateListInterval = 2 * time.Second
+	// watcherListInterval applies to a process that only checks whether it has
 	// become a candidate.
-	watcherListing = 10 * time.Second
+	watcherListInterval = 10 * time.Second
 )
 
-// runListing reads the platform's list and passes to the lease manager the
+// runListReader reads the platform's list and passes to the lease manager the
 // leases for which this process is a candidate. It is the only writer of
 // p.listing.
-func (p *Process) runListing(ctx context.Context) error {
+func (p *Process) runListReader(ctx context.Context) error {
 	for {
 		p.readList(ctx)
 		// The documents are loaded once for the decision and for the wait.
@@ -34,10 +34,10 @@
 		// a change after these, and no lease would be claimed until the pause
 		// is over.
 		documents := p.documents.Load()
-		wanted := p.candidacies(documents.Value)
+		wanted := p.wantedLeases(documents.Value)
 		p.leases.Want(wanted)
 		select {
-		case <-time.After(p.listingPause(wanted)):
+		case <-time.After(p.listInterval(wanted)):
 		case <-documents.Changed():
 		case <-ctx.Done():
 			return ctx.Err()
@@ -45,19 +45,20 @@
 	}
 }
 
-// listingPause returns the time until the next read of the list.
+// listInterval returns the time until the next read of the list.
 //
 // A process whose own instance is not listed yet reads the list as often as a
 // candidate. The list lags, so a process that starts together with its instance
-// reads it before the instance is there. If it then paused as long as a watcher,
-// a system that has just started would have no controller for that time.
-func (p *Process) listingPause(wanted []lease.Wanted) time.Duration {
+// reads it before the instance is there. If it then paused as long as a
+// watcher, a system that has just started would have no controller for that
+// time.
+func (p *Process) listInterval(wanted []lease.Wanted) time.Duration {
 	self := p.settings.Instance.ID
 	listed := slices.ContainsFunc(p.listing.Value().Instances, func(i platform.Instance) bool { return i.ID == self })
 	if len(wanted) > 0 || !listed {
-		return candidateListing
+		return candidateListInterval
 	}
-	return watcherListing
+	return watcherListInterval
 }
 
 func (p *Process) readList(ctx context.Context) {
@@ -72,10 +73,10 @@
 	p.listing.Publish(blackboard.Listing{Instances: list, ReadAt: began})
 }
 
-// candidacies returns the leases that this process wants: those for which it
+// wantedLeases returns the leases that this process wants: those for which it
 // is a candidate, and those that it holds. It keeps a lease that it holds when
 // the list changes, so that a list that lags moves no lease.
-func (p *Process) candidacies(documents *document.Set) []lease.Wanted {
+func (p *Process) wantedLeases(documents *document.Set) []lease.Wanted {
 	instances := p.listing.Value().Instances
 	held := make(map[lease.Name]bool)
 	for _, name := range p.leases.Held() {
@@ -100,14 +101,14 @@
 		if set.Services[service].Document.Kind != document.Model {
 			continue
 		}
-		for _, domain := range domainsOf(service, instances) {
+		for _, domain := range engineDomains(service, instances) {
 			names = append(names, lease.Name{Service: service, FailureDomain: domain})
 		}
 	}
 	return names
 }
 
-func domainsOf(service ident.Service, instances []platform.Instance) []ident.FailureDomain {
+func engineDomains(service ident.Service, instances []platform.Instance) []ident.FailureDomain {
 	domains := make(map[ident.FailureDomain]bool)
 	for _, instance := range instances {
 		if instance.Service == service && instance.Role == platform.RoleEngine && instance.State == platform.Live {
--- a/internal/controller/listing_test.go
+++ b/internal/controller/listing_test.go
@@ -22,17 +22,17 @@
 		wanted []lease.Wanted
 		want   time.Duration
 	}{
-		{"no list yet", nil, nil, candidateListing},
-		{"the own instance is not listed yet", []platform.Instance{other}, nil, candidateListing},
-		{"listed, a candidate", []platform.Instance{other, self}, []lease.Wanted{{}}, candidateListing},
-		{"listed, no candidate", []platform.Instance{other, self}, nil, watcherListing},
+		{"no list yet", nil, nil, candidateListInterval},
+		{"the own instance is not listed yet", []platform.Instance{other}, nil, candidateListInterval},
+		{"listed, a candidate", []platform.Instance{other, self}, []lease.Wanted{{}}, candidateListInterval},
+		{"listed, no candidate", []platform.Instance{other, self}, nil, watcherListInterval},
 	} {
 		p := &Process{
 			settings: &settings.Controller{},
 			listing:  blackboard.NewSection(blackboard.Listing{Instances: c.listed}),
 		}
 		p.settings.Instance.ID = self.ID
-		if got := p.listingPause(c.wanted); got != c.want {
+		if got := p.listInterval(c.wanted); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -69,7 +69,7 @@
 func (p *Process) wireControllers() {
 	s := p.settings
 	p.orders = orders.New(
-		orders.Config{Interval: s.Control.Interval, Flight: s.Control.Margin, Parallel: orders.DefaultParallel},
+		orders.Config{Interval: s.Control.Interval, RequestTimeout: s.Control.Margin, MaxParallel: orders.DefaultMaxParallel},
 		orders.Deps{
 			Documents: p.documents,
 			Listing:   p.listing,
--- a/internal/controllers/fleet/estimate.go
+++ b/internal/controllers/fleet/estimate.go
@@ -37,8 +37,8 @@
 
 const (
 	// assumedReclaimsPerHour is the rate of reclaims per instance and hour that
-	// is assumed before any was seen. It weighs as much as assumedWeightHours hours
-	// of observation of one instance.
+	// is assumed before any was seen. It weighs as much as assumedWeightHours
+	// hours of observation of one instance.
 	assumedReclaimsPerHour = 0.05
 	assumedWeightHours     = 20
 	// workLostByReclaim is the cost of a reclaim in working time of one
--- a/internal/controllers/orders/controller.go
+++ b/internal/controllers/orders/controller.go
@@ -40,17 +40,17 @@
 type Config struct {
 	// Interval is the time between two rounds.
 	Interval time.Duration
-	// Flight bounds the time of one request. It must not exceed the leases'
-	// margin: then an order that was sent right before the lease's deadline
-	// has been applied, or its request has timed out, before another process
-	// can hold the lease.
-	Flight time.Duration
-	// Parallel bounds the requests in progress.
-	Parallel int
+	// RequestTimeout bounds the time of one request. It must not exceed the
+	// leases' margin: then an order that was sent right before the lease's
+	// deadline has been applied, or its request has timed out, before another
+	// process can hold the lease.
+	RequestTimeout time.Duration
+	// MaxParallel bounds the requests in progress.
+	MaxParallel int
 }
 
-// DefaultParallel is the usual Config.Parallel.
-const DefaultParallel = 32
+// DefaultMaxParallel is the usual Config.MaxParallel.
+const DefaultMaxParallel = 32
 
 // Deps holds the controller's dependencies.
 type Deps struct {
@@ -89,16 +89,16 @@
 	return rounds.Run(ctx, c.config.Interval, func() { c.Round(finish) })
 }
 
-// Round reads the reports of all engines under the held leases once and sends the
-// orders that are due.
+// Round reads the reports of all engines under the held leases once and sends
+// the orders that are due.
 func (c *Controller) Round(ctx context.Context) {
 	seen := make(map[engineKey]Engine)
-	for name, instances := range c.held() {
+	for name, instances := range c.heldEngines() {
 		doc, found := c.deps.Documents.Value().Find(name.Service)
 		if !found {
 			continue
 		}
-		engines := c.look(ctx, instances)
+		engines := c.readReports(ctx, instances)
 		c.sendDue(ctx, name, doc.Model, engines)
 		for _, engine := range engines {
 			seen[engineKey{engine.ID, engine.Incarnation}] = *engine
@@ -107,9 +107,9 @@
 	c.known = seen
 }
 
-// held returns the live engines, by lease, for the leases that this process
-// holds.
-func (c *Controller) held() map[lease.Name][]platform.Instance {
+// heldEngines returns the live engines, by lease, for the leases that this
+// process holds.
+func (c *Controller) heldEngines() map[lease.Name][]platform.Instance {
 	documents := c.deps.Documents.Value()
 	held := make(map[lease.Name][]platform.Instance)
 	for _, instance := range c.deps.Listing.Value().Instances {
@@ -126,16 +126,16 @@
 	return held
 }
 
-// look reads the engines' reports. It leaves out engines that do not answer or
-// are leaving.
-func (c *Controller) look(ctx context.Context, instances []platform.Instance) map[ident.Instance]*Engine {
+// readReports reads the engines' reports. It leaves out engines that do not
+// answer or are leaving.
+func (c *Controller) readReports(ctx context.Context, instances []platform.Instance) map[ident.Instance]*Engine {
 	var mu sync.Mutex
 	engines := make(map[ident.Instance]*Engine)
 	var group errgroup.Group
-	group.SetLimit(c.config.Parallel)
+	group.SetLimit(c.config.MaxParallel)
 	for _, instance := range instances {
 		group.Go(func() error {
-			ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+			ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 			defer cancel()
 			report, err := c.deps.Dialer.Engine(instance.Address).Report(ctx)
 			if err != nil || report.Leaving {
@@ -167,8 +167,8 @@
 		known = append(known, *engine)
 	}
 	var group errgroup.Group
-	group.SetLimit(c.config.Parallel)
-	for _, id := range Decide(known, wanted, time.Now()) {
+	group.SetLimit(c.config.MaxParallel)
+	for _, id := range DueEngines(known, wanted, time.Now()) {
 		engine := engines[id]
 		group.Go(func() error {
 			c.send(ctx, grant, engine, wanted)
@@ -180,9 +180,9 @@
 
 // send sends one order if the lease is still held at that moment.
 func (c *Controller) send(ctx context.Context, grant lease.Grant, engine *Engine, wanted upstream.Order) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
-	if !engine.at(wanted) && !equal(engine.Last, wanted) {
+	if !engine.runs(wanted) && !equalOrders(engine.LastOrder, wanted) {
 		if _, err := c.deps.Weights.Reserve(ctx, wanted.Model, wanted.Version); err != nil {
 			reservationsRefused.Add(1)
 			c.deps.Log.Debug("cannot reserve a transfer of weights", "engine", engine.ID, "error", err)
@@ -195,24 +195,24 @@
 	// is paused between them has to be rejected by its fence or be corrected
 	// by the new holder.
 	if !grant.Valid() {
-		ordersWithheld.Add(1)
+		ordersWithheldLeaseLost.Add(1)
 		return
 	}
-	engine.Last, engine.LastAt = wanted, time.Now()
+	engine.LastOrder, engine.LastOrderAt = wanted, time.Now()
 	err := c.deps.Dialer.Engine(engine.Address).Apply(ctx, wanted)
-	c.note(engine, wanted, err)
+	c.recordResult(engine, wanted, err)
 }
 
-// note logs and counts the result of an order. After an error the order counts
-// as not sent.
-func (c *Controller) note(engine *Engine, wanted upstream.Order, err error) {
+// recordResult logs and counts the result of an order. After an error the order
+// counts as not sent.
+func (c *Controller) recordResult(engine *Engine, wanted upstream.Order, err error) {
 	log := c.deps.Log.With("engine", engine.ID, "model", wanted.Model, "version", wanted.Version, "fence", wanted.Fence)
 	switch {
 	case err == nil:
 		ordersApplied.Add(1)
 		log.Info("engine accepted order", "from", engine.Version)
 	case errors.Is(err, upstream.ErrOldFence):
-		ordersRefused.Add(1)
+		ordersRejected.Add(1)
 		log.Warn("engine rejected order, it has applied one of a newer lease holder")
 	default:
 		// The order may have been applied or may still be; the engine's next
@@ -221,6 +221,6 @@
 		log.Debug("cannot send order to engine", "error", err)
 	}
 	if err != nil {
-		engine.Last = upstream.Order{}
+		engine.LastOrder = upstream.Order{}
 	}
 }
--- a/internal/controllers/orders/decide.go
+++ b/internal/controllers/orders/decide.go
@@ -30,34 +30,34 @@
 	// version of that order is loaded, even if the engine does not check the
 	// number.
 	Fence ident.Fence
-	// Last is the last order that this holder sent, at LastAt. Its fence is 0
-	// before the first one and after one that failed.
-	Last   upstream.Order
-	LastAt time.Time
+	// LastOrder is the last order that this holder sent, at LastAt. Its fence
+	// is 0 before the first one and after one that failed.
+	LastOrder   upstream.Order
+	LastOrderAt time.Time
 }
 
-// at reports whether the engine's reported model and version are those of an
+// runs reports whether the engine's reported model and version are those of an
 // order.
-func (e Engine) at(order upstream.Order) bool {
+func (e Engine) runs(order upstream.Order) bool {
 	return e.Model == order.Model && e.Version == order.Version
 }
 
 // follows reports whether the engine runs what an order wants and has not
 // reported another order since.
 func (e Engine) follows(order upstream.Order) bool {
-	return e.at(order) && (e.Fence == 0 || e.Fence == order.Fence)
+	return e.runs(order) && (e.Fence == 0 || e.Fence == order.Fence)
 }
 
 const (
-	// repeatEvery is the time between two equal orders to an engine whose
+	// repeatInterval is the time between two equal orders to an engine whose
 	// report differs from the order, for example because it still loads.
-	repeatEvery = 2 * time.Second
-	// changingPart limits how many engines may change their version at once:
+	repeatInterval = 2 * time.Second
+	// changingDivisor limits how many engines may change their version at once:
 	// 1 in 4, but at least one.
-	changingPart = 4
+	changingDivisor = 4
 )
 
-// Decide returns the engines to which the wanted order has to be sent now.
+// DueEngines returns the engines to which the wanted order has to be sent now.
 //
 // Each engine gets the order once from each holder. This raises its fencing
 // number and sets the adapters and the role, which reports do not show. After
@@ -65,18 +65,18 @@
 // orders are repeated needlessly; that is harmless, because an order states the
 // whole wanted state. Only a part of the engines changes version at once, so
 // that the others go on serving.
-func Decide(engines []Engine, wanted upstream.Order, now time.Time) []ident.Instance {
+func DueEngines(engines []Engine, wanted upstream.Order, now time.Time) []ident.Instance {
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
-	changesLeft := max(1, len(engines)/changingPart) - countChanging(engines, wanted)
+	changesLeft := max(1, len(engines)/changingDivisor) - countChanging(engines, wanted)
 	var due []ident.Instance
 	for _, engine := range engines {
 		switch {
-		case equal(engine.Last, wanted):
-			if !engine.follows(wanted) && now.Sub(engine.LastAt) >= repeatEvery {
+		case equalOrders(engine.LastOrder, wanted):
+			if !engine.follows(wanted) && now.Sub(engine.LastOrderAt) >= repeatInterval {
 				due = append(due, engine.ID)
 			}
-		case engine.at(wanted), engine.Version == "":
+		case engine.runs(wanted), engine.Version == "":
 			due = append(due, engine.ID)
 		case changesLeft > 0:
 			changesLeft--
@@ -86,20 +86,20 @@
 	return due
 }
 
-// countChanging returns how many engines are loading the wanted version in place
-// of another.
+// countChanging returns how many engines are loading the wanted version in
+// place of another.
 func countChanging(engines []Engine, wanted upstream.Order) int {
 	count := 0
 	for _, engine := range engines {
-		if equal(engine.Last, wanted) && !engine.at(wanted) && engine.Version != "" {
+		if equalOrders(engine.LastOrder, wanted) && !engine.runs(wanted) && engine.Version != "" {
 			count++
 		}
 	}
 	return count
 }
 
-// equal reports whether two orders are the same, fence included.
-func equal(a, b upstream.Order) bool {
+// equalOrders reports whether two orders are the same, fence included.
+func equalOrders(a, b upstream.Order) bool {
 	return a.Fence == b.Fence && a.Model == b.Model && a.Version == b.Version && a.Role == b.Role &&
 		slices.Equal(a.Adapters, b.Adapters)
 }
--- a/internal/controllers/orders/decide_test.go
+++ b/internal/controllers/orders/decide_test.go
@@ -23,7 +23,7 @@
 		for i := range 9 {
 			e := orders.Engine{ID: ident.Instance(fmt.Sprintf("e%d", i)), Model: "m", Version: "1"}
 			if i < ordered {
-				e.Last, e.LastAt, e.Fence = wanted, now, 5
+				e.LastOrder, e.LastOrderAt, e.Fence = wanted, now, 5
 			}
 			if i < loaded {
 				e.Version = "2"
@@ -50,7 +50,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, orders.Decide(c.engines, wanted, now.Add(c.after))); diff != "" {
+			if diff := cmp.Diff(c.want, orders.DueEngines(c.engines, wanted, now.Add(c.after))); diff != "" {
 				t.Error(diff)
 			}
 		})
--- a/internal/controllers/probing/config.go
+++ b/internal/controllers/probing/config.go
@@ -1,6 +1,6 @@
 // Package probing reads the health and load of upstreams and the engines' cache
-// events, and publishes the upstreams' states for routing. It is the only writer
-// of board.Upstreams.
+// events, and publishes the upstreams' states for routing. It is the only
+// writer of board.Upstreams.
 package probing
 
 import (
--- a/internal/controllers/probing/controller.go
+++ b/internal/controllers/probing/controller.go
@@ -19,12 +19,12 @@
 	deps    Deps
 	probes  map[ident.Instance]*probeState
 	results chan result
-	// dirty is whether a load has changed since the last publication.
-	dirty bool
+	// loadChanged is whether a load has changed since the last publication.
+	loadChanged bool
 }
 
-// probeState is the result of this process's own probes of one incarnation of an
-// upstream.
+// probeState is the result of this process's own probes of one incarnation of
+// an upstream.
 type probeState struct {
 	incarnation ident.Incarnation
 	running     bool
@@ -56,21 +56,21 @@
 	defer publishTick.Stop()
 	members := c.deps.Board.Members.Load()
 	c.publish(members.Value)
-	c.startNew(ctx, &running, members.Value)
+	c.probeNew(ctx, &running, members.Value)
 	for {
 		select {
 		case <-members.Changed():
 			members = c.deps.Board.Members.Load()
 			c.publish(members.Value)
-			c.startNew(ctx, &running, members.Value)
+			c.probeNew(ctx, &running, members.Value)
 		case <-probeTick.C:
-			c.startAll(ctx, &running, members.Value)
+			c.probeAll(ctx, &running, members.Value)
 		case r := <-c.results:
-			if c.settle(r) {
+			if c.applyResult(r) {
 				c.publish(members.Value)
 			}
 		case <-publishTick.C:
-			if c.dirty || c.sharing(members.Value) {
+			if c.loadChanged || c.probesAreShared(members.Value) {
 				c.publish(members.Value)
 			}
 		case <-ctx.Done():
@@ -79,27 +79,27 @@
 	}
 }
 
-// startNew probes upstreams that were never probed at once, so that a new one is
-// used as soon as it answers. It also removes the state of upstreams that are
-// gone.
-func (c *Controller) startNew(ctx context.Context, running *sync.WaitGroup, members *blackboard.Members) {
+// probeNew probes upstreams that were never probed at once, so that a new one
+// is used as soon as it answers. It also removes the state of upstreams that
+// are gone.
+func (c *Controller) probeNew(ctx context.Context, running *sync.WaitGroup, members *blackboard.Members) {
 	for _, instance := range c.assigned(members) {
 		p, ok := c.probes[instance.ID]
 		if !ok || p.incarnation != instance.Incarnation {
-			c.start(ctx, running, instance)
+			c.startProbe(ctx, running, instance)
 		}
 	}
-	c.forgetGone(members)
+	c.removeGone(members)
 }
 
-func (c *Controller) startAll(ctx context.Context, running *sync.WaitGroup, members *blackboard.Members) {
+func (c *Controller) probeAll(ctx context.Context, running *sync.WaitGroup, members *blackboard.Members) {
 	for _, instance := range c.assigned(members) {
-		c.start(ctx, running, instance)
+		c.startProbe(ctx, running, instance)
 	}
 }
 
-// start starts a probe of an upstream unless one is running.
-func (c *Controller) start(ctx context.Context, running *sync.WaitGroup, instance platform.Instance) {
+// startProbe starts a probe of an upstream unless one is running.
+func (c *Controller) startProbe(ctx context.Context, running *sync.WaitGroup, instance platform.Instance) {
 	p, ok := c.probes[instance.ID]
 	if !ok || p.incarnation != instance.Incarnation {
 		p = &probeState{incarnation: instance.Incarnation}
@@ -119,37 +119,37 @@
 	})
 }
 
-// isUpstream reports whether an instance is an upstream with a known address. An
-// instance of which only the ID is known has none yet.
+// isUpstream reports whether an instance is an upstream with a known address.
+// An instance of which only the ID is known has none yet.
 func isUpstream(instance platform.Instance) bool {
 	upstreamRole := instance.Role == platform.RoleEngine || instance.Role == platform.RolePlain
 	return upstreamRole && instance.Address != ""
 }
 
-// settle applies the result of a probe and reports whether it changes the state
-// that routing uses.
-func (c *Controller) settle(r result) bool {
+// applyResult applies the result of a probe and reports whether it changes the
+// state that routing uses.
+func (c *Controller) applyResult(r result) bool {
 	p, ok := c.probes[r.id]
 	if !ok || p.incarnation != r.incarnation {
 		return false
 	}
 	p.running = false
 	if r.err != nil {
-		return c.settleFailure(r, p)
+		return c.recordFailure(r, p)
 	}
 	recovered := p.failures >= c.config.FailuresToSuspect || p.asOf.IsZero()
 	p.failures = 0
 	p.report = r.report
 	p.asOf = r.asOf
-	c.dirty = true
+	c.loadChanged = true
 	c.deps.Membership.Observe(observationOf(r))
 	c.applyEvents(r, p)
 	return recovered
 }
 
-// settleFailure counts a failed probe and reports whether it makes the upstream
+// recordFailure counts a failed probe and reports whether it makes the upstream
 // suspect.
-func (c *Controller) settleFailure(r result, p *probeState) bool {
+func (c *Controller) recordFailure(r result, p *probeState) bool {
 	p.failures++
 	probesFailed.Add(1)
 	if p.failures == c.config.FailuresToSuspect {
@@ -183,8 +183,8 @@
 	c.deps.Cache.Apply(r.id, r.incarnation, r.events)
 }
 
-// forgetGone removes the state of upstreams that are gone.
-func (c *Controller) forgetGone(members *blackboard.Members) {
+// removeGone removes the state of upstreams that are gone.
+func (c *Controller) removeGone(members *blackboard.Members) {
 	for id := range c.probes {
 		m, ok := members.ByID[id]
 		if ok && m.State != blackboard.Gone {
--- a/internal/controllers/probing/probe.go
+++ b/internal/controllers/probing/probe.go
@@ -24,8 +24,8 @@
 	eventsErr error
 }
 
-// probe probes one upstream. after is the sequence number of the last cache event
-// that is already known.
+// probe probes one upstream. after is the sequence number of the last cache
+// event that is already known.
 func (c *Controller) probe(ctx context.Context, instance platform.Instance, after uint64) result {
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout)
 	defer cancel()
@@ -59,8 +59,8 @@
 // earlier incarnation. It fills in the instance's ID and incarnation if the
 // report has none.
 //
-// Without the check, if an instance ends and the platform gives its address to a
-// new one, the answers of the new one would keep the old one alive, with its
+// Without the check, if an instance ends and the platform gives its address to
+// a new one, the answers of the new one would keep the old one alive, with its
 // service and price, until the list, which lags, shows the change.
 func checkIdentity(instance platform.Instance, report *upstream.Report) error {
 	if report.Instance == "" {
--- a/internal/controllers/probing/probing_test.go
+++ b/internal/controllers/probing/probing_test.go
@@ -24,7 +24,8 @@
 
 func init() { testkit.OneProcessor() }
 
-// engines holds the reports with which the engines at each address answer probes.
+// engines holds the reports with which the engines at each address answer
+// probes.
 type engines struct {
 	mu      sync.Mutex
 	reports map[string]upstream.Report
@@ -78,15 +79,15 @@
 	return out, nil
 }
 
-// alone is a transport that reaches no peers.
-type alone struct{}
+// noPeers is a transport that reaches no peers.
+type noPeers struct{}
 
-func (alone) Exchange(context.Context, string, *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
+func (noPeers) Exchange(context.Context, string, *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	return nil, errors.New("no peer")
 }
 
-// bench is one gateway process with its membership, probing and engines.
-type bench struct {
+// fixture is one gateway process with its membership, probing and engines.
+type fixture struct {
 	t       *testing.T
 	board   *blackboard.Board
 	members *controller.Controller
@@ -94,16 +95,16 @@
 	probing *Controller
 }
 
-func runBench(t *testing.T, scenario func(b *bench)) {
+func runWithFixture(t *testing.T, scenario func(b *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		self := platform.Instance{ID: "g", Incarnation: 1, Role: platform.RoleEntry, FailureDomain: "one"}
-		b := &bench{
+		b := &fixture{
 			t:       t,
 			board:   blackboard.NewBoard(),
 			engines: &engines{reports: map[string]upstream.Report{}, probes: map[string]int{}},
 		}
 		log := hclog.NewNullLogger()
-		b.members = controller.New(controller.DefaultConfig(self), controller.Deps{Board: b.board, Transport: alone{}, Log: log})
+		b.members = controller.New(controller.DefaultConfig(self), controller.Deps{Board: b.board, Transport: noPeers{}, Log: log})
 		b.probing = New(DefaultConfig("g", "one"), Deps{
 			Board: b.board, Membership: b.members, Dialer: b.engines,
 			Cache: NewCaches(cacheview.DefaultParams()), Log: log,
@@ -126,7 +127,7 @@
 }
 
 // expect compares the state of an upstream as routing sees it.
-func (b *bench) expect(id ident.Instance, want blackboard.MemberState) {
+func (b *fixture) expect(id ident.Instance, want blackboard.MemberState) {
 	b.t.Helper()
 	synctest.Wait()
 	for _, u := range b.board.Upstreams.Value().ByService["spool-llm"] {
@@ -140,10 +141,10 @@
 	b.t.Errorf("%s is not published", id)
 }
 
-// An upstream is used once it answers, avoided while it doesn't, and used once it
-// answers again.
+// An upstream is used once it answers, avoided while it doesn't, and used once
+// it answers again.
 func TestAnswersDecide(t *testing.T) {
-	runBench(t, func(b *bench) {
+	runWithFixture(t, func(b *fixture) {
 		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
 		b.expect("u", blackboard.Suspect)
 		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1, Running: 3, PrefillRate: 5000})
@@ -165,7 +166,7 @@
 // reason, must get no more work at once, not only after the next list or probe,
 // and although the list still shows it as live.
 func TestOwnWordCountsAtOnce(t *testing.T) {
-	runBench(t, func(b *bench) {
+	runWithFixture(t, func(b *fixture) {
 		list := []platform.Instance{engineInstance("u", 1, "a:1"), engineInstance("v", 1, "a:2")}
 		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
 		b.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1})
@@ -189,7 +190,7 @@
 // goes to a new instance while the list still shows the old one, requests for
 // one service reach an instance of another.
 func TestReusedAddressIsNoProofOfLife(t *testing.T) {
-	runBench(t, func(b *bench) {
+	runWithFixture(t, func(b *fixture) {
 		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
 		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
 		time.Sleep(time.Second)
@@ -206,7 +207,7 @@
 // Cache events are pulled after the last one known, and a new incarnation
 // starts with an empty cache.
 func TestCacheEventsReachRouting(t *testing.T) {
-	runBench(t, func(b *bench) {
+	runWithFixture(t, func(b *fixture) {
 		b.engines.events = []upstream.CacheEvent{{Sequence: 1, Stored: true, Block: 7}, {Sequence: 2, Stored: true, Block: 8}}
 		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
 		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
@@ -264,11 +265,11 @@
 	}
 }
 
-// known is a membership with fixed entries that ignores observations.
-type known []membership.Entry
+// fixedMembership is a membership with fixed entries that ignores observations.
+type fixedMembership []membership.Entry
 
-func (known) Observe(controller.Observation) {}
-func (k known) Entries() []membership.Entry  { return k }
+func (fixedMembership) Observe(controller.Observation) {}
+func (k fixedMembership) Entries() []membership.Entry  { return k }
 
 // BenchmarkPublish measures the publication of a new snapshot of all upstreams,
 // as after each round of probes or digests.
@@ -276,7 +277,7 @@
 	for _, upstreams := range []int{13, 210, 690} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			members := &blackboard.Members{ByID: map[ident.Instance]blackboard.Member{}}
-			var entries known
+			var entries fixedMembership
 			for i := range upstreams {
 				u := engineInstance(ident.Instance(fmt.Sprintf("u%d", i)), 1, "a:1")
 				members.ByID[u.ID] = blackboard.Member{Instance: u, Incarnation: 1, State: blackboard.Alive}
--- a/internal/controllers/probing/publish.go
+++ b/internal/controllers/probing/publish.go
@@ -12,22 +12,22 @@
 
 // assigned returns the upstreams that this process probes.
 func (c *Controller) assigned(members *blackboard.Members) []platform.Instance {
-	if !c.sharing(members) {
+	if !c.probesAreShared(members) {
 		return upstreamsOf(members)
 	}
 	gateways := gatewaysByDomain(members)
 	var out []platform.Instance
 	for _, instance := range upstreamsOf(members) {
-		if c.owns(instance, gateways) {
+		if c.isProber(instance, gateways) {
 			out = append(out, instance)
 		}
 	}
 	return out
 }
 
-// sharing reports whether there are too many upstreams for every gateway to
-// probe them all.
-func (c *Controller) sharing(members *blackboard.Members) bool {
+// probesAreShared reports whether there are too many upstreams for every
+// gateway to probe them all.
+func (c *Controller) probesAreShared(members *blackboard.Members) bool {
 	count := 0
 	for _, m := range members.ByID {
 		if isUpstream(m.Instance) && m.State < blackboard.Leaving {
@@ -37,10 +37,10 @@
 	return count > c.config.ProbeAllUpTo
 }
 
-// owns reports whether this process is among the probers of an upstream. They
-// are chosen from the gateways of the upstream's failure domain, or from all
-// gateways if the domain has none.
-func (c *Controller) owns(instance platform.Instance, gateways map[ident.FailureDomain][]ident.Instance) bool {
+// isProber reports whether this process is among the probers of an upstream.
+// They are chosen from the gateways of the upstream's failure domain, or from
+// all gateways if the domain has none.
+func (c *Controller) isProber(instance platform.Instance, gateways map[ident.FailureDomain][]ident.Instance) bool {
 	candidates := gateways[instance.FailureDomain]
 	if len(candidates) == 0 {
 		for _, others := range gateways {
@@ -76,15 +76,15 @@
 
 // publish replaces board.Upstreams. Leaving upstreams are included.
 func (c *Controller) publish(members *blackboard.Members) {
-	c.dirty = false
-	loads := c.loads()
+	c.loadChanged = false
+	loads := c.latestLoads()
 	byService := map[ident.Service][]blackboard.Upstream{}
 	for _, m := range members.ByID {
 		if !isUpstream(m.Instance) || m.State == blackboard.Gone {
 			continue
 		}
 		service := m.Instance.Service
-		byService[service] = append(byService[service], c.describe(m, loads[m.Instance.ID]))
+		byService[service] = append(byService[service], c.buildUpstream(m, loads[m.Instance.ID]))
 	}
 	for _, list := range byService {
 		slices.SortFunc(list, func(a, b blackboard.Upstream) int { return cmp.Compare(a.Instance.ID, b.Instance.ID) })
@@ -92,8 +92,9 @@
 	c.deps.Board.Upstreams.Publish(&blackboard.Upstreams{ByService: byService})
 }
 
-// loads returns the latest load of each instance that any process has reported.
-func (c *Controller) loads() map[ident.Instance]membership.Load {
+// latestLoads returns the latest load of each instance that any process has
+// reported.
+func (c *Controller) latestLoads() map[ident.Instance]membership.Load {
 	entries := c.deps.Membership.Entries()
 	out := make(map[ident.Instance]membership.Load, len(entries))
 	for _, e := range entries {
@@ -104,9 +105,9 @@
 	return out
 }
 
-// describe combines the membership's state and load of an upstream with the
-// results of this process's own probes. The later load counts.
-func (c *Controller) describe(m blackboard.Member, load membership.Load) blackboard.Upstream {
+// buildUpstream combines the membership's state and load of an upstream with
+// the results of this process's own probes. The later load counts.
+func (c *Controller) buildUpstream(m blackboard.Member, load membership.Load) blackboard.Upstream {
 	u := blackboard.Upstream{Instance: m.Instance, State: m.State}
 	if c.deps.Cache != nil && m.Instance.Role == platform.RoleEngine {
 		u.Cache = c.deps.Cache.View(m.Instance.ID, m.Incarnation)
