--- a/internal/controllers/configuration/promise_test.go
+++ b/internal/controllers/configuration/promise_test.go
@@ -110,12 +110,12 @@
 func (w *world) checkPublished(p *process, set *document.Set) {
 	want := newOracle(w.log.records()).servedAt(set.Revision, p.schema)
 	if len(want) != len(set.Services) {
-		w.recordFault("%s at %d serves %d services, want %d", p.name, set.Revision, len(set.Services), len(want))
+		w.recordFault("%s at revision %d has %d services, want %d", p.name, set.Revision, len(set.Services), len(want))
 	}
 	for service, entry := range set.Services {
 		e := want[service]
 		if e.revision != entry.Revision || e.id != entry.Document.Model.Version {
-			w.recordFault("%s at %d serves %s by %d (%s), want %d (%s)", p.name, set.Revision, service,
+			w.recordFault("%s at revision %d uses %s at revision %d (%s), want %d (%s)", p.name, set.Revision, service,
 				entry.Revision, entry.Document.Model.Version, e.revision, e.id)
 		}
 		if entry.Revision < p.served[service] {
--- a/internal/controllers/configuration/ready_test.go
+++ b/internal/controllers/configuration/ready_test.go
@@ -169,7 +169,7 @@
 		served, ok := p.board.Documents.Value().Find(service)
 		health := p.board.Configuration.Value()
 		if !ok || served.Model.Version != id || !health.Ready {
-			t.Errorf("%s serves by %+v, want %s; health %+v", p.name, served, id, health)
+			t.Errorf("%s uses %+v, want %s; health %+v", p.name, served, id, health)
 		}
 	}
 }
@@ -200,7 +200,7 @@
 					served, ok := p.board.Documents.Value().Find(service)
 					health := p.board.Configuration.Value()
 					if !ok || served.Model.Version != "a" || !health.Ready || !strings.Contains(health.Problem, c.problem) {
-						t.Errorf("%s serves by %+v; health %+v", p.name, served, health)
+						t.Errorf("%s uses %+v; health %+v", p.name, served, health)
 					}
 				}
 			})
--- a/internal/controllers/orders/decide.go
+++ b/internal/controllers/orders/decide.go
@@ -30,8 +30,8 @@
 	// version of that order is loaded, even if the engine does not check the
 	// number.
 	Fence ident.Fence
-	// LastOrder is the last order that this holder sent, at LastAt. Its fence
-	// is 0 before the first one and after one that failed.
+	// LastOrder is the last order that this holder sent, at LastOrderAt. Its
+	// fence is 0 before the first one and after one that failed.
 	LastOrder   upstream.Order
 	LastOrderAt time.Time
 }
--- a/internal/controllers/orders/late_order_test.go
+++ b/internal/controllers/orders/late_order_test.go
@@ -80,16 +80,16 @@
 func (l *link) pauseProcess() func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	thawed := make(chan struct{})
-	l.resumed = thawed
-	return func() { close(thawed) }
+	resumed := make(chan struct{})
+	l.resumed = resumed
+	return func() { close(resumed) }
 }
 
 func (l *link) waitWhilePaused() {
 	l.mu.Lock()
-	thawed := l.resumed
+	resumed := l.resumed
 	l.mu.Unlock()
-	<-thawed
+	<-resumed
 }
 
 func (l *link) Append(ctx context.Context, stream string, records [][]byte) (ident.Offset, error) {
@@ -139,7 +139,7 @@
 
 func (d dialer) Engine(string) upstream.Engine { return d.engine }
 
-// weights grants every transfer, but if freezes is set, only while the process
+// weights grants every transfer, but if pauses is set, only while the process
 // is not paused.
 type weights struct {
 	link   *link
@@ -225,7 +225,7 @@
 // long it did not run version 2 after it first did.
 func (s *scene) timeAtOldVersion(t *testing.T, watch time.Duration) time.Duration {
 	t.Helper()
-	var wrong time.Duration
+	var total time.Duration
 	reached := false
 	for range int(watch / pollInterval) {
 		time.Sleep(pollInterval)
@@ -235,13 +235,13 @@
 		}
 		reached = reached || report.Version == "2"
 		if reached && report.Version != "2" {
-			wrong += pollInterval
+			total += pollInterval
 		}
 	}
 	if report, _ := s.engine.Report(context.Background()); report.Version != "2" {
 		t.Errorf("the engine ends at version %q, want 2", report.Version)
 	}
-	return wrong
+	return total
 }
 
 // inBubble runs a test in virtual time and stops its processes at the end.
@@ -263,10 +263,10 @@
 func TestLateOrderOfAFrozenHolderIsRepaired(t *testing.T) {
 	const (
 		interval = time.Second
-		flight   = 200 * time.Millisecond
+		delay    = 200 * time.Millisecond
 		// bound is the time of one round, after which the report is read,
-		// plus the order's flight, plus the resolution of the test.
-		bound = interval + flight + pollInterval
+		// plus the order's delay, plus the resolution of the test.
+		bound = interval + delay + pollInterval
 	)
 	cases := []struct {
 		name  string
@@ -286,14 +286,14 @@
 				inBubble(t, func(t *testing.T, ctx context.Context) {
 					c.with.margin, c.with.interval = lease.DefaultMargin, interval
 					s := newScene(t, ctx, c.with)
-					s.old.link.orderDelay, s.new.link.orderDelay = flight, flight
-					thaw := s.old.link.pauseProcess()
+					s.old.link.orderDelay, s.new.link.orderDelay = delay, delay
+					resume := s.old.link.pauseProcess()
 					s.old.listEngine()
 					time.Sleep(40 * time.Second)
 					if report, _ := s.engine.Report(ctx); report.Version != "2" {
 						t.Fatalf("the new holder has not ordered version 2, but %q", report.Version)
 					}
-					time.AfterFunc(wake, thaw)
+					time.AfterFunc(wake, resume)
 					worst = max(worst, s.timeAtOldVersion(t, 40*time.Second))
 				})
 			}
@@ -302,7 +302,7 @@
 				t.Errorf("at the old version for %v, want at most %v", worst, c.limit)
 			}
 			if c.limit > 0 && worst == 0 {
-				t.Error("the late order changed nothing: the test shows nothing")
+				t.Error("the late order changed nothing: the test proves nothing")
 			}
 		})
 	}
@@ -335,6 +335,6 @@
 		t.Errorf("with the margin an engine was at the old version for %v", with)
 	}
 	if without == 0 {
-		t.Error("without the margin nothing went wrong: the test shows nothing")
+		t.Error("without the margin nothing went wrong: the test proves nothing")
 	}
 }
--- a/internal/controllers/probing/probing_test.go
+++ b/internal/controllers/probing/probing_test.go
@@ -95,25 +95,25 @@
 	probing *Controller
 }
 
-func runWithFixture(t *testing.T, scenario func(b *fixture)) {
+func runWithFixture(t *testing.T, scenario func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		self := platform.Instance{ID: "g", Incarnation: 1, Role: platform.RoleEntry, FailureDomain: "one"}
-		b := &fixture{
+		f := &fixture{
 			t:       t,
 			board:   blackboard.NewBoard(),
 			engines: &engines{reports: map[string]upstream.Report{}, probes: map[string]int{}},
 		}
 		log := hclog.NewNullLogger()
-		b.members = controller.New(controller.DefaultConfig(self), controller.Deps{Board: b.board, Transport: noPeers{}, Log: log})
-		b.probing = New(DefaultConfig("g", "one"), Deps{
-			Board: b.board, Membership: b.members, Dialer: b.engines,
+		f.members = controller.New(controller.DefaultConfig(self), controller.Deps{Board: f.board, Transport: noPeers{}, Log: log})
+		f.probing = New(DefaultConfig("g", "one"), Deps{
+			Board: f.board, Membership: f.members, Dialer: f.engines,
 			Cache: NewCaches(cacheview.DefaultParams()), Log: log,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		running.Go(func() { _ = b.members.Run(ctx) })
-		running.Go(func() { _ = b.probing.Run(ctx) })
-		scenario(b)
+		running.Go(func() { _ = f.members.Run(ctx) })
+		running.Go(func() { _ = f.probing.Run(ctx) })
+		scenario(f)
 		cancel()
 		running.Wait()
 	})
@@ -127,38 +127,38 @@
 }
 
 // expect compares the state of an upstream as routing sees it.
-func (b *fixture) expect(id ident.Instance, want blackboard.MemberState) {
-	b.t.Helper()
+func (f *fixture) expect(id ident.Instance, want blackboard.MemberState) {
+	f.t.Helper()
 	synctest.Wait()
-	for _, u := range b.board.Upstreams.Value().ByService["spool-llm"] {
+	for _, u := range f.board.Upstreams.Value().ByService["spool-llm"] {
 		if u.Instance.ID == id {
 			if u.State != want {
-				b.t.Errorf("%s is in state %v, want %v", id, u.State, want)
+				f.t.Errorf("%s is in state %v, want %v", id, u.State, want)
 			}
 			return
 		}
 	}
-	b.t.Errorf("%s is not published", id)
+	f.t.Errorf("%s is not published", id)
 }
 
 // An upstream is used once it answers, avoided while it doesn't, and used once
 // it answers again.
 func TestAnswersDecide(t *testing.T) {
-	runWithFixture(t, func(b *fixture) {
-		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
-		b.expect("u", blackboard.Suspect)
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1, Running: 3, PrefillRate: 5000})
+	runWithFixture(t, func(f *fixture) {
+		f.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
+		f.expect("u", blackboard.Suspect)
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1, Running: 3, PrefillRate: 5000})
 		time.Sleep(2 * time.Second)
-		b.expect("u", blackboard.Alive)
-		if u := b.board.Upstreams.Value().ByService["spool-llm"][0]; u.Report.Running != 3 || u.Report.PrefillRate != 5000 || u.AsOf.IsZero() {
+		f.expect("u", blackboard.Alive)
+		if u := f.board.Upstreams.Value().ByService["spool-llm"][0]; u.Report.Running != 3 || u.Report.PrefillRate != 5000 || u.AsOf.IsZero() {
 			t.Errorf("load %+v as of %v", u.Report, u.AsOf)
 		}
-		b.engines.remove("a:1")
+		f.engines.remove("a:1")
 		time.Sleep(3500 * time.Millisecond)
-		b.expect("u", blackboard.Suspect)
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
+		f.expect("u", blackboard.Suspect)
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
 		time.Sleep(2 * time.Second)
-		b.expect("u", blackboard.Alive)
+		f.expect("u", blackboard.Alive)
 	})
 }
 
@@ -166,22 +166,22 @@
 // reason, must get no more work at once, not only after the next list or probe,
 // and although the list still shows it as live.
 func TestOwnWordCountsAtOnce(t *testing.T) {
-	runWithFixture(t, func(b *fixture) {
+	runWithFixture(t, func(f *fixture) {
 		list := []platform.Instance{engineInstance("u", 1, "a:1"), engineInstance("v", 1, "a:2")}
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
-		b.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1})
-		b.members.ApplyList(list)
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
+		f.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1})
+		f.members.ApplyList(list)
 		time.Sleep(100 * time.Millisecond)
-		b.expect("u", blackboard.Alive)
-		b.members.NoteLeaving("u", 1)
-		b.expect("u", blackboard.Leaving)
-		b.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1, Leaving: true})
+		f.expect("u", blackboard.Alive)
+		f.members.NoteLeaving("u", 1)
+		f.expect("u", blackboard.Leaving)
+		f.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1, Leaving: true})
 		time.Sleep(time.Second)
-		b.expect("v", blackboard.Leaving)
-		b.members.ApplyList(list)
+		f.expect("v", blackboard.Leaving)
+		f.members.ApplyList(list)
 		time.Sleep(2 * time.Second)
-		b.expect("u", blackboard.Leaving)
-		b.expect("v", blackboard.Leaving)
+		f.expect("u", blackboard.Leaving)
+		f.expect("v", blackboard.Leaving)
 	})
 }
 
@@ -190,40 +190,40 @@
 // goes to a new instance while the list still shows the old one, requests for
 // one service reach an instance of another.
 func TestReusedAddressIsNoProofOfLife(t *testing.T) {
-	runWithFixture(t, func(b *fixture) {
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
-		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
+	runWithFixture(t, func(f *fixture) {
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
+		f.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
 		time.Sleep(time.Second)
-		b.expect("u", blackboard.Alive)
-		b.engines.set("a:1", upstream.Report{Instance: "other", Incarnation: 1})
+		f.expect("u", blackboard.Alive)
+		f.engines.set("a:1", upstream.Report{Instance: "other", Incarnation: 1})
 		time.Sleep(3 * time.Second)
-		b.expect("u", blackboard.Suspect)
-		b.members.ApplyList([]platform.Instance{engineInstance("other", 1, "a:1")})
+		f.expect("u", blackboard.Suspect)
+		f.members.ApplyList([]platform.Instance{engineInstance("other", 1, "a:1")})
 		time.Sleep(time.Second)
-		b.expect("other", blackboard.Alive)
+		f.expect("other", blackboard.Alive)
 	})
 }
 
 // Cache events are pulled after the last one known, and a new incarnation
 // starts with an empty cache.
 func TestCacheEventsReachRouting(t *testing.T) {
-	runWithFixture(t, func(b *fixture) {
-		b.engines.events = []upstream.CacheEvent{{Sequence: 1, Stored: true, Block: 7}, {Sequence: 2, Stored: true, Block: 8}}
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
-		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
+	runWithFixture(t, func(f *fixture) {
+		f.engines.events = []upstream.CacheEvent{{Sequence: 1, Stored: true, Block: 7}, {Sequence: 2, Stored: true, Block: 8}}
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
+		f.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
 		time.Sleep(2 * time.Second)
 		cached := func() float64 {
 			synctest.Wait()
-			return b.board.Upstreams.Value().ByService["spool-llm"][0].Cache.Cached([]uint64{7, 8}, time.Now())
+			return f.board.Upstreams.Value().ByService["spool-llm"][0].Cache.Cached([]uint64{7, 8}, time.Now())
 		}
 		if got := cached(); got < 1.5 {
 			t.Errorf("estimated %v cached blocks, want about 2", got)
 		}
-		b.engines.mu.Lock()
-		b.engines.events = nil
-		b.engines.mu.Unlock()
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 2})
-		b.members.ApplyList([]platform.Instance{engineInstance("u", 2, "a:1")})
+		f.engines.mu.Lock()
+		f.engines.events = nil
+		f.engines.mu.Unlock()
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 2})
+		f.members.ApplyList([]platform.Instance{engineInstance("u", 2, "a:1")})
 		time.Sleep(2 * time.Second)
 		if got := cached(); got != 0 {
 			t.Errorf("estimated %v cached blocks in a new incarnation, want 0", got)
