--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -42,7 +42,7 @@
 
 func (c *Controller) markReachable() {
 	if !c.logReachable {
-		c.logger.Info("read of the configuration stream succeeded, the platform's log is reachable")
+		c.logger.Info("platform's log is reachable")
 	}
 	c.logReachable = true
 }
--- a/internal/controllers/configuration/peers.go
+++ b/internal/controllers/configuration/peers.go
@@ -33,7 +33,7 @@
 	GetDocuments(ctx context.Context, address string, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error)
 }
 
-// remotePeers asks peers over their own protocol.
+// remotePeers sends requests to peers with the peers' protocol.
 type remotePeers struct {
 	client  PeerClient
 	highest func() (Peer, bool)
--- a/internal/controllers/fleet/scenario_test.go
+++ b/internal/controllers/fleet/scenario_test.go
@@ -58,7 +58,7 @@
 				m.busy = false
 				m.advance(t, time.Minute)
 				if got := m.size(); got != maxUpstreams {
-					t.Errorf("%d upstreams after a lull, want %d", got, maxUpstreams)
+					t.Errorf("%d upstreams after a pause of the load, want %d", got, maxUpstreams)
 				}
 			},
 		},
--- a/internal/controllers/instances/instances_test.go
+++ b/internal/controllers/instances/instances_test.go
@@ -100,10 +100,10 @@
 		<-done
 		// The 100 ms that the request took are subtracted.
 		if len(ends) != 1 || ends[0] != 29900*time.Millisecond {
-			t.Errorf("told %v, want once 29.9s", ends)
+			t.Errorf("own notices end in %v, want once 29.9s", ends)
 		}
 		if len(members.leaving) != 3 || members.lists == 0 || p.asked[len(p.asked)-1] != 3 {
-			t.Errorf("leaving %v, %d lists, asked after %v", members.leaving, members.lists, p.asked)
+			t.Errorf("leaving %v, %d lists, notices read after %v", members.leaving, members.lists, p.asked)
 		}
 	})
 }
--- a/internal/controllers/membership/config.go
+++ b/internal/controllers/membership/config.go
@@ -37,8 +37,8 @@
 	// chooseTargets.
 	LocalAll int
 	// RemotePerDomain is how many peers of each other failure domain get each
-	// heartbeat, as long as these are not more than RemoteAll in total. If
-	// they were more, two peers of all the other domains get it.
+	// heartbeat, as long as these are not more than RemoteTargetLimit in total.
+	// If they were more, two peers of all the other domains get it.
 	RemotePerDomain int
 	RemoteAll       int
 	// IntroductionFanout is how many peers without any contact so far get the
--- a/internal/controllers/membership/departure_test.go
+++ b/internal/controllers/membership/departure_test.go
@@ -284,7 +284,7 @@
 			select {
 			case <-told:
 			case <-time.After(maxDelayBetweenDomains):
-				t.Errorf("not told of the sign at %s", f.nodes[at].self.ID)
+				t.Errorf("own departure not reported after the sign at %s", f.nodes[at].self.ID)
 			}
 		})
 	}
--- a/internal/controllers/membership/fleet_test.go
+++ b/internal/controllers/membership/fleet_test.go
@@ -244,7 +244,7 @@
 			}
 		}
 		if _, _, ok := newcomer.Highest(); !ok {
-			t.Errorf("newcomer has not heard of every peer")
+			t.Errorf("newcomer has had no exchange with some peers")
 		}
 		for _, n := range f.nodes {
 			if state, _ := n.state(newcomer.self.ID); state != blackboard.Alive {
--- a/internal/controllers/probing/controller.go
+++ b/internal/controllers/probing/controller.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// probeNew probes upstreams that were never probed at once, so that a new one
-// is used as soon as it answers. It also removes the state of upstreams that
-// are gone.
+// probeNew probes at once the upstreams that were never probed, so that a new
+// one is used as soon as it answers. It also removes the state of upstreams
+// that are gone.
 func (c *Controller) probeNew(ctx context.Context, running *sync.WaitGroup, members *blackboard.Members) {
 	for _, instance := range c.assigned(members) {
 		p, ok := c.probes[instance.ID]
