--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -42,7 +42,7 @@
 		Documents: p.documents,
 		Health:    p.health,
 		Logger:    p.log,
-		Snapshots: configuration.DefaultSnapshotPolicy.Every(s.Control.SnapshotInterval),
+		Snapshots: configuration.DefaultSnapshotPolicy.WithInterval(s.Control.SnapshotInterval),
 	})
 	p.wireControllers()
 	return nil
--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -92,7 +92,7 @@
 	if c.options.Peers == nil {
 		return
 	}
-	peer, ok := c.options.Peers.Highest()
+	peer, ok := c.options.Peers.HighestPeer()
 	if !ok {
 		return
 	}
--- a/internal/controllers/configuration/peers.go
+++ b/internal/controllers/configuration/peers.go
@@ -18,11 +18,11 @@
 
 // PeerDocuments gets configuration documents from other processes.
 type PeerDocuments interface {
-	// Highest returns the reachable peer with the highest revision. It returns
-	// false while no peer is reachable, and until an exchange with every known
-	// peer has succeeded or failed once: a peer not asked yet may have a higher
-	// revision.
-	Highest() (Peer, bool)
+	// HighestPeer returns the reachable peer with the highest revision. It
+	// returns false while no peer is reachable, and until an exchange with
+	// every known peer has succeeded or failed once: a peer not asked yet may
+	// have a higher revision.
+	HighestPeer() (Peer, bool)
 	// GetDocuments requests from a peer everything above a revision.
 	GetDocuments(ctx context.Context, peer Peer, above ident.Revision) (document.Delta, error)
 }
@@ -35,18 +35,19 @@
 
 // remotePeers sends requests to peers with the peers' protocol.
 type remotePeers struct {
-	client  PeerClient
-	highest func() (Peer, bool)
+	client      PeerClient
+	highestPeer func() (Peer, bool)
 }
 
-// NewPeers returns a PeerDocuments that sends requests with client. highest is
-// as in PeerDocuments; membership knows the revisions from the heartbeats.
+// NewPeers returns a PeerDocuments that sends requests with client and finds
+// the most advanced peer with highest, for which the membership has the
+// revisions from the heartbeats.
 func NewPeers(client PeerClient, highest func() (Peer, bool)) PeerDocuments {
-	return &remotePeers{client: client, highest: highest}
+	return &remotePeers{client: client, highestPeer: highest}
 }
 
-// Highest implements PeerDocuments.
-func (r *remotePeers) Highest() (Peer, bool) { return r.highest() }
+// HighestPeer implements PeerDocuments.
+func (r *remotePeers) HighestPeer() (Peer, bool) { return r.highestPeer() }
 
 // GetDocuments implements PeerDocuments.
 func (r *remotePeers) GetDocuments(ctx context.Context, peer Peer, above ident.Revision) (document.Delta, error) {
--- a/internal/controllers/configuration/snapshots.go
+++ b/internal/controllers/configuration/snapshots.go
@@ -34,8 +34,8 @@
 	Spread:     time.Minute,
 }
 
-// Every returns the policy with its Interval replaced.
-func (p SnapshotPolicy) Every(interval time.Duration) SnapshotPolicy {
+// WithInterval returns the policy with its Interval replaced.
+func (p SnapshotPolicy) WithInterval(interval time.Duration) SnapshotPolicy {
 	p.Interval = interval
 	return p
 }
--- a/internal/controllers/configuration/world_test.go
+++ b/internal/controllers/configuration/world_test.go
@@ -202,7 +202,7 @@
 	p.controller = New(Options{
 		Instance:  ident.Instance(p.name),
 		Log:       log,
-		Peers:     NewPeers(p, p.highest),
+		Peers:     NewPeers(p, p.highestPeer),
 		Documents: p.board.Documents,
 		Health:    p.board.Configuration,
 		Schema:    p.schema,
@@ -285,8 +285,8 @@
 	return out
 }
 
-// highest returns what membership would know from the heartbeats.
-func (p *process) highest() (Peer, bool) {
+// highestPeer returns what membership would know from the heartbeats.
+func (p *process) highestPeer() (Peer, bool) {
 	var best Peer
 	found := false
 	for _, other := range p.reachable() {
--- a/internal/controllers/membership/config.go
+++ b/internal/controllers/membership/config.go
@@ -39,8 +39,8 @@
 	// RemotePerDomain is how many peers of each other failure domain get each
 	// heartbeat, as long as these are not more than RemoteTargetLimit in total.
 	// If they were more, two peers of all the other domains get it.
-	RemotePerDomain int
-	RemoteAll       int
+	RemotePerDomain   int
+	RemoteTargetLimit int
 	// IntroductionFanout is how many peers without any contact so far get the
 	// heartbeat in addition, so that a new process soon knows what all peers
 	// have.
@@ -72,7 +72,7 @@
 		Timeout:            450 * time.Millisecond,
 		LocalAll:           8,
 		RemotePerDomain:    2,
-		RemoteAll:          6,
+		RemoteTargetLimit:  6,
 		IntroductionFanout: 16,
 		MaxFigures:         128,
 		FullInterval:       30 * time.Second,
--- a/internal/controllers/membership/departure_test.go
+++ b/internal/controllers/membership/departure_test.go
@@ -56,7 +56,7 @@
 // it had hundreds of processes.
 func sparseHeartbeats(c *Config) {
 	c.LocalAll = 1
-	c.RemoteAll = 1
+	c.RemoteTargetLimit = 1
 	c.IntroductionFanout = 0
 }
 
--- a/internal/controllers/membership/targets.go
+++ b/internal/controllers/membership/targets.go
@@ -75,7 +75,7 @@
 	if len(domains) == 0 {
 		return nil
 	}
-	if len(domains)*config.RemotePerDomain <= config.RemoteAll {
+	if len(domains)*config.RemotePerDomain <= config.RemoteTargetLimit {
 		var all []target
 		for _, domain := range domains {
 			all = append(all, takeRotated(peers[domain], r.start+r.turn*config.RemotePerDomain, config.RemotePerDomain)...)
