--- a/internal/controllers/configuration/promise_test.go
+++ b/internal/controllers/configuration/promise_test.go
@@ -243,7 +243,7 @@
 }
 
 // heal ends all faults. As long as the documents exist anywhere, all processes
-// must use the oracle's documents within inForce.
+// must use the oracle's documents within changeDeadline.
 func (m *machine) heal(t *rapid.T) { m.healed(t) }
 
 func (m *machine) healed(t *rapid.T) bool {
--- a/internal/controllers/fleet/actual.go
+++ b/internal/controllers/fleet/actual.go
@@ -72,7 +72,8 @@
 	leavingReadAt time.Time
 	// drainingSince is when this holder learnt that an upstream is leaving.
 	drainingSince map[upstreamKey]time.Time
-	// loads holds the loads of the upstreams that answered at loadsAt.
+	// loads holds the loads of the upstreams that answered at
+	// loadsReadAt.
 	loads       map[upstreamKey]load
 	loadsReadAt time.Time
 	// reclaims estimates how often each offering is reclaimed.
@@ -153,7 +154,7 @@
 }
 
 // resolvePending removes the pending starts whose instance is listed now, and
-// counts those as failed that were not listed within listedWithin.
+// counts those as failed that were not listed within listTimeout.
 func (h *holderState) resolvePending(o observation, now time.Time) {
 	listed := make(map[ident.Instance]bool)
 	for _, instance := range o.instances {
--- a/internal/controllers/fleet/controller.go
+++ b/internal/controllers/fleet/controller.go
@@ -82,8 +82,8 @@
 	config Config
 	deps   Deps
 	states map[ident.Service]*holderState
-	// noticed holds the incarnations whose reclaim notice was read, and after
-	// is the sequence number of the last notice.
+	// noticed holds the incarnations whose reclaim notice was read, and
+	// lastNotice is the sequence number of the last notice.
 	noticed    map[upstreamKey]bool
 	lastNotice uint64
 }
