--- a/internal/controller/listing_test.go
+++ b/internal/controller/listing_test.go
@@ -10,9 +10,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 )
 
-// Symptom: nobody controls a system for 10 s after it was started. Sequence: a
-// controller reads the platform's list, which lags, before its instance is in
-// it. Cause: it takes itself for a watcher and waits as long as one.
+// A controller that reads the platform's list, which lags, before its own
+// instance is in it must not pause as long as a process that is no candidate.
+// Otherwise a system would have no controller for 10 s after its start.
 func TestListingPause(t *testing.T) {
 	self := platform.Instance{ID: "entry-1"}
 	other := platform.Instance{ID: "entry-2"}
@@ -22,17 +22,17 @@
 		wanted []lease.Wanted
 		want   time.Duration
 	}{
-		{"no list yet", nil, nil, candidateListing},
-		{"the own instance is not listed yet", []platform.Instance{other}, nil, candidateListing},
-		{"listed, a candidate", []platform.Instance{other, self}, []lease.Wanted{{}}, candidateListing},
-		{"listed, no candidate", []platform.Instance{other, self}, nil, watcherListing},
+		{"no list yet", nil, nil, candidateListInterval},
+		{"the own instance is not listed yet", []platform.Instance{other}, nil, candidateListInterval},
+		{"listed, a candidate", []platform.Instance{other, self}, []lease.Wanted{{}}, candidateListInterval},
+		{"listed, no candidate", []platform.Instance{other, self}, nil, watcherListInterval},
 	} {
 		p := &Process{
 			settings: &settings.Controller{},
 			listing:  blackboard.NewSection(blackboard.Listing{Instances: c.listed}),
 		}
 		p.settings.Instance.ID = self.ID
-		if got := p.listingPause(c.wanted); got != c.want {
+		if got := p.listInterval(c.wanted); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -13,10 +13,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// renewalsPerLease is how many renewals a lease's length has room for.
+// renewalsPerLease is how many times a lease is renewed within its length.
 const renewalsPerLease = 3
 
-// wire creates the parts, which meet on the blackboard's sections.
+// wire creates the parts. They exchange data through the blackboard's sections.
 func (p *Process) wire() error {
 	s := p.settings
 	p.documents = blackboard.NewSection(&document.Set{})
@@ -42,7 +42,7 @@
 		Documents: p.documents,
 		Health:    p.health,
 		Logger:    p.log,
-		Snapshots: configuration.DefaultSnapshotPolicy.Every(s.Control.SnapshotInterval),
+		Snapshots: configuration.DefaultSnapshotPolicy.WithInterval(s.Control.SnapshotInterval),
 	})
 	p.wireControllers()
 	return nil
@@ -69,7 +69,7 @@
 func (p *Process) wireControllers() {
 	s := p.settings
 	p.orders = orders.New(
-		orders.Config{Interval: s.Control.Interval, Flight: s.Control.Margin, Parallel: orders.DefaultParallel},
+		orders.Config{Interval: s.Control.Interval, RequestTimeout: s.Control.Margin, MaxParallel: orders.DefaultMaxParallel},
 		orders.Deps{
 			Documents: p.documents,
 			Listing:   p.listing,
@@ -82,8 +82,8 @@
 		fleet.Config{
 			Interval:       s.Control.Interval,
 			LoadInterval:   fleet.DefaultLoadInterval,
-			Flight:         s.Control.Margin,
-			Parallel:       fleet.DefaultParallel,
+			RequestTimeout: s.Control.Margin,
+			MaxParallel:    fleet.DefaultMaxParallel,
 			SlotsPerEngine: fleet.DefaultSlotsPerEngine,
 			SlotsPerPlain:  fleet.DefaultSlotsPerPlain,
 		},
--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -11,59 +11,61 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// take handles the answer of a read and returns the pause before the next.
-func (c *Controller) take(result readResult) time.Duration {
+// applyRead applies the result of a read and returns the pause before the next
+// read.
+func (c *Controller) applyRead(result readResult) time.Duration {
 	if errors.Is(result.err, platform.ErrExpired) {
-		c.reachable()
+		c.markReachable()
 		c.reader.Expired(result.batch.First)
-		c.logger.Warn("log records expired before they were read", "first_kept", result.batch.First)
-		return c.pause()
+		c.logger.Warn("configuration records expired in the log before they were read", "first_kept", result.batch.First)
+		return c.nextBackoff()
 	}
 	if result.err != nil {
-		c.unreachable(result.err)
-		return c.pause()
+		c.markUnreachable(result.err)
+		return c.nextBackoff()
 	}
-	c.reachable()
-	c.first = result.batch.First
+	c.markReachable()
+	c.firstKept = result.batch.First
 	before := c.reader.From()
-	c.note(c.reader.Take(result.batch))
+	c.recordDecisions(c.reader.Take(result.batch))
 	if c.reader.AtHead() {
 		c.ready = true
 		c.backoff = 0
 		return minPause
 	}
 	if c.reader.From() == before {
-		return c.pause()
+		return c.nextBackoff()
 	}
 	c.backoff = 0
 	return 0
 }
 
-func (c *Controller) reachable() {
+func (c *Controller) markReachable() {
 	if !c.logReachable {
-		c.logger.Info("platform's log answers")
+		c.logger.Info("platform's log is reachable")
 	}
 	c.logReachable = true
 }
 
-func (c *Controller) unreachable(err error) {
+func (c *Controller) markUnreachable(err error) {
 	metrics.readFailures.Add(1)
 	if c.logReachable || !c.logFailed {
-		c.logger.Warn("platform's log does not answer", "error", err)
+		c.logger.Warn("cannot read the configuration stream from the platform's log", "error", err)
 	}
 	c.logReachable = false
 	c.logFailed = true
 }
 
-// pause grows up to maxBackoff. A random part keeps processes that failed at
-// the same moment from coming back at the same moment.
-func (c *Controller) pause() time.Duration {
+// nextBackoff returns the time to back off after a failed read. It doubles up
+// to maxBackoff; its random half keeps processes whose reads failed at the same
+// moment from retrying at the same moment.
+func (c *Controller) nextBackoff() time.Duration {
 	c.backoff = min(max(2*c.backoff, firstBackoff), maxBackoff)
 	return c.backoff/2 + time.Duration(c.options.Random()*float64(c.backoff/2))
 }
 
-// note logs and counts what became of new records.
-func (c *Controller) note(decisions []document.Decision) {
+// recordDecisions logs and counts how each new record was decided.
+func (c *Controller) recordDecisions(decisions []document.Decision) {
 	for _, d := range decisions {
 		switch d.Kind {
 		case document.AcceptedRecord:
@@ -78,24 +80,25 @@
 			metrics.unreadable.Add(1)
 		}
 		if d.Problem != "" {
-			c.logger.Error("configuration record", "offset", d.Offset, "problem", d.Problem)
+			c.logger.Error("problem with a configuration record", "offset", d.Offset, "problem", d.Problem)
 		}
 	}
 	c.lastSnapshot.records += len(decisions)
 }
 
-// followPeers takes over what a peer knows beyond this process.
+// followPeers merges the records that the most advanced peer has and this
+// process lacks.
 func (c *Controller) followPeers(ctx context.Context) {
 	if c.options.Peers == nil {
 		return
 	}
-	peer, ok := c.options.Peers.Highest()
+	peer, ok := c.options.Peers.HighestPeer()
 	if !ok {
 		return
 	}
 	if peer.Revision <= c.reader.State().Through() {
-		c.peerAhead = time.Time{}
-	} else if c.patienceOver() {
+		c.peerAheadSince = time.Time{}
+	} else if c.shouldAskPeer() {
 		c.merge(ctx, peer)
 	}
 	if peer.Revision <= c.reader.State().Through() {
@@ -103,12 +106,13 @@
 	}
 }
 
-// patienceOver reports whether a peer ahead is to be asked now.
-func (c *Controller) patienceOver() bool {
-	if c.peerAhead.IsZero() {
-		c.peerAhead = time.Now()
+// shouldAskPeer reports whether to ask the peer that is ahead: at once while
+// the log is unreachable, otherwise after peerGrace.
+func (c *Controller) shouldAskPeer() bool {
+	if c.peerAheadSince.IsZero() {
+		c.peerAheadSince = time.Now()
 	}
-	return !c.logReachable && c.logFailed || time.Since(c.peerAhead) >= peerGrace
+	return !c.logReachable && c.logFailed || time.Since(c.peerAheadSince) >= peerGrace
 }
 
 func (c *Controller) merge(ctx context.Context, peer Peer) {
@@ -120,25 +124,25 @@
 	}
 	if err != nil {
 		metrics.mergeFailures.Add(1)
-		c.logger.Warn("no documents from peer", "peer", peer.ID, "error", err)
+		c.logger.Warn("cannot get configuration documents from peer", "peer", peer.ID, "error", err)
 		return
 	}
 	metrics.merges.Add(1)
-	c.logger.Info("documents from peer", "peer", peer.ID, "revision", c.reader.State().Revision())
+	c.logger.Info("merged configuration documents from peer", "peer", peer.ID, "revision", c.reader.State().Revision())
 }
 
-// readyFromPeers: with the log down, a process is ready at the highest
-// revision of its reachable peers. Without any document it is not: they may
-// all be as new as this one.
+// readyFromPeers makes a process ready that has caught up with its reachable
+// peers while the log is down. A process without any document does not become
+// ready this way, since its peers may be just as new.
 func (c *Controller) readyFromPeers() {
 	if !c.logReachable && c.logFailed && c.reader.State().Revision() > 0 {
 		c.ready = true
 	}
 }
 
-// publish brings the sections and the shared progress up to date. Documents
-// stay empty until the process is ready, so that no caller is served by an
-// older document than another instance served by before.
+// publish updates the blackboard's sections and the shared progress. Documents
+// stay empty until the process is ready, so that no caller is served with an
+// older document than one that another instance has already used.
 func (c *Controller) publish() {
 	state := c.reader.State()
 	if c.ready && (c.set == nil || c.set.Revision != state.Revision()) {
@@ -153,22 +157,24 @@
 	}
 	if c.options.Health.Value() != health {
 		c.options.Health.Publish(health)
-		if health.Problem != "" && c.everRead() {
-			c.logger.Warn("configuration", "ready", health.Ready, "problem", health.Problem)
+		if health.Problem != "" && c.readTried() {
+			c.logger.Warn("configuration has a problem", "ready", health.Ready, "problem", health.Problem)
 		}
 	}
 	c.progress.Store(&progress{
-		state:   state,
-		written: c.lastSnapshot,
-		first:   c.first,
-		current: c.ready && c.logReachable && c.reader.AtHead(),
+		state:          state,
+		newestSnapshot: c.lastSnapshot,
+		firstKept:      c.firstKept,
+		atHead:         c.ready && c.logReachable && c.reader.AtHead(),
 	})
 }
 
-// everRead reports whether the log was tried; before that nothing is wrong.
-func (c *Controller) everRead() bool { return c.logReachable || c.logFailed }
+// readTried reports whether any read has ended. Before that, being not ready is
+// no problem to log.
+func (c *Controller) readTried() bool { return c.logReachable || c.logFailed }
 
-// problem says why the process is not ready, or what it cannot follow.
+// problem describes why the process is not ready and which records or documents
+// it cannot use; it is empty if all is well.
 func (c *Controller) problem() string {
 	var all []string
 	if !c.ready {
--- a/internal/controllers/configuration/world_test.go
+++ b/internal/controllers/configuration/world_test.go
@@ -13,7 +13,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// memoryLog is one stream of the platform's log, with the log's faults.
+// memoryLog is one stream of the platform's log, which can be made to fail.
 type memoryLog struct {
 	mu      sync.Mutex
 	all     []platform.Record // also the expired ones, for the oracle
@@ -24,7 +24,7 @@
 
 func newMemoryLog() *memoryLog { return &memoryLog{changed: make(chan struct{})} }
 
-func (l *memoryLog) land(data []byte) ident.Offset {
+func (l *memoryLog) append(data []byte) ident.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offset := ident.Offset(len(l.all))
@@ -58,7 +58,8 @@
 	return slices.Clone(l.all)
 }
 
-// get returns a batch, and a channel to wait on when there is no record yet.
+// get returns a batch, and a channel that is closed at the next append, to wait
+// on when there is no record yet.
 func (l *memoryLog) get(from ident.Offset, limit int) (platform.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,12 +77,12 @@
 	return batch, l.changed, nil
 }
 
-// link is one process's way to the log.
+// link is one process's connection to the log.
 type link struct {
 	log *memoryLog
 	mu  sync.Mutex
 	cut bool
-	// hang: reads never answer, as on a connection that went silent.
+	// hang makes reads never return, as on a connection that went silent.
 	hang bool
 }
 
@@ -101,7 +102,7 @@
 	if cut, hang := l.state(); cut || hang || l.log.isDown() {
 		return 0, platform.ErrUnavailable
 	}
-	return l.log.land(records[0]), nil
+	return l.log.append(records[0]), nil
 }
 
 func (l *memoryLog) isDown() bool {
@@ -146,50 +147,53 @@
 	controller *Controller
 	world      *world
 	stop       func()
-	// served is the highest revision served by for each service.
+	// served is the newest revision used so far for each service.
 	served map[ident.Service]ident.Revision
 }
 
-// world is a few processes in two failure domains and what connects them.
+// world is a few processes in two failure domains, with the log and the
+// connections between them.
 type world struct {
 	log       *memoryLog
 	mu        sync.Mutex
 	processes []*process
-	// apart: the failure domains cannot reach each other.
-	apart bool
-	// deaf: heartbeats come through, but no answer to GetDocuments.
-	deaf   bool
-	faults []string
-	lives  int
+	// partitioned is whether the failure domains cannot reach each other.
+	partitioned bool
+	// documentsBlocked is whether GetDocuments fails, though heartbeats come
+	// through.
+	documentsBlocked bool
+	faults           []string
+	incarnations     int
 }
 
 const (
-	domains          = 2
-	processesADomain = 2
+	domains            = 2
+	processesPerDomain = 2
 )
 
 func newWorld() *world {
 	w := &world{log: newMemoryLog()}
-	for i := range domains * processesADomain {
+	for i := range domains * processesPerDomain {
 		w.processes = append(w.processes, w.start(i))
 	}
 	return w
 }
 
-// start begins a new life at a place.
+// start starts a new incarnation at a place, which is the index in processes.
 func (w *world) start(place int) *process {
 	l := &link{log: w.log}
-	p := w.startWith(place, l)
+	p := w.startWithLog(place, l)
 	p.link = l
 	return p
 }
 
-// startWith uses a way to the log of its own. Odd places run an older program.
-func (w *world) startWith(place int, log platform.Log) *process {
-	w.lives++
+// startWithLog is start with another connection to the log. Odd places run an
+// older program.
+func (w *world) startWithLog(place int, log platform.Log) *process {
+	w.incarnations++
 	p := &process{
-		name:   fmt.Sprintf("entry-%d-life-%d", place, w.lives),
-		domain: place / processesADomain,
+		name:   fmt.Sprintf("entry-%d-life-%d", place, w.incarnations),
+		domain: place / processesPerDomain,
 		schema: newSchema - place%2,
 		board:  blackboard.NewBoard(),
 		world:  w,
@@ -198,7 +202,7 @@
 	p.controller = New(Options{
 		Instance:  ident.Instance(p.name),
 		Log:       log,
-		Peers:     NewPeers(p, p.highest),
+		Peers:     NewPeers(p, p.highestPeer),
 		Documents: p.board.Documents,
 		Health:    p.board.Configuration,
 		Schema:    p.schema,
@@ -230,31 +234,31 @@
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
+func (w *world) recordFault(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = append(w.faults, fmt.Sprintf(format, args...))
 }
 
-func (w *world) setApart(apart bool) {
+func (w *world) setPartitioned(apart bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.apart = apart
+	w.partitioned = apart
 }
 
-func (w *world) setDeaf(deaf bool) {
+func (w *world) setDocumentsBlocked(deaf bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.deaf = deaf
+	w.documentsBlocked = deaf
 }
 
-func (w *world) isDeaf() bool {
+func (w *world) areDocumentsBlocked() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.deaf
+	return w.documentsBlocked
 }
 
-// watch sees every set that the process serves by.
+// watch checks every set that the process publishes.
 func (p *process) watch(ctx context.Context) {
 	version := uint64(0)
 	for {
@@ -263,7 +267,7 @@
 			return
 		}
 		version = snap.Version
-		p.world.inspect(p, snap.Value)
+		p.world.checkPublished(p, snap.Value)
 	}
 }
 
@@ -273,7 +277,7 @@
 	defer p.world.mu.Unlock()
 	var out []*process
 	for _, other := range p.world.processes {
-		near := other.domain == p.domain || !p.world.apart
+		near := other.domain == p.domain || !p.world.partitioned
 		if other != p && near {
 			out = append(out, other)
 		}
@@ -281,8 +285,8 @@
 	return out
 }
 
-// highest is what membership knows from the heartbeats.
-func (p *process) highest() (Peer, bool) {
+// highestPeer returns what membership would know from the heartbeats.
+func (p *process) highestPeer() (Peer, bool) {
 	var best Peer
 	found := false
 	for _, other := range p.reachable() {
@@ -297,7 +301,7 @@
 // GetDocuments implements PeerClient.
 func (p *process) GetDocuments(ctx context.Context, address string, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error) {
 	for _, other := range p.reachable() {
-		if other.name == address && !p.world.isDeaf() {
+		if other.name == address && !p.world.areDocumentsBlocked() {
 			return other.controller.GetDocuments(ctx, req)
 		}
 	}
--- a/internal/controllers/fleet/actual.go
+++ b/internal/controllers/fleet/actual.go
@@ -1,7 +1,7 @@
-// Package fleet keeps the size and mix of each service's upstreams. It runs
-// the planner under a lease over the service's whole fleet and carries its
-// actions out. It repairs from state: a new holder reads what is there and
-// plans anew.
+// Package fleet keeps the number and mix of each service's upstreams as its
+// document requires. It runs the planner under a lease on the service's whole
+// fleet and executes the planner's actions. It works from the current state
+// alone: a new holder of the lease reads which instances exist and plans anew.
 package fleet
 
 import (
@@ -12,118 +12,126 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// upstreamKey tells two lives of an instance apart.
+// upstreamKey identifies one incarnation of an instance.
 type upstreamKey struct {
 	id          ident.Instance
 	incarnation ident.Incarnation
 }
 
-// load is what an upstream told of itself.
+// load is the state that an upstream reported about itself.
 type load struct {
 	running, queued int
 	leaving         bool
-	// asOf is when the figures were true.
+	// asOf is when the values were true.
 	asOf time.Time
 }
 
-// pending is a start that this holder asked for.
+// pending is a start that this holder has requested and whose instance is not
+// listed yet.
 type pending struct {
 	planner.Pending
-	askedAt time.Time
+	requestedAt time.Time
 	// instance is set once the cloud has answered.
 	instance ident.Instance
 }
 
 const (
-	// listedWithin is how long the platform may take to list an instance that
+	// listTimeout is how long the platform may take to list an instance that
 	// it has started. After that the start counts as failed.
-	listedWithin = 2 * time.Minute
-	// settle is how long a new holder starts nothing: the starts of the
-	// holder before it must be listed, or they would be asked for twice.
-	settle = 10 * time.Second
-	// oldestListing is the age of the platform's list above which nothing is
-	// planned by it.
-	oldestListing = 15 * time.Second
-	// drainGrace is when, after the announcement, no gateway sends work to an
-	// upstream any more. The membership takes at most 4 s.
+	listTimeout = 2 * time.Minute
+	// takeoverWait is how long a new holder starts nothing. Meanwhile the
+	// instances that the previous holder started get listed; otherwise they
+	// would be requested twice.
+	takeoverWait = 10 * time.Second
+	// maxListingAge is the age of the platform's list above which nothing is
+	// planned from it.
+	maxListingAge = 15 * time.Second
+	// drainGrace is the time after the announcement in which gateways may
+	// still send work to an upstream. The membership needs at most 4 s.
 	drainGrace = 6 * time.Second
-	// askLeavingEvery is the time between two questions what drains.
-	askLeavingEvery = 30 * time.Second
+	// leavingReadInterval is the time between two requests for the leaving
+	// instances.
+	leavingReadInterval = 30 * time.Second
 )
 
-// memory is what one holder of a service's lease knows besides the platform's
-// list. Losing it costs time and never correctness.
-type memory struct {
-	fence   ident.Fence
-	since   time.Time
-	starts  int
-	pending []pending
-	// failures by offering.
+// holderState is what one holder of a service's lease knows in addition to the
+// platform's list. Losing it delays actions but makes none wrong.
+type holderState struct {
+	fence ident.Fence
+	// heldSince is when the holder got the lease.
+	heldSince time.Time
+	// startsRequested counts the starts requested so far.
+	startsRequested int
+	pending         []pending
+	// failures holds the failed starts in a row of each offering.
 	failures map[planner.Offering]planner.Failures
-	// served are the upstreams that have answered at least once.
+	// served holds the upstreams that have answered at least once.
 	served map[upstreamKey]bool
-	// askedAt is when a gateway last told what drains.
-	askedAt time.Time
-	// draining is when this holder learnt that an upstream drains.
-	draining map[upstreamKey]time.Time
-	// loads are what the upstreams that answered told at loadsAt.
-	loads   map[upstreamKey]load
-	loadsAt time.Time
+	// leavingReadAt is when a gateway last answered which instances are
+	// leaving.
+	leavingReadAt time.Time
+	// drainingSince is when this holder learnt that an upstream is leaving.
+	drainingSince map[upstreamKey]time.Time
+	// loads holds the loads of the upstreams that answered at
+	// loadsReadAt.
+	loads       map[upstreamKey]load
+	loadsReadAt time.Time
 	// reclaims estimates how often each offering is reclaimed.
 	reclaims *reclaimRates
 	demand   peakHold
 }
 
-func newMemory(fence ident.Fence, now time.Time) *memory {
-	return &memory{
-		fence:    fence,
-		since:    now,
-		failures: make(map[planner.Offering]planner.Failures),
-		served:   make(map[upstreamKey]bool),
-		draining: make(map[upstreamKey]time.Time),
-		reclaims: newReclaimRates(now),
+func newHolderState(fence ident.Fence, now time.Time) *holderState {
+	return &holderState{
+		fence:         fence,
+		heldSince:     now,
+		failures:      make(map[planner.Offering]planner.Failures),
+		served:        make(map[upstreamKey]bool),
+		drainingSince: make(map[upstreamKey]time.Time),
+		reclaims:      newReclaimRates(now),
 	}
 }
 
-// observation is what one round has read.
+// observation is what one round has read about a service.
 type observation struct {
 	instances []platform.Instance
-	// noticed are the instances with a reclaim notice.
+	// noticed holds the incarnations with a reclaim notice.
 	noticed map[upstreamKey]bool
 	loads   map[upstreamKey]load
-	slots   float64
+	// slots is how many requests keep one upstream busy.
+	slots float64
 }
 
-// actual returns what the planner counts, and forgets the starts that are
-// settled.
-func (m *memory) actual(service ident.Service, o observation, now time.Time) planner.Actual {
-	m.settlePending(o, now)
-	actual := planner.Actual{Service: service, Failures: m.failures, Holder: m.fence, Starts: m.starts}
+// plannerInput returns the planner's input, and removes the pending starts that
+// have succeeded or failed.
+func (h *holderState) plannerInput(service ident.Service, o observation, now time.Time) planner.Actual {
+	h.resolvePending(o, now)
+	actual := planner.Actual{Service: service, Failures: h.failures, Holder: h.fence, Starts: h.startsRequested}
 	work := 0
 	for _, instance := range o.instances {
-		counted := m.count(instance, o, now)
+		counted := h.countInstance(instance, o, now)
 		l := o.loads[key(instance)]
 		work += l.running + l.queued
 		actual.Instances = append(actual.Instances, counted)
 	}
-	if m.demand.at.IsZero() {
-		m.demand.seed(len(o.instances), now)
+	if h.demand.updatedAt.IsZero() {
+		h.demand.seed(len(o.instances), now)
 	}
-	for _, p := range m.pending {
+	for _, p := range h.pending {
 		actual.Pending = append(actual.Pending, p.Pending)
 	}
-	actual.Demand = m.demand.update(float64(work)/o.slots, now)
+	actual.Demand = h.demand.update(float64(work)/o.slots, now)
 	return actual
 }
 
-// count tells how the planner counts one listed instance.
-func (m *memory) count(instance platform.Instance, o observation, now time.Time) planner.Instance {
+// countInstance returns one listed instance as the planner counts it.
+func (h *holderState) countInstance(instance platform.Instance, o observation, now time.Time) planner.Instance {
 	k := key(instance)
 	l, answered := o.loads[k]
 	if answered {
-		m.served[k] = true
+		h.served[k] = true
 	}
-	since, draining := m.draining[k]
+	since, draining := h.drainingSince[k]
 	counted := planner.Instance{
 		ID:       instance.ID,
 		Offering: offeringOf(instance),
@@ -137,46 +145,48 @@
 		counted.State = planner.Draining
 		counted.Idle = answered && counted.Running == 0 && l.asOf.Sub(since) >= drainGrace
 	case l.leaving:
-		// Somebody else has told it to stop.
+		// Something other than this holder has told it to stop.
 		counted.State = planner.Leaving
-	case m.served[k]:
+	case h.served[k]:
 		counted.State = planner.Serving
 	}
 	return counted
 }
 
-// settlePending forgets the starts that are listed now, and counts those as
-// failed that never were.
-func (m *memory) settlePending(o observation, now time.Time) {
+// resolvePending removes the pending starts whose instance is listed now, and
+// counts those as failed that were not listed within listTimeout.
+func (h *holderState) resolvePending(o observation, now time.Time) {
 	listed := make(map[ident.Instance]bool)
 	for _, instance := range o.instances {
 		listed[instance.ID] = true
 	}
 	var open []pending
-	for _, p := range m.pending {
+	for _, p := range h.pending {
 		switch {
 		case p.Answered && listed[p.instance]:
-			delete(m.failures, p.Offering)
-		case now.Sub(p.askedAt) > listedWithin:
-			m.fail(p.Offering, now)
+			delete(h.failures, p.Offering)
+		case now.Sub(p.requestedAt) > listTimeout:
+			h.recordFailure(p.Offering, now)
 		default:
 			open = append(open, p)
 		}
 	}
-	m.pending = open
+	h.pending = open
 }
 
-func (m *memory) fail(offering planner.Offering, now time.Time) {
-	f := m.failures[offering]
-	m.failures[offering] = planner.Failures{Count: f.Count + 1, Last: now}
+// recordFailure counts a failed start of an offering.
+func (h *holderState) recordFailure(offering planner.Offering, now time.Time) {
+	f := h.failures[offering]
+	h.failures[offering] = planner.Failures{Count: f.Count + 1, Last: now}
 }
 
-// mayStart reports whether this holder has held the lease for long enough to
-// see all that earlier holders started, and whether no start of the offering
-// was refused since the plan was made: the others would be refused as well.
-func (m *memory) mayStart(offering planner.Offering, planned time.Time) bool {
-	settled := planned.Sub(m.since) >= settle
-	return settled && m.failures[offering].Last.Before(planned)
+// mayStart reports whether this holder has held the lease long enough for all
+// instances that earlier holders started to be listed, and no start of the
+// offering has failed since the plan was made: the other starts of the offering
+// in this plan would fail as well.
+func (h *holderState) mayStart(offering planner.Offering, planned time.Time) bool {
+	settled := planned.Sub(h.heldSince) >= takeoverWait
+	return settled && h.failures[offering].Last.Before(planned)
 }
 
 func key(instance platform.Instance) upstreamKey {
--- a/internal/controllers/fleet/controller.go
+++ b/internal/controllers/fleet/controller.go
@@ -18,7 +18,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Leases tells whether this process may act; lease.Manager does.
+// Leases returns the leases that this process holds. *lease.Manager implements
+// it.
 type Leases interface {
 	Grant(name lease.Name) (lease.Grant, bool)
 }
@@ -29,40 +30,42 @@
 	Plain(address string) upstream.Plain
 }
 
-// Gateways are told which upstreams shall get no new work, and can tell which
-// ones they know as leaving.
+// Gateways announces to the gateways which upstreams must get no new work, and
+// asks them which instances they know as leaving.
 type Gateways interface {
-	// AnnounceLeaving returns an error when no gateway has heard it.
+	// AnnounceLeaving announces upstreams as leaving. It returns an error if
+	// no gateway has acknowledged the announcement.
 	AnnounceLeaving(ctx context.Context, upstreams []platform.Instance) error
-	// Leaving returns the instances that a gateway knows as leaving.
+	// Leaving returns the instances that one gateway knows as leaving.
 	Leaving(ctx context.Context) (map[ident.Instance]ident.Incarnation, error)
 }
 
-// Config says how often to plan and how long a request may take.
+// Config holds the intervals, limits and capacities that the controller uses.
 type Config struct {
 	// Interval is the time between two rounds.
 	Interval time.Duration
-	// LoadInterval is the least time between two questions to an upstream for
-	// its load, which are what a holder spends most on.
+	// LoadInterval is the least time between two requests to an upstream for
+	// its load. These are the largest part of the controller's cost.
 	LoadInterval time.Duration
-	// Flight bounds one request. It must not exceed the leases' margin.
-	Flight time.Duration
-	// Parallel bounds the requests in progress.
-	Parallel int
+	// RequestTimeout bounds the time of one request. It must not exceed the
+	// leases' margin.
+	RequestTimeout time.Duration
+	// MaxParallel bounds the load requests in progress.
+	MaxParallel int
 	// SlotsPerEngine and SlotsPerPlain are how many requests keep one
-	// upstream busy. Documents do not say it yet.
+	// upstream busy. Documents do not specify it yet.
 	SlotsPerEngine, SlotsPerPlain float64
 }
 
 // The defaults of Config.
 const (
-	DefaultParallel       = 32
+	DefaultMaxParallel    = 32
 	DefaultLoadInterval   = 5 * time.Second
 	DefaultSlotsPerEngine = 16
 	DefaultSlotsPerPlain  = 32
 )
 
-// Deps is what the controller works with.
+// Deps holds the controller's dependencies.
 type Deps struct {
 	Documents *blackboard.Section[*document.Set]
 	Listing   *blackboard.Section[blackboard.Listing]
@@ -73,108 +76,114 @@
 	Log       hclog.Logger
 }
 
-// Controller keeps the fleets. Create it with New.
+// Controller manages the fleets of the services whose lease this process holds.
+// Create it with New.
 type Controller struct {
-	config   Config
-	deps     Deps
-	memories map[ident.Service]*memory
-	// noticed and after are the reclaim notices read so far.
-	noticed map[upstreamKey]bool
-	after   uint64
+	config Config
+	deps   Deps
+	states map[ident.Service]*holderState
+	// noticed holds the incarnations whose reclaim notice was read, and
+	// lastNotice is the sequence number of the last notice.
+	noticed    map[upstreamKey]bool
+	lastNotice uint64
 }
 
-// New returns a controller that has looked at nothing yet.
+// New returns a controller that has read nothing yet.
 func New(config Config, deps Deps) *Controller {
 	return &Controller{
-		config:   config,
-		deps:     deps,
-		memories: make(map[ident.Service]*memory),
-		noticed:  make(map[upstreamKey]bool),
+		config:  config,
+		deps:    deps,
+		states:  make(map[ident.Service]*holderState),
+		noticed: make(map[upstreamKey]bool),
 	}
 }
 
-// Run plans and acts until ctx ends. A request that has left is not given up
-// then, since it could land after the lease was released.
+// Run plans and executes the plans until ctx ends. It does not cancel a round
+// in progress then, since a cancelled request could still take effect after the
+// lease was released.
 func (c *Controller) Run(ctx context.Context) error {
 	finish := context.WithoutCancel(ctx)
 	return rounds.Run(ctx, c.config.Interval, func() { c.Round(finish) })
 }
 
-// Round plans each service whose fleet this process holds and carries the plan
-// out.
+// Round plans each service whose lease this process holds and executes the
+// plan.
 //
-// It does nothing without a recent list: an instance that is not seen would be
-// started a second time, or counted although it has ended.
+// It does nothing without a recent list of instances: an instance that the list
+// lacks would be started a second time, and one that has ended would be
+// counted.
 func (c *Controller) Round(ctx context.Context) {
-	if time.Since(c.deps.Listing.Value().ReadAt) > oldestListing {
+	if time.Since(c.deps.Listing.Value().ReadAt) > maxListingAge {
 		roundsWithoutList.Add(1)
 		return
 	}
-	held := make(map[ident.Service]*memory)
+	held := make(map[ident.Service]*holderState)
 	for service, entry := range c.deps.Documents.Value().Services {
 		grant, holds := c.deps.Leases.Grant(lease.Name{Service: service})
 		if !holds {
 			continue
 		}
-		held[service] = c.memoryOf(ctx, service, grant)
+		held[service] = c.stateOf(ctx, service, grant)
 		if len(held) == 1 {
 			c.readNotices(ctx)
 		}
 		c.planService(ctx, grant, entry.Document, held[service])
 	}
-	c.memories = held
+	c.states = held
 }
 
-// memoryOf returns the memory of the holder with this fence, and asks the
-// gateways what drains when that is due.
-func (c *Controller) memoryOf(ctx context.Context, service ident.Service, grant lease.Grant) *memory {
-	m := c.memories[service]
+// stateOf returns the state that was kept under this grant's fence, or a new
+// one. It reads the leaving instances from a gateway when that is due.
+func (c *Controller) stateOf(ctx context.Context, service ident.Service, grant lease.Grant) *holderState {
+	h := c.states[service]
 	now := time.Now()
-	if m == nil || m.fence != grant.Fence {
-		m = newMemory(grant.Fence, now)
+	if h == nil || h.fence != grant.Fence {
+		h = newHolderState(grant.Fence, now)
 	}
-	if now.Sub(m.askedAt) >= askLeavingEvery {
-		c.askLeaving(ctx, m, now)
+	if now.Sub(h.leavingReadAt) >= leavingReadInterval {
+		c.readLeaving(ctx, h, now)
 	}
-	return m
+	return h
 }
 
-// askLeaving learns from a gateway what drains already: for an earlier holder,
-// or because the answer to an announcement was lost.
-func (c *Controller) askLeaving(ctx context.Context, m *memory, now time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+// readLeaving reads from a gateway which instances are leaving already: because
+// an earlier holder announced them, or because the answer to an announcement
+// was lost.
+func (c *Controller) readLeaving(ctx context.Context, h *holderState, now time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	leaving, err := c.deps.Gateways.Leaving(ctx)
 	if err != nil {
-		c.deps.Log.Debug("gateways do not tell what drains", "error", err)
+		c.deps.Log.Debug("cannot read the leaving instances from a gateway", "error", err)
 		return
 	}
-	m.askedAt = now
+	h.leavingReadAt = now
 	for id, incarnation := range leaving {
 		k := upstreamKey{id, incarnation}
-		if _, known := m.draining[k]; !known {
-			m.draining[k] = now
+		if _, known := h.drainingSince[k]; !known {
+			h.drainingSince[k] = now
 		}
 	}
 }
 
-// planService plans one service and carries the plan out.
-func (c *Controller) planService(ctx context.Context, grant lease.Grant, doc *document.Document, m *memory) {
-	o := c.observe(ctx, doc, m)
+// planService plans one service and executes the plan.
+func (c *Controller) planService(ctx context.Context, grant lease.Grant, doc *document.Document, h *holderState) {
+	o := c.observe(ctx, doc, h)
 	now := time.Now()
-	m.reclaims.update(o, now)
-	actual := m.actual(doc.Service, o, now)
-	wanted := planner.Wanted{Placement: doc.Placement, Reclaims: m.reclaims.estimate()}
+	h.reclaims.update(o, now)
+	actual := h.plannerInput(doc.Service, o, now)
+	wanted := planner.Wanted{Placement: doc.Placement, Reclaims: h.reclaims.estimate()}
 	for _, action := range planner.Plan(actual, wanted, now) {
-		if action.Kind == planner.Start && !m.mayStart(action.Offering, now) {
+		if action.Kind == planner.Start && !h.mayStart(action.Offering, now) {
 			continue
 		}
-		c.act(ctx, grant, doc, m, o, action)
+		c.execute(ctx, grant, doc, h, o, action)
 	}
 }
 
-// observe reads the service's upstreams.
-func (c *Controller) observe(ctx context.Context, doc *document.Document, m *memory) observation {
+// observe returns the service's listed upstreams and their loads, which it
+// reads anew when that is due.
+func (c *Controller) observe(ctx context.Context, doc *document.Document, h *holderState) observation {
 	o := observation{noticed: c.noticed, slots: c.config.SlotsPerEngine}
 	if doc.Kind == document.Plain {
 		o.slots = c.config.SlotsPerPlain
@@ -185,22 +194,23 @@
 			o.instances = append(o.instances, instance)
 		}
 	}
-	if now := time.Now(); now.Sub(m.loadsAt) >= c.config.LoadInterval {
-		m.loads, m.loadsAt = c.askAll(ctx, o.instances), now
+	if now := time.Now(); now.Sub(h.loadsReadAt) >= c.config.LoadInterval {
+		h.loads, h.loadsReadAt = c.readLoads(ctx, o.instances), now
 	}
-	o.loads = m.loads
+	o.loads = h.loads
 	return o
 }
 
-// askAll reads the loads of all upstreams that answer.
-func (c *Controller) askAll(ctx context.Context, instances []platform.Instance) map[upstreamKey]load {
+// readLoads reads the loads of all instances and leaves out those that do not
+// answer.
+func (c *Controller) readLoads(ctx context.Context, instances []platform.Instance) map[upstreamKey]load {
 	var mu sync.Mutex
 	loads := make(map[upstreamKey]load)
 	var group errgroup.Group
-	group.SetLimit(c.config.Parallel)
+	group.SetLimit(c.config.MaxParallel)
 	for _, instance := range instances {
 		group.Go(func() error {
-			l, err := c.ask(ctx, instance)
+			l, err := c.readLoad(ctx, instance)
 			if err != nil {
 				return nil
 			}
@@ -214,9 +224,9 @@
 	return loads
 }
 
-// ask reads one upstream's load.
-func (c *Controller) ask(ctx context.Context, instance platform.Instance) (load, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+// readLoad reads one upstream's load from the upstream.
+func (c *Controller) readLoad(ctx context.Context, instance platform.Instance) (load, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
 	now := time.Now()
 	if instance.Role == platform.RolePlain {
@@ -227,17 +237,17 @@
 	return load{running: report.Running, queued: report.Queued, leaving: report.Leaving, asOf: now.Add(-report.Age)}, err
 }
 
-// readNotices reads the reclaim notices that are new.
+// readNotices reads the reclaim notices that it has not read yet.
 func (c *Controller) readNotices(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, c.config.Flight)
+	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
-	notices, err := c.deps.Cloud.Notices(ctx, c.after)
+	notices, err := c.deps.Cloud.Notices(ctx, c.lastNotice)
 	if err != nil {
-		c.deps.Log.Debug("reclaim notices not read", "error", err)
+		c.deps.Log.Debug("cannot read the reclaim notices", "error", err)
 		return
 	}
 	for _, notice := range notices {
 		c.noticed[upstreamKey{notice.Instance, notice.Incarnation}] = true
-		c.after = max(c.after, notice.Sequence)
+		c.lastNotice = max(c.lastNotice, notice.Sequence)
 	}
 }
--- a/internal/controllers/fleet/fleet_test.go
+++ b/internal/controllers/fleet/fleet_test.go
@@ -16,26 +16,27 @@
 func init() { testkit.FixSeed() }
 
 // virtualTime hides the test's deadline from rapid: it is in real time, and
-// must not be read in a bubble of virtual time.
+// must not be read in a synctest bubble, which has virtual time.
 type virtualTime struct{ rapid.TB }
 
 const (
 	// healTime is enough for back-offs of two minutes, for starts that were
-	// never listed to be given up, and for the memory of a rush to fade.
+	// never listed to count as failed, and for the estimate of a past load
+	// spike to decay.
 	healTime = 30 * time.Minute
-	// restTime is for how long nothing may change then.
-	restTime = 3 * time.Minute
-	// restSize spread over three failure domains leaves the least 3 upstreams
-	// when one is lost.
-	restSize = 5
+	// steadyTime is for how long nothing may change then.
+	steadyTime = 3 * time.Minute
+	// steadySize is the right number of upstreams without load: spread over
+	// three failure domains, the required 3 are left when a domain is lost.
+	steadySize = 5
 )
 
-// machine runs two controllers against the world.
+// machine runs two controllers in a world.
 type machine struct {
 	*world
-	processes [2]*process
-	lives     int
-	// busy: gateways send a request to each upstream each second.
+	processes    [2]*process
+	incarnations int
+	// busy makes gateways send a request to each upstream each second.
 	busy bool
 }
 
@@ -48,17 +49,17 @@
 }
 
 func (m *machine) start(i int) {
-	m.lives++
-	m.processes[i] = m.startProcess(ident.Instance(fmt.Sprintf("entry-%d-%d", i, m.lives)), i)
+	m.incarnations++
+	m.processes[i] = m.startProcess(ident.Instance(fmt.Sprintf("entry-%d-%d", i, m.incarnations)), i)
 }
 
-// stop ends a process; its last requests may still be on their way.
+// stop ends a process. Its last requests may still take effect later.
 func (m *machine) stop(i int) {
 	m.processes[i].stop()
 	m.processes[i].done.Wait()
 }
 
-// fataler is a test or one check of rapid.
+// fataler is what *testing.T and *rapid.T have in common here.
 type fataler interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
@@ -82,8 +83,8 @@
 	}
 }
 
-// end stops all goroutines.
-func (m *machine) end() {
+// stopAll stops all goroutines.
+func (m *machine) stopAll() {
 	m.stop(0)
 	m.stop(1)
 	time.Sleep(time.Minute)
@@ -92,7 +93,7 @@
 func (m *machine) size() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.count()
+	return m.countUpstreams()
 }
 
 func (m *machine) stopCount() int {
@@ -101,44 +102,44 @@
 	return m.stops
 }
 
-func (m *machine) setCut(cut bool) {
+func (m *machine) setGatewaysCut(cut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cut = cut
+	m.gatewaysCut = cut
 }
 
-// heal ends all faults and expects a fleet that comes to rest at the right size.
+// heal ends all faults and checks that the fleet settles at the right size.
 func (m *machine) heal(t fataler) {
 	m.cloud.SetOutage(false)
 	m.log.SetOutage(false)
-	m.setCut(false)
+	m.setGatewaysCut(false)
 	m.busy = false
 	for _, domain := range domains {
 		m.cloud.SetCapacity(domain, "cpu", true)
 	}
 	began := time.Now()
-	stops, restSince := -1, began
-	for time.Since(restSince) < restTime {
+	stops, steadySince := -1, began
+	for time.Since(steadySince) < steadyTime {
 		if time.Since(began) > healTime {
-			t.Fatalf("no rest: %d upstreams, want %d", m.size(), restSize)
+			t.Fatalf("not steady: %d upstreams, want %d", m.size(), steadySize)
 		}
 		m.advance(t, 10*time.Second)
-		if m.size() != restSize || m.stopCount() != stops {
-			stops, restSince = m.stopCount(), time.Now()
+		if m.size() != steadySize || m.stopCount() != stops {
+			stops, steadySince = m.stopCount(), time.Now()
 		}
 	}
 }
 
-// Symptom: more upstreams than the document allows, fewer than it asks for, or
-// requests cut off by a planned stop. Sequence: controllers that come and go,
-// starts and stops whose answer is lost or that take effect late, starts that
-// are refused, whole failure domains reclaimed, gateways and log not reachable.
-// Cause: a holder that acts on what it remembers instead of on what is there.
+// A holder that acts on what it remembers instead of the current state causes
+// more upstreams than the document allows, fewer than it requires, or requests
+// aborted by a planned stop. Meanwhile controllers restart, starts and stops
+// lose their answers or take effect late, starts are refused, whole failure
+// domains are reclaimed, and gateways and log are unreachable.
 func TestFleetKeepsItsBoundsUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(virtualTime{t}, func(t *rapid.T) {
 			m := newMachine()
-			defer m.end()
+			defer m.stopAll()
 			domain := func() ident.FailureDomain { return rapid.SampledFrom(domains).Draw(t, "domain") }
 			t.Repeat(map[string]func(*rapid.T){
 				"wait": func(t *rapid.T) {
@@ -156,11 +157,11 @@
 				"dud": func(t *rapid.T) {
 					m.mu.Lock()
 					defer m.mu.Unlock()
-					m.duds = 1
+					m.unlistedStarts = 1
 				},
 				"cloud":    func(t *rapid.T) { m.cloud.SetOutage(rapid.Bool().Draw(t, "down")) },
 				"log":      func(t *rapid.T) { m.log.SetOutage(rapid.Bool().Draw(t, "down")) },
-				"gateways": func(t *rapid.T) { m.setCut(rapid.Bool().Draw(t, "cut")) },
+				"gateways": func(t *rapid.T) { m.setGatewaysCut(rapid.Bool().Draw(t, "cut")) },
 				"reclaim":  func(t *rapid.T) { m.reclaim(domain()) },
 				"restart": func(t *rapid.T) {
 					i := rapid.IntRange(0, 1).Draw(t, "process")
--- a/internal/controllers/fleet/world_test.go
+++ b/internal/controllers/fleet/world_test.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	service = ident.Service("auktion-app")
-	least   = 3
-	most    = 8
-	// listLag is how late the platform's list is, and startTime how long an
-	// instance takes until it is in it and serves.
+	service      = ident.Service("auktion-app")
+	minUpstreams = 3
+	maxUpstreams = 8
+	// listLag is how late the platform's list is, and startTime how long it
+	// takes until an instance registers there and serves.
 	listLag   = time.Second
 	startTime = 2 * time.Second
-	// spreadTime is how long gateways go on sending work to an upstream after
-	// one of them has heard that it is leaving.
+	// spreadTime is how long gateways still send work to an upstream after
+	// one of them knows that it is leaving.
 	spreadTime = 4 * time.Second
-	// requestTime is how long a request runs, and reclaimTime how much time
-	// the notice of a reclaim gives.
-	requestTime = 15 * time.Second
-	reclaimTime = 5 * time.Second
-	flight      = 2 * time.Second
-	slots       = 4
+	// requestTime is how long a request runs, and reclaimTime how long before
+	// the reclaim its notice comes.
+	requestTime    = 15 * time.Second
+	reclaimTime    = 5 * time.Second
+	requestTimeout = 2 * time.Second
+	slots          = 4
 )
 
 var domains = []ident.FailureDomain{"hall-a", "hall-b", "hall-c"}
@@ -46,40 +46,44 @@
 	id      ident.Instance
 	domain  ident.FailureDomain
 	running int
-	// leavingAt is when a gateway heard that it is leaving; stopping is set
-	// by the cloud.
+	// leavingAt is when it was announced as leaving to a gateway.
 	leavingAt time.Time
-	stopping  bool
+	// stopping is whether the cloud is ending it.
+	stopping bool
 }
 
-func (a *app) sendable(now time.Time) bool {
+// receivesWork reports whether gateways send work to it.
+func (a *app) receivesWork(now time.Time) bool {
 	return !a.stopping && (a.leavingAt.IsZero() || now.Sub(a.leavingAt) < spreadTime)
 }
 
-// counted: it exists and nothing has told it to go.
-func (a *app) counted() bool { return !a.stopping && a.leavingAt.IsZero() }
+// counts reports whether it counts towards the fleet's size: it is neither
+// leaving nor stopping.
+func (a *app) counts() bool { return !a.stopping && a.leavingAt.IsZero() }
 
-// world is the platform, the upstreams and the gateways.
+// world simulates the platform, the upstreams and the gateways.
 type world struct {
 	list  *instances.List
 	cloud *cloud.Cloud
 	log   *logstore.Log
 
-	mu       sync.Mutex
-	apps     map[ident.Instance]*app
-	cut      bool
-	problems []string
-	stops    int
-	// duds is how many of the next starts fail after the cloud said yes.
-	duds int
-	// asked counts the starts that were asked for.
-	asked int
+	mu   sync.Mutex
+	apps map[ident.Instance]*app
+	// gatewaysCut is whether the gateways are unreachable.
+	gatewaysCut bool
+	problems    []string
+	stops       int
+	// unlistedStarts is how many of the next starts succeed without an instance
+	// ever being listed.
+	unlistedStarts int
+	// startsRequested counts the requested starts.
+	startsRequested int
 }
 
-// Start implements platform.Cloud and counts.
+// Start implements platform.Cloud and counts the requests.
 func (w *world) Start(ctx context.Context, req platform.StartRequest) (ident.Instance, error) {
 	w.mu.Lock()
-	w.asked++
+	w.startsRequested++
 	w.mu.Unlock()
 	return w.cloud.Start(ctx, req)
 }
@@ -100,7 +104,8 @@
 	return w
 }
 
-func (w *world) problem(format string, args ...any) {
+// recordProblem records a broken rule. The caller holds mu.
+func (w *world) recordProblem(format string, args ...any) {
 	w.problems = append(w.problems, fmt.Sprintf(format, args...))
 }
 
@@ -108,13 +113,13 @@
 func (w *world) started(id ident.Instance, req platform.StartRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.duds > 0 {
-		w.duds--
+	if w.unlistedStarts > 0 {
+		w.unlistedStarts--
 		return
 	}
 	w.apps[id] = &app{id: id, domain: req.FailureDomain}
-	if count := w.count(); count > most {
-		w.problem("%d upstreams, at most %d wanted", count, most)
+	if count := w.countUpstreams(); count > maxUpstreams {
+		w.recordProblem("%d upstreams, at most %d allowed", count, maxUpstreams)
 	}
 	time.AfterFunc(startTime, func() {
 		w.list.Register(platform.Instance{
@@ -124,17 +129,17 @@
 	})
 }
 
-func (w *world) count() int {
+func (w *world) countUpstreams() int {
 	count := 0
 	for _, a := range w.apps {
-		if a.counted() {
+		if a.counts() {
 			count++
 		}
 	}
 	return count
 }
 
-// stopped is called by the cloud when an instance is told to stop.
+// stopped is called by the cloud when it stops an instance.
 func (w *world) stopped(id ident.Instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,23 +148,24 @@
 		return
 	}
 	if a.running > 0 {
-		w.problem("%s was stopped with %d requests running", id, a.running)
+		w.recordProblem("%s was stopped with %d requests running", id, a.running)
 	}
 	if a.leavingAt.IsZero() || time.Since(a.leavingAt) < spreadTime {
-		w.problem("%s was stopped while gateways still send it work", id)
+		w.recordProblem("%s was stopped while gateways still send it work", id)
 	}
 	w.stops++
-	w.end(a)
+	w.endUpstream(a)
 }
 
-// end is called with the lock held.
-func (w *world) end(a *app) {
+// endUpstream removes an upstream. The caller holds mu.
+func (w *world) endUpstream(a *app) {
 	a.stopping = true
 	delete(w.apps, a.id)
 	w.list.SetState(a.id, 0, platform.Ended)
 }
 
-// reclaim ends all instances of a failure domain after a notice.
+// reclaim announces the reclaim of all instances of a failure domain and ends
+// them reclaimTime later.
 func (w *world) reclaim(domain ident.FailureDomain) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -177,17 +183,17 @@
 		time.AfterFunc(reclaimTime, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.end(a)
+			w.endUpstream(a)
 		})
 	}
 }
 
-// send gives each upstream one more request, as gateways would.
+// send sends one more request to each upstream to which gateways send work.
 func (w *world) send() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.apps {
-		if _, listed := w.list.Find(a.id); !listed || !a.sendable(time.Now()) {
+		if _, listed := w.list.Find(a.id); !listed || !a.receivesWork(time.Now()) {
 			continue
 		}
 		a.running++
@@ -203,7 +209,7 @@
 func (w *world) AnnounceLeaving(_ context.Context, upstreams []platform.Instance) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cut {
+	if w.gatewaysCut {
 		return platform.ErrUnavailable
 	}
 	for _, u := range upstreams {
@@ -212,8 +218,8 @@
 			continue
 		}
 		a.leavingAt = time.Now()
-		if serving := w.count(); serving < least && !a.stopping {
-			w.problem("draining %s leaves %d of at least %d", u.ID, serving, least)
+		if serving := w.countUpstreams(); serving < minUpstreams && !a.stopping {
+			w.recordProblem("draining %s leaves %d upstreams, want at least %d", u.ID, serving, minUpstreams)
 		}
 	}
 	return nil
@@ -223,7 +229,7 @@
 func (w *world) Leaving(context.Context) (map[ident.Instance]ident.Incarnation, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cut {
+	if w.gatewaysCut {
 		return nil, platform.ErrUnavailable
 	}
 	leaving := make(map[ident.Instance]ident.Incarnation)
@@ -240,10 +246,10 @@
 	return plain{world: w, id: ident.Instance(address)}
 }
 
-// Engine implements fleet.Dialer; there are none.
+// Engine implements fleet.Dialer. The fleet has no engines.
 func (w *world) Engine(string) upstream.Engine { return nil }
 
-// plain answers for one upstream.
+// plain implements the client of one upstream.
 type plain struct {
 	upstream.Plain
 	world *world
@@ -260,7 +266,7 @@
 	return upstream.Health{Instance: p.id, Running: a.running, Leaving: a.stopping}, nil
 }
 
-// process is one controller.
+// process is one running controller and its leases.
 type process struct {
 	leases *lease.Manager
 	stop   context.CancelFunc
@@ -274,10 +280,10 @@
 	doc := &document.Document{Service: service, Kind: document.Plain, Placement: placement()}
 	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{service: {Document: doc}}})
 	listed := blackboard.NewSection(blackboard.Listing{})
-	p.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: flight}, w.log)
+	p.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: requestTimeout}, w.log)
 	p.leases.Want([]lease.Wanted{{Name: lease.Name{Service: service}, Rank: rank}})
 	controller := fleet.New(
-		fleet.Config{Interval: time.Second, LoadInterval: fleet.DefaultLoadInterval, Flight: flight, Parallel: 4, SlotsPerEngine: slots, SlotsPerPlain: slots},
+		fleet.Config{Interval: time.Second, LoadInterval: fleet.DefaultLoadInterval, RequestTimeout: requestTimeout, MaxParallel: 4, SlotsPerEngine: slots, SlotsPerPlain: slots},
 		fleet.Deps{
 			Documents: documents, Listing: listed, Leases: p.leases, Cloud: w,
 			Dialer: w, Gateways: w, Log: hclog.NewNullLogger(),
@@ -296,7 +302,7 @@
 }
 
 func placement() document.Placement {
-	p := document.Placement{Min: least, Max: most, OnDemandShare: 0.3}
+	p := document.Placement{Min: minUpstreams, Max: maxUpstreams, OnDemandShare: 0.3}
 	for i, domain := range domains {
 		for _, reclaimable := range []bool{false, true} {
 			price := document.Price{FailureDomain: domain, Class: "cpu", Reclaimable: reclaimable, CentsPerHour: float64(10 + i)}
--- a/internal/controllers/membership/controller.go
+++ b/internal/controllers/membership/controller.go
@@ -15,66 +15,74 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Controller keeps the table of one process. All methods are safe for
-// concurrent use.
+// Controller maintains the membership table of one process. All exported
+// methods are safe for concurrent use.
 type Controller struct {
 	config Config
 	deps   Deps
-	// epoch tells this run of the process from earlier ones.
+	// epoch is a random number that distinguishes this run of the process
+	// from earlier ones; never 0.
 	epoch uint64
-	// departures wakes the pushing loop.
-	departures chan struct{}
+	// pushWake wakes the goroutine that pushes departures.
+	pushWake chan struct{}
 
 	mu       sync.Mutex
 	table    *membership.Table
 	sessions map[ident.Instance]*session
-	// recent is a number of the table from at least recentWindow ago.
+	// recent is the table's change number from one to two recentWindows ago,
+	// nextRecent that from up to one recentWindow ago.
 	recent, nextRecent mark
 	// published is the last published state of each instance.
-	published     map[ident.Instance]blackboard.Member
-	publishedFact uint64
-	// listed: the platform's list was read at least once.
-	listed bool
-	// mismatch: a peer's facts differed from ours since lastFull.
-	mismatch bool
-	lastFull time.Time
-	// turn counts heartbeats and rounds counts pushes; both rotate through
-	// the peers, from a start of this process's own.
-	start, turn, rounds int
-	// pushLocal and pushRemote are the numbers of the last departures that
-	// the own failure domain and the others have to hear of at once.
+	published map[ident.Instance]blackboard.Member
+	// lastPublishedFact is the change number of the last published fact.
+	lastPublishedFact uint64
+	// listRead is whether the platform's list was read at least once.
+	listRead bool
+	// factsDiffer is whether a peer's facts have differed from ours since
+	// lastFullRequest.
+	factsDiffer     bool
+	lastFullRequest time.Time
+	// turn counts rounds of heartbeats and pushRounds counts rounds of
+	// pushes. Both rotate through the peers from rotationStart on, which
+	// differs between processes.
+	rotationStart, turn, pushRounds int
+	// pushLocal and pushRemote are the change numbers of the last departures
+	// that have to be pushed to the own failure domain and to the others.
 	pushLocal, pushRemote uint64
-	pushes                map[string]*push
-	ownDeparture          sync.Once
+	// pushes holds the pushes by their keys; see receivers.
+	pushes       map[string]*push
+	ownDeparture sync.Once
 }
 
-// mark is a number of the table and when it was reached.
+// mark is a change number of the table and when it was reached.
 type mark struct {
 	sequence uint64
 	at       time.Time
 }
 
-// maxStart keeps the sum of start and turn well within an int.
-const maxStart = 1 << 16
+// maxRotationStart bounds rotationStart, so that its sum with turn fits into an
+// int.
+const maxRotationStart = 1 << 16
 
 func hash(id ident.Instance) uint64 { return xxhash.Sum64String(string(id)) }
 
-// recentWindow is how far back the first digest to a peer reaches.
+// recentWindow is the least age of the changes that the first digest to a peer
+// leaves out.
 const recentWindow = 15 * time.Second
 
 // New returns a controller that knows only its own instance.
 func New(config Config, deps Deps) *Controller {
 	now := time.Now()
 	c := &Controller{
-		config:     config,
-		deps:       deps,
-		epoch:      rand.Uint64() | 1,
-		start:      int(hash(config.Self.ID) % maxStart),
-		departures: make(chan struct{}, 1),
-		table:      membership.NewTable(config.Self.ID, config.Self.FailureDomain, config.Limits),
-		sessions:   map[ident.Instance]*session{},
-		published:  map[ident.Instance]blackboard.Member{},
-		pushes:     map[string]*push{},
+		config:        config,
+		deps:          deps,
+		epoch:         rand.Uint64() | 1,
+		rotationStart: int(hash(config.Self.ID) % maxRotationStart),
+		pushWake:      make(chan struct{}, 1),
+		table:         membership.NewTable(config.Self.ID, config.Self.FailureDomain, config.Limits),
+		sessions:      map[ident.Instance]*session{},
+		published:     map[ident.Instance]blackboard.Member{},
+		pushes:        map[string]*push{},
 	}
 	description := config.Self
 	description.State = 0
@@ -91,16 +99,16 @@
 	return c
 }
 
-// Run sends heartbeats and spreads departures until ctx ends.
+// Run sends heartbeats and pushes departures until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return c.beat(ctx) })
-	group.Go(func() error { return c.spread(ctx) })
+	group.Go(func() error { return c.sendHeartbeats(ctx) })
+	group.Go(func() error { return c.pushDepartures(ctx) })
 	group.Go(func() error { return c.watchStopping(ctx) })
 	return group.Wait()
 }
 
-// watchStopping tells the peers when this process begins to leave.
+// watchStopping announces to the peers when this process begins to leave.
 func (c *Controller) watchStopping(ctx context.Context) error {
 	snap := c.deps.Board.Stopping.Load()
 	for !snap.Value {
@@ -120,17 +128,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.listed = true
+	c.listRead = true
 	departed := c.table.ApplyList(list, now)
 	if len(departed) > 0 {
-		c.departed(departed, everyone)
+		c.handleDepartures(departed, everyone)
 	}
 	c.publish(now)
 }
 
-// NoteLeaving records the first sign that an instance is leaving: a reclaim
-// notice, its own report, or its refusal of a request. Peers are told at once.
-// The data path may call it for every refusal.
+// NoteLeaving records a sign that an instance is leaving: a reclaim notice, its
+// own report, or its refusal of a request. The first sign is pushed to the
+// peers at once. The data path may call it for every refusal.
 func (c *Controller) NoteLeaving(id ident.Instance, incarnation ident.Incarnation) {
 	if c.knownToLeave(id, incarnation) {
 		return
@@ -143,13 +151,14 @@
 		e.FailureDomain = known.FailureDomain
 	}
 	if c.table.Observe(e, now) == membership.Departure {
-		c.departed([]ident.Instance{id}, everyone)
+		c.handleDepartures([]ident.Instance{id}, everyone)
 	}
 	c.publish(now)
 }
 
-// knownToLeave looks at the published snapshot, so that a burst of refusals by
-// the same upstream takes no lock.
+// knownToLeave reports whether the published snapshot shows that an incarnation
+// is leaving or gone. It takes no lock, so that a burst of refusals by one
+// upstream is cheap.
 func (c *Controller) knownToLeave(id ident.Instance, incarnation ident.Incarnation) bool {
 	m, ok := c.deps.Board.Members.Value().ByID[id]
 	if !ok {
@@ -158,16 +167,16 @@
 	return m.Incarnation > incarnation || (m.Incarnation == incarnation && m.State >= blackboard.Leaving)
 }
 
-// Observation is an instance's own answer to this process.
+// Observation is what an instance's own answer to this process says.
 type Observation struct {
 	Instance    ident.Instance
 	Incarnation ident.Incarnation
 	Leaving     bool
-	// Load is zero when the answer told none.
+	// Load is zero when the answer carried none.
 	Load membership.Load
 }
 
-// Observe records an instance's own answer: proof of life and load.
+// Observe records an instance's own answer: that it is alive, and its load.
 func (c *Controller) Observe(o Observation) {
 	if o.Leaving {
 		c.NoteLeaving(o.Instance, o.Incarnation)
@@ -190,8 +199,8 @@
 	}
 }
 
-// Entries returns a copy of all entries that are not gone, with their latest
-// load as told by any process.
+// Entries returns a copy of all entries that are not gone, with the latest load
+// that any process has reported.
 func (c *Controller) Entries() []membership.Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,8 +213,9 @@
 	return out
 }
 
-// departed asks for a push of departures to an audience. The lock is held.
-func (c *Controller) departed(ids []ident.Instance, to audience) {
+// handleDepartures requests a push of departures to an audience. The caller
+// holds mu.
+func (c *Controller) handleDepartures(ids []ident.Instance, to audience) {
 	c.pushLocal = c.table.Sequence()
 	if to == everyone {
 		c.pushRemote = c.table.Sequence()
@@ -214,37 +224,38 @@
 	c.deps.Log.Info("instances are leaving", "instances", ids)
 	c.checkOwnDeparture(ids)
 	select {
-	case c.departures <- struct{}{}:
+	case c.pushWake <- struct{}{}:
 	default:
 	}
 }
 
-// tellOwner reports that somebody else knows this instance to be leaving.
-func (c *Controller) tellOwner() {
+// notifyOwnDeparture calls OnOwnDeparture, unless that has happened already.
+func (c *Controller) notifyOwnDeparture() {
 	if c.deps.OnOwnDeparture != nil {
 		c.ownDeparture.Do(func() { go c.deps.OnOwnDeparture() })
 	}
 }
 
-// publishFacts publishes unless only proofs of life and loads have changed since
-// the last time; a suspicion that these clear waits for the next turn.
+// publishFacts publishes unless only figures have changed since the last time.
+// A suspicion that new figures clear is published with the next heartbeat.
 func (c *Controller) publishFacts(now time.Time) {
-	if c.table.LastFact() != c.publishedFact {
+	if c.table.LastFact() != c.lastPublishedFact {
 		c.publish(now)
 	}
 }
 
-// publish replaces board.Members when a state differs from the published one.
-// The lock is held, so there is one writer.
+// publish removes outdated entries from the table and replaces board.Members if
+// a state, incarnation or description differs from the published one. The
+// caller holds mu, so there is one writer.
 func (c *Controller) publish(now time.Time) {
 	c.table.Forget(now)
-	c.publishedFact = c.table.LastFact()
-	if !c.differs(now) {
+	c.lastPublishedFact = c.table.LastFact()
+	if !c.membersChanged(now) {
 		return
 	}
 	next := make(map[ident.Instance]blackboard.Member, c.table.Len())
 	for e := range c.table.All {
-		m := c.member(e, now)
+		m := c.newMember(e, now)
 		old, ok := c.published[e.ID]
 		if ok && old.State == m.State && old.Incarnation == m.Incarnation {
 			m.Since = old.Since
@@ -255,13 +266,14 @@
 	c.deps.Board.Members.Publish(&blackboard.Members{ByID: next})
 }
 
-func (c *Controller) differs(now time.Time) bool {
+// membersChanged reports whether the table differs from the published members.
+func (c *Controller) membersChanged(now time.Time) bool {
 	if c.table.Len() != len(c.published) {
 		return true
 	}
 	for e := range c.table.All {
 		old, ok := c.published[e.ID]
-		if !ok || old.State != c.effective(e, now) || old.Incarnation != e.Incarnation {
+		if !ok || old.State != c.effectiveState(e, now) || old.Incarnation != e.Incarnation {
 			return true
 		}
 		if old.Instance != instanceOf(e) {
@@ -271,7 +283,10 @@
 	return false
 }
 
-func (c *Controller) effective(e membership.Entry, now time.Time) blackboard.MemberState {
+// effectiveState returns an entry's state, or Suspect for an instance that is
+// alive but was not seen for too long or failed PeerFailures exchanges in a
+// row.
+func (c *Controller) effectiveState(e membership.Entry, now time.Time) blackboard.MemberState {
 	state := c.table.Effective(e, c.config.Suspicion, now)
 	s, ok := c.sessions[e.ID]
 	if ok && state == blackboard.Alive && s.failures >= c.config.PeerFailures {
@@ -280,16 +295,17 @@
 	return state
 }
 
-func (c *Controller) member(e membership.Entry, now time.Time) blackboard.Member {
+func (c *Controller) newMember(e membership.Entry, now time.Time) blackboard.Member {
 	return blackboard.Member{
 		Instance:    instanceOf(e),
 		Incarnation: e.Incarnation,
-		State:       c.effective(e, now),
+		State:       c.effectiveState(e, now),
 		Since:       now,
 	}
 }
 
-// instanceOf returns the description, or as much of it as the digests carry.
+// instanceOf returns an entry's description, or if it has none, the parts that
+// facts carry. Only gateways have a PeerAddress.
 func instanceOf(e membership.Entry) platform.Instance {
 	if e.Description != nil {
 		return *e.Description
--- a/internal/controllers/membership/fleet_test.go
+++ b/internal/controllers/membership/fleet_test.go
@@ -22,10 +22,10 @@
 
 func init() { testkit.FixSeed() }
 
-const hop = time.Millisecond
+const hopTime = time.Millisecond
 
-// fleet is a set of controllers over a transport in memory that loses messages
-// and keeps failure domains apart on demand.
+// fleet is a set of controllers connected by a transport in memory that can
+// lose messages and cut off failure domains.
 type fleet struct {
 	nodes     []*node
 	byAddress map[string]*node
@@ -34,15 +34,16 @@
 	mu sync.Mutex
 	// lossSeed chooses which messages are lost; 0 loses none.
 	lossSeed uint64
-	// runs counts the messages in a row that a link has lost.
-	runs map[string]int
-	sent map[string]int
-	cut  map[ident.FailureDomain]bool
-	// bytes and messages count both directions.
+	// lossRuns counts the exchanges in a row that a link has lost.
+	lossRuns map[string]int
+	sent     map[string]int
+	cut      map[ident.FailureDomain]bool
+	// bytes and messages count requests and answers.
 	bytes, messages int
 }
 
-// maxLossRun is the loss that the bound of promise 5 allows for.
+// maxLossRun is how many exchanges in a row a link may lose without the bounds
+// on departures being exceeded.
 const maxLossRun = 2
 
 type node struct {
@@ -58,9 +59,9 @@
 	return m.State, m.Incarnation
 }
 
-// newFleet starts gateways and names upstreams, spread over failure domains.
+// newFleet creates gateways and upstreams in turn in each failure domain.
 func newFleet(gateways, upstreams, domains int, tune func(*Config)) *fleet {
-	f := &fleet{byAddress: map[string]*node{}, runs: map[string]int{}, sent: map[string]int{}, cut: map[ident.FailureDomain]bool{}}
+	f := &fleet{byAddress: map[string]*node{}, lossRuns: map[string]int{}, sent: map[string]int{}, cut: map[ident.FailureDomain]bool{}}
 	for i := range upstreams {
 		f.upstreams = append(f.upstreams, platform.Instance{
 			ID:            ident.Instance(fmt.Sprintf("i-%017d", i)),
@@ -116,9 +117,9 @@
 	f.byAddress[self.PeerAddress] = n
 }
 
-// at returns the node at an address, or nil. A node can be added while others
-// run.
-func (f *fleet) at(address string) *node {
+// nodeAt returns the node at an address, or nil. It may be called while a node
+// is added.
+func (f *fleet) nodeAt(address string) *node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.byAddress[address]
@@ -132,7 +133,7 @@
 	return list
 }
 
-// run starts all controllers; stop ends them and waits for their goroutines.
+// run starts all controllers. stop ends them and waits for their goroutines.
 func (f *fleet) run() (stop func()) {
 	var all sync.WaitGroup
 	for _, n := range f.nodes {
@@ -148,7 +149,7 @@
 	}
 }
 
-// kill ends a process without a word.
+// kill ends a process without announcing it.
 func (f *fleet) kill(n *node) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,33 +157,34 @@
 	n.cancel()
 }
 
-// link is one process's way to the others.
+// link is one process's connection to the others.
 type link struct {
 	fleet *fleet
 	from  *node
 }
 
-// Exchange implements Transport. A lost message shows only by its deadline.
+// Exchange implements Transport. If a message is lost, it returns only when ctx
+// expires.
 func (l *link) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
-	time.Sleep(hop)
-	to := l.fleet.at(address)
-	if to == nil || l.fleet.loses(l.from, to, "request") {
-		return nil, expire(ctx)
+	time.Sleep(hopTime)
+	to := l.fleet.nodeAt(address)
+	if to == nil || l.fleet.loseMessage(l.from, to, "request") {
+		return nil, waitUntilExpired(ctx)
 	}
 	l.fleet.count(proto.Size(req))
 	resp, err := to.Exchange(ctx, req)
-	time.Sleep(hop)
+	time.Sleep(hopTime)
 	if err != nil {
 		return nil, err
 	}
 	l.fleet.count(proto.Size(resp))
-	if l.fleet.loses(l.from, to, "answer") {
-		return nil, expire(ctx)
+	if l.fleet.loseMessage(l.from, to, "answer") {
+		return nil, waitUntilExpired(ctx)
 	}
 	return resp, nil
 }
 
-func expire(ctx context.Context) error {
+func waitUntilExpired(ctx context.Context) error {
 	<-ctx.Done()
 	return errcode.Wrap(errcode.DeadlineExceeded, ctx.Err(), "lost")
 }
@@ -194,9 +196,9 @@
 	f.messages++
 }
 
-// loses decides about one message. An exchange counts as one toward the run of
-// losses, whichever of its two messages is lost.
-func (f *fleet) loses(from, to *node, part string) bool {
+// loseMessage decides whether one message is lost. An exchange counts as one
+// loss in lossRuns, whichever of its two messages is lost.
+func (f *fleet) loseMessage(from, to *node, part string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if from.dead || to.dead {
@@ -211,16 +213,17 @@
 	}
 	link := string(from.self.ID) + ">" + string(to.self.ID)
 	f.sent[link]++
-	lost := f.runs[link] < maxLossRun && xxhash.Sum64String(fmt.Sprint(f.lossSeed, link, part, f.sent[link]))%2 == 0
+	lost := f.lossRuns[link] < maxLossRun && xxhash.Sum64String(fmt.Sprint(f.lossSeed, link, part, f.sent[link]))%2 == 0
 	if lost {
-		f.runs[link]++
+		f.lossRuns[link]++
 	} else if part == "answer" {
-		f.runs[link] = 0
+		f.lossRuns[link] = 0
 	}
 	return lost
 }
 
-// Everyone finds everyone: by the list, and without it from seeds.
+// Every process learns of all instances, from the list or, without it, from
+// seeds.
 func TestFleetFindsItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(8, 13, 4, nil)
@@ -241,7 +244,7 @@
 			}
 		}
 		if _, _, ok := newcomer.Highest(); !ok {
-			t.Errorf("newcomer has not heard of every peer")
+			t.Errorf("newcomer has had no exchange with some peers")
 		}
 		for _, n := range f.nodes {
 			if state, _ := n.state(newcomer.self.ID); state != blackboard.Alive {
@@ -251,10 +254,10 @@
 	})
 }
 
-// Symptom: operators see members without a role that are suspect, and later
-// departures of instances that never were. Sequence: a controller process asks
-// a gateway for what it knows, under a name of its own. Cause: whoever sent a
-// heartbeat was taken for an instance.
+// The sender of a heartbeat must not be taken for an instance if it has no peer
+// address. When a controller process sends one under a name of its own,
+// operators would see suspect members without a role, and later departures of
+// instances that never existed.
 func TestProcessThatOnlyAsksIsNoMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 1, 1, nil)
--- a/internal/controllers/orders/decide_test.go
+++ b/internal/controllers/orders/decide_test.go
@@ -12,9 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Symptom: a service answers nobody while a new version is rolled out.
-// Sequence: all engines get the order at once. Cause: each of them stops
-// serving while it loads.
+// Engines stop serving while they load a version. If all of them got the order
+// for a new version at once, the service would answer nobody meanwhile.
 func TestOnlyAPartOfTheEnginesChangesAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := upstream.Order{Fence: 5, Model: "m", Version: "2"}
@@ -24,7 +23,7 @@
 		for i := range 9 {
 			e := orders.Engine{ID: ident.Instance(fmt.Sprintf("e%d", i)), Model: "m", Version: "1"}
 			if i < ordered {
-				e.Last, e.LastAt, e.Fence = wanted, now, 5
+				e.LastOrder, e.LastOrderAt, e.Fence = wanted, now, 5
 			}
 			if i < loaded {
 				e.Version = "2"
@@ -51,7 +50,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if diff := cmp.Diff(c.want, orders.Decide(c.engines, wanted, now.Add(c.after))); diff != "" {
+			if diff := cmp.Diff(c.want, orders.DueEngines(c.engines, wanted, now.Add(c.after))); diff != "" {
 				t.Error(diff)
 			}
 		})
--- a/internal/controllers/orders/late_order_test.go
+++ b/internal/controllers/orders/late_order_test.go
@@ -23,85 +23,86 @@
 
 func init() { testkit.OneProcessor() }
 
-// step is how finely the tests look at an engine.
-const step = 50 * time.Millisecond
-
-// setting is what a scene varies.
-type setting struct {
-	checks   bool
-	loadTime time.Duration
-	margin   time.Duration
-	// version that the engine runs at the start.
+// pollInterval is the time between two reads of the engine's report.
+const pollInterval = 50 * time.Millisecond
+
+// sceneOptions holds the parameters of a scene.
+type sceneOptions struct {
+	// checksFencing is whether the engine checks fencing numbers.
+	checksFencing bool
+	loadTime      time.Duration
+	margin        time.Duration
+	// version is the one that the engine runs at the start.
 	version string
-	// freezeBeforeCheck freezes holders before their last check of the lease
+	// pauseBeforeCheck pauses holders before their last check of the lease
 	// instead of after it.
-	freezeBeforeCheck bool
+	pauseBeforeCheck bool
 	// interval is the time between two rounds, and between two reads of the
 	// leases.
 	interval time.Duration
 }
 
-// link is one process's way to the log and to the engines.
+// link is one process's connection to the log and to the engines.
 type link struct {
 	log platform.Log
-	// flight is how long an order takes; it lands also when its sender has
-	// given it up.
-	flight time.Duration
+	// orderDelay is the time after which the engine applies an order. It
+	// applies it even if its sender has timed out by then.
+	orderDelay time.Duration
 
 	mu sync.Mutex
-	// cut: the log is not reachable.
-	cut bool
-	// thawed is closed while the process runs.
-	thawed chan struct{}
+	// logCut is whether the log is unreachable.
+	logCut bool
+	// resumed is closed while the process is not paused.
+	resumed chan struct{}
 }
 
 func newLink(log platform.Log) *link {
-	l := &link{log: log, thawed: make(chan struct{})}
-	close(l.thawed)
+	l := &link{log: log, resumed: make(chan struct{})}
+	close(l.resumed)
 	return l
 }
 
-func (l *link) setCut(cut bool) {
+func (l *link) setLogCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
+	l.logCut = cut
 }
 
-func (l *link) isCut() bool {
+func (l *link) isLogCut() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.logCut
 }
 
-// freeze stops the process at its next append, read or order until the
-// returned function runs. Reports still work, so that a round gets as far as
-// its first order: the process stops between the check and the send.
-func (l *link) freeze() func() {
+// pauseProcess pauses the process at its next append, read or order until the
+// returned function is called. Reports still work, so that a round gets as far
+// as its first order: the process is paused between the check and the send.
+func (l *link) pauseProcess() func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	thawed := make(chan struct{})
-	l.thawed = thawed
-	return func() { close(thawed) }
+	resumed := make(chan struct{})
+	l.resumed = resumed
+	return func() { close(resumed) }
 }
 
-func (l *link) pause() {
+func (l *link) waitWhilePaused() {
 	l.mu.Lock()
-	thawed := l.thawed
+	resumed := l.resumed
 	l.mu.Unlock()
-	<-thawed
+	<-resumed
 }
 
 func (l *link) Append(ctx context.Context, stream string, records [][]byte) (ident.Offset, error) {
-	l.pause()
-	if l.isCut() {
+	l.waitWhilePaused()
+	if l.isLogCut() {
 		return 0, platform.ErrUnavailable
 	}
 	return l.log.Append(ctx, stream, records)
 }
 
 func (l *link) Read(ctx context.Context, stream string, from ident.Offset, limit int, wait time.Duration) (platform.Batch, error) {
-	l.pause()
-	if l.isCut() {
+	l.waitWhilePaused()
+	if l.isLogCut() {
 		return platform.Batch{}, platform.ErrUnavailable
 	}
 	return l.log.Read(ctx, stream, from, limit, wait)
@@ -114,9 +115,9 @@
 }
 
 func (r remoteEngine) Apply(ctx context.Context, order upstream.Order) error {
-	r.link.pause()
+	r.link.waitWhilePaused()
 	answer := make(chan error, 1)
-	time.AfterFunc(r.link.flight, func() { answer <- r.Engine.Apply(context.Background(), order) })
+	time.AfterFunc(r.link.orderDelay, func() { answer <- r.Engine.Apply(context.Background(), order) })
 	select {
 	case err := <-answer:
 		return err
@@ -125,7 +126,7 @@
 	}
 }
 
-// holder is one controller process with its own view of the documents.
+// holder is one controller process with its own documents and list.
 type holder struct {
 	link      *link
 	leases    *lease.Manager
@@ -133,25 +134,26 @@
 	listing   *blackboard.Section[blackboard.Listing]
 }
 
-// Engine implements orders.Dialer: there is one engine.
+// dialer implements orders.Dialer. It has one engine for all addresses.
 type dialer struct{ engine upstream.Engine }
 
 func (d dialer) Engine(string) upstream.Engine { return d.engine }
 
-// weights grants every transfer, when the process is frozen there only later.
+// weights grants every transfer, but if pauses is set, only while the process
+// is not paused.
 type weights struct {
-	link    *link
-	freezes bool
+	link   *link
+	pauses bool
 }
 
 func (w weights) Reserve(context.Context, string, string) (platform.Transfer, error) {
-	if w.freezes {
-		w.link.pause()
+	if w.pauses {
+		w.link.waitWhilePaused()
 	}
 	return platform.Transfer{}, nil
 }
 
-func startHolder(t *testing.T, ctx context.Context, id ident.Instance, log platform.Log, e upstream.Engine, with setting) *holder {
+func startHolder(t *testing.T, ctx context.Context, id ident.Instance, log platform.Log, e upstream.Engine, with sceneOptions) *holder {
 	t.Helper()
 	h := &holder{
 		link:      newLink(log),
@@ -161,13 +163,13 @@
 	h.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: with.margin, Poll: with.interval}, h.link)
 	go h.leases.Run(ctx)
 	controller := orders.New(
-		orders.Config{Interval: with.interval, Flight: lease.DefaultMargin, Parallel: 4},
+		orders.Config{Interval: with.interval, RequestTimeout: lease.DefaultMargin, MaxParallel: 4},
 		orders.Deps{
 			Documents: h.documents,
 			Listing:   h.listing,
 			Leases:    h.leases,
 			Dialer:    dialer{remoteEngine{Engine: e, link: h.link}},
-			Weights:   weights{link: h.link, freezes: with.freezeBeforeCheck},
+			Weights:   weights{link: h.link, pauses: with.pauseBeforeCheck},
 			Log:       hclog.NewNullLogger(),
 		})
 	go func() { _ = controller.Run(ctx) }()
@@ -176,32 +178,32 @@
 
 var leaseName = lease.Name{Service: "spool-llm", FailureDomain: "hall-a"}
 
-// list makes the engine known to the holder.
-func (h *holder) list() {
+// listEngine adds the engine to the holder's list of instances.
+func (h *holder) listEngine() {
 	h.listing.Publish(blackboard.Listing{Instances: []platform.Instance{{
 		ID: "engine-1", Incarnation: 1, Role: platform.RoleEngine, Service: leaseName.Service,
 		FailureDomain: leaseName.FailureDomain, Address: "engine-1", State: platform.Live,
 	}}})
 }
 
-func (h *holder) want() { h.leases.Want([]lease.Wanted{{Name: leaseName}}) }
+func (h *holder) wantLease() { h.leases.Want([]lease.Wanted{{Name: leaseName}}) }
 
 func documentOf(version string) *document.Set {
 	doc := &document.Document{Service: leaseName.Service, Kind: document.Model, Model: document.ModelSpec{Name: "m", Version: version}}
 	return &document.Set{Services: map[ident.Service]document.Entry{leaseName.Service: {Document: doc}}}
 }
 
-// scene is one engine with an old holder that wants version 1 and its
-// successor that wants version 2.
+// scene is one engine, an old holder that wants version 1, and a new holder
+// that wants version 2.
 type scene struct {
 	engine   *engine.Engine
 	old, new *holder
 }
 
-func newScene(t *testing.T, ctx context.Context, with setting) *scene {
+func newScene(t *testing.T, ctx context.Context, with sceneOptions) *scene {
 	e := engine.New(engine.Config{
 		Instance: "engine-1", Incarnation: 1, Parameters: engine.DefaultParameters(),
-		ChecksFencing: with.checks, LoadTime: with.loadTime, Model: "m", Version: with.version,
+		ChecksFencing: with.checksFencing, LoadTime: with.loadTime, Model: "m", Version: with.version,
 	})
 	t.Cleanup(e.Close)
 	log := logstore.New(logstore.Options{})
@@ -210,39 +212,39 @@
 	time.Sleep(with.interval / 3)
 	s.new = startHolder(t, ctx, "entry-2", log, e, with)
 	s.new.documents.Publish(documentOf("2"))
-	s.new.list()
-	s.old.want()
+	s.new.listEngine()
+	s.old.wantLease()
 	time.Sleep(5 * time.Second)
-	s.new.want()
-	// From now on the successor watches each renewal as it comes.
+	s.new.wantLease()
+	// From now on the new holder sees each renewal when it is appended.
 	time.Sleep(5 * time.Second)
 	return s
 }
 
-// wrongFor watches the engine for a while and returns for how long it had
-// version 1 after it had version 2.
-func (s *scene) wrongFor(t *testing.T, watch time.Duration) time.Duration {
+// timeAtOldVersion watches the engine for the time watch and returns for how
+// long it did not run version 2 after it first did.
+func (s *scene) timeAtOldVersion(t *testing.T, watch time.Duration) time.Duration {
 	t.Helper()
-	var wrong time.Duration
+	var total time.Duration
 	reached := false
-	for range int(watch / step) {
-		time.Sleep(step)
+	for range int(watch / pollInterval) {
+		time.Sleep(pollInterval)
 		report, err := s.engine.Report(context.Background())
 		if err != nil {
 			t.Fatal(err)
 		}
 		reached = reached || report.Version == "2"
 		if reached && report.Version != "2" {
-			wrong += step
+			total += pollInterval
 		}
 	}
 	if report, _ := s.engine.Report(context.Background()); report.Version != "2" {
 		t.Errorf("the engine ends at version %q, want 2", report.Version)
 	}
-	return wrong
+	return total
 }
 
-// inBubble runs a test in virtual time and ends its processes.
+// inBubble runs a test in virtual time and stops its processes at the end.
 func inBubble(t *testing.T, run func(t *testing.T, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -254,45 +256,45 @@
 	})
 }
 
-// Symptom: an engine goes back to an old version, for good. Sequence: a holder
-// is frozen right before it sends an order; its lease passes on and the new
-// holder orders the new version; then the old holder wakes and its order
-// arrives. Cause: the order was checked before the freeze.
+// A holder is paused right before it sends an order, after it has checked its
+// lease. Another process gets the lease and orders the new version; then the
+// old holder resumes and its order arrives. The engine must not go back to the
+// old version for good.
 func TestLateOrderOfAFrozenHolderIsRepaired(t *testing.T) {
 	const (
 		interval = time.Second
-		flight   = 200 * time.Millisecond
-		// bound is one round until the report is read, the order's flight,
-		// and the grain of the test.
-		bound = interval + flight + step
+		delay    = 200 * time.Millisecond
+		// bound is the time of one round, after which the report is read,
+		// plus the order's delay, plus the resolution of the test.
+		bound = interval + delay + pollInterval
 	)
 	cases := []struct {
 		name  string
-		with  setting
+		with  sceneOptions
 		limit time.Duration
 	}{
-		{"engine checks the number: never applied", setting{checks: true}, 0},
-		{"engine checks the number and had the version before", setting{checks: true, version: "2"}, 0},
-		{"engine ignores it: repaired within the bound", setting{}, bound},
-		{"engine ignores it and loads slowly: seen by the number before it is loaded", setting{loadTime: 10 * time.Second}, 0},
-		{"engine ignores it, freeze before the check: never sent", setting{freezeBeforeCheck: true}, 0},
+		{"engine checks the number: never applied", sceneOptions{checksFencing: true}, 0},
+		{"engine checks the number and had the version before", sceneOptions{checksFencing: true, version: "2"}, 0},
+		{"engine ignores it: repaired within the bound", sceneOptions{}, bound},
+		{"engine ignores it and loads slowly: seen by the number before it is loaded", sceneOptions{loadTime: 10 * time.Second}, 0},
+		{"engine ignores it, freeze before the check: never sent", sceneOptions{pauseBeforeCheck: true}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var worst time.Duration
-			for wake := time.Duration(0); wake < interval; wake += step {
+			for wake := time.Duration(0); wake < interval; wake += pollInterval {
 				inBubble(t, func(t *testing.T, ctx context.Context) {
 					c.with.margin, c.with.interval = lease.DefaultMargin, interval
 					s := newScene(t, ctx, c.with)
-					s.old.link.flight, s.new.link.flight = flight, flight
-					thaw := s.old.link.freeze()
-					s.old.list()
+					s.old.link.orderDelay, s.new.link.orderDelay = delay, delay
+					resume := s.old.link.pauseProcess()
+					s.old.listEngine()
 					time.Sleep(40 * time.Second)
 					if report, _ := s.engine.Report(ctx); report.Version != "2" {
 						t.Fatalf("the new holder has not ordered version 2, but %q", report.Version)
 					}
-					time.AfterFunc(wake, thaw)
-					worst = max(worst, s.wrongFor(t, 40*time.Second))
+					time.AfterFunc(wake, resume)
+					worst = max(worst, s.timeAtOldVersion(t, 40*time.Second))
 				})
 			}
 			t.Logf("at the old version for %v at worst, bound %v", worst, c.limit)
@@ -300,29 +302,29 @@
 				t.Errorf("at the old version for %v, want at most %v", worst, c.limit)
 			}
 			if c.limit > 0 && worst == 0 {
-				t.Error("the late order changed nothing: the test shows nothing")
+				t.Error("the late order changed nothing: the test proves nothing")
 			}
 		})
 	}
 }
 
-// Symptom: as above, without any freeze. Sequence: the old holder loses the
-// log; an engine appears shortly before its deadline and gets an order that
-// flies for a while; meanwhile the lease passes on. Cause: the order leaves
-// under a valid lease and lands after it. The margin is there for it.
+// The margin keeps an order that was sent under a valid lease from being
+// applied after the lease has passed to another holder. The old holder loses
+// the log; an engine appears shortly before the lease's deadline and gets an
+// order that takes a while; meanwhile the new holder gets the lease.
 func TestMarginKeepsOrdersInFlightOutOfTheNextLease(t *testing.T) {
 	worst := func(margin time.Duration) time.Duration {
 		var worst time.Duration
-		for at := lease.DefaultLength / 2; at <= lease.DefaultLength; at += 3 * step {
+		for at := lease.DefaultLength / 2; at <= lease.DefaultLength; at += 3 * pollInterval {
 			inBubble(t, func(t *testing.T, ctx context.Context) {
-				s := newScene(t, ctx, setting{margin: margin, interval: 2 * step})
-				s.old.link.flight = lease.DefaultMargin - step
-				s.old.link.setCut(true)
+				s := newScene(t, ctx, sceneOptions{margin: margin, interval: 2 * pollInterval})
+				s.old.link.orderDelay = lease.DefaultMargin - pollInterval
+				s.old.link.setLogCut(true)
 				go func() {
 					time.Sleep(at)
-					s.old.list()
+					s.old.listEngine()
 				}()
-				worst = max(worst, s.wrongFor(t, 40*time.Second))
+				worst = max(worst, s.timeAtOldVersion(t, 40*time.Second))
 			})
 		}
 		return worst
@@ -333,6 +335,6 @@
 		t.Errorf("with the margin an engine was at the old version for %v", with)
 	}
 	if without == 0 {
-		t.Error("without the margin nothing went wrong: the test shows nothing")
+		t.Error("without the margin nothing went wrong: the test proves nothing")
 	}
 }
--- a/internal/controllers/probing/probing_test.go
+++ b/internal/controllers/probing/probing_test.go
@@ -24,7 +24,8 @@
 
 func init() { testkit.OneProcessor() }
 
-// engines answer probes by address.
+// engines holds the reports with which the engines at each address answer
+// probes.
 type engines struct {
 	mu      sync.Mutex
 	reports map[string]upstream.Report
@@ -53,7 +54,7 @@
 	address string
 }
 
-// Report does not answer at an address where nothing is.
+// Report does not answer at an address without a report.
 func (e *engine) Report(ctx context.Context) (upstream.Report, error) {
 	e.all.mu.Lock()
 	report, ok := e.all.reports[e.address]
@@ -78,15 +79,15 @@
 	return out, nil
 }
 
-// alone is a transport without peers.
-type alone struct{}
+// noPeers is a transport that reaches no peers.
+type noPeers struct{}
 
-func (alone) Exchange(context.Context, string, *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
+func (noPeers) Exchange(context.Context, string, *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	return nil, errors.New("no peer")
 }
 
-// bench is one process with its engines.
-type bench struct {
+// fixture is one gateway process with its membership, probing and engines.
+type fixture struct {
 	t       *testing.T
 	board   *blackboard.Board
 	members *controller.Controller
@@ -94,25 +95,25 @@
 	probing *Controller
 }
 
-func runBench(t *testing.T, scenario func(b *bench)) {
+func runWithFixture(t *testing.T, scenario func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		self := platform.Instance{ID: "g", Incarnation: 1, Role: platform.RoleEntry, FailureDomain: "one"}
-		b := &bench{
+		f := &fixture{
 			t:       t,
 			board:   blackboard.NewBoard(),
 			engines: &engines{reports: map[string]upstream.Report{}, probes: map[string]int{}},
 		}
 		log := hclog.NewNullLogger()
-		b.members = controller.New(controller.DefaultConfig(self), controller.Deps{Board: b.board, Transport: alone{}, Log: log})
-		b.probing = New(DefaultConfig("g", "one"), Deps{
-			Board: b.board, Membership: b.members, Dialer: b.engines,
+		f.members = controller.New(controller.DefaultConfig(self), controller.Deps{Board: f.board, Transport: noPeers{}, Log: log})
+		f.probing = New(DefaultConfig("g", "one"), Deps{
+			Board: f.board, Membership: f.members, Dialer: f.engines,
 			Cache: NewCaches(cacheview.DefaultParams()), Log: log,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		running.Go(func() { _ = b.members.Run(ctx) })
-		running.Go(func() { _ = b.probing.Run(ctx) })
-		scenario(b)
+		running.Go(func() { _ = f.members.Run(ctx) })
+		running.Go(func() { _ = f.probing.Run(ctx) })
+		scenario(f)
 		cancel()
 		running.Wait()
 	})
@@ -126,113 +127,112 @@
 }
 
 // expect compares the state of an upstream as routing sees it.
-func (b *bench) expect(id ident.Instance, want blackboard.MemberState) {
-	b.t.Helper()
+func (f *fixture) expect(id ident.Instance, want blackboard.MemberState) {
+	f.t.Helper()
 	synctest.Wait()
-	for _, u := range b.board.Upstreams.Value().ByService["spool-llm"] {
+	for _, u := range f.board.Upstreams.Value().ByService["spool-llm"] {
 		if u.Instance.ID == id {
 			if u.State != want {
-				b.t.Errorf("%s is in state %v, want %v", id, u.State, want)
+				f.t.Errorf("%s is in state %v, want %v", id, u.State, want)
 			}
 			return
 		}
 	}
-	b.t.Errorf("%s is not published", id)
+	f.t.Errorf("%s is not published", id)
 }
 
-// An upstream is used once it answers, avoided while it does not, and used
-// again.
+// An upstream is used once it answers, avoided while it doesn't, and used once
+// it answers again.
 func TestAnswersDecide(t *testing.T) {
-	runBench(t, func(b *bench) {
-		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
-		b.expect("u", blackboard.Suspect)
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1, Running: 3, PrefillRate: 5000})
+	runWithFixture(t, func(f *fixture) {
+		f.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
+		f.expect("u", blackboard.Suspect)
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1, Running: 3, PrefillRate: 5000})
 		time.Sleep(2 * time.Second)
-		b.expect("u", blackboard.Alive)
-		if u := b.board.Upstreams.Value().ByService["spool-llm"][0]; u.Report.Running != 3 || u.Report.PrefillRate != 5000 || u.AsOf.IsZero() {
+		f.expect("u", blackboard.Alive)
+		if u := f.board.Upstreams.Value().ByService["spool-llm"][0]; u.Report.Running != 3 || u.Report.PrefillRate != 5000 || u.AsOf.IsZero() {
 			t.Errorf("load %+v as of %v", u.Report, u.AsOf)
 		}
-		b.engines.remove("a:1")
+		f.engines.remove("a:1")
 		time.Sleep(3500 * time.Millisecond)
-		b.expect("u", blackboard.Suspect)
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
+		f.expect("u", blackboard.Suspect)
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
 		time.Sleep(2 * time.Second)
-		b.expect("u", blackboard.Alive)
+		f.expect("u", blackboard.Alive)
 	})
 }
 
-// Symptom: an upstream that says it leaves, or refuses, gets more work.
-// Sequence: the list says live; the upstream's own report, or its refusal of a
-// request, says leaving.
-// Cause: its own word waits for the next list or probe.
+// An upstream that reports that it is leaving, or refuses a request for that
+// reason, must get no more work at once, not only after the next list or probe,
+// and although the list still shows it as live.
 func TestOwnWordCountsAtOnce(t *testing.T) {
-	runBench(t, func(b *bench) {
+	runWithFixture(t, func(f *fixture) {
 		list := []platform.Instance{engineInstance("u", 1, "a:1"), engineInstance("v", 1, "a:2")}
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
-		b.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1})
-		b.members.ApplyList(list)
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
+		f.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1})
+		f.members.ApplyList(list)
 		time.Sleep(100 * time.Millisecond)
-		b.expect("u", blackboard.Alive)
-		b.members.NoteLeaving("u", 1)
-		b.expect("u", blackboard.Leaving)
-		b.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1, Leaving: true})
+		f.expect("u", blackboard.Alive)
+		f.members.NoteLeaving("u", 1)
+		f.expect("u", blackboard.Leaving)
+		f.engines.set("a:2", upstream.Report{Instance: "v", Incarnation: 1, Leaving: true})
 		time.Sleep(time.Second)
-		b.expect("v", blackboard.Leaving)
-		b.members.ApplyList(list)
+		f.expect("v", blackboard.Leaving)
+		f.members.ApplyList(list)
 		time.Sleep(2 * time.Second)
-		b.expect("u", blackboard.Leaving)
-		b.expect("v", blackboard.Leaving)
+		f.expect("u", blackboard.Leaving)
+		f.expect("v", blackboard.Leaving)
 	})
 }
 
-// Symptom: requests for one service reach an instance of another.
-// Sequence: an upstream ends without a word; its address goes to a new instance,
-// which answers; the list still shows the old one.
-// Cause: any answer at the address is taken for the old instance's.
+// An answer at an instance's address must not count as that instance's if
+// another instance sent it. Otherwise, if an upstream crashes and its address
+// goes to a new instance while the list still shows the old one, requests for
+// one service reach an instance of another.
 func TestReusedAddressIsNoProofOfLife(t *testing.T) {
-	runBench(t, func(b *bench) {
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
-		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
+	runWithFixture(t, func(f *fixture) {
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
+		f.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
 		time.Sleep(time.Second)
-		b.expect("u", blackboard.Alive)
-		b.engines.set("a:1", upstream.Report{Instance: "other", Incarnation: 1})
+		f.expect("u", blackboard.Alive)
+		f.engines.set("a:1", upstream.Report{Instance: "other", Incarnation: 1})
 		time.Sleep(3 * time.Second)
-		b.expect("u", blackboard.Suspect)
-		b.members.ApplyList([]platform.Instance{engineInstance("other", 1, "a:1")})
+		f.expect("u", blackboard.Suspect)
+		f.members.ApplyList([]platform.Instance{engineInstance("other", 1, "a:1")})
 		time.Sleep(time.Second)
-		b.expect("other", blackboard.Alive)
+		f.expect("other", blackboard.Alive)
 	})
 }
 
 // Cache events are pulled after the last one known, and a new incarnation
 // starts with an empty cache.
 func TestCacheEventsReachRouting(t *testing.T) {
-	runBench(t, func(b *bench) {
-		b.engines.events = []upstream.CacheEvent{{Sequence: 1, Stored: true, Block: 7}, {Sequence: 2, Stored: true, Block: 8}}
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
-		b.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
+	runWithFixture(t, func(f *fixture) {
+		f.engines.events = []upstream.CacheEvent{{Sequence: 1, Stored: true, Block: 7}, {Sequence: 2, Stored: true, Block: 8}}
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
+		f.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
 		time.Sleep(2 * time.Second)
 		cached := func() float64 {
 			synctest.Wait()
-			return b.board.Upstreams.Value().ByService["spool-llm"][0].Cache.Cached([]uint64{7, 8}, time.Now())
+			return f.board.Upstreams.Value().ByService["spool-llm"][0].Cache.Cached([]uint64{7, 8}, time.Now())
 		}
 		if got := cached(); got < 1.5 {
-			t.Errorf("%v blocks believed cached, want about 2", got)
+			t.Errorf("estimated %v cached blocks, want about 2", got)
 		}
-		b.engines.mu.Lock()
-		b.engines.events = nil
-		b.engines.mu.Unlock()
-		b.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 2})
-		b.members.ApplyList([]platform.Instance{engineInstance("u", 2, "a:1")})
+		f.engines.mu.Lock()
+		f.engines.events = nil
+		f.engines.mu.Unlock()
+		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 2})
+		f.members.ApplyList([]platform.Instance{engineInstance("u", 2, "a:1")})
 		time.Sleep(2 * time.Second)
 		if got := cached(); got != 0 {
-			t.Errorf("%v blocks believed cached in a new life", got)
+			t.Errorf("estimated %v cached blocks in a new incarnation, want 0", got)
 		}
 	})
 }
 
-// At scale each upstream is probed by a few gateways of its domain, and every
-// one by some.
+// In a large fleet each upstream is probed by ProbersPerUpstream gateways, and
+// none is left out.
 func TestSharesCoverAllUpstreams(t *testing.T) {
 	const gateways, upstreams = 33, 69
 	members := &blackboard.Members{ByID: map[ident.Instance]blackboard.Member{}}
@@ -265,19 +265,19 @@
 	}
 }
 
-// known is a membership that holds entries and takes no observations.
-type known []membership.Entry
+// fixedMembership is a membership with fixed entries that ignores observations.
+type fixedMembership []membership.Entry
 
-func (known) Observe(controller.Observation) {}
-func (k known) Entries() []membership.Entry  { return k }
+func (fixedMembership) Observe(controller.Observation) {}
+func (k fixedMembership) Entries() []membership.Entry  { return k }
 
-// BenchmarkPublish is a new snapshot of all upstreams, as after each round of
-// probes or digests.
+// BenchmarkPublish measures the publication of a new snapshot of all upstreams,
+// as after each round of probes or digests.
 func BenchmarkPublish(b *testing.B) {
 	for _, upstreams := range []int{13, 210, 690} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			members := &blackboard.Members{ByID: map[ident.Instance]blackboard.Member{}}
-			var entries known
+			var entries fixedMembership
 			for i := range upstreams {
 				u := engineInstance(ident.Instance(fmt.Sprintf("u%d", i)), 1, "a:1")
 				members.ByID[u.ID] = blackboard.Member{Instance: u, Incarnation: 1, State: blackboard.Alive}
