--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -66,13 +66,13 @@
 	return &Recorder{slots: make([]atomic.Pointer[event], size)}
 }
 
-// Attempt remembers an attempt that has ended.
-func (r *Recorder) Attempt(s Subject, a Attempt) {
+// RecordAttempt remembers an attempt that has ended.
+func (r *Recorder) RecordAttempt(s Subject, a Attempt) {
 	r.add(&event{subject: s, attempt: &a, at: time.Now()})
 }
 
-// End remembers what a caller was told.
-func (r *Recorder) End(s Subject, e Ending) {
+// RecordEnding remembers what a caller was told.
+func (r *Recorder) RecordEnding(s Subject, e Ending) {
 	r.add(&event{subject: s, ending: &e, at: time.Now()})
 }
 
@@ -86,7 +86,7 @@
 // IDs, so there may be a record for each account that used the same one.
 func (r *Recorder) Find(id ident.Request) []Record {
 	var records []Record
-	for _, e := range r.events(id) {
+	for _, e := range r.eventsOf(id) {
 		i := slices.IndexFunc(records, func(known Record) bool { return known.Subject == e.subject })
 		if i < 0 {
 			i = len(records)
@@ -102,8 +102,8 @@
 	return records
 }
 
-// events returns the events of a request, oldest first.
-func (r *Recorder) events(id ident.Request) []*event {
+// eventsOf returns the events of a request, oldest first.
+func (r *Recorder) eventsOf(id ident.Request) []*event {
 	var found []*event
 	for i := range r.slots {
 		e := r.slots[i].Load()
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -12,10 +12,10 @@
 
 func TestFindKeepsAccountsApart(t *testing.T) {
 	r := NewRecorder(8)
-	r.Attempt(subject("r1", "a"), Attempt{Upstream: "u1"})
-	r.Attempt(subject("r1", "b"), Attempt{Upstream: "u9"})
-	r.Attempt(subject("r1", "a"), Attempt{Upstream: "u2"})
-	r.End(subject("r1", "a"), Ending{Outcome: "completed"})
+	r.RecordAttempt(subject("r1", "a"), Attempt{Upstream: "u1"})
+	r.RecordAttempt(subject("r1", "b"), Attempt{Upstream: "u9"})
+	r.RecordAttempt(subject("r1", "a"), Attempt{Upstream: "u2"})
+	r.RecordEnding(subject("r1", "a"), Ending{Outcome: "completed"})
 	records := r.Find("r1")
 	if len(records) != 2 {
 		t.Fatalf("records %+v, want one for each account", records)
@@ -29,7 +29,7 @@
 func TestRingForgetsTheOldest(t *testing.T) {
 	r := NewRecorder(2)
 	for _, request := range []string{"r1", "r2", "r3"} {
-		r.End(subject(request, "a"), Ending{Outcome: "completed"})
+		r.RecordEnding(subject(request, "a"), Ending{Outcome: "completed"})
 	}
 	if len(r.Find("r1")) != 0 || len(r.Find("r2")) != 1 || len(r.Find("r3")) != 1 {
 		t.Error("the ring of two does not hold just the last two")
--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -30,8 +30,8 @@
 	return b.next.RoundTrip(req)
 }
 
-// as returns a client with a token; an empty one sends none.
-func (w *world) as(t testing.TB, token string) callerv1connect.CallerServiceClient {
+// clientWithToken returns a client with a token; an empty one sends none.
+func (w *testEnv) clientWithToken(t testing.TB, token string) callerv1connect.CallerServiceClient {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
 	transport := &http.Transport{Protocols: &protocols}
@@ -39,63 +39,63 @@
 	return callerv1connect.NewCallerServiceClient(&http.Client{Transport: bearer{token: token, next: transport}}, w.url)
 }
 
-// bid returns a keyed call.
-func bid(key string, attempt uint32, payload string) *callerv1.CallRequest {
+// bidRequest returns a keyed call.
+func bidRequest(key string, attempt uint32, payload string) *callerv1.CallRequest {
 	return &callerv1.CallRequest{
-		Service: plainService, Method: "place_bid", IdempotencyKey: key, IssuedAt: timestamppb.New(issued),
+		Service: plainService, Method: "place_bid", IdempotencyKey: key, IssuedAt: timestamppb.New(issuedAt),
 		Attempt: attempt, Payload: []byte(payload),
 	}
 }
 
-// issued is the time at which the tests' keys are issued.
-var issued = time.Now()
+// issuedAt is the time at which the tests' keys are issued.
+var issuedAt = time.Now()
 
-// lookUp returns an idempotent call.
-func lookUp(payload string) *callerv1.CallRequest {
+// lookupRequest returns an idempotent call.
+func lookupRequest(payload string) *callerv1.CallRequest {
 	return &callerv1.CallRequest{Service: plainService, Method: "find_lot", Payload: []byte(payload), Attempt: 1}
 }
 
-// told is what a caller was told, in short.
-type told struct {
+// callResult is what a caller was told, in short.
+type callResult struct {
 	kind    callerv1.OutcomeKind
 	reason  string
 	payload string
 }
 
-func summary(resp *callerv1.CallResponse, err error) (told, error) {
+func callResultOf(resp *callerv1.CallResponse, err error) (callResult, error) {
 	if err != nil {
-		return told{}, err
+		return callResult{}, err
 	}
-	return told{resp.GetOutcome().GetKind(), resp.GetOutcome().GetReason(), string(resp.GetPayload())}, nil
+	return callResult{resp.GetOutcome().GetKind(), resp.GetOutcome().GetReason(), string(resp.GetPayload())}, nil
 }
 
-// call sends a call that must get an outcome.
-func (w *world) call(t testing.TB, client callerv1connect.CallerServiceClient, req *callerv1.CallRequest) told {
+// mustCall sends a call that must get an outcome.
+func (w *testEnv) mustCall(t testing.TB, client callerv1connect.CallerServiceClient, req *callerv1.CallRequest) callResult {
 	t.Helper()
-	got, err := summary(client.Call(context.Background(), req))
+	got, err := callResultOf(client.Call(context.Background(), req))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return got
 }
 
-// streamed is a token stream as its caller got it.
-type streamed struct {
+// streamResult is a token stream as its caller got it.
+type streamResult struct {
 	tokens  []string
 	outcome *callerv1.Outcome
 }
 
-// part is a message of a token stream.
-type part[M any] interface {
+// streamMessage is a message of a token stream.
+type streamMessage[M any] interface {
 	*M
 	GetTokens() *callerv1.TokenFrame
 	GetOutcome() *callerv1.Outcome
 }
 
 // collect reads a token stream to its end.
-func collect[M any, P part[M]](stream *connect.ServerStreamForClient[M]) (streamed, error) {
+func collect[M any, P streamMessage[M]](stream *connect.ServerStreamForClient[M]) (streamResult, error) {
 	defer func() { _ = stream.Close() }()
-	var got streamed
+	var got streamResult
 	for stream.Receive() {
 		message := P(stream.Msg())
 		got.tokens = append(got.tokens, message.GetTokens().GetTokens()...)
@@ -107,25 +107,25 @@
 }
 
 // generate reads a token stream to its end.
-func generate(ctx context.Context, client callerv1connect.CallerServiceClient, req *callerv1.GenerateRequest) (streamed, error) {
+func generate(ctx context.Context, client callerv1connect.CallerServiceClient, req *callerv1.GenerateRequest) (streamResult, error) {
 	stream, err := client.Generate(ctx, req)
 	if err != nil {
-		return streamed{}, err
+		return streamResult{}, err
 	}
 	return collect(stream)
 }
 
 // resume reads the rest of a token stream to its end.
-func resume(ctx context.Context, client callerv1connect.CallerServiceClient, req *callerv1.ResumeRequest) (streamed, error) {
+func resume(ctx context.Context, client callerv1connect.CallerServiceClient, req *callerv1.ResumeRequest) (streamResult, error) {
 	stream, err := client.Resume(ctx, req)
 	if err != nil {
-		return streamed{}, err
+		return streamResult{}, err
 	}
 	return collect(stream)
 }
 
-// wireText returns the code and the text of an error.
-func wireText(err error) (connect.Code, string) {
+// errorCodeAndText returns the code and the text of an error.
+func errorCodeAndText(err error) (connect.Code, string) {
 	var wire *connect.Error
 	if !errors.As(err, &wire) {
 		return 0, ""
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -19,10 +19,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// compressFrom is the least size of a message that is compressed for a caller
+// minCompressBytes is the least size of a message that is compressed for a caller
 // that accepts it. Compressing a frame with a token makes it no smaller and
 // costs several times what the rest of the token does.
-const compressFrom = 1 << 10
+const minCompressBytes = 1 << 10
 
 // newCallersServer returns the server of the callers' listener.
 //
@@ -32,11 +32,11 @@
 	mux := http.NewServeMux()
 	mux.Handle(callerv1connect.NewCallerServiceHandler(h,
 		connect.WithInterceptors(refusalLog{log: h.log}),
-		connect.WithRecover(h.recovered),
-		connect.WithCompressMinBytes(compressFrom),
+		connect.WithRecover(h.recoverPanic),
+		connect.WithCompressMinBytes(minCompressBytes),
 		connect.WithReadMaxBytes(int(limits.MaxBody))))
-	authenticated := h.auth.Middleware(h.logUnread(mux), h.logUnauthenticated)
-	bounded := limitCallers(authenticated, callerLimits{read: readLimit, write: writeLimit})
+	authenticated := h.auth.Middleware(h.logUnhandledRefusals(mux), h.logUnauthenticated)
+	bounded := withCallerTimeouts(authenticated, callerTimeouts{read: callerReadTimeout, write: callerWriteTimeout})
 	server := transport.NewServer(telemetry.Continue(bounded))
 	server.ReadHeaderTimeout = limits.HeaderTimeout
 	server.MaxHeaderBytes = int(limits.MaxHeader)
@@ -64,10 +64,10 @@
 	return server.ServeTLS(listener, "", "")
 }
 
-// recovered ends one request whose handler panicked. Its caller hears an error
+// recoverPanic ends one request whose handler panicked. Its caller hears an error
 // that says nothing of whether the request ran. The panic's value may hold what
 // a caller sent, so only that of the runtime is logged.
-func (h *handler) recovered(ctx context.Context, spec connect.Spec, _ http.Header, value any) error {
+func (h *handler) recoverPanic(ctx context.Context, spec connect.Spec, _ http.Header, value any) error {
 	what := fmt.Sprintf("%T", value)
 	if fault, ok := value.(runtime.Error); ok {
 		what = fault.Error()
@@ -82,9 +82,9 @@
 	h.log.Info("request refused", "procedure", r.URL.Path, "code", connect.CodeUnauthenticated.String())
 }
 
-// logUnread logs what Connect refuses before the handler: a body that is too
+// logUnhandledRefusals logs what Connect refuses before the handler: a body that is too
 // large or cannot be decoded.
-func (h *handler) logUnread(next http.Handler) http.Handler {
+func (h *handler) logUnhandledRefusals(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		note := &refusalNote{}
 		seen := &statusWriter{ResponseWriter: w}
@@ -119,9 +119,9 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (s *statusWriter) Unwrap() http.ResponseWriter { return s.ResponseWriter }
 
-// maxLoggedText bounds the text of an error in the log, in bytes: parts of it
+// maxLoggedErrorBytes bounds the text of an error in the log, in bytes: parts of it
 // are what a caller sent.
-const maxLoggedText = 200
+const maxLoggedErrorBytes = 200
 
 // refusalLog is an interceptor that logs each request that ends with an error
 // of the protocol. Outcomes are logged where they are told.
@@ -133,7 +133,7 @@
 func (l refusalLog) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		resp, err := next(ctx, req)
-		l.refused(ctx, req.Spec(), err)
+		l.logRefusal(ctx, req.Spec(), err)
 		return resp, err
 	}
 }
@@ -147,12 +147,12 @@
 func (l refusalLog) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
 		err := next(ctx, conn)
-		l.refused(ctx, conn.Spec(), err)
+		l.logRefusal(ctx, conn.Spec(), err)
 		return err
 	}
 }
 
-func (l refusalLog) refused(ctx context.Context, spec connect.Spec, err error) {
+func (l refusalLog) logRefusal(ctx context.Context, spec connect.Spec, err error) {
 	if err == nil {
 		return
 	}
@@ -161,5 +161,5 @@
 	}
 	text := err.Error()
 	l.log.Info("request refused", "procedure", spec.Procedure, "client_account", auth.Account(ctx),
-		"code", connect.CodeOf(err).String(), "error", text[:min(len(text), maxLoggedText)])
+		"code", connect.CodeOf(err).String(), "error", text[:min(len(text), maxLoggedErrorBytes)])
 }
--- a/internal/gateway/check.go
+++ b/internal/gateway/check.go
@@ -12,9 +12,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// maxKey bounds the bytes of an idempotency key: every gateway keeps keys for
+// maxKeyBytes bounds the bytes of an idempotency key: every gateway keeps keys for
 // the whole window.
-const maxKey = 256
+const maxKeyBytes = 256
 
 // service returns the document that a request names.
 func findService(set *document.Set, name string, kind document.Kind) (*document.Document, error) {
@@ -28,8 +28,8 @@
 	return doc, nil
 }
 
-// invalid returns all findings of a request as one error, or nil.
-func invalid(found finding.List) error {
+// invalidRequest returns all findings of a request as one error, or nil.
+func invalidRequest(found finding.List) error {
 	return errcode.Wrap(errcode.InvalidArgument, found.Err(), "invalid request")
 }
 
@@ -49,7 +49,7 @@
 	if req.GetAttempt() == 0 {
 		found.Add(finding.Finding{Key: "attempt", Problem: "is 0", Want: "1 for the first attempt with this key"})
 	}
-	return method, invalid(found)
+	return method, invalidRequest(found)
 }
 
 func checkKey(key string) finding.List {
@@ -57,7 +57,7 @@
 	switch {
 	case key == "":
 		found.Add(finding.Finding{Key: "idempotency_key", Problem: "missing", Want: "a key that is unique within the client account"})
-	case len(key) > maxKey:
+	case len(key) > maxKeyBytes:
 		found.Add(finding.Finding{Key: "idempotency_key", Problem: "too long", Want: "at most 256 bytes"})
 	}
 	return found
@@ -77,7 +77,7 @@
 	if req.GetMaxTokens() == 0 {
 		found.Add(finding.Finding{Key: "max_tokens", Problem: "is 0", Want: "the length of the answer"})
 	}
-	return class, invalid(found)
+	return class, invalidRequest(found)
 }
 
 func checkRequestID(found *finding.List, id string) {
@@ -86,8 +86,8 @@
 	}
 }
 
-// maxServiceName bounds what is logged of a service that no document describes.
-const maxServiceName = 256
+// maxServiceNameBytes bounds what is logged of a service that no document describes.
+const maxServiceNameBytes = 256
 
 // checkResume checks what a resumed token stream says itself. Its service may
 // have been withdrawn since it began, so none is looked up.
@@ -95,17 +95,17 @@
 	var found finding.List
 	checkRequestID(&found, req.GetRequestId())
 	switch {
-	case len(req.GetService()) > maxServiceName:
+	case len(req.GetService()) > maxServiceNameBytes:
 		found.Add(finding.Finding{Key: "service", Problem: "too long", Want: "the service of the stream"})
 	case req.GetOriginal() != nil && req.GetOriginal().GetService() != req.GetService():
 		found.Add(finding.Finding{Key: "service", Problem: "is not that of original", Want: "the service of the stream"})
 	}
-	return invalid(found)
+	return invalidRequest(found)
 }
 
-// deadlineOf returns when a request has to be answered, or zero for never.
+// deadlineAfter returns when a request has to be answered, or zero for never.
 // The caller's own deadline is in the context.
-func deadlineOf(now time.Time, limit time.Duration) time.Time {
+func deadlineAfter(now time.Time, limit time.Duration) time.Time {
 	if limit <= 0 {
 		return time.Time{}
 	}
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -13,12 +13,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-var _ calls.Dispatcher = (*plains)(nil)
+var _ calls.Dispatcher = (*plainDispatcher)(nil)
 
 func isLeaving(err error) bool { return errors.Is(err, upstream.ErrLeaving) }
 
 // Pick implements calls.Dispatcher.
-func (p *plains) Pick(ctx context.Context, call calls.Call, exclude []ident.Instance) (journal.Target, bool) {
+func (p *plainDispatcher) Pick(ctx context.Context, call calls.Call, exclude []ident.Instance) (journal.Target, bool) {
 	doc, ok := p.documents.Value().Find(call.Key.Service)
 	if !ok {
 		return journal.Target{}, false
@@ -33,12 +33,12 @@
 
 // Invoke implements calls.Dispatcher. It sends at most one request, and the
 // upstream refuses it unless it is the target's incarnation.
-func (p *plains) Invoke(ctx context.Context, call calls.Call, target journal.Target, fence ident.Fence) (upstream.Answer, error) {
-	u, found := p.routes.find(call.Key.Service, target.Instance)
+func (p *plainDispatcher) Invoke(ctx context.Context, call calls.Call, target journal.Target, fence ident.Fence) (upstream.Answer, error) {
+	u, found := p.router.find(call.Key.Service, target.Instance)
 	if !found || u.Instance.Incarnation != target.Incarnation || u.Instance.Address != target.Address {
 		return upstream.Answer{}, upstream.ErrNotSent
 	}
-	return p.send(ctx, u, sending{
+	return p.send(ctx, u, plainAttempt{
 		subject:  explain.Subject{Request: call.Request, Service: call.Key.Service, Account: call.Key.Account},
 		route:    routing.Request{Service: call.Key.Service, Account: call.Key.Account},
 		decision: routing.Decision{Upstream: u.Instance.ID, Address: u.Instance.Address},
@@ -55,7 +55,7 @@
 
 // Find implements calls.Dispatcher. Another incarnation at the same address
 // has forgotten the call: its "absent" proves nothing, so it is an error.
-func (p *plains) Find(ctx context.Context, key ident.CallKey, target journal.Target, fence ident.Fence) (upstream.FindResult, error) {
+func (p *plainDispatcher) Find(ctx context.Context, key ident.CallKey, target journal.Target, fence ident.Fence) (upstream.FindResult, error) {
 	found, err := p.dialer.Plain(target.Address).Find(ctx, key.String(), fence)
 	if err == nil && found.Incarnation != target.Incarnation {
 		return upstream.FindResult{}, errcode.Errorf(errcode.FailedPrecondition,
--- a/internal/gateway/documents.go
+++ b/internal/gateway/documents.go
@@ -5,9 +5,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// highestPeer returns the reachable gateway with the highest revision, as the
+// highestRevisionPeer returns the reachable gateway with the highest revision, as the
 // heartbeats tell it.
-func (p *Process) highestPeer() (configuration.Peer, bool) {
+func (p *Process) highestRevisionPeer() (configuration.Peer, bool) {
 	id, revision, ok := p.members.Highest()
 	if !ok {
 		return configuration.Peer{}, false
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -29,21 +29,21 @@
 		err    error
 		send   *callerv1.CallRequest
 		// want is what is told, and calls how many reached both upstreams.
-		want  told
+		want  callResult
 		calls int
 	}{
-		"an idempotent call is repeated elsewhere":                {err: errLost, send: lookUp("x"), want: told{kind: completed, payload: "x"}, calls: 2},
-		"an idempotent call is not repeated beyond the budget":    {budget: none, err: errLost, send: lookUp("x"), want: told{kind: unknown, reason: "overloaded"}, calls: 1},
-		"one that was refused did not run":                        {budget: none, err: upstream.ErrLeaving, send: lookUp("x"), want: told{kind: notRun, reason: "overloaded"}, calls: 1},
-		"a booking whose answer was lost is never sent again":     {err: errLost, send: bid("lost", 1, "x"), want: told{kind: unknown, reason: "upstream_lost"}, calls: 1},
-		"a booking that an upstream refused may go to another":    {err: upstream.ErrLeaving, send: bid("refused", 1, "x"), want: told{kind: completed, payload: "x"}, calls: 2},
-		"an error that another upstream would give as well stays": {err: errcode.New(errcode.InvalidArgument, "bad lot"), send: lookUp("x"), want: told{kind: unknown, reason: "upstream_lost"}, calls: 1},
+		"an idempotent call is repeated elsewhere":                {err: errLost, send: lookupRequest("x"), want: callResult{kind: completed, payload: "x"}, calls: 2},
+		"an idempotent call is not repeated beyond the budget":    {budget: none, err: errLost, send: lookupRequest("x"), want: callResult{kind: unknown, reason: "overloaded"}, calls: 1},
+		"one that was refused did not run":                        {budget: none, err: upstream.ErrLeaving, send: lookupRequest("x"), want: callResult{kind: notRun, reason: "overloaded"}, calls: 1},
+		"a booking whose answer was lost is never sent again":     {err: errLost, send: bidRequest("lost", 1, "x"), want: callResult{kind: unknown, reason: "upstream_lost"}, calls: 1},
+		"a booking that an upstream refused may go to another":    {err: upstream.ErrLeaving, send: bidRequest("refused", 1, "x"), want: callResult{kind: completed, payload: "x"}, calls: 2},
+		"an error that another upstream would give as well stays": {err: errcode.New(errcode.InvalidArgument, "bad lot"), send: lookupRequest("x"), want: callResult{kind: unknown, reason: "upstream_lost"}, calls: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, worldOptions{budget: c.budget})
-			w.failFirst(refuse(c.err))
-			if got := w.call(t, w.client, c.send); got != c.want {
+			w := newTestEnv(t, envOptions{budget: c.budget})
+			w.failFirstCall(refuse(c.err))
+			if got := w.mustCall(t, w.client, c.send); got != c.want {
 				t.Errorf("told %+v, want %+v", got, c.want)
 			}
 			first, second := len(w.first.calls()), len(w.second.calls())
@@ -54,8 +54,8 @@
 	}
 }
 
-// failFirst has the first call be answered by fail, wherever it goes.
-func (w *world) failFirst(fail func(invocation) (upstream.Answer, error)) {
+// failFirstCall has the first call be answered by fail, wherever it goes.
+func (w *testEnv) failFirstCall(fail func(invocation) (upstream.Answer, error)) {
 	turn := make(chan struct{}, 1)
 	turn <- struct{}{}
 	answer := func(i invocation) (upstream.Answer, error) {
@@ -69,9 +69,9 @@
 	w.first.answer, w.second.answer = answer, answer
 }
 
-// hold has calls wait at the upstreams until release or their context ends;
+// holdCalls has calls wait at the upstreams until release or their context ends;
 // arrived gets one value for each.
-func (w *world) hold() (arrived chan invocation, release chan struct{}) {
+func (w *testEnv) holdCalls() (arrived chan invocation, release chan struct{}) {
 	arrived, release = make(chan invocation, 16), make(chan struct{})
 	answer := func(i invocation) (upstream.Answer, error) {
 		arrived <- i
@@ -88,9 +88,9 @@
 
 func TestDeadlines(t *testing.T) {
 	t.Run("the upstream gets the method's timeout", func(t *testing.T) {
-		for _, req := range []*callerv1.CallRequest{lookUp("x"), bid("timeout", 1, "x")} {
-			w := newWorld(t, worldOptions{})
-			w.call(t, w.client, req)
+		for _, req := range []*callerv1.CallRequest{lookupRequest("x"), bidRequest("timeout", 1, "x")} {
+			w := newTestEnv(t, envOptions{})
+			w.mustCall(t, w.client, req)
 			seen := append(w.first.calls(), w.second.calls()...)
 			deadline, ok := seen[0].ctx.Deadline()
 			if !ok || time.Until(deadline) > 20*time.Second {
@@ -99,21 +99,21 @@
 		}
 	})
 	t.Run("a call that runs when the method's timeout ends may have run", func(t *testing.T) {
-		w := newWorld(t, worldOptions{})
-		w.hold()
-		req := bid("slow", 1, "x")
+		w := newTestEnv(t, envOptions{})
+		w.holdCalls()
+		req := bidRequest("slow", 1, "x")
 		req.Method = "quick_bid"
-		if got := w.call(t, w.client, req); got.kind != unknown {
+		if got := w.mustCall(t, w.client, req); got.kind != unknown {
 			t.Errorf("told %+v", got)
 		}
 	})
 	t.Run("a booking goes on when its caller has gone, and its outcome is kept", func(t *testing.T) {
-		w := newWorld(t, worldOptions{})
-		arrived, release := w.hold()
+		w := newTestEnv(t, envOptions{})
+		arrived, release := w.holdCalls()
 		ctx, cancel := context.WithCancel(context.Background())
 		gone := make(chan error, 1)
 		go func() {
-			_, err := w.client.Call(ctx, bid("left", 1, "x"))
+			_, err := w.client.Call(ctx, bidRequest("left", 1, "x"))
 			gone <- err
 		}()
 		i := <-arrived
@@ -122,7 +122,7 @@
 			t.Errorf("the caller heard %v", err)
 		}
 		close(release)
-		if got := w.eventually(t, bid("left", 2, "x")); got.kind != completed {
+		if got := w.callUntilFinal(t, bidRequest("left", 2, "x")); got.kind != completed {
 			t.Errorf("the repeat: %+v", got)
 		}
 		if i.ctx.Err() != nil && len(w.first.calls())+len(w.second.calls()) != 1 {
@@ -130,39 +130,39 @@
 		}
 	})
 	t.Run("a look-up is cut off when its caller goes", func(t *testing.T) {
-		w := newWorld(t, worldOptions{})
-		arrived, _ := w.hold()
+		w := newTestEnv(t, envOptions{})
+		arrived, _ := w.holdCalls()
 		ctx, cancel := context.WithCancel(context.Background())
-		go func() { _, _ = w.client.Call(ctx, lookUp("x")) }()
+		go func() { _, _ = w.client.Call(ctx, lookupRequest("x")) }()
 		i := <-arrived
 		cancel()
 		<-i.ctx.Done()
 	})
 	t.Run("a queued call that is given up on did not run", func(t *testing.T) {
-		w := newWorld(t, worldOptions{admission: admission.Config{
+		w := newTestEnv(t, envOptions{admission: admission.Config{
 			// A short hold has callers wait that could be served in time.
 			Gate:        gate.Config{Hold: time.Millisecond},
 			Concurrency: concurrency.Config{Initial: 1, Min: 1, Max: 1},
 		}})
-		arrived, release := w.hold()
+		arrived, release := w.holdCalls()
 		for _, key := range []string{"runs-1", "runs-2"} {
-			go func() { _, _ = w.client.Call(context.Background(), bid(key, 1, "x")) }()
+			go func() { _, _ = w.client.Call(context.Background(), bidRequest(key, 1, "x")) }()
 		}
 		<-arrived
 		<-arrived
-		late := bid("late", 1, "y")
+		late := bidRequest("late", 1, "y")
 		late.Method = "quick_bid"
-		if got := w.call(t, w.client, late); got.kind != notRun {
+		if got := w.mustCall(t, w.client, late); got.kind != notRun {
 			t.Errorf("told: %+v", got)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		got, err := summary(w.client.Call(ctx, bid("cancelled", 1, "y")))
+		got, err := callResultOf(w.client.Call(ctx, bidRequest("cancelled", 1, "y")))
 		if err == nil && got.kind != notRun || err != nil && connect.CodeOf(err) != connect.CodeDeadlineExceeded {
 			t.Errorf("the caller heard %+v %v", got, err)
 		}
 		close(release)
-		if got := w.call(t, w.client, bid("after", 1, "z")); got.kind != completed {
+		if got := w.mustCall(t, w.client, bidRequest("after", 1, "z")); got.kind != completed {
 			t.Errorf("a call after: %+v", got)
 		}
 		// Whoever was told not_run was not run. The cancelled one may
@@ -175,11 +175,11 @@
 	})
 }
 
-// eventually repeats a call until its outcome is final.
-func (w *world) eventually(t *testing.T, req *callerv1.CallRequest) told {
+// callUntilFinal repeats a call until its outcome is final.
+func (w *testEnv) callUntilFinal(t *testing.T, req *callerv1.CallRequest) callResult {
 	t.Helper()
 	for {
-		got := w.call(t, w.client, req)
+		got := w.mustCall(t, w.client, req)
 		if got.kind != inProgress && got.kind != unknown {
 			return got
 		}
@@ -188,8 +188,8 @@
 }
 
 func TestLeavingGatewayRefusesTruthfully(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	if got := w.call(t, w.client, bid("done", 1, "x")); got.kind != completed {
+	w := newTestEnv(t, envOptions{})
+	if got := w.mustCall(t, w.client, bidRequest("done", 1, "x")); got.kind != completed {
 		t.Fatal(got)
 	}
 	w.board.Stopping.Publish(true)
@@ -199,19 +199,19 @@
 		t.Fatal(err)
 	}
 	leaving := string(outcome.ReasonLeaving)
-	if got, want := w.call(t, w.client, lookUp("x")), (told{kind: notRun, reason: leaving}); got != want {
+	if got, want := w.mustCall(t, w.client, lookupRequest("x")), (callResult{kind: notRun, reason: leaving}); got != want {
 		t.Errorf("a look-up: %+v", got)
 	}
-	if got, want := w.call(t, w.client, bid("new", 1, "x")), (told{kind: notRun, reason: leaving}); got != want {
+	if got, want := w.mustCall(t, w.client, bidRequest("new", 1, "x")), (callResult{kind: notRun, reason: leaving}); got != want {
 		t.Errorf("a new booking: %+v", got)
 	}
-	if got, want := w.call(t, w.client, bid("new", 2, "x")), (told{kind: unknown, reason: leaving}); got != want {
+	if got, want := w.mustCall(t, w.client, bidRequest("new", 2, "x")), (callResult{kind: unknown, reason: leaving}); got != want {
 		t.Errorf("a repeated booking: %+v", got)
 	}
-	if got, want := w.call(t, w.client, bid("done", 2, "x")), (told{kind: completed, payload: "x"}); got != want {
+	if got, want := w.mustCall(t, w.client, bidRequest("done", 2, "x")), (callResult{kind: completed, payload: "x"}); got != want {
 		t.Errorf("a booking that is done: %+v", got)
 	}
-	got, err := generate(context.Background(), w.client, ask(streamID, "p", 3))
+	got, err := generate(context.Background(), w.client, generateRequest(streamID, "p", 3))
 	if err != nil || got.outcome.GetKind() != notRun || got.outcome.GetReason() != leaving {
 		t.Errorf("a token stream: %+v %v", got, err)
 	}
@@ -225,30 +225,30 @@
 // Sequence: a handler panics.
 // Cause: a panic that is not recovered, or a ticket that is not given back.
 func TestPanicEndsOneRequestOnly(t *testing.T) {
-	w := newWorld(t, worldOptions{limit: document.AccountLimit{MaxInFlight: 1}})
-	w.failFirst(func(invocation) (upstream.Answer, error) { panic("secret-panic") })
-	ctx, caller := traced()
-	_, err := w.client.Call(ctx, lookUp("x"))
-	if code, text := wireText(err); code != connect.CodeInternal || text != "internal error" {
+	w := newTestEnv(t, envOptions{limit: document.AccountLimit{MaxInFlight: 1}})
+	w.failFirstCall(func(invocation) (upstream.Answer, error) { panic("secret-panic") })
+	ctx, caller := tracedContext()
+	_, err := w.client.Call(ctx, lookupRequest("x"))
+	if code, text := errorCodeAndText(err); code != connect.CodeInternal || text != "internal error" {
 		t.Errorf("got %v %s", code, text)
 	}
-	if got := w.call(t, w.client, lookUp("y")); got.kind != completed {
+	if got := w.mustCall(t, w.client, lookupRequest("y")); got.kind != completed {
 		t.Errorf("the next request: %+v", got)
 	}
 	if log := w.output.String(); !strings.Contains(log, "handler panicked") || strings.Contains(log, "secret-panic") {
 		t.Errorf("log: %s", log)
 	}
-	if text := tracedText(caller.TraceID()); !strings.Contains(text, "call") || strings.Contains(text, "secret-panic") {
+	if text := traceText(caller.TraceID()); !strings.Contains(text, "call") || strings.Contains(text, "secret-panic") {
 		t.Errorf("spans: %s", text)
 	}
 }
 
 func TestApplicationErrorIsToldAsFailed(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	w.failFirst(func(invocation) (upstream.Answer, error) {
+	w := newTestEnv(t, envOptions{})
+	w.failFirstCall(func(invocation) (upstream.Answer, error) {
 		return upstream.Answer{Payload: []byte("no such lot"), Failed: true}, nil
 	})
-	if got, want := w.call(t, w.client, lookUp("x")), (told{failed, "application_error", "no such lot"}); got != want {
+	if got, want := w.mustCall(t, w.client, lookupRequest("x")), (callResult{failed, "application_error", "no such lot"}); got != want {
 		t.Errorf("told %+v, want %+v", got, want)
 	}
 }
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/env_test.go
@@ -114,9 +114,9 @@
 
 func (noNotes) NoteLeaving(ident.Instance, ident.Incarnation) {}
 
-// world is the real handler with its real parts over in-memory upstreams and
+// testEnv is the real handler with its real parts over in-memory upstreams and
 // an in-memory log, behind a real HTTP server.
-type world struct {
+type testEnv struct {
 	url     string
 	board   *blackboard.Board
 	handler *handler
@@ -127,8 +127,8 @@
 	client  callerv1connect.CallerServiceClient
 }
 
-// worldOptions change a world before it starts.
-type worldOptions struct {
+// envOptions change a world before it starts.
+type envOptions struct {
 	// limit of every client account.
 	limit document.AccountLimit
 	// slots of each upstream for requests at once.
@@ -139,22 +139,22 @@
 	plain  upstream.Plain
 	engine upstream.Engine
 	// peers are the other gateways; nil is none.
-	peers  func(*world) calls.Peers
+	peers  func(*testEnv) calls.Peers
 	limits settings.Limits
 	// level of the log; zero is everything.
 	level hclog.Level
 }
 
-// traced returns a context with a trace of the caller's.
-func traced() (context.Context, trace.SpanContext) {
+// tracedContext returns a context with a trace of the caller's.
+func tracedContext() (context.Context, trace.SpanContext) {
 	caller := trace.NewSpanContext(trace.SpanContextConfig{
 		TraceID: trace.TraceID(uuid.New()), SpanID: trace.SpanID{1}, TraceFlags: trace.FlagsSampled,
 	})
 	return trace.ContextWithSpanContext(context.Background(), caller), caller
 }
 
-// tracedText is what the spans of a trace say.
-func tracedText(id trace.TraceID) string {
+// traceText is what the spans of a trace say.
+func traceText(id trace.TraceID) string {
 	var text strings.Builder
 	for _, span := range spans.GetSpans() {
 		if span.SpanContext.TraceID() == id {
@@ -164,7 +164,7 @@
 	return text.String()
 }
 
-func worldDocuments(limit document.AccountLimit) *document.Set {
+func envDocuments(limit document.AccountLimit) *document.Set {
 	plain := &document.Document{Service: plainService, Kind: document.Plain, DefaultAccount: limit, Methods: []document.Method{
 		{Name: "find_lot", Idempotent: true, Timeout: 20 * time.Second},
 		{Name: "place_bid", Timeout: 20 * time.Second},
@@ -179,7 +179,7 @@
 	}}
 }
 
-func worldUpstreams() *blackboard.Upstreams {
+func envUpstreams() *blackboard.Upstreams {
 	at := func(id ident.Instance, role platform.Role, service ident.Service) blackboard.Upstream {
 		return blackboard.Upstream{State: blackboard.Alive, AsOf: time.Now(), Instance: platform.Instance{
 			ID: id, Incarnation: 1, Role: role, Service: service, Address: string(id), FailureDomain: "hall-a", State: platform.Live,
@@ -191,7 +191,7 @@
 	}}
 }
 
-func worldLimits() settings.Limits {
+func envLimits() settings.Limits {
 	return settings.Limits{MaxBody: 64 << 10, MaxHeader: 8 << 10, HeaderTimeout: 5 * time.Second, MaxStreams: 2000}
 }
 
@@ -205,9 +205,9 @@
 	return e
 }
 
-func newWorld(t testing.TB, o worldOptions) *world {
+func newTestEnv(t testing.TB, o envOptions) *testEnv {
 	t.Helper()
-	w := &world{
+	w := &testEnv{
 		board:  blackboard.NewBoard(),
 		first:  &fakePlain{},
 		second: &fakePlain{},
@@ -218,17 +218,17 @@
 		o.engine = newEngine(t)
 	}
 	if o.limits == (settings.Limits{}) {
-		o.limits = worldLimits()
+		o.limits = envLimits()
 	}
-	w.board.Documents.Publish(worldDocuments(o.limit))
-	w.board.Upstreams.Publish(worldUpstreams())
+	w.board.Documents.Publish(envDocuments(o.limit))
+	w.board.Upstreams.Publish(envUpstreams())
 	w.wire(t, o)
 	w.serve(t, o.limits)
 	return w
 }
 
 // wire makes the parts as Process.wireRequests does.
-func (w *world) wire(t testing.TB, o worldOptions) {
+func (w *testEnv) wire(t testing.TB, o envOptions) {
 	log := hclog.New(&hclog.LoggerOptions{Level: max(o.level, hclog.Trace), Output: w.output, JSONFormat: true})
 	tracer := otel.Tracer("gateway")
 	dialer := fakeDialer{
@@ -245,19 +245,19 @@
 	admitted := admission.New(o.admission)
 	admitted.SetUpstreams(plainService, []ident.Instance{"app-1", "app-2"})
 	admitted.SetUpstreams(modelService, []ident.Instance{"engine-1"})
-	learned := &results{admission: admitted}
-	routes := &routes{board: w.board, domain: "hall-a", ejections: admitted}
+	learned := &admissionRecorder{admission: admitted}
+	routes := &upstreamRouter{board: w.board, domain: "hall-a", ejections: admitted}
 	recorder := explain.NewRecorder(64)
-	plains := &plains{documents: w.board.Documents, routes: routes, dialer: dialer, leaving: noNotes{}, results: learned,
-		budgets: &budgets{}, backoff: retry.DefaultBackoff, explain: recorder, tracer: tracer}
-	plains.budgets.known.Store(ident.Service(plainService), retry.NewBudget(o.budget, time.Now()))
+	plains := &plainDispatcher{documents: w.board.Documents, router: routes, dialer: dialer, leaving: noNotes{}, attempts: learned,
+		budgets: &retryBudgets{}, backoff: retry.DefaultBackoff, explain: recorder, tracer: tracer}
+	plains.budgets.byService.Store(ident.Service(plainService), retry.NewBudget(o.budget, time.Now()))
 	coordinator := calls.New(calls.Config{Instance: "entry-1", Incarnation: 1, Log: w.log, Dispatcher: plains, Peers: peers,
 		Documents: w.board.Documents, Health: w.board.Journal, Limits: calls.Limits{AppendInterval: time.Millisecond}, Logger: log})
 	config := streaming.DefaultConfig()
-	runner := streaming.NewRunner(config, &engines{documents: w.board.Documents, routes: routes, dialer: dialer, leaving: noNotes{},
-		notices: newNoticeBoard(), results: learned, explain: recorder, tracer: tracer}, plains.budgets, nil)
+	runner := streaming.NewRunner(config, &enginePicker{documents: w.board.Documents, router: routes, dialer: dialer, leaving: noNotes{},
+		notices: newNoticeBoard(), attempts: learned, explain: recorder, tracer: tracer}, plains.budgets, nil)
 	streams := streaming.NewRegistry(config, runner)
-	w.handler = &handler{documents: w.board.Documents, stopping: w.board.Stopping, admission: admitted, routes: routes, plains: plains,
+	w.handler = &handler{documents: w.board.Documents, stopping: w.board.Stopping, admission: admitted, router: routes, dispatcher: plains,
 		calls: coordinator, streams: streams, explain: recorder, log: log, tracer: tracer, auth: auth.New([]auth.Credential{
 			{Account: registrar, Token: sha256.Sum256([]byte(registrarToken))},
 			{Account: trader, Token: sha256.Sum256([]byte(traderToken))},
@@ -266,7 +266,7 @@
 }
 
 // run runs the journal until the test ends, and waits until it is read.
-func (w *world) run(t testing.TB, coordinator *calls.Coordinator, streams *streaming.Registry) {
+func (w *testEnv) run(t testing.TB, coordinator *calls.Coordinator, streams *streaming.Registry) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { _ = coordinator.Run(ctx) })
@@ -286,7 +286,7 @@
 	}
 }
 
-func (w *world) serve(t testing.TB, limits settings.Limits) {
+func (w *testEnv) serve(t testing.TB, limits settings.Limits) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -295,5 +295,5 @@
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	w.url = "http://" + listener.Addr().String()
-	w.client = w.as(t, registrarToken)
+	w.client = w.clientWithToken(t, registrarToken)
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -40,8 +40,8 @@
 	documents *blackboard.Section[*document.Set]
 	stopping  *blackboard.Section[bool]
 	admission *admission.Controller
-	routes    *routes
-	plains    *plains
+	router    *upstreamRouter
+	dispatcher    *plainDispatcher
 	calls     keyedCalls
 	streams   tokenStreams
 	explain   *explain.Recorder
@@ -54,7 +54,7 @@
 
 // Call implements the callers' API.
 func (h *handler) Call(ctx context.Context, req *callerv1.CallRequest) (*callerv1.CallResponse, error) {
-	ctx, span, end := h.startRequest(ctx, "call", req.GetService())
+	ctx, span, end := h.startRequestSpan(ctx, "call", req.GetService())
 	defer end()
 	doc, err := findService(h.documents.Value(), req.GetService(), document.Plain)
 	if err != nil {
@@ -64,16 +64,16 @@
 	if err != nil {
 		return nil, wireError(err)
 	}
-	ctx, cancel := withLimit(ctx, method.Timeout)
+	ctx, cancel := withTimeout(ctx, method.Timeout)
 	defer cancel()
 	subject := explain.Subject{Request: ident.NewRequest(), Service: doc.Service, Account: auth.Account(ctx)}
 	o := h.call(ctx, subject, doc, method, req)
-	h.told(span, subject, o)
+	h.recordOutcome(span, subject, o)
 	return &callerv1.CallResponse{Outcome: toWire(o), Payload: o.Payload, RequestId: string(subject.Request)}, nil
 }
 
-// withLimit bounds ctx; a limit of 0 is none.
-func withLimit(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
+// withTimeout bounds ctx; a limit of 0 is none.
+func withTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	if limit <= 0 {
 		return context.WithCancel(ctx)
 	}
@@ -113,7 +113,7 @@
 	if keyed {
 		return h.calls.Do(ctx, call)
 	}
-	return h.plains.Run(ctx, idempotentCall{
+	return h.dispatcher.Run(ctx, idempotentCall{
 		doc:     doc,
 		method:  method.Name,
 		payload: req.GetPayload(),
@@ -142,12 +142,12 @@
 	return ticket, refusal
 }
 
-// told logs, traces and remembers what a caller was told.
-func (h *handler) told(span trace.Span, s explain.Subject, o outcome.Outcome) {
+// recordOutcome logs, traces and remembers what a caller was told.
+func (h *handler) recordOutcome(span trace.Span, s explain.Subject, o outcome.Outcome) {
 	span.SetAttributes(requestKey.String(string(s.Request)), accountKey.String(string(s.Account)),
 		outcomeKey.String(o.Kind.String()), reasonKey.String(string(o.Reason)))
-	h.explain.End(s, explain.Ending{Outcome: o.Kind.String(), Reason: string(o.Reason), Message: o.Message})
-	outcomesVar.Add(o.Kind.String(), 1)
+	h.explain.RecordEnding(s, explain.Ending{Outcome: o.Kind.String(), Reason: string(o.Reason), Message: o.Message})
+	outcomeCounts.Add(o.Kind.String(), 1)
 	fields := []any{"request_id", s.Request, "client_account", s.Account, "service", s.Service,
 		"outcome", o.Kind.String(), "reason", o.Reason, "retry_after", o.RetryAfter}
 	if o.Kind == outcome.Completed {
@@ -159,13 +159,13 @@
 
 // GetOutcome implements the callers' API.
 func (h *handler) GetOutcome(ctx context.Context, req *callerv1.GetOutcomeRequest) (*callerv1.GetOutcomeResponse, error) {
-	ctx, _, end := h.startRequest(ctx, "get outcome", req.GetService())
+	ctx, _, end := h.startRequestSpan(ctx, "get outcome", req.GetService())
 	defer end()
 	doc, err := findService(h.documents.Value(), req.GetService(), document.Plain)
 	if err != nil {
 		return nil, wireError(err)
 	}
-	if err := invalid(checkKey(req.GetIdempotencyKey())); err != nil {
+	if err := invalidRequest(checkKey(req.GetIdempotencyKey())); err != nil {
 		return nil, wireError(err)
 	}
 	key := ident.CallKey{Service: doc.Service, Account: auth.Account(ctx), Key: ident.Key(req.GetIdempotencyKey())}
@@ -175,9 +175,9 @@
 
 // Generate implements the callers' API.
 func (h *handler) Generate(ctx context.Context, req *callerv1.GenerateRequest, out *connect.ServerStream[callerv1.GenerateResponse]) error {
-	ctx, span, end := h.startRequest(ctx, "generate", req.GetService())
+	ctx, span, end := h.startRequestSpan(ctx, "generate", req.GetService())
 	defer end()
-	stream, err := h.streamRequest(ctx, req)
+	stream, err := h.checkStreamRequest(ctx, req)
 	if err != nil {
 		return wireError(err)
 	}
@@ -186,12 +186,12 @@
 	if err != nil {
 		return wireError(err)
 	}
-	h.told(span, stream.subject(), o)
-	return sink.end(o)
+	h.recordOutcome(span, stream.subject(), o)
+	return sink.sendOutcome(o)
 }
 
-// streamAsk is a checked token stream request with its document.
-type streamAsk struct {
+// checkedStream is a checked token stream request with its document.
+type checkedStream struct {
 	doc     *document.Document
 	class   document.Class
 	request streaming.Request
@@ -199,21 +199,21 @@
 	attempt uint32
 }
 
-func (s streamAsk) subject() explain.Subject {
+func (s checkedStream) subject() explain.Subject {
 	return explain.Subject{Request: s.request.Key.Request, Service: s.doc.Service, Account: s.request.Key.Account}
 }
 
-// streamRequest checks a token stream request.
-func (h *handler) streamRequest(ctx context.Context, req *callerv1.GenerateRequest) (streamAsk, error) {
+// checkStreamRequest checks a token stream request.
+func (h *handler) checkStreamRequest(ctx context.Context, req *callerv1.GenerateRequest) (checkedStream, error) {
 	doc, err := findService(h.documents.Value(), req.GetService(), document.Model)
 	if err != nil {
-		return streamAsk{}, err
+		return checkedStream{}, err
 	}
 	class, err := checkGenerate(doc, req)
 	if err != nil {
-		return streamAsk{}, err
+		return checkedStream{}, err
 	}
-	return streamAsk{doc: doc, class: class, attempt: req.GetAttempt(), request: streaming.Request{
+	return checkedStream{doc: doc, class: class, attempt: req.GetAttempt(), request: streaming.Request{
 		Key: streaming.Key{Account: auth.Account(ctx), Request: ident.Request(req.GetRequestId())},
 		Ask: streaming.Ask{
 			Service:   doc.Service,
@@ -222,12 +222,12 @@
 			MaxTokens: req.GetMaxTokens(),
 		},
 		Priority: int32(class.Priority),
-		Deadline: deadlineOf(time.Now(), class.Completion),
+		Deadline: deadlineAfter(time.Now(), class.Completion),
 	}}, nil
 }
 
 // generate admits and serves a token stream.
-func (h *handler) generate(ctx context.Context, s streamAsk, sink streaming.Sink) (outcome.Outcome, error) {
+func (h *handler) generate(ctx context.Context, s checkedStream, sink streaming.Sink) (outcome.Outcome, error) {
 	if h.stopping.Value() {
 		return outcome.NewNotRun(outcome.ReasonLeaving, "this gateway is leaving; ask any other", 0), nil
 	}
@@ -236,17 +236,17 @@
 		return *refusal, nil
 	}
 	defer ticket.Done(admission.Result{})
-	h.plains.budgets.of(s.doc.Service).FirstTry()
-	return h.streams.Generate(ctx, s.request, &firstTokenSink{Sink: sink, tell: ticket.FirstToken})
+	h.dispatcher.budgets.forService(s.doc.Service).FirstTry()
+	return h.streams.Generate(ctx, s.request, &firstTokenSink{Sink: sink, onFirstToken: ticket.FirstToken})
 }
 
 // admitStream admits a token stream of which nothing was delivered.
-func (h *handler) admitStream(ctx context.Context, s streamAsk) (*admission.Ticket, *outcome.Outcome) {
+func (h *handler) admitStream(ctx context.Context, s checkedStream) (*admission.Ticket, *outcome.Outcome) {
 	key := s.request.Key
 	ask := s.request.Ask
-	route := streamRequest(s.doc, s.class, key.Account, ask.Prompt, ask.MaxTokens, nil)
-	predicted := h.routes.decide(s.doc, route)
-	u, _ := h.routes.find(s.doc.Service, predicted.Upstream)
+	route := streamRoutingRequest(s.doc, s.class, key.Account, ask.Prompt, ask.MaxTokens, nil)
+	predicted := h.router.decide(s.doc, route)
+	u, _ := h.router.find(s.doc.Service, predicted.Upstream)
 	return h.admit(ctx, admission.Request{
 		Service:     s.doc.Service,
 		ID:          key.Request,
@@ -255,7 +255,7 @@
 		Class:       s.class,
 		Predicted:   predicted.FirstToken,
 		PredictedBy: predicted.FirstTokenBy,
-		Unloaded:    unloaded(u.Report, predicted.UncachedTokens),
+		Unloaded:    unloadedFirstToken(u.Report, predicted.UncachedTokens),
 		Remaining:   time.Duration(route.MaxTokens) * predicted.BetweenTokens,
 		Deadline:    s.request.Deadline,
 		Cost:        float64(predicted.UncachedTokens + route.MaxTokens),
@@ -265,7 +265,7 @@
 
 // Resume implements the callers' API.
 func (h *handler) Resume(ctx context.Context, req *callerv1.ResumeRequest, out *connect.ServerStream[callerv1.ResumeResponse]) error {
-	ctx, span, end := h.startRequest(ctx, "resume", req.GetService())
+	ctx, span, end := h.startRequestSpan(ctx, "resume", req.GetService())
 	defer end()
 	if err := checkResume(req); err != nil {
 		return wireError(err)
@@ -280,8 +280,8 @@
 	if err != nil {
 		return wireError(err)
 	}
-	h.told(span, explain.Subject{Request: resume.Key.Request, Service: ident.Service(req.GetService()), Account: resume.Key.Account}, o)
-	return sink.end(o)
+	h.recordOutcome(span, explain.Subject{Request: resume.Key.Request, Service: ident.Service(req.GetService()), Account: resume.Key.Account}, o)
+	return sink.sendOutcome(o)
 }
 
 // resume serves the rest of a token stream. One that some gateway accepted, as
@@ -292,7 +292,7 @@
 	if original == nil {
 		return h.streams.Resume(ctx, resume, sink)
 	}
-	ask, err := h.streamRequest(ctx, original)
+	ask, err := h.checkStreamRequest(ctx, original)
 	if err != nil {
 		return outcome.Outcome{}, err
 	}
@@ -305,5 +305,5 @@
 		return *refusal, nil
 	}
 	defer ticket.Done(admission.Result{})
-	return h.streams.Resume(ctx, resume, &firstTokenSink{Sink: sink, tell: ticket.FirstToken})
+	return h.streams.Resume(ctx, resume, &firstTokenSink{Sink: sink, onFirstToken: ticket.FirstToken})
 }
--- a/internal/gateway/handler_test.go
+++ b/internal/gateway/handler_test.go
@@ -30,10 +30,10 @@
 var errLost = errcode.New(errcode.Unavailable, "connection reset")
 
 func TestMalformedRequestsNameEveryFault(t *testing.T) {
-	w := newWorld(t, worldOptions{})
+	w := newTestEnv(t, envOptions{})
 	call := func(change func(*callerv1.CallRequest)) func() error {
 		return func() error {
-			req := bid("malformed", 1, "")
+			req := bidRequest("malformed", 1, "")
 			change(req)
 			_, err := w.client.Call(context.Background(), req)
 			return err
@@ -71,16 +71,16 @@
 			[]string{"class", "request_id", "prompt", "max_tokens"}},
 		"a resumed stream without a request ID": {takeUp(&callerv1.ResumeRequest{Service: modelService}), connect.CodeInvalidArgument, []string{"request_id"}},
 		"a resumed stream whose original is of another service": {takeUp(&callerv1.ResumeRequest{
-			Service: "none", RequestId: streamID, Original: ask(streamID, "p", 3),
+			Service: "none", RequestId: streamID, Original: generateRequest(streamID, "p", 3),
 		}), connect.CodeInvalidArgument, []string{"service"}},
 		"a resumed stream of a service with a name of 257 bytes": {takeUp(&callerv1.ResumeRequest{
 			Service: strings.Repeat("s", 257), RequestId: streamID,
 		}), connect.CodeInvalidArgument, []string{"service"}},
 		"a resumed stream whose original has another ID": {takeUp(&callerv1.ResumeRequest{
-			Service: modelService, RequestId: streamID, Original: ask(otherID, "p", 3),
+			Service: modelService, RequestId: streamID, Original: generateRequest(otherID, "p", 3),
 		}), connect.CodeInvalidArgument, []string{"request_id"}},
 		"a resumed stream with fewer tokens than it says": {takeUp(&callerv1.ResumeRequest{
-			Service: modelService, RequestId: streamID, Original: ask(streamID, "p", 3), NextIndex: 2, Delivered: []string{"a"},
+			Service: modelService, RequestId: streamID, Original: generateRequest(streamID, "p", 3), NextIndex: 2, Delivered: []string{"a"},
 		}), connect.CodeInvalidArgument, []string{"next_index"}},
 		"an outcome asked of no service": {func() error {
 			_, err := w.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: "none", IdempotencyKey: "k"})
@@ -95,7 +95,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			before := strings.Count(w.output.String(), `"request refused"`)
-			code, text := wireText(c.send())
+			code, text := errorCodeAndText(c.send())
 			if code != c.code {
 				t.Fatalf("code %v (%s), want %v", code, text, c.code)
 			}
@@ -119,44 +119,44 @@
 	otherID  = "0d8e7c61-1111-4222-8333-444455556666"
 )
 
-// ask returns a token stream request.
-func ask(id, prompt string, tokens uint32) *callerv1.GenerateRequest {
+// generateRequest returns a token stream request.
+func generateRequest(id, prompt string, tokens uint32) *callerv1.GenerateRequest {
 	return &callerv1.GenerateRequest{Service: modelService, Class: "short", Prompt: prompt, MaxTokens: tokens, RequestId: id}
 }
 
-// methods are the four methods of the API, each with a request that a caller
+// allMethods are the four methods of the API, each with a request that a caller
 // with a token gets an answer to.
-func methods(client callerv1connect.CallerServiceClient) map[string]func() error {
+func allMethods(client callerv1connect.CallerServiceClient) map[string]func() error {
 	ctx := context.Background()
 	return map[string]func() error{
-		"Call": func() error { _, err := client.Call(ctx, lookUp("lot")); return err },
+		"Call": func() error { _, err := client.Call(ctx, lookupRequest("lot")); return err },
 		"GetOutcome": func() error {
 			_, err := client.GetOutcome(ctx, &callerv1.GetOutcomeRequest{Service: plainService, IdempotencyKey: "k"})
 			return err
 		},
-		"Generate": func() error { _, err := generate(ctx, client, ask(streamID, "p", 2)); return err },
+		"Generate": func() error { _, err := generate(ctx, client, generateRequest(streamID, "p", 2)); return err },
 		"Resume": func() error {
-			_, err := resume(ctx, client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, Original: ask(streamID, "p", 2)})
+			_, err := resume(ctx, client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, Original: generateRequest(streamID, "p", 2)})
 			return err
 		},
 	}
 }
 
 func TestMissingAndWrongTokensGetTheSameAnswer(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	for name, send := range methods(w.client) {
+	w := newTestEnv(t, envOptions{})
+	for name, send := range allMethods(w.client) {
 		if err := send(); err != nil {
 			t.Errorf("%s with a token: %v", name, err)
 		}
 	}
-	missing, wrong := methods(w.as(t, "")), methods(w.as(t, "wrong"))
+	missing, wrong := allMethods(w.clientWithToken(t, "")), allMethods(w.clientWithToken(t, "wrong"))
 	for name := range missing {
 		t.Run(name, func(t *testing.T) {
-			code, text := wireText(missing[name]())
+			code, text := errorCodeAndText(missing[name]())
 			if code != connect.CodeUnauthenticated {
 				t.Errorf("without a token: %v %s", code, text)
 			}
-			otherCode, otherText := wireText(wrong[name]())
+			otherCode, otherText := errorCodeAndText(wrong[name]())
 			if otherCode != code || otherText != text {
 				t.Errorf("wrong token: %v %q; missing token: %v %q", otherCode, otherText, code, text)
 			}
@@ -169,16 +169,16 @@
 // Cause: Connect reads the body before its interceptors, and so before a token
 // that one of them checks.
 func TestBodyIsNotReadBeforeTheToken(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	_, err := w.as(t, "").Call(context.Background(), lookUp(strings.Repeat("x", 65<<10)))
-	if code, text := wireText(err); code != connect.CodeUnauthenticated {
+	w := newTestEnv(t, envOptions{})
+	_, err := w.clientWithToken(t, "").Call(context.Background(), lookupRequest(strings.Repeat("x", 65<<10)))
+	if code, text := errorCodeAndText(err); code != connect.CodeUnauthenticated {
 		t.Errorf("got %v %s", code, text)
 	}
 }
 
 func TestAccountsNeverMeet(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	other := w.as(t, traderToken)
+	w := newTestEnv(t, envOptions{})
+	other := w.clientWithToken(t, traderToken)
 	ctx := context.Background()
 	outcomeOf := func(key string) *callerv1.GetOutcomeResponse {
 		resp, err := other.GetOutcome(ctx, &callerv1.GetOutcomeRequest{Service: plainService, IdempotencyKey: key})
@@ -187,35 +187,35 @@
 		}
 		return resp
 	}
-	if got := w.call(t, w.client, bid("shared", 1, "bid of the registrar")); got.kind != completed {
+	if got := w.mustCall(t, w.client, bidRequest("shared", 1, "bid of the registrar")); got.kind != completed {
 		t.Fatalf("the registrar's bid: %+v", got)
 	}
 	theirs, nobodys := outcomeOf("shared"), outcomeOf("nobody's")
 	if diff := cmp.Diff(theirs.String(), nobodys.String()); diff != "" {
 		t.Errorf("another account's key is told apart from none:\n%s", diff)
 	}
-	if got := w.call(t, other, bid("shared", 1, "bid of the trader")); got.kind != completed || got.payload != "bid of the trader" {
+	if got := w.mustCall(t, other, bidRequest("shared", 1, "bid of the trader")); got.kind != completed || got.payload != "bid of the trader" {
 		t.Errorf("the trader's bid under the same key: %+v", got)
 	}
-	if got := w.call(t, w.client, bid("shared", 2, "bid of the registrar")); got.payload != "bid of the registrar" {
+	if got := w.mustCall(t, w.client, bidRequest("shared", 2, "bid of the registrar")); got.payload != "bid of the registrar" {
 		t.Errorf("the registrar's repeat: %+v", got)
 	}
 	if n := len(w.first.calls()) + len(w.second.calls()); n != 2 {
 		t.Errorf("%d effects, want one for each account", n)
 	}
 
-	if got, err := generate(ctx, w.client, ask(streamID, "prompt of the registrar", 5)); err != nil || len(got.tokens) != 5 {
+	if got, err := generate(ctx, w.client, generateRequest(streamID, "prompt of the registrar", 5)); err != nil || len(got.tokens) != 5 {
 		t.Fatalf("the registrar's stream: %+v %v", got, err)
 	}
 	errorOf := func(id string) string {
 		_, err := resume(ctx, other, &callerv1.ResumeRequest{Service: modelService, RequestId: id})
-		code, text := wireText(err)
+		code, text := errorCodeAndText(err)
 		return code.String() + text
 	}
 	if theirs, nobodys := errorOf(streamID), errorOf(otherID); theirs != nobodys || !strings.HasPrefix(theirs, "not_found") {
 		t.Errorf("another account's stream is told apart from none: %q, %q", theirs, nobodys)
 	}
-	got, err := generate(ctx, other, ask(streamID, "prompt of the trader", 5))
+	got, err := generate(ctx, other, generateRequest(streamID, "prompt of the trader", 5))
 	if err != nil || !slices.Equal(got.tokens, answer.Tokens("prompt of the trader", 5)) {
 		t.Errorf("the trader's stream under the same ID: %+v %v", got, err)
 	}
@@ -225,44 +225,44 @@
 	}
 }
 
-// oneAtOnce admits one request of an account for a long time.
-var oneAtOnce = document.AccountLimit{RequestsPerSecond: 0.001, Burst: 1}
+// burstOfOne admits one request of an account for a long time.
+var burstOfOne = document.AccountLimit{RequestsPerSecond: 0.001, Burst: 1}
 
 func TestAdmissionRefusesTruthfully(t *testing.T) {
 	cases := map[string]struct {
-		send func(w *world) told
-		want told
+		send func(w *testEnv) callResult
+		want callResult
 	}{
-		"an idempotent call": {func(w *world) told { return w.call(t, w.client, lookUp("x")) }, told{kind: notRun, reason: "rate_limited"}},
-		"the first attempt of a booking did not run": {func(w *world) told { return w.call(t, w.client, bid("new", 1, "x")) },
-			told{kind: notRun, reason: "rate_limited"}},
-		"a later attempt of a booking may have run": {func(w *world) told { return w.call(t, w.client, bid("new", 2, "x")) },
-			told{kind: unknown, reason: "rate_limited"}},
-		"a repeat of a booking that an earlier attempt completed": {func(w *world) told { return w.call(t, w.client, bid("done", 2, "x")) },
-			told{kind: completed, payload: "x"}},
-		"another request under a key that is done": {func(w *world) told { return w.call(t, w.client, bid("done", 2, "y")) },
-			told{kind: notRun, reason: "key_reused"}},
-		"a token stream": {func(w *world) told {
-			if _, err := generate(context.Background(), w.client, ask(streamID, "p", 2)); err != nil {
+		"an idempotent call": {func(w *testEnv) callResult { return w.mustCall(t, w.client, lookupRequest("x")) }, callResult{kind: notRun, reason: "rate_limited"}},
+		"the first attempt of a booking did not run": {func(w *testEnv) callResult { return w.mustCall(t, w.client, bidRequest("new", 1, "x")) },
+			callResult{kind: notRun, reason: "rate_limited"}},
+		"a later attempt of a booking may have run": {func(w *testEnv) callResult { return w.mustCall(t, w.client, bidRequest("new", 2, "x")) },
+			callResult{kind: unknown, reason: "rate_limited"}},
+		"a repeat of a booking that an earlier attempt completed": {func(w *testEnv) callResult { return w.mustCall(t, w.client, bidRequest("done", 2, "x")) },
+			callResult{kind: completed, payload: "x"}},
+		"another request under a key that is done": {func(w *testEnv) callResult { return w.mustCall(t, w.client, bidRequest("done", 2, "y")) },
+			callResult{kind: notRun, reason: "key_reused"}},
+		"a token stream": {func(w *testEnv) callResult {
+			if _, err := generate(context.Background(), w.client, generateRequest(streamID, "p", 2)); err != nil {
 				t.Fatal(err)
 			}
-			got, err := generate(context.Background(), w.client, ask(otherID, "p", 2))
+			got, err := generate(context.Background(), w.client, generateRequest(otherID, "p", 2))
 			if err != nil || len(got.tokens) > 0 {
 				t.Fatalf("%+v %v", got, err)
 			}
-			return told{kind: got.outcome.GetKind(), reason: got.outcome.GetReason()}
-		}, told{kind: notRun, reason: "rate_limited"}},
-		"another account is not refused": {func(w *world) told { return w.call(t, w.as(t, traderToken), lookUp("z")) },
-			told{kind: completed, payload: "z"}},
+			return callResult{kind: got.outcome.GetKind(), reason: got.outcome.GetReason()}
+		}, callResult{kind: notRun, reason: "rate_limited"}},
+		"another account is not refused": {func(w *testEnv) callResult { return w.mustCall(t, w.clientWithToken(t, traderToken), lookupRequest("z")) },
+			callResult{kind: completed, payload: "z"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, worldOptions{limit: oneAtOnce})
-			if got := w.call(t, w.client, bid("done", 1, "x")); got.kind != completed {
+			w := newTestEnv(t, envOptions{limit: burstOfOne})
+			if got := w.mustCall(t, w.client, bidRequest("done", 1, "x")); got.kind != completed {
 				t.Fatalf("the first request: %+v", got)
 			}
 			// A burst keeps one place for who was told to return.
-			if got := w.call(t, w.client, bid("returned", 2, "x")); got.kind != completed {
+			if got := w.mustCall(t, w.client, bidRequest("returned", 2, "x")); got.kind != completed {
 				t.Fatalf("the returning request: %+v", got)
 			}
 			if got := c.send(w); got != c.want {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -21,16 +21,16 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// pipes is a listener in memory. Its connections hold nothing that is not
+// pipeListener is a listener in memory. Its connections hold nothing that is not
 // read, and their deadlines follow virtual time.
-type pipes struct {
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), closed: make(chan struct{})} }
+func newPipeListener() *pipeListener { return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})} }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -39,25 +39,25 @@
 	}
 }
 
-func (p *pipes) Close() error   { close(p.closed); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { close(p.closed); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // dial returns the caller's end of a new connection.
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	p.conns <- far
 	return near, nil
 }
 
-// inMemory runs f in virtual time. What f starts with its argument is served
+// runInMemory runs f in virtual time. What f starts with its argument is served
 // until f returns. It runs on one processor, see testkit.OneProcessor; the other
 // tests of this package need theirs.
-func inMemory(t *testing.T, f func(t *testing.T, start func(*http.Server) *pipes)) {
+func runInMemory(t *testing.T, f func(t *testing.T, start func(*http.Server) *pipeListener)) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	synctest.Test(t, func(t *testing.T) {
-		f(t, func(server *http.Server) *pipes {
-			p := newPipes()
+		f(t, func(server *http.Server) *pipeListener {
+			p := newPipeListener()
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -74,15 +74,15 @@
 	})
 }
 
-// testLimits are short against the waits of the tests, which are virtual.
-var testLimits = callerLimits{read: 10 * time.Second, write: 10 * time.Second}
+// testTimeouts are short against the waits of the tests, which are virtual.
+var testTimeouts = callerTimeouts{read: 10 * time.Second, write: 10 * time.Second}
 
-func limited(handler http.HandlerFunc) *http.Server {
-	return transport.NewServer(limitCallers(handler, testLimits))
+func newTimeoutServer(handler http.HandlerFunc) *http.Server {
+	return transport.NewServer(withCallerTimeouts(handler, testTimeouts))
 }
 
-// request returns a request over a protocol, and its client.
-func request(p *pipes, protocol string, body io.Reader) (*http.Client, *http.Request) {
+// newRequest returns a request over a protocol, and its client.
+func newRequest(p *pipeListener, protocol string, body io.Reader) (*http.Client, *http.Request) {
 	var protocols http.Protocols
 	protocols.SetHTTP1(protocol == "HTTP/1.1")
 	protocols.SetUnencryptedHTTP2(protocol == "HTTP/2")
@@ -98,10 +98,10 @@
 func TestCallerThatStopsReadingIsLeft(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
-			inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
+			runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 				ended := make(chan error, 1)
 				written := 0
-				p := start(limited(func(w http.ResponseWriter, _ *http.Request) {
+				p := start(newTimeoutServer(func(w http.ResponseWriter, _ *http.Request) {
 					chunk := make([]byte, 32<<10)
 					for {
 						n, err := w.Write(chunk)
@@ -112,14 +112,14 @@
 						}
 					}
 				}))
-				client, req := request(p, protocol, nil)
+				client, req := newRequest(p, protocol, nil)
 				resp, err := client.Do(req)
 				if err != nil {
 					t.Fatal(err)
 				}
 				began := time.Now()
 				<-ended
-				if took := time.Since(began); took > 2*testLimits.write {
+				if took := time.Since(began); took > 2*testTimeouts.write {
 					t.Errorf("the handler was held for %v", took)
 				}
 				if written > 8<<20 {
@@ -137,9 +137,9 @@
 // written at the end of the request.
 // Cause: as above, for the last flush.
 func TestCallerThatTakesNoAnswerIsLeft(t *testing.T) {
-	inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
+	runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 		closed := make(chan struct{})
-		server := limited(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+		server := newTimeoutServer(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 		server.ConnState = func(_ net.Conn, state http.ConnState) {
 			if state == http.StateClosed {
 				close(closed)
@@ -151,7 +151,7 @@
 		}
 		select {
 		case <-closed:
-		case <-time.After(2 * testLimits.write):
+		case <-time.After(2 * testTimeouts.write):
 			t.Error("the connection is still held")
 			_ = conn.Close()
 			<-closed
@@ -165,14 +165,14 @@
 func TestCallerWhoseBodyDoesNotComeIsLeft(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
-			inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
+			runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 				ended := make(chan error, 1)
-				p := start(limited(func(_ http.ResponseWriter, r *http.Request) {
+				p := start(newTimeoutServer(func(_ http.ResponseWriter, r *http.Request) {
 					_, err := io.Copy(io.Discard, r.Body)
 					ended <- err
 				}))
 				body, more := io.Pipe()
-				client, req := request(p, protocol, body)
+				client, req := newRequest(p, protocol, body)
 				answered := make(chan struct{})
 				go func() {
 					defer close(answered)
@@ -192,7 +192,7 @@
 				if err := <-ended; err == nil {
 					t.Error("the body ended")
 				}
-				if took := time.Since(began); took > 2*testLimits.read {
+				if took := time.Since(began); took > 2*testTimeouts.read {
 					t.Errorf("the handler was held for %v", took)
 				}
 				_ = body.CloseWithError(errors.New("enough"))
@@ -213,8 +213,8 @@
 func TestLongRequestsAreNotTakenForSlowCallers(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
-			inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
-				p := start(limited(func(w http.ResponseWriter, r *http.Request) {
+			runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
+				p := start(newTimeoutServer(func(w http.ResponseWriter, r *http.Request) {
 					if _, err := io.Copy(io.Discard, r.Body); err != nil {
 						t.Error(err)
 					}
@@ -225,7 +225,7 @@
 					}
 					w.WriteHeader(http.StatusNoContent)
 				}))
-				client, req := request(p, protocol, strings.NewReader("ask"))
+				client, req := newRequest(p, protocol, strings.NewReader("ask"))
 				client.Transport.(*http.Transport).ExpectContinueTimeout = time.Hour
 				for _, body := range []string{"ask", "ask with Expect", ""} {
 					req.Body, req.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
@@ -233,7 +233,7 @@
 						req.Body = nil
 					}
 					// Longer than the limits, shorter than an idle connection is kept.
-					time.Sleep(2 * testLimits.write)
+					time.Sleep(2 * testTimeouts.write)
 					req.Header.Del("Expect")
 					if strings.Contains(body, "Expect") {
 						req.Header.Set("Expect", "100-continue")
@@ -253,16 +253,16 @@
 	}
 }
 
-// bareServer is the callers' server without anything behind it.
-func bareServer(limits settings.Limits) *http.Server {
+// newEmptyServer is the callers' server without anything behind it.
+func newEmptyServer(limits settings.Limits) *http.Server {
 	return newCallersServer(&handler{log: hclog.NewNullLogger(), auth: auth.New(nil)}, limits)
 }
 
 func TestHeadersAreBounded(t *testing.T) {
 	limits := settings.Limits{MaxBody: 1 << 10, MaxHeader: 4 << 10, HeaderTimeout: 5 * time.Second, MaxStreams: 7}
 	t.Run("in time", func(t *testing.T) {
-		inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
-			p := start(bareServer(limits))
+		runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
+			p := start(newEmptyServer(limits))
 			conn, _ := p.dial(context.Background(), "", "")
 			if _, err := io.WriteString(conn, "POST / HTTP/1.1\r\nHost:"); err != nil {
 				t.Fatal(err)
@@ -275,8 +275,8 @@
 		})
 	})
 	t.Run("in size", func(t *testing.T) {
-		inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
-			client, req := request(start(bareServer(limits)), "HTTP/1.1", nil)
+		runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
+			client, req := newRequest(start(newEmptyServer(limits)), "HTTP/1.1", nil)
 			req.Header.Set("X-Long", strings.Repeat("x", 16<<10))
 			resp, err := client.Do(req)
 			if err != nil {
@@ -290,8 +290,8 @@
 		})
 	})
 	t.Run("in HTTP/2, as is the number of streams on a connection", func(t *testing.T) {
-		inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
-			p := start(bareServer(limits))
+		runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
+			p := start(newEmptyServer(limits))
 			conn, _ := p.dial(context.Background(), "", "")
 			framer := http2.NewFramer(conn, bufio.NewReader(conn))
 			go func() {
--- a/internal/gateway/loops.go
+++ b/internal/gateway/loops.go
@@ -26,19 +26,19 @@
 	asked := time.Now()
 	read, err := t.cloud.Notices(ctx, after)
 	for _, n := range read {
-		t.board.Note(n.Instance, n.Incarnation, asked.Add(n.EndsIn))
+		t.board.Record(n.Instance, n.Incarnation, asked.Add(n.EndsIn))
 	}
 	return read, err
 }
 
-// stateLoops are the controllers that keep the blackboard, by name.
-func (p *Process) stateLoops() map[string]func(context.Context) error {
+// controllerLoops are the controllers that keep the blackboard, by name.
+func (p *Process) controllerLoops() map[string]func(context.Context) error {
 	listing := instances.New(instances.DefaultConfig(p.self.ID, p.self.Incarnation), instances.Deps{
 		List:        p.platform,
 		Notices:     &tappedNotices{cloud: p.platform, board: p.notices},
 		Membership:  p.members,
 		Log:         p.log.Named("instances"),
-		OnOwnNotice: p.noteOwnReclaim,
+		OnOwnNotice: p.requestLeave,
 	})
 	probes := probing.New(probing.DefaultConfig(p.self.ID, p.self.FailureDomain), probing.Deps{
 		Board:      p.board,
@@ -63,11 +63,11 @@
 	for {
 		upstreams := p.board.Upstreams.Load()
 		members := p.board.Members.Load()
-		live := liveGateways(members.Value)
+		live := countLiveGateways(members.Value)
 		p.admission.SetGateways(live)
 		for service, list := range upstreams.Value.ByService {
 			p.admission.SetUpstreams(service, aliveIDs(list))
-			p.admission.SetSlots(service, p.handler.routes.router(service).Slots(list, live, time.Now()))
+			p.admission.SetSlots(service, p.handler.router.serviceRouter(service).Slots(list, live, time.Now()))
 		}
 		select {
 		case <-upstreams.Changed():
@@ -78,7 +78,7 @@
 	}
 }
 
-func liveGateways(members *blackboard.Members) int {
+func countLiveGateways(members *blackboard.Members) int {
 	live := 0
 	for _, m := range members.ByID {
 		if m.Instance.Role == platform.RoleEntry && m.State == blackboard.Alive {
--- a/internal/gateway/overhead_test.go
+++ b/internal/gateway/overhead_test.go
@@ -34,8 +34,8 @@
 	// tokenInterval and streamTokens are those of a stream of the benchmark.
 	tokenInterval = 40 * time.Millisecond
 	streamTokens  = 50
-	// callsARound is how many calls a round makes at least.
-	callsARound = 4000
+	// minCallsPerRound is how many calls a round makes at least.
+	minCallsPerRound = 4000
 )
 
 // pacedEngine sends a token every tokenInterval.
@@ -71,15 +71,15 @@
 	return nil
 }
 
-// benchWorld is the system under test and a bare reverse path to the same
+// benchEnv is the system under test and a bare reverse path to the same
 // upstream, both reached by one kind of client.
-type benchWorld struct {
-	*world
+type benchEnv struct {
+	*testEnv
 	plain  upstreamv1connect.PlainServiceClient
 	engine upstreamv1connect.EngineServiceClient
 }
 
-func newBenchWorld(b *testing.B) *benchWorld {
+func newBenchEnv(b *testing.B) *benchEnv {
 	b.Helper()
 	mux := http.NewServeMux()
 	connectupstream.MountEngine(mux, pacedEngine{})
@@ -88,7 +88,7 @@
 	clients := connectupstream.NewClients(nil)
 	b.Cleanup(clients.Close)
 	many := concurrency.Config{Initial: 4096, Min: 4096, Max: 4096}
-	w := newWorld(b, worldOptions{
+	w := newTestEnv(b, envOptions{
 		plain:     connectupstream.NewPlain(clients, url),
 		engine:    connectupstream.NewEngine(clients, url),
 		admission: admission.Config{Concurrency: many},
@@ -105,16 +105,16 @@
 	bare := serveBare(b, url)
 	// The gateway asks upstreams for no compression either.
 	plainBytes := connect.WithAcceptCompression("gzip", nil, nil)
-	return &benchWorld{
-		world:  w,
+	return &benchEnv{
+		testEnv:  w,
 		plain:  upstreamv1connect.NewPlainServiceClient(client, bare, plainBytes),
 		engine: upstreamv1connect.NewEngineServiceClient(client, bare, plainBytes),
 	}
 }
 
-// engineEntries is how many engines the gateway takes the one of the benchmark
+// engineCount is how many engines the gateway takes the one of the benchmark
 // for: it would not send a thousand streams to one.
-const engineEntries = 32
+const engineCount = 32
 
 // classes is over how many latency classes the streams are spread: a gateway
 // that has just started lets in a hundred of each at once.
@@ -123,7 +123,7 @@
 func className(i int) ident.Class { return ident.Class(fmt.Sprintf("class-%d", i%classes)) }
 
 func manyClasses() *document.Set {
-	set := worldDocuments(document.AccountLimit{})
+	set := envDocuments(document.AccountLimit{})
 	model, _ := set.Find(modelService)
 	for i := range classes {
 		model.Classes = append(model.Classes, document.Class{Name: className(i), FirstToken: time.Minute, Priority: i})
@@ -132,9 +132,9 @@
 }
 
 func manyEngines() *blackboard.Upstreams {
-	upstreams := worldUpstreams()
+	upstreams := envUpstreams()
 	engine := upstreams.ByService[modelService][0]
-	for i := range engineEntries - 1 {
+	for i := range engineCount - 1 {
 		engine.Instance.ID = ident.Instance(fmt.Sprintf("engine-%d", i+2))
 		upstreams.ByService[modelService] = append(upstreams.ByService[modelService], engine)
 	}
@@ -165,7 +165,7 @@
 		w.WriteHeader(resp.StatusCode)
 		copyAndFlush(w, resp.Body)
 	}))
-	server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: worldLimits().MaxStreams}
+	server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: envLimits().MaxStreams}
 	go func() { _ = server.Serve(listener) }()
 	b.Cleanup(func() {
 		_ = server.Close()
@@ -189,8 +189,8 @@
 	}
 }
 
-// cost is the processor time of this process: caller, path and upstream.
-func cost() time.Duration {
+// processorTime is the processor time of this process: caller, path and upstream.
+func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
@@ -198,13 +198,13 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// spent adds up what rounds of one path cost.
-type spent struct{ processor, wall time.Duration }
+// pathCost adds up what rounds of one path cost.
+type pathCost struct{ processor, wall time.Duration }
 
-// round runs work on so many goroutines and adds what it cost.
-func (s *spent) round(b *testing.B, concurrent int, work func() error) {
+// addRound runs work on so many goroutines and adds what it cost.
+func (s *pathCost) addRound(b *testing.B, concurrent int, work func() error) {
 	b.Helper()
-	processor, began := cost(), time.Now()
+	processor, began := processorTime(), time.Now()
 	var all sync.WaitGroup
 	for range concurrent {
 		all.Go(func() {
@@ -214,12 +214,12 @@
 		})
 	}
 	all.Wait()
-	s.processor += cost() - processor
+	s.processor += processorTime() - processor
 	s.wall += time.Since(began)
 }
 
 // reportCost reports the cost of one operation by both paths and their ratio.
-func reportCost(b *testing.B, gateway, bare spent, operations int, name string) {
+func reportCost(b *testing.B, gateway, bare pathCost, operations int, name string) {
 	micros := func(d time.Duration) float64 { return d.Seconds() * 1e6 / float64(operations) }
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(micros(gateway.processor), "gateway-cpu-µs/"+name)
@@ -239,8 +239,8 @@
 }
 
 func benchmarkCalls(b *testing.B, concurrent int) {
-	w := newBenchWorld(b)
-	each := max(1, callsARound/concurrent)
+	w := newBenchEnv(b)
+	each := max(1, minCallsPerRound/concurrent)
 	ctx := context.Background()
 	payload := make([]byte, 512)
 	direct := func() error {
@@ -253,7 +253,7 @@
 	}
 	through := func() error {
 		for range each {
-			resp, err := w.client.Call(ctx, lookUp(string(payload)))
+			resp, err := w.client.Call(ctx, lookupRequest(string(payload)))
 			if err != nil {
 				return err
 			}
@@ -263,20 +263,20 @@
 		}
 		return nil
 	}
-	var gateway, bare, warm spent
-	warm.round(b, concurrent, direct)
-	warm.round(b, concurrent, through)
+	var gateway, bare, warm pathCost
+	warm.addRound(b, concurrent, direct)
+	warm.addRound(b, concurrent, through)
 	rounds := 0
 	for b.Loop() {
-		bare.round(b, concurrent, direct)
-		gateway.round(b, concurrent, through)
+		bare.addRound(b, concurrent, direct)
+		gateway.addRound(b, concurrent, through)
 		rounds++
 	}
 	reportCost(b, gateway, bare, rounds*each*concurrent, "call")
 }
 
 func benchmarkTokens(b *testing.B, concurrent int) {
-	w := newBenchWorld(b)
+	w := newBenchEnv(b)
 	ctx := context.Background()
 	direct := func() error {
 		stream, err := w.engine.Generate(ctx, &upstreamv1.GenerateRequest{
@@ -297,7 +297,7 @@
 	}
 	var turn atomic.Int64
 	through := func() error {
-		req := ask(uuid.NewString(), "lot 7", streamTokens)
+		req := generateRequest(uuid.NewString(), "lot 7", streamTokens)
 		req.Class = string(className(int(turn.Add(1))))
 		got, err := generate(ctx, w.client, req)
 		if err != nil || len(got.tokens) != streamTokens {
@@ -305,11 +305,11 @@
 		}
 		return nil
 	}
-	var gateway, bare spent
+	var gateway, bare pathCost
 	rounds := 0
 	for b.Loop() {
-		bare.round(b, concurrent, direct)
-		gateway.round(b, concurrent, through)
+		bare.addRound(b, concurrent, direct)
+		gateway.addRound(b, concurrent, through)
 		rounds++
 	}
 	reportCost(b, gateway, bare, rounds*concurrent*streamTokens, "token")
--- a/internal/gateway/peering/peers.go
+++ b/internal/gateway/peering/peers.go
@@ -33,20 +33,20 @@
 
 var _ calls.Peers = (*Peers)(nil)
 
-// alive returns the gateways believed alive, those of other failure domains
+// alivePeers returns the gateways believed alive, those of other failure domains
 // first: a reclaim or cut of the own domain does not take them along.
-func (p *Peers) alive() []*remote {
+func (p *Peers) alivePeers() []*remote {
 	var found []*remote
 	for _, m := range p.Members.Value().ByID {
 		in := m.Instance
 		if in.Role != platform.RoleEntry || in.ID == p.Self || in.PeerAddress == "" || m.State != blackboard.Alive {
 			continue
 		}
-		found = append(found, &remote{id: in.ID, address: in.PeerAddress, near: in.FailureDomain == p.Domain, peers: p})
+		found = append(found, &remote{id: in.ID, address: in.PeerAddress, sameDomain: in.FailureDomain == p.Domain, peers: p})
 	}
 	slices.SortFunc(found, func(a, b *remote) int {
-		if a.near != b.near {
-			if a.near {
+		if a.sameDomain != b.sameDomain {
+			if a.sameDomain {
 				return 1
 			}
 			return -1
@@ -59,16 +59,16 @@
 // Candidates implements calls.Peers.
 func (p *Peers) Candidates() []calls.Peer {
 	var out []calls.Peer
-	for _, r := range p.alive() {
+	for _, r := range p.alivePeers() {
 		out = append(out, r)
 	}
 	return out
 }
 
-// ForStreams returns the same peers for the hand-over of streams.
-func (p *Peers) ForStreams() []streaming.Peer {
+// StreamPeers returns the same peers for the hand-over of streams.
+func (p *Peers) StreamPeers() []streaming.Peer {
 	var out []streaming.Peer
-	for _, r := range p.alive() {
+	for _, r := range p.alivePeers() {
 		out = append(out, streamPeer{r})
 	}
 	return out
@@ -78,7 +78,7 @@
 type remote struct {
 	id      ident.Instance
 	address string
-	near    bool
+	sameDomain    bool
 	peers   *Peers
 }
 
--- a/internal/gateway/peering/wire.go
+++ b/internal/gateway/peering/wire.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// head returns the parts of a message that say whose it is.
-func head(key ident.CallKey, claimID string, digest []byte, issuedAt *timestamppb.Timestamp) (journal.Head, error) {
+// parseHead returns the parts of a message that say whose it is.
+func parseHead(key ident.CallKey, claimID string, digest []byte, issuedAt *timestamppb.Timestamp) (journal.Head, error) {
 	id, err := uuid.Parse(claimID)
 	if err != nil {
 		return journal.Head{}, errcode.Wrap(errcode.InvalidArgument, err, "claim_id")
@@ -58,7 +58,7 @@
 
 func outcomeFromWire(w *peerv1.KeyedOutcome) (calls.KeyedOutcome, error) {
 	key := callKey(w.GetService(), w.GetClientAccount(), w.GetKey())
-	h, err := head(key, w.GetClaimId(), w.GetRequestDigest(), w.GetIssuedAt())
+	h, err := parseHead(key, w.GetClaimId(), w.GetRequestDigest(), w.GetIssuedAt())
 	if err != nil {
 		return calls.KeyedOutcome{}, err
 	}
@@ -86,7 +86,7 @@
 
 func callFromWire(w *peerv1.HandedCall) (calls.HandedCall, error) {
 	key := callKey(w.GetService(), w.GetClientAccount(), w.GetKey())
-	h, err := head(key, w.GetClaimId(), w.GetRequestDigest(), w.GetIssuedAt())
+	h, err := parseHead(key, w.GetClaimId(), w.GetRequestDigest(), w.GetIssuedAt())
 	if err != nil {
 		return calls.HandedCall{}, err
 	}
--- a/internal/gateway/plains.go
+++ b/internal/gateway/plains.go
@@ -28,16 +28,16 @@
 	Plain(address string) upstream.Plain
 }
 
-// plains sends calls to plain services. For calls with a key it is the
+// plainDispatcher sends calls to plain services. For calls with a key it is the
 // dispatcher of package calls, which decides when to send; for idempotent ones
 // it retries by itself, from a budget.
-type plains struct {
+type plainDispatcher struct {
 	documents *blackboard.Section[*document.Set]
-	routes    *routes
+	router    *upstreamRouter
 	dialer    plainDialer
 	leaving   leavingNotes
-	results   upstreamResults
-	budgets   *budgets
+	attempts   attemptRecorder
+	budgets   *retryBudgets
 	backoff   retry.Backoff
 	explain   *explain.Recorder
 	tracer    trace.Tracer
@@ -58,56 +58,56 @@
 
 // Run sends an idempotent call until it is answered, the budget is empty or
 // ctx ends.
-func (p *plains) Run(ctx context.Context, call idempotentCall) outcome.Outcome {
-	budget := p.budgets.of(call.doc.Service)
+func (p *plainDispatcher) Run(ctx context.Context, call idempotentCall) outcome.Outcome {
+	budget := p.budgets.forService(call.doc.Service)
 	budget.FirstTry()
 	var tried []ident.Instance
 	ran := false
 	for attempt := 1; ; attempt++ {
 		u, decision, found := p.decide(ctx, call.doc, call.account, tried)
 		if !found {
-			return unanswered(ran, outcome.ReasonNoUpstream, "no upstream can take the call now")
+			return unansweredOutcome(ran, outcome.ReasonNoUpstream, "no upstream can take the call now")
 		}
 		route := routing.Request{Service: call.doc.Service, Account: call.account}
-		answer, err := p.send(ctx, u, sending{subject: call.subject(), route: route, decision: decision, attempt: attempt,
+		answer, err := p.send(ctx, u, plainAttempt{subject: call.subject(), route: route, decision: decision, attempt: attempt,
 			request: upstream.InvokeRequest{Method: call.method, Payload: call.payload}})
 		if err == nil {
-			return answered(answer)
+			return answeredOutcome(answer)
 		}
 		ran = ran || upstream.Ran(err)
 		if ctx.Err() != nil {
-			return unanswered(ran, reasonOf(ctx), "the request was given up before an upstream answered")
+			return unansweredOutcome(ran, contextReason(ctx), "the request was given up before an upstream answered")
 		}
 		if attempt == maxAttempts || !retry.Retryable(err, true, upstream.Ran(err)) {
-			return unanswered(ran, outcome.ReasonUpstreamLost, "no upstream answered")
+			return unansweredOutcome(ran, outcome.ReasonUpstreamLost, "no upstream answered")
 		}
 		if !budget.Spend(time.Now()) {
-			return unanswered(ran, outcome.ReasonOverloaded, "too many retries at this time")
+			return unansweredOutcome(ran, outcome.ReasonOverloaded, "too many retries at this time")
 		}
 		tried = append(tried, u.Instance.ID)
 		if !pause.For(ctx, p.backoff.Delay(attempt, call.request)) {
-			return unanswered(ran, reasonOf(ctx), "the request was given up before an upstream answered")
+			return unansweredOutcome(ran, contextReason(ctx), "the request was given up before an upstream answered")
 		}
 	}
 }
 
-// unanswered is the truthful answer for an idempotent call without an answer.
-func unanswered(ran bool, reason outcome.Reason, message string) outcome.Outcome {
+// unansweredOutcome is the truthful answer for an idempotent call without an answer.
+func unansweredOutcome(ran bool, reason outcome.Reason, message string) outcome.Outcome {
 	if ran {
-		return outcome.NewUnknown(reason, message, noUpstreamRetry)
+		return outcome.NewUnknown(reason, message, noUpstreamRetryAfter)
 	}
-	return outcome.NewNotRun(reason, message, noUpstreamRetry)
+	return outcome.NewNotRun(reason, message, noUpstreamRetryAfter)
 }
 
-// answered returns the outcome of a call that an upstream answered.
-func answered(a upstream.Answer) outcome.Outcome {
+// answeredOutcome returns the outcome of a call that an upstream answered.
+func answeredOutcome(a upstream.Answer) outcome.Outcome {
 	if a.Failed {
 		return outcome.Outcome{Kind: outcome.Failed, Reason: outcome.ReasonApplication, Payload: a.Payload}
 	}
 	return outcome.Outcome{Kind: outcome.Completed, Payload: a.Payload}
 }
 
-func reasonOf(ctx context.Context) outcome.Reason {
+func contextReason(ctx context.Context) outcome.Reason {
 	if ctx.Err() == context.DeadlineExceeded {
 		return outcome.ReasonDeadline
 	}
@@ -115,17 +115,17 @@
 }
 
 // decide chooses an upstream of a plain service.
-func (p *plains) decide(ctx context.Context, doc *document.Document, account ident.ClientAccount, exclude []ident.Instance) (blackboard.Upstream, routing.Decision, bool) {
+func (p *plainDispatcher) decide(ctx context.Context, doc *document.Document, account ident.ClientAccount, exclude []ident.Instance) (blackboard.Upstream, routing.Decision, bool) {
 	_, span, end := startSpan(ctx, p.tracer, "routing")
 	defer end()
-	decision := p.routes.decide(doc, routing.Request{Service: doc.Service, Account: account, Exclude: exclude})
+	decision := p.router.decide(doc, routing.Request{Service: doc.Service, Account: account, Exclude: exclude})
 	span.SetAttributes(upstreamKey.String(string(decision.Upstream)))
-	u, found := p.routes.find(doc.Service, decision.Upstream)
+	u, found := p.router.find(doc.Service, decision.Upstream)
 	return u, decision, found && decision.Found()
 }
 
-// sending is one request to one upstream.
-type sending struct {
+// plainAttempt is one request to one upstream.
+type plainAttempt struct {
 	subject  explain.Subject
 	route    routing.Request
 	decision routing.Decision
@@ -134,41 +134,41 @@
 }
 
 // send sends one request, once, and tells everyone who learns from it.
-func (p *plains) send(ctx context.Context, u blackboard.Upstream, s sending) (upstream.Answer, error) {
+func (p *plainDispatcher) send(ctx context.Context, u blackboard.Upstream, s plainAttempt) (upstream.Answer, error) {
 	ctx, span, end := startSpan(ctx, p.tracer, "upstream attempt", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(upstreamKey.String(string(u.Instance.ID)), attemptKey.Int(s.attempt)))
 	defer end()
-	flight := p.routes.start(s.decision, s.route)
-	p.results.Sending(s.route.Service, u.Instance.ID)
+	flight := p.router.start(s.decision, s.route)
+	p.attempts.RecordAttemptStart(s.route.Service, u.Instance.ID)
 	answer, err := p.dialer.Plain(u.Instance.Address).Invoke(ctx, s.request)
-	took := time.Since(flight.sent)
-	flight.end(plainResult(err))
+	took := time.Since(flight.sentAt)
+	flight.end(plainRoutingResult(err))
 	if err != nil {
-		span.SetStatus(codes.Error, textOf(err))
+		span.SetStatus(codes.Error, errorCodeText(err))
 		took = 0
 	}
 	if isLeaving(err) {
 		p.leaving.NoteLeaving(u.Instance.ID, u.Instance.Incarnation)
 	}
-	p.results.Observe(s.route.Service, attemptResult{
+	p.attempts.RecordAttemptEnd(s.route.Service, attemptResult{
 		upstream:   u.Instance.ID,
-		sent:       flight.sent,
+		sentAt:       flight.sentAt,
 		inFlight:   flight.inFlight,
 		firstToken: took,
 		failed:     err != nil && !isLeaving(err) && ctx.Err() == nil,
 	})
-	p.explain.Attempt(s.subject, explain.Attempt{
+	p.explain.RecordAttempt(s.subject, explain.Attempt{
 		Upstream:   u.Instance.ID,
-		Cause:      causeOf(s.attempt),
+		Cause:      attemptCause(s.attempt),
 		Reasons:    s.decision.Reasons,
 		Predicted:  s.decision.FirstToken,
 		FirstToken: took,
-		Error:      textOf(err),
+		Error:      errorCodeText(err),
 	})
 	return answer, err
 }
 
-func plainResult(err error) routing.Result {
+func plainRoutingResult(err error) routing.Result {
 	switch {
 	case err == nil:
 		return routing.ResultDone
@@ -178,16 +178,16 @@
 	return routing.ResultFailed
 }
 
-func causeOf(attempt int) string {
+func attemptCause(attempt int) string {
 	if attempt <= 1 {
 		return "first"
 	}
 	return "retry"
 }
 
-// textOf names an upstream's error for operators by its code alone: its text
+// errorCodeText names an upstream's error for operators by its code alone: its text
 // may hold what a caller sent.
-func textOf(err error) string {
+func errorCodeText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -35,12 +35,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// explainEvents is how many attempts and endings a gateway remembers.
-const explainEvents = 4096
+// maxExplainEvents is how many attempts and endings a gateway remembers.
+const maxExplainEvents = 4096
 
-// listening is the line on stdout by which whoever started the process learns
+// listeningEvent is the line on stdout by which whoever started the process learns
 // the ports that the kernel chose.
-type listening struct {
+type listeningEvent struct {
 	Event     string         `json:"event"`
 	Instance  ident.Instance `json:"instance"`
 	Callers   string         `json:"callers"`
@@ -126,11 +126,11 @@
 		tracer:    t.Tracer,
 		listeners: opened,
 		notices:   newNoticeBoard(),
-		recorder:  explain.NewRecorder(explainEvents),
+		recorder:  explain.NewRecorder(maxExplainEvents),
 		reclaimed: make(chan time.Duration, 1),
 	}
-	p.ready = &readiness{board: p.board, began: time.Now()}
-	p.self = selfOf(s, opened)
+	p.ready = &readiness{board: p.board, startedAt: time.Now()}
+	p.self = ownInstance(s, opened)
 	if err := p.wire(); err != nil {
 		opened.close()
 		return nil, err
@@ -151,8 +151,8 @@
 	}
 }
 
-// selfOf describes this process's own instance.
-func selfOf(s *settings.Gateway, l listeners) platform.Instance {
+// ownInstance describes this process's own instance.
+func ownInstance(s *settings.Gateway, l listeners) platform.Instance {
 	incarnation := s.Instance.Incarnation
 	if incarnation == 0 {
 		incarnation = ident.Incarnation(time.Now().UnixNano())
@@ -221,12 +221,12 @@
 		Transport:      p.pool,
 		Configuration:  revision,
 		Log:            p.log.Named("membership"),
-		OnOwnDeparture: func() { p.noteOwnReclaim(p.settings.Limits.StopTimeout) },
+		OnOwnDeparture: func() { p.requestLeave(p.settings.Limits.StopTimeout) },
 	})
 	p.documents = configuration.New(configuration.Options{
 		Instance:  p.self.ID,
 		Log:       p.platform,
-		Peers:     configuration.NewPeers(p.pool, p.highestPeer),
+		Peers:     configuration.NewPeers(p.pool, p.highestRevisionPeer),
 		Documents: p.board.Documents,
 		Health:    p.board.Configuration,
 		Logger:    p.log,
@@ -245,15 +245,15 @@
 	metrics := &admission.Metrics{}
 	metrics.Publish()
 	p.admission = admission.New(admission.Config{Metrics: metrics})
-	learned := &results{admission: p.admission}
-	routes := &routes{board: p.board, domain: p.self.FailureDomain, ejections: p.admission}
-	plains := &plains{
+	learned := &admissionRecorder{admission: p.admission}
+	routes := &upstreamRouter{board: p.board, domain: p.self.FailureDomain, ejections: p.admission}
+	plains := &plainDispatcher{
 		documents: p.board.Documents,
-		routes:    routes,
+		router:    routes,
 		dialer:    p.dialer,
 		leaving:   p.members,
-		results:   learned,
-		budgets:   &budgets{},
+		attempts:   learned,
+		budgets:   &retryBudgets{},
 		backoff:   retry.DefaultBackoff,
 		explain:   p.recorder,
 		tracer:    p.tracer,
@@ -270,13 +270,13 @@
 		Logger:      p.log,
 	})
 	streamConfig := p.streamConfig()
-	runner := streaming.NewRunner(streamConfig, &engines{
+	runner := streaming.NewRunner(streamConfig, &enginePicker{
 		documents: p.board.Documents,
-		routes:    routes,
+		router:    routes,
 		dialer:    p.dialer,
 		leaving:   p.members,
 		notices:   p.notices,
-		results:   learned,
+		attempts:   learned,
 		explain:   p.recorder,
 		tracer:    p.tracer,
 	}, plains.budgets, nil)
@@ -285,8 +285,8 @@
 		documents: p.board.Documents,
 		stopping:  p.board.Stopping,
 		admission: p.admission,
-		routes:    routes,
-		plains:    plains,
+		router:    routes,
+		dispatcher:    plains,
 		calls:     p.calls,
 		streams:   p.streams,
 		explain:   p.recorder,
@@ -303,9 +303,9 @@
 	return c
 }
 
-// noteOwnReclaim asks the process to leave within a time. Only the first
+// requestLeave asks the process to leave within a time. Only the first
 // request counts.
-func (p *Process) noteOwnReclaim(left time.Duration) {
+func (p *Process) requestLeave(left time.Duration) {
 	select {
 	case p.reclaimed <- left:
 	default:
@@ -314,7 +314,7 @@
 
 // announce prints where the process listens.
 func (p *Process) announce(stdout io.Writer) error {
-	return json.NewEncoder(stdout).Encode(listening{
+	return json.NewEncoder(stdout).Encode(listeningEvent{
 		Event:     "listening",
 		Instance:  p.self.ID,
 		Callers:   p.self.Address,
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -16,7 +16,7 @@
 // readiness tells whether a gateway should get callers.
 type readiness struct {
 	board *blackboard.Board
-	began time.Time
+	startedAt time.Time
 }
 
 // check reports whether the gateway should get callers, and if not, why.
@@ -27,10 +27,10 @@
 	if health := r.board.Configuration.Value(); !health.Ready {
 		return false, "configuration: " + cmp.Or(health.Problem, "not read yet")
 	}
-	if now.Sub(r.began) > warmUp {
+	if now.Sub(r.startedAt) > warmUp {
 		return true, ""
 	}
-	if service, missing := r.missing(); missing {
+	if service, missing := r.serviceWithoutUpstream(); missing {
 		return false, "upstreams: none known yet of service " + string(service)
 	}
 	journal := r.board.Journal.Value()
@@ -40,8 +40,8 @@
 	return true, ""
 }
 
-// missing returns a service without a known upstream.
-func (r *readiness) missing() (ident.Service, bool) {
+// serviceWithoutUpstream returns a service without a known upstream.
+func (r *readiness) serviceWithoutUpstream() (ident.Service, bool) {
 	upstreams := r.board.Upstreams.Value()
 	for service := range r.board.Documents.Value().Services {
 		if len(upstreams.ByService[service]) == 0 {
--- a/internal/gateway/routes.go
+++ b/internal/gateway/routes.go
@@ -11,25 +11,25 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
 )
 
-// explainUpTo is the number of upstreams up to which every decision records
+// maxExplainedUpstreams is the number of upstreams up to which every decision records
 // its reasons. Reasons allocate for each upstream, and with hundreds of them
 // recording would cost more than deciding.
-const explainUpTo = 32
+const maxExplainedUpstreams = 32
 
 // ejections tells which upstreams get no request now.
 type ejections interface {
 	Ejected(service ident.Service) []ident.Instance
 }
 
-// routes decides by this gateway's view of the upstreams. It takes no lock.
-type routes struct {
+// upstreamRouter decides by this gateway's view of the upstreams. It takes no lock.
+type upstreamRouter struct {
 	board     *blackboard.Board
 	domain    ident.FailureDomain
 	ejections ejections
 	routers   sync.Map // ident.Service to *routing.Router
 }
 
-func (r *routes) router(service ident.Service) *routing.Router {
+func (r *upstreamRouter) serviceRouter(service ident.Service) *routing.Router {
 	if known, ok := r.routers.Load(service); ok {
 		return known.(*routing.Router)
 	}
@@ -38,12 +38,12 @@
 }
 
 // view returns what is known of a service's upstreams.
-func (r *routes) view(service ident.Service) []blackboard.Upstream {
+func (r *upstreamRouter) view(service ident.Service) []blackboard.Upstream {
 	return r.board.Upstreams.Value().ByService[service]
 }
 
 // find returns one upstream of a service.
-func (r *routes) find(service ident.Service, id ident.Instance) (blackboard.Upstream, bool) {
+func (r *upstreamRouter) find(service ident.Service, id ident.Instance) (blackboard.Upstream, bool) {
 	for _, u := range r.view(service) {
 		if u.Instance.ID == id {
 			return u, true
@@ -54,11 +54,11 @@
 
 // decide chooses an upstream. An ejected upstream is chosen only when there is
 // no other, since a slow answer is better than none.
-func (r *routes) decide(doc *document.Document, req routing.Request) routing.Decision {
+func (r *upstreamRouter) decide(doc *document.Document, req routing.Request) routing.Decision {
 	view := r.view(doc.Service)
 	req.FailureDomain = r.domain
-	req.Explain = len(view) <= explainUpTo
-	router := r.router(doc.Service)
+	req.Explain = len(view) <= maxExplainedUpstreams
+	router := r.serviceRouter(doc.Service)
 	failed := req.Exclude
 	req.Exclude = append(r.ejections.Ejected(doc.Service), failed...)
 	decision := router.Decide(doc, view, req, time.Now())
@@ -70,28 +70,28 @@
 }
 
 // start notes that an attempt goes out as decided.
-func (r *routes) start(d routing.Decision, req routing.Request) *flight {
-	router := r.router(req.Service)
+func (r *upstreamRouter) start(d routing.Decision, req routing.Request) *activeAttempt {
+	router := r.serviceRouter(req.Service)
 	now := time.Now()
-	return &flight{router: router, ticket: router.Started(d, req, now), sent: now, inFlight: router.Outstanding(d.Upstream)}
+	return &activeAttempt{router: router, ticket: router.Started(d, req, now), sentAt: now, inFlight: router.Outstanding(d.Upstream)}
 }
 
-// flight is an attempt under way.
-type flight struct {
+// activeAttempt is an attempt under way.
+type activeAttempt struct {
 	router   *routing.Router
 	ticket   routing.Ticket
-	sent     time.Time
+	sentAt     time.Time
 	inFlight int
 }
 
-// firstToken notes that the prompt is computed.
-func (f *flight) firstToken() { f.router.FirstToken(&f.ticket, time.Now()) }
+// recordFirstToken notes that the prompt is computed.
+func (f *activeAttempt) recordFirstToken() { f.router.FirstToken(&f.ticket, time.Now()) }
 
-func (f *flight) end(result routing.Result) { f.router.Finished(&f.ticket, result, time.Now()) }
+func (f *activeAttempt) end(result routing.Result) { f.router.Finished(&f.ticket, result, time.Now()) }
 
-// streamRequest returns what routing needs to know of a token stream that has
+// streamRoutingRequest returns what routing needs to know of a token stream that has
 // delivered some tokens already.
-func streamRequest(doc *document.Document, class document.Class, account ident.ClientAccount, text string, maxTokens uint32, delivered []string) routing.Request {
+func streamRoutingRequest(doc *document.Document, class document.Class, account ident.ClientAccount, text string, maxTokens uint32, delivered []string) routing.Request {
 	tokens := prompt.Tokens(text) + len(delivered)
 	return routing.Request{
 		Service:      doc.Service,
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// lastWords is kept free of a stop's time for answering callers, closing
+	// shutdownReserve is kept free of a stop's time for answering callers, closing
 	// listeners and flushing traces.
-	lastWords = 500 * time.Millisecond
+	shutdownReserve = 500 * time.Millisecond
 	// reclaimMargin is kept free before an announced reclaim.
 	reclaimMargin = time.Second
 )
@@ -57,7 +57,7 @@
 	callers    *http.Server
 	operations *operations.Server
 	peers      *peer.Server
-	endPeers   context.CancelFunc
+	stopPeers   context.CancelFunc
 }
 
 func (p *Process) servers() (*servers, error) {
@@ -100,13 +100,13 @@
 			}
 		})
 	}
-	for name, loop := range p.stateLoops() {
+	for name, loop := range p.controllerLoops() {
 		run(name, func() error { return loop(ctx) })
 	}
 	var peersCtx context.Context
-	peersCtx, s.endPeers = context.WithCancel(ctx)
+	peersCtx, s.stopPeers = context.WithCancel(ctx)
 	run("callers", func() error { return p.serveCallers(s.callers) })
-	run("peers", func() error { return s.peers.Serve(peersCtx, p.listeners.peers, lastWords) })
+	run("peers", func() error { return s.peers.Serve(peersCtx, p.listeners.peers, shutdownReserve) })
 	run("operators", s.operations.Serve)
 	return &running
 }
@@ -140,7 +140,7 @@
 	var parts sync.WaitGroup
 	var cut error
 	parts.Go(func() {
-		report := p.streams.Leave(ctx, max(limit-streamHandOver-lastWords, 0), p.peers.ForStreams())
+		report := p.streams.Leave(ctx, max(limit-streamHandOverReserve-shutdownReserve, 0), p.peers.StreamPeers())
 		p.log.Info("token streams left", "handed_over", report.HandedOver, "left", report.Left)
 	})
 	parts.Go(func() { cut = p.calls.Stop(ctx) })
@@ -155,13 +155,13 @@
 	return p.flush(signals)
 }
 
-// streamHandOver is the part of a stop's time that is kept for handing over
+// streamHandOverReserve is the part of a stop's time that is kept for handing over
 // the streams that are not finished by then.
-const streamHandOver = 2 * time.Second
+const streamHandOverReserve = 2 * time.Second
 
 // flush writes the last spans.
 func (p *Process) flush(signals program.Signals) error {
-	ctx, cancel := context.WithTimeout(signals.Kill, lastWords)
+	ctx, cancel := context.WithTimeout(signals.Kill, shutdownReserve)
 	defer cancel()
 	if err := p.telemetry.Shutdown(ctx); err != nil {
 		p.log.Warn("spans were lost", "error", err)
@@ -172,9 +172,9 @@
 
 // close ends all servers.
 func (s *servers) close() {
-	s.endPeers()
+	s.stopPeers()
 	_ = s.callers.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), lastWords)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownReserve)
 	defer cancel()
 	_ = s.operations.Shutdown(ctx)
 }
--- a/internal/gateway/secrets_test.go
+++ b/internal/gateway/secrets_test.go
@@ -30,9 +30,9 @@
 // errors quote the request and name addresses.
 // Cause: an upstream's error text passed on as it is.
 func TestNothingThatCallersSendIsLoggedOrTraced(t *testing.T) {
-	w := newWorld(t, worldOptions{engine: &quotingEngine{Engine: newEngine(t)}})
+	w := newTestEnv(t, envOptions{engine: &quotingEngine{Engine: newEngine(t)}})
 	// With three upstreams a booking is given up on after its last target.
-	upstreams := worldUpstreams()
+	upstreams := envUpstreams()
 	third := upstreams.ByService[plainService][1]
 	third.Instance.ID, third.Instance.Address = "app-3", "app-3"
 	upstreams.ByService[plainService] = append(upstreams.ByService[plainService], third)
@@ -46,15 +46,15 @@
 			return upstream.Answer{}, errcode.New(errcode.Unavailable, text)
 		}
 	}
-	ctx, caller := traced()
+	ctx, caller := tracedContext()
 	var told strings.Builder
 	for _, kind := range []error{nil, upstream.ErrLeaving, upstream.ErrNotSent} {
 		for i, req := range []string{"first", "second", "third", "fourth"} {
 			w.first.answer, w.second.answer = quote(kind), quote(kind)
 			for _, call := range []bool{true, false} {
-				message := lookUp("secret-payload")
+				message := lookupRequest("secret-payload")
 				if call {
-					message = bid(fmt.Sprint(req, i, kind), 1, "secret-payload")
+					message = bidRequest(fmt.Sprint(req, i, kind), 1, "secret-payload")
 				}
 				resp, err := w.client.Call(ctx, message)
 				if err != nil {
@@ -64,17 +64,17 @@
 			}
 		}
 	}
-	if got, err := generate(ctx, w.client, ask(streamID, "secret-prompt", 4)); err != nil || len(got.tokens) != 4 {
+	if got, err := generate(ctx, w.client, generateRequest(streamID, "secret-prompt", 4)); err != nil || len(got.tokens) != 4 {
 		t.Errorf("%+v %v", got, err)
 	}
-	malformed := ask("secret-id", "secret-prompt", 0)
+	malformed := generateRequest("secret-id", "secret-prompt", 0)
 	if _, err := generate(ctx, w.client, malformed); err == nil {
 		t.Error("no error for a malformed request")
 	}
-	if _, err := w.as(t, "secret-wrong-token").Call(ctx, lookUp("secret-payload")); err == nil {
+	if _, err := w.clientWithToken(t, "secret-wrong-token").Call(ctx, lookupRequest("secret-payload")); err == nil {
 		t.Error("no error for a wrong token")
 	}
-	inSpans := tracedText(caller.TraceID())
+	inSpans := traceText(caller.TraceID())
 	if !strings.Contains(inSpans, "upstream attempt") || !strings.Contains(w.output.String(), "request refused or failed") {
 		t.Fatal("nothing was logged or traced")
 	}
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -54,21 +54,21 @@
 // Heartbeat implements streaming.Sink.
 func (s *sink) Heartbeat() error { return s.heartbeat() }
 
-// end sends the last event.
-func (s *sink) end(o outcome.Outcome) error { return s.outcome(toWire(o)) }
+// sendOutcome sends the last event.
+func (s *sink) sendOutcome(o outcome.Outcome) error { return s.outcome(toWire(o)) }
 
 // firstTokenSink tells admission when the first token comes.
 type firstTokenSink struct {
 	streaming.Sink
-	tell func()
-	told bool
+	onFirstToken func()
+	notified bool
 }
 
 // Tokens implements streaming.Sink.
 func (s *firstTokenSink) Tokens(index uint32, tokens []string) error {
-	if !s.told {
-		s.told = true
-		s.tell()
+	if !s.notified {
+		s.notified = true
+		s.onFirstToken()
 	}
 	return s.Sink.Tokens(index, tokens)
 }
--- a/internal/gateway/span.go
+++ b/internal/gateway/span.go
@@ -27,10 +27,10 @@
 	return ctx, span, func() { span.End() }
 }
 
-// startRequest begins the span of a caller's request, which continues the
+// startRequestSpan begins the span of a caller's request, which continues the
 // caller's trace if it sent one.
-func (h *handler) startRequest(ctx context.Context, name, service string) (context.Context, trace.Span, func()) {
-	service = service[:min(len(service), maxServiceName)]
+func (h *handler) startRequestSpan(ctx context.Context, name, service string) (context.Context, trace.Span, func()) {
+	service = service[:min(len(service), maxServiceNameBytes)]
 	return startSpan(ctx, h.tracer, name, trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(serviceKey.String(service)))
 }
--- a/internal/gateway/span_test.go
+++ b/internal/gateway/span_test.go
@@ -25,18 +25,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// heard are the spans that upstreams heard of, by the path of their requests.
-type heard struct {
+// traceRecorder are the spans that upstreams heard of, by the path of their requests.
+type traceRecorder struct {
 	mu     sync.Mutex
-	parent map[string]trace.SpanContext
+	parents map[string]trace.SpanContext
 }
 
-// listen returns a handler that notes the trace context of each request.
-func (h *heard) listen(next http.Handler) http.Handler {
+// record returns a handler that notes the trace context of each request.
+func (h *traceRecorder) record(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.HeaderCarrier(r.Header))
 		h.mu.Lock()
-		h.parent[r.URL.Path] = trace.SpanContextFromContext(ctx)
+		h.parents[r.URL.Path] = trace.SpanContextFromContext(ctx)
 		h.mu.Unlock()
 		next.ServeHTTP(w, r)
 	})
@@ -49,9 +49,9 @@
 func (knowsNothing) FindLocal(ident.CallKey) calls.PeerAnswer  { return calls.PeerAnswer{} }
 func (knowsNothing) TakeOver(calls.HandOver) []journal.ClaimID { return nil }
 
-// onePeer starts a peer and returns the peers of a gateway that knows it.
-func onePeer(t *testing.T) func(*world) calls.Peers {
-	return func(w *world) calls.Peers {
+// startPeer starts a peer and returns the peers of a gateway that knows it.
+func startPeer(t *testing.T) func(*testEnv) calls.Peers {
+	return func(w *testEnv) calls.Peers {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -78,7 +78,7 @@
 
 // chain describes a span by its name and those of its parents, up to the
 // caller's, for each span of a trace.
-func chains(id trace.TraceID, caller trace.SpanID) map[string]trace.SpanID {
+func spanChains(id trace.TraceID, caller trace.SpanID) map[string]trace.SpanID {
 	type link struct {
 		name   string
 		parent trace.SpanID
@@ -86,7 +86,7 @@
 	links := map[trace.SpanID]link{caller: {name: "caller"}}
 	for _, span := range spans.GetSpans() {
 		if span.SpanContext.TraceID() == id {
-			links[span.SpanContext.SpanID()] = link{span.Name + kindOf(span.SpanKind), span.Parent.SpanID()}
+			links[span.SpanContext.SpanID()] = link{span.Name + spanKindSuffix(span.SpanKind), span.Parent.SpanID()}
 		}
 	}
 	found := map[string]trace.SpanID{}
@@ -105,7 +105,7 @@
 	return found
 }
 
-func kindOf(kind trace.SpanKind) string {
+func spanKindSuffix(kind trace.SpanKind) string {
 	if kind == trace.SpanKindInternal {
 		return ""
 	}
@@ -113,17 +113,17 @@
 }
 
 func TestSpansOfEachHopContinueTheCallersTrace(t *testing.T) {
-	upstreams := &heard{parent: map[string]trace.SpanContext{}}
+	upstreams := &traceRecorder{parents: map[string]trace.SpanContext{}}
 	mux := http.NewServeMux()
 	connectupstream.MountEngine(mux, newEngine(t))
 	connectupstream.MountPlain(mux, &fakePlain{})
-	url := testkit.Serve(t, upstreams.listen(mux))
+	url := testkit.Serve(t, upstreams.record(mux))
 	clients := connectupstream.NewClients(nil)
 	t.Cleanup(clients.Close)
-	w := newWorld(t, worldOptions{
+	w := newTestEnv(t, envOptions{
 		plain:  connectupstream.NewPlain(clients, url),
 		engine: connectupstream.NewEngine(clients, url),
-		peers:  onePeer(t),
+		peers:  startPeer(t),
 	})
 	const (
 		invoke   = "/goldcrestspool.upstream.v1.PlainService/Invoke"
@@ -136,11 +136,11 @@
 		// upstream hears of the span of the last chain at this path.
 		upstream string
 	}{
-		"a look-up": {func(ctx context.Context) error { _, err := w.client.Call(ctx, lookUp("x")); return err },
+		"a look-up": {func(ctx context.Context) error { _, err := w.client.Call(ctx, lookupRequest("x")); return err },
 			[]string{"call(server) > admission", "call(server) > routing", "call(server) > upstream attempt(client)"}, invoke},
-		"a booking": {func(ctx context.Context) error { _, err := w.client.Call(ctx, bid("traced", 1, "x")); return err },
+		"a booking": {func(ctx context.Context) error { _, err := w.client.Call(ctx, bidRequest("traced", 1, "x")); return err },
 			[]string{"call(server) > admission", "call(server) > routing", "call(server) > journal", "call(server) > upstream attempt(client)"}, invoke},
-		"a token stream": {func(ctx context.Context) error { _, err := generate(ctx, w.client, ask(streamID, "p", 3)); return err },
+		"a token stream": {func(ctx context.Context) error { _, err := generate(ctx, w.client, generateRequest(streamID, "p", 3)); return err },
 			[]string{"generate(server) > admission", "generate(server) > routing", "generate(server) > stream attempt(client)"}, produce},
 		"an outcome that a peer may know": {func(ctx context.Context) error {
 			_, err := w.client.GetOutcome(ctx, &callerv1.GetOutcomeRequest{Service: plainService, IdempotencyKey: "elsewhere"})
@@ -149,11 +149,11 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			ctx, caller := traced()
+			ctx, caller := tracedContext()
 			if err := c.send(ctx); err != nil {
 				t.Fatal(err)
 			}
-			found := chains(caller.TraceID(), caller.SpanID())
+			found := spanChains(caller.TraceID(), caller.SpanID())
 			var last trace.SpanID
 			for _, want := range c.want {
 				id, ok := found["caller > "+want]
@@ -167,7 +167,7 @@
 			}
 			upstreams.mu.Lock()
 			defer upstreams.mu.Unlock()
-			got := upstreams.parent[c.upstream]
+			got := upstreams.parents[c.upstream]
 			if got.TraceID() != caller.TraceID() || got.SpanID() != last {
 				t.Errorf("the upstream heard of trace %v span %v, want span %v", got.TraceID(), got.SpanID(), last)
 			}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -69,7 +69,7 @@
 // statusHandler answers with the gateway's status.
 func statusHandler(self platform.Instance, board *blackboard.Board, r *readiness) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, http.StatusOK, statusOf(self, board, r))
+		writeJSON(w, http.StatusOK, statusOf(self, board, r))
 	})
 }
 
@@ -79,14 +79,14 @@
 		id := ident.Request(r.URL.Query().Get(report.RequestParameter))
 		records := recorder.Find(id)
 		if len(records) == 0 {
-			answerJSON(w, http.StatusNotFound, report.Problem{Error: "this gateway remembers no request with this ID"})
+			writeJSON(w, http.StatusNotFound, report.Problem{Error: "this gateway remembers no request with this ID"})
 			return
 		}
-		answerJSON(w, http.StatusOK, records)
+		writeJSON(w, http.StatusOK, records)
 	})
 }
 
-func answerJSON(w http.ResponseWriter, code int, body any) {
+func writeJSON(w http.ResponseWriter, code int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	encoder := json.NewEncoder(w)
--- a/internal/gateway/tls_test.go
+++ b/internal/gateway/tls_test.go
@@ -18,24 +18,24 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// secureWorld is a world behind a listener with TLS.
-type secureWorld struct {
-	*world
+// tlsEnv is a world behind a listener with TLS.
+type tlsEnv struct {
+	*testEnv
 	authority *testkit.Authority
 	pair      settings.KeyPair
 	address   string
 	serial    int64
 }
 
-func newSecureWorld(t *testing.T) *secureWorld {
+func newTLSEnv(t *testing.T) *tlsEnv {
 	t.Helper()
 	dir := t.TempDir()
-	s := &secureWorld{
-		world:     newWorld(t, worldOptions{}),
+	s := &tlsEnv{
+		testEnv:     newTestEnv(t, envOptions{}),
 		authority: testkit.NewAuthority(t),
 		pair:      settings.KeyPair{Cert: filepath.Join(dir, "callers.pem"), Key: filepath.Join(dir, "callers.key")},
 	}
-	s.serial = s.renew()
+	s.serial = s.renewCertificate()
 	shown, err := callersCertificate(s.pair)
 	if err != nil {
 		t.Fatal(err)
@@ -44,17 +44,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := newCallersServer(s.handler, worldLimits())
+	server := newCallersServer(s.handler, envLimits())
 	go func() { _ = serve(server, listener, shown) }()
 	t.Cleanup(func() { _ = server.Close() })
 	s.address = listener.Addr().String()
 	return s
 }
 
-func (s *secureWorld) renew() int64 { return s.authority.Issue(s.pair.Cert, s.pair.Key, "gateway") }
+func (s *tlsEnv) renewCertificate() int64 { return s.authority.Issue(s.pair.Cert, s.pair.Key, "gateway") }
 
 // connect returns the state of a new connection.
-func (s *secureWorld) connect(t *testing.T, config *tls.Config) (tls.ConnectionState, error) {
+func (s *tlsEnv) connect(t *testing.T, config *tls.Config) (tls.ConnectionState, error) {
 	t.Helper()
 	config.RootCAs = s.authority.Pool()
 	conn, err := tls.Dial("tcp", s.address, config)
@@ -66,7 +66,7 @@
 }
 
 func TestCallersGetTLS(t *testing.T) {
-	s := newSecureWorld(t)
+	s := newTLSEnv(t)
 	t.Run("callers choose HTTP/2 or HTTP/1.1 by ALPN", func(t *testing.T) {
 		for _, protocol := range []string{"h2", "http/1.1"} {
 			var protocols http.Protocols
@@ -75,10 +75,10 @@
 			secure := &http.Transport{Protocols: &protocols, TLSClientConfig: &tls.Config{RootCAs: s.authority.Pool()}}
 			t.Cleanup(secure.CloseIdleConnections)
 			client := callerv1connect.NewCallerServiceClient(&http.Client{Transport: bearer{token: registrarToken, next: secure}}, "https://"+s.address)
-			if got := s.call(t, client, lookUp("x")); got.kind != completed {
+			if got := s.mustCall(t, client, lookupRequest("x")); got.kind != completed {
 				t.Errorf("%s: %+v", protocol, got)
 			}
-			if got, err := generate(context.Background(), client, ask(streamID, "p", 3)); err != nil || len(got.tokens) != 3 {
+			if got, err := generate(context.Background(), client, generateRequest(streamID, "p", 3)); err != nil || len(got.tokens) != 3 {
 				t.Errorf("%s: %+v %v", protocol, got, err)
 			}
 			state, err := s.connect(t, &tls.Config{NextProtos: []string{protocol}})
@@ -119,7 +119,7 @@
 // Sequence: the files are replaced, one after the other, while the process runs.
 // Cause: they are read only at the start, or half-way.
 func TestRenewedCertificateIsServedWithoutARestart(t *testing.T) {
-	s := newSecureWorld(t)
+	s := newTLSEnv(t)
 	served := func() int64 {
 		state, err := s.connect(t, &tls.Config{})
 		if err != nil {
@@ -134,23 +134,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	renewed := s.renew()
+	renewed := s.renewCertificate()
 	key, err := os.ReadFile(s.pair.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.put(t, old)
+	s.writeKey(t, old)
 	if got := served(); got != s.serial {
 		t.Errorf("serial %d while the key is not there yet, want %d", got, s.serial)
 	}
-	s.put(t, key)
+	s.writeKey(t, key)
 	if got := served(); got != renewed {
 		t.Errorf("serial %d, want the renewed %d", got, renewed)
 	}
 }
 
-// put replaces the key file.
-func (s *secureWorld) put(t *testing.T, key []byte) {
+// writeKey replaces the key file.
+func (s *tlsEnv) writeKey(t *testing.T, key []byte) {
 	t.Helper()
 	if err := os.WriteFile(s.pair.Key, append(key, '\n'), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/platform/connectplatform/client.go
+++ b/internal/platform/connectplatform/client.go
@@ -35,7 +35,7 @@
 	cloud     platformv1connect.CloudServiceClient
 	weights   platformv1connect.WeightServiceClient
 	// timeout and grace are constants but in tests.
-	timeout, grace time.Duration
+	timeout, readGrace time.Duration
 }
 
 var (
@@ -56,7 +56,7 @@
 		cloud:     platformv1connect.NewCloudServiceClient(client, baseURL),
 		weights:   platformv1connect.NewWeightServiceClient(client, baseURL),
 		timeout:   requestTimeout,
-		grace:     readGrace,
+		readGrace:     readGrace,
 	}
 }
 
@@ -67,7 +67,7 @@
 	ctx, attempt := transport.Observe(ctx)
 	response, err := c.log.Append(ctx, &platformv1.AppendRequest{Stream: stream, Records: records})
 	if err != nil {
-		return 0, fromWire(err, doubtOf(attempt), "append to stream "+stream)
+		return 0, fromWire(err, uncertainKind(attempt), "append to stream "+stream)
 	}
 	return ident.Offset(response.GetFirstOffset()), nil
 }
@@ -76,7 +76,7 @@
 func (c *Client) Read(
 	ctx context.Context, stream string, from ident.Offset, limit int, wait time.Duration,
 ) (platform.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+c.grace)
+	ctx, cancel := context.WithTimeout(ctx, wait+c.readGrace)
 	defer cancel()
 	response, err := c.log.Read(ctx, &platformv1.ReadRequest{
 		Stream:     stream,
@@ -98,7 +98,7 @@
 	}
 	batch, malformed := expiredBatch(err)
 	if malformed != nil {
-		return platform.Batch{}, classify(platform.ErrUnavailable, malformed, operation)
+		return platform.Batch{}, wrapKind(platform.ErrUnavailable, malformed, operation)
 	}
 	return batch, kind
 }
@@ -133,7 +133,7 @@
 		Fence:         uint64(req.Fence),
 	})
 	if err != nil {
-		return "", fromWire(err, doubtOf(attempt), "start instance")
+		return "", fromWire(err, uncertainKind(attempt), "start instance")
 	}
 	return ident.Instance(response.GetInstanceId()), nil
 }
@@ -145,7 +145,7 @@
 	ctx, attempt := transport.Observe(ctx)
 	_, err := c.cloud.Stop(ctx, &platformv1.StopRequest{InstanceId: string(id), Fence: uint64(fence)})
 	if err != nil {
-		return fromWire(err, doubtOf(attempt), "stop instance "+string(id))
+		return fromWire(err, uncertainKind(attempt), "stop instance "+string(id))
 	}
 	return nil
 }
@@ -179,9 +179,9 @@
 	}, nil
 }
 
-// doubtOf says what may have become of a request with an effect that failed
+// uncertainKind says what may have become of a request with an effect that failed
 // without a word from the server.
-func doubtOf(attempt *transport.Attempt) error {
+func uncertainKind(attempt *transport.Attempt) error {
 	if attempt.NotSent() {
 		return platform.ErrUnavailable
 	}
--- a/internal/platform/connectplatform/errors.go
+++ b/internal/platform/connectplatform/errors.go
@@ -54,8 +54,8 @@
 	return connect.NewError(transport.ConnectCode(errcode.Of(err)), err)
 }
 
-// expired adds the kept offsets to the error of a read.
-func expired(batch platform.Batch, err error) error {
+// expiredError adds the kept offsets to the error of a read.
+func expiredError(batch platform.Batch, err error) error {
 	wire := transport.NewError(connect.CodeOutOfRange, reasonExpired, err)
 	wire.Meta().Set(firstHeader, strconv.FormatUint(uint64(batch.First), 10))
 	wire.Meta().Set(headHeader, strconv.FormatUint(uint64(batch.Head), 10))
@@ -85,12 +85,12 @@
 	reason := transport.ReasonOf(err)
 	for _, w := range wireErrors {
 		if w.reason == reason {
-			return classify(w.err, err, operation)
+			return wrapKind(w.err, err, operation)
 		}
 	}
-	return classify(doubt, err, operation)
+	return wrapKind(doubt, err, operation)
 }
 
-func classify(kind, err error, operation string) error {
+func wrapKind(kind, err error, operation string) error {
 	return errcode.Wrap(transport.Code(err), fmt.Errorf("%w: %w", kind, err), operation)
 }
--- a/internal/platform/connectplatform/server.go
+++ b/internal/platform/connectplatform/server.go
@@ -43,7 +43,7 @@
 	from := ident.Offset(req.GetFromOffset())
 	batch, err := h.log.Read(ctx, req.GetStream(), from, int(req.GetMaxRecords()), req.GetWait().AsDuration())
 	if errors.Is(err, platform.ErrExpired) {
-		return nil, expired(batch, err)
+		return nil, expiredError(batch, err)
 	}
 	if err != nil {
 		return nil, toWire(err)
--- a/internal/platform/connectplatform/silence_test.go
+++ b/internal/platform/connectplatform/silence_test.go
@@ -84,11 +84,11 @@
 				t.Fatal(err)
 			}
 			relay.Silence()
-			client.timeout, client.grace = shortPatience, shortPatience
+			client.timeout, client.readGrace = shortPatience, shortPatience
 			if err := c.request(ctx, client); !errors.Is(err, c.want) || ctx.Err() != nil {
 				t.Errorf("on the silent connection: got %v, want %v", err, c.want)
 			}
-			client.timeout, client.grace = requestTimeout, readGrace
+			client.timeout, client.readGrace = requestTimeout, readGrace
 			if err := c.request(ctx, client); err != nil {
 				t.Errorf("the next one, on a new connection: %v", err)
 			}
--- a/internal/upstream/connectupstream/clients.go
+++ b/internal/upstream/connectupstream/clients.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// plainBytes has upstreams answer without compression. Connect compresses each
+// noCompression has upstreams answer without compression. Connect compresses each
 // frame by itself, and preparing the compressor for a token costs several times
 // what the rest of the token does, at both ends.
-var plainBytes = connect.WithAcceptCompression("gzip", nil, nil)
+var noCompression = connect.WithAcceptCompression("gzip", nil, nil)
 
 // Close closes the connections that are not in use.
 func (c *Clients) Close() {
--- a/internal/upstream/connectupstream/engine.go
+++ b/internal/upstream/connectupstream/engine.go
@@ -23,7 +23,7 @@
 
 // NewEngine returns a client of the engine at a base URL.
 func NewEngine(clients *Clients, baseURL string) *Engine {
-	return &Engine{client: upstreamv1connect.NewEngineServiceClient(clients.fresh, baseURL, plainBytes)}
+	return &Engine{client: upstreamv1connect.NewEngineServiceClient(clients.fresh, baseURL, noCompression)}
 }
 
 // Generate implements upstream.Engine. It returns once the engine has sent its
@@ -49,7 +49,7 @@
 		return nil, fromWire(orUnexpectedEOF(frames.Err()), attempt, "generate")
 	}
 	first := frameFromProto(frames.Msg())
-	stream.pending = &first
+	stream.first = &first
 	return stream, nil
 }
 
@@ -122,9 +122,9 @@
 type tokenStream struct {
 	frames  *connect.ServerStreamForClient[upstreamv1.GenerateResponse]
 	cancel  context.CancelFunc
-	pending *upstream.Frame
+	first *upstream.Frame
 	done    bool
-	once    sync.Once
+	closeOnce    sync.Once
 }
 
 // Next implements upstream.TokenStream.
@@ -138,13 +138,13 @@
 }
 
 func (s *tokenStream) receive() (upstream.Frame, error) {
-	if s.pending != nil {
-		frame := *s.pending
-		s.pending = nil
+	if s.first != nil {
+		frame := *s.first
+		s.first = nil
 		return frame, nil
 	}
 	if !s.frames.Receive() {
-		return upstream.Frame{}, uncertain(orUnexpectedEOF(s.frames.Err()), "receive tokens")
+		return upstream.Frame{}, wrapUncertain(orUnexpectedEOF(s.frames.Err()), "receive tokens")
 	}
 	return frameFromProto(s.frames.Msg()), nil
 }
@@ -152,7 +152,7 @@
 // Close implements upstream.TokenStream. The cancel goes first: it unblocks
 // Next, and closes the connection, by which the engine learns of it.
 func (s *tokenStream) Close() error {
-	s.once.Do(s.cancel)
+	s.closeOnce.Do(s.cancel)
 	return nil
 }
 
--- a/internal/upstream/connectupstream/errors.go
+++ b/internal/upstream/connectupstream/errors.go
@@ -54,19 +54,19 @@
 	reason := transport.ReasonOf(err)
 	for _, w := range wireErrors {
 		if w.reason == reason {
-			return classify(w.err, err, operation)
+			return wrapKind(w.err, err, operation)
 		}
 	}
 	if attempt.NotSent() {
-		return classify(upstream.ErrNotSent, err, operation)
+		return wrapKind(upstream.ErrNotSent, err, operation)
 	}
-	return uncertain(err, operation)
+	return wrapUncertain(err, operation)
 }
 
-func classify(kind, err error, operation string) error {
+func wrapKind(kind, err error, operation string) error {
 	return errcode.Wrap(transport.Code(err), fmt.Errorf("%w: %w", kind, err), operation)
 }
 
-func uncertain(err error, operation string) error {
+func wrapUncertain(err error, operation string) error {
 	return errcode.Wrap(transport.Code(err), err, operation)
 }
--- a/internal/upstream/connectupstream/plain.go
+++ b/internal/upstream/connectupstream/plain.go
@@ -21,8 +21,8 @@
 // NewPlain returns a client of the plain service at a base URL.
 func NewPlain(clients *Clients, baseURL string) *Plain {
 	return &Plain{
-		pooled: upstreamv1connect.NewPlainServiceClient(clients.pooled, baseURL, plainBytes),
-		fresh:  upstreamv1connect.NewPlainServiceClient(clients.fresh, baseURL, plainBytes),
+		pooled: upstreamv1connect.NewPlainServiceClient(clients.pooled, baseURL, noCompression),
+		fresh:  upstreamv1connect.NewPlainServiceClient(clients.fresh, baseURL, noCompression),
 	}
 }
 
--- a/internal/upstream/connectupstream/server.go
+++ b/internal/upstream/connectupstream/server.go
@@ -15,8 +15,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// heartbeatEvery is the longest silence of a served token stream.
-const heartbeatEvery = 500 * time.Millisecond
+// heartbeatInterval is the longest silence of a served token stream.
+const heartbeatInterval = 500 * time.Millisecond
 
 // MountPlain adds the handler of a plain service to a mux.
 func MountPlain(mux *http.ServeMux, plain upstream.Plain) {
@@ -100,24 +100,24 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	return forward(ctx, read(ctx, stream), heartbeat, out)
+	return forwardFrames(ctx, readFrames(ctx, stream), heartbeat, out)
 }
 
-// received is what a stream's Next returned.
-type received struct {
+// frameResult is what a stream's Next returned.
+type frameResult struct {
 	frame upstream.Frame
 	err   error
 }
 
-// read reads a stream to its end in a goroutine, which ends with ctx.
-func read(ctx context.Context, stream upstream.TokenStream) <-chan received {
-	frames := make(chan received)
+// readFrames reads a stream to its end in a goroutine, which ends with ctx.
+func readFrames(ctx context.Context, stream upstream.TokenStream) <-chan frameResult {
+	frames := make(chan frameResult)
 	go func() {
 		defer close(frames)
 		for {
 			frame, err := stream.Next()
 			select {
-			case frames <- received{frame, err}:
+			case frames <- frameResult{frame, err}:
 			case <-ctx.Done():
 				return
 			}
@@ -129,12 +129,12 @@
 	return frames
 }
 
-// forward sends frames, with heartbeats while there are none.
-func forward(
-	ctx context.Context, frames <-chan received, heartbeat *upstreamv1.GenerateResponse,
+// forwardFrames sends frames, with heartbeats while there are none.
+func forwardFrames(
+	ctx context.Context, frames <-chan frameResult, heartbeat *upstreamv1.GenerateResponse,
 	out *connect.ServerStream[upstreamv1.GenerateResponse],
 ) error {
-	ticker := time.NewTicker(heartbeatEvery)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		message := heartbeat
