--- a/internal/platform/connectplatform/cloud_test.go
+++ b/internal/platform/connectplatform/cloud_test.go
@@ -19,7 +19,7 @@
 func init() { testkit.OneProcessor() }
 
 func TestInstanceListTellsStatesAndLives(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		gateway := platform.Instance{
 			ID: "gw-1", Role: platform.RoleEntry, Region: "tirol", FailureDomain: "hall-a",
 			Address: "127.0.0.1:1", PeerAddress: "127.0.0.1:2",
@@ -77,7 +77,7 @@
 }
 
 func TestInstanceListOutage(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		s.instances.SetOutage(true)
 		if _, err := s.Instances.List(t.Context()); !errors.Is(err, platform.ErrUnavailable) {
 			t.Errorf("got %v, want ErrUnavailable", err)
@@ -104,7 +104,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
-			onEach(t, func(t *testing.T, s subject) {
+			onEachImplementation(t, func(t *testing.T, s subject) {
 				if err := s.Cloud.Stop(t.Context(), "old", 4); err != nil {
 					t.Fatal(err)
 				}
@@ -116,8 +116,8 @@
 				s.cloud.SetOutage(false)
 				s.cloud.SetCapacity("hall-a", "m1", true)
 				req.Fence = 6
-				first := start(t, s, req)
-				if second := start(t, s, req); second != first {
+				first := mustStart(t, s, req)
+				if second := mustStart(t, s, req); second != first {
 					t.Errorf("the repeat started %s beside %s", second, first)
 				}
 			})
@@ -125,7 +125,7 @@
 	}
 }
 
-func start(t *testing.T, s subject, req platform.StartRequest) ident.Instance {
+func mustStart(t *testing.T, s subject, req platform.StartRequest) ident.Instance {
 	t.Helper()
 	id, err := s.Cloud.Start(t.Context(), req)
 	if err != nil {
@@ -135,7 +135,7 @@
 }
 
 func TestCloudNoticesCountDown(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		s.cloud.Announce("e-1", 3, time.Hour)
 		s.cloud.Announce("e-2", 1, time.Hour)
 		notices, err := s.Cloud.Notices(t.Context(), 1)
@@ -156,7 +156,7 @@
 }
 
 func TestWeightTransfersTakeTurns(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		first, err := s.Weights.Reserve(t.Context(), "spool", "1")
 		if err != nil || first.Bytes != 1000 {
 			t.Fatalf("got %+v, %v", first, err)
--- a/internal/platform/connectplatform/contract_test.go
+++ b/internal/platform/connectplatform/contract_test.go
@@ -14,8 +14,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// patience bounds waits that a right implementation ends at once.
-const patience = 30 * time.Second
+// testTimeout bounds waits that a right implementation ends at once.
+const testTimeout = 30 * time.Second
 
 // fakes are the stand-ins behind a subject; tests make them fail.
 type fakes struct {
@@ -31,9 +31,9 @@
 	connectplatform.Services
 }
 
-// onEach runs a contract test on the fakes in memory and on the Connect
+// onEachImplementation runs a contract test on the fakes in memory and on the Connect
 // adapter over a loopback socket.
-func onEach(t *testing.T, test func(t *testing.T, s subject)) {
+func onEachImplementation(t *testing.T, test func(t *testing.T, s subject)) {
 	t.Run("memory", func(t *testing.T) {
 		f := newFakes()
 		test(t, subject{f, f.services()})
--- a/internal/platform/connectplatform/log_test.go
+++ b/internal/platform/connectplatform/log_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestLogKeepsTheRecordsOfAnAppendTogether(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		var group sync.WaitGroup
 		for writer := range 8 {
 			group.Go(func() {
@@ -71,7 +71,7 @@
 }
 
 func TestLogReadsFromAnOffsetUpToALimit(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		first, err := s.Log.Append(t.Context(), stream, records("a", "b", "c", "d"))
 		if err != nil || first != 0 {
 			t.Fatalf("first append: offset %d, %v", first, err)
@@ -87,14 +87,14 @@
 }
 
 func TestLogReadWaitsForTheNextRecord(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		var group sync.WaitGroup
 		group.Go(func() {
 			if _, err := s.Log.Append(t.Context(), stream, records("late")); err != nil {
 				t.Error(err)
 			}
 		})
-		batch, err := s.Log.Read(t.Context(), stream, 0, 10, patience)
+		batch, err := s.Log.Read(t.Context(), stream, 0, 10, testTimeout)
 		if err != nil || len(batch.Records) != 1 {
 			t.Errorf("got %+v, %v", batch, err)
 		}
@@ -107,12 +107,12 @@
 }
 
 func TestLogTellsExpiredRecords(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		if _, err := s.Log.Append(t.Context(), stream, records("a", "b", "c")); err != nil {
 			t.Fatal(err)
 		}
 		s.log.Expire(stream, 2)
-		batch, err := s.Log.Read(t.Context(), stream, 1, 10, patience)
+		batch, err := s.Log.Read(t.Context(), stream, 1, 10, testTimeout)
 		if !errors.Is(err, platform.ErrExpired) {
 			t.Fatalf("got %v, want ErrExpired", err)
 		}
@@ -140,7 +140,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
-			onEach(t, func(t *testing.T, s subject) {
+			onEachImplementation(t, func(t *testing.T, s subject) {
 				c.inject(&s.log.Injector)
 				_, err := s.Log.Append(t.Context(), stream, records("x"))
 				if !errors.Is(err, c.want) {
@@ -148,7 +148,7 @@
 				}
 				s.log.SetOutage(false)
 				if len(c.after) > 0 {
-					if _, err := s.Log.Read(t.Context(), stream, 0, 1, patience); err != nil {
+					if _, err := s.Log.Read(t.Context(), stream, 0, 1, testTimeout); err != nil {
 						t.Error(err)
 					}
 				}
@@ -168,7 +168,7 @@
 		log := logstore.New(logstore.Options{})
 		failed := make(chan error, 1)
 		go func() {
-			_, err := log.Read(t.Context(), stream, 0, 1, patience)
+			_, err := log.Read(t.Context(), stream, 0, 1, testTimeout)
 			failed <- err
 		}()
 		synctest.Wait()
@@ -180,11 +180,11 @@
 }
 
 func TestLogRequestsEndWithTheirContext(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		ctx, cancel := context.WithCancel(t.Context())
 		failed := make(chan error, 1)
 		go func() {
-			_, err := s.Log.Read(ctx, stream, 0, 1, patience)
+			_, err := s.Log.Read(ctx, stream, 0, 1, testTimeout)
 			failed <- err
 		}()
 		cancel()
--- a/internal/platform/connectplatform/silence_test.go
+++ b/internal/platform/connectplatform/silence_test.go
@@ -18,11 +18,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// shortPatience stands for the adapter's timeouts where an answer never comes.
-const shortPatience = 100 * time.Millisecond
+// shortTimeout stands for the adapter's timeouts where an answer never comes.
+const shortTimeout = 100 * time.Millisecond
 
-// relayed returns a client that reaches its platform through a relay.
-func relayed(t *testing.T, options transport.Options) (*Client, *testkit.Relay) {
+// newRelayedClient returns a client that reaches its platform through a relay.
+func newRelayedClient(t *testing.T, options transport.Options) (*Client, *testkit.Relay) {
 	t.Helper()
 	mux := http.NewServeMux()
 	Mount(mux, Services{
@@ -77,14 +77,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
-			client, relay := relayed(t, transport.Options{})
+			client, relay := newRelayedClient(t, transport.Options{})
 			ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 			defer cancel()
 			if err := c.request(ctx, client); err != nil {
 				t.Fatal(err)
 			}
 			relay.Silence()
-			client.timeout, client.readGrace = shortPatience, shortPatience
+			client.timeout, client.readGrace = shortTimeout, shortTimeout
 			if err := c.request(ctx, client); !errors.Is(err, c.want) || ctx.Err() != nil {
 				t.Errorf("on the silent connection: got %v, want %v", err, c.want)
 			}
@@ -100,7 +100,7 @@
 // Sequence: as above, with a client that dials for each request.
 // Cause: kept connections.
 func TestFreshConnectionsDoNotMeetASilence(t *testing.T) {
-	client, relay := relayed(t, transport.Options{FreshConnections: true})
+	client, relay := newRelayedClient(t, transport.Options{FreshConnections: true})
 	for _, text := range []string{"a", "b", "c"} {
 		if _, err := client.Append(t.Context(), "s", [][]byte{[]byte(text)}); err != nil {
 			t.Error(err)
--- a/internal/upstream/connectupstream/bench_test.go
+++ b/internal/upstream/connectupstream/bench_test.go
@@ -20,7 +20,7 @@
 	for _, c := range []struct {
 		name, key string
 		secure    bool
-	}{{"kept", "", false}, {"fresh", key, false}, {"kept TLS", "", true}, {"fresh TLS", key, true}} {
+	}{{"kept", "", false}, {"fresh", callKey, false}, {"kept TLS", "", true}, {"fresh TLS", callKey, true}} {
 		b.Run(c.name, func(b *testing.B) {
 			mux := http.NewServeMux()
 			connectupstream.MountPlain(mux, plain.New(plain.Options{}))
@@ -34,7 +34,7 @@
 			clients := connectupstream.NewClients(trusted)
 			b.Cleanup(clients.Close)
 			subject := connectupstream.NewPlain(clients, serve(b, mux))
-			req := bid
+			req := bidRequest
 			req.Key = c.key
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/upstream/connectupstream/engine_test.go
+++ b/internal/upstream/connectupstream/engine_test.go
@@ -17,11 +17,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-const text = "Summarize the profile of the Tremblay family."
+const promptText = "Summarize the profile of the Tremblay family."
 
-// endless is more tokens than an engine makes during a test, and no more than
+// endlessTokens is more tokens than an engine makes during a test, and no more than
 // its memory holds.
-const endless = 100_000
+const endlessTokens = 100_000
 
 // onEachEngine runs a contract test on the stand-in engine in memory and on the
 // Connect adapter over a loopback socket.
@@ -47,17 +47,17 @@
 	})
 }
 
-// collected is what a stream delivered until its end.
-type collected struct {
+// streamResult is what a stream delivered until its end.
+type streamResult struct {
 	tokens    []string
 	prefilled uint32
 	err       error
 }
 
 // collect reads a stream to its end, and checks the order of its frames.
-func collect(t *testing.T, stream upstream.TokenStream, attempt uint32, next int) collected {
+func collect(t *testing.T, stream upstream.TokenStream, attempt uint32, next int) streamResult {
 	t.Helper()
-	var got collected
+	var got streamResult
 	for {
 		frame, err := stream.Next()
 		if err != nil {
@@ -77,10 +77,10 @@
 
 func TestEngineGeneratesTheRestOfAnAnswer(t *testing.T) {
 	onEachEngine(t, func(t *testing.T, _ *engine.Engine, subject upstream.Engine) {
-		whole := answer.Tokens(text, 12)
+		whole := answer.Tokens(promptText, 12)
 		for attempt, delivered := range []int{0, 5} {
 			req := upstream.GenerateRequest{
-				Request: "r-1", Attempt: uint32(attempt) + 1, Prompt: text,
+				Request: "r-1", Attempt: uint32(attempt) + 1, Prompt: promptText,
 				Delivered: whole[:delivered], MaxTokens: 12,
 			}
 			stream, err := subject.Generate(t.Context(), req)
@@ -104,7 +104,7 @@
 func TestEngineRefusesWhenLeaving(t *testing.T) {
 	onEachEngine(t, func(t *testing.T, fake *engine.Engine, subject upstream.Engine) {
 		fake.Leave()
-		_, err := subject.Generate(t.Context(), upstream.GenerateRequest{Request: "r-1", Prompt: text, MaxTokens: 1})
+		_, err := subject.Generate(t.Context(), upstream.GenerateRequest{Request: "r-1", Prompt: promptText, MaxTokens: 1})
 		if !errors.Is(err, upstream.ErrLeaving) || upstream.Ran(err) {
 			t.Errorf("got %v, want ErrLeaving", err)
 		}
@@ -122,7 +122,7 @@
 func TestEngineLossIsNotTheEndOfTheAnswer(t *testing.T) {
 	onEachEngine(t, func(t *testing.T, fake *engine.Engine, subject upstream.Engine) {
 		stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{
-			Request: "r-1", Attempt: 1, Prompt: text, MaxTokens: endless,
+			Request: "r-1", Attempt: 1, Prompt: promptText, MaxTokens: endlessTokens,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -153,12 +153,12 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				stream, err := subject.Generate(ctx, upstream.GenerateRequest{
-					Request: "r-1", Attempt: 1, Prompt: text, MaxTokens: endless,
+					Request: "r-1", Attempt: 1, Prompt: promptText, MaxTokens: endlessTokens,
 				})
 				if err != nil {
 					t.Fatal(err)
 				}
-				awaitLoad(t, subject, 1)
+				awaitRunningStreams(t, subject, 1)
 				ended := make(chan struct{})
 				go func() {
 					defer close(ended)
@@ -166,14 +166,14 @@
 				}()
 				end(stream, cancel)
 				<-ended
-				awaitLoad(t, subject, 0)
+				awaitRunningStreams(t, subject, 0)
 			})
 		})
 	}
 }
 
-// awaitLoad returns once the engine reports so many running streams.
-func awaitLoad(t *testing.T, subject upstream.Engine, running int) {
+// awaitRunningStreams returns once the engine reports so many running streams.
+func awaitRunningStreams(t *testing.T, subject upstream.Engine, running int) {
 	t.Helper()
 	for {
 		report, err := subject.Report(t.Context())
@@ -209,7 +209,7 @@
 			t.Errorf("an unknown request: got %v, want ErrRefused", err)
 		}
 		stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{
-			Request: "r-1", Attempt: 1, Prompt: text, MaxTokens: endless,
+			Request: "r-1", Attempt: 1, Prompt: promptText, MaxTokens: endlessTokens,
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/upstream/connectupstream/plain_test.go
+++ b/internal/upstream/connectupstream/plain_test.go
@@ -18,9 +18,9 @@
 
 const plainIncarnation = 2
 
-const key = "auktion-app/account-1/bid-1"
+const callKey = "auktion-app/account-1/bid-1"
 
-var bid = upstream.InvokeRequest{Method: "bid", Key: key, Fence: 5, Payload: []byte("lot 17")}
+var bidRequest = upstream.InvokeRequest{Method: "bid", Key: callKey, Fence: 5, Payload: []byte("lot 17")}
 
 // onEachPlain runs a contract test on the fake in memory and on the Connect
 // adapter over a loopback socket.
@@ -55,7 +55,7 @@
 		effects     int
 	}{
 		{"leaving", func(s *plain.Service) { s.SetLeaving(true) }, 2, upstream.ErrLeaving, false, 0},
-		{"old fencing number", func(s *plain.Service) { _, _ = s.Find(context.Background(), key, 6) }, 0, upstream.ErrOldFence, false, 0},
+		{"old fencing number", func(s *plain.Service) { _, _ = s.Find(context.Background(), callKey, 6) }, 0, upstream.ErrOldFence, false, 0},
 		{"another life of the instance", func(*plain.Service) {}, 1, upstream.ErrRefused, false, 0},
 		{"connection lost before the effect", func(s *plain.Service) { s.FailNext(plain.LostBeforeEffect) }, 2, nil, true, 0},
 		{"connection lost after the effect", func(s *plain.Service) { s.FailNext(plain.LostAfterEffect) }, 0, nil, true, 1},
@@ -65,7 +65,7 @@
 			options := plain.Options{ChecksFencing: true, FindsOutcomes: true}
 			onEachPlain(t, options, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
 				c.prepare(fake)
-				call := bid
+				call := bidRequest
 				call.Incarnation = c.incarnation
 				_, err := subject.Invoke(t.Context(), call)
 				if err == nil || (c.want != nil && !errors.Is(err, c.want)) {
@@ -74,7 +74,7 @@
 				if upstream.Ran(err) != c.ran {
 					t.Errorf("Ran(%v) = %v", err, !c.ran)
 				}
-				if got := fake.Effects(key); got != c.effects {
+				if got := fake.Effects(callKey); got != c.effects {
 					t.Errorf("%d effects, want %d", got, c.effects)
 				}
 			})
@@ -86,13 +86,13 @@
 	onEachPlain(t, plain.Options{}, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
 		fake.FailNext(plain.NoFailure, plain.ApplicationError)
 		for _, failed := range []bool{false, true} {
-			got, err := subject.Invoke(t.Context(), bid)
-			want := upstream.Answer{Payload: answer.Reply(bid.Method, bid.Payload), Failed: failed}
+			got, err := subject.Invoke(t.Context(), bidRequest)
+			want := upstream.Answer{Payload: answer.Reply(bidRequest.Method, bidRequest.Payload), Failed: failed}
 			if err != nil || !cmp.Equal(got, want) {
 				t.Errorf("got %+v, %v, want %+v", got, err, want)
 			}
 		}
-		if got := fake.Effects(key); got != 2 {
+		if got := fake.Effects(callKey); got != 2 {
 			t.Errorf("two calls with one key had %d effects, and the fake must show both", got)
 		}
 		fake.SetLeaving(true)
@@ -109,11 +109,11 @@
 // Cause: taking the end of one's own context for the end of the call.
 func TestPlainCallGoesOnWhenItsCallerGivesUp(t *testing.T) {
 	onEachPlain(t, plain.Options{FindsOutcomes: true}, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
-		fake.SetDelays(plain.Delays{BeforeEffect: 10 * shortPatience})
+		fake.SetDelays(plain.Delays{BeforeEffect: 10 * shortTimeout})
 		ctx, cancel := context.WithCancel(t.Context())
 		failed := make(chan error, 1)
 		go func() {
-			_, err := subject.Invoke(ctx, bid)
+			_, err := subject.Invoke(ctx, bidRequest)
 			failed <- err
 		}()
 		awaitRunning(t, subject)
@@ -124,7 +124,7 @@
 		if err := fake.Drain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if got := fake.Effects(key); got != 1 {
+		if got := fake.Effects(callKey); got != 1 {
 			t.Errorf("%d effects, want 1", got)
 		}
 	})
@@ -134,7 +134,7 @@
 func awaitRunning(t *testing.T, subject upstream.Plain) {
 	t.Helper()
 	for {
-		found, err := subject.Find(t.Context(), key, 0)
+		found, err := subject.Find(t.Context(), callKey, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -148,11 +148,11 @@
 	onEachPlain(t, plain.Options{}, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, err := subject.Invoke(ctx, bid)
+		_, err := subject.Invoke(ctx, bidRequest)
 		if !errors.Is(err, upstream.ErrNotSent) {
 			t.Errorf("got %v, want ErrNotSent", err)
 		}
-		if got := fake.Effects(key); got != 0 {
+		if got := fake.Effects(callKey); got != 0 {
 			t.Errorf("%d effects", got)
 		}
 	})
@@ -166,7 +166,7 @@
 		// arrives after Find.
 		late error
 	}
-	done := upstream.Answer{Payload: answer.Reply(bid.Method, bid.Payload)}
+	done := upstream.Answer{Payload: answer.Reply(bidRequest.Method, bidRequest.Payload)}
 	cases := []struct {
 		story   string
 		options plain.Options
@@ -186,19 +186,19 @@
 		t.Run(c.story, func(t *testing.T) {
 			onEachPlain(t, c.options, func(t *testing.T, _ *plain.Service, subject upstream.Plain) {
 				if c.invoked {
-					if _, err := subject.Invoke(t.Context(), bid); err != nil {
+					if _, err := subject.Invoke(t.Context(), bidRequest); err != nil {
 						t.Fatal(err)
 					}
 				}
-				found, err := subject.Find(t.Context(), key, bid.Fence+1)
+				found, err := subject.Find(t.Context(), callKey, bidRequest.Fence+1)
 				if !errors.Is(err, c.want.err) || !cmp.Equal(found, c.want.found) {
 					t.Errorf("got %+v, %v, want %+v, %v", found, err, c.want.found, c.want.err)
 				}
-				if _, err := subject.Invoke(t.Context(), bid); !errors.Is(err, c.want.late) {
+				if _, err := subject.Invoke(t.Context(), bidRequest); !errors.Is(err, c.want.late) {
 					t.Errorf("a late call: got %v, want %v", err, c.want.late)
 				}
-				higher := bid
-				higher.Fence = ident.Fence(bid.Fence + 2)
+				higher := bidRequest
+				higher.Fence = ident.Fence(bidRequest.Fence + 2)
 				if _, err := subject.Invoke(t.Context(), higher); err != nil {
 					t.Errorf("a higher fencing number: %v", err)
 				}
--- a/internal/upstream/connectupstream/repeat_test.go
+++ b/internal/upstream/connectupstream/repeat_test.go
@@ -19,11 +19,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// patience bounds waits that a right implementation ends at once.
-const patience = 10 * time.Second
+// testTimeout bounds waits that a right implementation ends at once.
+const testTimeout = 10 * time.Second
 
-// listen runs serve for each connection, until the test ends.
-func listen(t *testing.T, serve func(*net.TCPConn)) string {
+// serveConns runs serve for each connection, until the test ends.
+func serveConns(t *testing.T, serve func(*net.TCPConn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +59,7 @@
 // invokeUncertain invokes once and expects that the call may have run.
 func invokeUncertain(t *testing.T, ctx context.Context, p *Plain) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, testTimeout)
 	defer cancel()
 	_, err := p.Invoke(ctx, upstream.InvokeRequest{Method: "bid", Key: "k", Payload: []byte("lot 17")})
 	if err == nil || !upstream.Ran(err) {
@@ -74,7 +74,7 @@
 // replayable and sends it again on a new connection.
 func TestInvokeIsNotRepeatedAfterAReset(t *testing.T) {
 	var requests atomic.Int32
-	baseURL := listen(t, func(c *net.TCPConn) {
+	baseURL := serveConns(t, func(c *net.TCPConn) {
 		reader := bufio.NewReader(c)
 		for first := true; ; first = false {
 			req, err := http.ReadRequest(reader)
@@ -108,7 +108,7 @@
 // stream is refused.
 func TestInvokeIsNotRepeatedAfterARefusedStream(t *testing.T) {
 	var requests atomic.Int32
-	baseURL := listen(t, func(c *net.TCPConn) {
+	baseURL := serveConns(t, func(c *net.TCPConn) {
 		preface := make([]byte, len(http2.ClientPreface))
 		if _, err := io.ReadFull(c, preface); err != nil {
 			return
@@ -176,7 +176,7 @@
 		t.Run(c.story, func(t *testing.T) {
 			baseURL := closedPort(t)
 			if c.serve != nil {
-				baseURL = listen(t, c.serve)
+				baseURL = serveConns(t, c.serve)
 			}
 			p := pooledPlain(t, baseURL, transport.Options{})
 			_, err := p.Invoke(t.Context(), upstream.InvokeRequest{Method: "bid", Payload: []byte("lot 17")})
--- a/internal/upstream/connectupstream/silence_test.go
+++ b/internal/upstream/connectupstream/silence_test.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// shortPatience is how long a caller waits where an answer never comes.
-	shortPatience = 100 * time.Millisecond
-	// longPatience is more than any answer takes.
-	longPatience = 5 * time.Second
+	// shortTimeout is how long a caller waits where an answer never comes.
+	shortTimeout = 100 * time.Millisecond
+	// longTimeout is more than any answer takes.
+	longTimeout = 5 * time.Second
 )
 
 // Symptom: bookings end as unknown, one after the other, though the service is
@@ -30,8 +30,8 @@
 // ones work. Cause: calls that may not be repeated are sent on a kept
 // connection, or a silent connection is kept after its call was given up on.
 func TestInvokeOverASilentConnection(t *testing.T) {
-	keyed := bid
-	plainly := bid
+	keyed := bidRequest
+	plainly := bidRequest
 	plainly.Key = ""
 	cases := []struct {
 		story string
@@ -62,16 +62,16 @@
 					t.Fatal(err)
 				}
 			}
-			ctx, cancel := context.WithTimeout(t.Context(), longPatience)
+			ctx, cancel := context.WithTimeout(t.Context(), longTimeout)
 			defer cancel()
 			silence := func() {
 				relay.Silence()
 				if c.ran {
-					time.AfterFunc(shortPatience, cancel)
+					time.AfterFunc(shortTimeout, cancel)
 				}
 			}
 			if c.during {
-				fake.SetDelays(plain.Delays{AfterEffect: 10 * shortPatience})
+				fake.SetDelays(plain.Delays{AfterEffect: 10 * shortTimeout})
 				go func() {
 					for fake.Running() == 0 {
 						time.Sleep(time.Millisecond)
@@ -92,9 +92,9 @@
 				t.Errorf("%d effects, want %d", got, c.effects)
 			}
 			fake.SetLeaving(false)
-			ctx, cancel = context.WithTimeout(t.Context(), longPatience)
+			ctx, cancel = context.WithTimeout(t.Context(), longTimeout)
 			defer cancel()
-			if _, err := subject.Find(ctx, key, 0); err != nil {
+			if _, err := subject.Find(ctx, callKey, 0); err != nil {
 				t.Errorf("asking for the outcome: %v", err)
 			}
 		})
@@ -114,13 +114,13 @@
 	clients := connectupstream.NewClients(nil)
 	t.Cleanup(clients.Close)
 	subject := connectupstream.NewEngine(clients, relay.URL())
-	req := upstream.GenerateRequest{Request: "r-1", Attempt: 1, Prompt: text, MaxTokens: endless}
+	req := upstream.GenerateRequest{Request: "r-1", Attempt: 1, Prompt: promptText, MaxTokens: endlessTokens}
 	stream, err := subject.Generate(t.Context(), req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	relay.Silence()
-	time.AfterFunc(shortPatience, func() { _ = stream.Close() })
+	time.AfterFunc(shortTimeout, func() { _ = stream.Close() })
 	got := collect(t, stream, 1, 0)
 	if errors.Is(got.err, io.EOF) {
 		t.Error("the silence was taken for the end of the answer")
@@ -133,7 +133,7 @@
 	}
 	defer func() { _ = again.Close() }()
 	rest := collect(t, again, 2, len(got.tokens))
-	if want := answer.Tokens(text, int(req.MaxTokens))[len(got.tokens):]; !cmp.Equal(rest.tokens, want) {
+	if want := answer.Tokens(promptText, int(req.MaxTokens))[len(got.tokens):]; !cmp.Equal(rest.tokens, want) {
 		t.Errorf("got %v, want %v", rest.tokens, want)
 	}
 }
@@ -156,9 +156,9 @@
 		"report":  func(ctx context.Context) error { _, err := e.Report(ctx); return err },
 		"order":   func(ctx context.Context) error { return e.Apply(ctx, upstream.Order{}) },
 		"health":  func(ctx context.Context) error { _, err := p.Health(ctx); return err },
-		"outcome": func(ctx context.Context) error { _, err := p.Find(ctx, key, 0); return err },
+		"outcome": func(ctx context.Context) error { _, err := p.Find(ctx, callKey, 0); return err },
 		"stream": func(ctx context.Context) error {
-			stream, err := e.Generate(ctx, upstream.GenerateRequest{Request: "r-1", Prompt: text, MaxTokens: 1})
+			stream, err := e.Generate(ctx, upstream.GenerateRequest{Request: "r-1", Prompt: promptText, MaxTokens: 1})
 			if err != nil {
 				return err
 			}
@@ -167,7 +167,7 @@
 	}
 	for story, request := range requests {
 		t.Run(story, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(t.Context(), longPatience)
+			ctx, cancel := context.WithTimeout(t.Context(), longTimeout)
 			defer cancel()
 			if _, err := e.Report(ctx); err != nil {
 				t.Fatal(err)
@@ -183,35 +183,35 @@
 	}
 }
 
-// scripted is an engine with one stream.
-type scripted struct {
+// singleStreamEngine is an engine with one stream.
+type singleStreamEngine struct {
 	upstream.Engine
 	stream upstream.TokenStream
 }
 
-func (s scripted) Generate(context.Context, upstream.GenerateRequest) (upstream.TokenStream, error) {
+func (s singleStreamEngine) Generate(context.Context, upstream.GenerateRequest) (upstream.TokenStream, error) {
 	return s.stream, nil
 }
 
-// scriptedEngine serves an engine with one stream.
-func scriptedEngine(t *testing.T, stream upstream.TokenStream) upstream.Engine {
+// serveStream serves an engine with one stream.
+func serveStream(t *testing.T, stream upstream.TokenStream) upstream.Engine {
 	t.Helper()
 	mux := http.NewServeMux()
-	connectupstream.MountEngine(mux, scripted{stream: stream})
+	connectupstream.MountEngine(mux, singleStreamEngine{stream: stream})
 	clients := connectupstream.NewClients(nil)
 	t.Cleanup(clients.Close)
 	return connectupstream.NewEngine(clients, testkit.Serve(t, mux))
 }
 
-// mute is a stream that gives nothing until it is closed.
-type mute struct{ closed chan struct{} }
+// silentStream is a stream that gives nothing until it is closed.
+type silentStream struct{ closed chan struct{} }
 
-func (m mute) Next() (upstream.Frame, error) {
+func (m silentStream) Next() (upstream.Frame, error) {
 	<-m.closed
 	return upstream.Frame{}, io.ErrClosedPipe
 }
 
-func (m mute) Close() error {
+func (m silentStream) Close() error {
 	close(m.closed)
 	return nil
 }
@@ -220,7 +220,7 @@
 // Sequence: the engine computes a long prefill and sends nothing.
 // Cause: no heartbeats in the stream.
 func TestSilentEngineIsNotASilentConnection(t *testing.T) {
-	subject := scriptedEngine(t, mute{make(chan struct{})})
+	subject := serveStream(t, silentStream{make(chan struct{})})
 	stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{Attempt: 3})
 	if err != nil {
 		t.Fatal(err)
@@ -234,17 +234,17 @@
 	}
 }
 
-// truncated is a stream that ends in order, but before its last frame.
-type truncated struct{}
+// truncatedStream is a stream that ends in order, but before its last frame.
+type truncatedStream struct{}
 
-func (truncated) Next() (upstream.Frame, error) { return upstream.Frame{}, io.EOF }
-func (truncated) Close() error                  { return nil }
+func (truncatedStream) Next() (upstream.Frame, error) { return upstream.Frame{}, io.EOF }
+func (truncatedStream) Close() error                  { return nil }
 
 // Symptom: a caller takes half an answer for the whole.
 // Sequence: an engine ends a stream in order before its last frame.
 // Cause: the end of the stream taken for the end of the answer.
 func TestStreamWithoutItsLastFrameIsNotWhole(t *testing.T) {
-	subject := scriptedEngine(t, truncated{})
+	subject := serveStream(t, truncatedStream{})
 	stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{Attempt: 1})
 	if err != nil {
 		t.Fatal(err)
