--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -31,12 +31,12 @@
 }
 
 // clientWithToken returns a client with a token; an empty one sends none.
-func (w *testEnv) clientWithToken(t testing.TB, token string) callerv1connect.CallerServiceClient {
+func (env *testEnv) clientWithToken(t testing.TB, token string) callerv1connect.CallerServiceClient {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
 	transport := &http.Transport{Protocols: &protocols}
 	t.Cleanup(transport.CloseIdleConnections)
-	return callerv1connect.NewCallerServiceClient(&http.Client{Transport: bearer{token: token, next: transport}}, w.url)
+	return callerv1connect.NewCallerServiceClient(&http.Client{Transport: bearer{token: token, next: transport}}, env.url)
 }
 
 // bidRequest returns a keyed call.
@@ -70,7 +70,7 @@
 }
 
 // mustCall sends a call that must get an outcome.
-func (w *testEnv) mustCall(t testing.TB, client callerv1connect.CallerServiceClient, req *callerv1.CallRequest) callResult {
+func (env *testEnv) mustCall(t testing.TB, client callerv1connect.CallerServiceClient, req *callerv1.CallRequest) callResult {
 	t.Helper()
 	got, err := callResultOf(client.Call(context.Background(), req))
 	if err != nil {
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -19,15 +19,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// minCompressBytes is the least size of a message that is compressed for a caller
-// that accepts it. Compressing a frame with a token makes it no smaller and
-// costs several times what the rest of the token does.
+// minCompressBytes is the size in bytes from which a message is compressed for a caller
+// that accepts compression. Compressing the frame of one token makes it no smaller and
+// costs several times as much as all other work on the token.
 const minCompressBytes = 1 << 10
 
 // newCallersServer returns the server of the callers' listener.
 //
-// A caller's token is checked before its body is read: otherwise anyone could
-// have this process read and decode bodies up to the limit.
+// A caller's token is checked before its body is read: otherwise anyone could make this
+// process read and decode bodies up to the size limit.
 func newCallersServer(h *handler, limits settings.Limits) *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(callerv1connect.NewCallerServiceHandler(h,
@@ -45,8 +45,8 @@
 	return server
 }
 
-// callersCertificate returns the certificate that is shown to callers, or nil
-// when callers get plaintext.
+// callersCertificate returns the certificate that is presented to callers, or nil when
+// callers get plaintext.
 func callersCertificate(pair settings.KeyPair) (*certificate.Reloader, error) {
 	if !pair.Set() {
 		return nil, nil
@@ -54,26 +54,26 @@
 	return certificate.NewReloader(pair.Files())
 }
 
-// serve answers callers until the server is closed, over TLS if there is a
-// certificate. Callers choose HTTP/2 or HTTP/1.1 by ALPN.
-func serve(server *http.Server, listener net.Listener, shown *certificate.Reloader) error {
-	if shown == nil {
+// serve answers callers until the server is closed, over TLS unless reloader is nil.
+// Callers choose HTTP/2 or HTTP/1.1 by ALPN.
+func serve(server *http.Server, listener net.Listener, reloader *certificate.Reloader) error {
+	if reloader == nil {
 		return server.Serve(listener)
 	}
-	server.TLSConfig = shown.Server("h2", "http/1.1")
+	server.TLSConfig = reloader.Server("h2", "http/1.1")
 	return server.ServeTLS(listener, "", "")
 }
 
-// recoverPanic ends one request whose handler panicked. Its caller hears an error
-// that says nothing of whether the request ran. The panic's value may hold what
-// a caller sent, so only that of the runtime is logged.
+// recoverPanic logs the panic of a handler and returns an error that does not tell the
+// caller whether the request ran. A panic's value may contain what a caller sent, so
+// only the text of a runtime error is logged, and otherwise the type.
 func (h *handler) recoverPanic(ctx context.Context, spec connect.Spec, _ http.Header, value any) error {
-	what := fmt.Sprintf("%T", value)
+	description := fmt.Sprintf("%T", value)
 	if fault, ok := value.(runtime.Error); ok {
-		what = fault.Error()
+		description = fault.Error()
 	}
 	h.log.Error("handler panicked", "procedure", spec.Procedure, "client_account", auth.Account(ctx),
-		"panic", what, "stack", string(debug.Stack()))
+		"panic", description, "stack", string(debug.Stack()))
 	return errInternal()
 }
 
@@ -82,8 +82,8 @@
 	h.log.Info("request refused", "procedure", r.URL.Path, "code", connect.CodeUnauthenticated.String())
 }
 
-// logUnhandledRefusals logs what Connect refuses before the handler: a body that is too
-// large or cannot be decoded.
+// logUnhandledRefusals logs the requests that Connect refuses before the handler runs
+// because their body is too large or cannot be decoded.
 func (h *handler) logUnhandledRefusals(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		note := &refusalNote{}
@@ -96,12 +96,12 @@
 	})
 }
 
-// refusalNote tells that a request's refusal has its line in the log.
+// refusalNote tells whether the refusal of a request has been logged.
 type refusalNote struct{ logged bool }
 
 type refusalNoteKey struct{}
 
-// statusWriter remembers the status of an answer.
+// statusWriter records the status of a response.
 type statusWriter struct {
 	http.ResponseWriter
 	status int
@@ -119,12 +119,12 @@
 // Unwrap lets http.ResponseController reach the connection.
 func (s *statusWriter) Unwrap() http.ResponseWriter { return s.ResponseWriter }
 
-// maxLoggedErrorBytes bounds the text of an error in the log, in bytes: parts of it
-// are what a caller sent.
+// maxLoggedErrorBytes is the length to which the text of an error is cut in the log,
+// since parts of it may come from a caller.
 const maxLoggedErrorBytes = 200
 
-// refusalLog is an interceptor that logs each request that ends with an error
-// of the protocol. Outcomes are logged where they are told.
+// refusalLog is an interceptor that logs each request that ends with a protocol error.
+// Outcomes are logged by handler.recordOutcome.
 type refusalLog struct{ log hclog.Logger }
 
 var _ connect.Interceptor = refusalLog{}
@@ -138,7 +138,7 @@
 	}
 }
 
-// WrapStreamingClient implements connect.Interceptor; clients pass through.
+// WrapStreamingClient implements connect.Interceptor. It leaves clients as they are.
 func (l refusalLog) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
--- a/internal/gateway/check.go
+++ b/internal/gateway/check.go
@@ -12,11 +12,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// maxKeyBytes bounds the bytes of an idempotency key: every gateway keeps keys for
-// the whole window.
+// maxKeyBytes is the longest idempotency key. It is bounded because every gateway keeps
+// the keys of the whole window in which they are valid.
 const maxKeyBytes = 256
 
-// service returns the document that a request names.
+// findService returns the document of the service that a request names. The service
+// must be of the given kind.
 func findService(set *document.Set, name string, kind document.Kind) (*document.Document, error) {
 	doc, ok := set.Find(ident.Service(name))
 	if !ok {
@@ -33,7 +34,7 @@
 	return errcode.Wrap(errcode.InvalidArgument, found.Err(), "invalid request")
 }
 
-// checkCall returns the method of a call.
+// checkCall checks a call and returns its method.
 func checkCall(doc *document.Document, req *callerv1.CallRequest) (document.Method, error) {
 	method, ok := doc.FindMethod(ident.Method(req.GetMethod()))
 	if !ok {
@@ -63,7 +64,7 @@
 	return found
 }
 
-// checkGenerate returns the latency class of a token stream.
+// checkGenerate checks a request for a token stream and returns its latency class.
 func checkGenerate(doc *document.Document, req *callerv1.GenerateRequest) (document.Class, error) {
 	var found finding.List
 	class, ok := doc.FindClass(ident.Class(req.GetClass()))
@@ -86,11 +87,12 @@
 	}
 }
 
-// maxServiceNameBytes bounds what is logged of a service that no document describes.
+// maxServiceNameBytes bounds what a request can bring into logs and traces as the name
+// of a service that no document describes.
 const maxServiceNameBytes = 256
 
-// checkResume checks what a resumed token stream says itself. Its service may
-// have been withdrawn since it began, so none is looked up.
+// checkResume checks the fields of a request to resume a token stream. It does not look
+// up the service, which may have been withdrawn since the stream began.
 func checkResume(req *callerv1.ResumeRequest) error {
 	var found finding.List
 	checkRequestID(&found, req.GetRequestId())
@@ -103,8 +105,8 @@
 	return invalidRequest(found)
 }
 
-// deadlineAfter returns when a request has to be answered, or zero for never.
-// The caller's own deadline is in the context.
+// deadlineAfter returns the time by which a request has to be answered, or the zero
+// time if limit is not positive. The caller's own deadline is in the context.
 func deadlineAfter(now time.Time, limit time.Duration) time.Time {
 	if limit <= 0 {
 		return time.Time{}
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -31,8 +31,8 @@
 	}, found
 }
 
-// Invoke implements calls.Dispatcher. It sends at most one request, and the
-// upstream refuses it unless it is the target's incarnation.
+// Invoke implements calls.Dispatcher. It sends at most one request, which the upstream
+// refuses unless it is the target's incarnation.
 func (p *plainDispatcher) Invoke(ctx context.Context, call calls.Call, target journal.Target, fence ident.Fence) (upstream.Answer, error) {
 	u, found := p.router.find(call.Key.Service, target.Instance)
 	if !found || u.Instance.Incarnation != target.Incarnation || u.Instance.Address != target.Address {
@@ -53,8 +53,9 @@
 	})
 }
 
-// Find implements calls.Dispatcher. Another incarnation at the same address
-// has forgotten the call: its "absent" proves nothing, so it is an error.
+// Find implements calls.Dispatcher. Another incarnation at the same address does not
+// know the call and its answer "absent" proves nothing, so Find returns an error for
+// it.
 func (p *plainDispatcher) Find(ctx context.Context, key ident.CallKey, target journal.Target, fence ident.Fence) (upstream.FindResult, error) {
 	found, err := p.dialer.Plain(target.Address).Find(ctx, key.String(), fence)
 	if err == nil && found.Incarnation != target.Incarnation {
--- a/internal/gateway/documents.go
+++ b/internal/gateway/documents.go
@@ -5,8 +5,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// highestRevisionPeer returns the reachable gateway with the highest revision, as the
-// heartbeats tell it.
+// highestRevisionPeer returns the reachable gateway whose heartbeats report the highest
+// revision.
 func (p *Process) highestRevisionPeer() (configuration.Peer, bool) {
 	id, revision, ok := p.members.Highest()
 	if !ok {
@@ -16,8 +16,9 @@
 	return configuration.Peer{ID: id, Address: address, Revision: revision}, ok
 }
 
-// ownRevision tells membership the revision of this process. The two
-// controllers need each other, so the second is filled in later.
+// ownRevision gives the membership controller the revision of this process. The
+// membership and the configuration controller need each other, so controller is set
+// after both were created.
 type ownRevision struct{ controller *configuration.Controller }
 
 // Revision implements membership.Configuration.
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -41,12 +41,12 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newTestEnv(t, envOptions{budget: c.budget})
-			w.failFirstCall(refuse(c.err))
-			if got := w.mustCall(t, w.client, c.send); got != c.want {
+			env := newTestEnv(t, envOptions{budget: c.budget})
+			env.failFirstCall(refuse(c.err))
+			if got := env.mustCall(t, env.client, c.send); got != c.want {
 				t.Errorf("told %+v, want %+v", got, c.want)
 			}
-			first, second := len(w.first.calls()), len(w.second.calls())
+			first, second := len(env.first.calls()), len(env.second.calls())
 			if first+second != c.calls || c.calls == 2 && first != second {
 				t.Errorf("%d and %d calls reached the upstreams, want %d, each at another", first, second, c.calls)
 			}
@@ -55,7 +55,7 @@
 }
 
 // failFirstCall has the first call be answered by fail, wherever it goes.
-func (w *testEnv) failFirstCall(fail func(invocation) (upstream.Answer, error)) {
+func (env *testEnv) failFirstCall(fail func(invocation) (upstream.Answer, error)) {
 	turn := make(chan struct{}, 1)
 	turn <- struct{}{}
 	answer := func(i invocation) (upstream.Answer, error) {
@@ -66,12 +66,12 @@
 			return upstream.Answer{Payload: i.request.Payload}, nil
 		}
 	}
-	w.first.answer, w.second.answer = answer, answer
+	env.first.answer, env.second.answer = answer, answer
 }
 
 // holdCalls has calls wait at the upstreams until release or their context ends;
 // arrived gets one value for each.
-func (w *testEnv) holdCalls() (arrived chan invocation, release chan struct{}) {
+func (env *testEnv) holdCalls() (arrived chan invocation, release chan struct{}) {
 	arrived, release = make(chan invocation, 16), make(chan struct{})
 	answer := func(i invocation) (upstream.Answer, error) {
 		arrived <- i
@@ -82,16 +82,16 @@
 			return upstream.Answer{}, errcode.Wrap(errcode.Cancelled, i.ctx.Err(), "invoke")
 		}
 	}
-	w.first.answer, w.second.answer = answer, answer
+	env.first.answer, env.second.answer = answer, answer
 	return arrived, release
 }
 
 func TestDeadlines(t *testing.T) {
 	t.Run("the upstream gets the method's timeout", func(t *testing.T) {
 		for _, req := range []*callerv1.CallRequest{lookupRequest("x"), bidRequest("timeout", 1, "x")} {
-			w := newTestEnv(t, envOptions{})
-			w.mustCall(t, w.client, req)
-			seen := append(w.first.calls(), w.second.calls()...)
+			env := newTestEnv(t, envOptions{})
+			env.mustCall(t, env.client, req)
+			seen := append(env.first.calls(), env.second.calls()...)
 			deadline, ok := seen[0].ctx.Deadline()
 			if !ok || time.Until(deadline) > 20*time.Second {
 				t.Errorf("%s: deadline %v %v", req.GetMethod(), deadline, ok)
@@ -99,21 +99,21 @@
 		}
 	})
 	t.Run("a call that runs when the method's timeout ends may have run", func(t *testing.T) {
-		w := newTestEnv(t, envOptions{})
-		w.holdCalls()
+		env := newTestEnv(t, envOptions{})
+		env.holdCalls()
 		req := bidRequest("slow", 1, "x")
 		req.Method = "quick_bid"
-		if got := w.mustCall(t, w.client, req); got.kind != unknown {
+		if got := env.mustCall(t, env.client, req); got.kind != unknown {
 			t.Errorf("told %+v", got)
 		}
 	})
 	t.Run("a booking goes on when its caller has gone, and its outcome is kept", func(t *testing.T) {
-		w := newTestEnv(t, envOptions{})
-		arrived, release := w.holdCalls()
+		env := newTestEnv(t, envOptions{})
+		arrived, release := env.holdCalls()
 		ctx, cancel := context.WithCancel(context.Background())
 		gone := make(chan error, 1)
 		go func() {
-			_, err := w.client.Call(ctx, bidRequest("left", 1, "x"))
+			_, err := env.client.Call(ctx, bidRequest("left", 1, "x"))
 			gone <- err
 		}()
 		i := <-arrived
@@ -122,52 +122,52 @@
 			t.Errorf("the caller heard %v", err)
 		}
 		close(release)
-		if got := w.callUntilFinal(t, bidRequest("left", 2, "x")); got.kind != completed {
+		if got := env.callUntilFinal(t, bidRequest("left", 2, "x")); got.kind != completed {
 			t.Errorf("the repeat: %+v", got)
 		}
-		if i.ctx.Err() != nil && len(w.first.calls())+len(w.second.calls()) != 1 {
+		if i.ctx.Err() != nil && len(env.first.calls())+len(env.second.calls()) != 1 {
 			t.Error("the booking was cut off or ran twice")
 		}
 	})
 	t.Run("a look-up is cut off when its caller goes", func(t *testing.T) {
-		w := newTestEnv(t, envOptions{})
-		arrived, _ := w.holdCalls()
+		env := newTestEnv(t, envOptions{})
+		arrived, _ := env.holdCalls()
 		ctx, cancel := context.WithCancel(context.Background())
-		go func() { _, _ = w.client.Call(ctx, lookupRequest("x")) }()
+		go func() { _, _ = env.client.Call(ctx, lookupRequest("x")) }()
 		i := <-arrived
 		cancel()
 		<-i.ctx.Done()
 	})
 	t.Run("a queued call that is given up on did not run", func(t *testing.T) {
-		w := newTestEnv(t, envOptions{admission: admission.Config{
+		env := newTestEnv(t, envOptions{admission: admission.Config{
 			// A short hold has callers wait that could be served in time.
 			Gate:        gate.Config{Hold: time.Millisecond},
 			Concurrency: concurrency.Config{Initial: 1, Min: 1, Max: 1},
 		}})
-		arrived, release := w.holdCalls()
+		arrived, release := env.holdCalls()
 		for _, key := range []string{"runs-1", "runs-2"} {
-			go func() { _, _ = w.client.Call(context.Background(), bidRequest(key, 1, "x")) }()
+			go func() { _, _ = env.client.Call(context.Background(), bidRequest(key, 1, "x")) }()
 		}
 		<-arrived
 		<-arrived
 		late := bidRequest("late", 1, "y")
 		late.Method = "quick_bid"
-		if got := w.mustCall(t, w.client, late); got.kind != notRun {
+		if got := env.mustCall(t, env.client, late); got.kind != notRun {
 			t.Errorf("told: %+v", got)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		got, err := callResultOf(w.client.Call(ctx, bidRequest("cancelled", 1, "y")))
+		got, err := callResultOf(env.client.Call(ctx, bidRequest("cancelled", 1, "y")))
 		if err == nil && got.kind != notRun || err != nil && connect.CodeOf(err) != connect.CodeDeadlineExceeded {
 			t.Errorf("the caller heard %+v %v", got, err)
 		}
 		close(release)
-		if got := w.mustCall(t, w.client, bidRequest("after", 1, "z")); got.kind != completed {
+		if got := env.mustCall(t, env.client, bidRequest("after", 1, "z")); got.kind != completed {
 			t.Errorf("a call after: %+v", got)
 		}
 		// Whoever was told not_run was not run. The cancelled one may
 		// have been granted a slot before its cancel arrived.
-		for _, i := range append(w.first.calls(), w.second.calls()...) {
+		for _, i := range append(env.first.calls(), env.second.calls()...) {
 			if strings.HasSuffix(i.request.Key, "/late") || err == nil && strings.HasSuffix(i.request.Key, "/cancelled") {
 				t.Errorf("%s reached an upstream", i.request.Key)
 			}
@@ -176,10 +176,10 @@
 }
 
 // callUntilFinal repeats a call until its outcome is final.
-func (w *testEnv) callUntilFinal(t *testing.T, req *callerv1.CallRequest) callResult {
+func (env *testEnv) callUntilFinal(t *testing.T, req *callerv1.CallRequest) callResult {
 	t.Helper()
 	for {
-		got := w.mustCall(t, w.client, req)
+		got := env.mustCall(t, env.client, req)
 		if got.kind != inProgress && got.kind != unknown {
 			return got
 		}
@@ -188,34 +188,34 @@
 }
 
 func TestLeavingGatewayRefusesTruthfully(t *testing.T) {
-	w := newTestEnv(t, envOptions{})
-	if got := w.mustCall(t, w.client, bidRequest("done", 1, "x")); got.kind != completed {
+	env := newTestEnv(t, envOptions{})
+	if got := env.mustCall(t, env.client, bidRequest("done", 1, "x")); got.kind != completed {
 		t.Fatal(got)
 	}
-	w.board.Stopping.Publish(true)
+	env.board.Stopping.Publish(true)
 	stop, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if err := w.handler.calls.(interface{ Stop(context.Context) error }).Stop(stop); err != nil {
+	if err := env.handler.calls.(interface{ Stop(context.Context) error }).Stop(stop); err != nil {
 		t.Fatal(err)
 	}
 	leaving := string(outcome.ReasonLeaving)
-	if got, want := w.mustCall(t, w.client, lookupRequest("x")), (callResult{kind: notRun, reason: leaving}); got != want {
+	if got, want := env.mustCall(t, env.client, lookupRequest("x")), (callResult{kind: notRun, reason: leaving}); got != want {
 		t.Errorf("a look-up: %+v", got)
 	}
-	if got, want := w.mustCall(t, w.client, bidRequest("new", 1, "x")), (callResult{kind: notRun, reason: leaving}); got != want {
+	if got, want := env.mustCall(t, env.client, bidRequest("new", 1, "x")), (callResult{kind: notRun, reason: leaving}); got != want {
 		t.Errorf("a new booking: %+v", got)
 	}
-	if got, want := w.mustCall(t, w.client, bidRequest("new", 2, "x")), (callResult{kind: unknown, reason: leaving}); got != want {
+	if got, want := env.mustCall(t, env.client, bidRequest("new", 2, "x")), (callResult{kind: unknown, reason: leaving}); got != want {
 		t.Errorf("a repeated booking: %+v", got)
 	}
-	if got, want := w.mustCall(t, w.client, bidRequest("done", 2, "x")), (callResult{kind: completed, payload: "x"}); got != want {
+	if got, want := env.mustCall(t, env.client, bidRequest("done", 2, "x")), (callResult{kind: completed, payload: "x"}); got != want {
 		t.Errorf("a booking that is done: %+v", got)
 	}
-	got, err := generate(context.Background(), w.client, generateRequest(streamID, "p", 3))
+	got, err := generate(context.Background(), env.client, generateRequest(streamID, "p", 3))
 	if err != nil || got.outcome.GetKind() != notRun || got.outcome.GetReason() != leaving {
 		t.Errorf("a token stream: %+v %v", got, err)
 	}
-	if n := len(w.first.calls()) + len(w.second.calls()); n != 1 {
+	if n := len(env.first.calls()) + len(env.second.calls()); n != 1 {
 		t.Errorf("%d calls reached the upstreams", n)
 	}
 }
@@ -225,17 +225,17 @@
 // Sequence: a handler panics.
 // Cause: a panic that is not recovered, or a ticket that is not given back.
 func TestPanicEndsOneRequestOnly(t *testing.T) {
-	w := newTestEnv(t, envOptions{limit: document.AccountLimit{MaxInFlight: 1}})
-	w.failFirstCall(func(invocation) (upstream.Answer, error) { panic("secret-panic") })
+	env := newTestEnv(t, envOptions{limit: document.AccountLimit{MaxInFlight: 1}})
+	env.failFirstCall(func(invocation) (upstream.Answer, error) { panic("secret-panic") })
 	ctx, caller := tracedContext()
-	_, err := w.client.Call(ctx, lookupRequest("x"))
+	_, err := env.client.Call(ctx, lookupRequest("x"))
 	if code, text := errorCodeAndText(err); code != connect.CodeInternal || text != "internal error" {
 		t.Errorf("got %v %s", code, text)
 	}
-	if got := w.mustCall(t, w.client, lookupRequest("y")); got.kind != completed {
+	if got := env.mustCall(t, env.client, lookupRequest("y")); got.kind != completed {
 		t.Errorf("the next request: %+v", got)
 	}
-	if log := w.output.String(); !strings.Contains(log, "handler panicked") || strings.Contains(log, "secret-panic") {
+	if log := env.output.String(); !strings.Contains(log, "handler panicked") || strings.Contains(log, "secret-panic") {
 		t.Errorf("log: %s", log)
 	}
 	if text := traceText(caller.TraceID()); !strings.Contains(text, "call") || strings.Contains(text, "secret-panic") {
@@ -244,11 +244,11 @@
 }
 
 func TestApplicationErrorIsToldAsFailed(t *testing.T) {
-	w := newTestEnv(t, envOptions{})
-	w.failFirstCall(func(invocation) (upstream.Answer, error) {
+	env := newTestEnv(t, envOptions{})
+	env.failFirstCall(func(invocation) (upstream.Answer, error) {
 		return upstream.Answer{Payload: []byte("no such lot"), Failed: true}, nil
 	})
-	if got, want := w.mustCall(t, w.client, lookupRequest("x")), (callResult{failed, "application_error", "no such lot"}); got != want {
+	if got, want := env.mustCall(t, env.client, lookupRequest("x")), (callResult{failed, "application_error", "no such lot"}); got != want {
 		t.Errorf("told %+v, want %+v", got, want)
 	}
 }
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -16,24 +16,24 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// noUpstreamRetryAfter is when a caller should come back when no upstream could
-// take the request: the membership learns of a new one within seconds.
+// noUpstreamRetryAfter is the retry-after time of a request that no upstream could
+// take: the membership learns of a new upstream within seconds.
 const noUpstreamRetryAfter = 2 * time.Second
 
-// leavingNotes takes note of an upstream that refused because it is leaving.
+// leavingNotes records that an upstream refused a request because it is leaving.
 type leavingNotes interface {
 	NoteLeaving(id ident.Instance, incarnation ident.Incarnation)
 }
 
-// engineDialer reaches model engines.
+// engineDialer returns clients of model engines.
 type engineDialer interface {
 	Engine(address string) upstream.Engine
 }
 
 // notices tells a stream that its upstream is to be reclaimed.
 type notices interface {
-	// Watch returns a channel that gets one value at the instance's notice,
-	// and a function that ends the watch.
+	// Watch returns a channel that receives one value when the instance gets a reclaim
+	// notice, and a function that ends the watch.
 	Watch(id ident.Instance, incarnation ident.Incarnation) (<-chan streaming.Notice, func())
 }
 
@@ -45,12 +45,12 @@
 	dialer    engineDialer
 	leaving   leavingNotes
 	notices   notices
-	attempts   attemptRecorder
+	attempts  attemptRecorder
 	explain   *explain.Recorder
 	tracer    trace.Tracer
 }
 
-// attemptRecorder learns how attempts at upstreams end.
+// attemptRecorder records the start and the end of each attempt at an upstream.
 type attemptRecorder interface {
 	RecordAttemptStart(service ident.Service, id ident.Instance)
 	RecordAttemptEnd(service ident.Service, r attemptResult)
@@ -59,12 +59,12 @@
 // attemptResult is how one attempt ended, for limits and ejection.
 type attemptResult struct {
 	upstream   ident.Instance
-	sentAt       time.Time
+	sentAt     time.Time
 	inFlight   int
 	firstToken time.Duration
 	failed     bool
-	// latencyRatio is the attempt's times in units of its class's targets; 0
-	// when there is no target to compare with.
+	// latencyRatio is the attempt's latency divided by the target of its class; 0 if
+	// there is no target.
 	latencyRatio float64
 }
 
@@ -90,14 +90,14 @@
 	return e.target(req, route, decision, u), nil
 }
 
-// placer is a cache view that takes notice of placements.
+// placer is a cache view that records the prompts placed on its engine.
 type placer interface {
 	Placed(blocks []uint64, now time.Time)
 }
 
-// recordServedPrompt notes that an engine has computed a stream's prompt already.
-// A gateway that took the stream over did not place it there itself, and would
-// have the whole prompt computed again elsewhere.
+// recordServedPrompt records that an engine has already computed a stream's prompt. A
+// gateway that took the stream over did not place it there itself; without the record
+// it would have the whole prompt computed again on another engine.
 func (e *enginePicker) recordServedPrompt(service ident.Service, served ident.Instance, blocks []uint64) {
 	u, found := e.router.find(service, served)
 	if !found || len(blocks) == 0 {
@@ -114,37 +114,38 @@
 
 // target returns the target of an attempt that begins now.
 func (e *enginePicker) target(req streaming.PickRequest, route routing.Request, d routing.Decision, u blackboard.Upstream) streaming.Target {
-	flight := e.router.start(d, route)
+	active := e.router.start(d, route)
 	e.attempts.RecordAttemptStart(route.Service, d.Upstream)
 	notice, unwatch := e.notices.Watch(d.Upstream, u.Instance.Incarnation)
 	return streaming.Target{
 		Instance:   d.Upstream,
 		Engine:     e.dialer.Engine(d.Address),
 		Notice:     notice,
-		FirstToken: flight.recordFirstToken,
+		FirstToken: active.recordFirstToken,
 		Release: func(r streaming.Result) {
 			unwatch()
-			flight.end(streamRoutingResult(r))
+			active.end(streamRoutingResult(r))
 			if r.Unused {
 				return
 			}
-			e.recordEnd(req, route, d, u, flight, r)
+			e.recordEnd(req, route, d, u, active, r)
 		},
 	}
 }
 
-// recordEnd tells everyone who learns from an attempt how it ended.
-func (e *enginePicker) recordEnd(req streaming.PickRequest, route routing.Request, d routing.Decision, u blackboard.Upstream, f *activeAttempt, r streaming.Result) {
+// recordEnd reports the end of an attempt to the membership, to admission and to the
+// explain recorder.
+func (e *enginePicker) recordEnd(req streaming.PickRequest, route routing.Request, d routing.Decision, u blackboard.Upstream, active *activeAttempt, r streaming.Result) {
 	if r.Leaving {
 		e.leaving.NoteLeaving(d.Upstream, u.Instance.Incarnation)
 	}
 	e.attempts.RecordAttemptEnd(route.Service, attemptResult{
-		upstream:   d.Upstream,
-		sentAt:       f.sentAt,
-		inFlight:   f.inFlight,
-		firstToken: r.FirstToken,
-		failed:     r.Next != "" && !r.Leaving,
-		latencyRatio:   targetLatencyRatio(route.Class, f, r, time.Now()),
+		upstream:     d.Upstream,
+		sentAt:       active.sentAt,
+		inFlight:     active.inFlight,
+		firstToken:   r.FirstToken,
+		failed:       r.Next != "" && !r.Leaving,
+		latencyRatio: targetLatencyRatio(route.Class, active, r, time.Now()),
 	})
 	subject := explain.Subject{Request: req.Request.Key.Request, Service: route.Service, Account: req.Request.Key.Account}
 	e.explain.RecordAttempt(subject, explain.Attempt{
@@ -157,25 +158,28 @@
 	})
 }
 
-// targetLatencyRatio returns how close an attempt came to its class's targets: 1 is at
-// the target, for the first token or between tokens, whichever is worse.
+// targetLatencyRatio returns an attempt's latency divided by the target of its class,
+// either for the first token or between tokens, whichever ratio is higher.
 //
-// An engine's first token comes several times later in a full batch than on an
-// idle engine and is still in time. Held against the idle engine, a limit would
-// keep engines half empty and refuse callers that could have been served.
-func targetLatencyRatio(class document.Class, f *activeAttempt, r streaming.Result, now time.Time) float64 {
-	pressure := 0.0
+// The ratio is to the target and not to an idle engine, because the first token comes
+// several times later in a full batch than on an idle engine and is still in time. A
+// concurrency limit that compared with the idle engine would keep engines half empty
+// and refuse callers that could have been served.
+func targetLatencyRatio(class document.Class, active *activeAttempt, r streaming.Result, now time.Time) float64 {
+	ratio := 0.0
 	if class.FirstToken > 0 && r.FirstToken > 0 {
-		pressure = r.FirstToken.Seconds() / class.FirstToken.Seconds()
+		ratio = r.FirstToken.Seconds() / class.FirstToken.Seconds()
 	}
 	if class.BetweenTokens > 0 && r.Tokens > 1 {
-		between := (now.Sub(f.sentAt) - r.FirstToken) / time.Duration(r.Tokens-1)
-		pressure = max(pressure, between.Seconds()/class.BetweenTokens.Seconds())
+		between := (now.Sub(active.sentAt) - r.FirstToken) / time.Duration(r.Tokens-1)
+		ratio = max(ratio, between.Seconds()/class.BetweenTokens.Seconds())
 	}
-	return pressure
+	return ratio
 }
 
-// unloadedFirstToken is the time to the first token on an idle engine.
+// unloadedFirstToken returns the time to the first token on an idle engine that has to
+// compute the given number of uncached tokens. It is 0 if the engine reports no prefill
+// rate.
 func unloadedFirstToken(r upstream.Report, uncached int) time.Duration {
 	if r.PrefillRate <= 0 {
 		return 0
@@ -183,7 +187,7 @@
 	return time.Duration(float64(uncached)/r.PrefillRate*float64(time.Second)) + r.Step
 }
 
-// streamRoutingResult translates how an attempt ended for the router.
+// streamRoutingResult returns the result of an attempt in the router's terms.
 func streamRoutingResult(r streaming.Result) routing.Result {
 	switch {
 	case r.Unused:
--- a/internal/gateway/env_test.go
+++ b/internal/gateway/env_test.go
@@ -207,7 +207,7 @@
 
 func newTestEnv(t testing.TB, o envOptions) *testEnv {
 	t.Helper()
-	w := &testEnv{
+	env := &testEnv{
 		board:  blackboard.NewBoard(),
 		first:  &fakePlain{},
 		second: &fakePlain{},
@@ -220,19 +220,19 @@
 	if o.limits == (settings.Limits{}) {
 		o.limits = envLimits()
 	}
-	w.board.Documents.Publish(envDocuments(o.limit))
-	w.board.Upstreams.Publish(envUpstreams())
-	w.wire(t, o)
-	w.serve(t, o.limits)
-	return w
+	env.board.Documents.Publish(envDocuments(o.limit))
+	env.board.Upstreams.Publish(envUpstreams())
+	env.wire(t, o)
+	env.serve(t, o.limits)
+	return env
 }
 
 // wire makes the parts as Process.wireRequests does.
-func (w *testEnv) wire(t testing.TB, o envOptions) {
-	log := hclog.New(&hclog.LoggerOptions{Level: max(o.level, hclog.Trace), Output: w.output, JSONFormat: true})
+func (env *testEnv) wire(t testing.TB, o envOptions) {
+	log := hclog.New(&hclog.LoggerOptions{Level: max(o.level, hclog.Trace), Output: env.output, JSONFormat: true})
 	tracer := otel.Tracer("gateway")
 	dialer := fakeDialer{
-		plains:  map[string]upstream.Plain{"app-1": w.first, "app-2": w.second, "app-3": w.second},
+		plains:  map[string]upstream.Plain{"app-1": env.first, "app-2": env.second, "app-3": env.second},
 		engines: map[string]upstream.Engine{"engine-1": o.engine},
 	}
 	if o.plain != nil {
@@ -240,33 +240,33 @@
 	}
 	var peers calls.Peers
 	if o.peers != nil {
-		peers = o.peers(w)
+		peers = o.peers(env)
 	}
 	admitted := admission.New(o.admission)
 	admitted.SetUpstreams(plainService, []ident.Instance{"app-1", "app-2"})
 	admitted.SetUpstreams(modelService, []ident.Instance{"engine-1"})
-	learned := &admissionRecorder{admission: admitted}
-	routes := &upstreamRouter{board: w.board, domain: "hall-a", ejections: admitted}
+	attempts := &admissionRecorder{admission: admitted}
+	router := &upstreamRouter{board: env.board, domain: "hall-a", ejections: admitted}
 	recorder := explain.NewRecorder(64)
-	plains := &plainDispatcher{documents: w.board.Documents, router: routes, dialer: dialer, leaving: noNotes{}, attempts: learned,
+	dispatcher := &plainDispatcher{documents: env.board.Documents, router: router, dialer: dialer, leaving: noNotes{}, attempts: attempts,
 		budgets: &retryBudgets{}, backoff: retry.DefaultBackoff, explain: recorder, tracer: tracer}
-	plains.budgets.byService.Store(ident.Service(plainService), retry.NewBudget(o.budget, time.Now()))
-	coordinator := calls.New(calls.Config{Instance: "entry-1", Incarnation: 1, Log: w.log, Dispatcher: plains, Peers: peers,
-		Documents: w.board.Documents, Health: w.board.Journal, Limits: calls.Limits{AppendInterval: time.Millisecond}, Logger: log})
+	dispatcher.budgets.byService.Store(ident.Service(plainService), retry.NewBudget(o.budget, time.Now()))
+	coordinator := calls.New(calls.Config{Instance: "entry-1", Incarnation: 1, Log: env.log, Dispatcher: dispatcher, Peers: peers,
+		Documents: env.board.Documents, Health: env.board.Journal, Limits: calls.Limits{AppendInterval: time.Millisecond}, Logger: log})
 	config := streaming.DefaultConfig()
-	runner := streaming.NewRunner(config, &enginePicker{documents: w.board.Documents, router: routes, dialer: dialer, leaving: noNotes{},
-		notices: newNoticeBoard(), attempts: learned, explain: recorder, tracer: tracer}, plains.budgets, nil)
+	runner := streaming.NewRunner(config, &enginePicker{documents: env.board.Documents, router: router, dialer: dialer, leaving: noNotes{},
+		notices: newNoticeBoard(), attempts: attempts, explain: recorder, tracer: tracer}, dispatcher.budgets, nil)
 	streams := streaming.NewRegistry(config, runner)
-	w.handler = &handler{documents: w.board.Documents, stopping: w.board.Stopping, admission: admitted, router: routes, dispatcher: plains,
+	env.handler = &handler{documents: env.board.Documents, stopping: env.board.Stopping, admission: admitted, router: router, dispatcher: dispatcher,
 		calls: coordinator, streams: streams, explain: recorder, log: log, tracer: tracer, auth: auth.New([]auth.Credential{
 			{Account: registrar, Token: sha256.Sum256([]byte(registrarToken))},
 			{Account: trader, Token: sha256.Sum256([]byte(traderToken))},
 		})}
-	w.run(t, coordinator, streams)
+	env.run(t, coordinator, streams)
 }
 
 // run runs the journal until the test ends, and waits until it is read.
-func (w *testEnv) run(t testing.TB, coordinator *calls.Coordinator, streams *streaming.Registry) {
+func (env *testEnv) run(t testing.TB, coordinator *calls.Coordinator, streams *streaming.Registry) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { _ = coordinator.Run(ctx) })
@@ -277,8 +277,8 @@
 	})
 	limit, end := context.WithTimeout(ctx, 20*time.Second)
 	defer end()
-	for snapshot := w.board.Journal.Load(); !snapshot.Value.Ready; {
-		next, err := w.board.Journal.Wait(limit, snapshot.Version)
+	for snapshot := env.board.Journal.Load(); !snapshot.Value.Ready; {
+		next, err := env.board.Journal.Wait(limit, snapshot.Version)
 		if err != nil {
 			t.Fatal("the journal is not ready:", err)
 		}
@@ -286,14 +286,14 @@
 	}
 }
 
-func (w *testEnv) serve(t testing.TB, limits settings.Limits) {
+func (env *testEnv) serve(t testing.TB, limits settings.Limits) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := newCallersServer(w.handler, limits)
+	server := newCallersServer(env.handler, limits)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
-	w.url = "http://" + listener.Addr().String()
-	w.client = w.clientWithToken(t, registrarToken)
+	env.url = "http://" + listener.Addr().String()
+	env.client = env.clientWithToken(t, registrarToken)
 }
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -21,7 +21,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// keyedCalls runs calls at most once; see package calls.
+// keyedCalls runs calls with an idempotency key, each at most once; see package calls.
 type keyedCalls interface {
 	Do(ctx context.Context, call calls.Call) outcome.Outcome
 	Find(ctx context.Context, key ident.CallKey) outcome.Outcome
@@ -37,17 +37,17 @@
 
 // handler serves the callers' API.
 type handler struct {
-	documents *blackboard.Section[*document.Set]
-	stopping  *blackboard.Section[bool]
-	admission *admission.Controller
-	router    *upstreamRouter
-	dispatcher    *plainDispatcher
-	calls     keyedCalls
-	streams   tokenStreams
-	explain   *explain.Recorder
-	log       hclog.Logger
-	tracer    trace.Tracer
-	auth      *auth.Authenticator
+	documents  *blackboard.Section[*document.Set]
+	stopping   *blackboard.Section[bool]
+	admission  *admission.Controller
+	router     *upstreamRouter
+	dispatcher *plainDispatcher
+	calls      keyedCalls
+	streams    tokenStreams
+	explain    *explain.Recorder
+	log        hclog.Logger
+	tracer     trace.Tracer
+	auth       *auth.Authenticator
 }
 
 var _ callerv1connect.CallerServiceHandler = (*handler)(nil)
@@ -72,7 +72,7 @@
 	return &callerv1.CallResponse{Outcome: toWire(o), Payload: o.Payload, RequestId: string(subject.Request)}, nil
 }
 
-// withTimeout bounds ctx; a limit of 0 is none.
+// withTimeout bounds ctx unless limit is 0.
 func withTimeout(ctx context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	if limit <= 0 {
 		return context.WithCancel(ctx)
@@ -91,8 +91,8 @@
 		Attempt:  req.GetAttempt(),
 		Request:  subject.Request,
 	}
-	// A repeat of a call that has an outcome costs no upstream, so it is
-	// answered without admission.
+	// A repeat of a call whose outcome is known needs no upstream, so it is answered
+	// without admission.
 	if keyed && h.calls.FindLocal(call.Key).Outcome != nil {
 		return h.calls.Do(ctx, call)
 	}
@@ -122,9 +122,9 @@
 	})
 }
 
-// refusedCall returns the truthful answer to a call that admission refused. An
-// earlier attempt with the same key may have run, so only the refusal of a
-// first attempt says that the call did not.
+// refusedCall returns the outcome of a call that admission refused. An earlier attempt
+// with the same key may have run, so the outcome says that the call did not run only
+// for a first attempt or a call without a key.
 func refusedCall(refusal outcome.Outcome, keyed bool, attempt uint32) outcome.Outcome {
 	if !keyed || attempt == 1 {
 		return refusal
@@ -142,7 +142,8 @@
 	return ticket, refusal
 }
 
-// recordOutcome logs, traces and remembers what a caller was told.
+// recordOutcome logs, traces and counts the outcome that a caller gets, and keeps it
+// for operators who ask about the request.
 func (h *handler) recordOutcome(span trace.Span, s explain.Subject, o outcome.Outcome) {
 	span.SetAttributes(requestKey.String(string(s.Request)), accountKey.String(string(s.Account)),
 		outcomeKey.String(o.Kind.String()), reasonKey.String(string(o.Reason)))
@@ -190,20 +191,20 @@
 	return sink.sendOutcome(o)
 }
 
-// checkedStream is a checked token stream request with its document.
+// checkedStream is a checked request for a token stream, with its document.
 type checkedStream struct {
 	doc     *document.Document
 	class   document.Class
 	request streaming.Request
-	// attempt is the caller's count.
+	// attempt is the number of this attempt as the caller counts it.
 	attempt uint32
 }
 
-func (s checkedStream) subject() explain.Subject {
-	return explain.Subject{Request: s.request.Key.Request, Service: s.doc.Service, Account: s.request.Key.Account}
+func (stream checkedStream) subject() explain.Subject {
+	return explain.Subject{Request: stream.request.Key.Request, Service: stream.doc.Service, Account: stream.request.Key.Account}
 }
 
-// checkStreamRequest checks a token stream request.
+// checkStreamRequest checks a request for a token stream.
 func (h *handler) checkStreamRequest(ctx context.Context, req *callerv1.GenerateRequest) (checkedStream, error) {
 	doc, err := findService(h.documents.Value(), req.GetService(), document.Model)
 	if err != nil {
@@ -227,39 +228,39 @@
 }
 
 // generate admits and serves a token stream.
-func (h *handler) generate(ctx context.Context, s checkedStream, sink streaming.Sink) (outcome.Outcome, error) {
+func (h *handler) generate(ctx context.Context, stream checkedStream, sink streaming.Sink) (outcome.Outcome, error) {
 	if h.stopping.Value() {
 		return outcome.NewNotRun(outcome.ReasonLeaving, "this gateway is leaving; ask any other", 0), nil
 	}
-	ticket, refusal := h.admitStream(ctx, s)
+	ticket, refusal := h.admitStream(ctx, stream)
 	if refusal != nil {
 		return *refusal, nil
 	}
 	defer ticket.Done(admission.Result{})
-	h.dispatcher.budgets.forService(s.doc.Service).FirstTry()
-	return h.streams.Generate(ctx, s.request, &firstTokenSink{Sink: sink, onFirstToken: ticket.FirstToken})
+	h.dispatcher.budgets.forService(stream.doc.Service).FirstTry()
+	return h.streams.Generate(ctx, stream.request, &firstTokenSink{Sink: sink, onFirstToken: ticket.FirstToken})
 }
 
-// admitStream admits a token stream of which nothing was delivered.
-func (h *handler) admitStream(ctx context.Context, s checkedStream) (*admission.Ticket, *outcome.Outcome) {
-	key := s.request.Key
-	ask := s.request.Ask
-	route := streamRoutingRequest(s.doc, s.class, key.Account, ask.Prompt, ask.MaxTokens, nil)
-	predicted := h.router.decide(s.doc, route)
-	u, _ := h.router.find(s.doc.Service, predicted.Upstream)
+// admitStream admits a token stream of which the caller has no tokens yet.
+func (h *handler) admitStream(ctx context.Context, stream checkedStream) (*admission.Ticket, *outcome.Outcome) {
+	key := stream.request.Key
+	ask := stream.request.Ask
+	route := streamRoutingRequest(stream.doc, stream.class, key.Account, ask.Prompt, ask.MaxTokens, nil)
+	predicted := h.router.decide(stream.doc, route)
+	u, _ := h.router.find(stream.doc.Service, predicted.Upstream)
 	return h.admit(ctx, admission.Request{
-		Service:     s.doc.Service,
+		Service:     stream.doc.Service,
 		ID:          key.Request,
 		Account:     key.Account,
-		Limit:       s.doc.AccountLimit(key.Account),
-		Class:       s.class,
+		Limit:       stream.doc.AccountLimit(key.Account),
+		Class:       stream.class,
 		Predicted:   predicted.FirstToken,
 		PredictedBy: predicted.FirstTokenBy,
 		Unloaded:    unloadedFirstToken(u.Report, predicted.UncachedTokens),
 		Remaining:   time.Duration(route.MaxTokens) * predicted.BetweenTokens,
-		Deadline:    s.request.Deadline,
+		Deadline:    stream.request.Deadline,
 		Cost:        float64(predicted.UncachedTokens + route.MaxTokens),
-		Attempt:     s.attempt,
+		Attempt:     stream.attempt,
 	})
 }
 
@@ -284,10 +285,10 @@
 	return sink.sendOutcome(o)
 }
 
-// resume serves the rest of a token stream. One that some gateway accepted, as
-// this one keeps it or tokens of it were delivered, must finish, so it is not
-// refused for load: callers of killed gateways come back when there is least
-// room for them. One of which nothing was delivered is admitted like a new one.
+// resume serves the rest of a token stream. A stream that a gateway has accepted must
+// finish and is not refused for load, because callers of killed gateways come back when
+// there is the least capacity for them. It counts as accepted if this gateway holds it
+// or if tokens of it were delivered. Any other stream is admitted like a new one.
 func (h *handler) resume(ctx context.Context, resume streaming.ResumeRequest, original *callerv1.GenerateRequest, sink streaming.Sink) (outcome.Outcome, error) {
 	if original == nil {
 		return h.streams.Resume(ctx, resume, sink)
--- a/internal/gateway/handler_test.go
+++ b/internal/gateway/handler_test.go
@@ -30,24 +30,24 @@
 var errLost = errcode.New(errcode.Unavailable, "connection reset")
 
 func TestMalformedRequestsNameEveryFault(t *testing.T) {
-	w := newTestEnv(t, envOptions{})
+	env := newTestEnv(t, envOptions{})
 	call := func(change func(*callerv1.CallRequest)) func() error {
 		return func() error {
 			req := bidRequest("malformed", 1, "")
 			change(req)
-			_, err := w.client.Call(context.Background(), req)
+			_, err := env.client.Call(context.Background(), req)
 			return err
 		}
 	}
 	stream := func(req *callerv1.GenerateRequest) func() error {
 		return func() error {
-			_, err := generate(context.Background(), w.client, req)
+			_, err := generate(context.Background(), env.client, req)
 			return err
 		}
 	}
 	takeUp := func(req *callerv1.ResumeRequest) func() error {
 		return func() error {
-			_, err := resume(context.Background(), w.client, req)
+			_, err := resume(context.Background(), env.client, req)
 			return err
 		}
 	}
@@ -83,18 +83,18 @@
 			Service: modelService, RequestId: streamID, Original: generateRequest(streamID, "p", 3), NextIndex: 2, Delivered: []string{"a"},
 		}), connect.CodeInvalidArgument, []string{"next_index"}},
 		"an outcome asked of no service": {func() error {
-			_, err := w.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: "none", IdempotencyKey: "k"})
+			_, err := env.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: "none", IdempotencyKey: "k"})
 			return err
 		}, connect.CodeNotFound, nil},
 		"an outcome asked without a key": {func() error {
-			_, err := w.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: plainService})
+			_, err := env.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: plainService})
 			return err
 		}, connect.CodeInvalidArgument, []string{"idempotency_key"}},
 		"a body over the limit": {call(func(r *callerv1.CallRequest) { r.Payload = make([]byte, 65<<10) }), connect.CodeResourceExhausted, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			before := strings.Count(w.output.String(), `"request refused"`)
+			before := strings.Count(env.output.String(), `"request refused"`)
 			code, text := errorCodeAndText(c.send())
 			if code != c.code {
 				t.Fatalf("code %v (%s), want %v", code, text, c.code)
@@ -104,12 +104,12 @@
 					t.Errorf("the error does not name %s: %s", want, text)
 				}
 			}
-			if after := strings.Count(w.output.String(), `"request refused"`); after != before+1 {
+			if after := strings.Count(env.output.String(), `"request refused"`); after != before+1 {
 				t.Errorf("%d lines in the log, want 1", after-before)
 			}
 		})
 	}
-	if n := len(w.first.calls()) + len(w.second.calls()); n != 0 {
+	if n := len(env.first.calls()) + len(env.second.calls()); n != 0 {
 		t.Errorf("%d calls reached an upstream", n)
 	}
 }
@@ -143,13 +143,13 @@
 }
 
 func TestMissingAndWrongTokensGetTheSameAnswer(t *testing.T) {
-	w := newTestEnv(t, envOptions{})
-	for name, send := range allMethods(w.client) {
+	env := newTestEnv(t, envOptions{})
+	for name, send := range allMethods(env.client) {
 		if err := send(); err != nil {
 			t.Errorf("%s with a token: %v", name, err)
 		}
 	}
-	missing, wrong := allMethods(w.clientWithToken(t, "")), allMethods(w.clientWithToken(t, "wrong"))
+	missing, wrong := allMethods(env.clientWithToken(t, "")), allMethods(env.clientWithToken(t, "wrong"))
 	for name := range missing {
 		t.Run(name, func(t *testing.T) {
 			code, text := errorCodeAndText(missing[name]())
@@ -169,16 +169,16 @@
 // Cause: Connect reads the body before its interceptors, and so before a token
 // that one of them checks.
 func TestBodyIsNotReadBeforeTheToken(t *testing.T) {
-	w := newTestEnv(t, envOptions{})
-	_, err := w.clientWithToken(t, "").Call(context.Background(), lookupRequest(strings.Repeat("x", 65<<10)))
+	env := newTestEnv(t, envOptions{})
+	_, err := env.clientWithToken(t, "").Call(context.Background(), lookupRequest(strings.Repeat("x", 65<<10)))
 	if code, text := errorCodeAndText(err); code != connect.CodeUnauthenticated {
 		t.Errorf("got %v %s", code, text)
 	}
 }
 
 func TestAccountsNeverMeet(t *testing.T) {
-	w := newTestEnv(t, envOptions{})
-	other := w.clientWithToken(t, traderToken)
+	env := newTestEnv(t, envOptions{})
+	other := env.clientWithToken(t, traderToken)
 	ctx := context.Background()
 	outcomeOf := func(key string) *callerv1.GetOutcomeResponse {
 		resp, err := other.GetOutcome(ctx, &callerv1.GetOutcomeRequest{Service: plainService, IdempotencyKey: key})
@@ -187,24 +187,24 @@
 		}
 		return resp
 	}
-	if got := w.mustCall(t, w.client, bidRequest("shared", 1, "bid of the registrar")); got.kind != completed {
+	if got := env.mustCall(t, env.client, bidRequest("shared", 1, "bid of the registrar")); got.kind != completed {
 		t.Fatalf("the registrar's bid: %+v", got)
 	}
 	theirs, nobodys := outcomeOf("shared"), outcomeOf("nobody's")
 	if diff := cmp.Diff(theirs.String(), nobodys.String()); diff != "" {
 		t.Errorf("another account's key is told apart from none:\n%s", diff)
 	}
-	if got := w.mustCall(t, other, bidRequest("shared", 1, "bid of the trader")); got.kind != completed || got.payload != "bid of the trader" {
+	if got := env.mustCall(t, other, bidRequest("shared", 1, "bid of the trader")); got.kind != completed || got.payload != "bid of the trader" {
 		t.Errorf("the trader's bid under the same key: %+v", got)
 	}
-	if got := w.mustCall(t, w.client, bidRequest("shared", 2, "bid of the registrar")); got.payload != "bid of the registrar" {
+	if got := env.mustCall(t, env.client, bidRequest("shared", 2, "bid of the registrar")); got.payload != "bid of the registrar" {
 		t.Errorf("the registrar's repeat: %+v", got)
 	}
-	if n := len(w.first.calls()) + len(w.second.calls()); n != 2 {
+	if n := len(env.first.calls()) + len(env.second.calls()); n != 2 {
 		t.Errorf("%d effects, want one for each account", n)
 	}
 
-	if got, err := generate(ctx, w.client, generateRequest(streamID, "prompt of the registrar", 5)); err != nil || len(got.tokens) != 5 {
+	if got, err := generate(ctx, env.client, generateRequest(streamID, "prompt of the registrar", 5)); err != nil || len(got.tokens) != 5 {
 		t.Fatalf("the registrar's stream: %+v %v", got, err)
 	}
 	errorOf := func(id string) string {
@@ -219,7 +219,7 @@
 	if err != nil || !slices.Equal(got.tokens, answer.Tokens("prompt of the trader", 5)) {
 		t.Errorf("the trader's stream under the same ID: %+v %v", got, err)
 	}
-	got, err = resume(ctx, w.client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, NextIndex: 0})
+	got, err = resume(ctx, env.client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, NextIndex: 0})
 	if err != nil || !slices.Equal(got.tokens, answer.Tokens("prompt of the registrar", 5)) {
 		t.Errorf("the registrar's stream, resumed: %+v %v", got, err)
 	}
@@ -230,42 +230,44 @@
 
 func TestAdmissionRefusesTruthfully(t *testing.T) {
 	cases := map[string]struct {
-		send func(w *testEnv) callResult
+		send func(env *testEnv) callResult
 		want callResult
 	}{
-		"an idempotent call": {func(w *testEnv) callResult { return w.mustCall(t, w.client, lookupRequest("x")) }, callResult{kind: notRun, reason: "rate_limited"}},
-		"the first attempt of a booking did not run": {func(w *testEnv) callResult { return w.mustCall(t, w.client, bidRequest("new", 1, "x")) },
+		"an idempotent call": {func(env *testEnv) callResult { return env.mustCall(t, env.client, lookupRequest("x")) }, callResult{kind: notRun, reason: "rate_limited"}},
+		"the first attempt of a booking did not run": {func(env *testEnv) callResult { return env.mustCall(t, env.client, bidRequest("new", 1, "x")) },
 			callResult{kind: notRun, reason: "rate_limited"}},
-		"a later attempt of a booking may have run": {func(w *testEnv) callResult { return w.mustCall(t, w.client, bidRequest("new", 2, "x")) },
+		"a later attempt of a booking may have run": {func(env *testEnv) callResult { return env.mustCall(t, env.client, bidRequest("new", 2, "x")) },
 			callResult{kind: unknown, reason: "rate_limited"}},
-		"a repeat of a booking that an earlier attempt completed": {func(w *testEnv) callResult { return w.mustCall(t, w.client, bidRequest("done", 2, "x")) },
+		"a repeat of a booking that an earlier attempt completed": {func(env *testEnv) callResult { return env.mustCall(t, env.client, bidRequest("done", 2, "x")) },
 			callResult{kind: completed, payload: "x"}},
-		"another request under a key that is done": {func(w *testEnv) callResult { return w.mustCall(t, w.client, bidRequest("done", 2, "y")) },
+		"another request under a key that is done": {func(env *testEnv) callResult { return env.mustCall(t, env.client, bidRequest("done", 2, "y")) },
 			callResult{kind: notRun, reason: "key_reused"}},
-		"a token stream": {func(w *testEnv) callResult {
-			if _, err := generate(context.Background(), w.client, generateRequest(streamID, "p", 2)); err != nil {
+		"a token stream": {func(env *testEnv) callResult {
+			if _, err := generate(context.Background(), env.client, generateRequest(streamID, "p", 2)); err != nil {
 				t.Fatal(err)
 			}
-			got, err := generate(context.Background(), w.client, generateRequest(otherID, "p", 2))
+			got, err := generate(context.Background(), env.client, generateRequest(otherID, "p", 2))
 			if err != nil || len(got.tokens) > 0 {
 				t.Fatalf("%+v %v", got, err)
 			}
 			return callResult{kind: got.outcome.GetKind(), reason: got.outcome.GetReason()}
 		}, callResult{kind: notRun, reason: "rate_limited"}},
-		"another account is not refused": {func(w *testEnv) callResult { return w.mustCall(t, w.clientWithToken(t, traderToken), lookupRequest("z")) },
+		"another account is not refused": {func(env *testEnv) callResult {
+			return env.mustCall(t, env.clientWithToken(t, traderToken), lookupRequest("z"))
+		},
 			callResult{kind: completed, payload: "z"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newTestEnv(t, envOptions{limit: burstOfOne})
-			if got := w.mustCall(t, w.client, bidRequest("done", 1, "x")); got.kind != completed {
+			env := newTestEnv(t, envOptions{limit: burstOfOne})
+			if got := env.mustCall(t, env.client, bidRequest("done", 1, "x")); got.kind != completed {
 				t.Fatalf("the first request: %+v", got)
 			}
 			// A burst keeps one place for who was told to return.
-			if got := w.mustCall(t, w.client, bidRequest("returned", 2, "x")); got.kind != completed {
+			if got := env.mustCall(t, env.client, bidRequest("returned", 2, "x")); got.kind != completed {
 				t.Fatalf("the returning request: %+v", got)
 			}
-			if got := c.send(w); got != c.want {
+			if got := c.send(env); got != c.want {
 				t.Errorf("told %+v, want %+v", got, c.want)
 			}
 		})
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -28,7 +28,9 @@
 	closed chan struct{}
 }
 
-func newPipeListener() *pipeListener { return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+}
 
 func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
--- a/internal/gateway/loops.go
+++ b/internal/gateway/loops.go
@@ -12,8 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// tappedNotices tells streams of the notices that the instances controller
-// reads.
+// tappedNotices reads notices for the instances controller and passes each one on to
+// the streams that use the instance.
 type tappedNotices struct {
 	cloud instances.Notices
 	board *noticeBoard
@@ -21,17 +21,18 @@
 
 // Notices implements instances.Notices.
 func (t *tappedNotices) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
-	// EndsIn counts from when the notice was read at the earliest: from
-	// before the request.
-	asked := time.Now()
+	// EndsIn counts from when the platform answered. Adding it to the time before the
+	// request gives an end that is never too late.
+	requestedAt := time.Now()
 	read, err := t.cloud.Notices(ctx, after)
 	for _, n := range read {
-		t.board.Record(n.Instance, n.Incarnation, asked.Add(n.EndsIn))
+		t.board.Record(n.Instance, n.Incarnation, requestedAt.Add(n.EndsIn))
 	}
 	return read, err
 }
 
-// controllerLoops are the controllers that keep the blackboard, by name.
+// controllerLoops returns, by name, the loops that keep the blackboard, the calls and
+// admission up to date.
 func (p *Process) controllerLoops() map[string]func(context.Context) error {
 	listing := instances.New(instances.DefaultConfig(p.self.ID, p.self.Incarnation), instances.Deps{
 		List:        p.platform,
@@ -57,7 +58,7 @@
 	}
 }
 
-// followUpstreams keeps admission informed of the upstreams and of the number
+// followUpstreams keeps admission up to date about the upstreams and about the number
 // of gateways that share the documents' limits.
 func (p *Process) followUpstreams(ctx context.Context) error {
 	for {
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -8,28 +8,29 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// instanceIncarnation is one life of an instance.
+// instanceIncarnation is one incarnation of an instance.
 type instanceIncarnation struct {
 	id          ident.Instance
 	incarnation ident.Incarnation
 }
 
-// noticeBoard tells streams that their upstream is to be reclaimed. Notices
-// are rare and watches are one for each attempt, so one lock serves all.
+// noticeBoard tells streams that their upstream is to be reclaimed. Notices are rare
+// and an attempt has a single watch, so one lock is enough.
 type noticeBoard struct {
-	mu      sync.Mutex
-	endTimes    map[instanceIncarnation]time.Time
-	watches map[instanceIncarnation]map[chan streaming.Notice]struct{}
+	mu       sync.Mutex
+	endTimes map[instanceIncarnation]time.Time
+	watches  map[instanceIncarnation]map[chan streaming.Notice]struct{}
 }
 
 func newNoticeBoard() *noticeBoard {
 	return &noticeBoard{
-		endTimes:    map[instanceIncarnation]time.Time{},
-		watches: map[instanceIncarnation]map[chan streaming.Notice]struct{}{},
+		endTimes: map[instanceIncarnation]time.Time{},
+		watches:  map[instanceIncarnation]map[chan streaming.Notice]struct{}{},
 	}
 }
 
-// Record records that an instance ends at a time and tells its watches.
+// Record stores the time at which an instance ends and notifies its watches. It ignores
+// a time that is not earlier than the known one.
 func (n *noticeBoard) Record(id ident.Instance, incarnation ident.Incarnation, end time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,7 +45,8 @@
 	}
 }
 
-// sendNotice leaves at most one notice in a channel, which its stream reads once.
+// sendNotice puts a notice into a channel unless it holds one already: its stream reads
+// only one.
 func sendNotice(watch chan streaming.Notice, end time.Time) {
 	select {
 	case watch <- streaming.Notice{Deadline: end}:
@@ -52,11 +54,11 @@
 	}
 }
 
-// noticeRetention is how long a notice is kept after the instance's end, for
-// attempts that were on their way to it.
+// noticeRetention is how long a notice is kept after the instance's end, for attempts
+// that were just being sent to the instance.
 const noticeRetention = time.Minute
 
-// dropExpired drops the notices of instances that ended long ago. The lock is held.
+// dropExpired drops the notices whose retention has ended. The caller holds the lock.
 func (n *noticeBoard) dropExpired(now time.Time) {
 	for key, end := range n.endTimes {
 		if now.Sub(end) > noticeRetention {
--- a/internal/gateway/overhead_test.go
+++ b/internal/gateway/overhead_test.go
@@ -88,16 +88,16 @@
 	clients := connectupstream.NewClients(nil)
 	b.Cleanup(clients.Close)
 	many := concurrency.Config{Initial: 4096, Min: 4096, Max: 4096}
-	w := newTestEnv(b, envOptions{
+	env := newTestEnv(b, envOptions{
 		plain:     connectupstream.NewPlain(clients, url),
 		engine:    connectupstream.NewEngine(clients, url),
 		admission: admission.Config{Concurrency: many},
 		level:     hclog.Info,
 	})
-	w.board.Documents.Publish(manyClasses())
+	env.board.Documents.Publish(manyClasses())
 	engines := manyEngines()
-	w.board.Upstreams.Publish(engines)
-	w.handler.admission.SetUpstreams(modelService, aliveIDs(engines.ByService[modelService]))
+	env.board.Upstreams.Publish(engines)
+	env.handler.admission.SetUpstreams(modelService, aliveIDs(engines.ByService[modelService]))
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
 	client := &http.Client{Transport: &http.Transport{Protocols: &protocols}}
@@ -106,9 +106,9 @@
 	// The gateway asks upstreams for no compression either.
 	plainBytes := connect.WithAcceptCompression("gzip", nil, nil)
 	return &benchEnv{
-		testEnv:  w,
-		plain:  upstreamv1connect.NewPlainServiceClient(client, bare, plainBytes),
-		engine: upstreamv1connect.NewEngineServiceClient(client, bare, plainBytes),
+		testEnv: env,
+		plain:   upstreamv1connect.NewPlainServiceClient(client, bare, plainBytes),
+		engine:  upstreamv1connect.NewEngineServiceClient(client, bare, plainBytes),
 	}
 }
 
@@ -239,13 +239,13 @@
 }
 
 func benchmarkCalls(b *testing.B, concurrent int) {
-	w := newBenchEnv(b)
+	env := newBenchEnv(b)
 	each := max(1, minCallsPerRound/concurrent)
 	ctx := context.Background()
 	payload := make([]byte, 512)
 	direct := func() error {
 		for range each {
-			if _, err := w.plain.Invoke(ctx, &upstreamv1.InvokeRequest{Method: "find_lot", Payload: payload}); err != nil {
+			if _, err := env.plain.Invoke(ctx, &upstreamv1.InvokeRequest{Method: "find_lot", Payload: payload}); err != nil {
 				return err
 			}
 		}
@@ -253,7 +253,7 @@
 	}
 	through := func() error {
 		for range each {
-			resp, err := w.client.Call(ctx, lookupRequest(string(payload)))
+			resp, err := env.client.Call(ctx, lookupRequest(string(payload)))
 			if err != nil {
 				return err
 			}
@@ -276,10 +276,10 @@
 }
 
 func benchmarkTokens(b *testing.B, concurrent int) {
-	w := newBenchEnv(b)
+	env := newBenchEnv(b)
 	ctx := context.Background()
 	direct := func() error {
-		stream, err := w.engine.Generate(ctx, &upstreamv1.GenerateRequest{
+		stream, err := env.engine.Generate(ctx, &upstreamv1.GenerateRequest{
 			RequestId: uuid.NewString(), Attempt: 1, Prompt: "lot 7", MaxTokens: streamTokens,
 		})
 		if err != nil {
@@ -299,7 +299,7 @@
 	through := func() error {
 		req := generateRequest(uuid.NewString(), "lot 7", streamTokens)
 		req.Class = string(className(int(turn.Add(1))))
-		got, err := generate(ctx, w.client, req)
+		got, err := generate(ctx, env.client, req)
 		if err != nil || len(got.tokens) != streamTokens {
 			return fmt.Errorf("%d tokens, %v: %w", len(got.tokens), got.outcome, err)
 		}
--- a/internal/gateway/peering/peers.go
+++ b/internal/gateway/peering/peers.go
@@ -76,10 +76,10 @@
 
 // remote is another gateway.
 type remote struct {
-	id      ident.Instance
-	address string
-	sameDomain    bool
-	peers   *Peers
+	id         ident.Instance
+	address    string
+	sameDomain bool
+	peers      *Peers
 }
 
 // ID implements calls.Peer.
--- a/internal/gateway/plains.go
+++ b/internal/gateway/plains.go
@@ -19,24 +19,24 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// maxAttempts bounds the attempts of one idempotent call, whatever the budget
-// still holds.
+// maxAttempts bounds the attempts of one idempotent call, even if the retry budget
+// allows more.
 const maxAttempts = 4
 
-// plainDialer reaches plain services.
+// plainDialer returns clients of plain services.
 type plainDialer interface {
 	Plain(address string) upstream.Plain
 }
 
-// plainDispatcher sends calls to plain services. For calls with a key it is the
-// dispatcher of package calls, which decides when to send; for idempotent ones
-// it retries by itself, from a budget.
+// plainDispatcher sends calls to plain services. For calls with a key it implements
+// calls.Dispatcher, and package calls decides when to send. Idempotent calls it retries
+// itself, within a retry budget.
 type plainDispatcher struct {
 	documents *blackboard.Section[*document.Set]
 	router    *upstreamRouter
 	dialer    plainDialer
 	leaving   leavingNotes
-	attempts   attemptRecorder
+	attempts  attemptRecorder
 	budgets   *retryBudgets
 	backoff   retry.Backoff
 	explain   *explain.Recorder
@@ -56,17 +56,17 @@
 	return explain.Subject{Request: c.request, Service: c.doc.Service, Account: c.account}
 }
 
-// Run sends an idempotent call until it is answered, the budget is empty or
-// ctx ends.
+// Run sends an idempotent call until an upstream answers, no further attempt is allowed
+// or possible, or ctx ends.
 func (p *plainDispatcher) Run(ctx context.Context, call idempotentCall) outcome.Outcome {
 	budget := p.budgets.forService(call.doc.Service)
 	budget.FirstTry()
 	var tried []ident.Instance
-	ran := false
+	mayHaveRun := false
 	for attempt := 1; ; attempt++ {
 		u, decision, found := p.decide(ctx, call.doc, call.account, tried)
 		if !found {
-			return unansweredOutcome(ran, outcome.ReasonNoUpstream, "no upstream can take the call now")
+			return unansweredOutcome(mayHaveRun, outcome.ReasonNoUpstream, "no upstream can take the call now")
 		}
 		route := routing.Request{Service: call.doc.Service, Account: call.account}
 		answer, err := p.send(ctx, u, plainAttempt{subject: call.subject(), route: route, decision: decision, attempt: attempt,
@@ -74,26 +74,27 @@
 		if err == nil {
 			return answeredOutcome(answer)
 		}
-		ran = ran || upstream.Ran(err)
+		mayHaveRun = mayHaveRun || upstream.Ran(err)
 		if ctx.Err() != nil {
-			return unansweredOutcome(ran, contextReason(ctx), "the request was given up before an upstream answered")
+			return unansweredOutcome(mayHaveRun, contextReason(ctx), "the request was given up before an upstream answered")
 		}
 		if attempt == maxAttempts || !retry.Retryable(err, true, upstream.Ran(err)) {
-			return unansweredOutcome(ran, outcome.ReasonUpstreamLost, "no upstream answered")
+			return unansweredOutcome(mayHaveRun, outcome.ReasonUpstreamLost, "no upstream answered")
 		}
 		if !budget.Spend(time.Now()) {
-			return unansweredOutcome(ran, outcome.ReasonOverloaded, "too many retries at this time")
+			return unansweredOutcome(mayHaveRun, outcome.ReasonOverloaded, "too many retries at this time")
 		}
 		tried = append(tried, u.Instance.ID)
 		if !pause.For(ctx, p.backoff.Delay(attempt, call.request)) {
-			return unansweredOutcome(ran, contextReason(ctx), "the request was given up before an upstream answered")
+			return unansweredOutcome(mayHaveRun, contextReason(ctx), "the request was given up before an upstream answered")
 		}
 	}
 }
 
-// unansweredOutcome is the truthful answer for an idempotent call without an answer.
-func unansweredOutcome(ran bool, reason outcome.Reason, message string) outcome.Outcome {
-	if ran {
+// unansweredOutcome returns the outcome of an idempotent call that no upstream
+// answered: unknown if it may have run, and not run otherwise.
+func unansweredOutcome(mayHaveRun bool, reason outcome.Reason, message string) outcome.Outcome {
+	if mayHaveRun {
 		return outcome.NewUnknown(reason, message, noUpstreamRetryAfter)
 	}
 	return outcome.NewNotRun(reason, message, noUpstreamRetryAfter)
@@ -133,16 +134,17 @@
 	request  upstream.InvokeRequest
 }
 
-// send sends one request, once, and tells everyone who learns from it.
-func (p *plainDispatcher) send(ctx context.Context, u blackboard.Upstream, s plainAttempt) (upstream.Answer, error) {
+// send sends one request, without retries, and reports its result to the router, the
+// membership, admission and the explain recorder.
+func (p *plainDispatcher) send(ctx context.Context, u blackboard.Upstream, a plainAttempt) (upstream.Answer, error) {
 	ctx, span, end := startSpan(ctx, p.tracer, "upstream attempt", trace.WithSpanKind(trace.SpanKindClient),
-		trace.WithAttributes(upstreamKey.String(string(u.Instance.ID)), attemptKey.Int(s.attempt)))
+		trace.WithAttributes(upstreamKey.String(string(u.Instance.ID)), attemptKey.Int(a.attempt)))
 	defer end()
-	flight := p.router.start(s.decision, s.route)
-	p.attempts.RecordAttemptStart(s.route.Service, u.Instance.ID)
-	answer, err := p.dialer.Plain(u.Instance.Address).Invoke(ctx, s.request)
-	took := time.Since(flight.sentAt)
-	flight.end(plainRoutingResult(err))
+	active := p.router.start(a.decision, a.route)
+	p.attempts.RecordAttemptStart(a.route.Service, u.Instance.ID)
+	answer, err := p.dialer.Plain(u.Instance.Address).Invoke(ctx, a.request)
+	took := time.Since(active.sentAt)
+	active.end(plainRoutingResult(err))
 	if err != nil {
 		span.SetStatus(codes.Error, errorCodeText(err))
 		took = 0
@@ -150,18 +152,18 @@
 	if isLeaving(err) {
 		p.leaving.NoteLeaving(u.Instance.ID, u.Instance.Incarnation)
 	}
-	p.attempts.RecordAttemptEnd(s.route.Service, attemptResult{
+	p.attempts.RecordAttemptEnd(a.route.Service, attemptResult{
 		upstream:   u.Instance.ID,
-		sentAt:       flight.sentAt,
-		inFlight:   flight.inFlight,
+		sentAt:     active.sentAt,
+		inFlight:   active.inFlight,
 		firstToken: took,
 		failed:     err != nil && !isLeaving(err) && ctx.Err() == nil,
 	})
-	p.explain.RecordAttempt(s.subject, explain.Attempt{
+	p.explain.RecordAttempt(a.subject, explain.Attempt{
 		Upstream:   u.Instance.ID,
-		Cause:      attemptCause(s.attempt),
-		Reasons:    s.decision.Reasons,
-		Predicted:  s.decision.FirstToken,
+		Cause:      attemptCause(a.attempt),
+		Reasons:    a.decision.Reasons,
+		Predicted:  a.decision.FirstToken,
 		FirstToken: took,
 		Error:      errorCodeText(err),
 	})
@@ -185,8 +187,8 @@
 	return "retry"
 }
 
-// errorCodeText names an upstream's error for operators by its code alone: its text
-// may hold what a caller sent.
+// errorCodeText returns the code of an upstream's error for operators. It leaves the
+// error's text out, which may contain what a caller sent.
 func errorCodeText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -1,6 +1,7 @@
-// Package gateway is the process that callers reach: it admits, routes and
-// retries requests, streams answers, and hands over what it has in progress
-// when it leaves. Its parts meet on the blackboard; this package wires them.
+// Package gateway is the process that callers connect to. It admits, routes and retries
+// requests, streams answers, and hands its unfinished requests over to other gateways
+// when it leaves. Its parts share their state on the blackboard; this package creates
+// and connects them.
 package gateway
 
 import (
@@ -35,11 +36,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// maxExplainEvents is how many attempts and endings a gateway remembers.
+// maxExplainEvents is the number of attempts and endings that a gateway keeps for
+// operators who ask about a request.
 const maxExplainEvents = 4096
 
-// listeningEvent is the line on stdout by which whoever started the process learns
-// the ports that the kernel chose.
+// listeningEvent is the JSON line on stdout that tells whoever started the process
+// which ports the kernel chose.
 type listeningEvent struct {
 	Event     string         `json:"event"`
 	Instance  ident.Instance `json:"instance"`
@@ -70,13 +72,13 @@
 	peers     *peering.Peers
 	handler   *handler
 	ready     *readiness
-	// reclaimed gets the time left when this instance is to be reclaimed.
+	// reclaimed receives the time left until this instance is reclaimed.
 	reclaimed chan time.Duration
-	// certificate is shown to callers; nil is plaintext.
+	// certificate is presented to callers; nil serves plaintext.
 	certificate *certificate.Reloader
 }
 
-// listeners are a gateway's open ports.
+// listeners are a gateway's open listeners.
 type listeners struct{ callers, peers, operators net.Listener }
 
 func listen(addresses settings.GatewayListen) (listeners, error) {
@@ -99,7 +101,7 @@
 	return l, nil
 }
 
-// close closes what is open.
+// close closes the listeners that are open.
 func (l listeners) close() {
 	for _, opened := range []net.Listener{l.callers, l.peers, l.operators} {
 		if opened != nil {
@@ -108,7 +110,7 @@
 	}
 }
 
-// New opens the ports and wires the parts. Run starts them.
+// New opens the listeners and connects the gateway's parts. Run starts them.
 func New(s *settings.Gateway) (*Process, error) {
 	t, err := telemetry.Setup(telemetryConfig(s))
 	if err != nil {
@@ -151,7 +153,7 @@
 	}
 }
 
-// ownInstance describes this process's own instance.
+// ownInstance returns the description of this process's own instance.
 func ownInstance(s *settings.Gateway, l listeners) platform.Instance {
 	incarnation := s.Instance.Incarnation
 	if incarnation == 0 {
@@ -169,7 +171,7 @@
 	}
 }
 
-// wire makes the parts and connects them.
+// wire creates the parts and connects them.
 func (p *Process) wire() error {
 	if err := p.wireTLS(); err != nil {
 		return err
@@ -180,7 +182,8 @@
 	return nil
 }
 
-// wireTLS makes what needs certificates. Errors name the file that is bad.
+// wireTLS creates the parts that need certificates. An error names the file that cannot
+// be used.
 func (p *Process) wireTLS() error {
 	var err error
 	if p.certificate, err = callersCertificate(p.settings.TLS.Callers); err != nil {
@@ -205,7 +208,7 @@
 	return out
 }
 
-// wireState makes the controllers that write the blackboard.
+// wireState creates the controllers that write to the blackboard.
 func (p *Process) wireState() {
 	revision := &ownRevision{}
 	config := membership.DefaultConfig(p.self)
@@ -240,19 +243,19 @@
 	}
 }
 
-// wireRequests makes what serves callers.
+// wireRequests creates the parts that serve callers.
 func (p *Process) wireRequests() {
 	metrics := &admission.Metrics{}
 	metrics.Publish()
 	p.admission = admission.New(admission.Config{Metrics: metrics})
-	learned := &admissionRecorder{admission: p.admission}
-	routes := &upstreamRouter{board: p.board, domain: p.self.FailureDomain, ejections: p.admission}
-	plains := &plainDispatcher{
+	attempts := &admissionRecorder{admission: p.admission}
+	router := &upstreamRouter{board: p.board, domain: p.self.FailureDomain, ejections: p.admission}
+	dispatcher := &plainDispatcher{
 		documents: p.board.Documents,
-		router:    routes,
+		router:    router,
 		dialer:    p.dialer,
 		leaving:   p.members,
-		attempts:   learned,
+		attempts:  attempts,
 		budgets:   &retryBudgets{},
 		backoff:   retry.DefaultBackoff,
 		explain:   p.recorder,
@@ -262,7 +265,7 @@
 		Instance:    p.self.ID,
 		Incarnation: p.self.Incarnation,
 		Log:         p.platform,
-		Dispatcher:  plains,
+		Dispatcher:  dispatcher,
 		Peers:       p.peers,
 		Documents:   p.board.Documents,
 		Health:      p.board.Journal,
@@ -272,27 +275,27 @@
 	streamConfig := p.streamConfig()
 	runner := streaming.NewRunner(streamConfig, &enginePicker{
 		documents: p.board.Documents,
-		router:    routes,
+		router:    router,
 		dialer:    p.dialer,
 		leaving:   p.members,
 		notices:   p.notices,
-		attempts:   learned,
+		attempts:  attempts,
 		explain:   p.recorder,
 		tracer:    p.tracer,
-	}, plains.budgets, nil)
+	}, dispatcher.budgets, nil)
 	p.streams = streaming.NewRegistry(streamConfig, runner)
 	p.handler = &handler{
-		documents: p.board.Documents,
-		stopping:  p.board.Stopping,
-		admission: p.admission,
-		router:    routes,
-		dispatcher:    plains,
-		calls:     p.calls,
-		streams:   p.streams,
-		explain:   p.recorder,
-		log:       p.log.Named("requests"),
-		tracer:    p.tracer,
-		auth:      auth.New(credentials(p.settings.ClientAccounts)),
+		documents:  p.board.Documents,
+		stopping:   p.board.Stopping,
+		admission:  p.admission,
+		router:     router,
+		dispatcher: dispatcher,
+		calls:      p.calls,
+		streams:    p.streams,
+		explain:    p.recorder,
+		log:        p.log.Named("requests"),
+		tracer:     p.tracer,
+		auth:       auth.New(credentials(p.settings.ClientAccounts)),
 	}
 }
 
@@ -303,8 +306,8 @@
 	return c
 }
 
-// requestLeave asks the process to leave within a time. Only the first
-// request counts.
+// requestLeave tells the process to leave within the given time. All requests after the
+// first are ignored.
 func (p *Process) requestLeave(left time.Duration) {
 	select {
 	case p.reclaimed <- left:
@@ -312,7 +315,7 @@
 	}
 }
 
-// announce prints where the process listens.
+// announce prints the addresses that the process listens on.
 func (p *Process) announce(stdout io.Writer) error {
 	return json.NewEncoder(stdout).Encode(listeningEvent{
 		Event:     "listening",
--- a/internal/gateway/readiness.go
+++ b/internal/gateway/readiness.go
@@ -8,14 +8,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// warmUp is how long a new gateway waits for what it would like to know before
-// it gets callers. After that it serves what it can: in a failure domain that
-// is cut off, some of it may never come.
+// warmUp is how long a new gateway waits until it knows an upstream of each service and
+// has read the journal. After that it is ready without them and serves what it can: in
+// a failure domain that is cut off, they may never become known.
 const warmUp = 10 * time.Second
 
 // readiness tells whether a gateway should get callers.
 type readiness struct {
-	board *blackboard.Board
+	board     *blackboard.Board
 	startedAt time.Time
 }
 
@@ -40,7 +40,7 @@
 	return true, ""
 }
 
-// serviceWithoutUpstream returns a service without a known upstream.
+// serviceWithoutUpstream returns a service that has no known upstream, if any.
 func (r *readiness) serviceWithoutUpstream() (ident.Service, bool) {
 	upstreams := r.board.Upstreams.Value()
 	for service := range r.board.Documents.Value().Services {
--- a/internal/gateway/results.go
+++ b/internal/gateway/results.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// outcomeCounts counts what callers were told, by kind of outcome.
+// outcomeCounts counts the outcomes sent to callers, by kind.
 var outcomeCounts = expvar.NewMap("goldcrestspool.gateway.outcomes")
 
 // retryBudgets keeps one retry budget for each service.
@@ -26,10 +26,11 @@
 	return added.(*retry.Budget)
 }
 
-// Take implements streaming.Budget. A stream that goes on after a reclaim, a
-// cut connection or at another gateway has been accepted and must finish, so
-// its attempts are not the budget's to refuse; a reclaim ends each of them at
-// most once. What could become a storm is trying again at engines that fail.
+// Take implements streaming.Budget. It charges nothing for a first attempt, nor for one
+// that continues a stream after a reclaim notice, after a cut connection or at another
+// gateway: that stream was accepted and must finish, and a reclaim ends each attempt at
+// most once. Only repeats at engines that fail could grow into a retry storm, so only
+// these are charged.
 func (b *retryBudgets) Take(req streaming.Request, cause streaming.Cause) bool {
 	switch cause {
 	case streaming.CauseFirst, streaming.CauseNotice, streaming.CauseMoved, streaming.CauseResumed:
@@ -38,17 +39,17 @@
 	return b.forService(req.Ask.Service).Spend(time.Now())
 }
 
-// admissionRecorder tells admission how attempts at upstreams end.
+// admissionRecorder reports attempts at upstreams to the admission controller.
 type admissionRecorder struct{ admission *admission.Controller }
 
 var _ attemptRecorder = (*admissionRecorder)(nil)
 
-// RecordAttemptStart implements upstreamResults.
+// RecordAttemptStart implements attemptRecorder.
 func (r *admissionRecorder) RecordAttemptStart(service ident.Service, id ident.Instance) {
 	r.admission.Sending(service, id)
 }
 
-// RecordAttemptEnd implements upstreamResults.
+// RecordAttemptEnd implements attemptRecorder.
 func (r *admissionRecorder) RecordAttemptEnd(service ident.Service, a attemptResult) {
 	observed := admission.Result{
 		Upstream:   a.upstream,
@@ -65,6 +66,8 @@
 	r.admission.Observe(service, observed, unloaded)
 }
 
-// targetUnloadedLatency is the unloaded latency with which an attempt at its target, taken
-// as one second, neither widens nor narrows the upstream's limit.
+// targetUnloadedLatency is the unloaded latency reported for an attempt whose latency
+// is known as a ratio to its target. The target is taken as one second; with this value
+// an attempt exactly at its target neither raises nor lowers the upstream's concurrency
+// limit.
 const targetUnloadedLatency = time.Second / concurrency.DefaultTolerance
--- a/internal/gateway/routes.go
+++ b/internal/gateway/routes.go
@@ -11,17 +11,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
 )
 
-// maxExplainedUpstreams is the number of upstreams up to which every decision records
-// its reasons. Reasons allocate for each upstream, and with hundreds of them
-// recording would cost more than deciding.
+// maxExplainedUpstreams is the number of a service's upstreams up to which each
+// decision records its reasons. Recording allocates memory for each upstream; with
+// hundreds of upstreams it would cost more than the decision.
 const maxExplainedUpstreams = 32
 
-// ejections tells which upstreams get no request now.
+// ejections returns the upstreams that get no requests now because they are ejected or
+// under a probe.
 type ejections interface {
 	Ejected(service ident.Service) []ident.Instance
 }
 
-// upstreamRouter decides by this gateway's view of the upstreams. It takes no lock.
+// upstreamRouter chooses upstreams from this gateway's view of them. It is safe for
+// concurrent use and takes no lock.
 type upstreamRouter struct {
 	board     *blackboard.Board
 	domain    ident.FailureDomain
@@ -52,8 +54,8 @@
 	return blackboard.Upstream{}, false
 }
 
-// decide chooses an upstream. An ejected upstream is chosen only when there is
-// no other, since a slow answer is better than none.
+// decide chooses an upstream. It chooses an ejected upstream only if there is no other,
+// since a slow answer is better than none.
 func (r *upstreamRouter) decide(doc *document.Document, req routing.Request) routing.Decision {
 	view := r.view(doc.Service)
 	req.FailureDomain = r.domain
@@ -69,28 +71,31 @@
 	return router.Decide(doc, view, req, time.Now())
 }
 
-// start notes that an attempt goes out as decided.
+// start records that an attempt is sent to the upstream of a decision.
 func (r *upstreamRouter) start(d routing.Decision, req routing.Request) *activeAttempt {
 	router := r.serviceRouter(req.Service)
 	now := time.Now()
 	return &activeAttempt{router: router, ticket: router.Started(d, req, now), sentAt: now, inFlight: router.Outstanding(d.Upstream)}
 }
 
-// activeAttempt is an attempt under way.
+// activeAttempt is an attempt that has not ended.
 type activeAttempt struct {
 	router   *routing.Router
 	ticket   routing.Ticket
-	sentAt     time.Time
+	sentAt   time.Time
 	inFlight int
 }
 
-// recordFirstToken notes that the prompt is computed.
-func (f *activeAttempt) recordFirstToken() { f.router.FirstToken(&f.ticket, time.Now()) }
+// recordFirstToken records that the first token arrived, so that the prompt is
+// computed.
+func (a *activeAttempt) recordFirstToken() { a.router.FirstToken(&a.ticket, time.Now()) }
 
-func (f *activeAttempt) end(result routing.Result) { f.router.Finished(&f.ticket, result, time.Now()) }
+func (a *activeAttempt) end(result routing.Result) {
+	a.router.Finished(&a.ticket, result, time.Now())
+}
 
-// streamRoutingRequest returns what routing needs to know of a token stream that has
-// delivered some tokens already.
+// streamRoutingRequest returns the routing request of a token stream whose caller
+// already has the delivered tokens.
 func streamRoutingRequest(doc *document.Document, class document.Class, account ident.ClientAccount, text string, maxTokens uint32, delivered []string) routing.Request {
 	tokens := prompt.Tokens(text) + len(delivered)
 	return routing.Request{
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	// shutdownReserve is kept free of a stop's time for answering callers, closing
-	// listeners and flushing traces.
+	// shutdownReserve is the part of the stop time that is kept for answering callers,
+	// closing listeners and flushing traces.
 	shutdownReserve = 500 * time.Millisecond
-	// reclaimMargin is kept free before an announced reclaim.
+	// reclaimMargin is the time by which the process leaves before an announced
+	// reclaim.
 	reclaimMargin = time.Second
 )
 
-// Run serves until it is told to stop, or until its instance is to be
-// reclaimed, then leaves gracefully.
+// Run serves until a stop signal or a reclaim notice arrives, then leaves gracefully.
+// It returns early with an error if a part fails.
 func (p *Process) Run(signals program.Signals, stdout io.Writer) error {
 	servers, err := p.servers()
 	if err != nil {
 		p.listeners.close()
 		return err
 	}
-	// The loops go on while the process leaves: hand-over and the journal
-	// need them.
+	// The loops keep running while the process leaves, because the hand-over and the
+	// journal need them.
 	loopsCtx, endLoops := context.WithCancel(context.Background())
 	defer endLoops()
 	failed := make(chan error, 1)
@@ -52,12 +53,12 @@
 	return err
 }
 
-// servers are what answers on the three ports.
+// servers are the servers behind the three listeners.
 type servers struct {
 	callers    *http.Server
 	operations *operations.Server
 	peers      *peer.Server
-	stopPeers   context.CancelFunc
+	stopPeers  context.CancelFunc
 }
 
 func (p *Process) servers() (*servers, error) {
@@ -84,8 +85,8 @@
 	}, nil
 }
 
-// start runs the servers and the controllers. The first that fails while the
-// process should run is sent to failed.
+// start runs the servers and the controllers. The first error that occurs before ctx
+// ends is sent to failed.
 func (p *Process) start(ctx context.Context, s *servers, failed chan<- error) *sync.WaitGroup {
 	var running sync.WaitGroup
 	run := func(name string, work func() error) {
@@ -115,7 +116,8 @@
 	return serve(server, p.listeners.callers, p.certificate)
 }
 
-// awaitStop waits for a reason to leave and returns how long that may take.
+// awaitStop waits for a stop signal, a reclaim notice or the failure of a part. It
+// returns how long leaving may take.
 func (p *Process) awaitStop(signals program.Signals, failed <-chan error) (time.Duration, error) {
 	limit := p.settings.Limits.StopTimeout
 	select {
@@ -131,46 +133,46 @@
 	}
 }
 
-// leave stops gracefully: no new work, what is in progress is finished or
-// handed over, the journal is flushed. A second signal cuts it short.
+// leave stops gracefully: it accepts no new work, finishes or hands over the requests
+// in progress and flushes the journal. A second signal ends this at once.
 func (p *Process) leave(signals program.Signals, s *servers, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(signals.Kill, limit)
 	defer cancel()
 	p.board.Stopping.Publish(true)
 	var parts sync.WaitGroup
-	var cut error
+	var callsErr error
 	parts.Go(func() {
 		report := p.streams.Leave(ctx, max(limit-streamHandOverReserve-shutdownReserve, 0), p.peers.StreamPeers())
-		p.log.Info("token streams left", "handed_over", report.HandedOver, "left", report.Left)
+		p.log.Info("token streams handed over", "handed_over", report.HandedOver, "left", report.Left)
 	})
-	parts.Go(func() { cut = p.calls.Stop(ctx) })
+	parts.Go(func() { callsErr = p.calls.Stop(ctx) })
 	parts.Wait()
-	if cut != nil {
-		p.log.Warn("calls were cut off", "error", cut)
+	if callsErr != nil {
+		p.log.Warn("cannot finish all calls before stopping", "error", callsErr)
 	}
 	if err := s.callers.Shutdown(ctx); err != nil {
-		p.log.Warn("callers were cut off", "error", err)
+		p.log.Warn("cannot answer all callers before stopping", "error", err)
 	}
 	p.streams.Close()
 	return p.flush(signals)
 }
 
-// streamHandOverReserve is the part of a stop's time that is kept for handing over
-// the streams that are not finished by then.
+// streamHandOverReserve is the part of the stop time that is kept for handing over
+// unfinished streams.
 const streamHandOverReserve = 2 * time.Second
 
-// flush writes the last spans.
+// flush exports the remaining trace spans.
 func (p *Process) flush(signals program.Signals) error {
 	ctx, cancel := context.WithTimeout(signals.Kill, shutdownReserve)
 	defer cancel()
 	if err := p.telemetry.Shutdown(ctx); err != nil {
-		p.log.Warn("spans were lost", "error", err)
+		p.log.Warn("cannot flush trace spans", "error", err)
 	}
 	p.log.Info("stopped")
 	return signals.Kill.Err()
 }
 
-// close ends all servers.
+// close stops all servers.
 func (s *servers) close() {
 	s.stopPeers()
 	_ = s.callers.Close()
--- a/internal/gateway/secrets_test.go
+++ b/internal/gateway/secrets_test.go
@@ -30,13 +30,13 @@
 // errors quote the request and name addresses.
 // Cause: an upstream's error text passed on as it is.
 func TestNothingThatCallersSendIsLoggedOrTraced(t *testing.T) {
-	w := newTestEnv(t, envOptions{engine: &quotingEngine{Engine: newEngine(t)}})
+	env := newTestEnv(t, envOptions{engine: &quotingEngine{Engine: newEngine(t)}})
 	// With three upstreams a booking is given up on after its last target.
 	upstreams := envUpstreams()
 	third := upstreams.ByService[plainService][1]
 	third.Instance.ID, third.Instance.Address = "app-3", "app-3"
 	upstreams.ByService[plainService] = append(upstreams.ByService[plainService], third)
-	w.board.Upstreams.Publish(upstreams)
+	env.board.Upstreams.Publish(upstreams)
 	quote := func(kind error) func(invocation) (upstream.Answer, error) {
 		return func(i invocation) (upstream.Answer, error) {
 			text := "10.9.8.7:443 says: cannot run " + string(i.request.Payload)
@@ -50,13 +50,13 @@
 	var told strings.Builder
 	for _, kind := range []error{nil, upstream.ErrLeaving, upstream.ErrNotSent} {
 		for i, req := range []string{"first", "second", "third", "fourth"} {
-			w.first.answer, w.second.answer = quote(kind), quote(kind)
+			env.first.answer, env.second.answer = quote(kind), quote(kind)
 			for _, call := range []bool{true, false} {
 				message := lookupRequest("secret-payload")
 				if call {
 					message = bidRequest(fmt.Sprint(req, i, kind), 1, "secret-payload")
 				}
-				resp, err := w.client.Call(ctx, message)
+				resp, err := env.client.Call(ctx, message)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -64,21 +64,21 @@
 			}
 		}
 	}
-	if got, err := generate(ctx, w.client, generateRequest(streamID, "secret-prompt", 4)); err != nil || len(got.tokens) != 4 {
+	if got, err := generate(ctx, env.client, generateRequest(streamID, "secret-prompt", 4)); err != nil || len(got.tokens) != 4 {
 		t.Errorf("%+v %v", got, err)
 	}
 	malformed := generateRequest("secret-id", "secret-prompt", 0)
-	if _, err := generate(ctx, w.client, malformed); err == nil {
+	if _, err := generate(ctx, env.client, malformed); err == nil {
 		t.Error("no error for a malformed request")
 	}
-	if _, err := w.clientWithToken(t, "secret-wrong-token").Call(ctx, lookupRequest("secret-payload")); err == nil {
+	if _, err := env.clientWithToken(t, "secret-wrong-token").Call(ctx, lookupRequest("secret-payload")); err == nil {
 		t.Error("no error for a wrong token")
 	}
 	inSpans := traceText(caller.TraceID())
-	if !strings.Contains(inSpans, "upstream attempt") || !strings.Contains(w.output.String(), "request refused or failed") {
+	if !strings.Contains(inSpans, "upstream attempt") || !strings.Contains(env.output.String(), "request refused or failed") {
 		t.Fatal("nothing was logged or traced")
 	}
-	for place, text := range map[string]string{"log": w.output.String(), "spans": inSpans, "outcomes": told.String()} {
+	for place, text := range map[string]string{"log": env.output.String(), "spans": inSpans, "outcomes": told.String()} {
 		for line := range strings.Lines(text) {
 			if strings.Contains(line, "secret-") || strings.Contains(line, "10.9.8.7") {
 				t.Errorf("in the %s: %s", place, line)
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -8,8 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// sink sends the events of a token stream to a caller. Generate and Resume
-// have the same events in messages of their own.
+// sink sends the events of a token stream to a caller. Generate and Resume send the
+// same events in messages of different types.
 type sink struct {
 	tokens    func(*callerv1.TokenFrame) error
 	heartbeat func() error
@@ -54,14 +54,14 @@
 // Heartbeat implements streaming.Sink.
 func (s *sink) Heartbeat() error { return s.heartbeat() }
 
-// sendOutcome sends the last event.
+// sendOutcome sends the outcome, which is the last event.
 func (s *sink) sendOutcome(o outcome.Outcome) error { return s.outcome(toWire(o)) }
 
-// firstTokenSink tells admission when the first token comes.
+// firstTokenSink calls onFirstToken before it passes the first tokens on.
 type firstTokenSink struct {
 	streaming.Sink
 	onFirstToken func()
-	notified bool
+	notified     bool
 }
 
 // Tokens implements streaming.Sink.
--- a/internal/gateway/slow.go
+++ b/internal/gateway/slow.go
@@ -6,40 +6,38 @@
 )
 
 const (
-	// callerWriteTimeout is how long a caller's connection may take in nothing of
-	// what is sent to it.
+	// callerWriteTimeout is the longest time that one write to a caller may take.
 	//
-	// What goes wrong without: a caller's connection goes silent for good.
-	// Writes to it fill the kernel's buffer and then block for as long as
-	// the kernel keeps sending again, a quarter of an hour, and hold the
-	// request's memory and slot.
+	// Without it, writes to a connection that went silent for good would fill the
+	// kernel's buffer and then block while the kernel retransmits, for a quarter of an
+	// hour. All that time the request would hold its memory and its slot.
 	callerWriteTimeout = 10 * time.Second
 	// callerReadTimeout is how long a caller may take to send a request's body.
 	//
-	// What goes wrong without: a caller sends its header and then nothing,
-	// or a byte a minute. Each such request holds a goroutine, a buffer and
-	// a place among its connection's streams for as long as the caller
-	// likes.
+	// Without it, a caller that sends its header and then nothing, or a byte a minute,
+	// would hold a goroutine, a buffer and one of its connection's streams for as long
+	// as it likes.
 	callerReadTimeout = 10 * time.Second
 )
 
-// callerTimeouts bound how slow a caller may be.
+// callerTimeouts are the timeouts for reading the body of a request and for each write
+// of the response.
 type callerTimeouts struct{ read, write time.Duration }
 
-// withCallerTimeouts returns a handler whose requests end when the caller is slower
-// than the limits in sending its request or in taking in the answer.
-func withCallerTimeouts(next http.Handler, limits callerTimeouts) http.Handler {
+// withCallerTimeouts returns a handler that ends the requests of callers that are too
+// slow to send the body or to read the response.
+func withCallerTimeouts(next http.Handler, timeouts callerTimeouts) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
-		// A request without a body is read to its end already, and a
-		// deadline would end it: the server goes on to read the connection
-		// in order to notice its end.
+		// A request without a body gets no read deadline. The server goes on reading
+		// its connection in order to notice when it closes, and the deadline would end
+		// the request.
 		if r.Body != http.NoBody {
-			_ = control.SetReadDeadline(time.Now().Add(limits.read))
+			_ = control.SetReadDeadline(time.Now().Add(timeouts.read))
 		}
-		writer := &deadlineWriter{ResponseWriter: w, control: control, timeout: limits.write}
+		writer := &deadlineWriter{ResponseWriter: w, control: control, timeout: timeouts.write}
 		next.ServeHTTP(writer, r)
-		// What is still buffered is written now.
+		// The server writes what is still buffered after this handler returns.
 		writer.extendDeadline()
 	})
 }
@@ -48,24 +46,24 @@
 type deadlineWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
-	timeout   time.Duration
+	timeout time.Duration
 }
 
 // Write implements io.Writer.
-func (l *deadlineWriter) Write(data []byte) (int, error) {
-	l.extendDeadline()
-	return l.ResponseWriter.Write(data)
+func (w *deadlineWriter) Write(data []byte) (int, error) {
+	w.extendDeadline()
+	return w.ResponseWriter.Write(data)
 }
 
 // Flush implements http.Flusher.
-func (l *deadlineWriter) Flush() {
-	l.extendDeadline()
-	_ = l.control.Flush()
+func (w *deadlineWriter) Flush() {
+	w.extendDeadline()
+	_ = w.control.Flush()
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (l *deadlineWriter) Unwrap() http.ResponseWriter { return l.ResponseWriter }
+func (w *deadlineWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// extendDeadline sets the deadline anew. A connection without deadlines (in tests) has
-// none to set.
-func (l *deadlineWriter) extendDeadline() { _ = l.control.SetWriteDeadline(time.Now().Add(l.timeout)) }
+// extendDeadline sets a new write deadline. It ignores the error of a connection that
+// has no deadlines, as in some tests.
+func (w *deadlineWriter) extendDeadline() { _ = w.control.SetWriteDeadline(time.Now().Add(w.timeout)) }
--- a/internal/gateway/span.go
+++ b/internal/gateway/span.go
@@ -19,9 +19,9 @@
 	refusedKey  = attribute.Key("refused")
 )
 
-// startSpan begins the span of a step inside the gateway. The function that
-// ends it, unlike a deferred trace.Span.End, keeps a panic's value out of the
-// span: it may quote what a caller sent.
+// startSpan begins the span of a step inside the gateway. The returned function ends
+// it. Unlike a deferred trace.Span.End, that function does not record the value of a
+// panic in the span: it may quote what a caller sent.
 func startSpan(ctx context.Context, tracer trace.Tracer, name string, options ...trace.SpanStartOption) (context.Context, trace.Span, func()) {
 	ctx, span := tracer.Start(ctx, name, options...)
 	return ctx, span, func() { span.End() }
--- a/internal/gateway/span_test.go
+++ b/internal/gateway/span_test.go
@@ -27,7 +27,7 @@
 
 // traceRecorder are the spans that upstreams heard of, by the path of their requests.
 type traceRecorder struct {
-	mu     sync.Mutex
+	mu      sync.Mutex
 	parents map[string]trace.SpanContext
 }
 
@@ -51,7 +51,7 @@
 
 // startPeer starts a peer and returns the peers of a gateway that knows it.
 func startPeer(t *testing.T) func(*testEnv) calls.Peers {
-	return func(w *testEnv) calls.Peers {
+	return func(env *testEnv) calls.Peers {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -69,10 +69,10 @@
 		var running sync.WaitGroup
 		running.Go(func() { _ = server.Serve(ctx, listener, time.Second) })
 		t.Cleanup(func() { pool.Close(); cancel(); running.Wait() })
-		w.board.Members.Publish(&blackboard.Members{ByID: map[ident.Instance]blackboard.Member{"entry-2": {State: blackboard.Alive, Instance: platform.Instance{
+		env.board.Members.Publish(&blackboard.Members{ByID: map[ident.Instance]blackboard.Member{"entry-2": {State: blackboard.Alive, Instance: platform.Instance{
 			ID: "entry-2", Role: platform.RoleEntry, PeerAddress: listener.Addr().String(),
 		}}}})
-		return &peering.Peers{Self: "entry-1", Domain: "hall-a", Members: w.board.Members, Client: pool}
+		return &peering.Peers{Self: "entry-1", Domain: "hall-a", Members: env.board.Members, Client: pool}
 	}
 }
 
@@ -113,14 +113,14 @@
 }
 
 func TestSpansOfEachHopContinueTheCallersTrace(t *testing.T) {
-	upstreams := &traceRecorder{parents: map[string]trace.SpanContext{}}
+	recorder := &traceRecorder{parents: map[string]trace.SpanContext{}}
 	mux := http.NewServeMux()
 	connectupstream.MountEngine(mux, newEngine(t))
 	connectupstream.MountPlain(mux, &fakePlain{})
-	url := testkit.Serve(t, upstreams.record(mux))
+	url := testkit.Serve(t, recorder.record(mux))
 	clients := connectupstream.NewClients(nil)
 	t.Cleanup(clients.Close)
-	w := newTestEnv(t, envOptions{
+	env := newTestEnv(t, envOptions{
 		plain:  connectupstream.NewPlain(clients, url),
 		engine: connectupstream.NewEngine(clients, url),
 		peers:  startPeer(t),
@@ -136,14 +136,20 @@
 		// upstream hears of the span of the last chain at this path.
 		upstream string
 	}{
-		"a look-up": {func(ctx context.Context) error { _, err := w.client.Call(ctx, lookupRequest("x")); return err },
+		"a look-up": {func(ctx context.Context) error { _, err := env.client.Call(ctx, lookupRequest("x")); return err },
 			[]string{"call(server) > admission", "call(server) > routing", "call(server) > upstream attempt(client)"}, invoke},
-		"a booking": {func(ctx context.Context) error { _, err := w.client.Call(ctx, bidRequest("traced", 1, "x")); return err },
+		"a booking": {func(ctx context.Context) error {
+			_, err := env.client.Call(ctx, bidRequest("traced", 1, "x"))
+			return err
+		},
 			[]string{"call(server) > admission", "call(server) > routing", "call(server) > journal", "call(server) > upstream attempt(client)"}, invoke},
-		"a token stream": {func(ctx context.Context) error { _, err := generate(ctx, w.client, generateRequest(streamID, "p", 3)); return err },
+		"a token stream": {func(ctx context.Context) error {
+			_, err := generate(ctx, env.client, generateRequest(streamID, "p", 3))
+			return err
+		},
 			[]string{"generate(server) > admission", "generate(server) > routing", "generate(server) > stream attempt(client)"}, produce},
 		"an outcome that a peer may know": {func(ctx context.Context) error {
-			_, err := w.client.GetOutcome(ctx, &callerv1.GetOutcomeRequest{Service: plainService, IdempotencyKey: "elsewhere"})
+			_, err := env.client.GetOutcome(ctx, &callerv1.GetOutcomeRequest{Service: plainService, IdempotencyKey: "elsewhere"})
 			return err
 		}, []string{"get outcome(server) > " + findPeer + "(client) > " + findPeer + "(server)"}, ""},
 	}
@@ -165,9 +171,9 @@
 			if c.upstream == "" {
 				return
 			}
-			upstreams.mu.Lock()
-			defer upstreams.mu.Unlock()
-			got := upstreams.parents[c.upstream]
+			recorder.mu.Lock()
+			defer recorder.mu.Unlock()
+			got := recorder.parents[c.upstream]
 			if got.TraceID() != caller.TraceID() || got.SpanID() != last {
 				t.Errorf("the upstream heard of trace %v span %v, want span %v", got.TraceID(), got.SpanID(), last)
 			}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// explainHandler answers with what is remembered of a request.
+// explainHandler answers with the recorded attempts and endings of a request.
 func explainHandler(recorder *explain.Recorder) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := ident.Request(r.URL.Query().Get(report.RequestParameter))
--- a/internal/gateway/tls_test.go
+++ b/internal/gateway/tls_test.go
@@ -30,13 +30,13 @@
 func newTLSEnv(t *testing.T) *tlsEnv {
 	t.Helper()
 	dir := t.TempDir()
-	s := &tlsEnv{
-		testEnv:     newTestEnv(t, envOptions{}),
+	env := &tlsEnv{
+		testEnv:   newTestEnv(t, envOptions{}),
 		authority: testkit.NewAuthority(t),
 		pair:      settings.KeyPair{Cert: filepath.Join(dir, "callers.pem"), Key: filepath.Join(dir, "callers.key")},
 	}
-	s.serial = s.renewCertificate()
-	shown, err := callersCertificate(s.pair)
+	env.serial = env.renewCertificate()
+	shown, err := callersCertificate(env.pair)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,20 +44,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := newCallersServer(s.handler, envLimits())
+	server := newCallersServer(env.handler, envLimits())
 	go func() { _ = serve(server, listener, shown) }()
 	t.Cleanup(func() { _ = server.Close() })
-	s.address = listener.Addr().String()
-	return s
+	env.address = listener.Addr().String()
+	return env
 }
 
-func (s *tlsEnv) renewCertificate() int64 { return s.authority.Issue(s.pair.Cert, s.pair.Key, "gateway") }
+func (env *tlsEnv) renewCertificate() int64 {
+	return env.authority.Issue(env.pair.Cert, env.pair.Key, "gateway")
+}
 
 // connect returns the state of a new connection.
-func (s *tlsEnv) connect(t *testing.T, config *tls.Config) (tls.ConnectionState, error) {
+func (env *tlsEnv) connect(t *testing.T, config *tls.Config) (tls.ConnectionState, error) {
 	t.Helper()
-	config.RootCAs = s.authority.Pool()
-	conn, err := tls.Dial("tcp", s.address, config)
+	config.RootCAs = env.authority.Pool()
+	conn, err := tls.Dial("tcp", env.address, config)
 	if err != nil {
 		return tls.ConnectionState{}, err
 	}
@@ -66,32 +68,32 @@
 }
 
 func TestCallersGetTLS(t *testing.T) {
-	s := newTLSEnv(t)
+	env := newTLSEnv(t)
 	t.Run("callers choose HTTP/2 or HTTP/1.1 by ALPN", func(t *testing.T) {
 		for _, protocol := range []string{"h2", "http/1.1"} {
 			var protocols http.Protocols
 			protocols.SetHTTP1(protocol == "http/1.1")
 			protocols.SetHTTP2(protocol == "h2")
-			secure := &http.Transport{Protocols: &protocols, TLSClientConfig: &tls.Config{RootCAs: s.authority.Pool()}}
+			secure := &http.Transport{Protocols: &protocols, TLSClientConfig: &tls.Config{RootCAs: env.authority.Pool()}}
 			t.Cleanup(secure.CloseIdleConnections)
-			client := callerv1connect.NewCallerServiceClient(&http.Client{Transport: bearer{token: registrarToken, next: secure}}, "https://"+s.address)
-			if got := s.mustCall(t, client, lookupRequest("x")); got.kind != completed {
+			client := callerv1connect.NewCallerServiceClient(&http.Client{Transport: bearer{token: registrarToken, next: secure}}, "https://"+env.address)
+			if got := env.mustCall(t, client, lookupRequest("x")); got.kind != completed {
 				t.Errorf("%s: %+v", protocol, got)
 			}
 			if got, err := generate(context.Background(), client, generateRequest(streamID, "p", 3)); err != nil || len(got.tokens) != 3 {
 				t.Errorf("%s: %+v %v", protocol, got, err)
 			}
-			state, err := s.connect(t, &tls.Config{NextProtos: []string{protocol}})
+			state, err := env.connect(t, &tls.Config{NextProtos: []string{protocol}})
 			if err != nil || state.NegotiatedProtocol != protocol {
 				t.Errorf("%s: negotiated %q %v", protocol, state.NegotiatedProtocol, err)
 			}
 		}
 	})
 	t.Run("fresh connections resume the session", func(t *testing.T) {
-		client := transport.NewClient(transport.Options{FreshConnections: true, TLS: &tls.Config{RootCAs: s.authority.Pool()}})
+		client := transport.NewClient(transport.Options{FreshConnections: true, TLS: &tls.Config{RootCAs: env.authority.Pool()}})
 		connect := func() (resumed bool) {
 			trace := &httptrace.ClientTrace{TLSHandshakeDone: func(state tls.ConnectionState, _ error) { resumed = state.DidResume }}
-			req, err := http.NewRequestWithContext(httptrace.WithClientTrace(context.Background(), trace), http.MethodGet, "https://"+s.address, nil)
+			req, err := http.NewRequestWithContext(httptrace.WithClientTrace(context.Background(), trace), http.MethodGet, "https://"+env.address, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -108,7 +110,7 @@
 		}
 	})
 	t.Run("nothing before TLS 1.3 is spoken", func(t *testing.T) {
-		if _, err := s.connect(t, &tls.Config{MaxVersion: tls.VersionTLS12}); err == nil {
+		if _, err := env.connect(t, &tls.Config{MaxVersion: tls.VersionTLS12}); err == nil {
 			t.Error("TLS 1.2 was accepted")
 		}
 	})
@@ -119,40 +121,40 @@
 // Sequence: the files are replaced, one after the other, while the process runs.
 // Cause: they are read only at the start, or half-way.
 func TestRenewedCertificateIsServedWithoutARestart(t *testing.T) {
-	s := newTLSEnv(t)
+	env := newTLSEnv(t)
 	served := func() int64 {
-		state, err := s.connect(t, &tls.Config{})
+		state, err := env.connect(t, &tls.Config{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return state.PeerCertificates[0].SerialNumber.Int64()
 	}
-	if got := served(); got != s.serial {
-		t.Fatalf("serial %d, want %d", got, s.serial)
+	if got := served(); got != env.serial {
+		t.Fatalf("serial %d, want %d", got, env.serial)
 	}
-	old, err := os.ReadFile(s.pair.Key)
+	old, err := os.ReadFile(env.pair.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	renewed := s.renewCertificate()
-	key, err := os.ReadFile(s.pair.Key)
+	renewed := env.renewCertificate()
+	key, err := os.ReadFile(env.pair.Key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.writeKey(t, old)
-	if got := served(); got != s.serial {
-		t.Errorf("serial %d while the key is not there yet, want %d", got, s.serial)
+	env.writeKey(t, old)
+	if got := served(); got != env.serial {
+		t.Errorf("serial %d while the key is not there yet, want %d", got, env.serial)
 	}
-	s.writeKey(t, key)
+	env.writeKey(t, key)
 	if got := served(); got != renewed {
 		t.Errorf("serial %d, want the renewed %d", got, renewed)
 	}
 }
 
 // writeKey replaces the key file.
-func (s *tlsEnv) writeKey(t *testing.T, key []byte) {
+func (env *tlsEnv) writeKey(t *testing.T, key []byte) {
 	t.Helper()
-	if err := os.WriteFile(s.pair.Key, append(key, '\n'), 0o600); err != nil {
+	if err := os.WriteFile(env.pair.Key, append(key, '\n'), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/gateway/wire.go
+++ b/internal/gateway/wire.go
@@ -12,7 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// toWire returns an outcome as callers get it. The kinds share their numbers.
+// toWire returns an outcome as callers get it. Each kind has the same number in both
+// types.
 func toWire(o outcome.Outcome) *callerv1.Outcome {
 	w := &callerv1.Outcome{
 		Kind:    callerv1.OutcomeKind(o.Kind),
@@ -25,8 +26,8 @@
 	return w
 }
 
-// wireError returns an error as callers get it. Texts of errors without a
-// code stay inside: they may name addresses.
+// wireError returns an error as callers get it. It keeps back the text of an error
+// without a code, which may name addresses.
 func wireError(err error) error {
 	code := errcode.Of(err)
 	if code == errcode.Unknown {
--- a/internal/platform/connectplatform/client.go
+++ b/internal/platform/connectplatform/client.go
@@ -56,7 +56,7 @@
 		cloud:     platformv1connect.NewCloudServiceClient(client, baseURL),
 		weights:   platformv1connect.NewWeightServiceClient(client, baseURL),
 		timeout:   requestTimeout,
-		readGrace:     readGrace,
+		readGrace: readGrace,
 	}
 }
 
--- a/internal/upstream/connectupstream/engine.go
+++ b/internal/upstream/connectupstream/engine.go
@@ -120,11 +120,11 @@
 // tokenStream is one attempt at a remote engine. Next is for one goroutine;
 // Close may come from another.
 type tokenStream struct {
-	frames  *connect.ServerStreamForClient[upstreamv1.GenerateResponse]
-	cancel  context.CancelFunc
-	first *upstream.Frame
-	done    bool
-	closeOnce    sync.Once
+	frames    *connect.ServerStreamForClient[upstreamv1.GenerateResponse]
+	cancel    context.CancelFunc
+	first     *upstream.Frame
+	done      bool
+	closeOnce sync.Once
 }
 
 // Next implements upstream.TokenStream.
