--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -1,6 +1,5 @@
-// Package auth tells which client account a caller belongs to, by a bearer
-// token. Only SHA-256 digests of tokens are held, so that settings and memory
-// dumps give no token away.
+// Package auth finds the client account of a caller by its bearer token. It holds only
+// the SHA-256 digests of tokens, so that settings and memory dumps reveal no token.
 package auth
 
 import (
@@ -19,8 +18,8 @@
 
 const bearerPrefix = "Bearer "
 
-// errUnauthenticated is the one answer to a missing and to a wrong token, so
-// that nobody learns which tokens exist.
+// errUnauthenticated is the answer both to a missing and to a wrong token, so that
+// callers do not learn which tokens exist.
 var errUnauthenticated = errcode.New(errcode.Unauthenticated, "a valid bearer token is required")
 
 // Digest is the SHA-256 digest of a token.
@@ -40,8 +39,8 @@
 	return &Authenticator{credentials: slices.Clone(credentials)}
 }
 
-// Authenticate returns the client account of an Authorization header. It
-// compares with every digest in constant time, so that timing tells nothing.
+// Authenticate returns the client account of an Authorization header. It compares with
+// every digest in constant time, so that the time taken reveals nothing.
 func (a *Authenticator) Authenticate(header string) (ident.ClientAccount, error) {
 	token, ok := strings.CutPrefix(header, bearerPrefix)
 	if !ok {
@@ -78,7 +77,7 @@
 // in its context. It answers requests without a valid token itself, without
 // reading their body, and calls refused for each.
 func (a *Authenticator) Middleware(next http.Handler, refused func(*http.Request)) http.Handler {
-	errors := connect.NewErrorWriter()
+	errorWriter := connect.NewErrorWriter()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		account, err := a.Authenticate(r.Header.Get("Authorization"))
 		if err == nil {
@@ -86,11 +85,11 @@
 			return
 		}
 		refused(r)
-		if !errors.IsSupported(r) {
+		if !errorWriter.IsSupported(r) {
 			http.Error(w, err.Error(), http.StatusUnauthorized)
 			return
 		}
-		// The caller may be gone; there is nobody left to tell.
-		_ = errors.Write(w, r, connect.NewError(connect.CodeUnauthenticated, err))
+		// The error is ignored: it means that the caller's connection is gone.
+		_ = errorWriter.Write(w, r, connect.NewError(connect.CodeUnauthenticated, err))
 	})
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain remembers why recent requests went where they went, so that
-// an operator can ask a gateway about a request ID.
+// Package explain keeps the routing decisions and the outcomes of recent requests, so
+// that an operator can ask a gateway about a request ID.
 package explain
 
 import (
@@ -21,17 +21,17 @@
 // Attempt is one upstream that was tried, with the decision behind it.
 type Attempt struct {
 	Upstream ident.Instance `json:"upstream"`
-	// Cause of the attempt: "first" or why one before it was not enough.
+	// Cause is "first", or why the attempt before did not answer the request.
 	Cause   string           `json:"cause"`
 	Reasons []routing.Reason `json:"reasons,omitempty"`
-	// Predicted and FirstToken are times to the first token, or to the
-	// answer of a plain service; FirstToken is 0 when none came.
+	// Predicted and FirstToken are times to the first token, or to the answer of a
+	// plain service. FirstToken is 0 if none came.
 	Predicted  time.Duration `json:"predicted_first_token_ns"`
 	FirstToken time.Duration `json:"first_token_ns,omitempty"`
 	Error      string        `json:"error,omitempty"`
 }
 
-// Ending is what the caller was told.
+// Ending is the outcome that the caller got.
 type Ending struct {
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason,omitempty"`
@@ -46,16 +46,17 @@
 	at      time.Time
 }
 
-// Record is what is remembered of one request, oldest first.
+// Record holds the kept events of one request, oldest first.
 type Record struct {
 	Subject
 	Attempts []Attempt `json:"attempts"`
 	Endings  []Ending  `json:"endings"`
-	// Since is when the oldest remembered event happened.
+	// Since is the time of the oldest kept event.
 	Since time.Time `json:"since"`
 }
 
-// Recorder keeps the last events of a gateway in a ring. Adding takes no lock.
+// Recorder keeps the newest events of a gateway in a ring buffer. It is safe for
+// concurrent use, and adding an event takes no lock.
 type Recorder struct {
 	next  atomic.Uint64
 	slots []atomic.Pointer[event]
@@ -66,12 +67,12 @@
 	return &Recorder{slots: make([]atomic.Pointer[event], size)}
 }
 
-// RecordAttempt remembers an attempt that has ended.
+// RecordAttempt adds an attempt that has ended.
 func (r *Recorder) RecordAttempt(s Subject, a Attempt) {
 	r.add(&event{subject: s, attempt: &a, at: time.Now()})
 }
 
-// RecordEnding remembers what a caller was told.
+// RecordEnding adds the outcome that a caller got.
 func (r *Recorder) RecordEnding(s Subject, e Ending) {
 	r.add(&event{subject: s, ending: &e, at: time.Now()})
 }
@@ -82,8 +83,8 @@
 	r.slots[slot].Store(e)
 }
 
-// Find returns what is remembered of a request. Client accounts choose request
-// IDs, so there may be a record for each account that used the same one.
+// Find returns the records of a request ID. Client accounts choose request IDs, so
+// several of them may have used the same one; each then has a record of its own.
 func (r *Recorder) Find(id ident.Request) []Record {
 	var records []Record
 	for _, e := range r.eventsOf(id) {
--- a/internal/gateway/loops.go
+++ b/internal/gateway/loops.go
@@ -21,8 +21,9 @@
 
 // Notices implements instances.Notices.
 func (t *tappedNotices) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
-	// EndsIn counts from when the platform answered. Adding it to the time before the
-	// request gives an end that is never too late.
+	// EndsIn counts from when the notice was read, at the earliest right after the
+	// request was sent. Counting from before the request gives an end that is never too
+	// late.
 	requestedAt := time.Now()
 	read, err := t.cloud.Notices(ctx, after)
 	for _, n := range read {
--- a/internal/gateway/peering/peers.go
+++ b/internal/gateway/peering/peers.go
@@ -16,14 +16,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// Client sends messages to the peer at an address; peer.Pool does.
+// Client sends requests to the peer at an address. peer.Pool implements it.
 type Client interface {
 	PutOutcomes(ctx context.Context, address string, req *peerv1.PutOutcomesRequest) (*peerv1.PutOutcomesResponse, error)
 	FindOutcome(ctx context.Context, address string, req *peerv1.FindOutcomeRequest) (*peerv1.FindOutcomeResponse, error)
 	HandOver(ctx context.Context, address string, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error)
 }
 
-// Peers knows the other gateways by the membership.
+// Peers finds the other gateways in the membership.
 type Peers struct {
 	Self    ident.Instance
 	Domain  ident.FailureDomain
@@ -33,8 +33,9 @@
 
 var _ calls.Peers = (*Peers)(nil)
 
-// alivePeers returns the gateways believed alive, those of other failure domains
-// first: a reclaim or cut of the own domain does not take them along.
+// alivePeers returns the other gateways that the membership holds to be alive. Those of
+// other failure domains come first, because a reclaim or a network cut of this
+// gateway's own domain does not affect them.
 func (p *Peers) alivePeers() []*remote {
 	var found []*remote
 	for _, m := range p.Members.Value().ByID {
@@ -117,8 +118,9 @@
 	return answer, nil
 }
 
-// HandOver implements calls.Peer. A peer that refuses says so before it takes
-// anything; any other error leaves open whether it took the calls.
+// HandOver implements calls.Peer. A peer that refuses has accepted nothing, and the
+// error then matches calls.ErrNotHanded. After any other error the peer may have
+// accepted the calls.
 func (r *remote) HandOver(ctx context.Context, h calls.HandOver) ([]journal.ClaimID, error) {
 	req := &peerv1.HandOverRequest{From: string(r.peers.Self)}
 	known := map[string]journal.ClaimID{}
@@ -145,7 +147,7 @@
 	return accepted, nil
 }
 
-// streamPeer is a gateway that takes streams over.
+// streamPeer is a gateway that streams can be handed over to.
 type streamPeer struct{ remote *remote }
 
 // HandOver implements streaming.Peer.
@@ -169,7 +171,7 @@
 	return accepted, nil
 }
 
-// Local is what this gateway does for its peers.
+// Local serves the requests of other gateways.
 type Local struct {
 	Calls interface {
 		PutOutcomes(outcomes []calls.KeyedOutcome)
@@ -179,7 +181,7 @@
 	Streams interface {
 		Accept(streams []streaming.Handed) []streaming.Key
 	}
-	// Stopping: a gateway that leaves takes nothing over.
+	// Stopping is whether this gateway is leaving; it then accepts no hand-over.
 	Stopping *blackboard.Section[bool]
 }
 
@@ -215,8 +217,8 @@
 	return resp, nil
 }
 
-// HandOver implements peer.Calls. Everything is checked before anything is
-// taken, so that an error means that nothing was.
+// HandOver implements peer.Calls. It checks the whole request before it accepts
+// anything, so an error means that nothing was accepted.
 func (l *Local) HandOver(_ context.Context, req *peerv1.HandOverRequest) (*peerv1.HandOverResponse, error) {
 	if l.Stopping.Value() {
 		return nil, errcode.New(errcode.FailedPrecondition, "this gateway is leaving itself")
--- a/internal/gateway/peering/wire.go
+++ b/internal/gateway/peering/wire.go
@@ -1,6 +1,5 @@
-// Package peering connects a gateway's calls and token streams to the peer
-// protocol: it translates their values to messages and back, and knows which
-// gateways to turn to.
+// Package peering connects a gateway's calls and token streams to the peer protocol: it
+// converts their values to messages and back, and finds the gateways to send them to.
 package peering
 
 import (
@@ -19,7 +18,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// callKey returns the scoped key of a message.
+// callKey returns an idempotency key with its service and client account.
 func callKey(service, account, key string) ident.CallKey {
 	return ident.CallKey{
 		Service: ident.Service(service),
@@ -28,7 +27,7 @@
 	}
 }
 
-// parseHead returns the parts of a message that say whose it is.
+// parseHead checks and returns the fields that identify the claim of a message.
 func parseHead(key ident.CallKey, claimID string, digest []byte, issuedAt *timestamppb.Timestamp) (journal.Head, error) {
 	id, err := uuid.Parse(claimID)
 	if err != nil {
--- a/internal/platform/connectplatform/client.go
+++ b/internal/platform/connectplatform/client.go
@@ -1,6 +1,6 @@
-// Package connectplatform speaks the platform's protocol over Connect: clients
-// that implement the interfaces of package platform, and handlers that serve
-// any implementation of them.
+// Package connectplatform implements the platform's protocol over Connect: clients that
+// implement the interfaces of package platform, and handlers that serve any
+// implementation of these interfaces.
 package connectplatform
 
 import (
@@ -19,22 +19,22 @@
 )
 
 const (
-	// requestTimeout bounds requests whose caller sets no deadline, or a later
-	// one: on a connection that went silent an answer never comes.
+	// requestTimeout bounds requests whose caller sets no deadline or a later one: on a
+	// connection that went silent no answer ever comes.
 	requestTimeout = 10 * time.Second
-	// readGrace is how much longer than its wait a read may take. A log that
-	// is slow by more than this cannot be read; a shorter grace would take a
-	// slow log for a silent connection.
+	// readGrace is how much longer than its wait a read may take. A log that is slower
+	// than this cannot be read; with a shorter grace a slow log would be taken for a
+	// silent connection.
 	readGrace = 5 * time.Second
 )
 
-// Client is the platform behind one base URL.
+// Client is a client of the platform at one base URL.
 type Client struct {
 	log       platformv1connect.LogServiceClient
 	instances platformv1connect.InstanceServiceClient
 	cloud     platformv1connect.CloudServiceClient
 	weights   platformv1connect.WeightServiceClient
-	// timeout and grace are constants but in tests.
+	// timeout and readGrace are the constants above, except in tests.
 	timeout, readGrace time.Duration
 }
 
@@ -45,10 +45,10 @@
 	_ platform.Weights   = (*Client)(nil)
 )
 
-// NewClient returns a client. The HTTP client has to come from
-// transport.NewClient: an append that it repeated would be in the log twice. It
-// should dial a connection for each request (transport.Options), so that a
-// connection that went silent costs one request at most.
+// NewClient returns a client. The HTTP client must come from transport.NewClient, which
+// repeats no request: a repeated append would be in the log twice. It should dial a
+// connection for each request (transport.Options.FreshConnections), so that a
+// connection that goes silent costs one request at most.
 func NewClient(client *http.Client, baseURL string) *Client {
 	return &Client{
 		log:       platformv1connect.NewLogServiceClient(client, baseURL),
@@ -179,8 +179,9 @@
 	}, nil
 }
 
-// uncertainKind says what may have become of a request with an effect that failed
-// without a word from the server.
+// uncertainKind returns the kind of error for a request that has an effect and failed
+// without a reason from the server: ErrUnavailable if it was not sent, and
+// ErrAnswerLost otherwise.
 func uncertainKind(attempt *transport.Attempt) error {
 	if attempt.NotSent() {
 		return platform.ErrUnavailable
--- a/internal/platform/connectplatform/convert.go
+++ b/internal/platform/connectplatform/convert.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// InstanceFromProto converts one line of the list. The numbers of roles and
-// states are the same in both.
+// InstanceFromProto converts one entry of the instance list. Roles and states have the
+// same numbers in both types.
 func InstanceFromProto(p *platformv1.Instance) platform.Instance {
 	return platform.Instance{
 		ID:            ident.Instance(p.GetId()),
@@ -29,7 +29,7 @@
 	}
 }
 
-// InstanceToProto converts one line of the list.
+// InstanceToProto converts one entry of the instance list.
 func InstanceToProto(i platform.Instance) *platformv1.Instance {
 	return &platformv1.Instance{
 		Id:            string(i.ID),
--- a/internal/platform/connectplatform/errors.go
+++ b/internal/platform/connectplatform/errors.go
@@ -28,7 +28,7 @@
 	headHeader  = "Goldcrestspool-Head-Offset"
 )
 
-// wireErrors pairs the errors that a platform answers with what is sent.
+// wireErrors maps the platform's errors to their codes and reasons on the wire.
 var wireErrors = []struct {
 	err    error
 	code   connect.Code
@@ -40,8 +40,8 @@
 	{platform.ErrOldFence, connect.CodeFailedPrecondition, reasonOldFence},
 }
 
-// toWire returns the error that a handler sends. A lost answer stays lost: the
-// connection is cut, as a real platform's answer would be.
+// toWire returns the error that a handler sends. For ErrAnswerLost it closes the
+// connection without an answer, so that the client loses the answer too.
 func toWire(err error) error {
 	if errors.Is(err, platform.ErrAnswerLost) {
 		panic(http.ErrAbortHandler)
@@ -54,7 +54,8 @@
 	return connect.NewError(transport.ConnectCode(errcode.Of(err)), err)
 }
 
-// expiredError adds the kept offsets to the error of a read.
+// expiredError returns the error of a read, with the first and head offsets of the log
+// in its headers.
 func expiredError(batch platform.Batch, err error) error {
 	wire := transport.NewError(connect.CodeOutOfRange, reasonExpired, err)
 	wire.Meta().Set(firstHeader, strconv.FormatUint(uint64(batch.First), 10))
@@ -62,7 +63,7 @@
 	return wire
 }
 
-// expiredBatch returns the kept offsets that came with an error.
+// expiredBatch returns the offsets that expiredError added to an error.
 func expiredBatch(err error) (platform.Batch, error) {
 	var wire *connect.Error
 	if !errors.As(err, &wire) {
@@ -79,16 +80,16 @@
 	return platform.Batch{First: ident.Offset(first), Head: ident.Offset(head)}, nil
 }
 
-// fromWire returns the error of a client. Without a reason from the server,
-// doubt says what may have happened.
-func fromWire(err, doubt error, operation string) error {
+// fromWire returns the error of a client's method. It is of the kind uncertain if the
+// server sent no reason.
+func fromWire(err, uncertain error, operation string) error {
 	reason := transport.ReasonOf(err)
 	for _, w := range wireErrors {
 		if w.reason == reason {
 			return wrapKind(w.err, err, operation)
 		}
 	}
-	return wrapKind(doubt, err, operation)
+	return wrapKind(uncertain, err, operation)
 }
 
 func wrapKind(kind, err error, operation string) error {
--- a/internal/platform/keyed.go
+++ b/internal/platform/keyed.go
@@ -8,19 +8,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// ErrConflict: a conditional write found another end of the topic than it named;
-// nothing was written.
+// ErrConflict means that the offset of a conditional write is not the end of the topic.
+// Nothing was written.
 var ErrConflict = errors.New("the topic has grown meanwhile")
 
 // KeyedRecord is a record of a keyed topic.
 type KeyedRecord struct {
 	Offset ident.Offset
 	Key    string
-	// Value is nil where the key was dropped.
+	// Value is nil if the key was dropped.
 	Value []byte
-	// Unreadable says why Key or Value could not be read; nil where both could. A
-	// topic may have other writers, and one record of theirs must not keep the
-	// others from being read.
+	// Unreadable is why Key or Value could not be read; nil if both could be. A topic
+	// may have other writers, and one bad record of theirs must not prevent the reading
+	// of the others.
 	Unreadable error
 }
 
@@ -33,24 +33,24 @@
 	First ident.Offset
 }
 
-// KeyedLog is a store of topics that keep the newest record of each key for
-// good, and a history of some seconds.
+// KeyedLog stores topics. A topic keeps the newest record of each key permanently, and
+// all records for some seconds as its history.
 type KeyedLog interface {
 	// Put appends one record. With a condition it is written only if the topic
 	// ends at that offset. Errors: ErrConflict, ErrUnavailable, ErrAnswerLost.
 	Put(ctx context.Context, topic, key string, value []byte, condition *ident.Offset) (ident.Offset, error)
-	// Follow returns the records from an offset on, waiting for a first one.
-	// Errors: ErrUnavailable; ErrExpired, with Batch.First set.
+	// Follow returns the records from an offset on. It waits up to wait for a first
+	// one. Errors: ErrUnavailable; ErrExpired, with KeyedBatch.First set.
 	Follow(ctx context.Context, topic string, from ident.Offset, wait time.Duration) (KeyedBatch, error)
-	// Newest returns the newest record of each key. Pages are not a snapshot:
-	// End is that of the first page, so that nothing is missed by following
-	// from there. each gets the records of a page as soon as it comes, unless it is nil:
-	// of a long listing the first page comes seconds before the last.
+	// Newest returns the newest record of each key. Its pages are not a snapshot: End
+	// is the end at the first page, so following from there misses nothing. Unless each
+	// is nil, it is called with the records of every page as soon as the page arrives:
+	// in a long listing the first page arrives seconds before the last.
 	Newest(ctx context.Context, topic string, each func([]KeyedRecord)) (KeyedBatch, error)
 }
 
-// DutyTimeout bounds a call of a duty: the cloud answers within some
-// milliseconds, and within 200 when it is slow. A lease's margin must exceed it.
+// DutyTimeout bounds each call of Duties. The cloud answers within some milliseconds,
+// and within 200 ms when it is slow. A lease's margin must be longer than this timeout.
 const DutyTimeout = 700 * time.Millisecond
 
 // ScaleOrder asks for a number of upstreams of one kind in one failure domain.
@@ -63,19 +63,21 @@
 
 // UsageReport counts the requests that began to run in a window of true time.
 type UsageReport struct {
-	// Window's start is Window times its length after the start of 1970.
+	// Window is the number of the window, which starts Window times its length after
+	// the Unix epoch.
 	Window int64
 	Counts map[ident.ClientAccount]int64
 }
 
 // Authority is the right to make a duty's call. The platform may not check fencing
-// numbers, so that the caller has to see to it that no call arrives after a later
-// holder's.
+// numbers, so the caller has to ensure that none of its calls arrives after a call of a
+// later holder.
 type Authority struct {
 	Fence ident.Fence
-	// Begin is asked right before the call's first byte leaves, after a connection was
-	// made: the process may have stood still since the right was granted. Without an
-	// error, ended must be called once nothing of the call can arrive any more.
+	// Begin is called right before the first byte of the call is sent, after the
+	// connection was made, because the process may have been paused since the right was
+	// granted. If it returns no error, ended must be called once no part of the call
+	// can arrive any more.
 	Begin func() (ended func(), err error)
 }
 
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform says what the system needs of the platform it runs on: a
-// log, a list of instances, a cloud API and a weight store. Adapters for
-// particular protocols live in packages of their own.
+// Package platform defines the interfaces of the platform that the system runs on: a
+// log, a list of instances, a cloud API and a weight store. Adapters for particular
+// protocols live in packages of their own.
 package platform
 
 import (
@@ -13,16 +13,17 @@
 
 // The errors that an adapter must tell apart; compare with errors.Is.
 var (
-	// ErrUnavailable: the platform did not take the request. For an append
-	// this means that the records are not in the log and never will be.
+	// ErrUnavailable means that the platform did not accept the request. The records of
+	// an append are then not in the log and never will be.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrAnswerLost: the request may have taken effect, now or later.
+	// ErrAnswerLost means that the request may have taken effect or may still do so.
 	ErrAnswerLost = errors.New("platform answer lost")
-	// ErrExpired: the records asked for are no longer kept.
+	// ErrExpired means that the requested records are no longer kept.
 	ErrExpired = errors.New("log records expired")
-	// ErrNoCapacity: the cloud has no such instance now.
+	// ErrNoCapacity means that the cloud has no such instance now.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrOldFence: the request carried an old fencing number; nothing ran.
+	// ErrOldFence means that the request carried an old fencing number and had no
+	// effect.
 	ErrOldFence = errors.New("old fencing number")
 )
 
@@ -30,7 +31,8 @@
 type Record struct {
 	Offset ident.Offset
 	Data   []byte
-	// AppendedAt is the log's clock; compare it only with itself.
+	// AppendedAt is a time of the log's clock; compare it only with times of the same
+	// clock.
 	AppendedAt time.Time
 }
 
@@ -45,8 +47,8 @@
 
 // Log is the platform's append-only log.
 type Log interface {
-	// Append adds records next to each other, or none of them, and returns
-	// the offset of the first. Errors: ErrUnavailable, ErrAnswerLost.
+	// Append adds all records at consecutive offsets, or none of them, and returns the
+	// offset of the first. Errors: ErrUnavailable, ErrAnswerLost.
 	Append(ctx context.Context, stream string, records [][]byte) (ident.Offset, error)
 	// Read returns up to limit records from offset from on. It waits up to
 	// wait for a first one and returns an empty batch if none came. Errors:
@@ -74,7 +76,7 @@
 	Ended   InstanceState = 3
 )
 
-// Instance is one line of the platform's list, which lags.
+// Instance is one entry of the platform's list, which lags behind.
 type Instance struct {
 	ID            ident.Instance
 	Incarnation   ident.Incarnation
@@ -91,14 +93,14 @@
 	State       InstanceState
 }
 
-// Instances lists the instances, some seconds late.
+// Instances lists the instances as they were some seconds ago.
 type Instances interface {
 	List(ctx context.Context) ([]Instance, error)
 }
 
 // StartRequest asks for one new instance.
 type StartRequest struct {
-	// StartID makes repeats of the same request harmless.
+	// StartID identifies the request, so that a repeat of it starts no second instance.
 	StartID       string
 	Service       ident.Service
 	Role          Role
@@ -113,7 +115,7 @@
 	Sequence    uint64
 	Instance    ident.Instance
 	Incarnation ident.Incarnation
-	// EndsIn counts from when the notice was read.
+	// EndsIn is the time that was left when the notice was read.
 	EndsIn time.Duration
 }
 
--- a/internal/upstream/connectupstream/clients.go
+++ b/internal/upstream/connectupstream/clients.go
@@ -1,6 +1,6 @@
-// Package connectupstream speaks the upstreams' protocols over Connect:
-// clients that implement the interfaces of package upstream, and handlers that
-// serve any implementation of them.
+// Package connectupstream implements the upstreams' protocols over Connect: clients
+// that implement the interfaces of package upstream, and handlers that serve any
+// implementation of these interfaces.
 package connectupstream
 
 import (
@@ -14,11 +14,12 @@
 
 // Clients are the HTTP clients that all upstreams of a process share.
 //
-// What goes wrong with kept connections: they can go silent for good while new
-// ones work. A call that may not be repeated then ends as unknown, a stream
-// waits for its first frame, a probe condemns an upstream that is well. All
-// these dial a connection each, and a dead path shows as a failed dial, which
-// is certain. docs/design/transport.md has the cost.
+// A kept connection can go silent for good while new connections work. On such a
+// connection a call that must not be repeated would end as unknown, a stream would wait
+// for its first frame, and a probe would fail although the upstream is healthy. All
+// these requests therefore dial a connection each. If the network path is down, the
+// dial fails and it is certain that nothing was sent. docs/design/transport.md has the
+// cost.
 type Clients struct {
 	// pooled keeps connections. It serves calls that may be repeated.
 	pooled *http.Client
@@ -35,9 +36,9 @@
 	}
 }
 
-// noCompression has upstreams answer without compression. Connect compresses each
-// frame by itself, and preparing the compressor for a token costs several times
-// what the rest of the token does, at both ends.
+// noCompression makes upstreams answer without compression. Connect compresses each
+// frame separately, and setting up the compressor for a token costs several times as
+// much as all other work on the token, at both ends.
 var noCompression = connect.WithAcceptCompression("gzip", nil, nil)
 
 // Close closes the connections that are not in use.
--- a/internal/upstream/connectupstream/engine.go
+++ b/internal/upstream/connectupstream/engine.go
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// tokenStream is one attempt at a remote engine. Next is for one goroutine;
-// Close may come from another.
+// tokenStream is one attempt at a remote engine. Next may be called by one goroutine
+// only; Close may be called by another one.
 type tokenStream struct {
 	frames    *connect.ServerStreamForClient[upstreamv1.GenerateResponse]
 	cancel    context.CancelFunc
@@ -149,14 +149,15 @@
 	return frameFromProto(s.frames.Msg()), nil
 }
 
-// Close implements upstream.TokenStream. The cancel goes first: it unblocks
-// Next, and closes the connection, by which the engine learns of it.
+// Close implements upstream.TokenStream. Cancelling the context unblocks Next and
+// closes the connection, from which the engine learns that the attempt is over.
 func (s *tokenStream) Close() error {
 	s.closeOnce.Do(s.cancel)
 	return nil
 }
 
-// orUnexpectedEOF gives a stream that ended without its last frame an error.
+// orUnexpectedEOF returns err, or io.ErrUnexpectedEOF for a stream that ended without
+// an error before its last frame.
 func orUnexpectedEOF(err error) error {
 	if err == nil {
 		return io.ErrUnexpectedEOF
--- a/internal/upstream/connectupstream/errors.go
+++ b/internal/upstream/connectupstream/errors.go
@@ -13,15 +13,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// The reasons on the wire. Each says that the upstream ran nothing.
+// The reasons on the wire. Each means that the upstream ran nothing.
 const (
 	reasonLeaving  transport.Reason = "leaving"
 	reasonOldFence transport.Reason = "old_fence"
 	reasonRefused  transport.Reason = "refused"
 )
 
-// wireErrors pairs an upstream's refusals with what is sent; the general one
-// comes last, because the others match it too.
+// wireErrors maps refusals to their codes and reasons on the wire. ErrRefused comes
+// last because the other errors match it too.
 var wireErrors = []struct {
 	err    error
 	code   connect.Code
@@ -32,9 +32,9 @@
 	{upstream.ErrRefused, connect.CodeFailedPrecondition, reasonRefused},
 }
 
-// refusalToWire returns the error that a handler sends for a refused request.
-// Any other failure cuts the connection: the client then knows as little as it
-// would of a real upstream that died.
+// refusalToWire returns the error that a handler sends for a refused request. On any
+// other failure it closes the connection without an answer, so that the client knows no
+// more than after the crash of a real upstream.
 func refusalToWire(ctx context.Context, err error) error {
 	for _, w := range wireErrors {
 		if errors.Is(err, w.err) {
@@ -47,9 +47,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// fromWire returns the error of a client. Only a refusal that the upstream
-// itself sent and a request that certainly was not sent are told apart: all
-// else may have run.
+// fromWire returns the error of a client's method. It recognizes refusals that the
+// upstream itself sent and requests that were certainly not sent. After any other error
+// the request may have run.
 func fromWire(err error, attempt *transport.Attempt, operation string) error {
 	reason := transport.ReasonOf(err)
 	for _, w := range wireErrors {
--- a/internal/upstream/connectupstream/server.go
+++ b/internal/upstream/connectupstream/server.go
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// heartbeatInterval is the longest silence of a served token stream.
+// heartbeatInterval is the longest time without a frame in a served token stream.
 const heartbeatInterval = 500 * time.Millisecond
 
 // MountPlain adds the handler of a plain service to a mux.
@@ -77,8 +77,8 @@
 
 type engineHandler struct{ engine upstream.Engine }
 
-// Generate sends a heartbeat as soon as the engine has taken the request, and
-// again whenever the engine is silent.
+// Generate sends a heartbeat as soon as the engine has accepted the request, and again
+// whenever the engine sends nothing for heartbeatInterval.
 func (h engineHandler) Generate(
 	ctx context.Context, req *upstreamv1.GenerateRequest, out *connect.ServerStream[upstreamv1.GenerateResponse],
 ) error {
@@ -109,7 +109,7 @@
 	err   error
 }
 
-// readFrames reads a stream to its end in a goroutine, which ends with ctx.
+// readFrames reads a stream to its end in a goroutine, which also ends with ctx.
 func readFrames(ctx context.Context, stream upstream.TokenStream) <-chan frameResult {
 	frames := make(chan frameResult)
 	go func() {
@@ -129,7 +129,7 @@
 	return frames
 }
 
-// forwardFrames sends frames, with heartbeats while there are none.
+// forwardFrames sends frames to the client, and heartbeats while there are none.
 func forwardFrames(
 	ctx context.Context, frames <-chan frameResult, heartbeat *upstreamv1.GenerateResponse,
 	out *connect.ServerStream[upstreamv1.GenerateResponse],
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,8 +1,8 @@
-// Package upstream says what the system needs of an upstream: a model engine
-// or a plain service. Adapters live in packages of their own.
+// Package upstream defines the interfaces of upstreams: model engines and plain
+// services. Adapters for particular protocols live in packages of their own.
 //
-// An adapter must never repeat a request by itself: the at-most-once promise
-// counts on one call of Invoke sending at most one request.
+// An adapter must never repeat a request by itself: calls run at most once only if each
+// call of Invoke sends at most one request.
 package upstream
 
 import (
@@ -16,13 +16,15 @@
 // The errors that an adapter must tell apart; compare with errors.Is. Any
 // other error means that the request may have run.
 var (
-	// ErrNotSent: no byte of the request left this process.
+	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = errors.New("request not sent")
-	// ErrRefused: the upstream answered that it ran nothing.
+	// ErrRefused means that the upstream answered that it ran nothing.
 	ErrRefused = errors.New("upstream refused the request")
-	// ErrLeaving: refused because the upstream is leaving. Is ErrRefused.
+	// ErrLeaving means that the upstream refused because it is leaving. It matches
+	// ErrRefused.
 	ErrLeaving = &refusal{"upstream is leaving"}
-	// ErrOldFence: refused because of an old fencing number. Is ErrRefused.
+	// ErrOldFence means that the upstream refused because of an old fencing number. It
+	// matches ErrRefused.
 	ErrOldFence = &refusal{"old fencing number"}
 )
 
@@ -42,14 +44,14 @@
 // GenerateRequest asks an engine for a token stream.
 type GenerateRequest struct {
 	Request ident.Request
-	// Attempt counts from 1. Frames echo it.
+	// Attempt counts from 1. The frames of the answer carry it too.
 	Attempt uint32
 	Prompt  string
 	// Delivered are the tokens that the caller already has.
 	Delivered []string
 	// MaxTokens is the length of the whole answer, Delivered included.
 	MaxTokens uint32
-	// Priority: higher is served first.
+	// Priority orders requests at the engine; a higher one is served first.
 	Priority int32
 }
 
@@ -64,7 +66,7 @@
 	// Prefilled is how many tokens this attempt had to prefill; it is set
 	// on the first frame.
 	Prefilled uint32
-	// Heartbeat marks an empty frame that proves the connection alive.
+	// Heartbeat marks an empty frame which shows that the connection works.
 	Heartbeat bool
 }
 
@@ -76,7 +78,7 @@
 	Close() error
 }
 
-// Report is an engine's load, some time ago.
+// Report is an engine's load as it was some time ago; see Age.
 type Report struct {
 	Instance            ident.Instance
 	Incarnation         ident.Incarnation
@@ -87,16 +89,17 @@
 	// BatchTokens is how many tokens the running batch holds in memory.
 	BatchTokens    int
 	Model, Version string
-	// Age of the figures when they were sent.
+	// Age is how old the values were when the engine sent them.
 	Age time.Duration
 	// PrefillRate is in tokens a second.
 	PrefillRate float64
-	// Step is the time between two tokens of one stream now.
+	// Step is the current time between two tokens of one stream.
 	Step         time.Duration
 	AppliedFence ident.Fence
 }
 
-// CacheEvent tells that a prefix block came into or left an engine's cache.
+// CacheEvent reports that a prefix block was stored in an engine's cache or removed
+// from it.
 type CacheEvent struct {
 	Sequence uint64
 	Stored   bool
@@ -104,8 +107,8 @@
 	Block uint64
 }
 
-// Order is a wanted state for an engine. It is absolute, so that repeats and
-// late arrivals of the same order are harmless.
+// Order is the desired state of an engine. It gives the whole state and not a change,
+// so it does no harm if the same order arrives repeatedly or late.
 type Order struct {
 	Fence          ident.Fence
 	Model, Version string
@@ -117,7 +120,8 @@
 type Engine interface {
 	Generate(ctx context.Context, req GenerateRequest) (TokenStream, error)
 	Report(ctx context.Context) (Report, error)
-	// CacheEvents returns events above after, late and with gaps.
+	// CacheEvents returns the events whose sequence is above after. Events come late,
+	// and some are missing.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 	ExportCache(ctx context.Context, id ident.Request) ([]byte, error)
 	// ImportCache returns how many tokens were imported.
@@ -129,24 +133,24 @@
 // InvokeRequest is one call of a plain service.
 type InvokeRequest struct {
 	Method ident.Method
-	// Key is the scoped key; empty for idempotent methods.
+	// Key is the idempotency key with its scope; empty for idempotent methods.
 	Key     string
 	Fence   ident.Fence
 	Payload []byte
-	// Incarnation, unless 0, is the only one that may run the call. Another
-	// one refuses it with ErrRefused: it has forgotten the calls and the
-	// fences that this one knew.
+	// Incarnation, unless 0, is the only incarnation that may run the call. Any other
+	// refuses it with ErrRefused, because it does not know the calls and the fencing
+	// numbers that this one knew.
 	Incarnation ident.Incarnation
 }
 
 // Answer is what a plain service answered after running a call.
 type Answer struct {
 	Payload []byte
-	// Failed: the application itself failed the call.
+	// Failed is whether the application itself reported a failure of the call.
 	Failed bool
 }
 
-// FindState is what a plain service knows of a key.
+// FindState is the state of a key's call at a plain service.
 type FindState int
 
 // The states.
@@ -156,14 +160,15 @@
 	Done    FindState = 3
 )
 
-// FindResult is what a plain service knows of a key.
+// FindResult is what a plain service knows about the call of a key.
 type FindResult struct {
 	State  FindState
 	Answer Answer
-	// Fenced: lower fences are refused for this key from now on.
+	// Fenced is whether the service refuses lower fencing numbers for this key from now
+	// on.
 	Fenced bool
-	// Incarnation that answered. Only the one that a call was sent to can
-	// say that the call never came.
+	// Incarnation is the one that answered. Only the incarnation that a call was sent to
+	// can say that the call never arrived.
 	Incarnation ident.Incarnation
 }
 
@@ -178,7 +183,7 @@
 // Plain is a plain service.
 type Plain interface {
 	Invoke(ctx context.Context, req InvokeRequest) (Answer, error)
-	// Find errors: ErrRefused when the service cannot tell.
+	// Find errors: ErrRefused if the service cannot tell the outcomes of calls.
 	Find(ctx context.Context, key string, fence ident.Fence) (FindResult, error)
 	Health(ctx context.Context) (Health, error)
 }
