--- a/internal/gateway/caller_test.go
+++ b/internal/gateway/caller_test.go
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspool/goldcrestspool/api/caller/v1/callerv1connect"
 )
 
-// bearer adds a token and the trace context to requests.
+// bearer is a transport that adds a token and the trace context to requests.
 type bearer struct {
 	token string
 	next  http.RoundTripper
@@ -30,7 +30,7 @@
 	return b.next.RoundTrip(req)
 }
 
-// clientWithToken returns a client with a token; an empty one sends none.
+// clientWithToken returns a client that sends a token, or none if it is empty.
 func (env *testEnv) clientWithToken(t testing.TB, token string) callerv1connect.CallerServiceClient {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
@@ -39,7 +39,7 @@
 	return callerv1connect.NewCallerServiceClient(&http.Client{Transport: bearer{token: token, next: transport}}, env.url)
 }
 
-// bidRequest returns a keyed call.
+// bidRequest returns a call with an idempotency key.
 func bidRequest(key string, attempt uint32, payload string) *callerv1.CallRequest {
 	return &callerv1.CallRequest{
 		Service: plainService, Method: "place_bid", IdempotencyKey: key, IssuedAt: timestamppb.New(issuedAt),
@@ -47,7 +47,7 @@
 	}
 }
 
-// issuedAt is the time at which the tests' keys are issued.
+// issuedAt is the time at which the tests' idempotency keys were issued.
 var issuedAt = time.Now()
 
 // lookupRequest returns an idempotent call.
@@ -55,7 +55,7 @@
 	return &callerv1.CallRequest{Service: plainService, Method: "find_lot", Payload: []byte(payload), Attempt: 1}
 }
 
-// callResult is what a caller was told, in short.
+// callResult is the outcome and the payload that a caller got.
 type callResult struct {
 	kind    callerv1.OutcomeKind
 	reason  string
@@ -69,7 +69,7 @@
 	return callResult{resp.GetOutcome().GetKind(), resp.GetOutcome().GetReason(), string(resp.GetPayload())}, nil
 }
 
-// mustCall sends a call that must get an outcome.
+// mustCall sends a call and returns its outcome; an error fails the test.
 func (env *testEnv) mustCall(t testing.TB, client callerv1connect.CallerServiceClient, req *callerv1.CallRequest) callResult {
 	t.Helper()
 	got, err := callResultOf(client.Call(context.Background(), req))
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -28,7 +28,8 @@
 		budget retry.BudgetConfig
 		err    error
 		send   *callerv1.CallRequest
-		// want is what is told, and calls how many reached both upstreams.
+		// want is what the caller gets, and calls is how many calls reach the
+		// upstreams.
 		want  callResult
 		calls int
 	}{
@@ -44,17 +45,17 @@
 			env := newTestEnv(t, envOptions{budget: c.budget})
 			env.failFirstCall(refuse(c.err))
 			if got := env.mustCall(t, env.client, c.send); got != c.want {
-				t.Errorf("told %+v, want %+v", got, c.want)
+				t.Errorf("got outcome %+v, want %+v", got, c.want)
 			}
 			first, second := len(env.first.calls()), len(env.second.calls())
 			if first+second != c.calls || c.calls == 2 && first != second {
-				t.Errorf("%d and %d calls reached the upstreams, want %d, each at another", first, second, c.calls)
+				t.Errorf("%d and %d calls reached the upstreams, want %d in all, each at a different upstream", first, second, c.calls)
 			}
 		})
 	}
 }
 
-// failFirstCall has the first call be answered by fail, wherever it goes.
+// failFirstCall makes fail answer the first call, whichever upstream it goes to.
 func (env *testEnv) failFirstCall(fail func(invocation) (upstream.Answer, error)) {
 	turn := make(chan struct{}, 1)
 	turn <- struct{}{}
@@ -69,8 +70,8 @@
 	env.first.answer, env.second.answer = answer, answer
 }
 
-// holdCalls has calls wait at the upstreams until release or their context ends;
-// arrived gets one value for each.
+// holdCalls makes calls wait at the upstreams until release is closed or their context
+// ends. arrived receives each of the calls.
 func (env *testEnv) holdCalls() (arrived chan invocation, release chan struct{}) {
 	arrived, release = make(chan invocation, 16), make(chan struct{})
 	answer := func(i invocation) (upstream.Answer, error) {
@@ -94,7 +95,7 @@
 			seen := append(env.first.calls(), env.second.calls()...)
 			deadline, ok := seen[0].ctx.Deadline()
 			if !ok || time.Until(deadline) > 20*time.Second {
-				t.Errorf("%s: deadline %v %v", req.GetMethod(), deadline, ok)
+				t.Errorf("%s: got deadline %v (set: %v), want one within 20s", req.GetMethod(), deadline, ok)
 			}
 		}
 	})
@@ -104,7 +105,7 @@
 		req := bidRequest("slow", 1, "x")
 		req.Method = "quick_bid"
 		if got := env.mustCall(t, env.client, req); got.kind != unknown {
-			t.Errorf("told %+v", got)
+			t.Errorf("got outcome %+v, want unknown", got)
 		}
 	})
 	t.Run("a booking goes on when its caller has gone, and its outcome is kept", func(t *testing.T) {
@@ -119,11 +120,11 @@
 		i := <-arrived
 		cancel()
 		if err := <-gone; connect.CodeOf(err) != connect.CodeCanceled {
-			t.Errorf("the caller heard %v", err)
+			t.Errorf("the caller got %v, want a cancellation", err)
 		}
 		close(release)
 		if got := env.callUntilFinal(t, bidRequest("left", 2, "x")); got.kind != completed {
-			t.Errorf("the repeat: %+v", got)
+			t.Errorf("the repeat got outcome %+v, want completed", got)
 		}
 		if i.ctx.Err() != nil && len(env.first.calls())+len(env.second.calls()) != 1 {
 			t.Error("the booking was cut off or ran twice")
@@ -140,7 +141,8 @@
 	})
 	t.Run("a queued call that is given up on did not run", func(t *testing.T) {
 		env := newTestEnv(t, envOptions{admission: admission.Config{
-			// A short hold has callers wait that could be served in time.
+			// With a short initial hold time, admission queues callers as it expects to
+			// serve them in time.
 			Gate:        gate.Config{Hold: time.Millisecond},
 			Concurrency: concurrency.Config{Initial: 1, Min: 1, Max: 1},
 		}})
@@ -153,23 +155,23 @@
 		late := bidRequest("late", 1, "y")
 		late.Method = "quick_bid"
 		if got := env.mustCall(t, env.client, late); got.kind != notRun {
-			t.Errorf("told: %+v", got)
+			t.Errorf("got outcome %+v, want not run", got)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		got, err := callResultOf(env.client.Call(ctx, bidRequest("cancelled", 1, "y")))
 		if err == nil && got.kind != notRun || err != nil && connect.CodeOf(err) != connect.CodeDeadlineExceeded {
-			t.Errorf("the caller heard %+v %v", got, err)
+			t.Errorf("the cancelled caller got outcome %+v, error %v", got, err)
 		}
 		close(release)
 		if got := env.mustCall(t, env.client, bidRequest("after", 1, "z")); got.kind != completed {
-			t.Errorf("a call after: %+v", got)
+			t.Errorf("a later call got outcome %+v, want completed", got)
 		}
-		// Whoever was told not_run was not run. The cancelled one may
-		// have been granted a slot before its cancel arrived.
+		// No call with the outcome not_run may have run. The cancelled one may have
+		// been granted a slot before its cancellation arrived.
 		for _, i := range append(env.first.calls(), env.second.calls()...) {
 			if strings.HasSuffix(i.request.Key, "/late") || err == nil && strings.HasSuffix(i.request.Key, "/cancelled") {
-				t.Errorf("%s reached an upstream", i.request.Key)
+				t.Errorf("call %s reached an upstream although it was reported as not run", i.request.Key)
 			}
 		}
 	})
@@ -200,46 +202,44 @@
 	}
 	leaving := string(outcome.ReasonLeaving)
 	if got, want := env.mustCall(t, env.client, lookupRequest("x")), (callResult{kind: notRun, reason: leaving}); got != want {
-		t.Errorf("a look-up: %+v", got)
+		t.Errorf("a look-up got outcome %+v, want %+v", got, want)
 	}
 	if got, want := env.mustCall(t, env.client, bidRequest("new", 1, "x")), (callResult{kind: notRun, reason: leaving}); got != want {
-		t.Errorf("a new booking: %+v", got)
+		t.Errorf("a new booking got outcome %+v, want %+v", got, want)
 	}
 	if got, want := env.mustCall(t, env.client, bidRequest("new", 2, "x")), (callResult{kind: unknown, reason: leaving}); got != want {
-		t.Errorf("a repeated booking: %+v", got)
+		t.Errorf("a repeated booking got outcome %+v, want %+v", got, want)
 	}
 	if got, want := env.mustCall(t, env.client, bidRequest("done", 2, "x")), (callResult{kind: completed, payload: "x"}); got != want {
-		t.Errorf("a booking that is done: %+v", got)
+		t.Errorf("a completed booking got outcome %+v, want %+v", got, want)
 	}
 	got, err := generate(context.Background(), env.client, generateRequest(streamID, "p", 3))
 	if err != nil || got.outcome.GetKind() != notRun || got.outcome.GetReason() != leaving {
-		t.Errorf("a token stream: %+v %v", got, err)
+		t.Errorf("a token stream got %+v, error %v", got, err)
 	}
 	if n := len(env.first.calls()) + len(env.second.calls()); n != 1 {
-		t.Errorf("%d calls reached the upstreams", n)
+		t.Errorf("%d calls reached the upstreams, want 1", n)
 	}
 }
 
-// Symptom: one request ends the process and every other request with it, or
-// leaves its slot taken for good.
-// Sequence: a handler panics.
-// Cause: a panic that is not recovered, or a ticket that is not given back.
+// A panic in a handler must end only its own request. If it is not recovered it ends
+// the process; if its ticket is not given back, a slot is lost for good.
 func TestPanicEndsOneRequestOnly(t *testing.T) {
 	env := newTestEnv(t, envOptions{limit: document.AccountLimit{MaxInFlight: 1}})
 	env.failFirstCall(func(invocation) (upstream.Answer, error) { panic("secret-panic") })
 	ctx, caller := tracedContext()
 	_, err := env.client.Call(ctx, lookupRequest("x"))
 	if code, text := errorCodeAndText(err); code != connect.CodeInternal || text != "internal error" {
-		t.Errorf("got %v %s", code, text)
+		t.Errorf("got error %v %q, want an internal error", code, text)
 	}
 	if got := env.mustCall(t, env.client, lookupRequest("y")); got.kind != completed {
-		t.Errorf("the next request: %+v", got)
+		t.Errorf("the next request got outcome %+v, want completed", got)
 	}
 	if log := env.output.String(); !strings.Contains(log, "handler panicked") || strings.Contains(log, "secret-panic") {
-		t.Errorf("log: %s", log)
+		t.Errorf("want the panic logged without its value, got log: %s", log)
 	}
 	if text := traceText(caller.TraceID()); !strings.Contains(text, "call") || strings.Contains(text, "secret-panic") {
-		t.Errorf("spans: %s", text)
+		t.Errorf("want the span of the call without the panic's value, got spans: %s", text)
 	}
 }
 
@@ -249,6 +249,6 @@
 		return upstream.Answer{Payload: []byte("no such lot"), Failed: true}, nil
 	})
 	if got, want := env.mustCall(t, env.client, lookupRequest("x")), (callResult{failed, "application_error", "no such lot"}); got != want {
-		t.Errorf("told %+v, want %+v", got, want)
+		t.Errorf("got outcome %+v, want %+v", got, want)
 	}
 }
--- a/internal/gateway/env_test.go
+++ b/internal/gateway/env_test.go
@@ -36,7 +36,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// The callers of a world.
+// The client accounts of a test environment, and their tokens.
 const (
 	registrar      ident.ClientAccount = "registrar"
 	trader         ident.ClientAccount = "trader"
@@ -44,14 +44,14 @@
 	traderToken                        = "secret-token-trader"
 )
 
-// The services of a world.
+// The services of a test environment.
 const (
 	plainService = "auktion-app"
 	modelService = "spool-llm"
 )
 
-// spans are the spans of all worlds: the parts take OpenTelemetry's globals.
-// Only requests with a trace of the caller's have spans.
+// spans are the spans of all test environments, because the parts use OpenTelemetry's
+// global providers. Only requests that carry a caller's trace have spans.
 var spans = tracetest.NewInMemoryExporter()
 
 func init() {
@@ -66,7 +66,7 @@
 	request upstream.InvokeRequest
 }
 
-// fakePlain answers each call as the test says.
+// fakePlain is a plain service whose answers the test sets.
 type fakePlain struct {
 	// answer is called for each call; nil echoes the payload.
 	answer func(invocation) (upstream.Answer, error)
@@ -93,14 +93,14 @@
 
 func (f *fakePlain) Health(context.Context) (upstream.Health, error) { return upstream.Health{}, nil }
 
-// calls returns the calls so far.
+// calls returns the calls received so far.
 func (f *fakePlain) calls() []invocation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]invocation(nil), f.seen...)
 }
 
-// fakeDialer reaches upstreams by their address.
+// fakeDialer returns upstreams by their address.
 type fakeDialer struct {
 	plains  map[string]upstream.Plain
 	engines map[string]upstream.Engine
@@ -109,13 +109,13 @@
 func (d fakeDialer) Plain(address string) upstream.Plain   { return d.plains[address] }
 func (d fakeDialer) Engine(address string) upstream.Engine { return d.engines[address] }
 
-// noNotes takes no note of leaving upstreams.
+// noNotes ignores leaving upstreams.
 type noNotes struct{}
 
 func (noNotes) NoteLeaving(ident.Instance, ident.Incarnation) {}
 
-// testEnv is the real handler with its real parts over in-memory upstreams and
-// an in-memory log, behind a real HTTP server.
+// testEnv is the real handler with its real parts, behind a real HTTP server. The
+// upstreams and the log are in memory.
 type testEnv struct {
 	url     string
 	board   *blackboard.Board
@@ -127,25 +127,25 @@
 	client  callerv1connect.CallerServiceClient
 }
 
-// envOptions change a world before it starts.
+// envOptions configure a test environment.
 type envOptions struct {
-	// limit of every client account.
+	// limit is that of every client account.
 	limit document.AccountLimit
-	// slots of each upstream for requests at once.
+	// admission configures admission, such as the slots of each upstream.
 	admission admission.Config
-	// budget of the retries; zero is the default.
+	// budget is the retry budget of the plain service; zero is the default.
 	budget retry.BudgetConfig
-	// plain and engine replace the upstreams in memory.
+	// plain and engine replace the upstreams in memory if they are set.
 	plain  upstream.Plain
 	engine upstream.Engine
-	// peers are the other gateways; nil is none.
+	// peers returns the other gateways; nil is none.
 	peers  func(*testEnv) calls.Peers
 	limits settings.Limits
-	// level of the log; zero is everything.
+	// level is that of the log; zero logs everything.
 	level hclog.Level
 }
 
-// tracedContext returns a context with a trace of the caller's.
+// tracedContext returns a context with a caller's trace.
 func tracedContext() (context.Context, trace.SpanContext) {
 	caller := trace.NewSpanContext(trace.SpanContextConfig{
 		TraceID: trace.TraceID(uuid.New()), SpanID: trace.SpanID{1}, TraceFlags: trace.FlagsSampled,
@@ -153,7 +153,7 @@
 	return trace.ContextWithSpanContext(context.Background(), caller), caller
 }
 
-// traceText is what the spans of a trace say.
+// traceText returns the contents of a trace's spans as text.
 func traceText(id trace.TraceID) string {
 	var text strings.Builder
 	for _, span := range spans.GetSpans() {
@@ -195,7 +195,7 @@
 	return settings.Limits{MaxBody: 64 << 10, MaxHeader: 8 << 10, HeaderTimeout: 5 * time.Second, MaxStreams: 2000}
 }
 
-// newEngine returns a stand-in engine that is quick.
+// newEngine returns a stand-in engine with short steps.
 func newEngine(t testing.TB) *engine.Engine {
 	parameters := engine.DefaultParameters()
 	parameters.StepBase = time.Millisecond
@@ -227,7 +227,7 @@
 	return env
 }
 
-// wire makes the parts as Process.wireRequests does.
+// wire creates the parts as Process.wireRequests does.
 func (env *testEnv) wire(t testing.TB, o envOptions) {
 	log := hclog.New(&hclog.LoggerOptions{Level: max(o.level, hclog.Trace), Output: env.output, JSONFormat: true})
 	tracer := otel.Tracer("gateway")
@@ -265,7 +265,8 @@
 	env.run(t, coordinator, streams)
 }
 
-// run runs the journal until the test ends, and waits until it is read.
+// run runs the calls coordinator until the test ends. It returns once the journal is
+// read.
 func (env *testEnv) run(t testing.TB, coordinator *calls.Coordinator, streams *streaming.Registry) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/internal/gateway/handler_test.go
+++ b/internal/gateway/handler_test.go
@@ -17,7 +17,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/answer"
 )
 
-// The kinds, in short.
+// Short names of the kinds of outcomes.
 const (
 	completed  = callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED
 	notRun     = callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN
@@ -26,7 +26,7 @@
 	failed     = callerv1.OutcomeKind_OUTCOME_KIND_FAILED
 )
 
-// errLost is an upstream's answer that was lost: the call may have run.
+// errLost is the error of a call whose answer was lost: the call may have run.
 var errLost = errcode.New(errcode.Unavailable, "connection reset")
 
 func TestMalformedRequestsNameEveryFault(t *testing.T) {
@@ -105,7 +105,7 @@
 				}
 			}
 			if after := strings.Count(env.output.String(), `"request refused"`); after != before+1 {
-				t.Errorf("%d lines in the log, want 1", after-before)
+				t.Errorf("%d refusals in the log, want 1", after-before)
 			}
 		})
 	}
@@ -119,13 +119,13 @@
 	otherID  = "0d8e7c61-1111-4222-8333-444455556666"
 )
 
-// generateRequest returns a token stream request.
+// generateRequest returns a request for a token stream.
 func generateRequest(id, prompt string, tokens uint32) *callerv1.GenerateRequest {
 	return &callerv1.GenerateRequest{Service: modelService, Class: "short", Prompt: prompt, MaxTokens: tokens, RequestId: id}
 }
 
-// allMethods are the four methods of the API, each with a request that a caller
-// with a token gets an answer to.
+// allMethods returns a request for each of the four methods of the API. A caller with a
+// token gets an answer to each.
 func allMethods(client callerv1connect.CallerServiceClient) map[string]func() error {
 	ctx := context.Background()
 	return map[string]func() error{
@@ -146,7 +146,7 @@
 	env := newTestEnv(t, envOptions{})
 	for name, send := range allMethods(env.client) {
 		if err := send(); err != nil {
-			t.Errorf("%s with a token: %v", name, err)
+			t.Errorf("%s with a token failed: %v", name, err)
 		}
 	}
 	missing, wrong := allMethods(env.clientWithToken(t, "")), allMethods(env.clientWithToken(t, "wrong"))
@@ -154,7 +154,7 @@
 		t.Run(name, func(t *testing.T) {
 			code, text := errorCodeAndText(missing[name]())
 			if code != connect.CodeUnauthenticated {
-				t.Errorf("without a token: %v %s", code, text)
+				t.Errorf("without a token: got %v %q, want unauthenticated", code, text)
 			}
 			otherCode, otherText := errorCodeAndText(wrong[name]())
 			if otherCode != code || otherText != text {
@@ -164,15 +164,14 @@
 	}
 }
 
-// Symptom: anyone who can connect makes the gateway read and decode bodies.
-// Sequence: a request without a token and with a body over the limit.
-// Cause: Connect reads the body before its interceptors, and so before a token
-// that one of them checks.
+// A gateway must check a request's token before it reads the body. Connect reads the
+// body before its interceptors run, so if one of them checked the token, anyone who can
+// connect could make the gateway read and decode bodies.
 func TestBodyIsNotReadBeforeTheToken(t *testing.T) {
 	env := newTestEnv(t, envOptions{})
 	_, err := env.clientWithToken(t, "").Call(context.Background(), lookupRequest(strings.Repeat("x", 65<<10)))
 	if code, text := errorCodeAndText(err); code != connect.CodeUnauthenticated {
-		t.Errorf("got %v %s", code, text)
+		t.Errorf("got %v %q, want unauthenticated", code, text)
 	}
 }
 
@@ -188,44 +187,44 @@
 		return resp
 	}
 	if got := env.mustCall(t, env.client, bidRequest("shared", 1, "bid of the registrar")); got.kind != completed {
-		t.Fatalf("the registrar's bid: %+v", got)
+		t.Fatalf("the registrar's bid got %+v", got)
 	}
-	theirs, nobodys := outcomeOf("shared"), outcomeOf("nobody's")
-	if diff := cmp.Diff(theirs.String(), nobodys.String()); diff != "" {
-		t.Errorf("another account's key is told apart from none:\n%s", diff)
+	foreign, missing := outcomeOf("shared"), outcomeOf("nobody's")
+	if diff := cmp.Diff(foreign.String(), missing.String()); diff != "" {
+		t.Errorf("another account's key is distinguishable from an unknown key:\n%s", diff)
 	}
 	if got := env.mustCall(t, other, bidRequest("shared", 1, "bid of the trader")); got.kind != completed || got.payload != "bid of the trader" {
-		t.Errorf("the trader's bid under the same key: %+v", got)
+		t.Errorf("the trader's bid under the same key got %+v", got)
 	}
 	if got := env.mustCall(t, env.client, bidRequest("shared", 2, "bid of the registrar")); got.payload != "bid of the registrar" {
-		t.Errorf("the registrar's repeat: %+v", got)
+		t.Errorf("the registrar's repeat got %+v", got)
 	}
 	if n := len(env.first.calls()) + len(env.second.calls()); n != 2 {
 		t.Errorf("%d effects, want one for each account", n)
 	}
 
 	if got, err := generate(ctx, env.client, generateRequest(streamID, "prompt of the registrar", 5)); err != nil || len(got.tokens) != 5 {
-		t.Fatalf("the registrar's stream: %+v %v", got, err)
+		t.Fatalf("the registrar's stream got %+v, error %v", got, err)
 	}
 	errorOf := func(id string) string {
 		_, err := resume(ctx, other, &callerv1.ResumeRequest{Service: modelService, RequestId: id})
 		code, text := errorCodeAndText(err)
 		return code.String() + text
 	}
-	if theirs, nobodys := errorOf(streamID), errorOf(otherID); theirs != nobodys || !strings.HasPrefix(theirs, "not_found") {
-		t.Errorf("another account's stream is told apart from none: %q, %q", theirs, nobodys)
+	if foreign, missing := errorOf(streamID), errorOf(otherID); foreign != missing || !strings.HasPrefix(foreign, "not_found") {
+		t.Errorf("another account's stream is distinguishable from an unknown one: %q, %q", foreign, missing)
 	}
 	got, err := generate(ctx, other, generateRequest(streamID, "prompt of the trader", 5))
 	if err != nil || !slices.Equal(got.tokens, answer.Tokens("prompt of the trader", 5)) {
-		t.Errorf("the trader's stream under the same ID: %+v %v", got, err)
+		t.Errorf("the trader's stream under the same ID got %+v, error %v", got, err)
 	}
 	got, err = resume(ctx, env.client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, NextIndex: 0})
 	if err != nil || !slices.Equal(got.tokens, answer.Tokens("prompt of the registrar", 5)) {
-		t.Errorf("the registrar's stream, resumed: %+v %v", got, err)
+		t.Errorf("the registrar's resumed stream got %+v, error %v", got, err)
 	}
 }
 
-// burstOfOne admits one request of an account for a long time.
+// burstOfOne admits one request of an account, and no second one for 1000 seconds.
 var burstOfOne = document.AccountLimit{RequestsPerSecond: 0.001, Burst: 1}
 
 func TestAdmissionRefusesTruthfully(t *testing.T) {
@@ -248,7 +247,7 @@
 			}
 			got, err := generate(context.Background(), env.client, generateRequest(otherID, "p", 2))
 			if err != nil || len(got.tokens) > 0 {
-				t.Fatalf("%+v %v", got, err)
+				t.Fatalf("the second stream got %+v, error %v, want no tokens", got, err)
 			}
 			return callResult{kind: got.outcome.GetKind(), reason: got.outcome.GetReason()}
 		}, callResult{kind: notRun, reason: "rate_limited"}},
@@ -261,14 +260,15 @@
 		t.Run(name, func(t *testing.T) {
 			env := newTestEnv(t, envOptions{limit: burstOfOne})
 			if got := env.mustCall(t, env.client, bidRequest("done", 1, "x")); got.kind != completed {
-				t.Fatalf("the first request: %+v", got)
+				t.Fatalf("the first request got %+v, want completed", got)
 			}
-			// A burst keeps one place for who was told to return.
+			// A burst reserves one place for a caller that was given a retry-after
+			// time.
 			if got := env.mustCall(t, env.client, bidRequest("returned", 2, "x")); got.kind != completed {
-				t.Fatalf("the returning request: %+v", got)
+				t.Fatalf("the returning request got %+v, want completed", got)
 			}
 			if got := c.send(env); got != c.want {
-				t.Errorf("told %+v, want %+v", got, c.want)
+				t.Errorf("got outcome %+v, want %+v", got, c.want)
 			}
 		})
 	}
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -21,8 +21,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// pipeListener is a listener in memory. Its connections hold nothing that is not
-// read, and their deadlines follow virtual time.
+// pipeListener is a listener in memory. Its connections buffer nothing, and their
+// deadlines follow virtual time.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -51,9 +51,9 @@
 	return near, nil
 }
 
-// runInMemory runs f in virtual time. What f starts with its argument is served
-// until f returns. It runs on one processor, see testkit.OneProcessor; the other
-// tests of this package need theirs.
+// runInMemory runs f in virtual time. A server that f passes to start is served until f
+// returns. f runs on a single processor, see testkit.OneProcessor; the other tests of
+// this package need all processors.
 func runInMemory(t *testing.T, f func(t *testing.T, start func(*http.Server) *pipeListener)) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -68,7 +68,7 @@
 			t.Cleanup(func() {
 				_ = server.Close()
 				<-ended
-				// A server lingers on a connection that it gave up.
+				// After an error a server keeps the connection open for a moment.
 				time.Sleep(time.Second)
 			})
 			return p
@@ -76,14 +76,15 @@
 	})
 }
 
-// testTimeouts are short against the waits of the tests, which are virtual.
+// testTimeouts are short compared with the waits of the tests, which are in virtual
+// time.
 var testTimeouts = callerTimeouts{read: 10 * time.Second, write: 10 * time.Second}
 
 func newTimeoutServer(handler http.HandlerFunc) *http.Server {
 	return transport.NewServer(withCallerTimeouts(handler, testTimeouts))
 }
 
-// newRequest returns a request over a protocol, and its client.
+// newRequest returns a request over a protocol, and a client to send it with.
 func newRequest(p *pipeListener, protocol string, body io.Reader) (*http.Client, *http.Request) {
 	var protocols http.Protocols
 	protocols.SetHTTP1(protocol == "HTTP/1.1")
@@ -94,9 +95,9 @@
 
 var bothProtocols = []string{"HTTP/1.1", "HTTP/2"}
 
-// Symptom: memory and slots of requests fill up though no caller is answered.
-// Sequence: callers send a request and then read nothing of the answer.
-// Cause: writes that block for as long as the connection stands.
+// A caller that sends a request and reads nothing of the answer must not hold the
+// handler and its memory: without a deadline, writes to it block as long as the
+// connection exists.
 func TestCallerThatStopsReadingIsLeft(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
@@ -125,7 +126,7 @@
 					t.Errorf("the handler was held for %v", took)
 				}
 				if written > 8<<20 {
-					t.Errorf("%d bytes are held for a caller that reads nothing", written)
+					t.Errorf("%d bytes were written for a caller that reads nothing, want at most 8 MiB", written)
 				}
 				_ = resp.Body.Close()
 				client.CloseIdleConnections()
@@ -134,10 +135,8 @@
 	}
 }
 
-// Symptom: as above.
-// Sequence: a caller takes nothing of an answer that is short enough to be
-// written at the end of the request.
-// Cause: as above, for the last flush.
+// The same must hold for an answer so short that it is written only at the end of the
+// request, by the last flush.
 func TestCallerThatTakesNoAnswerIsLeft(t *testing.T) {
 	runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 		closed := make(chan struct{})
@@ -154,16 +153,15 @@
 		select {
 		case <-closed:
 		case <-time.After(2 * testTimeouts.write):
-			t.Error("the connection is still held")
+			t.Error("the connection is still open")
 			_ = conn.Close()
 			<-closed
 		}
 	})
 }
 
-// Symptom: as above.
-// Sequence: callers send the header of a request and then little or nothing.
-// Cause: a body may take for ever.
+// A caller that sends the header of a request and then little or nothing must not hold
+// the handler: without a deadline, reading the body may take forever.
 func TestCallerWhoseBodyDoesNotComeIsLeft(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
@@ -185,14 +183,14 @@
 				stopped := make(chan struct{})
 				go func() {
 					defer close(stopped)
-					// A byte every second.
+					// Send a byte every second.
 					for _, err := more.Write([]byte("x")); err == nil; _, err = more.Write([]byte("x")) {
 						time.Sleep(time.Second)
 					}
 				}()
 				began := time.Now()
 				if err := <-ended; err == nil {
-					t.Error("the body ended")
+					t.Error("the body was read without an error")
 				}
 				if took := time.Since(began); took > 2*testTimeouts.read {
 					t.Errorf("the handler was held for %v", took)
@@ -206,12 +204,10 @@
 	}
 }
 
-// Symptom: requests that take longer than the limits on slow callers are cut
-// off, or those that come on a connection after a pause.
-// Sequence: a request whose answer begins after a minute; then, on the same
-// connection, one that waits for the server's "100 Continue", and one without a
-// body.
-// Cause: a deadline that outlives what it was for.
+// The deadlines for slow callers must not end other requests: one whose answer begins
+// after a minute, and later ones on the same connection after a pause, of which one
+// waits for the server's "100 Continue" and one has no body. They would be cut off by a
+// deadline that stays set after the read or write that it was for.
 func TestLongRequestsAreNotTakenForSlowCallers(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
@@ -223,7 +219,7 @@
 					select {
 					case <-time.After(time.Minute):
 					case <-r.Context().Done():
-						t.Error("the request was ended")
+						t.Error("the request's context ended before the answer")
 					}
 					w.WriteHeader(http.StatusNoContent)
 				}))
@@ -234,7 +230,8 @@
 					if body == "" {
 						req.Body = nil
 					}
-					// Longer than the limits, shorter than an idle connection is kept.
+					// Wait longer than the timeouts, but less than an idle connection
+					// is kept.
 					time.Sleep(2 * testTimeouts.write)
 					req.Header.Del("Expect")
 					if strings.Contains(body, "Expect") {
@@ -245,7 +242,7 @@
 						t.Fatal(err)
 					}
 					if resp.StatusCode != http.StatusNoContent {
-						t.Errorf("status %d", resp.StatusCode)
+						t.Errorf("got status %d, want 204", resp.StatusCode)
 					}
 					_ = resp.Body.Close()
 				}
@@ -255,7 +252,7 @@
 	}
 }
 
-// newEmptyServer is the callers' server without anything behind it.
+// newEmptyServer returns the callers' server without services behind it.
 func newEmptyServer(limits settings.Limits) *http.Server {
 	return newCallersServer(&handler{log: hclog.NewNullLogger(), auth: auth.New(nil)}, limits)
 }
@@ -285,7 +282,7 @@
 				t.Fatal(err)
 			}
 			if resp.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-				t.Errorf("status %d", resp.StatusCode)
+				t.Errorf("got status %d, want 431", resp.StatusCode)
 			}
 			_ = resp.Body.Close()
 			client.CloseIdleConnections()
@@ -306,13 +303,13 @@
 			}
 			announced, ok := frame.(*http2.SettingsFrame)
 			if !ok {
-				t.Fatalf("got %v", frame)
+				t.Fatalf("got frame %v, want settings", frame)
 			}
 			if streams, _ := announced.Value(http2.SettingMaxConcurrentStreams); streams != uint32(limits.MaxStreams) {
-				t.Errorf("%d streams, want %d", streams, limits.MaxStreams)
+				t.Errorf("got a limit of %d streams, want %d", streams, limits.MaxStreams)
 			}
 			if size, ok := announced.Value(http2.SettingMaxHeaderListSize); !ok || size >= 8<<10 {
-				t.Errorf("headers of %d bytes", size)
+				t.Errorf("got a header limit of %d bytes, want less than 8 KiB", size)
 			}
 			_ = conn.Close()
 		})
--- a/internal/gateway/overhead_test.go
+++ b/internal/gateway/overhead_test.go
@@ -31,10 +31,10 @@
 )
 
 const (
-	// tokenInterval and streamTokens are those of a stream of the benchmark.
+	// tokenInterval and streamTokens describe the streams of the benchmark.
 	tokenInterval = 40 * time.Millisecond
 	streamTokens  = 50
-	// minCallsPerRound is how many calls a round makes at least.
+	// minCallsPerRound is how many calls are made in a round at least.
 	minCallsPerRound = 4000
 )
 
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// benchEnv is the system under test and a bare reverse path to the same
-// upstream, both reached by one kind of client.
+// benchEnv is the gateway under test and a bare reverse proxy to the same upstream,
+// both with clients of the same kind.
 type benchEnv struct {
 	*testEnv
 	plain  upstreamv1connect.PlainServiceClient
@@ -103,21 +103,21 @@
 	client := &http.Client{Transport: &http.Transport{Protocols: &protocols}}
 	b.Cleanup(client.CloseIdleConnections)
 	bare := serveBare(b, url)
-	// The gateway asks upstreams for no compression either.
-	plainBytes := connect.WithAcceptCompression("gzip", nil, nil)
+	// Nor does the gateway ask upstreams for compression.
+	noCompression := connect.WithAcceptCompression("gzip", nil, nil)
 	return &benchEnv{
 		testEnv: env,
-		plain:   upstreamv1connect.NewPlainServiceClient(client, bare, plainBytes),
-		engine:  upstreamv1connect.NewEngineServiceClient(client, bare, plainBytes),
+		plain:   upstreamv1connect.NewPlainServiceClient(client, bare, noCompression),
+		engine:  upstreamv1connect.NewEngineServiceClient(client, bare, noCompression),
 	}
 }
 
-// engineCount is how many engines the gateway takes the one of the benchmark
-// for: it would not send a thousand streams to one.
+// engineCount is how many engines the gateway takes the benchmark's one engine for: it
+// would not send a thousand streams to a single engine.
 const engineCount = 32
 
-// classes is over how many latency classes the streams are spread: a gateway
-// that has just started lets in a hundred of each at once.
+// classes is the number of latency classes over which the streams are spread: a gateway
+// that has just started admits a hundred streams of each class at once.
 const classes = 16
 
 func className(i int) ident.Class { return ident.Class(fmt.Sprintf("class-%d", i%classes)) }
@@ -141,8 +141,8 @@
 	return upstreams
 }
 
-// serveBare serves the least that a reverse path does: it copies the request
-// to the upstream and the answer back.
+// serveBare serves a minimal reverse proxy, which copies the request to the upstream
+// and the answer back.
 func serveBare(b *testing.B, upstreamURL string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -189,7 +189,8 @@
 	}
 }
 
-// processorTime is the processor time of this process: caller, path and upstream.
+// processorTime returns the processor time that this process has used: caller, proxy
+// and upstream.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -198,10 +199,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// pathCost adds up what rounds of one path cost.
+// pathCost adds up the cost of the rounds over one path.
 type pathCost struct{ processor, wall time.Duration }
 
-// addRound runs work on so many goroutines and adds what it cost.
+// addRound runs work on the given number of goroutines and adds the cost.
 func (s *pathCost) addRound(b *testing.B, concurrent int, work func() error) {
 	b.Helper()
 	processor, began := processorTime(), time.Now()
@@ -218,7 +219,7 @@
 	s.wall += time.Since(began)
 }
 
-// reportCost reports the cost of one operation by both paths and their ratio.
+// reportCost reports the cost of one operation over both paths and their ratio.
 func reportCost(b *testing.B, gateway, bare pathCost, operations int, name string) {
 	micros := func(d time.Duration) float64 { return d.Seconds() * 1e6 / float64(operations) }
 	b.ReportMetric(0, "ns/op")
@@ -228,9 +229,9 @@
 	b.ReportMetric(gateway.wall.Seconds()/bare.wall.Seconds(), "wall-ratio")
 }
 
-// BenchmarkOverhead compares the gateway with a bare reverse path to the same
-// upstream, round by round in the same run. Processor time counts all that a
-// request costs this process: caller, path and upstream.
+// BenchmarkOverhead compares the gateway with a bare reverse proxy to the same
+// upstream, in alternating rounds of one run. Processor time counts everything that a
+// request costs this process: caller, proxy and upstream.
 func BenchmarkOverhead(b *testing.B) {
 	for _, concurrent := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("call/%d", concurrent), func(b *testing.B) { benchmarkCalls(b, concurrent) })
@@ -258,7 +259,7 @@
 				return err
 			}
 			if resp.GetOutcome().GetKind() != callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED {
-				return fmt.Errorf("told %v", resp.GetOutcome())
+				return fmt.Errorf("got outcome %v, want completed", resp.GetOutcome())
 			}
 		}
 		return nil
@@ -291,7 +292,7 @@
 			got += len(stream.Msg().GetTokens())
 		}
 		if got != streamTokens {
-			return fmt.Errorf("%d tokens: %w", got, stream.Err())
+			return fmt.Errorf("got %d tokens: %w", got, stream.Err())
 		}
 		return nil
 	}
@@ -301,7 +302,7 @@
 		req.Class = string(className(int(turn.Add(1))))
 		got, err := generate(ctx, env.client, req)
 		if err != nil || len(got.tokens) != streamTokens {
-			return fmt.Errorf("%d tokens, %v: %w", len(got.tokens), got.outcome, err)
+			return fmt.Errorf("got %d tokens, outcome %v: %w", len(got.tokens), got.outcome, err)
 		}
 		return nil
 	}
--- a/internal/gateway/secrets_test.go
+++ b/internal/gateway/secrets_test.go
@@ -24,14 +24,12 @@
 	return q.Engine.Generate(ctx, req)
 }
 
-// Symptom: what callers send can be read in the log, in traces, or by another
-// caller.
-// Sequence: requests that succeed, fail and are refused, at upstreams whose
-// errors quote the request and name addresses.
-// Cause: an upstream's error text passed on as it is.
+// What callers send must not appear in the log, in traces or in other callers'
+// outcomes. The upstreams' errors quote the request and name addresses, and would
+// reveal both if their texts were passed on.
 func TestNothingThatCallersSendIsLoggedOrTraced(t *testing.T) {
 	env := newTestEnv(t, envOptions{engine: &quotingEngine{Engine: newEngine(t)}})
-	// With three upstreams a booking is given up on after its last target.
+	// With three upstreams a booking ends when its last target has failed.
 	upstreams := envUpstreams()
 	third := upstreams.ByService[plainService][1]
 	third.Instance.ID, third.Instance.Address = "app-3", "app-3"
@@ -47,7 +45,7 @@
 		}
 	}
 	ctx, caller := tracedContext()
-	var told strings.Builder
+	var messages strings.Builder
 	for _, kind := range []error{nil, upstream.ErrLeaving, upstream.ErrNotSent} {
 		for i, req := range []string{"first", "second", "third", "fourth"} {
 			env.first.answer, env.second.answer = quote(kind), quote(kind)
@@ -60,12 +58,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				told.WriteString(resp.GetOutcome().GetMessage() + "\n")
+				messages.WriteString(resp.GetOutcome().GetMessage() + "\n")
 			}
 		}
 	}
 	if got, err := generate(ctx, env.client, generateRequest(streamID, "secret-prompt", 4)); err != nil || len(got.tokens) != 4 {
-		t.Errorf("%+v %v", got, err)
+		t.Errorf("got stream %+v, error %v, want 4 tokens", got, err)
 	}
 	malformed := generateRequest("secret-id", "secret-prompt", 0)
 	if _, err := generate(ctx, env.client, malformed); err == nil {
@@ -78,10 +76,10 @@
 	if !strings.Contains(inSpans, "upstream attempt") || !strings.Contains(env.output.String(), "request refused or failed") {
 		t.Fatal("nothing was logged or traced")
 	}
-	for place, text := range map[string]string{"log": env.output.String(), "spans": inSpans, "outcomes": told.String()} {
+	for place, text := range map[string]string{"log": env.output.String(), "spans": inSpans, "outcomes": messages.String()} {
 		for line := range strings.Lines(text) {
 			if strings.Contains(line, "secret-") || strings.Contains(line, "10.9.8.7") {
-				t.Errorf("in the %s: %s", place, line)
+				t.Errorf("the %s reveal what a caller sent or an address: %s", place, line)
 			}
 		}
 	}
--- a/internal/gateway/span_test.go
+++ b/internal/gateway/span_test.go
@@ -25,13 +25,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// traceRecorder are the spans that upstreams heard of, by the path of their requests.
+// traceRecorder keeps the parent span of the last request at each path of the
+// upstreams.
 type traceRecorder struct {
 	mu      sync.Mutex
 	parents map[string]trace.SpanContext
 }
 
-// record returns a handler that notes the trace context of each request.
+// record returns a handler that records the trace context of each request.
 func (h *traceRecorder) record(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.HeaderCarrier(r.Header))
@@ -42,14 +43,15 @@
 	})
 }
 
-// knowsNothing is a peer without calls.
+// knowsNothing is a peer that knows no calls.
 type knowsNothing struct{}
 
 func (knowsNothing) PutOutcomes([]calls.KeyedOutcome)          {}
 func (knowsNothing) FindLocal(ident.CallKey) calls.PeerAnswer  { return calls.PeerAnswer{} }
 func (knowsNothing) TakeOver(calls.HandOver) []journal.ClaimID { return nil }
 
-// startPeer starts a peer and returns the peers of a gateway that knows it.
+// startPeer starts another gateway's peer server. The returned function makes it known
+// to an environment and returns the environment's peers.
 func startPeer(t *testing.T) func(*testEnv) calls.Peers {
 	return func(env *testEnv) calls.Peers {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,8 +78,8 @@
 	}
 }
 
-// chain describes a span by its name and those of its parents, up to the
-// caller's, for each span of a trace.
+// spanChains returns the spans of a trace. Each key is the names of a span and its
+// parents, starting with the caller's.
 func spanChains(id trace.TraceID, caller trace.SpanID) map[string]trace.SpanID {
 	type link struct {
 		name   string
@@ -133,7 +135,8 @@
 	cases := map[string]struct {
 		send func(context.Context) error
 		want []string
-		// upstream hears of the span of the last chain at this path.
+		// upstream is the path of the request that carries the last span of want to the
+		// upstream.
 		upstream string
 	}{
 		"a look-up": {func(ctx context.Context) error { _, err := env.client.Call(ctx, lookupRequest("x")); return err },
@@ -175,7 +178,7 @@
 			defer recorder.mu.Unlock()
 			got := recorder.parents[c.upstream]
 			if got.TraceID() != caller.TraceID() || got.SpanID() != last {
-				t.Errorf("the upstream heard of trace %v span %v, want span %v", got.TraceID(), got.SpanID(), last)
+				t.Errorf("the upstream got trace %v span %v, want span %v", got.TraceID(), got.SpanID(), last)
 			}
 		})
 	}
--- a/internal/gateway/tls_test.go
+++ b/internal/gateway/tls_test.go
@@ -18,7 +18,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// tlsEnv is a world behind a listener with TLS.
+// tlsEnv is a test environment behind a listener with TLS.
 type tlsEnv struct {
 	*testEnv
 	authority *testkit.Authority
@@ -55,7 +55,7 @@
 	return env.authority.Issue(env.pair.Cert, env.pair.Key, "gateway")
 }
 
-// connect returns the state of a new connection.
+// connect opens a connection and returns its state.
 func (env *tlsEnv) connect(t *testing.T, config *tls.Config) (tls.ConnectionState, error) {
 	t.Helper()
 	config.RootCAs = env.authority.Pool()
@@ -78,14 +78,14 @@
 			t.Cleanup(secure.CloseIdleConnections)
 			client := callerv1connect.NewCallerServiceClient(&http.Client{Transport: bearer{token: registrarToken, next: secure}}, "https://"+env.address)
 			if got := env.mustCall(t, client, lookupRequest("x")); got.kind != completed {
-				t.Errorf("%s: %+v", protocol, got)
+				t.Errorf("%s: got outcome %+v, want completed", protocol, got)
 			}
 			if got, err := generate(context.Background(), client, generateRequest(streamID, "p", 3)); err != nil || len(got.tokens) != 3 {
-				t.Errorf("%s: %+v %v", protocol, got, err)
+				t.Errorf("%s: got stream %+v, error %v", protocol, got, err)
 			}
 			state, err := env.connect(t, &tls.Config{NextProtos: []string{protocol}})
 			if err != nil || state.NegotiatedProtocol != protocol {
-				t.Errorf("%s: negotiated %q %v", protocol, state.NegotiatedProtocol, err)
+				t.Errorf("%s: negotiated %q, error %v", protocol, state.NegotiatedProtocol, err)
 			}
 		}
 	})
@@ -106,7 +106,7 @@
 			return resumed
 		}
 		if first, second := connect(), connect(); first || !second {
-			t.Errorf("resumed %v, then %v", first, second)
+			t.Errorf("resumed %v, then %v; want only the second resumed", first, second)
 		}
 	})
 	t.Run("nothing before TLS 1.3 is spoken", func(t *testing.T) {
@@ -116,10 +116,9 @@
 	})
 }
 
-// Symptom: callers cannot connect since the certificate has expired, though its
-// file was renewed in time; or every new connection fails while it is renewed.
-// Sequence: the files are replaced, one after the other, while the process runs.
-// Cause: they are read only at the start, or half-way.
+// A renewed certificate must be served without a restart, and connections must not fail
+// while its two files are replaced one after the other. Files that are read only at the
+// start, or while only one is replaced, would cause these failures.
 func TestRenewedCertificateIsServedWithoutARestart(t *testing.T) {
 	env := newTLSEnv(t)
 	served := func() int64 {
@@ -130,7 +129,7 @@
 		return state.PeerCertificates[0].SerialNumber.Int64()
 	}
 	if got := served(); got != env.serial {
-		t.Fatalf("serial %d, want %d", got, env.serial)
+		t.Fatalf("got serial %d, want %d", got, env.serial)
 	}
 	old, err := os.ReadFile(env.pair.Key)
 	if err != nil {
@@ -143,11 +142,11 @@
 	}
 	env.writeKey(t, old)
 	if got := served(); got != env.serial {
-		t.Errorf("serial %d while the key is not there yet, want %d", got, env.serial)
+		t.Errorf("got serial %d before the new key is written, want %d", got, env.serial)
 	}
 	env.writeKey(t, key)
 	if got := served(); got != renewed {
-		t.Errorf("serial %d, want the renewed %d", got, renewed)
+		t.Errorf("got serial %d, want the renewed %d", got, renewed)
 	}
 }
 
@@ -185,7 +184,7 @@
 			g.TLS = c.tls
 			p := &Process{settings: g}
 			if err := p.wireTLS(); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want one that names %s", err, c.want)
+				t.Errorf("got error %v, want one that names %s", err, c.want)
 			}
 		})
 	}
