--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -37,11 +37,11 @@
 			}
 			refused := c.account == ""
 			if refused != (errcode.Of(err) == errcode.Unauthenticated) {
-				t.Fatalf("error %v", err)
+				t.Fatalf("got error %v, want unauthenticated only without a valid token", err)
 			}
-			// One answer for missing and wrong tokens alike.
+			// A missing and a wrong token must get the same answer.
 			if refused && err.Error() != errUnauthenticated.Error() {
-				t.Fatalf("the refusal tells the cases apart: %v", err)
+				t.Fatalf("the refusal reveals whether the token was missing or wrong: %v", err)
 			}
 		})
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -18,11 +18,11 @@
 	r.RecordEnding(subject("r1", "a"), Ending{Outcome: "completed"})
 	records := r.Find("r1")
 	if len(records) != 2 {
-		t.Fatalf("records %+v, want one for each account", records)
+		t.Fatalf("got records %+v, want one for each account", records)
 	}
 	first := records[0]
 	if first.Account != "a" || len(first.Attempts) != 2 || first.Attempts[1].Upstream != "u2" || len(first.Endings) != 1 {
-		t.Errorf("record %+v", first)
+		t.Errorf("got record %+v, want two attempts and one ending of account a", first)
 	}
 }
 
@@ -32,6 +32,6 @@
 		r.RecordEnding(subject(request, "a"), Ending{Outcome: "completed"})
 	}
 	if len(r.Find("r1")) != 0 || len(r.Find("r2")) != 1 || len(r.Find("r3")) != 1 {
-		t.Error("the ring of two does not hold just the last two")
+		t.Error("a recorder of two events must keep exactly the last two")
 	}
 }
--- a/internal/platform/connectplatform/cloud_test.go
+++ b/internal/platform/connectplatform/cloud_test.go
@@ -39,10 +39,10 @@
 		expectList(t, s, engine, gateway)
 
 		if s.instances.Register(platform.Instance{ID: "e-1"}) != 2 {
-			t.Error("a second life has to get incarnation 2")
+			t.Error("the second registration must get incarnation 2")
 		}
 		if s.instances.SetState("e-1", 1, platform.Ended) {
-			t.Error("the end of the first life changed the second")
+			t.Error("setting the state of incarnation 1 changed incarnation 2")
 		}
 	})
 }
@@ -85,10 +85,9 @@
 	})
 }
 
-// Symptom: two instances run where one was wanted.
-// Sequence: the answer to a start is lost, the requester asks again.
-// Cause: a cloud that does not know the repeat, or an adapter that hides that
-// the first start may have taken effect.
+// When the answer to a start is lost, the requester repeats the start. Two instances
+// would run where one was wanted if the cloud did not recognize the repeat, or if the
+// adapter hid that the first start may have taken effect.
 func TestCloudStartErrorsTellWhatHappened(t *testing.T) {
 	cases := []struct {
 		story  string
@@ -118,7 +117,7 @@
 				req.Fence = 6
 				first := mustStart(t, s, req)
 				if second := mustStart(t, s, req); second != first {
-					t.Errorf("the repeat started %s beside %s", second, first)
+					t.Errorf("the repeat started %s in addition to %s", second, first)
 				}
 			})
 		})
--- a/internal/platform/connectplatform/contract_test.go
+++ b/internal/platform/connectplatform/contract_test.go
@@ -14,10 +14,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// testTimeout bounds waits that a right implementation ends at once.
+// testTimeout bounds waits that a correct implementation ends at once.
 const testTimeout = 30 * time.Second
 
-// fakes are the stand-ins behind a subject; tests make them fail.
+// fakes are the stand-ins behind a subject; tests inject faults into them.
 type fakes struct {
 	log       *logstore.Log
 	instances *instances.List
@@ -25,7 +25,7 @@
 	weights   *weights.Store
 }
 
-// subject is an implementation of all interfaces, with its fakes.
+// subject is an implementation of all interfaces under test, with its fakes.
 type subject struct {
 	fakes
 	connectplatform.Services
--- a/internal/platform/connectplatform/log_test.go
+++ b/internal/platform/connectplatform/log_test.go
@@ -26,7 +26,7 @@
 	return list
 }
 
-// contents returns what is in the stream, without waiting.
+// contents returns the records in the stream, without waiting.
 func contents(t *testing.T, log platform.Log) []string {
 	t.Helper()
 	batch, err := log.Read(t.Context(), stream, 0, 1000, 0)
@@ -64,7 +64,7 @@
 		}
 		for i := 0; i < len(texts); i += 3 {
 			if texts[i] != texts[i+1] || texts[i] != texts[i+2] {
-				t.Errorf("append torn apart: %v", texts[i:i+3])
+				t.Errorf("the records of an append are not adjacent: %v", texts[i:i+3])
 			}
 		}
 	})
@@ -122,15 +122,15 @@
 	})
 }
 
-// Symptom: a record is in the log twice, or one that was reported as refused
-// is there. Sequence: a fault meets an append, its writer believes the error.
-// Cause: an adapter that takes a lost answer for a refusal, or the reverse.
+// A writer acts on the error of its append. An adapter that takes a lost answer for a
+// refusal, or the reverse, leads to a record that is in the log twice, or to one that
+// is in the log although it was reported as refused.
 func TestLogAppendErrorsTellWhatHappened(t *testing.T) {
 	cases := []struct {
 		story  string
 		inject func(*fault.Injector)
 		want   error
-		// after is what the log holds once the fault is over.
+		// after is the contents of the log once the fault is over.
 		after []string
 	}{
 		{"outage", func(i *fault.Injector) { i.SetOutage(true) }, platform.ErrUnavailable, nil},
@@ -160,9 +160,8 @@
 	}
 }
 
-// Symptom: a reader hangs for the whole wait although the log is down.
-// Sequence: a read waits at the head, then the outage begins.
-// Cause: only new appends wake a waiting read.
+// An outage must end a read that waits at the head. If only new appends woke it, the
+// reader would hang for the whole wait although the log is down.
 func TestLogOutageEndsAWaitingRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logstore.New(logstore.Options{})
--- a/internal/platform/connectplatform/silence_test.go
+++ b/internal/platform/connectplatform/silence_test.go
@@ -18,7 +18,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// shortTimeout stands for the adapter's timeouts where an answer never comes.
+// shortTimeout replaces the adapter's timeouts where no answer ever comes.
 const shortTimeout = 100 * time.Millisecond
 
 // newRelayedClient returns a client that reaches its platform through a relay.
@@ -37,10 +37,10 @@
 	return NewClient(client, relay.URL()), relay
 }
 
-// Symptom: a reader, a writer or a watcher of notices hangs for good.
-// Sequence: a kept connection goes silent while new ones work, and a request
-// without a deadline is sent on it. Cause: no timeout of the adapter's own; an
-// append's end without an answer taken for a refusal.
+// A kept connection goes silent while new ones work, and a request without a deadline
+// is sent on it. Without a timeout of the adapter's own, a reader, a writer or a
+// watcher of notices would hang for good. An append that ends without an answer must
+// not be reported as refused.
 func TestRequestsOverASilentConnectionEnd(t *testing.T) {
 	cases := []struct {
 		story   string
@@ -90,15 +90,15 @@
 			}
 			client.timeout, client.readGrace = requestTimeout, readGrace
 			if err := c.request(ctx, client); err != nil {
-				t.Errorf("the next one, on a new connection: %v", err)
+				t.Errorf("the next request, on a new connection: %v", err)
 			}
 		})
 	}
 }
 
-// Symptom: each silence costs an append's timeout and a search for its record.
-// Sequence: as above, with a client that dials for each request.
-// Cause: kept connections.
+// A client that dials a connection for each request is not affected by silent
+// connections. With kept connections, each silence would cost an append's timeout and a
+// search for its record.
 func TestFreshConnectionsDoNotMeetASilence(t *testing.T) {
 	client, relay := newRelayedClient(t, transport.Options{FreshConnections: true})
 	for _, text := range []string{"a", "b", "c"} {
--- a/internal/upstream/connectupstream/bench_test.go
+++ b/internal/upstream/connectupstream/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// BenchmarkInvoke compares a kept connection with one dialled for each call,
-// over loopback, in plain text and with TLS.
+// BenchmarkInvoke compares a kept connection with one that is dialled for each call,
+// over loopback, in plaintext and with TLS.
 func BenchmarkInvoke(b *testing.B) {
 	for _, c := range []struct {
 		name, key string
@@ -46,8 +46,8 @@
 	}
 }
 
-// serveTLS serves a handler with a certificate of the authority and returns
-// the base URL.
+// serveTLS serves a handler with a certificate of the authority and returns the base
+// URL.
 func serveTLS(b testing.TB, authority *testkit.Authority, handler http.Handler) string {
 	b.Helper()
 	dir := b.TempDir()
--- a/internal/upstream/connectupstream/engine_test.go
+++ b/internal/upstream/connectupstream/engine_test.go
@@ -19,7 +19,7 @@
 
 const promptText = "Summarize the profile of the Tremblay family."
 
-// endlessTokens is more tokens than an engine makes during a test, and no more than
+// endlessTokens is more tokens than an engine generates during a test, and no more than
 // its memory holds.
 const endlessTokens = 100_000
 
@@ -47,14 +47,14 @@
 	})
 }
 
-// streamResult is what a stream delivered until its end.
+// streamResult is what a stream delivered until it ended.
 type streamResult struct {
 	tokens    []string
 	prefilled uint32
 	err       error
 }
 
-// collect reads a stream to its end, and checks the order of its frames.
+// collect reads a stream to its end and checks the order of its frames.
 func collect(t *testing.T, stream upstream.TokenStream, attempt uint32, next int) streamResult {
 	t.Helper()
 	var got streamResult
@@ -92,7 +92,7 @@
 				t.Errorf("after %d tokens: got %v, %v", delivered, got.tokens, got.err)
 			}
 			if got.prefilled == 0 {
-				t.Error("no prefilled tokens told")
+				t.Error("no frame reported prefilled tokens")
 			}
 			if err := errors.Join(stream.Close(), stream.Close()); err != nil {
 				t.Error(err)
@@ -115,10 +115,9 @@
 	})
 }
 
-// Symptom: a caller takes half an answer for the whole.
-// Sequence: the engine's instance ends in the middle of a stream.
-// Cause: an adapter that reports the end of the connection as the end of the
-// answer.
+// If an engine's instance ends in the middle of a stream, the adapter must not report
+// the end of the connection as the end of the answer: the caller would take half an
+// answer for the whole.
 func TestEngineLossIsNotTheEndOfTheAnswer(t *testing.T) {
 	onEachEngine(t, func(t *testing.T, fake *engine.Engine, subject upstream.Engine) {
 		stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{
@@ -139,9 +138,9 @@
 	})
 }
 
-// Symptom: an engine goes on computing for callers who left.
-// Sequence: a stream is closed, or its context ends, while another goroutine
-// waits for its next frame. Cause: the cancel does not reach the engine.
+// When a stream is closed or its context ends while another goroutine waits for the
+// next frame, the cancellation must reach the engine. Otherwise the engine goes on
+// computing for callers who left.
 func TestEngineHearsOfCancel(t *testing.T) {
 	cancels := map[string]func(upstream.TokenStream, context.CancelFunc){
 		"stream closed": func(s upstream.TokenStream, _ context.CancelFunc) { _ = s.Close() },
@@ -172,7 +171,8 @@
 	}
 }
 
-// awaitRunningStreams returns once the engine reports so many running streams.
+// awaitRunningStreams returns once the engine reports the given number of running
+// streams.
 func awaitRunningStreams(t *testing.T, subject upstream.Engine, running int) {
 	t.Helper()
 	for {
--- a/internal/upstream/connectupstream/plain_test.go
+++ b/internal/upstream/connectupstream/plain_test.go
@@ -22,8 +22,8 @@
 
 var bidRequest = upstream.InvokeRequest{Method: "bid", Key: callKey, Fence: 5, Payload: []byte("lot 17")}
 
-// onEachPlain runs a contract test on the fake in memory and on the Connect
-// adapter over a loopback socket.
+// onEachPlain runs a contract test on the stand-in in memory and on the Connect adapter
+// over a loopback socket.
 func onEachPlain(t *testing.T, options plain.Options, test func(t *testing.T, fake *plain.Service, subject upstream.Plain)) {
 	options.Instance, options.Incarnation = "plain-1", plainIncarnation
 	t.Run("memory", func(t *testing.T) {
@@ -40,15 +40,14 @@
 	})
 }
 
-// Symptom: a booking is made twice, or a caller is told that a booking was not
-// made that was. Sequence: a call fails, the gateway decides by the error
-// whether it may try elsewhere. Cause: an error that says less, or more, than
-// is known.
+// The gateway decides by a failed call's error whether it may try another upstream. An
+// error that says less or more than is known leads to a booking that is made twice, or
+// to a caller that is told that its booking was not made although it was.
 func TestPlainErrorsTellWhatHappened(t *testing.T) {
 	cases := []struct {
 		story   string
 		prepare func(*plain.Service)
-		// incarnation is the one that the call is meant for; 0 is any.
+		// incarnation is the only one that may run the call; 0 allows any.
 		incarnation ident.Incarnation
 		want        error
 		ran         bool
@@ -93,7 +92,7 @@
 			}
 		}
 		if got := fake.Effects(callKey); got != 2 {
-			t.Errorf("two calls with one key had %d effects, and the fake must show both", got)
+			t.Errorf("two calls with one key had %d effects, want 2: the fake must count both", got)
 		}
 		fake.SetLeaving(true)
 		health, err := subject.Health(t.Context())
@@ -104,9 +103,9 @@
 	})
 }
 
-// Symptom: a call whose caller gave up is reported as not run, and runs.
-// Sequence: the call is taken in, its context ends, the effect comes later.
-// Cause: taking the end of one's own context for the end of the call.
+// A call that was accepted before its context ended may take effect later. An adapter
+// that takes the end of its own context for the end of the call would report it as not
+// run.
 func TestPlainCallGoesOnWhenItsCallerGivesUp(t *testing.T) {
 	onEachPlain(t, plain.Options{FindsOutcomes: true}, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
 		fake.SetDelays(plain.Delays{BeforeEffect: 10 * shortTimeout})
@@ -130,7 +129,7 @@
 	})
 }
 
-// awaitRunning returns once the service says that the key's call runs.
+// awaitRunning returns once the service reports the call of the key.
 func awaitRunning(t *testing.T, subject upstream.Plain) {
 	t.Helper()
 	for {
@@ -162,8 +161,8 @@
 	type want struct {
 		found upstream.FindResult
 		err   error
-		// late is the error of a call with the old fencing number that
-		// arrives after Find.
+		// late is the error of a call with the old fencing number that arrives after
+		// Find.
 		late error
 	}
 	done := upstream.Answer{Payload: answer.Reply(bidRequest.Method, bidRequest.Payload)}
--- a/internal/upstream/connectupstream/repeat_test.go
+++ b/internal/upstream/connectupstream/repeat_test.go
@@ -19,10 +19,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// testTimeout bounds waits that a right implementation ends at once.
+// testTimeout bounds waits that a correct implementation ends at once.
 const testTimeout = 10 * time.Second
 
-// serveConns runs serve for each connection, until the test ends.
+// serveConns listens until the test ends and runs serve for each connection.
 func serveConns(t *testing.T, serve func(*net.TCPConn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +56,7 @@
 	return NewPlain(&Clients{pooled: client, fresh: client}, baseURL)
 }
 
-// invokeUncertain invokes once and expects that the call may have run.
+// invokeUncertain makes one call and expects an error after which it may have run.
 func invokeUncertain(t *testing.T, ctx context.Context, p *Plain) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(ctx, testTimeout)
@@ -67,11 +67,11 @@
 	}
 }
 
-// Symptom: a booking is made twice by one call of Invoke.
-// Sequence: a kept connection serves one call; the server reads the next one
-// from it, executes it and resets the connection before it answers.
-// Cause: net/http takes a request that has GetBody and an Idempotency-Key for
-// replayable and sends it again on a new connection.
+// One call of Invoke must send at most one request, or a booking may be made twice.
+// Here a kept connection serves one call; the server then reads the next call from it,
+// executes it and resets the connection before it answers. net/http holds a request
+// that has GetBody and an Idempotency-Key to be replayable and would send it again on a
+// new connection.
 func TestInvokeIsNotRepeatedAfterAReset(t *testing.T) {
 	var requests atomic.Int32
 	baseURL := serveConns(t, func(c *net.TCPConn) {
@@ -102,10 +102,8 @@
 	}
 }
 
-// Symptom: as above. Sequence: a server executes a call and refuses its HTTP/2
-// stream, as a broken proxy may.
-// Cause: the HTTP/2 transport sends a request with GetBody again when its
-// stream is refused.
+// The same for HTTP/2: a server executes a call and then refuses its stream, as a
+// faulty proxy may. The HTTP/2 transport would send a request that has GetBody again.
 func TestInvokeIsNotRepeatedAfterARefusedStream(t *testing.T) {
 	var requests atomic.Int32
 	baseURL := serveConns(t, func(c *net.TCPConn) {
@@ -133,8 +131,8 @@
 	}
 }
 
-// Symptom: as above. Sequence: a server executes a call and answers with a
-// redirect. Cause: net/http follows a 307 with the same body.
+// The same for redirects: a server executes a call and answers with a redirect.
+// net/http would follow a 307 or 308 with the same body.
 func TestInvokeFollowsNoRedirect(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect, http.StatusPermanentRedirect} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
@@ -151,13 +149,13 @@
 	}
 }
 
-// Symptom: callers hear "unknown" when it is certain that nothing ran, or the
-// reverse. Sequence: the connection fails at different moments.
-// Cause: an adapter that does not know whether it sent anything.
+// When a connection fails, the adapter must know whether it sent anything. Otherwise
+// callers are told "unknown" although nothing can have run, or "not run" although the
+// call may have.
 func TestInvokeTellsWhetherAnythingWasSent(t *testing.T) {
 	cases := []struct {
 		story string
-		// serve is nil where nobody listens.
+		// serve is nil if nobody listens.
 		serve func(*net.TCPConn)
 		ran   bool
 	}{
--- a/internal/upstream/connectupstream/silence_test.go
+++ b/internal/upstream/connectupstream/silence_test.go
@@ -19,33 +19,33 @@
 )
 
 const (
-	// shortTimeout is how long a caller waits where an answer never comes.
+	// shortTimeout is how long a caller waits for an answer that never comes.
 	shortTimeout = 100 * time.Millisecond
-	// longTimeout is more than any answer takes.
+	// longTimeout is longer than any answer takes.
 	longTimeout = 5 * time.Second
 )
 
-// Symptom: bookings end as unknown, one after the other, though the service is
-// well. Sequence: a connection serves calls and goes silent for good while new
-// ones work. Cause: calls that may not be repeated are sent on a kept
-// connection, or a silent connection is kept after its call was given up on.
+// A kept connection can go silent for good while new ones work. A call that may not be
+// repeated must not be sent on such a connection, and a connection on which a call was
+// given up must not be used again. Otherwise one booking after the other ends as
+// unknown although the service is healthy.
 func TestInvokeOverASilentConnection(t *testing.T) {
 	keyed := bidRequest
-	plainly := bidRequest
-	plainly.Key = ""
+	unkeyed := bidRequest
+	unkeyed.Key = ""
 	cases := []struct {
 		story string
-		// first warms a connection up before the silence, if set.
+		// first, if set, is a call that opens a connection before the silence.
 		first *upstream.InvokeRequest
-		// during is whether the call is running when the silence begins.
+		// during is whether the silence begins while the call is running.
 		during bool
 		call   upstream.InvokeRequest
-		// ran: the call is given up on and may have run.
+		// ran is whether the call is given up and may have run.
 		ran     bool
 		effects int
 	}{
-		{"kept connection silent, call that may not be repeated", &plainly, false, keyed, false, 1},
-		{"kept connection silent, call that may be repeated", &plainly, false, plainly, true, 1},
+		{"kept connection silent, call that may not be repeated", &unkeyed, false, keyed, false, 1},
+		{"kept connection silent, call that may be repeated", &unkeyed, false, unkeyed, true, 1},
 		{"silent while the call runs", nil, true, keyed, true, 1},
 	}
 	for _, c := range cases {
@@ -83,7 +83,7 @@
 			}
 			_, err := subject.Invoke(ctx, c.call)
 			if (err != nil && upstream.Ran(err)) != c.ran {
-				t.Errorf("got %v, want a call that may have run: %v", err, c.ran)
+				t.Errorf("got %v; want that the call may have run: %v", err, c.ran)
 			}
 			if err := fake.Drain(t.Context()); err != nil {
 				t.Fatal(err)
@@ -95,16 +95,15 @@
 			ctx, cancel = context.WithTimeout(t.Context(), longTimeout)
 			defer cancel()
 			if _, err := subject.Find(ctx, callKey, 0); err != nil {
-				t.Errorf("asking for the outcome: %v", err)
+				t.Errorf("cannot find the outcome: %v", err)
 			}
 		})
 	}
 }
 
-// Symptom: a caller waits for ever for its next token.
-// Sequence: the connection of a token stream goes silent for good.
-// Cause: a reader that cannot be unblocked, or the next attempt on the same
-// connection.
+// When the connection of a token stream goes silent for good, the reader must be
+// unblocked by Close, and the next attempt must use another connection. Otherwise the
+// caller waits for its next token forever.
 func TestTokenStreamOverASilentConnection(t *testing.T) {
 	fake := engine.New(engine.Config{Parameters: engine.DefaultParameters()})
 	t.Cleanup(fake.Close)
@@ -138,9 +137,9 @@
 	}
 }
 
-// Symptom: an upstream that is well is taken for dead, or a stream waits for
-// its first frame. Sequence: requests are answered, every open connection goes
-// silent, another request follows. Cause: it is sent on a kept connection.
+// Requests that follow a silence of all open connections must be sent on new
+// connections. On a kept one, a healthy upstream would be taken for dead, or a stream
+// would wait for its first frame.
 func TestRequestsAfterASilence(t *testing.T) {
 	fake := engine.New(engine.Config{Parameters: engine.DefaultParameters()})
 	t.Cleanup(fake.Close)
@@ -183,7 +182,7 @@
 	}
 }
 
-// singleStreamEngine is an engine with one stream.
+// singleStreamEngine is an engine that answers every request with the same stream.
 type singleStreamEngine struct {
 	upstream.Engine
 	stream upstream.TokenStream
@@ -193,7 +192,8 @@
 	return s.stream, nil
 }
 
-// serveStream serves an engine with one stream.
+// serveStream serves an engine that answers with the given stream, and returns its
+// client.
 func serveStream(t *testing.T, stream upstream.TokenStream) upstream.Engine {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -203,7 +203,7 @@
 	return connectupstream.NewEngine(clients, testkit.Serve(t, mux))
 }
 
-// silentStream is a stream that gives nothing until it is closed.
+// silentStream is a stream that delivers nothing until it is closed.
 type silentStream struct{ closed chan struct{} }
 
 func (m silentStream) Next() (upstream.Frame, error) {
@@ -216,9 +216,9 @@
 	return nil
 }
 
-// Symptom: a slow engine's streams are taken for dead connections.
-// Sequence: the engine computes a long prefill and sends nothing.
-// Cause: no heartbeats in the stream.
+// While an engine computes a long prefill and sends nothing, heartbeats must show that
+// the connection works. Otherwise the streams of a slow engine are taken for dead
+// connections.
 func TestSilentEngineIsNotASilentConnection(t *testing.T) {
 	subject := serveStream(t, silentStream{make(chan struct{})})
 	stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{Attempt: 3})
@@ -234,15 +234,14 @@
 	}
 }
 
-// truncatedStream is a stream that ends in order, but before its last frame.
+// truncatedStream is a stream that ends without an error before its last frame.
 type truncatedStream struct{}
 
 func (truncatedStream) Next() (upstream.Frame, error) { return upstream.Frame{}, io.EOF }
 func (truncatedStream) Close() error                  { return nil }
 
-// Symptom: a caller takes half an answer for the whole.
-// Sequence: an engine ends a stream in order before its last frame.
-// Cause: the end of the stream taken for the end of the answer.
+// The end of a stream before its last frame must not be taken for the end of the
+// answer. Otherwise the caller takes half an answer for the whole.
 func TestStreamWithoutItsLastFrameIsNotWhole(t *testing.T) {
 	subject := serveStream(t, truncatedStream{})
 	stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{Attempt: 1})
@@ -251,6 +250,6 @@
 	}
 	defer func() { _ = stream.Close() }()
 	if got := collect(t, stream, 1, 0); errors.Is(got.err, io.EOF) {
-		t.Errorf("got %v", got.err)
+		t.Errorf("got %v, want an error for the missing last frame", got.err)
 	}
 }
