--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -293,15 +293,15 @@
 	if original == nil {
 		return h.streams.Resume(ctx, resume, sink)
 	}
-	ask, err := h.checkStreamRequest(ctx, original)
+	stream, err := h.checkStreamRequest(ctx, original)
 	if err != nil {
 		return outcome.Outcome{}, err
 	}
-	resume.Original = &ask.request
+	resume.Original = &stream.request
 	if resume.Next > 0 || h.streams.Holds(resume.Key) {
 		return h.streams.Resume(ctx, resume, sink)
 	}
-	ticket, refusal := h.admitStream(ctx, ask)
+	ticket, refusal := h.admitStream(ctx, stream)
 	if refusal != nil {
 		return *refusal, nil
 	}
--- a/internal/gateway/plains.go
+++ b/internal/gateway/plains.go
@@ -29,7 +29,7 @@
 }
 
 // plainDispatcher sends calls to plain services. For calls with a key it implements
-// calls.Dispatcher, and package calls decides when to send. Idempotent calls it retries
+// calls.Dispatcher, and package calls decides when to send. It retries idempotent calls
 // itself, within a retry budget.
 type plainDispatcher struct {
 	documents *blackboard.Section[*document.Set]
--- a/internal/gateway/routes.go
+++ b/internal/gateway/routes.go
@@ -86,8 +86,7 @@
 	inFlight int
 }
 
-// recordFirstToken records that the first token arrived, so that the prompt is
-// computed.
+// recordFirstToken records the first token, by which the prompt has been computed.
 func (a *activeAttempt) recordFirstToken() { a.router.FirstToken(&a.ticket, time.Now()) }
 
 func (a *activeAttempt) end(result routing.Result) {
