--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -135,8 +135,9 @@
 	}
 }
 
-// The same must hold for an answer so short that it is written only at the end of the
-// request, by the last flush.
+// A caller that does not read the answer to its request must not hold the connection,
+// even if the answer is so short that only the last flush, at the end of the request,
+// writes it.
 func TestCallerThatTakesNoAnswerIsLeft(t *testing.T) {
 	runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 		closed := make(chan struct{})
--- a/internal/gateway/overhead_test.go
+++ b/internal/gateway/overhead_test.go
@@ -103,7 +103,7 @@
 	client := &http.Client{Transport: &http.Transport{Protocols: &protocols}}
 	b.Cleanup(client.CloseIdleConnections)
 	bare := serveBare(b, url)
-	// Nor does the gateway ask upstreams for compression.
+	// Like the gateway, these clients ask upstreams for no compression.
 	noCompression := connect.WithAcceptCompression("gzip", nil, nil)
 	return &benchEnv{
 		testEnv: env,
@@ -112,8 +112,9 @@
 	}
 }
 
-// engineCount is how many engines the gateway takes the benchmark's one engine for: it
-// would not send a thousand streams to a single engine.
+// engineCount is how many engines the gateway knows, all of them served by the
+// benchmark's one engine: the gateway would not send a thousand streams to a single
+// engine.
 const engineCount = 32
 
 // classes is the number of latency classes over which the streams are spread: a gateway
--- a/internal/gateway/span_test.go
+++ b/internal/gateway/span_test.go
@@ -50,8 +50,8 @@
 func (knowsNothing) FindLocal(ident.CallKey) calls.PeerAnswer  { return calls.PeerAnswer{} }
 func (knowsNothing) TakeOver(calls.HandOver) []journal.ClaimID { return nil }
 
-// startPeer starts another gateway's peer server. The returned function makes it known
-// to an environment and returns the environment's peers.
+// startPeer returns a function that starts another gateway's peer server, makes it
+// known to a test environment and returns the environment's peers.
 func startPeer(t *testing.T) func(*testEnv) calls.Peers {
 	return func(env *testEnv) calls.Peers {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/upstream/connectupstream/repeat_test.go
+++ b/internal/upstream/connectupstream/repeat_test.go
@@ -102,8 +102,9 @@
 	}
 }
 
-// The same for HTTP/2: a server executes a call and then refuses its stream, as a
-// faulty proxy may. The HTTP/2 transport would send a request that has GetBody again.
+// One call of Invoke must send at most one request over HTTP/2 too. Here a server
+// executes a call and then refuses its stream, as a faulty proxy may. The HTTP/2
+// transport would send a request that has GetBody again.
 func TestInvokeIsNotRepeatedAfterARefusedStream(t *testing.T) {
 	var requests atomic.Int32
 	baseURL := serveConns(t, func(c *net.TCPConn) {
@@ -131,8 +132,8 @@
 	}
 }
 
-// The same for redirects: a server executes a call and answers with a redirect.
-// net/http would follow a 307 or 308 with the same body.
+// One call of Invoke must send at most one request, also if a server executes the call
+// and answers with a redirect. net/http would follow a 307 or 308 with the same body.
 func TestInvokeFollowsNoRedirect(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect, http.StatusPermanentRedirect} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
