--- a/internal/gateway/check.go
+++ b/internal/gateway/check.go
@@ -12,11 +12,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// maxKey bounds the bytes of an idempotency key: every gateway keeps keys for
-// the whole window.
-const maxKey = 256
+// maxKeyBytes is the longest idempotency key. It is bounded because every gateway keeps
+// the keys of the whole window in which they are valid.
+const maxKeyBytes = 256
 
-// service returns the document that a request names.
+// findService returns the document of the service that a request names. The service
+// must be of the given kind.
 func findService(set *document.Set, name string, kind document.Kind) (*document.Document, error) {
 	doc, ok := set.Find(ident.Service(name))
 	if !ok {
@@ -28,12 +29,12 @@
 	return doc, nil
 }
 
-// invalid returns all findings of a request as one error, or nil.
-func invalid(found finding.List) error {
+// invalidRequest returns all findings of a request as one error, or nil.
+func invalidRequest(found finding.List) error {
 	return errcode.Wrap(errcode.InvalidArgument, found.Err(), "invalid request")
 }
 
-// checkCall returns the method of a call.
+// checkCall checks a call and returns its method.
 func checkCall(doc *document.Document, req *callerv1.CallRequest) (document.Method, error) {
 	method, ok := doc.FindMethod(ident.Method(req.GetMethod()))
 	if !ok {
@@ -49,7 +50,7 @@
 	if req.GetAttempt() == 0 {
 		found.Add(finding.Finding{Key: "attempt", Problem: "is 0", Want: "1 for the first attempt with this key"})
 	}
-	return method, invalid(found)
+	return method, invalidRequest(found)
 }
 
 func checkKey(key string) finding.List {
@@ -57,13 +58,13 @@
 	switch {
 	case key == "":
 		found.Add(finding.Finding{Key: "idempotency_key", Problem: "missing", Want: "a key that is unique within the client account"})
-	case len(key) > maxKey:
+	case len(key) > maxKeyBytes:
 		found.Add(finding.Finding{Key: "idempotency_key", Problem: "too long", Want: "at most 256 bytes"})
 	}
 	return found
 }
 
-// checkGenerate returns the latency class of a token stream.
+// checkGenerate checks a request for a token stream and returns its latency class.
 func checkGenerate(doc *document.Document, req *callerv1.GenerateRequest) (document.Class, error) {
 	var found finding.List
 	class, ok := doc.FindClass(ident.Class(req.GetClass()))
@@ -77,7 +78,7 @@
 	if req.GetMaxTokens() == 0 {
 		found.Add(finding.Finding{Key: "max_tokens", Problem: "is 0", Want: "the length of the answer"})
 	}
-	return class, invalid(found)
+	return class, invalidRequest(found)
 }
 
 func checkRequestID(found *finding.List, id string) {
@@ -86,26 +87,27 @@
 	}
 }
 
-// maxServiceName bounds what is logged of a service that no document describes.
-const maxServiceName = 256
+// maxServiceNameBytes bounds what a request can bring into logs and traces as the name
+// of a service that no document describes.
+const maxServiceNameBytes = 256
 
-// checkResume checks what a resumed token stream says itself. Its service may
-// have been withdrawn since it began, so none is looked up.
+// checkResume checks the fields of a request to resume a token stream. It does not look
+// up the service, which may have been withdrawn since the stream began.
 func checkResume(req *callerv1.ResumeRequest) error {
 	var found finding.List
 	checkRequestID(&found, req.GetRequestId())
 	switch {
-	case len(req.GetService()) > maxServiceName:
+	case len(req.GetService()) > maxServiceNameBytes:
 		found.Add(finding.Finding{Key: "service", Problem: "too long", Want: "the service of the stream"})
 	case req.GetOriginal() != nil && req.GetOriginal().GetService() != req.GetService():
 		found.Add(finding.Finding{Key: "service", Problem: "is not that of original", Want: "the service of the stream"})
 	}
-	return invalid(found)
+	return invalidRequest(found)
 }
 
-// deadlineOf returns when a request has to be answered, or zero for never.
-// The caller's own deadline is in the context.
-func deadlineOf(now time.Time, limit time.Duration) time.Time {
+// deadlineAfter returns the time by which a request has to be answered, or the zero
+// time if limit is not positive. The caller's own deadline is in the context.
+func deadlineAfter(now time.Time, limit time.Duration) time.Time {
 	if limit <= 0 {
 		return time.Time{}
 	}
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -28,34 +28,35 @@
 		budget retry.BudgetConfig
 		err    error
 		send   *callerv1.CallRequest
-		// want is what is told, and calls how many reached both upstreams.
-		want  told
+		// want is what the caller gets, and calls is how many calls reach the
+		// upstreams.
+		want  callResult
 		calls int
 	}{
-		"an idempotent call is repeated elsewhere":                {err: errLost, send: lookUp("x"), want: told{kind: completed, payload: "x"}, calls: 2},
-		"an idempotent call is not repeated beyond the budget":    {budget: none, err: errLost, send: lookUp("x"), want: told{kind: unknown, reason: "overloaded"}, calls: 1},
-		"one that was refused did not run":                        {budget: none, err: upstream.ErrLeaving, send: lookUp("x"), want: told{kind: notRun, reason: "overloaded"}, calls: 1},
-		"a booking whose answer was lost is never sent again":     {err: errLost, send: bid("lost", 1, "x"), want: told{kind: unknown, reason: "upstream_lost"}, calls: 1},
-		"a booking that an upstream refused may go to another":    {err: upstream.ErrLeaving, send: bid("refused", 1, "x"), want: told{kind: completed, payload: "x"}, calls: 2},
-		"an error that another upstream would give as well stays": {err: errcode.New(errcode.InvalidArgument, "bad lot"), send: lookUp("x"), want: told{kind: unknown, reason: "upstream_lost"}, calls: 1},
+		"an idempotent call is repeated elsewhere":                {err: errLost, send: lookupRequest("x"), want: callResult{kind: completed, payload: "x"}, calls: 2},
+		"an idempotent call is not repeated beyond the budget":    {budget: none, err: errLost, send: lookupRequest("x"), want: callResult{kind: unknown, reason: "overloaded"}, calls: 1},
+		"one that was refused did not run":                        {budget: none, err: upstream.ErrLeaving, send: lookupRequest("x"), want: callResult{kind: notRun, reason: "overloaded"}, calls: 1},
+		"a booking whose answer was lost is never sent again":     {err: errLost, send: bidRequest("lost", 1, "x"), want: callResult{kind: unknown, reason: "upstream_lost"}, calls: 1},
+		"a booking that an upstream refused may go to another":    {err: upstream.ErrLeaving, send: bidRequest("refused", 1, "x"), want: callResult{kind: completed, payload: "x"}, calls: 2},
+		"an error that another upstream would give as well stays": {err: errcode.New(errcode.InvalidArgument, "bad lot"), send: lookupRequest("x"), want: callResult{kind: unknown, reason: "upstream_lost"}, calls: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, worldOptions{budget: c.budget})
-			w.failFirst(refuse(c.err))
-			if got := w.call(t, w.client, c.send); got != c.want {
-				t.Errorf("told %+v, want %+v", got, c.want)
+			env := newTestEnv(t, envOptions{budget: c.budget})
+			env.failFirstCall(refuse(c.err))
+			if got := env.mustCall(t, env.client, c.send); got != c.want {
+				t.Errorf("got outcome %+v, want %+v", got, c.want)
 			}
-			first, second := len(w.first.calls()), len(w.second.calls())
+			first, second := len(env.first.calls()), len(env.second.calls())
 			if first+second != c.calls || c.calls == 2 && first != second {
-				t.Errorf("%d and %d calls reached the upstreams, want %d, each at another", first, second, c.calls)
+				t.Errorf("%d and %d calls reached the upstreams, want %d in all, each at a different upstream", first, second, c.calls)
 			}
 		})
 	}
 }
 
-// failFirst has the first call be answered by fail, wherever it goes.
-func (w *world) failFirst(fail func(invocation) (upstream.Answer, error)) {
+// failFirstCall makes fail answer the first call, whichever upstream it goes to.
+func (env *testEnv) failFirstCall(fail func(invocation) (upstream.Answer, error)) {
 	turn := make(chan struct{}, 1)
 	turn <- struct{}{}
 	answer := func(i invocation) (upstream.Answer, error) {
@@ -66,12 +67,12 @@
 			return upstream.Answer{Payload: i.request.Payload}, nil
 		}
 	}
-	w.first.answer, w.second.answer = answer, answer
+	env.first.answer, env.second.answer = answer, answer
 }
 
-// hold has calls wait at the upstreams until release or their context ends;
-// arrived gets one value for each.
-func (w *world) hold() (arrived chan invocation, release chan struct{}) {
+// holdCalls makes calls wait at the upstreams until release is closed or their context
+// ends. arrived receives each of the calls.
+func (env *testEnv) holdCalls() (arrived chan invocation, release chan struct{}) {
 	arrived, release = make(chan invocation, 16), make(chan struct{})
 	answer := func(i invocation) (upstream.Answer, error) {
 		arrived <- i
@@ -82,104 +83,105 @@
 			return upstream.Answer{}, errcode.Wrap(errcode.Cancelled, i.ctx.Err(), "invoke")
 		}
 	}
-	w.first.answer, w.second.answer = answer, answer
+	env.first.answer, env.second.answer = answer, answer
 	return arrived, release
 }
 
 func TestDeadlines(t *testing.T) {
 	t.Run("the upstream gets the method's timeout", func(t *testing.T) {
-		for _, req := range []*callerv1.CallRequest{lookUp("x"), bid("timeout", 1, "x")} {
-			w := newWorld(t, worldOptions{})
-			w.call(t, w.client, req)
-			seen := append(w.first.calls(), w.second.calls()...)
+		for _, req := range []*callerv1.CallRequest{lookupRequest("x"), bidRequest("timeout", 1, "x")} {
+			env := newTestEnv(t, envOptions{})
+			env.mustCall(t, env.client, req)
+			seen := append(env.first.calls(), env.second.calls()...)
 			deadline, ok := seen[0].ctx.Deadline()
 			if !ok || time.Until(deadline) > 20*time.Second {
-				t.Errorf("%s: deadline %v %v", req.GetMethod(), deadline, ok)
+				t.Errorf("%s: got deadline %v (set: %v), want one within 20s", req.GetMethod(), deadline, ok)
 			}
 		}
 	})
 	t.Run("a call that runs when the method's timeout ends may have run", func(t *testing.T) {
-		w := newWorld(t, worldOptions{})
-		w.hold()
-		req := bid("slow", 1, "x")
+		env := newTestEnv(t, envOptions{})
+		env.holdCalls()
+		req := bidRequest("slow", 1, "x")
 		req.Method = "quick_bid"
-		if got := w.call(t, w.client, req); got.kind != unknown {
-			t.Errorf("told %+v", got)
+		if got := env.mustCall(t, env.client, req); got.kind != unknown {
+			t.Errorf("got outcome %+v, want unknown", got)
 		}
 	})
 	t.Run("a booking goes on when its caller has gone, and its outcome is kept", func(t *testing.T) {
-		w := newWorld(t, worldOptions{})
-		arrived, release := w.hold()
+		env := newTestEnv(t, envOptions{})
+		arrived, release := env.holdCalls()
 		ctx, cancel := context.WithCancel(context.Background())
 		gone := make(chan error, 1)
 		go func() {
-			_, err := w.client.Call(ctx, bid("left", 1, "x"))
+			_, err := env.client.Call(ctx, bidRequest("left", 1, "x"))
 			gone <- err
 		}()
 		i := <-arrived
 		cancel()
 		if err := <-gone; connect.CodeOf(err) != connect.CodeCanceled {
-			t.Errorf("the caller heard %v", err)
+			t.Errorf("the caller got %v, want a cancellation", err)
 		}
 		close(release)
-		if got := w.eventually(t, bid("left", 2, "x")); got.kind != completed {
-			t.Errorf("the repeat: %+v", got)
+		if got := env.callUntilFinal(t, bidRequest("left", 2, "x")); got.kind != completed {
+			t.Errorf("the repeat got outcome %+v, want completed", got)
 		}
-		if i.ctx.Err() != nil && len(w.first.calls())+len(w.second.calls()) != 1 {
+		if i.ctx.Err() != nil && len(env.first.calls())+len(env.second.calls()) != 1 {
 			t.Error("the booking was cut off or ran twice")
 		}
 	})
 	t.Run("a look-up is cut off when its caller goes", func(t *testing.T) {
-		w := newWorld(t, worldOptions{})
-		arrived, _ := w.hold()
+		env := newTestEnv(t, envOptions{})
+		arrived, _ := env.holdCalls()
 		ctx, cancel := context.WithCancel(context.Background())
-		go func() { _, _ = w.client.Call(ctx, lookUp("x")) }()
+		go func() { _, _ = env.client.Call(ctx, lookupRequest("x")) }()
 		i := <-arrived
 		cancel()
 		<-i.ctx.Done()
 	})
 	t.Run("a queued call that is given up on did not run", func(t *testing.T) {
-		w := newWorld(t, worldOptions{admission: admission.Config{
-			// A short hold has callers wait that could be served in time.
+		env := newTestEnv(t, envOptions{admission: admission.Config{
+			// With a short initial hold time, admission queues callers as it expects to
+			// serve them in time.
 			Gate:        gate.Config{Hold: time.Millisecond},
 			Concurrency: concurrency.Config{Initial: 1, Min: 1, Max: 1},
 		}})
-		arrived, release := w.hold()
+		arrived, release := env.holdCalls()
 		for _, key := range []string{"runs-1", "runs-2"} {
-			go func() { _, _ = w.client.Call(context.Background(), bid(key, 1, "x")) }()
+			go func() { _, _ = env.client.Call(context.Background(), bidRequest(key, 1, "x")) }()
 		}
 		<-arrived
 		<-arrived
-		late := bid("late", 1, "y")
+		late := bidRequest("late", 1, "y")
 		late.Method = "quick_bid"
-		if got := w.call(t, w.client, late); got.kind != notRun {
-			t.Errorf("told: %+v", got)
+		if got := env.mustCall(t, env.client, late); got.kind != notRun {
+			t.Errorf("got outcome %+v, want not run", got)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		got, err := summary(w.client.Call(ctx, bid("cancelled", 1, "y")))
+		got, err := callResultOf(env.client.Call(ctx, bidRequest("cancelled", 1, "y")))
 		if err == nil && got.kind != notRun || err != nil && connect.CodeOf(err) != connect.CodeDeadlineExceeded {
-			t.Errorf("the caller heard %+v %v", got, err)
+			t.Errorf("the cancelled caller got outcome %+v, error %v", got, err)
 		}
 		close(release)
-		if got := w.call(t, w.client, bid("after", 1, "z")); got.kind != completed {
-			t.Errorf("a call after: %+v", got)
+		if got := env.mustCall(t, env.client, bidRequest("after", 1, "z")); got.kind != completed {
+			t.Errorf("a later call got outcome %+v, want completed", got)
 		}
-		// Whoever was told not_run was not run. The cancelled one may
-		// have been granted a slot before its cancel arrived.
-		for _, i := range append(w.first.calls(), w.second.calls()...) {
+		// No call with the outcome not_run may have run. The cancelled one may have
+		// been granted a slot before its cancellation arrived.
+		for _, i := range append(env.first.calls(), env.second.calls()...) {
 			if strings.HasSuffix(i.request.Key, "/late") || err == nil && strings.HasSuffix(i.request.Key, "/cancelled") {
-				t.Errorf("%s reached an upstream", i.request.Key)
+				t.Errorf("call %s reached an upstream although it was reported as not run", i.request.Key)
 			}
 		}
 	})
 }
 
-// eventually repeats a call until its outcome is final.
-func (w *world) eventually(t *testing.T, req *callerv1.CallRequest) told {
+// callUntilFinal repeats a call until its outcome is final.
+func (env *testEnv) callUntilFinal(t *testing.T, req *callerv1.CallRequest) callResult {
 	t.Helper()
 	for {
-		got := w.call(t, w.client, req)
+		got := env.mustCall(t, env.client, req)
 		if got.kind != inProgress && got.kind != unknown {
 			return got
 		}
@@ -188,67 +190,65 @@
 }
 
 func TestLeavingGatewayRefusesTruthfully(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	if got := w.call(t, w.client, bid("done", 1, "x")); got.kind != completed {
+	env := newTestEnv(t, envOptions{})
+	if got := env.mustCall(t, env.client, bidRequest("done", 1, "x")); got.kind != completed {
 		t.Fatal(got)
 	}
-	w.board.Stopping.Publish(true)
+	env.board.Stopping.Publish(true)
 	stop, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if err := w.handler.calls.(interface{ Stop(context.Context) error }).Stop(stop); err != nil {
+	if err := env.handler.calls.(interface{ Stop(context.Context) error }).Stop(stop); err != nil {
 		t.Fatal(err)
 	}
 	leaving := string(outcome.ReasonLeaving)
-	if got, want := w.call(t, w.client, lookUp("x")), (told{kind: notRun, reason: leaving}); got != want {
-		t.Errorf("a look-up: %+v", got)
+	if got, want := env.mustCall(t, env.client, lookupRequest("x")), (callResult{kind: notRun, reason: leaving}); got != want {
+		t.Errorf("a look-up got outcome %+v", got)
 	}
-	if got, want := w.call(t, w.client, bid("new", 1, "x")), (told{kind: notRun, reason: leaving}); got != want {
-		t.Errorf("a new booking: %+v", got)
+	if got, want := env.mustCall(t, env.client, bidRequest("new", 1, "x")), (callResult{kind: notRun, reason: leaving}); got != want {
+		t.Errorf("a new booking got outcome %+v", got)
 	}
-	if got, want := w.call(t, w.client, bid("new", 2, "x")), (told{kind: unknown, reason: leaving}); got != want {
-		t.Errorf("a repeated booking: %+v", got)
+	if got, want := env.mustCall(t, env.client, bidRequest("new", 2, "x")), (callResult{kind: unknown, reason: leaving}); got != want {
+		t.Errorf("a repeated booking got outcome %+v", got)
 	}
-	if got, want := w.call(t, w.client, bid("done", 2, "x")), (told{kind: completed, payload: "x"}); got != want {
-		t.Errorf("a booking that is done: %+v", got)
+	if got, want := env.mustCall(t, env.client, bidRequest("done", 2, "x")), (callResult{kind: completed, payload: "x"}); got != want {
+		t.Errorf("a completed booking got outcome %+v", got)
 	}
-	got, err := generate(context.Background(), w.client, ask(streamID, "p", 3))
+	got, err := generate(context.Background(), env.client, generateRequest(streamID, "p", 3))
 	if err != nil || got.outcome.GetKind() != notRun || got.outcome.GetReason() != leaving {
-		t.Errorf("a token stream: %+v %v", got, err)
+		t.Errorf("a token stream got %+v, error %v", got, err)
 	}
-	if n := len(w.first.calls()) + len(w.second.calls()); n != 1 {
-		t.Errorf("%d calls reached the upstreams", n)
+	if n := len(env.first.calls()) + len(env.second.calls()); n != 1 {
+		t.Errorf("%d calls reached the upstreams, want 1", n)
 	}
 }
 
-// Symptom: one request ends the process and every other request with it, or
-// leaves its slot taken for good.
-// Sequence: a handler panics.
-// Cause: a panic that is not recovered, or a ticket that is not given back.
+// A panic in a handler must end only its own request. If it is not recovered it ends
+// the process; if its ticket is not given back, a slot is lost for good.
 func TestPanicEndsOneRequestOnly(t *testing.T) {
-	w := newWorld(t, worldOptions{limit: document.AccountLimit{MaxInFlight: 1}})
-	w.failFirst(func(invocation) (upstream.Answer, error) { panic("secret-panic") })
-	ctx, caller := traced()
-	_, err := w.client.Call(ctx, lookUp("x"))
-	if code, text := wireText(err); code != connect.CodeInternal || text != "internal error" {
-		t.Errorf("got %v %s", code, text)
+	env := newTestEnv(t, envOptions{limit: document.AccountLimit{MaxInFlight: 1}})
+	env.failFirstCall(func(invocation) (upstream.Answer, error) { panic("secret-panic") })
+	ctx, caller := tracedContext()
+	_, err := env.client.Call(ctx, lookupRequest("x"))
+	if code, text := errorCodeAndText(err); code != connect.CodeInternal || text != "internal error" {
+		t.Errorf("got error %v %q, want an internal error", code, text)
 	}
-	if got := w.call(t, w.client, lookUp("y")); got.kind != completed {
-		t.Errorf("the next request: %+v", got)
+	if got := env.mustCall(t, env.client, lookupRequest("y")); got.kind != completed {
+		t.Errorf("the next request got outcome %+v, want completed", got)
 	}
-	if log := w.output.String(); !strings.Contains(log, "handler panicked") || strings.Contains(log, "secret-panic") {
-		t.Errorf("log: %s", log)
+	if log := env.output.String(); !strings.Contains(log, "handler panicked") || strings.Contains(log, "secret-panic") {
+		t.Errorf("want the panic logged without its value, got log: %s", log)
 	}
-	if text := tracedText(caller.TraceID()); !strings.Contains(text, "call") || strings.Contains(text, "secret-panic") {
-		t.Errorf("spans: %s", text)
+	if text := traceText(caller.TraceID()); !strings.Contains(text, "call") || strings.Contains(text, "secret-panic") {
+		t.Errorf("want the span of the call without the panic's value, got spans: %s", text)
 	}
 }
 
 func TestApplicationErrorIsToldAsFailed(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	w.failFirst(func(invocation) (upstream.Answer, error) {
+	env := newTestEnv(t, envOptions{})
+	env.failFirstCall(func(invocation) (upstream.Answer, error) {
 		return upstream.Answer{Payload: []byte("no such lot"), Failed: true}, nil
 	})
-	if got, want := w.call(t, w.client, lookUp("x")), (told{failed, "application_error", "no such lot"}); got != want {
-		t.Errorf("told %+v, want %+v", got, want)
+	if got, want := env.mustCall(t, env.client, lookupRequest("x")), (callResult{failed, "application_error", "no such lot"}); got != want {
+		t.Errorf("got outcome %+v, want %+v", got, want)
 	}
 }
--- a/internal/gateway/world_test.go
+++ b/internal/gateway/env_test.go
@@ -36,7 +36,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// The callers of a world.
+// The client accounts of a test environment, and their tokens.
 const (
 	registrar      ident.ClientAccount = "registrar"
 	trader         ident.ClientAccount = "trader"
@@ -44,14 +44,14 @@
 	traderToken                        = "secret-token-trader"
 )
 
-// The services of a world.
+// The services of a test environment.
 const (
 	plainService = "auktion-app"
 	modelService = "spool-llm"
 )
 
-// spans are the spans of all worlds: the parts take OpenTelemetry's globals.
-// Only requests with a trace of the caller's have spans.
+// spans are the spans of all test environments, because the parts use OpenTelemetry's
+// global providers. Only requests that carry a caller's trace have spans.
 var spans = tracetest.NewInMemoryExporter()
 
 func init() {
@@ -66,7 +66,7 @@
 	request upstream.InvokeRequest
 }
 
-// fakePlain answers each call as the test says.
+// fakePlain is a plain service whose answers the test sets.
 type fakePlain struct {
 	// answer is called for each call; nil echoes the payload.
 	answer func(invocation) (upstream.Answer, error)
@@ -93,14 +93,14 @@
 
 func (f *fakePlain) Health(context.Context) (upstream.Health, error) { return upstream.Health{}, nil }
 
-// calls returns the calls so far.
+// calls returns the calls received so far.
 func (f *fakePlain) calls() []invocation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]invocation(nil), f.seen...)
 }
 
-// fakeDialer reaches upstreams by their address.
+// fakeDialer returns upstreams by their address.
 type fakeDialer struct {
 	plains  map[string]upstream.Plain
 	engines map[string]upstream.Engine
@@ -109,14 +109,14 @@
 func (d fakeDialer) Plain(address string) upstream.Plain   { return d.plains[address] }
 func (d fakeDialer) Engine(address string) upstream.Engine { return d.engines[address] }
 
-// noNotes takes no note of leaving upstreams.
+// noNotes ignores leaving upstreams.
 type noNotes struct{}
 
 func (noNotes) NoteLeaving(ident.Instance, ident.Incarnation) {}
 
-// world is the real handler with its real parts over in-memory upstreams and
-// an in-memory log, behind a real HTTP server.
-type world struct {
+// testEnv is the real handler with its real parts, behind a real HTTP server. The
+// upstreams and the log are in memory.
+type testEnv struct {
 	url     string
 	board   *blackboard.Board
 	handler *handler
@@ -127,34 +127,34 @@
 	client  callerv1connect.CallerServiceClient
 }
 
-// worldOptions change a world before it starts.
-type worldOptions struct {
-	// limit of every client account.
+// envOptions configure a test environment.
+type envOptions struct {
+	// limit is that of every client account.
 	limit document.AccountLimit
-	// slots of each upstream for requests at once.
+	// admission configures admission, such as the slots of each upstream.
 	admission admission.Config
-	// budget of the retries; zero is the default.
+	// budget is the retry budget of the plain service; zero is the default.
 	budget retry.BudgetConfig
-	// plain and engine replace the upstreams in memory.
+	// plain and engine replace the upstreams in memory if they are set.
 	plain  upstream.Plain
 	engine upstream.Engine
-	// peers are the other gateways; nil is none.
-	peers  func(*world) calls.Peers
+	// peers returns the other gateways; nil is none.
+	peers  func(*testEnv) calls.Peers
 	limits settings.Limits
-	// level of the log; zero is everything.
+	// level is that of the log; zero logs everything.
 	level hclog.Level
 }
 
-// traced returns a context with a trace of the caller's.
-func traced() (context.Context, trace.SpanContext) {
+// tracedContext returns a context with a caller's trace.
+func tracedContext() (context.Context, trace.SpanContext) {
 	caller := trace.NewSpanContext(trace.SpanContextConfig{
 		TraceID: trace.TraceID(uuid.New()), SpanID: trace.SpanID{1}, TraceFlags: trace.FlagsSampled,
 	})
 	return trace.ContextWithSpanContext(context.Background(), caller), caller
 }
 
-// tracedText is what the spans of a trace say.
-func tracedText(id trace.TraceID) string {
+// traceText returns the contents of a trace's spans as text.
+func traceText(id trace.TraceID) string {
 	var text strings.Builder
 	for _, span := range spans.GetSpans() {
 		if span.SpanContext.TraceID() == id {
@@ -164,7 +164,7 @@
 	return text.String()
 }
 
-func worldDocuments(limit document.AccountLimit) *document.Set {
+func envDocuments(limit document.AccountLimit) *document.Set {
 	plain := &document.Document{Service: plainService, Kind: document.Plain, DefaultAccount: limit, Methods: []document.Method{
 		{Name: "find_lot", Idempotent: true, Timeout: 20 * time.Second},
 		{Name: "place_bid", Timeout: 20 * time.Second},
@@ -179,7 +179,7 @@
 	}}
 }
 
-func worldUpstreams() *blackboard.Upstreams {
+func envUpstreams() *blackboard.Upstreams {
 	at := func(id ident.Instance, role platform.Role, service ident.Service) blackboard.Upstream {
 		return blackboard.Upstream{State: blackboard.Alive, AsOf: time.Now(), Instance: platform.Instance{
 			ID: id, Incarnation: 1, Role: role, Service: service, Address: string(id), FailureDomain: "hall-a", State: platform.Live,
@@ -191,11 +191,11 @@
 	}}
 }
 
-func worldLimits() settings.Limits {
+func envLimits() settings.Limits {
 	return settings.Limits{MaxBody: 64 << 10, MaxHeader: 8 << 10, HeaderTimeout: 5 * time.Second, MaxStreams: 2000}
 }
 
-// newEngine returns a stand-in engine that is quick.
+// newEngine returns a stand-in engine with short steps.
 func newEngine(t testing.TB) *engine.Engine {
 	parameters := engine.DefaultParameters()
 	parameters.StepBase = time.Millisecond
@@ -205,9 +205,9 @@
 	return e
 }
 
-func newWorld(t testing.TB, o worldOptions) *world {
+func newTestEnv(t testing.TB, o envOptions) *testEnv {
 	t.Helper()
-	w := &world{
+	env := &testEnv{
 		board:  blackboard.NewBoard(),
 		first:  &fakePlain{},
 		second: &fakePlain{},
@@ -218,21 +218,21 @@
 		o.engine = newEngine(t)
 	}
 	if o.limits == (settings.Limits{}) {
-		o.limits = worldLimits()
+		o.limits = envLimits()
 	}
-	w.board.Documents.Publish(worldDocuments(o.limit))
-	w.board.Upstreams.Publish(worldUpstreams())
-	w.wire(t, o)
-	w.serve(t, o.limits)
-	return w
+	env.board.Documents.Publish(envDocuments(o.limit))
+	env.board.Upstreams.Publish(envUpstreams())
+	env.wire(t, o)
+	env.serve(t, o.limits)
+	return env
 }
 
-// wire makes the parts as Process.wireRequests does.
-func (w *world) wire(t testing.TB, o worldOptions) {
-	log := hclog.New(&hclog.LoggerOptions{Level: max(o.level, hclog.Trace), Output: w.output, JSONFormat: true})
+// wire creates the parts as Process.wireRequests does.
+func (env *testEnv) wire(t testing.TB, o envOptions) {
+	log := hclog.New(&hclog.LoggerOptions{Level: max(o.level, hclog.Trace), Output: env.output, JSONFormat: true})
 	tracer := otel.Tracer("gateway")
 	dialer := fakeDialer{
-		plains:  map[string]upstream.Plain{"app-1": w.first, "app-2": w.second, "app-3": w.second},
+		plains:  map[string]upstream.Plain{"app-1": env.first, "app-2": env.second, "app-3": env.second},
 		engines: map[string]upstream.Engine{"engine-1": o.engine},
 	}
 	if o.plain != nil {
@@ -240,33 +240,34 @@
 	}
 	var peers calls.Peers
 	if o.peers != nil {
-		peers = o.peers(w)
+		peers = o.peers(env)
 	}
 	admitted := admission.New(o.admission)
 	admitted.SetUpstreams(plainService, []ident.Instance{"app-1", "app-2"})
 	admitted.SetUpstreams(modelService, []ident.Instance{"engine-1"})
-	learned := &results{admission: admitted}
-	routes := &routes{board: w.board, domain: "hall-a", ejections: admitted}
+	attempts := &admissionRecorder{admission: admitted}
+	router := &upstreamRouter{board: env.board, domain: "hall-a", ejections: admitted}
 	recorder := explain.NewRecorder(64)
-	plains := &plains{documents: w.board.Documents, routes: routes, dialer: dialer, leaving: noNotes{}, results: learned,
-		budgets: &budgets{}, backoff: retry.DefaultBackoff, explain: recorder, tracer: tracer}
-	plains.budgets.known.Store(ident.Service(plainService), retry.NewBudget(o.budget, time.Now()))
-	coordinator := calls.New(calls.Config{Instance: "entry-1", Incarnation: 1, Log: w.log, Dispatcher: plains, Peers: peers,
-		Documents: w.board.Documents, Health: w.board.Journal, Limits: calls.Limits{AppendInterval: time.Millisecond}, Logger: log})
+	dispatcher := &plainDispatcher{documents: env.board.Documents, router: router, dialer: dialer, leaving: noNotes{}, attempts: attempts,
+		budgets: &retryBudgets{}, backoff: retry.DefaultBackoff, explain: recorder, tracer: tracer}
+	dispatcher.budgets.byService.Store(ident.Service(plainService), retry.NewBudget(o.budget, time.Now()))
+	coordinator := calls.New(calls.Config{Instance: "entry-1", Incarnation: 1, Log: env.log, Dispatcher: dispatcher, Peers: peers,
+		Documents: env.board.Documents, Health: env.board.Journal, Limits: calls.Limits{AppendInterval: time.Millisecond}, Logger: log})
 	config := streaming.DefaultConfig()
-	runner := streaming.NewRunner(config, &engines{documents: w.board.Documents, routes: routes, dialer: dialer, leaving: noNotes{},
-		notices: newNoticeBoard(), results: learned, explain: recorder, tracer: tracer}, plains.budgets, nil)
+	runner := streaming.NewRunner(config, &enginePicker{documents: env.board.Documents, router: router, dialer: dialer, leaving: noNotes{},
+		notices: newNoticeBoard(), attempts: attempts, explain: recorder, tracer: tracer}, dispatcher.budgets, nil)
 	streams := streaming.NewRegistry(config, runner)
-	w.handler = &handler{documents: w.board.Documents, stopping: w.board.Stopping, admission: admitted, routes: routes, plains: plains,
+	env.handler = &handler{documents: env.board.Documents, stopping: env.board.Stopping, admission: admitted, router: router, dispatcher: dispatcher,
 		calls: coordinator, streams: streams, explain: recorder, log: log, tracer: tracer, auth: auth.New([]auth.Credential{
 			{Account: registrar, Token: sha256.Sum256([]byte(registrarToken))},
 			{Account: trader, Token: sha256.Sum256([]byte(traderToken))},
 		})}
-	w.run(t, coordinator, streams)
+	env.run(t, coordinator, streams)
 }
 
-// run runs the journal until the test ends, and waits until it is read.
-func (w *world) run(t testing.TB, coordinator *calls.Coordinator, streams *streaming.Registry) {
+// run runs the calls coordinator until the test ends. It returns once the journal is
+// read.
+func (env *testEnv) run(t testing.TB, coordinator *calls.Coordinator, streams *streaming.Registry) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { _ = coordinator.Run(ctx) })
@@ -277,8 +278,8 @@
 	})
 	limit, end := context.WithTimeout(ctx, 20*time.Second)
 	defer end()
-	for snapshot := w.board.Journal.Load(); !snapshot.Value.Ready; {
-		next, err := w.board.Journal.Wait(limit, snapshot.Version)
+	for snapshot := env.board.Journal.Load(); !snapshot.Value.Ready; {
+		next, err := env.board.Journal.Wait(limit, snapshot.Version)
 		if err != nil {
 			t.Fatal("the journal is not ready:", err)
 		}
@@ -286,14 +287,14 @@
 	}
 }
 
-func (w *world) serve(t testing.TB, limits settings.Limits) {
+func (env *testEnv) serve(t testing.TB, limits settings.Limits) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := newCallersServer(w.handler, limits)
+	server := newCallersServer(env.handler, limits)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
-	w.url = "http://" + listener.Addr().String()
-	w.client = w.as(t, registrarToken)
+	env.url = "http://" + listener.Addr().String()
+	env.client = env.clientWithToken(t, registrarToken)
 }
--- a/internal/gateway/handler_test.go
+++ b/internal/gateway/handler_test.go
@@ -17,7 +17,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/answer"
 )
 
-// The kinds, in short.
+// Short names of the kinds of outcomes.
 const (
 	completed  = callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED
 	notRun     = callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN
@@ -26,28 +26,28 @@
 	failed     = callerv1.OutcomeKind_OUTCOME_KIND_FAILED
 )
 
-// errLost is an upstream's answer that was lost: the call may have run.
+// errLost is the error of a call whose answer was lost: the call may have run.
 var errLost = errcode.New(errcode.Unavailable, "connection reset")
 
 func TestMalformedRequestsNameEveryFault(t *testing.T) {
-	w := newWorld(t, worldOptions{})
+	env := newTestEnv(t, envOptions{})
 	call := func(change func(*callerv1.CallRequest)) func() error {
 		return func() error {
-			req := bid("malformed", 1, "")
+			req := bidRequest("malformed", 1, "")
 			change(req)
-			_, err := w.client.Call(context.Background(), req)
+			_, err := env.client.Call(context.Background(), req)
 			return err
 		}
 	}
 	stream := func(req *callerv1.GenerateRequest) func() error {
 		return func() error {
-			_, err := generate(context.Background(), w.client, req)
+			_, err := generate(context.Background(), env.client, req)
 			return err
 		}
 	}
 	takeUp := func(req *callerv1.ResumeRequest) func() error {
 		return func() error {
-			_, err := resume(context.Background(), w.client, req)
+			_, err := resume(context.Background(), env.client, req)
 			return err
 		}
 	}
@@ -71,31 +71,31 @@
 			[]string{"class", "request_id", "prompt", "max_tokens"}},
 		"a resumed stream without a request ID": {takeUp(&callerv1.ResumeRequest{Service: modelService}), connect.CodeInvalidArgument, []string{"request_id"}},
 		"a resumed stream whose original is of another service": {takeUp(&callerv1.ResumeRequest{
-			Service: "none", RequestId: streamID, Original: ask(streamID, "p", 3),
+			Service: "none", RequestId: streamID, Original: generateRequest(streamID, "p", 3),
 		}), connect.CodeInvalidArgument, []string{"service"}},
 		"a resumed stream of a service with a name of 257 bytes": {takeUp(&callerv1.ResumeRequest{
 			Service: strings.Repeat("s", 257), RequestId: streamID,
 		}), connect.CodeInvalidArgument, []string{"service"}},
 		"a resumed stream whose original has another ID": {takeUp(&callerv1.ResumeRequest{
-			Service: modelService, RequestId: streamID, Original: ask(otherID, "p", 3),
+			Service: modelService, RequestId: streamID, Original: generateRequest(otherID, "p", 3),
 		}), connect.CodeInvalidArgument, []string{"request_id"}},
 		"a resumed stream with fewer tokens than it says": {takeUp(&callerv1.ResumeRequest{
-			Service: modelService, RequestId: streamID, Original: ask(streamID, "p", 3), NextIndex: 2, Delivered: []string{"a"},
+			Service: modelService, RequestId: streamID, Original: generateRequest(streamID, "p", 3), NextIndex: 2, Delivered: []string{"a"},
 		}), connect.CodeInvalidArgument, []string{"next_index"}},
 		"an outcome asked of no service": {func() error {
-			_, err := w.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: "none", IdempotencyKey: "k"})
+			_, err := env.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: "none", IdempotencyKey: "k"})
 			return err
 		}, connect.CodeNotFound, nil},
 		"an outcome asked without a key": {func() error {
-			_, err := w.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: plainService})
+			_, err := env.client.GetOutcome(context.Background(), &callerv1.GetOutcomeRequest{Service: plainService})
 			return err
 		}, connect.CodeInvalidArgument, []string{"idempotency_key"}},
 		"a body over the limit": {call(func(r *callerv1.CallRequest) { r.Payload = make([]byte, 65<<10) }), connect.CodeResourceExhausted, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			before := strings.Count(w.output.String(), `"request refused"`)
-			code, text := wireText(c.send())
+			before := strings.Count(env.output.String(), `"request refused"`)
+			code, text := errorCodeAndText(c.send())
 			if code != c.code {
 				t.Fatalf("code %v (%s), want %v", code, text, c.code)
 			}
@@ -104,12 +104,12 @@
 					t.Errorf("the error does not name %s: %s", want, text)
 				}
 			}
-			if after := strings.Count(w.output.String(), `"request refused"`); after != before+1 {
-				t.Errorf("%d lines in the log, want 1", after-before)
+			if after := strings.Count(env.output.String(), `"request refused"`); after != before+1 {
+				t.Errorf("%d refusals in the log, want 1", after-before)
 			}
 		})
 	}
-	if n := len(w.first.calls()) + len(w.second.calls()); n != 0 {
+	if n := len(env.first.calls()) + len(env.second.calls()); n != 0 {
 		t.Errorf("%d calls reached an upstream", n)
 	}
 }
@@ -119,44 +119,44 @@
 	otherID  = "0d8e7c61-1111-4222-8333-444455556666"
 )
 
-// ask returns a token stream request.
-func ask(id, prompt string, tokens uint32) *callerv1.GenerateRequest {
+// generateRequest returns a request for a token stream.
+func generateRequest(id, prompt string, tokens uint32) *callerv1.GenerateRequest {
 	return &callerv1.GenerateRequest{Service: modelService, Class: "short", Prompt: prompt, MaxTokens: tokens, RequestId: id}
 }
 
-// methods are the four methods of the API, each with a request that a caller
-// with a token gets an answer to.
-func methods(client callerv1connect.CallerServiceClient) map[string]func() error {
+// allMethods returns a request for each of the four methods of the API. A caller with a
+// token gets an answer to each.
+func allMethods(client callerv1connect.CallerServiceClient) map[string]func() error {
 	ctx := context.Background()
 	return map[string]func() error{
-		"Call": func() error { _, err := client.Call(ctx, lookUp("lot")); return err },
+		"Call": func() error { _, err := client.Call(ctx, lookupRequest("lot")); return err },
 		"GetOutcome": func() error {
 			_, err := client.GetOutcome(ctx, &callerv1.GetOutcomeRequest{Service: plainService, IdempotencyKey: "k"})
 			return err
 		},
-		"Generate": func() error { _, err := generate(ctx, client, ask(streamID, "p", 2)); return err },
+		"Generate": func() error { _, err := generate(ctx, client, generateRequest(streamID, "p", 2)); return err },
 		"Resume": func() error {
-			_, err := resume(ctx, client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, Original: ask(streamID, "p", 2)})
+			_, err := resume(ctx, client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, Original: generateRequest(streamID, "p", 2)})
 			return err
 		},
 	}
 }
 
 func TestMissingAndWrongTokensGetTheSameAnswer(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	for name, send := range methods(w.client) {
+	env := newTestEnv(t, envOptions{})
+	for name, send := range allMethods(env.client) {
 		if err := send(); err != nil {
-			t.Errorf("%s with a token: %v", name, err)
+			t.Errorf("%s with a token failed: %v", name, err)
 		}
 	}
-	missing, wrong := methods(w.as(t, "")), methods(w.as(t, "wrong"))
+	missing, wrong := allMethods(env.clientWithToken(t, "")), allMethods(env.clientWithToken(t, "wrong"))
 	for name := range missing {
 		t.Run(name, func(t *testing.T) {
-			code, text := wireText(missing[name]())
+			code, text := errorCodeAndText(missing[name]())
 			if code != connect.CodeUnauthenticated {
-				t.Errorf("without a token: %v %s", code, text)
+				t.Errorf("without a token: got %v %q, want unauthenticated", code, text)
 			}
-			otherCode, otherText := wireText(wrong[name]())
+			otherCode, otherText := errorCodeAndText(wrong[name]())
 			if otherCode != code || otherText != text {
 				t.Errorf("wrong token: %v %q; missing token: %v %q", otherCode, otherText, code, text)
 			}
@@ -164,21 +164,20 @@
 	}
 }
 
-// Symptom: anyone who can connect makes the gateway read and decode bodies.
-// Sequence: a request without a token and with a body over the limit.
-// Cause: Connect reads the body before its interceptors, and so before a token
-// that one of them checks.
+// A gateway must check a request's token before it reads the body. Connect reads the
+// body before its interceptors run, so if one of them checked the token, anyone who can
+// connect could make the gateway read and decode bodies.
 func TestBodyIsNotReadBeforeTheToken(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	_, err := w.as(t, "").Call(context.Background(), lookUp(strings.Repeat("x", 65<<10)))
-	if code, text := wireText(err); code != connect.CodeUnauthenticated {
-		t.Errorf("got %v %s", code, text)
+	env := newTestEnv(t, envOptions{})
+	_, err := env.clientWithToken(t, "").Call(context.Background(), lookupRequest(strings.Repeat("x", 65<<10)))
+	if code, text := errorCodeAndText(err); code != connect.CodeUnauthenticated {
+		t.Errorf("got %v %q, want unauthenticated", code, text)
 	}
 }
 
 func TestAccountsNeverMeet(t *testing.T) {
-	w := newWorld(t, worldOptions{})
-	other := w.as(t, traderToken)
+	env := newTestEnv(t, envOptions{})
+	other := env.clientWithToken(t, traderToken)
 	ctx := context.Background()
 	outcomeOf := func(key string) *callerv1.GetOutcomeResponse {
 		resp, err := other.GetOutcome(ctx, &callerv1.GetOutcomeRequest{Service: plainService, IdempotencyKey: key})
@@ -187,86 +186,89 @@
 		}
 		return resp
 	}
-	if got := w.call(t, w.client, bid("shared", 1, "bid of the registrar")); got.kind != completed {
-		t.Fatalf("the registrar's bid: %+v", got)
+	if got := env.mustCall(t, env.client, bidRequest("shared", 1, "bid of the registrar")); got.kind != completed {
+		t.Fatalf("the registrar's bid got %+v", got)
 	}
-	theirs, nobodys := outcomeOf("shared"), outcomeOf("nobody's")
-	if diff := cmp.Diff(theirs.String(), nobodys.String()); diff != "" {
-		t.Errorf("another account's key is told apart from none:\n%s", diff)
+	foreign, missing := outcomeOf("shared"), outcomeOf("nobody's")
+	if diff := cmp.Diff(foreign.String(), missing.String()); diff != "" {
+		t.Errorf("another account's key is distinguishable from an unknown key:\n%s", diff)
 	}
-	if got := w.call(t, other, bid("shared", 1, "bid of the trader")); got.kind != completed || got.payload != "bid of the trader" {
-		t.Errorf("the trader's bid under the same key: %+v", got)
+	if got := env.mustCall(t, other, bidRequest("shared", 1, "bid of the trader")); got.kind != completed || got.payload != "bid of the trader" {
+		t.Errorf("the trader's bid under the same key got %+v", got)
 	}
-	if got := w.call(t, w.client, bid("shared", 2, "bid of the registrar")); got.payload != "bid of the registrar" {
-		t.Errorf("the registrar's repeat: %+v", got)
+	if got := env.mustCall(t, env.client, bidRequest("shared", 2, "bid of the registrar")); got.payload != "bid of the registrar" {
+		t.Errorf("the registrar's repeat got %+v", got)
 	}
-	if n := len(w.first.calls()) + len(w.second.calls()); n != 2 {
+	if n := len(env.first.calls()) + len(env.second.calls()); n != 2 {
 		t.Errorf("%d effects, want one for each account", n)
 	}
 
-	if got, err := generate(ctx, w.client, ask(streamID, "prompt of the registrar", 5)); err != nil || len(got.tokens) != 5 {
-		t.Fatalf("the registrar's stream: %+v %v", got, err)
+	if got, err := generate(ctx, env.client, generateRequest(streamID, "prompt of the registrar", 5)); err != nil || len(got.tokens) != 5 {
+		t.Fatalf("the registrar's stream got %+v, error %v", got, err)
 	}
 	errorOf := func(id string) string {
 		_, err := resume(ctx, other, &callerv1.ResumeRequest{Service: modelService, RequestId: id})
-		code, text := wireText(err)
+		code, text := errorCodeAndText(err)
 		return code.String() + text
 	}
-	if theirs, nobodys := errorOf(streamID), errorOf(otherID); theirs != nobodys || !strings.HasPrefix(theirs, "not_found") {
-		t.Errorf("another account's stream is told apart from none: %q, %q", theirs, nobodys)
+	if foreign, missing := errorOf(streamID), errorOf(otherID); foreign != missing || !strings.HasPrefix(foreign, "not_found") {
+		t.Errorf("another account's stream is distinguishable from an unknown one: %q, %q", foreign, missing)
 	}
-	got, err := generate(ctx, other, ask(streamID, "prompt of the trader", 5))
+	got, err := generate(ctx, other, generateRequest(streamID, "prompt of the trader", 5))
 	if err != nil || !slices.Equal(got.tokens, answer.Tokens("prompt of the trader", 5)) {
-		t.Errorf("the trader's stream under the same ID: %+v %v", got, err)
+		t.Errorf("the trader's stream under the same ID got %+v, error %v", got, err)
 	}
-	got, err = resume(ctx, w.client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, NextIndex: 0})
+	got, err = resume(ctx, env.client, &callerv1.ResumeRequest{Service: modelService, RequestId: streamID, NextIndex: 0})
 	if err != nil || !slices.Equal(got.tokens, answer.Tokens("prompt of the registrar", 5)) {
-		t.Errorf("the registrar's stream, resumed: %+v %v", got, err)
+		t.Errorf("the registrar's resumed stream got %+v, error %v", got, err)
 	}
 }
 
-// oneAtOnce admits one request of an account for a long time.
-var oneAtOnce = document.AccountLimit{RequestsPerSecond: 0.001, Burst: 1}
+// burstOfOne admits one request of an account, and no second one for 1000 seconds.
+var burstOfOne = document.AccountLimit{RequestsPerSecond: 0.001, Burst: 1}
 
 func TestAdmissionRefusesTruthfully(t *testing.T) {
 	cases := map[string]struct {
-		send func(w *world) told
-		want told
+		send func(env *testEnv) callResult
+		want callResult
 	}{
-		"an idempotent call": {func(w *world) told { return w.call(t, w.client, lookUp("x")) }, told{kind: notRun, reason: "rate_limited"}},
-		"the first attempt of a booking did not run": {func(w *world) told { return w.call(t, w.client, bid("new", 1, "x")) },
-			told{kind: notRun, reason: "rate_limited"}},
-		"a later attempt of a booking may have run": {func(w *world) told { return w.call(t, w.client, bid("new", 2, "x")) },
-			told{kind: unknown, reason: "rate_limited"}},
-		"a repeat of a booking that an earlier attempt completed": {func(w *world) told { return w.call(t, w.client, bid("done", 2, "x")) },
-			told{kind: completed, payload: "x"}},
-		"another request under a key that is done": {func(w *world) told { return w.call(t, w.client, bid("done", 2, "y")) },
-			told{kind: notRun, reason: "key_reused"}},
-		"a token stream": {func(w *world) told {
-			if _, err := generate(context.Background(), w.client, ask(streamID, "p", 2)); err != nil {
+		"an idempotent call": {func(env *testEnv) callResult { return env.mustCall(t, env.client, lookupRequest("x")) }, callResult{kind: notRun, reason: "rate_limited"}},
+		"the first attempt of a booking did not run": {func(env *testEnv) callResult { return env.mustCall(t, env.client, bidRequest("new", 1, "x")) },
+			callResult{kind: notRun, reason: "rate_limited"}},
+		"a later attempt of a booking may have run": {func(env *testEnv) callResult { return env.mustCall(t, env.client, bidRequest("new", 2, "x")) },
+			callResult{kind: unknown, reason: "rate_limited"}},
+		"a repeat of a booking that an earlier attempt completed": {func(env *testEnv) callResult { return env.mustCall(t, env.client, bidRequest("done", 2, "x")) },
+			callResult{kind: completed, payload: "x"}},
+		"another request under a key that is done": {func(env *testEnv) callResult { return env.mustCall(t, env.client, bidRequest("done", 2, "y")) },
+			callResult{kind: notRun, reason: "key_reused"}},
+		"a token stream": {func(env *testEnv) callResult {
+			if _, err := generate(context.Background(), env.client, generateRequest(streamID, "p", 2)); err != nil {
 				t.Fatal(err)
 			}
-			got, err := generate(context.Background(), w.client, ask(otherID, "p", 2))
+			got, err := generate(context.Background(), env.client, generateRequest(otherID, "p", 2))
 			if err != nil || len(got.tokens) > 0 {
-				t.Fatalf("%+v %v", got, err)
+				t.Fatalf("the second stream got %+v, error %v, want no tokens", got, err)
 			}
-			return told{kind: got.outcome.GetKind(), reason: got.outcome.GetReason()}
-		}, told{kind: notRun, reason: "rate_limited"}},
-		"another account is not refused": {func(w *world) told { return w.call(t, w.as(t, traderToken), lookUp("z")) },
-			told{kind: completed, payload: "z"}},
+			return callResult{kind: got.outcome.GetKind(), reason: got.outcome.GetReason()}
+		}, callResult{kind: notRun, reason: "rate_limited"}},
+		"another account is not refused": {func(env *testEnv) callResult {
+			return env.mustCall(t, env.clientWithToken(t, traderToken), lookupRequest("z"))
+		},
+			callResult{kind: completed, payload: "z"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, worldOptions{limit: oneAtOnce})
-			if got := w.call(t, w.client, bid("done", 1, "x")); got.kind != completed {
-				t.Fatalf("the first request: %+v", got)
+			env := newTestEnv(t, envOptions{limit: burstOfOne})
+			if got := env.mustCall(t, env.client, bidRequest("done", 1, "x")); got.kind != completed {
+				t.Fatalf("the first request got %+v, want completed", got)
 			}
-			// A burst keeps one place for who was told to return.
-			if got := w.call(t, w.client, bid("returned", 2, "x")); got.kind != completed {
-				t.Fatalf("the returning request: %+v", got)
+			// A burst reserves one place for a caller that was given a retry-after
+			// time.
+			if got := env.mustCall(t, env.client, bidRequest("returned", 2, "x")); got.kind != completed {
+				t.Fatalf("the returning request got %+v, want completed", got)
 			}
-			if got := c.send(w); got != c.want {
-				t.Errorf("told %+v, want %+v", got, c.want)
+			if got := c.send(env); got != c.want {
+				t.Errorf("got outcome %+v, want %+v", got, c.want)
 			}
 		})
 	}
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -21,16 +21,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// pipes is a listener in memory. Its connections hold nothing that is not
-// read, and their deadlines follow virtual time.
-type pipes struct {
+// pipeListener is a listener in memory. Its connections buffer nothing, and their
+// deadlines follow virtual time.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func newPipes() *pipes { return &pipes{conns: make(chan net.Conn), closed: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+}
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -39,25 +41,25 @@
 	}
 }
 
-func (p *pipes) Close() error   { close(p.closed); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { close(p.closed); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // dial returns the caller's end of a new connection.
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	p.conns <- far
 	return near, nil
 }
 
-// inMemory runs f in virtual time. What f starts with its argument is served
-// until f returns. It runs on one processor, see testkit.OneProcessor; the other
-// tests of this package need theirs.
-func inMemory(t *testing.T, f func(t *testing.T, start func(*http.Server) *pipes)) {
+// runInMemory runs f in virtual time. A server that f passes to start is served until f
+// returns. f runs on a single processor, see testkit.OneProcessor; the other tests of
+// this package need all processors.
+func runInMemory(t *testing.T, f func(t *testing.T, start func(*http.Server) *pipeListener)) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	synctest.Test(t, func(t *testing.T) {
-		f(t, func(server *http.Server) *pipes {
-			p := newPipes()
+		f(t, func(server *http.Server) *pipeListener {
+			p := newPipeListener()
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -66,7 +68,7 @@
 			t.Cleanup(func() {
 				_ = server.Close()
 				<-ended
-				// A server lingers on a connection that it gave up.
+				// After an error a server keeps the connection open for a moment.
 				time.Sleep(time.Second)
 			})
 			return p
@@ -74,15 +76,16 @@
 	})
 }
 
-// testLimits are short against the waits of the tests, which are virtual.
-var testLimits = callerLimits{read: 10 * time.Second, write: 10 * time.Second}
+// testTimeouts are short compared with the waits of the tests, which are in virtual
+// time.
+var testTimeouts = callerTimeouts{read: 10 * time.Second, write: 10 * time.Second}
 
-func limited(handler http.HandlerFunc) *http.Server {
-	return transport.NewServer(limitCallers(handler, testLimits))
+func newTimeoutServer(handler http.HandlerFunc) *http.Server {
+	return transport.NewServer(withCallerTimeouts(handler, testTimeouts))
 }
 
-// request returns a request over a protocol, and its client.
-func request(p *pipes, protocol string, body io.Reader) (*http.Client, *http.Request) {
+// newRequest returns a request over a protocol, and a client to send it with.
+func newRequest(p *pipeListener, protocol string, body io.Reader) (*http.Client, *http.Request) {
 	var protocols http.Protocols
 	protocols.SetHTTP1(protocol == "HTTP/1.1")
 	protocols.SetUnencryptedHTTP2(protocol == "HTTP/2")
@@ -92,16 +95,16 @@
 
 var bothProtocols = []string{"HTTP/1.1", "HTTP/2"}
 
-// Symptom: memory and slots of requests fill up though no caller is answered.
-// Sequence: callers send a request and then read nothing of the answer.
-// Cause: writes that block for as long as the connection stands.
+// A caller that sends a request and reads nothing of the answer must not hold the
+// handler and its memory: without a deadline, writes to it block as long as the
+// connection exists.
 func TestCallerThatStopsReadingIsLeft(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
-			inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
+			runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 				ended := make(chan error, 1)
 				written := 0
-				p := start(limited(func(w http.ResponseWriter, _ *http.Request) {
+				p := start(newTimeoutServer(func(w http.ResponseWriter, _ *http.Request) {
 					chunk := make([]byte, 32<<10)
 					for {
 						n, err := w.Write(chunk)
@@ -112,18 +115,18 @@
 						}
 					}
 				}))
-				client, req := request(p, protocol, nil)
+				client, req := newRequest(p, protocol, nil)
 				resp, err := client.Do(req)
 				if err != nil {
 					t.Fatal(err)
 				}
 				began := time.Now()
 				<-ended
-				if took := time.Since(began); took > 2*testLimits.write {
+				if took := time.Since(began); took > 2*testTimeouts.write {
 					t.Errorf("the handler was held for %v", took)
 				}
 				if written > 8<<20 {
-					t.Errorf("%d bytes are held for a caller that reads nothing", written)
+					t.Errorf("%d bytes were written for a caller that reads nothing, want at most 8 MiB", written)
 				}
 				_ = resp.Body.Close()
 				client.CloseIdleConnections()
@@ -132,14 +135,13 @@
 	}
 }
 
-// Symptom: as above.
-// Sequence: a caller takes nothing of an answer that is short enough to be
-// written at the end of the request.
-// Cause: as above, for the last flush.
+// A caller that does not read the answer to its request must not hold the connection,
+// even if the answer is so short that only the last flush, at the end of the request,
+// writes it.
 func TestCallerThatTakesNoAnswerIsLeft(t *testing.T) {
-	inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
+	runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 		closed := make(chan struct{})
-		server := limited(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+		server := newTimeoutServer(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 		server.ConnState = func(_ net.Conn, state http.ConnState) {
 			if state == http.StateClosed {
 				close(closed)
@@ -151,28 +153,27 @@
 		}
 		select {
 		case <-closed:
-		case <-time.After(2 * testLimits.write):
-			t.Error("the connection is still held")
+		case <-time.After(2 * testTimeouts.write):
+			t.Error("the connection is still open")
 			_ = conn.Close()
 			<-closed
 		}
 	})
 }
 
-// Symptom: as above.
-// Sequence: callers send the header of a request and then little or nothing.
-// Cause: a body may take for ever.
+// A caller that sends the header of a request and then little or nothing must not hold
+// the handler: without a deadline, reading the body may take forever.
 func TestCallerWhoseBodyDoesNotComeIsLeft(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
-			inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
+			runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 				ended := make(chan error, 1)
-				p := start(limited(func(_ http.ResponseWriter, r *http.Request) {
+				p := start(newTimeoutServer(func(_ http.ResponseWriter, r *http.Request) {
 					_, err := io.Copy(io.Discard, r.Body)
 					ended <- err
 				}))
 				body, more := io.Pipe()
-				client, req := request(p, protocol, body)
+				client, req := newRequest(p, protocol, body)
 				answered := make(chan struct{})
 				go func() {
 					defer close(answered)
@@ -183,16 +184,16 @@
 				stopped := make(chan struct{})
 				go func() {
 					defer close(stopped)
-					// A byte every second.
+					// Send a byte every second.
 					for _, err := more.Write([]byte("x")); err == nil; _, err = more.Write([]byte("x")) {
 						time.Sleep(time.Second)
 					}
 				}()
 				began := time.Now()
 				if err := <-ended; err == nil {
-					t.Error("the body ended")
+					t.Error("the body was read without an error")
 				}
-				if took := time.Since(began); took > 2*testLimits.read {
+				if took := time.Since(began); took > 2*testTimeouts.read {
 					t.Errorf("the handler was held for %v", took)
 				}
 				_ = body.CloseWithError(errors.New("enough"))
@@ -204,36 +205,35 @@
 	}
 }
 
-// Symptom: requests that take longer than the limits on slow callers are cut
-// off, or those that come on a connection after a pause.
-// Sequence: a request whose answer begins after a minute; then, on the same
-// connection, one that waits for the server's "100 Continue", and one without a
-// body.
-// Cause: a deadline that outlives what it was for.
+// The deadlines for slow callers must not end other requests: one whose answer begins
+// after a minute, and later ones on the same connection after a pause, of which one
+// waits for the server's "100 Continue" and one has no body. They would be cut off by a
+// deadline that stays set after the read or write that it was for.
 func TestLongRequestsAreNotTakenForSlowCallers(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
-			inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
-				p := start(limited(func(w http.ResponseWriter, r *http.Request) {
+			runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
+				p := start(newTimeoutServer(func(w http.ResponseWriter, r *http.Request) {
 					if _, err := io.Copy(io.Discard, r.Body); err != nil {
 						t.Error(err)
 					}
 					select {
 					case <-time.After(time.Minute):
 					case <-r.Context().Done():
-						t.Error("the request was ended")
+						t.Error("the request's context ended before the answer")
 					}
 					w.WriteHeader(http.StatusNoContent)
 				}))
-				client, req := request(p, protocol, strings.NewReader("ask"))
+				client, req := newRequest(p, protocol, strings.NewReader("ask"))
 				client.Transport.(*http.Transport).ExpectContinueTimeout = time.Hour
 				for _, body := range []string{"ask", "ask with Expect", ""} {
 					req.Body, req.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 					if body == "" {
 						req.Body = nil
 					}
-					// Longer than the limits, shorter than an idle connection is kept.
-					time.Sleep(2 * testLimits.write)
+					// Wait longer than the timeouts, but less than an idle connection
+					// is kept.
+					time.Sleep(2 * testTimeouts.write)
 					req.Header.Del("Expect")
 					if strings.Contains(body, "Expect") {
 						req.Header.Set("Expect", "100-continue")
@@ -243,7 +243,7 @@
 						t.Fatal(err)
 					}
 					if resp.StatusCode != http.StatusNoContent {
-						t.Errorf("status %d", resp.StatusCode)
+						t.Errorf("got status %d, want 204", resp.StatusCode)
 					}
 					_ = resp.Body.Close()
 				}
@@ -253,16 +253,16 @@
 	}
 }
 
-// bareServer is the callers' server without anything behind it.
-func bareServer(limits settings.Limits) *http.Server {
+// newEmptyServer returns the callers' server without services behind it.
+func newEmptyServer(limits settings.Limits) *http.Server {
 	return newCallersServer(&handler{log: hclog.NewNullLogger(), auth: auth.New(nil)}, limits)
 }
 
 func TestHeadersAreBounded(t *testing.T) {
 	limits := settings.Limits{MaxBody: 1 << 10, MaxHeader: 4 << 10, HeaderTimeout: 5 * time.Second, MaxStreams: 7}
 	t.Run("in time", func(t *testing.T) {
-		inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
-			p := start(bareServer(limits))
+		runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
+			p := start(newEmptyServer(limits))
 			conn, _ := p.dial(context.Background(), "", "")
 			if _, err := io.WriteString(conn, "POST / HTTP/1.1\r\nHost:"); err != nil {
 				t.Fatal(err)
@@ -275,23 +275,23 @@
 		})
 	})
 	t.Run("in size", func(t *testing.T) {
-		inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
-			client, req := request(start(bareServer(limits)), "HTTP/1.1", nil)
+		runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
+			client, req := newRequest(start(newEmptyServer(limits)), "HTTP/1.1", nil)
 			req.Header.Set("X-Long", strings.Repeat("x", 16<<10))
 			resp, err := client.Do(req)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if resp.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-				t.Errorf("status %d", resp.StatusCode)
+				t.Errorf("got status %d, want 431", resp.StatusCode)
 			}
 			_ = resp.Body.Close()
 			client.CloseIdleConnections()
 		})
 	})
 	t.Run("in HTTP/2, as is the number of streams on a connection", func(t *testing.T) {
-		inMemory(t, func(t *testing.T, start func(*http.Server) *pipes) {
-			p := start(bareServer(limits))
+		runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
+			p := start(newEmptyServer(limits))
 			conn, _ := p.dial(context.Background(), "", "")
 			framer := http2.NewFramer(conn, bufio.NewReader(conn))
 			go func() {
@@ -304,13 +304,13 @@
 			}
 			announced, ok := frame.(*http2.SettingsFrame)
 			if !ok {
-				t.Fatalf("got %v", frame)
+				t.Fatalf("got frame %v, want settings", frame)
 			}
 			if streams, _ := announced.Value(http2.SettingMaxConcurrentStreams); streams != uint32(limits.MaxStreams) {
-				t.Errorf("%d streams, want %d", streams, limits.MaxStreams)
+				t.Errorf("got a limit of %d streams, want %d", streams, limits.MaxStreams)
 			}
 			if size, ok := announced.Value(http2.SettingMaxHeaderListSize); !ok || size >= 8<<10 {
-				t.Errorf("headers of %d bytes", size)
+				t.Errorf("got a header limit of %d bytes, want less than 8 KiB", size)
 			}
 			_ = conn.Close()
 		})
--- a/internal/gateway/loops.go
+++ b/internal/gateway/loops.go
@@ -12,8 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// tappedNotices tells streams of the notices that the instances controller
-// reads.
+// tappedNotices reads notices for the instances controller and passes each one on to
+// the streams that use the instance.
 type tappedNotices struct {
 	cloud instances.Notices
 	board *noticeBoard
@@ -21,24 +21,26 @@
 
 // Notices implements instances.Notices.
 func (t *tappedNotices) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
-	// EndsIn counts from when the notice was read at the earliest: from
-	// before the request.
-	asked := time.Now()
+	// EndsIn counts from when the notice was read, at the earliest right after the
+	// request was sent. Counting from before the request gives an end that is never too
+	// late.
+	requestedAt := time.Now()
 	read, err := t.cloud.Notices(ctx, after)
 	for _, n := range read {
-		t.board.Note(n.Instance, n.Incarnation, asked.Add(n.EndsIn))
+		t.board.Record(n.Instance, n.Incarnation, requestedAt.Add(n.EndsIn))
 	}
 	return read, err
 }
 
-// stateLoops are the controllers that keep the blackboard, by name.
-func (p *Process) stateLoops() map[string]func(context.Context) error {
+// controllerLoops returns, by name, the loops that keep the blackboard, the calls and
+// admission up to date.
+func (p *Process) controllerLoops() map[string]func(context.Context) error {
 	listing := instances.New(instances.DefaultConfig(p.self.ID, p.self.Incarnation), instances.Deps{
 		List:        p.platform,
 		Notices:     &tappedNotices{cloud: p.platform, board: p.notices},
 		Membership:  p.members,
 		Log:         p.log.Named("instances"),
-		OnOwnNotice: p.noteOwnReclaim,
+		OnOwnNotice: p.requestLeave,
 	})
 	probes := probing.New(probing.DefaultConfig(p.self.ID, p.self.FailureDomain), probing.Deps{
 		Board:      p.board,
@@ -57,17 +59,17 @@
 	}
 }
 
-// followUpstreams keeps admission informed of the upstreams and of the number
+// followUpstreams keeps admission up to date about the upstreams and about the number
 // of gateways that share the documents' limits.
 func (p *Process) followUpstreams(ctx context.Context) error {
 	for {
 		upstreams := p.board.Upstreams.Load()
 		members := p.board.Members.Load()
-		live := liveGateways(members.Value)
+		live := countLiveGateways(members.Value)
 		p.admission.SetGateways(live)
 		for service, list := range upstreams.Value.ByService {
 			p.admission.SetUpstreams(service, aliveIDs(list))
-			p.admission.SetSlots(service, p.handler.routes.router(service).Slots(list, live, time.Now()))
+			p.admission.SetSlots(service, p.handler.router.serviceRouter(service).Slots(list, live, time.Now()))
 		}
 		select {
 		case <-upstreams.Changed():
@@ -78,7 +80,7 @@
 	}
 }
 
-func liveGateways(members *blackboard.Members) int {
+func countLiveGateways(members *blackboard.Members) int {
 	live := 0
 	for _, m := range members.ByID {
 		if m.Instance.Role == platform.RoleEntry && m.State == blackboard.Alive {
--- a/internal/gateway/overhead_test.go
+++ b/internal/gateway/overhead_test.go
@@ -31,11 +31,11 @@
 )
 
 const (
-	// tokenInterval and streamTokens are those of a stream of the benchmark.
+	// tokenInterval and streamTokens describe the streams of the benchmark.
 	tokenInterval = 40 * time.Millisecond
 	streamTokens  = 50
-	// callsARound is how many calls a round makes at least.
-	callsARound = 4000
+	// minCallsPerRound is how many calls are made in a round at least.
+	minCallsPerRound = 4000
 )
 
 // pacedEngine sends a token every tokenInterval.
@@ -71,15 +71,15 @@
 	return nil
 }
 
-// benchWorld is the system under test and a bare reverse path to the same
-// upstream, both reached by one kind of client.
-type benchWorld struct {
-	*world
+// benchEnv is the gateway under test and a bare reverse proxy to the same upstream,
+// both with clients of the same kind.
+type benchEnv struct {
+	*testEnv
 	plain  upstreamv1connect.PlainServiceClient
 	engine upstreamv1connect.EngineServiceClient
 }
 
-func newBenchWorld(b *testing.B) *benchWorld {
+func newBenchEnv(b *testing.B) *benchEnv {
 	b.Helper()
 	mux := http.NewServeMux()
 	connectupstream.MountEngine(mux, pacedEngine{})
@@ -88,42 +88,43 @@
 	clients := connectupstream.NewClients(nil)
 	b.Cleanup(clients.Close)
 	many := concurrency.Config{Initial: 4096, Min: 4096, Max: 4096}
-	w := newWorld(b, worldOptions{
+	env := newTestEnv(b, envOptions{
 		plain:     connectupstream.NewPlain(clients, url),
 		engine:    connectupstream.NewEngine(clients, url),
 		admission: admission.Config{Concurrency: many},
 		level:     hclog.Info,
 	})
-	w.board.Documents.Publish(manyClasses())
+	env.board.Documents.Publish(manyClasses())
 	engines := manyEngines()
-	w.board.Upstreams.Publish(engines)
-	w.handler.admission.SetUpstreams(modelService, aliveIDs(engines.ByService[modelService]))
+	env.board.Upstreams.Publish(engines)
+	env.handler.admission.SetUpstreams(modelService, aliveIDs(engines.ByService[modelService]))
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
 	client := &http.Client{Transport: &http.Transport{Protocols: &protocols}}
 	b.Cleanup(client.CloseIdleConnections)
 	bare := serveBare(b, url)
-	// The gateway asks upstreams for no compression either.
-	plainBytes := connect.WithAcceptCompression("gzip", nil, nil)
-	return &benchWorld{
-		world:  w,
-		plain:  upstreamv1connect.NewPlainServiceClient(client, bare, plainBytes),
-		engine: upstreamv1connect.NewEngineServiceClient(client, bare, plainBytes),
+	// Like the gateway, these clients ask upstreams for no compression.
+	noCompression := connect.WithAcceptCompression("gzip", nil, nil)
+	return &benchEnv{
+		testEnv: env,
+		plain:   upstreamv1connect.NewPlainServiceClient(client, bare, noCompression),
+		engine:  upstreamv1connect.NewEngineServiceClient(client, bare, noCompression),
 	}
 }
 
-// engineEntries is how many engines the gateway takes the one of the benchmark
-// for: it would not send a thousand streams to one.
-const engineEntries = 32
+// engineCount is how many engines the gateway knows, all of them served by the
+// benchmark's one engine: the gateway would not send a thousand streams to a single
+// engine.
+const engineCount = 32
 
-// classes is over how many latency classes the streams are spread: a gateway
-// that has just started lets in a hundred of each at once.
+// classes is the number of latency classes over which the streams are spread: a gateway
+// that has just started admits a hundred streams of each class at once.
 const classes = 16
 
 func className(i int) ident.Class { return ident.Class(fmt.Sprintf("class-%d", i%classes)) }
 
 func manyClasses() *document.Set {
-	set := worldDocuments(document.AccountLimit{})
+	set := envDocuments(document.AccountLimit{})
 	model, _ := set.Find(modelService)
 	for i := range classes {
 		model.Classes = append(model.Classes, document.Class{Name: className(i), FirstToken: time.Minute, Priority: i})
@@ -132,17 +133,17 @@
 }
 
 func manyEngines() *blackboard.Upstreams {
-	upstreams := worldUpstreams()
+	upstreams := envUpstreams()
 	engine := upstreams.ByService[modelService][0]
-	for i := range engineEntries - 1 {
+	for i := range engineCount - 1 {
 		engine.Instance.ID = ident.Instance(fmt.Sprintf("engine-%d", i+2))
 		upstreams.ByService[modelService] = append(upstreams.ByService[modelService], engine)
 	}
 	return upstreams
 }
 
-// serveBare serves the least that a reverse path does: it copies the request
-// to the upstream and the answer back.
+// serveBare serves a minimal reverse proxy, which copies the request to the upstream
+// and the answer back.
 func serveBare(b *testing.B, upstreamURL string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -165,7 +166,7 @@
 		w.WriteHeader(resp.StatusCode)
 		copyAndFlush(w, resp.Body)
 	}))
-	server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: worldLimits().MaxStreams}
+	server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: envLimits().MaxStreams}
 	go func() { _ = server.Serve(listener) }()
 	b.Cleanup(func() {
 		_ = server.Close()
@@ -189,8 +190,9 @@
 	}
 }
 
-// cost is the processor time of this process: caller, path and upstream.
-func cost() time.Duration {
+// processorTime returns the processor time that this process has used: caller, proxy
+// and upstream.
+func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
@@ -198,13 +200,13 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// spent adds up what rounds of one path cost.
-type spent struct{ processor, wall time.Duration }
+// pathCost adds up the cost of the rounds over one path.
+type pathCost struct{ processor, wall time.Duration }
 
-// round runs work on so many goroutines and adds what it cost.
-func (s *spent) round(b *testing.B, concurrent int, work func() error) {
+// addRound runs work on the given number of goroutines and adds the cost.
+func (s *pathCost) addRound(b *testing.B, concurrent int, work func() error) {
 	b.Helper()
-	processor, began := cost(), time.Now()
+	processor, began := processorTime(), time.Now()
 	var all sync.WaitGroup
 	for range concurrent {
 		all.Go(func() {
@@ -214,12 +216,12 @@
 		})
 	}
 	all.Wait()
-	s.processor += cost() - processor
+	s.processor += processorTime() - processor
 	s.wall += time.Since(began)
 }
 
-// reportCost reports the cost of one operation by both paths and their ratio.
-func reportCost(b *testing.B, gateway, bare spent, operations int, name string) {
+// reportCost reports the cost of one operation over both paths and their ratio.
+func reportCost(b *testing.B, gateway, bare pathCost, operations int, name string) {
 	micros := func(d time.Duration) float64 { return d.Seconds() * 1e6 / float64(operations) }
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(micros(gateway.processor), "gateway-cpu-µs/"+name)
@@ -228,9 +230,9 @@
 	b.ReportMetric(gateway.wall.Seconds()/bare.wall.Seconds(), "wall-ratio")
 }
 
-// BenchmarkOverhead compares the gateway with a bare reverse path to the same
-// upstream, round by round in the same run. Processor time counts all that a
-// request costs this process: caller, path and upstream.
+// BenchmarkOverhead compares the gateway with a bare reverse proxy to the same
+// upstream, in alternating rounds of one run. Processor time counts everything that a
+// request costs this process: caller, proxy and upstream.
 func BenchmarkOverhead(b *testing.B) {
 	for _, concurrent := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("call/%d", concurrent), func(b *testing.B) { benchmarkCalls(b, concurrent) })
@@ -239,13 +241,13 @@
 }
 
 func benchmarkCalls(b *testing.B, concurrent int) {
-	w := newBenchWorld(b)
-	each := max(1, callsARound/concurrent)
+	env := newBenchEnv(b)
+	each := max(1, minCallsPerRound/concurrent)
 	ctx := context.Background()
 	payload := make([]byte, 512)
 	direct := func() error {
 		for range each {
-			if _, err := w.plain.Invoke(ctx, &upstreamv1.InvokeRequest{Method: "find_lot", Payload: payload}); err != nil {
+			if _, err := env.plain.Invoke(ctx, &upstreamv1.InvokeRequest{Method: "find_lot", Payload: payload}); err != nil {
 				return err
 			}
 		}
@@ -253,33 +255,33 @@
 	}
 	through := func() error {
 		for range each {
-			resp, err := w.client.Call(ctx, lookUp(string(payload)))
+			resp, err := env.client.Call(ctx, lookupRequest(string(payload)))
 			if err != nil {
 				return err
 			}
 			if resp.GetOutcome().GetKind() != callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED {
-				return fmt.Errorf("told %v", resp.GetOutcome())
+				return fmt.Errorf("got outcome %v, want completed", resp.GetOutcome())
 			}
 		}
 		return nil
 	}
-	var gateway, bare, warm spent
-	warm.round(b, concurrent, direct)
-	warm.round(b, concurrent, through)
+	var gateway, bare, warm pathCost
+	warm.addRound(b, concurrent, direct)
+	warm.addRound(b, concurrent, through)
 	rounds := 0
 	for b.Loop() {
-		bare.round(b, concurrent, direct)
-		gateway.round(b, concurrent, through)
+		bare.addRound(b, concurrent, direct)
+		gateway.addRound(b, concurrent, through)
 		rounds++
 	}
 	reportCost(b, gateway, bare, rounds*each*concurrent, "call")
 }
 
 func benchmarkTokens(b *testing.B, concurrent int) {
-	w := newBenchWorld(b)
+	env := newBenchEnv(b)
 	ctx := context.Background()
 	direct := func() error {
-		stream, err := w.engine.Generate(ctx, &upstreamv1.GenerateRequest{
+		stream, err := env.engine.Generate(ctx, &upstreamv1.GenerateRequest{
 			RequestId: uuid.NewString(), Attempt: 1, Prompt: "lot 7", MaxTokens: streamTokens,
 		})
 		if err != nil {
@@ -291,25 +293,25 @@
 			got += len(stream.Msg().GetTokens())
 		}
 		if got != streamTokens {
-			return fmt.Errorf("%d tokens: %w", got, stream.Err())
+			return fmt.Errorf("got %d tokens: %w", got, stream.Err())
 		}
 		return nil
 	}
 	var turn atomic.Int64
 	through := func() error {
-		req := ask(uuid.NewString(), "lot 7", streamTokens)
+		req := generateRequest(uuid.NewString(), "lot 7", streamTokens)
 		req.Class = string(className(int(turn.Add(1))))
-		got, err := generate(ctx, w.client, req)
+		got, err := generate(ctx, env.client, req)
 		if err != nil || len(got.tokens) != streamTokens {
-			return fmt.Errorf("%d tokens, %v: %w", len(got.tokens), got.outcome, err)
+			return fmt.Errorf("got %d tokens, outcome %v: %w", len(got.tokens), got.outcome, err)
 		}
 		return nil
 	}
-	var gateway, bare spent
+	var gateway, bare pathCost
 	rounds := 0
 	for b.Loop() {
-		bare.round(b, concurrent, direct)
-		gateway.round(b, concurrent, through)
+		bare.addRound(b, concurrent, direct)
+		gateway.addRound(b, concurrent, through)
 		rounds++
 	}
 	reportCost(b, gateway, bare, rounds*concurrent*streamTokens, "token")
--- a/internal/gateway/peering/wire.go
+++ b/internal/gateway/peering/wire.go
@@ -1,6 +1,5 @@
-// Package peering connects a gateway's calls and token streams to the peer
-// protocol: it translates their values to messages and back, and knows which
-// gateways to turn to.
+// Package peering connects a gateway's calls and token streams to the peer protocol: it
+// converts their values to messages and back, and finds the gateways to send them to.
 package peering
 
 import (
@@ -19,7 +18,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// callKey returns the scoped key of a message.
+// callKey returns an idempotency key with its service and client account.
 func callKey(service, account, key string) ident.CallKey {
 	return ident.CallKey{
 		Service: ident.Service(service),
@@ -28,8 +27,8 @@
 	}
 }
 
-// head returns the parts of a message that say whose it is.
-func head(key ident.CallKey, claimID string, digest []byte, issuedAt *timestamppb.Timestamp) (journal.Head, error) {
+// parseHead checks and returns the fields that identify the claim of a message.
+func parseHead(key ident.CallKey, claimID string, digest []byte, issuedAt *timestamppb.Timestamp) (journal.Head, error) {
 	id, err := uuid.Parse(claimID)
 	if err != nil {
 		return journal.Head{}, errcode.Wrap(errcode.InvalidArgument, err, "claim_id")
@@ -58,7 +57,7 @@
 
 func outcomeFromWire(w *peerv1.KeyedOutcome) (calls.KeyedOutcome, error) {
 	key := callKey(w.GetService(), w.GetClientAccount(), w.GetKey())
-	h, err := head(key, w.GetClaimId(), w.GetRequestDigest(), w.GetIssuedAt())
+	h, err := parseHead(key, w.GetClaimId(), w.GetRequestDigest(), w.GetIssuedAt())
 	if err != nil {
 		return calls.KeyedOutcome{}, err
 	}
@@ -86,7 +85,7 @@
 
 func callFromWire(w *peerv1.HandedCall) (calls.HandedCall, error) {
 	key := callKey(w.GetService(), w.GetClientAccount(), w.GetKey())
-	h, err := head(key, w.GetClaimId(), w.GetRequestDigest(), w.GetIssuedAt())
+	h, err := parseHead(key, w.GetClaimId(), w.GetRequestDigest(), w.GetIssuedAt())
 	if err != nil {
 		return calls.HandedCall{}, err
 	}
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -8,8 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// sink sends the events of a token stream to a caller. Generate and Resume
-// have the same events in messages of their own.
+// sink sends the events of a token stream to a caller. Generate and Resume send the
+// same events in messages of different types.
 type sink struct {
 	tokens    func(*callerv1.TokenFrame) error
 	heartbeat func() error
@@ -54,21 +54,21 @@
 // Heartbeat implements streaming.Sink.
 func (s *sink) Heartbeat() error { return s.heartbeat() }
 
-// end sends the last event.
-func (s *sink) end(o outcome.Outcome) error { return s.outcome(toWire(o)) }
+// sendOutcome sends the outcome, which is the last event.
+func (s *sink) sendOutcome(o outcome.Outcome) error { return s.outcome(toWire(o)) }
 
-// firstTokenSink tells admission when the first token comes.
+// firstTokenSink calls onFirstToken before it passes the first tokens on.
 type firstTokenSink struct {
 	streaming.Sink
-	tell func()
-	told bool
+	onFirstToken func()
+	notified     bool
 }
 
 // Tokens implements streaming.Sink.
 func (s *firstTokenSink) Tokens(index uint32, tokens []string) error {
-	if !s.told {
-		s.told = true
-		s.tell()
+	if !s.notified {
+		s.notified = true
+		s.onFirstToken()
 	}
 	return s.Sink.Tokens(index, tokens)
 }
--- a/internal/gateway/span.go
+++ b/internal/gateway/span.go
@@ -19,18 +19,18 @@
 	refusedKey  = attribute.Key("refused")
 )
 
-// startSpan begins the span of a step inside the gateway. The function that
-// ends it, unlike a deferred trace.Span.End, keeps a panic's value out of the
-// span: it may quote what a caller sent.
+// startSpan begins the span of a step inside the gateway. The returned function ends
+// it. Unlike a deferred trace.Span.End, that function does not record the value of a
+// panic in the span: it may quote what a caller sent.
 func startSpan(ctx context.Context, tracer trace.Tracer, name string, options ...trace.SpanStartOption) (context.Context, trace.Span, func()) {
 	ctx, span := tracer.Start(ctx, name, options...)
 	return ctx, span, func() { span.End() }
 }
 
-// startRequest begins the span of a caller's request, which continues the
+// startRequestSpan begins the span of a caller's request, which continues the
 // caller's trace if it sent one.
-func (h *handler) startRequest(ctx context.Context, name, service string) (context.Context, trace.Span, func()) {
-	service = service[:min(len(service), maxServiceName)]
+func (h *handler) startRequestSpan(ctx context.Context, name, service string) (context.Context, trace.Span, func()) {
+	service = service[:min(len(service), maxServiceNameBytes)]
 	return startSpan(ctx, h.tracer, name, trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(serviceKey.String(service)))
 }
--- a/internal/platform/connectplatform/client.go
+++ b/internal/platform/connectplatform/client.go
@@ -1,6 +1,6 @@
-// Package connectplatform speaks the platform's protocol over Connect: clients
-// that implement the interfaces of package platform, and handlers that serve
-// any implementation of them.
+// Package connectplatform implements the platform's protocol over Connect: clients that
+// implement the interfaces of package platform, and handlers that serve any
+// implementation of these interfaces.
 package connectplatform
 
 import (
@@ -19,23 +19,23 @@
 )
 
 const (
-	// requestTimeout bounds requests whose caller sets no deadline, or a later
-	// one: on a connection that went silent an answer never comes.
+	// requestTimeout bounds requests whose caller sets no deadline or a later one: on a
+	// connection that went silent no answer ever comes.
 	requestTimeout = 10 * time.Second
-	// readGrace is how much longer than its wait a read may take. A log that
-	// is slow by more than this cannot be read; a shorter grace would take a
-	// slow log for a silent connection.
+	// readGrace is how much longer than its wait a read may take. A log that is slower
+	// than this cannot be read; with a shorter grace a slow log would be taken for a
+	// silent connection.
 	readGrace = 5 * time.Second
 )
 
-// Client is the platform behind one base URL.
+// Client is a client of the platform at one base URL.
 type Client struct {
 	log       platformv1connect.LogServiceClient
 	instances platformv1connect.InstanceServiceClient
 	cloud     platformv1connect.CloudServiceClient
 	weights   platformv1connect.WeightServiceClient
-	// timeout and grace are constants but in tests.
-	timeout, grace time.Duration
+	// timeout and readGrace are the constants above, except in tests.
+	timeout, readGrace time.Duration
 }
 
 var (
@@ -45,10 +45,10 @@
 	_ platform.Weights   = (*Client)(nil)
 )
 
-// NewClient returns a client. The HTTP client has to come from
-// transport.NewClient: an append that it repeated would be in the log twice. It
-// should dial a connection for each request (transport.Options), so that a
-// connection that went silent costs one request at most.
+// NewClient returns a client. The HTTP client must come from transport.NewClient, which
+// repeats no request: a repeated append would be in the log twice. It should dial a
+// connection for each request (transport.Options.FreshConnections), so that a
+// connection that goes silent costs one request at most.
 func NewClient(client *http.Client, baseURL string) *Client {
 	return &Client{
 		log:       platformv1connect.NewLogServiceClient(client, baseURL),
@@ -56,7 +56,7 @@
 		cloud:     platformv1connect.NewCloudServiceClient(client, baseURL),
 		weights:   platformv1connect.NewWeightServiceClient(client, baseURL),
 		timeout:   requestTimeout,
-		grace:     readGrace,
+		readGrace: readGrace,
 	}
 }
 
@@ -67,7 +67,7 @@
 	ctx, attempt := transport.Observe(ctx)
 	response, err := c.log.Append(ctx, &platformv1.AppendRequest{Stream: stream, Records: records})
 	if err != nil {
-		return 0, fromWire(err, doubtOf(attempt), "append to stream "+stream)
+		return 0, fromWire(err, uncertainKind(attempt), "append to stream "+stream)
 	}
 	return ident.Offset(response.GetFirstOffset()), nil
 }
@@ -76,7 +76,7 @@
 func (c *Client) Read(
 	ctx context.Context, stream string, from ident.Offset, limit int, wait time.Duration,
 ) (platform.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+c.grace)
+	ctx, cancel := context.WithTimeout(ctx, wait+c.readGrace)
 	defer cancel()
 	response, err := c.log.Read(ctx, &platformv1.ReadRequest{
 		Stream:     stream,
@@ -98,7 +98,7 @@
 	}
 	batch, malformed := expiredBatch(err)
 	if malformed != nil {
-		return platform.Batch{}, classify(platform.ErrUnavailable, malformed, operation)
+		return platform.Batch{}, wrapKind(platform.ErrUnavailable, malformed, operation)
 	}
 	return batch, kind
 }
@@ -133,7 +133,7 @@
 		Fence:         uint64(req.Fence),
 	})
 	if err != nil {
-		return "", fromWire(err, doubtOf(attempt), "start instance")
+		return "", fromWire(err, uncertainKind(attempt), "start instance")
 	}
 	return ident.Instance(response.GetInstanceId()), nil
 }
@@ -145,7 +145,7 @@
 	ctx, attempt := transport.Observe(ctx)
 	_, err := c.cloud.Stop(ctx, &platformv1.StopRequest{InstanceId: string(id), Fence: uint64(fence)})
 	if err != nil {
-		return fromWire(err, doubtOf(attempt), "stop instance "+string(id))
+		return fromWire(err, uncertainKind(attempt), "stop instance "+string(id))
 	}
 	return nil
 }
@@ -179,9 +179,10 @@
 	}, nil
 }
 
-// doubtOf says what may have become of a request with an effect that failed
-// without a word from the server.
-func doubtOf(attempt *transport.Attempt) error {
+// uncertainKind returns the kind of error for a request that has an effect and failed
+// without a reason from the server: ErrUnavailable if it was not sent, and
+// ErrAnswerLost otherwise.
+func uncertainKind(attempt *transport.Attempt) error {
 	if attempt.NotSent() {
 		return platform.ErrUnavailable
 	}
--- a/internal/platform/connectplatform/contract_test.go
+++ b/internal/platform/connectplatform/contract_test.go
@@ -14,10 +14,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// patience bounds waits that a right implementation ends at once.
-const patience = 30 * time.Second
+// testTimeout bounds waits that a correct implementation ends at once.
+const testTimeout = 30 * time.Second
 
-// fakes are the stand-ins behind a subject; tests make them fail.
+// fakes are the stand-ins behind a subject; tests inject faults into them.
 type fakes struct {
 	log       *logstore.Log
 	instances *instances.List
@@ -25,15 +25,15 @@
 	weights   *weights.Store
 }
 
-// subject is an implementation of all interfaces, with its fakes.
+// subject is an implementation of all interfaces under test, with its fakes.
 type subject struct {
 	fakes
 	connectplatform.Services
 }
 
-// onEach runs a contract test on the fakes in memory and on the Connect
+// onEachImplementation runs a contract test on the fakes in memory and on the Connect
 // adapter over a loopback socket.
-func onEach(t *testing.T, test func(t *testing.T, s subject)) {
+func onEachImplementation(t *testing.T, test func(t *testing.T, s subject)) {
 	t.Run("memory", func(t *testing.T) {
 		f := newFakes()
 		test(t, subject{f, f.services()})
--- a/internal/platform/connectplatform/log_test.go
+++ b/internal/platform/connectplatform/log_test.go
@@ -26,7 +26,7 @@
 	return list
 }
 
-// contents returns what is in the stream, without waiting.
+// contents returns the records in the stream, without waiting.
 func contents(t *testing.T, log platform.Log) []string {
 	t.Helper()
 	batch, err := log.Read(t.Context(), stream, 0, 1000, 0)
@@ -47,7 +47,7 @@
 }
 
 func TestLogKeepsTheRecordsOfAnAppendTogether(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		var group sync.WaitGroup
 		for writer := range 8 {
 			group.Go(func() {
@@ -64,14 +64,14 @@
 		}
 		for i := 0; i < len(texts); i += 3 {
 			if texts[i] != texts[i+1] || texts[i] != texts[i+2] {
-				t.Errorf("append torn apart: %v", texts[i:i+3])
+				t.Errorf("the records of an append are not adjacent: %v", texts[i:i+3])
 			}
 		}
 	})
 }
 
 func TestLogReadsFromAnOffsetUpToALimit(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		first, err := s.Log.Append(t.Context(), stream, records("a", "b", "c", "d"))
 		if err != nil || first != 0 {
 			t.Fatalf("first append: offset %d, %v", first, err)
@@ -87,14 +87,14 @@
 }
 
 func TestLogReadWaitsForTheNextRecord(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		var group sync.WaitGroup
 		group.Go(func() {
 			if _, err := s.Log.Append(t.Context(), stream, records("late")); err != nil {
 				t.Error(err)
 			}
 		})
-		batch, err := s.Log.Read(t.Context(), stream, 0, 10, patience)
+		batch, err := s.Log.Read(t.Context(), stream, 0, 10, testTimeout)
 		if err != nil || len(batch.Records) != 1 {
 			t.Errorf("got %+v, %v", batch, err)
 		}
@@ -107,12 +107,12 @@
 }
 
 func TestLogTellsExpiredRecords(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		if _, err := s.Log.Append(t.Context(), stream, records("a", "b", "c")); err != nil {
 			t.Fatal(err)
 		}
 		s.log.Expire(stream, 2)
-		batch, err := s.Log.Read(t.Context(), stream, 1, 10, patience)
+		batch, err := s.Log.Read(t.Context(), stream, 1, 10, testTimeout)
 		if !errors.Is(err, platform.ErrExpired) {
 			t.Fatalf("got %v, want ErrExpired", err)
 		}
@@ -122,15 +122,15 @@
 	})
 }
 
-// Symptom: a record is in the log twice, or one that was reported as refused
-// is there. Sequence: a fault meets an append, its writer believes the error.
-// Cause: an adapter that takes a lost answer for a refusal, or the reverse.
+// A writer acts on the error of its append. An adapter that takes a lost answer for a
+// refusal, or the reverse, leads to a record that is in the log twice, or to one that
+// is in the log although it was reported as refused.
 func TestLogAppendErrorsTellWhatHappened(t *testing.T) {
 	cases := []struct {
 		story  string
 		inject func(*fault.Injector)
 		want   error
-		// after is what the log holds once the fault is over.
+		// after is the contents of the log once the fault is over.
 		after []string
 	}{
 		{"outage", func(i *fault.Injector) { i.SetOutage(true) }, platform.ErrUnavailable, nil},
@@ -140,7 +140,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
-			onEach(t, func(t *testing.T, s subject) {
+			onEachImplementation(t, func(t *testing.T, s subject) {
 				c.inject(&s.log.Injector)
 				_, err := s.Log.Append(t.Context(), stream, records("x"))
 				if !errors.Is(err, c.want) {
@@ -148,7 +148,7 @@
 				}
 				s.log.SetOutage(false)
 				if len(c.after) > 0 {
-					if _, err := s.Log.Read(t.Context(), stream, 0, 1, patience); err != nil {
+					if _, err := s.Log.Read(t.Context(), stream, 0, 1, testTimeout); err != nil {
 						t.Error(err)
 					}
 				}
@@ -160,15 +160,14 @@
 	}
 }
 
-// Symptom: a reader hangs for the whole wait although the log is down.
-// Sequence: a read waits at the head, then the outage begins.
-// Cause: only new appends wake a waiting read.
+// An outage must end a read that waits at the head. If only new appends woke it, the
+// reader would hang for the whole wait although the log is down.
 func TestLogOutageEndsAWaitingRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logstore.New(logstore.Options{})
 		failed := make(chan error, 1)
 		go func() {
-			_, err := log.Read(t.Context(), stream, 0, 1, patience)
+			_, err := log.Read(t.Context(), stream, 0, 1, testTimeout)
 			failed <- err
 		}()
 		synctest.Wait()
@@ -180,11 +179,11 @@
 }
 
 func TestLogRequestsEndWithTheirContext(t *testing.T) {
-	onEach(t, func(t *testing.T, s subject) {
+	onEachImplementation(t, func(t *testing.T, s subject) {
 		ctx, cancel := context.WithCancel(t.Context())
 		failed := make(chan error, 1)
 		go func() {
-			_, err := s.Log.Read(ctx, stream, 0, 1, patience)
+			_, err := s.Log.Read(ctx, stream, 0, 1, testTimeout)
 			failed <- err
 		}()
 		cancel()
--- a/internal/platform/connectplatform/silence_test.go
+++ b/internal/platform/connectplatform/silence_test.go
@@ -18,11 +18,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// shortPatience stands for the adapter's timeouts where an answer never comes.
-const shortPatience = 100 * time.Millisecond
+// shortTimeout replaces the adapter's timeouts where no answer ever comes.
+const shortTimeout = 100 * time.Millisecond
 
-// relayed returns a client that reaches its platform through a relay.
-func relayed(t *testing.T, options transport.Options) (*Client, *testkit.Relay) {
+// newRelayedClient returns a client that reaches its platform through a relay.
+func newRelayedClient(t *testing.T, options transport.Options) (*Client, *testkit.Relay) {
 	t.Helper()
 	mux := http.NewServeMux()
 	Mount(mux, Services{
@@ -37,10 +37,10 @@
 	return NewClient(client, relay.URL()), relay
 }
 
-// Symptom: a reader, a writer or a watcher of notices hangs for good.
-// Sequence: a kept connection goes silent while new ones work, and a request
-// without a deadline is sent on it. Cause: no timeout of the adapter's own; an
-// append's end without an answer taken for a refusal.
+// A kept connection goes silent while new ones work, and a request without a deadline
+// is sent on it. Without a timeout of the adapter's own, a reader, a writer or a
+// watcher of notices would hang for good. An append that ends without an answer must
+// not be reported as refused.
 func TestRequestsOverASilentConnectionEnd(t *testing.T) {
 	cases := []struct {
 		story   string
@@ -77,30 +77,30 @@
 	}
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
-			client, relay := relayed(t, transport.Options{})
+			client, relay := newRelayedClient(t, transport.Options{})
 			ctx, cancel := context.WithTimeout(t.Context(), requestTimeout)
 			defer cancel()
 			if err := c.request(ctx, client); err != nil {
 				t.Fatal(err)
 			}
 			relay.Silence()
-			client.timeout, client.grace = shortPatience, shortPatience
+			client.timeout, client.readGrace = shortTimeout, shortTimeout
 			if err := c.request(ctx, client); !errors.Is(err, c.want) || ctx.Err() != nil {
 				t.Errorf("on the silent connection: got %v, want %v", err, c.want)
 			}
-			client.timeout, client.grace = requestTimeout, readGrace
+			client.timeout, client.readGrace = requestTimeout, readGrace
 			if err := c.request(ctx, client); err != nil {
-				t.Errorf("the next one, on a new connection: %v", err)
+				t.Errorf("the next request, on a new connection: %v", err)
 			}
 		})
 	}
 }
 
-// Symptom: each silence costs an append's timeout and a search for its record.
-// Sequence: as above, with a client that dials for each request.
-// Cause: kept connections.
+// A client that dials a connection for each request is not affected by silent
+// connections. With kept connections, each silence would cost an append's timeout and a
+// search for its record.
 func TestFreshConnectionsDoNotMeetASilence(t *testing.T) {
-	client, relay := relayed(t, transport.Options{FreshConnections: true})
+	client, relay := newRelayedClient(t, transport.Options{FreshConnections: true})
 	for _, text := range []string{"a", "b", "c"} {
 		if _, err := client.Append(t.Context(), "s", [][]byte{[]byte(text)}); err != nil {
 			t.Error(err)
--- a/internal/upstream/connectupstream/bench_test.go
+++ b/internal/upstream/connectupstream/bench_test.go
@@ -14,13 +14,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// BenchmarkInvoke compares a kept connection with one dialled for each call,
-// over loopback, in plain text and with TLS.
+// BenchmarkInvoke compares a kept connection with one that is dialled for each call,
+// over loopback, in plaintext and with TLS.
 func BenchmarkInvoke(b *testing.B) {
 	for _, c := range []struct {
 		name, key string
 		secure    bool
-	}{{"kept", "", false}, {"fresh", key, false}, {"kept TLS", "", true}, {"fresh TLS", key, true}} {
+	}{{"kept", "", false}, {"fresh", callKey, false}, {"kept TLS", "", true}, {"fresh TLS", callKey, true}} {
 		b.Run(c.name, func(b *testing.B) {
 			mux := http.NewServeMux()
 			connectupstream.MountPlain(mux, plain.New(plain.Options{}))
@@ -34,7 +34,7 @@
 			clients := connectupstream.NewClients(trusted)
 			b.Cleanup(clients.Close)
 			subject := connectupstream.NewPlain(clients, serve(b, mux))
-			req := bid
+			req := bidRequest
 			req.Key = c.key
 			b.ReportAllocs()
 			for b.Loop() {
@@ -46,8 +46,8 @@
 	}
 }
 
-// serveTLS serves a handler with a certificate of the authority and returns
-// the base URL.
+// serveTLS serves a handler with a certificate of the authority and returns the base
+// URL.
 func serveTLS(b testing.TB, authority *testkit.Authority, handler http.Handler) string {
 	b.Helper()
 	dir := b.TempDir()
--- a/internal/upstream/connectupstream/plain_test.go
+++ b/internal/upstream/connectupstream/plain_test.go
@@ -18,12 +18,12 @@
 
 const plainIncarnation = 2
 
-const key = "auktion-app/account-1/bid-1"
+const callKey = "auktion-app/account-1/bid-1"
 
-var bid = upstream.InvokeRequest{Method: "bid", Key: key, Fence: 5, Payload: []byte("lot 17")}
+var bidRequest = upstream.InvokeRequest{Method: "bid", Key: callKey, Fence: 5, Payload: []byte("lot 17")}
 
-// onEachPlain runs a contract test on the fake in memory and on the Connect
-// adapter over a loopback socket.
+// onEachPlain runs a contract test on the stand-in in memory and on the Connect adapter
+// over a loopback socket.
 func onEachPlain(t *testing.T, options plain.Options, test func(t *testing.T, fake *plain.Service, subject upstream.Plain)) {
 	options.Instance, options.Incarnation = "plain-1", plainIncarnation
 	t.Run("memory", func(t *testing.T) {
@@ -40,22 +40,21 @@
 	})
 }
 
-// Symptom: a booking is made twice, or a caller is told that a booking was not
-// made that was. Sequence: a call fails, the gateway decides by the error
-// whether it may try elsewhere. Cause: an error that says less, or more, than
-// is known.
+// The gateway decides by a failed call's error whether it may try another upstream. An
+// error that says less or more than is known leads to a booking that is made twice, or
+// to a caller that is told that its booking was not made although it was.
 func TestPlainErrorsTellWhatHappened(t *testing.T) {
 	cases := []struct {
 		story   string
 		prepare func(*plain.Service)
-		// incarnation is the one that the call is meant for; 0 is any.
+		// incarnation is the only one that may run the call; 0 allows any.
 		incarnation ident.Incarnation
 		want        error
 		ran         bool
 		effects     int
 	}{
 		{"leaving", func(s *plain.Service) { s.SetLeaving(true) }, 2, upstream.ErrLeaving, false, 0},
-		{"old fencing number", func(s *plain.Service) { _, _ = s.Find(context.Background(), key, 6) }, 0, upstream.ErrOldFence, false, 0},
+		{"old fencing number", func(s *plain.Service) { _, _ = s.Find(context.Background(), callKey, 6) }, 0, upstream.ErrOldFence, false, 0},
 		{"another life of the instance", func(*plain.Service) {}, 1, upstream.ErrRefused, false, 0},
 		{"connection lost before the effect", func(s *plain.Service) { s.FailNext(plain.LostBeforeEffect) }, 2, nil, true, 0},
 		{"connection lost after the effect", func(s *plain.Service) { s.FailNext(plain.LostAfterEffect) }, 0, nil, true, 1},
@@ -65,7 +64,7 @@
 			options := plain.Options{ChecksFencing: true, FindsOutcomes: true}
 			onEachPlain(t, options, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
 				c.prepare(fake)
-				call := bid
+				call := bidRequest
 				call.Incarnation = c.incarnation
 				_, err := subject.Invoke(t.Context(), call)
 				if err == nil || (c.want != nil && !errors.Is(err, c.want)) {
@@ -74,7 +73,7 @@
 				if upstream.Ran(err) != c.ran {
 					t.Errorf("Ran(%v) = %v", err, !c.ran)
 				}
-				if got := fake.Effects(key); got != c.effects {
+				if got := fake.Effects(callKey); got != c.effects {
 					t.Errorf("%d effects, want %d", got, c.effects)
 				}
 			})
@@ -86,14 +85,14 @@
 	onEachPlain(t, plain.Options{}, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
 		fake.FailNext(plain.NoFailure, plain.ApplicationError)
 		for _, failed := range []bool{false, true} {
-			got, err := subject.Invoke(t.Context(), bid)
-			want := upstream.Answer{Payload: answer.Reply(bid.Method, bid.Payload), Failed: failed}
+			got, err := subject.Invoke(t.Context(), bidRequest)
+			want := upstream.Answer{Payload: answer.Reply(bidRequest.Method, bidRequest.Payload), Failed: failed}
 			if err != nil || !cmp.Equal(got, want) {
 				t.Errorf("got %+v, %v, want %+v", got, err, want)
 			}
 		}
-		if got := fake.Effects(key); got != 2 {
-			t.Errorf("two calls with one key had %d effects, and the fake must show both", got)
+		if got := fake.Effects(callKey); got != 2 {
+			t.Errorf("two calls with one key had %d effects, want 2: the fake must count both", got)
 		}
 		fake.SetLeaving(true)
 		health, err := subject.Health(t.Context())
@@ -104,16 +103,16 @@
 	})
 }
 
-// Symptom: a call whose caller gave up is reported as not run, and runs.
-// Sequence: the call is taken in, its context ends, the effect comes later.
-// Cause: taking the end of one's own context for the end of the call.
+// A call that was accepted before its context ended may take effect later. An adapter
+// that takes the end of its own context for the end of the call would report it as not
+// run.
 func TestPlainCallGoesOnWhenItsCallerGivesUp(t *testing.T) {
 	onEachPlain(t, plain.Options{FindsOutcomes: true}, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
-		fake.SetDelays(plain.Delays{BeforeEffect: 10 * shortPatience})
+		fake.SetDelays(plain.Delays{BeforeEffect: 10 * shortTimeout})
 		ctx, cancel := context.WithCancel(t.Context())
 		failed := make(chan error, 1)
 		go func() {
-			_, err := subject.Invoke(ctx, bid)
+			_, err := subject.Invoke(ctx, bidRequest)
 			failed <- err
 		}()
 		awaitRunning(t, subject)
@@ -124,17 +123,17 @@
 		if err := fake.Drain(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if got := fake.Effects(key); got != 1 {
+		if got := fake.Effects(callKey); got != 1 {
 			t.Errorf("%d effects, want 1", got)
 		}
 	})
 }
 
-// awaitRunning returns once the service says that the key's call runs.
+// awaitRunning returns once the service reports the call of the key.
 func awaitRunning(t *testing.T, subject upstream.Plain) {
 	t.Helper()
 	for {
-		found, err := subject.Find(t.Context(), key, 0)
+		found, err := subject.Find(t.Context(), callKey, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -148,11 +147,11 @@
 	onEachPlain(t, plain.Options{}, func(t *testing.T, fake *plain.Service, subject upstream.Plain) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, err := subject.Invoke(ctx, bid)
+		_, err := subject.Invoke(ctx, bidRequest)
 		if !errors.Is(err, upstream.ErrNotSent) {
 			t.Errorf("got %v, want ErrNotSent", err)
 		}
-		if got := fake.Effects(key); got != 0 {
+		if got := fake.Effects(callKey); got != 0 {
 			t.Errorf("%d effects", got)
 		}
 	})
@@ -162,11 +161,11 @@
 	type want struct {
 		found upstream.FindResult
 		err   error
-		// late is the error of a call with the old fencing number that
-		// arrives after Find.
+		// late is the error of a call with the old fencing number that arrives after
+		// Find.
 		late error
 	}
-	done := upstream.Answer{Payload: answer.Reply(bid.Method, bid.Payload)}
+	done := upstream.Answer{Payload: answer.Reply(bidRequest.Method, bidRequest.Payload)}
 	cases := []struct {
 		story   string
 		options plain.Options
@@ -186,19 +185,19 @@
 		t.Run(c.story, func(t *testing.T) {
 			onEachPlain(t, c.options, func(t *testing.T, _ *plain.Service, subject upstream.Plain) {
 				if c.invoked {
-					if _, err := subject.Invoke(t.Context(), bid); err != nil {
+					if _, err := subject.Invoke(t.Context(), bidRequest); err != nil {
 						t.Fatal(err)
 					}
 				}
-				found, err := subject.Find(t.Context(), key, bid.Fence+1)
+				found, err := subject.Find(t.Context(), callKey, bidRequest.Fence+1)
 				if !errors.Is(err, c.want.err) || !cmp.Equal(found, c.want.found) {
 					t.Errorf("got %+v, %v, want %+v, %v", found, err, c.want.found, c.want.err)
 				}
-				if _, err := subject.Invoke(t.Context(), bid); !errors.Is(err, c.want.late) {
+				if _, err := subject.Invoke(t.Context(), bidRequest); !errors.Is(err, c.want.late) {
 					t.Errorf("a late call: got %v, want %v", err, c.want.late)
 				}
-				higher := bid
-				higher.Fence = ident.Fence(bid.Fence + 2)
+				higher := bidRequest
+				higher.Fence = ident.Fence(bidRequest.Fence + 2)
 				if _, err := subject.Invoke(t.Context(), higher); err != nil {
 					t.Errorf("a higher fencing number: %v", err)
 				}
--- a/internal/upstream/connectupstream/repeat_test.go
+++ b/internal/upstream/connectupstream/repeat_test.go
@@ -19,11 +19,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// patience bounds waits that a right implementation ends at once.
-const patience = 10 * time.Second
+// testTimeout bounds waits that a correct implementation ends at once.
+const testTimeout = 10 * time.Second
 
-// listen runs serve for each connection, until the test ends.
-func listen(t *testing.T, serve func(*net.TCPConn)) string {
+// serveConns listens until the test ends and runs serve for each connection.
+func serveConns(t *testing.T, serve func(*net.TCPConn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,10 +56,10 @@
 	return NewPlain(&Clients{pooled: client, fresh: client}, baseURL)
 }
 
-// invokeUncertain invokes once and expects that the call may have run.
+// invokeUncertain makes one call and expects an error after which it may have run.
 func invokeUncertain(t *testing.T, ctx context.Context, p *Plain) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, testTimeout)
 	defer cancel()
 	_, err := p.Invoke(ctx, upstream.InvokeRequest{Method: "bid", Key: "k", Payload: []byte("lot 17")})
 	if err == nil || !upstream.Ran(err) {
@@ -67,14 +67,14 @@
 	}
 }
 
-// Symptom: a booking is made twice by one call of Invoke.
-// Sequence: a kept connection serves one call; the server reads the next one
-// from it, executes it and resets the connection before it answers.
-// Cause: net/http takes a request that has GetBody and an Idempotency-Key for
-// replayable and sends it again on a new connection.
+// One call of Invoke must send at most one request, or a booking may be made twice.
+// Here a kept connection serves one call; the server then reads the next call from it,
+// executes it and resets the connection before it answers. net/http holds a request
+// that has GetBody and an Idempotency-Key to be replayable and would send it again on a
+// new connection.
 func TestInvokeIsNotRepeatedAfterAReset(t *testing.T) {
 	var requests atomic.Int32
-	baseURL := listen(t, func(c *net.TCPConn) {
+	baseURL := serveConns(t, func(c *net.TCPConn) {
 		reader := bufio.NewReader(c)
 		for first := true; ; first = false {
 			req, err := http.ReadRequest(reader)
@@ -102,13 +102,12 @@
 	}
 }
 
-// Symptom: as above. Sequence: a server executes a call and refuses its HTTP/2
-// stream, as a broken proxy may.
-// Cause: the HTTP/2 transport sends a request with GetBody again when its
-// stream is refused.
+// One call of Invoke must send at most one request over HTTP/2 too. Here a server
+// executes a call and then refuses its stream, as a faulty proxy may. The HTTP/2
+// transport would send a request that has GetBody again.
 func TestInvokeIsNotRepeatedAfterARefusedStream(t *testing.T) {
 	var requests atomic.Int32
-	baseURL := listen(t, func(c *net.TCPConn) {
+	baseURL := serveConns(t, func(c *net.TCPConn) {
 		preface := make([]byte, len(http2.ClientPreface))
 		if _, err := io.ReadFull(c, preface); err != nil {
 			return
@@ -133,8 +132,8 @@
 	}
 }
 
-// Symptom: as above. Sequence: a server executes a call and answers with a
-// redirect. Cause: net/http follows a 307 with the same body.
+// One call of Invoke must send at most one request, also if a server executes the call
+// and answers with a redirect. net/http would follow a 307 or 308 with the same body.
 func TestInvokeFollowsNoRedirect(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect, http.StatusPermanentRedirect} {
 		t.Run(http.StatusText(status), func(t *testing.T) {
@@ -151,13 +150,13 @@
 	}
 }
 
-// Symptom: callers hear "unknown" when it is certain that nothing ran, or the
-// reverse. Sequence: the connection fails at different moments.
-// Cause: an adapter that does not know whether it sent anything.
+// When a connection fails, the adapter must know whether it sent anything. Otherwise
+// callers are told "unknown" although nothing can have run, or "not run" although the
+// call may have.
 func TestInvokeTellsWhetherAnythingWasSent(t *testing.T) {
 	cases := []struct {
 		story string
-		// serve is nil where nobody listens.
+		// serve is nil if nobody listens.
 		serve func(*net.TCPConn)
 		ran   bool
 	}{
@@ -176,7 +175,7 @@
 		t.Run(c.story, func(t *testing.T) {
 			baseURL := closedPort(t)
 			if c.serve != nil {
-				baseURL = listen(t, c.serve)
+				baseURL = serveConns(t, c.serve)
 			}
 			p := pooledPlain(t, baseURL, transport.Options{})
 			_, err := p.Invoke(t.Context(), upstream.InvokeRequest{Method: "bid", Payload: []byte("lot 17")})
--- a/internal/upstream/connectupstream/silence_test.go
+++ b/internal/upstream/connectupstream/silence_test.go
@@ -19,33 +19,33 @@
 )
 
 const (
-	// shortPatience is how long a caller waits where an answer never comes.
-	shortPatience = 100 * time.Millisecond
-	// longPatience is more than any answer takes.
-	longPatience = 5 * time.Second
+	// shortTimeout is how long a caller waits for an answer that never comes.
+	shortTimeout = 100 * time.Millisecond
+	// longTimeout is longer than any answer takes.
+	longTimeout = 5 * time.Second
 )
 
-// Symptom: bookings end as unknown, one after the other, though the service is
-// well. Sequence: a connection serves calls and goes silent for good while new
-// ones work. Cause: calls that may not be repeated are sent on a kept
-// connection, or a silent connection is kept after its call was given up on.
+// A kept connection can go silent for good while new ones work. A call that may not be
+// repeated must not be sent on such a connection, and a connection on which a call was
+// given up must not be used again. Otherwise one booking after the other ends as
+// unknown although the service is healthy.
 func TestInvokeOverASilentConnection(t *testing.T) {
-	keyed := bid
-	plainly := bid
-	plainly.Key = ""
+	keyed := bidRequest
+	unkeyed := bidRequest
+	unkeyed.Key = ""
 	cases := []struct {
 		story string
-		// first warms a connection up before the silence, if set.
+		// first, if set, is a call that opens a connection before the silence.
 		first *upstream.InvokeRequest
-		// during is whether the call is running when the silence begins.
+		// during is whether the silence begins while the call is running.
 		during bool
 		call   upstream.InvokeRequest
-		// ran: the call is given up on and may have run.
+		// ran is whether the call is given up and may have run.
 		ran     bool
 		effects int
 	}{
-		{"kept connection silent, call that may not be repeated", &plainly, false, keyed, false, 1},
-		{"kept connection silent, call that may be repeated", &plainly, false, plainly, true, 1},
+		{"kept connection silent, call that may not be repeated", &unkeyed, false, keyed, false, 1},
+		{"kept connection silent, call that may be repeated", &unkeyed, false, unkeyed, true, 1},
 		{"silent while the call runs", nil, true, keyed, true, 1},
 	}
 	for _, c := range cases {
@@ -62,16 +62,16 @@
 					t.Fatal(err)
 				}
 			}
-			ctx, cancel := context.WithTimeout(t.Context(), longPatience)
+			ctx, cancel := context.WithTimeout(t.Context(), longTimeout)
 			defer cancel()
 			silence := func() {
 				relay.Silence()
 				if c.ran {
-					time.AfterFunc(shortPatience, cancel)
+					time.AfterFunc(shortTimeout, cancel)
 				}
 			}
 			if c.during {
-				fake.SetDelays(plain.Delays{AfterEffect: 10 * shortPatience})
+				fake.SetDelays(plain.Delays{AfterEffect: 10 * shortTimeout})
 				go func() {
 					for fake.Running() == 0 {
 						time.Sleep(time.Millisecond)
@@ -83,7 +83,7 @@
 			}
 			_, err := subject.Invoke(ctx, c.call)
 			if (err != nil && upstream.Ran(err)) != c.ran {
-				t.Errorf("got %v, want a call that may have run: %v", err, c.ran)
+				t.Errorf("got %v; want that the call may have run: %v", err, c.ran)
 			}
 			if err := fake.Drain(t.Context()); err != nil {
 				t.Fatal(err)
@@ -92,19 +92,18 @@
 				t.Errorf("%d effects, want %d", got, c.effects)
 			}
 			fake.SetLeaving(false)
-			ctx, cancel = context.WithTimeout(t.Context(), longPatience)
+			ctx, cancel = context.WithTimeout(t.Context(), longTimeout)
 			defer cancel()
-			if _, err := subject.Find(ctx, key, 0); err != nil {
-				t.Errorf("asking for the outcome: %v", err)
+			if _, err := subject.Find(ctx, callKey, 0); err != nil {
+				t.Errorf("cannot find the outcome: %v", err)
 			}
 		})
 	}
 }
 
-// Symptom: a caller waits for ever for its next token.
-// Sequence: the connection of a token stream goes silent for good.
-// Cause: a reader that cannot be unblocked, or the next attempt on the same
-// connection.
+// When the connection of a token stream goes silent for good, the reader must be
+// unblocked by Close, and the next attempt must use another connection. Otherwise the
+// caller waits for its next token forever.
 func TestTokenStreamOverASilentConnection(t *testing.T) {
 	fake := engine.New(engine.Config{Parameters: engine.DefaultParameters()})
 	t.Cleanup(fake.Close)
@@ -114,13 +113,13 @@
 	clients := connectupstream.NewClients(nil)
 	t.Cleanup(clients.Close)
 	subject := connectupstream.NewEngine(clients, relay.URL())
-	req := upstream.GenerateRequest{Request: "r-1", Attempt: 1, Prompt: text, MaxTokens: endless}
+	req := upstream.GenerateRequest{Request: "r-1", Attempt: 1, Prompt: promptText, MaxTokens: endlessTokens}
 	stream, err := subject.Generate(t.Context(), req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	relay.Silence()
-	time.AfterFunc(shortPatience, func() { _ = stream.Close() })
+	time.AfterFunc(shortTimeout, func() { _ = stream.Close() })
 	got := collect(t, stream, 1, 0)
 	if errors.Is(got.err, io.EOF) {
 		t.Error("the silence was taken for the end of the answer")
@@ -133,14 +132,14 @@
 	}
 	defer func() { _ = again.Close() }()
 	rest := collect(t, again, 2, len(got.tokens))
-	if want := answer.Tokens(text, int(req.MaxTokens))[len(got.tokens):]; !cmp.Equal(rest.tokens, want) {
+	if want := answer.Tokens(promptText, int(req.MaxTokens))[len(got.tokens):]; !cmp.Equal(rest.tokens, want) {
 		t.Errorf("got %v, want %v", rest.tokens, want)
 	}
 }
 
-// Symptom: an upstream that is well is taken for dead, or a stream waits for
-// its first frame. Sequence: requests are answered, every open connection goes
-// silent, another request follows. Cause: it is sent on a kept connection.
+// Requests that follow a silence of all open connections must be sent on new
+// connections. On a kept one, a healthy upstream would be taken for dead, or a stream
+// would wait for its first frame.
 func TestRequestsAfterASilence(t *testing.T) {
 	fake := engine.New(engine.Config{Parameters: engine.DefaultParameters()})
 	t.Cleanup(fake.Close)
@@ -156,9 +155,9 @@
 		"report":  func(ctx context.Context) error { _, err := e.Report(ctx); return err },
 		"order":   func(ctx context.Context) error { return e.Apply(ctx, upstream.Order{}) },
 		"health":  func(ctx context.Context) error { _, err := p.Health(ctx); return err },
-		"outcome": func(ctx context.Context) error { _, err := p.Find(ctx, key, 0); return err },
+		"outcome": func(ctx context.Context) error { _, err := p.Find(ctx, callKey, 0); return err },
 		"stream": func(ctx context.Context) error {
-			stream, err := e.Generate(ctx, upstream.GenerateRequest{Request: "r-1", Prompt: text, MaxTokens: 1})
+			stream, err := e.Generate(ctx, upstream.GenerateRequest{Request: "r-1", Prompt: promptText, MaxTokens: 1})
 			if err != nil {
 				return err
 			}
@@ -167,7 +166,7 @@
 	}
 	for story, request := range requests {
 		t.Run(story, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(t.Context(), longPatience)
+			ctx, cancel := context.WithTimeout(t.Context(), longTimeout)
 			defer cancel()
 			if _, err := e.Report(ctx); err != nil {
 				t.Fatal(err)
@@ -183,44 +182,45 @@
 	}
 }
 
-// scripted is an engine with one stream.
-type scripted struct {
+// singleStreamEngine is an engine that answers every request with the same stream.
+type singleStreamEngine struct {
 	upstream.Engine
 	stream upstream.TokenStream
 }
 
-func (s scripted) Generate(context.Context, upstream.GenerateRequest) (upstream.TokenStream, error) {
+func (s singleStreamEngine) Generate(context.Context, upstream.GenerateRequest) (upstream.TokenStream, error) {
 	return s.stream, nil
 }
 
-// scriptedEngine serves an engine with one stream.
-func scriptedEngine(t *testing.T, stream upstream.TokenStream) upstream.Engine {
+// serveStream serves an engine that answers with the given stream, and returns its
+// client.
+func serveStream(t *testing.T, stream upstream.TokenStream) upstream.Engine {
 	t.Helper()
 	mux := http.NewServeMux()
-	connectupstream.MountEngine(mux, scripted{stream: stream})
+	connectupstream.MountEngine(mux, singleStreamEngine{stream: stream})
 	clients := connectupstream.NewClients(nil)
 	t.Cleanup(clients.Close)
 	return connectupstream.NewEngine(clients, testkit.Serve(t, mux))
 }
 
-// mute is a stream that gives nothing until it is closed.
-type mute struct{ closed chan struct{} }
+// silentStream is a stream that delivers nothing until it is closed.
+type silentStream struct{ closed chan struct{} }
 
-func (m mute) Next() (upstream.Frame, error) {
+func (m silentStream) Next() (upstream.Frame, error) {
 	<-m.closed
 	return upstream.Frame{}, io.ErrClosedPipe
 }
 
-func (m mute) Close() error {
+func (m silentStream) Close() error {
 	close(m.closed)
 	return nil
 }
 
-// Symptom: a slow engine's streams are taken for dead connections.
-// Sequence: the engine computes a long prefill and sends nothing.
-// Cause: no heartbeats in the stream.
+// While an engine computes a long prefill and sends nothing, heartbeats must show that
+// the connection works. Otherwise the streams of a slow engine are taken for dead
+// connections.
 func TestSilentEngineIsNotASilentConnection(t *testing.T) {
-	subject := scriptedEngine(t, mute{make(chan struct{})})
+	subject := serveStream(t, silentStream{make(chan struct{})})
 	stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{Attempt: 3})
 	if err != nil {
 		t.Fatal(err)
@@ -234,23 +234,22 @@
 	}
 }
 
-// truncated is a stream that ends in order, but before its last frame.
-type truncated struct{}
+// truncatedStream is a stream that ends without an error before its last frame.
+type truncatedStream struct{}
 
-func (truncated) Next() (upstream.Frame, error) { return upstream.Frame{}, io.EOF }
-func (truncated) Close() error                  { return nil }
+func (truncatedStream) Next() (upstream.Frame, error) { return upstream.Frame{}, io.EOF }
+func (truncatedStream) Close() error                  { return nil }
 
-// Symptom: a caller takes half an answer for the whole.
-// Sequence: an engine ends a stream in order before its last frame.
-// Cause: the end of the stream taken for the end of the answer.
+// The end of a stream before its last frame must not be taken for the end of the
+// answer. Otherwise the caller takes half an answer for the whole.
 func TestStreamWithoutItsLastFrameIsNotWhole(t *testing.T) {
-	subject := scriptedEngine(t, truncated{})
+	subject := serveStream(t, truncatedStream{})
 	stream, err := subject.Generate(t.Context(), upstream.GenerateRequest{Attempt: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = stream.Close() }()
 	if got := collect(t, stream, 1, 0); errors.Is(got.err, io.EOF) {
-		t.Errorf("got %v", got.err)
+		t.Errorf("got %v, want an error for the missing last frame", got.err)
 	}
 }
