--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -43,11 +43,11 @@
 	if err != nil || args.Only != "" {
 		return err
 	}
-	return capacity.WritePage(args.Page, lines, describe())
+	return capacity.WritePage(args.Page, lines, describeRun())
 }
 
-// describe says when and where the figures were taken.
-func describe() string {
+// describeRun says when and where the figures were taken.
+func describeRun() string {
 	load := "unknown"
 	if data, err := os.ReadFile("/proc/loadavg"); err == nil {
 		load, _, _ = strings.Cut(string(data), " ")
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -29,14 +29,14 @@
 	var args arguments
 	arg.MustParse(&args)
 	workloads := []*experiment.Workload{experiment.Domaenenhaus(), experiment.Harfang()}
-	workloads = only(workloads, args.Workload, func(w *experiment.Workload) string { return w.Name })
-	cases := only(experiment.Cases(), args.Case, func(c experiment.Case) string { return c.Name })
+	workloads = filterByName(workloads, args.Workload, func(w *experiment.Workload) string { return w.Name })
+	cases := filterByName(experiment.Cases(), args.Case, func(c experiment.Case) string { return c.Name })
 	policies := experiment.Contenders()
 	if args.Policy != "" {
 		// Runs only by name: it shows what happens without admission.
 		policies = append(policies, experiment.LetAllIn())
 	}
-	policies = only(policies, args.Policy, func(p experiment.Contender) string { return p.Name })
+	policies = filterByName(policies, args.Policy, func(p experiment.Contender) string { return p.Name })
 	if len(workloads)*len(cases)*len(policies) == 0 {
 		fmt.Fprintln(os.Stderr, "no such workload, case or policy")
 		os.Exit(2)
@@ -55,8 +55,8 @@
 	}
 }
 
-// only keeps the entries with a name; an empty name keeps all.
-func only[T any](list []T, name string, of func(T) string) []T {
+// filterByName keeps the entries with a name; an empty name keeps all.
+func filterByName[T any](list []T, name string, of func(T) string) []T {
 	if name == "" {
 		return list
 	}
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -51,14 +51,14 @@
 	if args.Report == "" {
 		return
 	}
-	if err := report(args.Report, table.Bytes(), cells); err != nil {
+	if err := writeReport(args.Report, table.Bytes(), cells); err != nil {
 		fmt.Fprintln(os.Stderr, "report:", err)
 		os.Exit(1)
 	}
 }
 
-// report writes the table and the plot into a directory.
-func report(directory string, table []byte, cells []fleetsim.Cell) error {
+// writeReport writes the table and the plot into a directory.
+func writeReport(directory string, table []byte, cells []fleetsim.Cell) error {
 	if err := os.WriteFile(filepath.Join(directory, "fleet.txt"), table, 0o644); err != nil {
 		return err
 	}
--- a/examples/caller/main.go
+++ b/examples/caller/main.go
@@ -23,8 +23,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/answer"
 )
 
-// patience is how long one request may take.
-const patience = 20 * time.Second
+// requestTimeout is how long one request may take.
+const requestTimeout = 20 * time.Second
 
 // arguments are the command line.
 type arguments struct {
@@ -73,7 +73,7 @@
 
 // run gives a step its time and its token.
 func (c *caller) run(step func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	ctx, info := connect.NewClientContext(ctx)
 	info.RequestHeader().Set("Authorization", "Bearer "+c.token)
--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -12,14 +12,14 @@
 type Agenda struct {
 	now  time.Duration
 	seq  int
-	list actions
+	pending actions
 }
 
 // action happens at a moment; seq orders those of the same moment.
 type action struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run  func()
 }
 
 type actions []action
@@ -33,17 +33,17 @@
 // At adds an action.
 func (a *Agenda) At(t time.Duration, do func()) {
 	a.seq++
-	heap.Push(&a.list, action{at: t, seq: a.seq, do: do})
+	heap.Push(&a.pending, action{at: t, seq: a.seq, run: do})
 }
 
 // Step runs the next action, if there is one.
 func (a *Agenda) Step() bool {
-	if len(a.list) == 0 {
+	if len(a.pending) == 0 {
 		return false
 	}
-	next := heap.Pop(&a.list).(action)
+	next := heap.Pop(&a.pending).(action)
 	a.now = next.at
-	next.do()
+	next.run()
 	return true
 }
 
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -35,19 +35,19 @@
 // Set reports whether TLS is wanted.
 func (f Files) Set() bool { return f != Files{} }
 
-// material is what the files hold.
-type material struct {
+// keyMaterial is what the files hold.
+type keyMaterial struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
 // read loads all files. Errors name the file.
-func (f Files) read() (*material, error) {
+func (f Files) read() (*keyMaterial, error) {
 	own, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return nil, errcode.Wrap(errcode.FailedPrecondition, err, "certificate "+f.Certificate+" with key "+f.Key)
 	}
-	m := &material{certificate: own}
+	m := &keyMaterial{certificate: own}
 	if f.Authority == "" {
 		return m, nil
 	}
@@ -68,27 +68,27 @@
 	return authority, nil
 }
 
-// version tells one state of a file from the next.
-type version struct {
+// fileState tells one state of a file from the next.
+type fileState struct {
 	modified time.Time
 	size     int64
 }
 
-// versions are those of certificate, key and authority.
-type versions [3]version
+// fileStates are those of certificate, key and authority.
+type fileStates [3]fileState
 
-func (f Files) versions() versions {
-	var found versions
+func (f Files) states() fileStates {
+	var found fileStates
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
 		if info, err := os.Stat(name); err == nil {
-			found[i] = versionOf(info)
+			found[i] = stateOf(info)
 		}
 	}
 	return found
 }
 
-func versionOf(info fs.FileInfo) version {
-	return version{modified: info.ModTime(), size: info.Size()}
+func stateOf(info fs.FileInfo) fileState {
+	return fileState{modified: info.ModTime(), size: info.Size()}
 }
 
 // Reloader reads files again when one has changed. It is safe for concurrent
@@ -97,39 +97,39 @@
 	files Files
 
 	mu      sync.Mutex
-	current *material
-	read    versions
-	// tried is the state of the files that was read last, also in vain.
-	tried versions
+	current *keyMaterial
+	currentStates    fileStates
+	// lastTriedStates is the state of the files that was read last, also in vain.
+	lastTriedStates fileStates
 }
 
 // NewReloader reads the files. Errors name the file that is missing or bad.
 func NewReloader(files Files) (*Reloader, error) {
-	now := files.versions()
+	now := files.states()
 	m, err := files.read()
 	if err != nil {
 		return nil, err
 	}
-	return &Reloader{files: files, current: m, read: now, tried: now}, nil
+	return &Reloader{files: files, current: m, currentStates: now, lastTriedStates: now}, nil
 }
 
-// get returns what the files hold. Files that are being replaced may not fit
+// currentMaterial returns what the files hold. Files that are being replaced may not fit
 // together for a moment; what was read before stays until they do.
-func (r *Reloader) get() *material {
+func (r *Reloader) currentMaterial() *keyMaterial {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.files.versions()
-	if now == r.read || now == r.tried {
+	now := r.files.states()
+	if now == r.currentStates || now == r.lastTriedStates {
 		return r.current
 	}
-	r.tried = now
+	r.lastTriedStates = now
 	m, err := r.files.read()
 	if err != nil {
 		reloadsFailed.Add(1)
 		return r.current
 	}
 	r.current = m
-	r.read = now
+	r.currentStates = now
 	return r.current
 }
 
@@ -137,13 +137,13 @@
 // clients with a certificate of it are served. Protocols are left to the
 // caller: they are taken over into each connection's configuration.
 func (r *Reloader) Server(protocols ...string) *tls.Config {
-	config := r.server(protocols)
-	config.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) { return r.server(protocols), nil }
+	config := r.serverConfig(protocols)
+	config.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) { return r.serverConfig(protocols), nil }
 	return config
 }
 
-func (r *Reloader) server(protocols []string) *tls.Config {
-	m := r.get()
+func (r *Reloader) serverConfig(protocols []string) *tls.Config {
+	m := r.currentMaterial()
 	config := &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{m.certificate},
@@ -163,7 +163,7 @@
 // Client returns the configuration of one new connection to a server of the
 // same authority.
 func (r *Reloader) Client() *tls.Config {
-	m := r.get()
+	m := r.currentMaterial()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{m.certificate},
--- a/internal/ident/content.go
+++ b/internal/ident/content.go
@@ -15,18 +15,18 @@
 type Outline uint32
 
 const (
-	// arrivalBits is the byte of a Mark that tells requests with the same content apart.
-	arrivalBits = 0xff
-	outlineAt   = 32
+	// requestBits is the byte of a Mark that tells requests with the same content apart.
+	requestBits = 0xff
+	outlineShift   = 32
 )
 
 // ContentOf returns the content of an outline and the hash of a body. It is never 0.
 func ContentOf(outline Outline, body uint64) Content {
-	return Content(max(uint64(outline)<<outlineAt|body&(1<<outlineAt-1)&^arrivalBits, arrivalBits+1))
+	return Content(max(uint64(outline)<<outlineShift|body&(1<<outlineShift-1)&^requestBits, requestBits+1))
 }
 
 // Outline returns the content's.
-func (c Content) Outline() Outline { return Outline(c >> outlineAt) }
+func (c Content) Outline() Outline { return Outline(c >> outlineShift) }
 
 // String is the content's name in logs and for operators.
 func (c Content) String() string { return strconv.FormatUint(uint64(c), 16) }
@@ -43,8 +43,8 @@
 
 // MarkOf returns a request's mark.
 func MarkOf(content Content, id Request) Mark {
-	return Mark(uint64(content) | xxhash.Sum64String(string(id))&arrivalBits)
+	return Mark(uint64(content) | xxhash.Sum64String(string(id))&requestBits)
 }
 
 // Content returns the content that the mark is of.
-func (m Mark) Content() Content { return Content(m &^ arrivalBits) }
+func (m Mark) Content() Content { return Content(m &^ requestBits) }
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -20,7 +20,7 @@
 	LivenessPath  = "/healthz"
 	ReadinessPath = "/readyz"
 	MetricsPath   = "/debug/vars"
-	profilesPath  = "/debug/pprof/"
+	pprofPath  = "/debug/pprof/"
 )
 
 // Limits of an operators' connection. Without them a client that never finishes
@@ -88,11 +88,11 @@
 // newHandler routes the operators' paths.
 func newHandler(cfg Config) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+LivenessPath, answerLiveness)
-	mux.Handle("GET "+ReadinessPath, readiness(cfg.Ready))
+	mux.HandleFunc("GET "+LivenessPath, serveLiveness)
+	mux.Handle("GET "+ReadinessPath, readinessHandler(cfg.Ready))
 	mux.Handle("GET "+MetricsPath, expvar.Handler())
 	if cfg.Pprof {
-		addProfiles(mux)
+		addPprofHandlers(mux)
 	}
 	for pattern, handler := range cfg.Handlers {
 		mux.Handle(pattern, handler)
@@ -100,23 +100,23 @@
 	return mux
 }
 
-func answerLiveness(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, "ok")
+func serveLiveness(w http.ResponseWriter, _ *http.Request) {
+	writeText(w, http.StatusOK, "ok")
 }
 
-// readiness answers 200, or 503 with the reason.
-func readiness(ready func() (bool, string)) http.HandlerFunc {
+// readinessHandler answers 200, or 503 with the reason.
+func readinessHandler(ready func() (bool, string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		ok, reason := ready()
 		if !ok {
-			answer(w, http.StatusServiceUnavailable, reason)
+			writeText(w, http.StatusServiceUnavailable, reason)
 			return
 		}
-		answer(w, http.StatusOK, "ok")
+		writeText(w, http.StatusOK, "ok")
 	}
 }
 
-func answer(w http.ResponseWriter, status int, text string) {
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
@@ -124,11 +124,11 @@
 	_, _ = io.WriteString(w, text+"\n")
 }
 
-// addProfiles serves the profiles at their customary paths.
-func addProfiles(mux *http.ServeMux) {
-	mux.HandleFunc(profilesPath, pprof.Index)
-	mux.HandleFunc(profilesPath+"cmdline", pprof.Cmdline)
-	mux.HandleFunc(profilesPath+"profile", pprof.Profile)
-	mux.HandleFunc(profilesPath+"symbol", pprof.Symbol)
-	mux.HandleFunc(profilesPath+"trace", pprof.Trace)
+// addPprofHandlers serves the profiles at their customary paths.
+func addPprofHandlers(mux *http.ServeMux) {
+	mux.HandleFunc(pprofPath, pprof.Index)
+	mux.HandleFunc(pprofPath+"cmdline", pprof.Cmdline)
+	mux.HandleFunc(pprofPath+"profile", pprof.Profile)
+	mux.HandleFunc(pprofPath+"symbol", pprof.Symbol)
+	mux.HandleFunc(pprofPath+"trace", pprof.Trace)
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,9 +12,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/tomlfile"
 )
 
-// silenceHeartbeats is how many heartbeats may be missed before a connection
+// minSilenceHeartbeats is how many heartbeats may be missed before a connection
 // is given up.
-const silenceHeartbeats = 3
+const minSilenceHeartbeats = 3
 
 var logLevels = []string{"trace", "debug", "info", "warn", "error"}
 
@@ -50,12 +50,12 @@
 }
 
 func checkInstance(s *tomlfile.Source, i Instance) {
-	required(s, "instance.id", string(i.ID))
-	required(s, "instance.region", string(i.Region))
-	required(s, "instance.failure_domain", string(i.FailureDomain))
+	checkRequired(s, "instance.id", string(i.ID))
+	checkRequired(s, "instance.region", string(i.Region))
+	checkRequired(s, "instance.failure_domain", string(i.FailureDomain))
 }
 
-func required(s *tomlfile.Source, key, value string) {
+func checkRequired(s *tomlfile.Source, key, value string) {
 	if s.Has(key) {
 		s.Check(value != "", key, "is empty", "a name")
 		return
@@ -72,16 +72,16 @@
 }
 
 func checkTelemetry(s *tomlfile.Source, c *Common) {
-	oneOf(s, "log.level", c.Log.Level, logLevels)
-	oneOf(s, "log.format", string(c.Log.Format), []string{string(LogJSON), string(LogText)})
-	oneOf(s, "trace.exporter", string(c.Trace.Exporter),
+	checkOneOf(s, "log.level", c.Log.Level, logLevels)
+	checkOneOf(s, "log.format", string(c.Log.Format), []string{string(LogJSON), string(LogText)})
+	checkOneOf(s, "trace.exporter", string(c.Trace.Exporter),
 		[]string{string(TraceNone), string(TraceStdout), string(TraceOTLP)})
 	if c.Trace.Exporter == TraceOTLP {
 		checkURL(s, "trace.endpoint", c.Trace.Endpoint)
 	}
 }
 
-func oneOf(s *tomlfile.Source, key, value string, allowed []string) {
+func checkOneOf(s *tomlfile.Source, key, value string, allowed []string) {
 	s.Check(slices.Contains(allowed, value), key, fmt.Sprintf("is %q", value),
 		"one of "+strings.Join(allowed, ", "))
 }
@@ -93,9 +93,9 @@
 	s.Check(l.MaxStreams > 0, "limits.max_streams", "is not positive", "1 or more")
 	s.Check(l.StopTimeout > 0, "limits.stop_timeout", "is zero", "more than 0")
 	s.Check(l.Heartbeat > 0, "limits.heartbeat", "is zero", "more than 0")
-	s.Check(l.Silence >= silenceHeartbeats*l.Heartbeat, "limits.silence",
+	s.Check(l.Silence >= minSilenceHeartbeats*l.Heartbeat, "limits.silence",
 		fmt.Sprintf("%v is too short for limits.heartbeat %v", l.Silence, l.Heartbeat),
-		fmt.Sprintf("at least %d heartbeats", silenceHeartbeats))
+		fmt.Sprintf("at least %d heartbeats", minSilenceHeartbeats))
 }
 
 func checkMembership(s *tomlfile.Source, m Membership) {
@@ -103,7 +103,7 @@
 	s.Check(m.PeersPerDomain >= 0, "membership.peers_per_domain", "is negative", "0 or more")
 	s.Check(m.OtherDomains > 0, "membership.other_domains", "is not positive", "1 or more")
 	for i, seed := range m.Seeds {
-		checkAddress(s, fmt.Sprintf("membership.seeds[%d]", i), seed)
+		checkHostPort(s, fmt.Sprintf("membership.seeds[%d]", i), seed)
 	}
 }
 
@@ -120,8 +120,8 @@
 	s.Check(!some || t.Peers.Set(), "tls.peers", "is incomplete", "cert, key and ca")
 }
 
-// checkAddress reports whether address is host:port with a port number.
-func checkAddress(s *tomlfile.Source, key, address string) bool {
+// checkHostPort reports whether address is host:port with a port number.
+func checkHostPort(s *tomlfile.Source, key, address string) bool {
 	_, port, err := net.SplitHostPort(address)
 	if err == nil {
 		_, err = strconv.ParseUint(port, 10, 16)
@@ -135,7 +135,7 @@
 // checkListener finds a listener that would show tokens and requests to the
 // network in plain text.
 func checkListener(s *tomlfile.Source, key, address string, accepted bool) {
-	if !checkAddress(s, key, address) {
+	if !checkHostPort(s, key, address) {
 		return
 	}
 	host, _, _ := net.SplitHostPort(address)
@@ -150,7 +150,7 @@
 	digests := map[Digest]bool{}
 	for i, a := range accounts {
 		key := fmt.Sprintf("client_accounts[%d]", i)
-		required(s, key+".name", string(a.Name))
+		checkRequired(s, key+".name", string(a.Name))
 		s.Check(!names[a.Name] || a.Name == "", key+".name",
 			fmt.Sprintf("%q is named twice", a.Name), "one entry a client account")
 		names[a.Name] = true
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// kernelChosen is a loopback address whose port the kernel chooses.
-const kernelChosen = "127.0.0.1:0"
+// loopbackAnyPort is a loopback address whose port the kernel chooses.
+const loopbackAnyPort = "127.0.0.1:0"
 
 // The defaults by which the control plane's cost is measured; see
 // docs/CAPACITY.md.
@@ -48,9 +48,9 @@
 	return &Gateway{
 		Common: defaultCommon(),
 		Listen: GatewayListen{
-			Callers:   kernelChosen,
-			Peers:     kernelChosen,
-			Operators: kernelChosen,
+			Callers:   loopbackAnyPort,
+			Peers:     loopbackAnyPort,
+			Operators: loopbackAnyPort,
 		},
 	}
 }
@@ -58,7 +58,7 @@
 func defaultController() *Controller {
 	return &Controller{
 		Common: defaultCommon(),
-		Listen: ControllerListen{Operators: kernelChosen},
+		Listen: ControllerListen{Operators: loopbackAnyPort},
 		Control: Control{
 			Lease:            10 * time.Second,
 			Margin:           2 * time.Second,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,7 +38,7 @@
 	if g.Limits.StopTimeout != 5*time.Second || g.Limits.MaxBody != 2<<20 {
 		t.Errorf("set keys not taken: %+v", g.Limits)
 	}
-	if g.Limits.Heartbeat != 500*time.Millisecond || g.Listen.Callers != kernelChosen {
+	if g.Limits.Heartbeat != 500*time.Millisecond || g.Listen.Callers != loopbackAnyPort {
 		t.Errorf("defaults lost: %+v %+v", g.Limits, g.Listen)
 	}
 	if g.ClientAccounts[0].TokenSHA256[0] != 0x9f {
--- a/internal/telemetry/ring.go
+++ b/internal/telemetry/ring.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// ringBytes bounds the log lines that wait to be written. A second of a flood of
+// maxPendingBytes bounds the log lines that wait to be written. A second of a flood of
 // refusals is some 200 KiB.
-const ringBytes = 512 << 10
+const maxPendingBytes = 512 << 10
 
 // Ring takes log lines without ever blocking. One goroutine writes them on; when
 // its writer is stuck and the ring is full, lines are dropped and counted.
 type Ring struct {
-	next    io.Writer
+	output    io.Writer
 	dropped atomic.Int64
-	lines   atomic.Int64
+	accepted   atomic.Int64
 
 	mu      sync.Mutex
 	pending []byte
@@ -26,7 +26,7 @@
 
 // NewRing returns a ring that writes to next.
 func NewRing(next io.Writer) *Ring {
-	r := &Ring{next: next, wake: make(chan struct{}, 1)}
+	r := &Ring{output: next, wake: make(chan struct{}, 1)}
 	r.idle = sync.NewCond(&r.mu)
 	go r.run()
 	return r
@@ -35,14 +35,14 @@
 // Write implements io.Writer for a whole line.
 func (r *Ring) Write(line []byte) (int, error) {
 	r.mu.Lock()
-	if len(r.pending)+len(line) > ringBytes {
+	if len(r.pending)+len(line) > maxPendingBytes {
 		r.mu.Unlock()
 		r.dropped.Add(1)
 		return len(line), nil
 	}
 	r.pending = append(r.pending, line...)
 	r.mu.Unlock()
-	r.lines.Add(1)
+	r.accepted.Add(1)
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -58,7 +58,7 @@
 		r.writing = true
 		r.mu.Unlock()
 		// There is no other place to tell of a standard output that fails.
-		_, _ = r.next.Write(buffer)
+		_, _ = r.output.Write(buffer)
 		r.mu.Lock()
 		r.writing = false
 		r.idle.Broadcast()
@@ -77,4 +77,4 @@
 }
 
 // Counts returns how many lines were taken and how many dropped.
-func (r *Ring) Counts() (taken, dropped int64) { return r.lines.Load(), r.dropped.Load() }
+func (r *Ring) Counts() (taken, dropped int64) { return r.accepted.Load(), r.dropped.Load() }
--- a/internal/telemetry/ring_test.go
+++ b/internal/telemetry/ring_test.go
@@ -27,7 +27,7 @@
 	out := &stuck{free: make(chan struct{})}
 	ring := NewRing(out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	const lines = 3 * ringBytes / 1024
+	const lines = 3 * maxPendingBytes / 1024
 	for range lines {
 		if n, err := ring.Write(line); n != len(line) || err != nil {
 			t.Fatalf("wrote %d, error %v", n, err)
@@ -35,7 +35,7 @@
 	}
 	taken, dropped := ring.Counts()
 	// One ring full waits, and at the most one is with the stuck writer.
-	const full = ringBytes / 1024
+	const full = maxPendingBytes / 1024
 	if taken+dropped != lines || taken < full || taken > 2*full {
 		t.Errorf("%d taken, %d dropped of %d, want %d to %d taken", taken, dropped, lines, full, 2*full)
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -97,7 +97,7 @@
 		Log:        log,
 		Propagator: propagation.NewCompositeTextMapPropagator(propagation.TraceContext{}, propagation.Baggage{}),
 	}
-	if err := t.addTracer(cfg); err != nil {
+	if err := t.setUpTracer(cfg); err != nil {
 		return nil, err
 	}
 	otel.SetTracerProvider(t.provider)
@@ -121,11 +121,11 @@
 func NewLog(cfg Config) (hclog.Logger, error) {
 	level := hclog.LevelFromString(valueOr(cfg.LogLevel, defaultLogLevel))
 	if level == hclog.NoLevel {
-		return nil, unknownValue("log level", cfg.LogLevel, "trace, debug, info, warn, error or off")
+		return nil, unknownValueError("log level", cfg.LogLevel, "trace, debug, info, warn, error or off")
 	}
 	format := valueOr(cfg.LogFormat, FormatText)
 	if format != FormatText && format != FormatJSON {
-		return nil, unknownValue("log format", cfg.LogFormat, "text or json")
+		return nil, unknownValueError("log format", cfg.LogFormat, "text or json")
 	}
 	output := cfg.LogOutput
 	if output == nil {
@@ -140,8 +140,8 @@
 	return log.With("instance", string(cfg.Instance)), nil
 }
 
-// addTracer sets the provider, the tracer and their shutdown.
-func (t *Telemetry) addTracer(cfg Config) error {
+// setUpTracer sets the provider, the tracer and their shutdown.
+func (t *Telemetry) setUpTracer(cfg Config) error {
 	exporter, err := newExporter(cfg)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 	case ExporterOTLP:
 		return newOTLPExporter(cfg.TraceEndpoint)
 	}
-	return nil, unknownValue("trace exporter", cfg.TraceExporter, "none, stdout or otlp")
+	return nil, unknownValueError("trace exporter", cfg.TraceExporter, "none, stdout or otlp")
 }
 
 func newWriterExporter(output io.Writer) (sdktrace.SpanExporter, error) {
@@ -183,7 +183,7 @@
 
 func newOTLPExporter(endpoint string) (sdktrace.SpanExporter, error) {
 	if endpoint == "" {
-		return nil, unknownValue("trace endpoint", endpoint, "a URL")
+		return nil, unknownValueError("trace endpoint", endpoint, "a URL")
 	}
 	// New connects lazily, so an absent collector never delays the start.
 	exporter, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(endpoint))
@@ -211,7 +211,7 @@
 	)
 }
 
-func unknownValue(what, got, want string) error {
+func unknownValueError(what, got, want string) error {
 	return errcode.New(errcode.InvalidArgument, fmt.Sprintf("%s %q is not known, want %s", what, got, want))
 }
 
--- a/internal/testkit/authority.go
+++ b/internal/testkit/authority.go
@@ -24,13 +24,13 @@
 	key     *ecdsa.PrivateKey
 	cert    *x509.Certificate
 	issued  int64
-	written time.Time
+	lastWriteTime time.Time
 }
 
 // NewAuthority returns an authority of its own.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
-	a := &Authority{t: t, key: newKey(t), written: time.Now()}
+	a := &Authority{t: t, key: newKey(t), lastWriteTime: time.Now()}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign,
@@ -85,8 +85,8 @@
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		a.t.Fatal(err)
 	}
-	a.written = a.written.Add(time.Second)
-	if err := os.Chtimes(file, a.written, a.written); err != nil {
+	a.lastWriteTime = a.lastWriteTime.Add(time.Second)
+	if err := os.Chtimes(file, a.lastWriteTime, a.lastWriteTime); err != nil {
 		a.t.Fatal(err)
 	}
 }
--- a/internal/testkit/plays.go
+++ b/internal/testkit/plays.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// playsAtOnce bounds the plays that run beside each other.
-const playsAtOnce = 4
+// maxParallelRuns bounds the plays that run beside each other.
+const maxParallelRuns = 4
 
 // Plays plays something with the seeds from 1 to n, some at once, and returns the results in
 // the order of the seeds.
 func Plays[R any](n int, play func(seed uint64) R) []R {
 	results := make([]R, n)
-	slots := make(chan struct{}, playsAtOnce)
+	slots := make(chan struct{}, maxParallelRuns)
 	var work sync.WaitGroup
 	for i := range results {
 		slots <- struct{}{}
--- a/internal/testkit/relay.go
+++ b/internal/testkit/relay.go
@@ -25,13 +25,13 @@
 	cut, hold atomic.Bool
 
 	mu    sync.Mutex
-	pairs []*pair
+	conns []*relayedConn
 }
 
-// pair is one forwarded connection.
-type pair struct {
+// relayedConn is one forwarded connection.
+type relayedConn struct {
 	relay     *Relay
-	near, far net.Conn
+	client, server net.Conn
 	silent    atomic.Bool
 }
 
@@ -65,15 +65,15 @@
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.pairs {
-		for _, c := range []net.Conn{p.near, p.far} {
+	for _, p := range r.conns {
+		for _, c := range []net.Conn{p.client, p.server} {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0) // a closed connection cannot be reset any more
 			}
 			_ = c.Close()
 		}
 	}
-	r.pairs = nil
+	r.conns = nil
 }
 
 // Cut drops all bytes of all connections, also of new ones, until it is undone.
@@ -88,7 +88,7 @@
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.pairs {
+	for _, p := range r.conns {
 		p.silent.Store(true)
 	}
 }
@@ -104,9 +104,9 @@
 			_ = near.Close()
 			continue
 		}
-		p := &pair{relay: r, near: near, far: far}
+		p := &relayedConn{relay: r, client: near, server: far}
 		r.mu.Lock()
-		r.pairs = append(r.pairs, p)
+		r.conns = append(r.conns, p)
 		r.mu.Unlock()
 		r.group.Go(func() { p.forward(near, far) })
 		r.group.Go(func() { p.forward(far, near) })
@@ -114,7 +114,7 @@
 }
 
 // forward copies until one end closes, and drops everything once silent.
-func (p *pair) forward(from, to net.Conn) {
+func (p *relayedConn) forward(from, to net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -131,7 +131,7 @@
 		}
 		piece := buffer[:n]
 		if p.relay.hold.Load() {
-			piece, err = p.held(from, append([]byte(nil), piece...), err)
+			piece, err = p.receiveHeld(from, append([]byte(nil), piece...), err)
 		}
 		if _, failed := to.Write(piece); failed != nil {
 			_ = from.Close()
@@ -144,9 +144,9 @@
 	}
 }
 
-// held gathers what comes while the relay holds, and returns it with how the reading
+// receiveHeld gathers what comes while the relay holds, and returns it with how the reading
 // ended, if it did. Of a connection that was reset nothing is left.
-func (p *pair) held(from net.Conn, pending []byte, err error) ([]byte, error) {
+func (p *relayedConn) receiveHeld(from net.Conn, pending []byte, err error) ([]byte, error) {
 	const look = 5 * time.Millisecond
 	buffer := make([]byte, 4096)
 	for p.relay.hold.Load() {
@@ -172,9 +172,9 @@
 func (r *Relay) close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
-	for _, p := range r.pairs {
-		_ = p.near.Close()
-		_ = p.far.Close()
+	for _, p := range r.conns {
+		_ = p.client.Close()
+		_ = p.server.Close()
 	}
 	r.mu.Unlock()
 	r.group.Wait()
--- a/internal/testkit/seed.go
+++ b/internal/testkit/seed.go
@@ -37,11 +37,11 @@
 // test file that imports rapid.
 func FixSeed() {
 	OneProcessor()
-	set("rapid.shrinktime", shrinkTime)
-	set("rapid.seed", valueOr(seedVariable, fixedSeed))
-	set("rapid.nofailfile", "true")
+	setFlag("rapid.shrinktime", shrinkTime)
+	setFlag("rapid.seed", envOr(seedVariable, fixedSeed))
+	setFlag("rapid.nofailfile", "true")
 	if checks := os.Getenv(checksVariable); checks != "" {
-		set("rapid.checks", checks)
+		setFlag("rapid.checks", checks)
 	}
 }
 
@@ -50,19 +50,19 @@
 func UseSeed(t testing.TB, seed, checks string) {
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.checks": checks} {
 		before := flag.Lookup(name).Value.String()
-		set(name, value)
-		t.Cleanup(func() { set(name, before) })
+		setFlag(name, value)
+		t.Cleanup(func() { setFlag(name, before) })
 	}
 }
 
-func valueOr(variable, fallback string) string {
+func envOr(variable, fallback string) string {
 	if v := os.Getenv(variable); v != "" {
 		return v
 	}
 	return fallback
 }
 
-func set(name, value string) {
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic("testkit: flag " + name + ": " + err.Error())
 	}
--- a/internal/tomlfile/bind.go
+++ b/internal/tomlfile/bind.go
@@ -23,7 +23,7 @@
 		at := joinKey(key, name)
 		field, known := fields[name]
 		if !known {
-			s.add(n.fields[name].place, at, "is not a known key", "one of "+namesOf(fields))
+			s.addAt(n.fields[name].position, at, "is not a known key", "one of "+sortedNames(fields))
 			continue
 		}
 		s.bind(n.fields[name], at, field)
@@ -41,7 +41,7 @@
 	return fields
 }
 
-func namesOf(fields map[string]reflect.Value) string {
+func sortedNames(fields map[string]reflect.Value) string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
 		names = append(names, name)
@@ -61,17 +61,17 @@
 	}
 	switch target.Kind() {
 	case reflect.Struct:
-		if s.expect(n, key, tableShape) {
+		if s.expectKind(n, key, tableKind) {
 			s.bindTableAt(n, key, target)
 		}
 	case reflect.Slice:
 		s.bindSlice(n, key, target)
 	case reflect.String:
-		if s.expect(n, key, stringShape) {
+		if s.expectKind(n, key, stringKind) {
 			target.SetString(n.scalar)
 		}
 	case reflect.Bool:
-		if s.expect(n, key, boolShape) {
+		if s.expectKind(n, key, boolKind) {
 			target.SetBool(n.scalar == "true")
 		}
 	case reflect.Float64:
@@ -81,26 +81,26 @@
 	}
 }
 
-func (s *Source) expect(n *node, key string, want shape) bool {
-	if n.shape == want {
+func (s *Source) expectKind(n *node, key string, want kind) bool {
+	if n.kind == want {
 		return true
 	}
-	s.add(n.place, key, "is "+n.shape.String(), want.String())
+	s.addAt(n.position, key, "is "+n.kind.String(), want.String())
 	return false
 }
 
 func (s *Source) bindDuration(n *node, key string, target reflect.Value) {
-	if n.shape != stringShape {
-		s.add(n.place, key, "is "+n.shape.String(), wantDuration)
+	if n.kind != stringKind {
+		s.addAt(n.position, key, "is "+n.kind.String(), wantDuration)
 		return
 	}
 	d, err := time.ParseDuration(n.scalar)
 	if err != nil {
-		s.add(n.place, key, quote(n.scalar)+" is not a duration", wantDuration)
+		s.addAt(n.position, key, quote(n.scalar)+" is not a duration", wantDuration)
 		return
 	}
 	if d < 0 {
-		s.add(n.place, key, quote(n.scalar)+" is negative", "a duration of 0 or more")
+		s.addAt(n.position, key, quote(n.scalar)+" is negative", "a duration of 0 or more")
 		return
 	}
 	target.SetInt(int64(d))
@@ -110,17 +110,17 @@
 // part of the finding: it may be a secret in the wrong place.
 func (s *Source) bindText(n *node, key string, target encoding.TextUnmarshaler) {
 	text := ""
-	problem := "is " + n.shape.String()
-	if n.shape == stringShape {
+	problem := "is " + n.kind.String()
+	if n.kind == stringKind {
 		text, problem = n.scalar, "is not valid"
 	}
 	if err := target.UnmarshalText([]byte(text)); err != nil {
-		s.add(n.place, key, problem, err.Error())
+		s.addAt(n.position, key, problem, err.Error())
 	}
 }
 
 func (s *Source) bindSlice(n *node, key string, target reflect.Value) {
-	if !s.expect(n, key, arrayShape) {
+	if !s.expectKind(n, key, arrayKind) {
 		return
 	}
 	items := reflect.MakeSlice(target.Type(), len(n.items), len(n.items))
@@ -131,20 +131,20 @@
 }
 
 func (s *Source) bindFloat(n *node, key string, target reflect.Value) {
-	if n.shape != floatShape && n.shape != integerShape {
-		s.add(n.place, key, "is "+n.shape.String(), "a number")
+	if n.kind != floatKind && n.kind != integerKind {
+		s.addAt(n.position, key, "is "+n.kind.String(), "a number")
 		return
 	}
 	f, err := n.float()
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		s.add(n.place, key, n.scalar+" is not a finite number", "a number")
+		s.addAt(n.position, key, n.scalar+" is not a finite number", "a number")
 		return
 	}
 	target.SetFloat(f)
 }
 
 func (s *Source) bindInteger(n *node, key string, target reflect.Value) {
-	if !s.expect(n, key, integerShape) {
+	if !s.expectKind(n, key, integerKind) {
 		return
 	}
 	i, err := n.integer()
@@ -161,7 +161,7 @@
 	if unsigned {
 		want = "an integer of 0 or more"
 	}
-	s.add(n.place, key, n.scalar+" is out of range", want)
+	s.addAt(n.position, key, n.scalar+" is out of range", want)
 }
 
 func quote(text string) string { return `"` + text + `"` }
--- a/internal/tomlfile/parse.go
+++ b/internal/tomlfile/parse.go
@@ -14,31 +14,31 @@
 // maxSyntaxFindings bounds how often parsing resumes after a syntax error.
 const maxSyntaxFindings = 20
 
-// place is a position in the file; lines and columns count from 1.
-type place struct{ line, column int }
+// position is a position in the file; lines and columns count from 1.
+type position struct{ line, column int }
 
-// shape says what a node holds.
-type shape int
+// kind says what a node holds.
+type kind int
 
 const (
-	tableShape shape = iota
-	arrayShape
-	stringShape
-	integerShape
-	floatShape
-	boolShape
-	dateShape
+	tableKind kind = iota
+	arrayKind
+	stringKind
+	integerKind
+	floatKind
+	boolKind
+	dateKind
 )
 
 // String returns the name that findings use.
-func (s shape) String() string {
+func (s kind) String() string {
 	return [...]string{"a table", "an array", "a string", "an integer", "a float", "a boolean", "a date"}[s]
 }
 
 // node is one value of the file.
 type node struct {
-	shape shape
-	place place
+	kind kind
+	position position
 	// fields of a table, in the order of names.
 	fields map[string]*node
 	names  []string
@@ -46,13 +46,13 @@
 	// scalar is the value's text: unquoted for strings, raw for others.
 	scalar string
 	// header: an explicit [table] header named this table.
-	header bool
+	hasHeader bool
 	// closed: an inline table or array, which later lines cannot extend.
-	closed bool
+	inline bool
 }
 
-func newTable(at place) *node {
-	return &node{shape: tableShape, place: at, fields: map[string]*node{}}
+func newTable(at position) *node {
+	return &node{kind: tableKind, position: at, fields: map[string]*node{}}
 }
 
 func (n *node) set(name string, value *node) {
@@ -60,8 +60,8 @@
 	n.names = append(n.names, name)
 }
 
-// reader turns go-toml's expressions into nodes.
-type reader struct {
+// treeBuilder turns go-toml's expressions into nodes.
+type treeBuilder struct {
 	source *Source
 	parser unstable.Parser
 	root   *node
@@ -78,20 +78,20 @@
 func (s *Source) parse(data []byte) *node {
 	data = bytes.Clone(data)
 	for range maxSyntaxFindings {
-		r := &reader{source: s, root: newTable(place{1, 1})}
+		r := &treeBuilder{source: s, root: newTable(position{1, 1})}
 		before := len(s.findings)
-		err := r.read(data)
+		err := r.build(data)
 		if err == nil {
 			return r.root
 		}
 		s.findings = s.findings[:before]
-		at := r.blank(data, err)
-		s.add(at, "", "syntax error: "+err.Error(), "TOML 1.0")
+		at := r.blankSyntaxError(data, err)
+		s.addAt(at, "", "syntax error: "+err.Error(), "TOML 1.0")
 	}
-	return newTable(place{1, 1})
+	return newTable(position{1, 1})
 }
 
-func (r *reader) read(data []byte) error {
+func (r *treeBuilder) build(data []byte) error {
 	r.parser.Reset(data)
 	r.lineStarts = lineStarts(data)
 	r.current = r.root
@@ -99,22 +99,22 @@
 		e := r.parser.Expression()
 		switch e.Kind {
 		case unstable.KeyValue:
-			r.keyValue(r.current, r.currentKey, e)
+			r.addKeyValue(r.current, r.currentKey, e)
 		case unstable.Table:
-			r.table(e)
+			r.addTable(e)
 		case unstable.ArrayTable:
-			r.arrayTable(e)
+			r.addArrayTable(e)
 		}
 	}
 	return r.parser.Error()
 }
 
-// blank overwrites the line of a syntax error with spaces. A bad header takes
+// blankSyntaxError overwrites the line of a syntax error with spaces. A bad header takes
 // the keys below it along: they would else count as another table's keys.
-func (r *reader) blank(data []byte, err error) place {
+func (r *treeBuilder) blankSyntaxError(data []byte, err error) position {
 	offset := r.errorOffset(data, err)
 	start := bytes.LastIndexByte(data[:offset], '\n') + 1
-	at := place{line: bytes.Count(data[:start], []byte("\n")) + 1, column: offset - start + 1}
+	at := position{line: bytes.Count(data[:start], []byte("\n")) + 1, column: offset - start + 1}
 	end := lineEnd(data, offset)
 	if bytes.HasPrefix(bytes.TrimSpace(data[start:end]), []byte("[")) {
 		for end < len(data) && !startsHeader(data[end+1:]) {
@@ -129,7 +129,7 @@
 	return at
 }
 
-func (r *reader) errorOffset(data []byte, err error) int {
+func (r *treeBuilder) errorOffset(data []byte, err error) int {
 	var parserError *unstable.ParserError
 	if !errors.As(err, &parserError) || cap(parserError.Highlight) == 0 {
 		return max(len(data)-1, 0)
@@ -153,12 +153,12 @@
 	return bytes.HasPrefix(bytes.TrimLeft(rest, " \t"), []byte("["))
 }
 
-// placeOf looks the line up instead of using the parser's Shape, which counts
+// positionOf looks the line up instead of using the parser's Shape, which counts
 // lines from the start of the file for every node.
-func (r *reader) placeOf(raw unstable.Range) place {
+func (r *treeBuilder) positionOf(raw unstable.Range) position {
 	offset := int(raw.Offset)
 	line := sort.SearchInts(r.lineStarts, offset+1)
-	return place{line: line, column: offset - r.lineStarts[line-1] + 1}
+	return position{line: line, column: offset - r.lineStarts[line-1] + 1}
 }
 
 func lineStarts(data []byte) []int {
@@ -171,36 +171,36 @@
 	return starts
 }
 
-// part is one name of a dotted key.
-type part struct {
+// keyPart is one name of a dotted key.
+type keyPart struct {
 	name string
-	at   place
+	position   position
 }
 
-func (r *reader) parts(e *unstable.Node) []part {
-	var parts []part
+func (r *treeBuilder) keyParts(e *unstable.Node) []keyPart {
+	var parts []keyPart
 	for it := e.Key(); it.Next(); {
-		parts = append(parts, part{string(it.Node().Data), r.placeOf(it.Node().Raw)})
+		parts = append(parts, keyPart{string(it.Node().Data), r.positionOf(it.Node().Raw)})
 	}
 	return parts
 }
 
-// descend walks to the table that holds the last part, making tables on the
+// resolveTable walks to the table that holds the last part, making tables on the
 // way. It returns nil after recording a finding when something else is there.
-func (r *reader) descend(n *node, key string, parts []part) (*node, string) {
+func (r *treeBuilder) resolveTable(n *node, key string, parts []keyPart) (*node, string) {
 	for _, p := range parts {
 		key = joinKey(key, p.name)
 		next := n.fields[p.name]
 		if next == nil {
-			next = newTable(p.at)
+			next = newTable(p.position)
 			n.set(p.name, next)
 		}
-		if next.shape == arrayShape && !next.closed {
+		if next.kind == arrayKind && !next.inline {
 			key = itemKey(key, len(next.items)-1)
 			next = next.items[len(next.items)-1]
 		}
-		if next.shape != tableShape || next.closed {
-			r.source.add(p.at, key, r.already(next), "one definition")
+		if next.kind != tableKind || next.inline {
+			r.source.addAt(p.position, key, r.alreadyDefined(next), "one definition")
 			return nil, key
 		}
 		n = next
@@ -208,114 +208,114 @@
 	return n, key
 }
 
-func (r *reader) already(n *node) string {
-	return fmt.Sprintf("is already %v on line %d", n.shape, n.place.line)
+func (r *treeBuilder) alreadyDefined(n *node) string {
+	return fmt.Sprintf("is already %v on line %d", n.kind, n.position.line)
 }
 
-func (r *reader) table(e *unstable.Node) {
-	parts := r.parts(e)
+func (r *treeBuilder) addTable(e *unstable.Node) {
+	parts := r.keyParts(e)
 	last := parts[len(parts)-1]
 	r.current, r.currentKey = nil, ""
-	parent, key := r.descend(r.root, "", parts[:len(parts)-1])
+	parent, key := r.resolveTable(r.root, "", parts[:len(parts)-1])
 	if parent == nil {
 		return
 	}
-	if array := parent.fields[last.name]; array != nil && array.shape == arrayShape {
-		r.source.add(last.at, joinKey(key, last.name), r.already(array), "one definition, or [["+last.name+"]]")
+	if array := parent.fields[last.name]; array != nil && array.kind == arrayKind {
+		r.source.addAt(last.position, joinKey(key, last.name), r.alreadyDefined(array), "one definition, or [["+last.name+"]]")
 		return
 	}
-	r.current, r.currentKey = r.descend(parent, key, parts[len(parts)-1:])
+	r.current, r.currentKey = r.resolveTable(parent, key, parts[len(parts)-1:])
 	if r.current == nil {
 		return
 	}
-	if r.current.header {
-		r.source.add(last.at, r.currentKey, r.already(r.current), "one definition")
+	if r.current.hasHeader {
+		r.source.addAt(last.position, r.currentKey, r.alreadyDefined(r.current), "one definition")
 	}
-	r.current.header = true
-	r.current.place = last.at
+	r.current.hasHeader = true
+	r.current.position = last.position
 }
 
-func (r *reader) arrayTable(e *unstable.Node) {
-	parts := r.parts(e)
+func (r *treeBuilder) addArrayTable(e *unstable.Node) {
+	parts := r.keyParts(e)
 	last := parts[len(parts)-1]
 	r.current, r.currentKey = nil, ""
-	parent, key := r.descend(r.root, "", parts[:len(parts)-1])
+	parent, key := r.resolveTable(r.root, "", parts[:len(parts)-1])
 	if parent == nil {
 		return
 	}
 	key = joinKey(key, last.name)
 	array := parent.fields[last.name]
 	if array == nil {
-		array = &node{shape: arrayShape, place: last.at}
+		array = &node{kind: arrayKind, position: last.position}
 		parent.set(last.name, array)
 	}
-	if array.shape != arrayShape || array.closed {
-		r.source.add(last.at, key, r.already(array), "one definition")
+	if array.kind != arrayKind || array.inline {
+		r.source.addAt(last.position, key, r.alreadyDefined(array), "one definition")
 		return
 	}
-	item := newTable(last.at)
+	item := newTable(last.position)
 	array.items = append(array.items, item)
 	r.current, r.currentKey = item, itemKey(key, len(array.items)-1)
 }
 
-func (r *reader) keyValue(table *node, key string, e *unstable.Node) {
+func (r *treeBuilder) addKeyValue(table *node, key string, e *unstable.Node) {
 	if table == nil {
 		return
 	}
-	parts := r.parts(e)
+	parts := r.keyParts(e)
 	last := parts[len(parts)-1]
-	table, key = r.descend(table, key, parts[:len(parts)-1])
+	table, key = r.resolveTable(table, key, parts[:len(parts)-1])
 	if table == nil {
 		return
 	}
 	key = joinKey(key, last.name)
 	if earlier := table.fields[last.name]; earlier != nil {
-		r.source.add(last.at, key, r.already(earlier), "one definition")
+		r.source.addAt(last.position, key, r.alreadyDefined(earlier), "one definition")
 		return
 	}
-	table.set(last.name, r.value(key, last.at, e.Value()))
+	table.set(last.name, r.newNode(key, last.position, e.Value()))
 }
 
-func (r *reader) value(key string, at place, v *unstable.Node) *node {
+func (r *treeBuilder) newNode(key string, at position, v *unstable.Node) *node {
 	switch v.Kind {
 	case unstable.InlineTable:
 		n := newTable(at)
 		for it := v.Children(); it.Next(); {
-			r.keyValue(n, key, it.Node())
+			r.addKeyValue(n, key, it.Node())
 		}
-		n.closed = true
+		n.inline = true
 		return n
 	case unstable.Array:
-		n := &node{shape: arrayShape, place: at, closed: true}
+		n := &node{kind: arrayKind, position: at, inline: true}
 		for it := v.Children(); it.Next(); {
-			item := r.value(itemKey(key, len(n.items)), r.itemPlace(at, it.Node()), it.Node())
+			item := r.newNode(itemKey(key, len(n.items)), r.itemPosition(at, it.Node()), it.Node())
 			n.items = append(n.items, item)
 		}
 		return n
 	}
-	return &node{shape: scalarShape(v.Kind), place: at, scalar: string(v.Data)}
+	return &node{kind: scalarKind(v.Kind), position: at, scalar: string(v.Data)}
 }
 
-// itemPlace falls back to the array's place: go-toml gives nested arrays none.
-func (r *reader) itemPlace(array place, v *unstable.Node) place {
+// itemPosition falls back to the array's place: go-toml gives nested arrays none.
+func (r *treeBuilder) itemPosition(array position, v *unstable.Node) position {
 	if v.Raw.Length == 0 {
 		return array
 	}
-	return r.placeOf(v.Raw)
+	return r.positionOf(v.Raw)
 }
 
-func scalarShape(k unstable.Kind) shape {
+func scalarKind(k unstable.Kind) kind {
 	switch k {
 	case unstable.String:
-		return stringShape
+		return stringKind
 	case unstable.Integer:
-		return integerShape
+		return integerKind
 	case unstable.Float:
-		return floatShape
+		return floatKind
 	case unstable.Bool:
-		return boolShape
+		return boolKind
 	}
-	return dateShape
+	return dateKind
 }
 
 func (n *node) integer() (int64, error) {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -60,7 +60,7 @@
 			return
 		}
 	}
-	s.add(s.nearest(key).place, key, problem, want)
+	s.addAt(s.nearestNode(key).position, key, problem, want)
 }
 
 // Check records a finding unless ok.
@@ -70,14 +70,14 @@
 	}
 }
 
-func (s *Source) add(at place, key, problem, want string) {
+func (s *Source) addAt(at position, key, problem, want string) {
 	s.findings.Add(finding.Finding{
 		File: s.file, Line: at.line, Column: at.column,
 		Key: key, Problem: problem, Want: want,
 	})
 }
 
-func (s *Source) nearest(key string) *node {
+func (s *Source) nearestNode(key string) *node {
 	n := s.root
 	for _, part := range splitKey(key) {
 		next := n.child(part)
--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -12,8 +12,8 @@
 // errSealed is what a late write to a sealed connection gets.
 var errSealed = errors.New("connection sealed after a failed request")
 
-// conn counts its writes and can be sealed against further ones.
-type conn struct {
+// trackedConn counts its writes and can be sealed against further ones.
+type trackedConn struct {
 	net.Conn
 
 	mu     sync.Mutex
@@ -22,14 +22,14 @@
 }
 
 // Write implements net.Conn.
-func (c *conn) Write(data []byte) (int, error) {
+func (c *trackedConn) Write(data []byte) (int, error) {
 	if err := c.beginWrite(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(data)
 }
 
-func (c *conn) beginWrite() error {
+func (c *trackedConn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-func (c *conn) count() uint64 {
+func (c *trackedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
@@ -48,7 +48,7 @@
 // seal forbids further writes and reports true if no write began since the
 // count. Without the seal a request that was given up on could still be
 // written a moment after its caller was told that it was not sent.
-func (c *conn) seal(since uint64) bool {
+func (c *trackedConn) seal(since uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writes != since {
@@ -61,13 +61,13 @@
 // Attempt observes one request of a client made by NewClient.
 type Attempt struct {
 	mu    sync.Mutex
-	taken []taken
+	conns []usedConn
 }
 
-// taken is a connection that the request got, with its writes before.
-type taken struct {
-	conn   *conn
-	writes uint64
+// usedConn is a connection that the request got, with its writes before.
+type usedConn struct {
+	conn   *trackedConn
+	writesBefore uint64
 }
 
 // Observe returns a context for one request, and its Attempt.
@@ -82,8 +82,8 @@
 func (a *Attempt) NotSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, t := range a.taken {
-		if t.conn == nil || !t.conn.seal(t.writes) {
+	for _, t := range a.conns {
+		if t.conn == nil || !t.conn.seal(t.writesBefore) {
 			return false
 		}
 	}
@@ -93,19 +93,19 @@
 func (a *Attempt) gotConn(info httptrace.GotConnInfo) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := exclusive(info.Conn)
+	c := trackedConnOf(info.Conn)
 	if c == nil {
-		a.taken = append(a.taken, taken{})
+		a.conns = append(a.conns, usedConn{})
 		return
 	}
-	a.taken = append(a.taken, taken{conn: c, writes: c.count()})
+	a.conns = append(a.conns, usedConn{conn: c, writesBefore: c.writeCount()})
 }
 
-// exclusive returns the counted connection below c, or nil if there is none.
-func exclusive(c net.Conn) *conn {
+// trackedConnOf returns the counted connection below c, or nil if there is none.
+func trackedConnOf(c net.Conn) *trackedConn {
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
-	counted, _ := c.(*conn)
+	counted, _ := c.(*trackedConn)
 	return counted
 }
--- a/internal/transport/attempt_test.go
+++ b/internal/transport/attempt_test.go
@@ -20,7 +20,7 @@
 	ours, theirs := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, theirs) }()
 	defer func() { _ = theirs.Close() }()
-	c := &conn{Conn: ours}
+	c := &trackedConn{Conn: ours}
 	attempt := &Attempt{}
 	attempt.gotConn(httptrace.GotConnInfo{Conn: c})
 	if !attempt.NotSent() {
@@ -35,7 +35,7 @@
 	ours, theirs := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, theirs) }()
 	defer func() { _ = theirs.Close() }()
-	c := &conn{Conn: ours}
+	c := &trackedConn{Conn: ours}
 	write := func() {
 		if _, err := c.Write([]byte("POST")); err != nil {
 			t.Fatal(err)
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	next := &recorder{}
-	_, _ = (&singleUse{next: next}).RoundTrip(req)
+	_, _ = (&noRetryTransport{next: next}).RoundTrip(req)
 	want := "00-01000000000000000000000000000000-0200000000000000-01"
 	if got := next.got.Header.Get("Traceparent"); got != want {
 		t.Errorf("traceparent %q, want %q", got, want)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -24,9 +24,9 @@
 	idleTimeout       = 10 * time.Second
 	serverIdleTimeout = 60 * time.Second
 	maxIdlePerHost    = 256
-	// pingAfter is the silence after which an HTTP/2 connection is probed,
+	// pingIdleTime is the silence after which an HTTP/2 connection is probed,
 	// and pingTimeout how long its answer may take.
-	pingAfter   = 2 * time.Second
+	pingIdleTime   = 2 * time.Second
 	pingTimeout = 2 * time.Second
 )
 
@@ -47,7 +47,7 @@
 // carries the W3C trace context of the request's context.
 func NewClient(options Options) *http.Client {
 	return &http.Client{
-		Transport:     &singleUse{next: newTransport(options)},
+		Transport:     &noRetryTransport{next: newTransport(options)},
 		CheckRedirect: refuseRedirect,
 	}
 }
@@ -61,7 +61,7 @@
 			// nothing about one of them.
 			return c, err
 		}
-		return &conn{Conn: c}, nil
+		return &trackedConn{Conn: c}, nil
 	}
 	var protocols http.Protocols
 	protocols.SetHTTP1(!options.HTTP2)
@@ -74,15 +74,15 @@
 		IdleConnTimeout:     idleTimeout,
 		MaxIdleConnsPerHost: maxIdlePerHost,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: pingAfter,
+			SendPingTimeout: pingIdleTime,
 			PingTimeout:     pingTimeout,
 		},
 	}
 }
 
-// sessions is how many servers' TLS sessions a client keeps, to connect anew
+// maxCachedSessions is how many servers' TLS sessions a client keeps, to connect anew
 // without checking the certificate's signatures again.
-const sessions = 256
+const maxCachedSessions = 256
 
 // clientTLS returns a configuration that speaks no TLS before 1.3 and resumes
 // sessions.
@@ -92,7 +92,7 @@
 	}
 	config = config.Clone()
 	config.MinVersion = max(config.MinVersion, tls.VersionTLS13)
-	config.ClientSessionCache = tls.NewLRUClientSessionCache(sessions)
+	config.ClientSessionCache = tls.NewLRUClientSessionCache(maxCachedSessions)
 	return config
 }
 
@@ -103,19 +103,19 @@
 	return http.ErrUseLastResponse
 }
 
-// singleUse is a round tripper that lets no transport send a request twice.
+// noRetryTransport is a round tripper that lets no transport send a request twice.
 //
 // What goes wrong without it: a reused connection is reset or the server
 // refuses an HTTP/2 stream, and net/http sends the request again because
 // GetBody gives it the body again, or because there is no body. The upstream
 // then counts two requests where the caller sent one. Without GetBody and with
 // a body that net/http cannot tell to be empty it reports the failure instead.
-type singleUse struct {
+type noRetryTransport struct {
 	next http.RoundTripper
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *singleUse) RoundTrip(req *http.Request) (*http.Response, error) {
+func (s *noRetryTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	once := req.Clone(req.Context())
 	once.GetBody = nil
 	if once.Body == nil || once.Body == http.NoBody {
@@ -126,7 +126,7 @@
 }
 
 // CloseIdleConnections serves http.Client.CloseIdleConnections.
-func (s *singleUse) CloseIdleConnections() {
+func (s *noRetryTransport) CloseIdleConnections() {
 	if closer, ok := s.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -32,8 +32,8 @@
 	return Reason(wire.Meta().Get(reasonHeader))
 }
 
-// codes pairs the canonical codes with Connect's.
-var codes = map[errcode.Code]connect.Code{
+// connectCodes pairs the canonical codes with Connect's.
+var connectCodes = map[errcode.Code]connect.Code{
 	errcode.Unknown:            connect.CodeUnknown,
 	errcode.Cancelled:          connect.CodeCanceled,
 	errcode.InvalidArgument:    connect.CodeInvalidArgument,
@@ -51,12 +51,12 @@
 }
 
 // ConnectCode returns Connect's code for a canonical one.
-func ConnectCode(code errcode.Code) connect.Code { return codes[code] }
+func ConnectCode(code errcode.Code) connect.Code { return connectCodes[code] }
 
 // Code returns the canonical code of an error that a Connect client returned.
 func Code(err error) errcode.Code {
 	wanted := connect.CodeOf(err)
-	for canonical, code := range codes {
+	for canonical, code := range connectCodes {
 		if code == wanted {
 			return canonical
 		}
