--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -10,8 +10,8 @@
 // Agenda is a list of actions that are due. The zero value is an empty one at time 0.
 // It is not safe for concurrent use.
 type Agenda struct {
-	now  time.Duration
-	seq  int
+	now     time.Duration
+	seq     int
 	pending actions
 }
 
@@ -19,7 +19,7 @@
 type action struct {
 	at  time.Duration
 	seq int
-	run  func()
+	run func()
 }
 
 type actions []action
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -96,9 +96,9 @@
 type Reloader struct {
 	files Files
 
-	mu      sync.Mutex
-	current *keyMaterial
-	currentStates    fileStates
+	mu            sync.Mutex
+	current       *keyMaterial
+	currentStates fileStates
 	// lastTriedStates is the state of the files that was read last, also in vain.
 	lastTriedStates fileStates
 }
--- a/internal/ident/content.go
+++ b/internal/ident/content.go
@@ -16,8 +16,8 @@
 
 const (
 	// requestBits is the byte of a Mark that tells requests with the same content apart.
-	requestBits = 0xff
-	outlineShift   = 32
+	requestBits  = 0xff
+	outlineShift = 32
 )
 
 // ContentOf returns the content of an outline and the hash of a body. It is never 0.
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -20,7 +20,7 @@
 	LivenessPath  = "/healthz"
 	ReadinessPath = "/readyz"
 	MetricsPath   = "/debug/vars"
-	pprofPath  = "/debug/pprof/"
+	pprofPath     = "/debug/pprof/"
 )
 
 // Limits of an operators' connection. Without them a client that never finishes
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,8 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/tomlfile"
 )
 
-// minSilenceHeartbeats is how many heartbeats may be missed before a connection
-// is given up.
+// minSilenceHeartbeats is the minimum of limits.silence in heartbeats: with fewer,
+// one lost heartbeat would end a working connection.
 const minSilenceHeartbeats = 3
 
 var logLevels = []string{"trace", "debug", "info", "warn", "error"}
@@ -114,13 +114,14 @@
 }
 
 func checkTLS(s *tomlfile.Source, t TLS) {
-	some := t.Callers.Cert != "" || t.Callers.Key != ""
-	s.Check(!some || t.Callers.Set(), "tls.callers", "is incomplete", "both cert and key")
-	some = t.Peers.Cert != "" || t.Peers.Key != "" || t.Peers.CA != ""
-	s.Check(!some || t.Peers.Set(), "tls.peers", "is incomplete", "cert, key and ca")
+	anySet := t.Callers.Cert != "" || t.Callers.Key != ""
+	s.Check(!anySet || t.Callers.Set(), "tls.callers", "is incomplete", "both cert and key")
+	anySet = t.Peers.Cert != "" || t.Peers.Key != "" || t.Peers.CA != ""
+	s.Check(!anySet || t.Peers.Set(), "tls.peers", "is incomplete", "cert, key and ca")
 }
 
-// checkHostPort reports whether address is host:port with a port number.
+// checkHostPort reports whether address is host:port with a numeric port, and
+// adds a finding if it is not.
 func checkHostPort(s *tomlfile.Source, key, address string) bool {
 	_, port, err := net.SplitHostPort(address)
 	if err == nil {
@@ -132,16 +133,16 @@
 	return err == nil
 }
 
-// checkListener finds a listener that would show tokens and requests to the
-// network in plain text.
-func checkListener(s *tomlfile.Source, key, address string, accepted bool) {
+// checkListener adds a finding for a listener that would send tokens and requests
+// over the network in plain text: one outside loopback, unless allowed.
+func checkListener(s *tomlfile.Source, key, address string, allowed bool) {
 	if !checkHostPort(s, key, address) {
 		return
 	}
 	host, _, _ := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
 	loopback := host == "localhost" || (ip != nil && ip.IsLoopback())
-	s.Check(loopback || accepted, key, "listens outside loopback without TLS",
+	s.Check(loopback || allowed, key, "listens outside loopback without TLS",
 		"TLS for this address, or listen.accept_plaintext = true")
 }
 
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -5,16 +5,17 @@
 // loopbackAnyPort is a loopback address whose port the kernel chooses.
 const loopbackAnyPort = "127.0.0.1:0"
 
-// The defaults by which the control plane's cost is measured; see
+// The defaults with which the control plane's cost is measured; see
 // docs/CAPACITY.md.
 const (
-	// DefaultHeartbeat is the interval of heartbeats between gateways.
+	// DefaultHeartbeat is the interval between the heartbeats of a gateway.
 	DefaultHeartbeat = 500 * time.Millisecond
-	// DefaultBatchWait is the least time between two appends of a journal
-	// partition by one gateway. Eight gateways with two partitions each then
-	// make at most 320 appends a second. With less, a rush of keyed calls
-	// takes the log's several hundred alone: claims queue in the log, and
-	// behind them the renewals of leases.
+	// DefaultBatchWait is the minimum time between two appends of one gateway
+	// to one partition of the journal. Eight gateways with two partitions each
+	// then make at most 320 appends a second. With a shorter time, a load spike
+	// of calls with idempotency keys uses up all of the several hundred appends
+	// a second that the log can take: claims queue in the log, and the renewals
+	// of leases wait behind them.
 	DefaultBatchWait = 50 * time.Millisecond
 )
 
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -8,10 +8,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/tomlfile"
 )
 
-// Entry are the settings of an entry process: the gateway for opaque requests of
-// callers, with the controllers that one of them at a time runs under a lease.
+// Entry holds the settings of an entry process: a gateway that forwards callers'
+// requests without reading their contents, together with the controllers that one
+// entry process at a time runs under a lease.
 type Entry struct {
-	// Path is the file that the settings were read from, to read it again.
+	// Path is the file that the settings were read from; a reload reads it again.
 	Path string
 
 	Instance      Instance           `toml:"instance"`
@@ -32,102 +33,115 @@
 	Trace         Trace              `toml:"trace"`
 }
 
-// EntryListen are an entry process's addresses, host:port.
+// EntryListen holds the addresses that an entry process listens on, as host:port.
 type EntryListen struct {
 	Callers   string `toml:"callers"`
 	Readiness string `toml:"readiness"`
 	Peers     string `toml:"peers"`
-	// Operators serves metrics; empty serves none.
+	// Operators serves metrics; empty serves none. The others are required.
 	Operators string `toml:"operators"`
 }
 
-// EntryPeers are where to find other entry processes at the start.
+// EntryPeers tells how to find other entry processes.
 type EntryPeers struct {
+	// Seeds are the addresses of peers, as host:port, to contact at the start.
 	Seeds []string `toml:"seeds"`
 }
 
-// Address is where a service answers, host:port.
+// Address tells where a service answers, as host:port.
 type Address struct {
 	Address string `toml:"address"`
 }
 
-// EntryCloud is where orders and reports go.
+// EntryCloud tells where scaling orders and usage reports are sent.
 type EntryCloud struct {
 	Address string `toml:"address"`
-	// Duties that are owed: "metering", "autoscale".
+	// Duties are the tasks that this platform expects: "metering", "autoscale".
 	Duties []string `toml:"duties"`
 }
 
-// MostCores bounds a machine's processor cores; other gateways accept no more of one.
+// MostCores is the maximum of a machine's processor cores. Gateways reject a
+// report that names more.
 const MostCores = 1024
 
-// Machine bounds what the process may use.
+// Machine tells how much of the machine the process may use.
 type Machine struct {
-	// MemoryMiB is where the process would be ended. Default 256.
+	// MemoryMiB is the memory in MiB at which the process would be killed.
+	// Default 256.
 	MemoryMiB float64 `toml:"memory_mib"`
-	// Descriptors is how many it may have open. Default 1024.
+	// Descriptors is how many file descriptors the process may have open.
+	// Default 1024.
 	Descriptors int `toml:"descriptors"`
-	// Cores is what the process has of a processor: 0.4 is two fifths of one. Among many
-	// gateways those with most of it collect the others' reports. Default 1.
+	// Cores is how many processor cores the process may use: 0.4 is two fifths of
+	// one. Among many gateways, those with the most cores are the collectors of the
+	// others' reports. Default 1.
 	Cores float64 `toml:"cores"`
 }
 
-// EntryStop is how a process ends.
+// EntryStop configures how the process stops.
 type EntryStop struct {
 	// Grace is the time between SIGTERM and SIGKILL. Default 8s.
 	Grace time.Duration `toml:"grace"`
 }
 
-// EntryConfiguration is how the operators' configuration is followed.
+// EntryConfiguration configures how fast changes of the operators' configuration
+// are applied.
 type EntryConfiguration struct {
-	// ChangeDue: a change is in force at most so long after it was acknowledged.
-	// Default 2s.
+	// ChangeDue is the maximum time between the acknowledgement of a change and
+	// its being in force. Default 2s.
 	ChangeDue time.Duration `toml:"change_due"`
 }
 
-// EntryUpstreams is how upstreams are followed.
+// EntryUpstreams configures how fast changes of upstreams are applied.
 type EntryUpstreams struct {
-	// DepartureDue: an upstream that says it leaves gets no new work later than
-	// this. Default 2s.
+	// DepartureDue is the maximum time after which an upstream that announced its
+	// departure still gets new work. Default 2s.
 	DepartureDue time.Duration `toml:"departure_due"`
 }
 
-// Retries bound the arrivals at a service beyond the first of each request.
+// Retries bounds the attempts that reach a service beyond the first attempt of
+// each request: within Window, Ratio times the requests, and Slack more.
 type Retries struct {
 	Ratio  float64       `toml:"ratio"`
 	Window time.Duration `toml:"window"`
 	Slack  float64       `toml:"slack"`
 }
 
-// EntryQuota is by how much accounts may exceed their limits in a window.
+// EntryQuota bounds by how much client accounts may exceed their limits within a
+// window: by the fraction Overage of the limit, and Slack more.
 type EntryQuota struct {
 	Window  time.Duration `toml:"window"`
 	Overage float64       `toml:"overage"`
-	// Slack is in the accounts' unit.
+	// Slack is in the unit of the account's limit.
 	Slack float64 `toml:"slack"`
 }
 
-// EntryLease is how long a duty stays taken.
+// EntryLease configures the leases of duties, of which each has one holder at a
+// time.
 type EntryLease struct {
-	// Length: a holder that is silent for so long has lost the duty.
+	// Length is how long a holder keeps a duty without renewing its lease.
+	// Default 3s.
 	Length time.Duration `toml:"length"`
 }
 
-// Usage is how usage is reported.
+// Usage configures the reports of client accounts' usage.
 type Usage struct {
+	// Window is the time that one report covers. Default 5s.
 	Window time.Duration `toml:"window"`
-	// DueAfter is how long after a window's end its report is due.
+	// DueAfter is how long after a window's end its report is due. Default 10s.
 	DueAfter time.Duration `toml:"due_after"`
 }
 
-// EntryRollout bounds what a new version of a service's upstreams gets before it is proven.
+// EntryRollout bounds the requests that a new version of a service's upstreams
+// gets before it has proven itself.
 type EntryRollout struct {
-	// Share of the service's requests, from the order to its deadline. Default 0.1.
+	// Share is the fraction of the service's requests between the order and its
+	// deadline that the new version may get. Default 0.1.
 	Share float64 `toml:"share"`
-	// Slack is requests beside it. Default 50.
+	// Slack is how many requests the new version may get in addition. Default 50.
 	Slack float64 `toml:"slack"`
-	// StopDue is within which time after its bad answers showed a version must get nothing
-	// any more. Default 5s.
+	// StopDue is the maximum time after which a version whose answers were found
+	// bad still gets requests. Default 5s.
 	StopDue time.Duration `toml:"stop_due"`
 }
 
@@ -147,7 +161,8 @@
 	}
 }
 
-// LoadEntry reads an entry process's settings file.
+// LoadEntry reads and checks an entry process's settings file. The settings are
+// valid only if there are no findings; they are nil if the file cannot be read.
 func LoadEntry(path string) (*Entry, finding.List) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -158,7 +173,8 @@
 	return e, findings
 }
 
-// ParseEntry reads and checks an entry process's settings.
+// ParseEntry reads and checks an entry process's settings from data. The findings
+// name file as their place.
 func ParseEntry(file string, data []byte) (*Entry, finding.List) {
 	e := defaultEntry()
 	s := tomlfile.Decode(file, data, &e)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads the settings of one process: a TOML file with
-// documented defaults. Unknown keys are refused, durations carry units, and
-// all findings are reported together.
+// Package settings reads and checks the settings of one process: a TOML file
+// whose keys have documented defaults. Unknown keys are rejected, durations
+// need a unit, and all findings are reported together.
 //
-// Settings describe a process. What operators change while the system runs is
-// in documents; see package document.
+// Settings belong to one process and are read when it starts. What operators
+// change while the system runs is in documents; see package document.
 package settings
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/tomlfile"
 )
 
-// Common are the sections of every process.
+// Common holds the sections that gateways and controllers share.
 type Common struct {
 	Instance   Instance   `toml:"instance"`
 	Platform   Platform   `toml:"platform"`
@@ -27,59 +27,60 @@
 	TLS        TLS        `toml:"tls"`
 }
 
-// Gateway are the settings of a gateway.
+// Gateway holds the settings of a gateway.
 type Gateway struct {
 	Common
 	Listen         GatewayListen   `toml:"listen"`
 	ClientAccounts []ClientAccount `toml:"client_accounts"`
 }
 
-// Controller are the settings of a controller.
+// Controller holds the settings of a controller.
 type Controller struct {
 	Common
 	Listen  ControllerListen `toml:"listen"`
 	Control Control          `toml:"control"`
 }
 
-// Instance tells a process who and where it is. All but incarnation are
-// required.
+// Instance identifies a process's instance and its location. All fields but
+// Incarnation are required.
 type Instance struct {
 	ID            ident.Instance      `toml:"id"`
 	Region        ident.Region        `toml:"region"`
 	FailureDomain ident.FailureDomain `toml:"failure_domain"`
-	// Incarnation 0 means: take the time at which the process starts.
+	// Incarnation 0 stands for the time at which the process starts.
 	Incarnation ident.Incarnation `toml:"incarnation"`
 }
 
-// GatewayListen are a gateway's addresses, host:port. Port 0 lets the kernel
-// choose. Default: 127.0.0.1:0 each.
+// GatewayListen holds the addresses that a gateway listens on, as host:port.
+// With port 0 the kernel chooses the port. The default of each is 127.0.0.1:0.
 type GatewayListen struct {
 	Callers   string `toml:"callers"`
 	Peers     string `toml:"peers"`
 	Operators string `toml:"operators"`
-	// AcceptPlaintext accepts listeners outside loopback without TLS.
+	// AcceptPlaintext allows listeners outside loopback to work without TLS.
 	AcceptPlaintext bool `toml:"accept_plaintext"`
-	// PProf serves profiles on the operators' address.
+	// PProf serves the profiles of net/http/pprof on the operators' address.
 	PProf bool `toml:"pprof"`
 }
 
-// ControllerListen is a controller's address.
+// ControllerListen holds the address that a controller listens on; the fields
+// are as in GatewayListen.
 type ControllerListen struct {
 	Operators       string `toml:"operators"`
 	AcceptPlaintext bool   `toml:"accept_plaintext"`
 	PProf           bool   `toml:"pprof"`
 }
 
-// Platform is where the platform's log, instance list, cloud and weight store
-// answer.
+// Platform tells where the platform serves its log, instance list, cloud and
+// weight store.
 type Platform struct {
 	// Address is a URL, http or https. Required.
 	Address string `toml:"address"`
-	// Timeout of one request. Default 2s.
+	// Timeout bounds one request. Default 2s.
 	Timeout time.Duration `toml:"timeout"`
 }
 
-// LogFormat is the form of log lines.
+// LogFormat is the format of log lines.
 type LogFormat string
 
 // The log formats.
@@ -88,7 +89,7 @@
 	LogText LogFormat = "text"
 )
 
-// Log is what the process logs.
+// Log tells what the process logs and in which format.
 type Log struct {
 	// Level is trace, debug, info, warn or error. Default info.
 	Level string `toml:"level"`
@@ -96,94 +97,99 @@
 	Format LogFormat `toml:"format"`
 }
 
-// TraceExporter says where spans go.
+// TraceExporter tells where trace spans are sent.
 type TraceExporter string
 
-// The exporters.
+// The trace exporters.
 const (
 	TraceNone   TraceExporter = "none"
 	TraceStdout TraceExporter = "stdout"
 	TraceOTLP   TraceExporter = "otlp"
 )
 
-// Trace is where spans go.
+// Trace configures the export of trace spans.
 type Trace struct {
 	// Exporter is none (default), stdout or otlp (over HTTP).
 	Exporter TraceExporter `toml:"exporter"`
-	// Endpoint is the URL for exporter otlp.
+	// Endpoint is the URL that exporter otlp sends to; other exporters ignore it.
 	Endpoint string `toml:"endpoint"`
 }
 
-// Limits bound what one connection or request may cost.
+// Limits bounds what one connection or request may cost.
 type Limits struct {
-	// MaxBody of a request. Default 1MiB.
+	// MaxBody bounds the body of a request. Default 1MiB.
 	MaxBody Size `toml:"max_body"`
-	// MaxHeader of a request. Default 64KiB.
+	// MaxHeader bounds the headers of a request. Default 64KiB.
 	MaxHeader Size `toml:"max_header"`
-	// HeaderTimeout for reading the headers. Default 5s.
+	// HeaderTimeout bounds the reading of a request's headers. Default 5s.
 	HeaderTimeout time.Duration `toml:"header_timeout"`
-	// MaxStreams at once on one connection. Default 1000.
+	// MaxStreams bounds the concurrent streams of one connection. Default 1000.
 	MaxStreams int `toml:"max_streams"`
 	// StopTimeout bounds a graceful stop. Default 20s.
 	StopTimeout time.Duration `toml:"stop_timeout"`
-	// Heartbeat is the interval between signs of life in an otherwise
-	// silent stream. Default 500ms.
+	// Heartbeat is the interval between the heartbeats of a stream that has
+	// nothing else to send. Default 500ms.
 	Heartbeat time.Duration `toml:"heartbeat"`
-	// Silence after which a connection is given up. At least three
-	// heartbeats, so that one lost sign of life condemns none. Default 2s.
+	// Silence is the time without any data after which a connection is given
+	// up. It is at least three heartbeats, so that one lost heartbeat does not
+	// end a working connection. Default 2s.
 	Silence time.Duration `toml:"silence"`
 }
 
-// Membership is how gateways tell each other who lives.
+// Membership configures how gateways tell each other which instances are alive.
 type Membership struct {
-	// Heartbeat is the interval. Default 500ms.
+	// Heartbeat is the interval between two exchanges. Default 500ms.
 	Heartbeat time.Duration `toml:"heartbeat"`
-	// PeersPerDomain is up to how many peers of the own failure domain all
-	// get each heartbeat; of more, some do, in turn. 0 is all. Default 8.
+	// PeersPerDomain is how many peers of the own failure domain get each
+	// heartbeat at the most; if there are more, they take turns. 0 sends to all.
+	// Default 8.
 	PeersPerDomain int `toml:"peers_per_domain"`
-	// OtherDomains is how many peers are told in each other failure domain.
-	// Default 2.
+	// OtherDomains is how many peers of each other failure domain get each
+	// heartbeat. Default 2.
 	OtherDomains int `toml:"other_domains"`
-	// Seeds are peer addresses, host:port, to try while the platform's
-	// instance list cannot be read. Default none.
+	// Seeds are the addresses of peers, as host:port, to contact while the
+	// platform's instance list cannot be read. Default none.
 	Seeds []string `toml:"seeds"`
 }
 
-// Journal is how gateways record calls that may not be repeated.
+// Journal configures how gateways record calls that must not be repeated.
 type Journal struct {
-	// BatchWait is the least time between two appends to one stream. Default
-	// 50ms: at eight gateways that is at most 320 appends a second.
+	// BatchWait is the minimum time between two appends to one stream of the
+	// log. Default 50ms: at eight gateways that is at most 320 appends a second.
 	BatchWait time.Duration `toml:"batch_wait"`
-	// Timeout of one append. Default 2s.
+	// Timeout bounds one append. Default 2s.
 	Timeout time.Duration `toml:"timeout"`
 }
 
-// Control is how a controller leases and uses the right to give orders.
+// Control configures the lease under which a controller gives orders, and how
+// often it works.
 type Control struct {
-	// Lease is the length of a lease. Default 10s.
+	// Lease is the duration of a lease. Default 10s.
 	Lease time.Duration `toml:"lease"`
-	// Margin by which the holder stops early, and the timeout of each request
-	// that it sends under the lease. Default 2s.
+	// Margin is how long before its lease ends the holder stops giving orders,
+	// and the timeout of each request that it sends under the lease. Default 2s.
 	Margin time.Duration `toml:"margin"`
-	// Interval between two rounds. Default 1s.
+	// Interval is the time between two rounds of the controllers. Default 1s.
 	Interval time.Duration `toml:"interval"`
-	// SnapshotInterval is how often the documents are written to the log
-	// again. At most a quarter of the time that the log keeps records.
-	// Default 10m.
+	// SnapshotInterval is how often a snapshot of the documents is written to
+	// the log. Keep it at or below a quarter of the time for which the log keeps
+	// records. Default 10m.
 	SnapshotInterval time.Duration `toml:"snapshot_interval"`
 }
 
-// TLS is off for a side without certificate files.
+// TLS names the files for TLS towards callers, peers and upstreams. A side
+// without files uses no certificates.
 type TLS struct {
-	// Callers is the certificate shown to callers.
+	// Callers names the certificate that is presented to callers.
 	Callers KeyPair `toml:"callers"`
-	// Peers is the certificate shown to and required of other processes.
+	// Peers names the certificate that is presented to other processes and the
+	// authority that theirs must come from.
 	Peers PeerKeyPair `toml:"peers"`
-	// Upstream verifies upstreams.
+	// Upstream names the authority that verifies upstreams' certificates.
 	Upstream Authority `toml:"upstream"`
 }
 
-// KeyPair names PEM files.
+// KeyPair names the PEM files of a certificate and its private key.
 type KeyPair struct {
 	Cert string `toml:"cert"`
 	Key  string `toml:"key"`
@@ -192,7 +198,8 @@
 // Set reports whether TLS is on.
 func (k KeyPair) Set() bool { return k.Cert != "" && k.Key != "" }
 
-// PeerKeyPair names PEM files for mutual TLS.
+// PeerKeyPair names the PEM files for mutual TLS: a certificate, its private key
+// and the authority of the peers' certificates.
 type PeerKeyPair struct {
 	Cert string `toml:"cert"`
 	Key  string `toml:"key"`
@@ -202,21 +209,21 @@
 // Set reports whether mutual TLS is on.
 func (k PeerKeyPair) Set() bool { return k.Cert != "" && k.Key != "" && k.CA != "" }
 
-// Authority names a PEM file of trusted certificates.
+// Authority names a PEM file of trusted certificates. Empty trusts the system's.
 type Authority struct {
 	CA string `toml:"ca"`
 }
 
-// ClientAccount is a customer whose callers may send requests.
+// ClientAccount is a client account whose callers may send requests.
 type ClientAccount struct {
 	Name ident.ClientAccount `toml:"name"`
-	// TokenSHA256 is the SHA-256 of the bearer token; the token itself is in
-	// no file.
+	// TokenSHA256 is the SHA-256 of the bearer token; the token itself is not
+	// written to any file.
 	TokenSHA256 Digest `toml:"token_sha256"`
 }
 
-// LoadGateway reads a gateway's settings. The settings are usable only when
-// there are no findings.
+// LoadGateway reads a gateway's settings from a file. The settings are valid
+// only if there are no findings; they are nil if the file cannot be read.
 func LoadGateway(path string) (*Gateway, finding.List) {
 	data, found := readFile(path)
 	if found != nil {
@@ -225,8 +232,8 @@
 	return ParseGateway(path, data)
 }
 
-// LoadController reads a controller's settings. The settings are usable only
-// when there are no findings.
+// LoadController reads a controller's settings from a file. The settings are
+// valid only if there are no findings; they are nil if the file cannot be read.
 func LoadController(path string) (*Controller, finding.List) {
 	data, found := readFile(path)
 	if found != nil {
@@ -235,7 +242,8 @@
 	return ParseController(path, data)
 }
 
-// ParseGateway reads a gateway's settings from data; file is for findings.
+// ParseGateway reads a gateway's settings from data. The findings name file as
+// their place.
 func ParseGateway(file string, data []byte) (*Gateway, finding.List) {
 	g := defaultGateway()
 	source := tomlfile.Decode(file, data, g)
@@ -243,8 +251,8 @@
 	return g, source.Findings()
 }
 
-// ParseController reads a controller's settings from data; file is for
-// findings.
+// ParseController reads a controller's settings from data. The findings name
+// file as their place.
 func ParseController(file string, data []byte) (*Controller, finding.List) {
 	c := defaultController()
 	source := tomlfile.Decode(file, data, c)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// findings is the golden form: one a line.
-func findings(list finding.List) []byte {
+// formatFindings writes one finding a line, as in the golden files.
+func formatFindings(list finding.List) []byte {
 	var b strings.Builder
 	for _, f := range list {
 		b.WriteString(f.String() + "\n")
@@ -72,15 +72,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			goldie.New(t).Assert(t, name, findings(parse(name+".toml", data)))
+			goldie.New(t).Assert(t, name, formatFindings(parse(name+".toml", data)))
 		})
 	}
 }
 
-// Symptom: a controller starts, holds its leases and never gives an order.
-// Sequence: the settings have a margin of 0 and pass all checks.
-// Cause: the margin also bounds each request under a lease, so that every one
-// has timed out before it leaves.
+// Guards against a margin of 0. The margin is also the timeout of each request
+// under a lease, so that every request would time out before it is sent: the
+// controller would start, hold its leases and never give an order.
 func TestMarginOfZeroIsRefused(t *testing.T) {
 	_, found := ParseController("controller.toml", []byte("[control]\nmargin = \"0s\"\n"))
 	for _, f := range found {
@@ -101,7 +100,7 @@
 		lines := strings.Count(string(data), "\n") + 1
 		for _, finding := range found {
 			if finding.Line < 1 || finding.Line > lines || finding.Column < 1 {
-				t.Errorf("finding outside of the file: %+v", finding)
+				t.Errorf("finding outside the file: %+v", finding)
 			}
 		}
 	})
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -8,19 +8,21 @@
 	"strings"
 )
 
-// Size is a number of bytes.
+// Size is a number of bytes. In a settings file it is a string with a unit.
 type Size int64
 
-// sizeUnits are tried in this order: "B" is a suffix of the others.
+// sizeUnits are tried in this order, because "B" is a suffix of the others.
 var sizeUnits = []struct {
 	suffix string
 	bytes  int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"B", 1}}
 
-// maxSize keeps a product with a unit far from overflow.
+// maxSize bounds a size in bytes, so that the product of number and unit cannot
+// overflow.
 const maxSize = 1 << 40
 
-// UnmarshalText reads a size with its unit.
+// UnmarshalText parses a size with its unit. The error says what is wanted, for
+// use in a finding.
 func (s *Size) UnmarshalText(text []byte) error {
 	for _, unit := range sizeUnits {
 		number, ok := strings.CutSuffix(string(text), unit.suffix)
@@ -40,7 +42,8 @@
 // Digest is a SHA-256 digest.
 type Digest [sha256.Size]byte
 
-// UnmarshalText reads a digest in hexadecimal.
+// UnmarshalText parses a digest in hexadecimal. The error says what is wanted,
+// for use in a finding.
 func (d *Digest) UnmarshalText(text []byte) error {
 	decoded, err := hex.DecodeString(string(text))
 	if err != nil || len(decoded) != sha256.Size {
--- a/internal/telemetry/ring.go
+++ b/internal/telemetry/ring.go
@@ -13,9 +13,9 @@
 // Ring takes log lines without ever blocking. One goroutine writes them on; when
 // its writer is stuck and the ring is full, lines are dropped and counted.
 type Ring struct {
-	output    io.Writer
-	dropped atomic.Int64
-	accepted   atomic.Int64
+	output   io.Writer
+	dropped  atomic.Int64
+	accepted atomic.Int64
 
 	mu      sync.Mutex
 	pending []byte
--- a/internal/testkit/authority.go
+++ b/internal/testkit/authority.go
@@ -20,10 +20,10 @@
 	// File holds the authority's certificate, in PEM.
 	File string
 
-	t       testing.TB
-	key     *ecdsa.PrivateKey
-	cert    *x509.Certificate
-	issued  int64
+	t             testing.TB
+	key           *ecdsa.PrivateKey
+	cert          *x509.Certificate
+	issued        int64
 	lastWriteTime time.Time
 }
 
--- a/internal/testkit/relay.go
+++ b/internal/testkit/relay.go
@@ -30,9 +30,9 @@
 
 // relayedConn is one forwarded connection.
 type relayedConn struct {
-	relay     *Relay
+	relay          *Relay
 	client, server net.Conn
-	silent    atomic.Bool
+	silent         atomic.Bool
 }
 
 // NewRelay starts a relay to the server at a base URL. It ends with the test.
--- a/internal/tomlfile/parse.go
+++ b/internal/tomlfile/parse.go
@@ -37,7 +37,7 @@
 
 // node is one value of the file.
 type node struct {
-	kind kind
+	kind     kind
 	position position
 	// fields of a table, in the order of names.
 	fields map[string]*node
@@ -173,8 +173,8 @@
 
 // keyPart is one name of a dotted key.
 type keyPart struct {
-	name string
-	position   position
+	name     string
+	position position
 }
 
 func (r *treeBuilder) keyParts(e *unstable.Node) []keyPart {
--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -66,7 +66,7 @@
 
 // usedConn is a connection that the request got, with its writes before.
 type usedConn struct {
-	conn   *trackedConn
+	conn         *trackedConn
 	writesBefore uint64
 }
 
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -26,8 +26,8 @@
 	maxIdlePerHost    = 256
 	// pingIdleTime is the silence after which an HTTP/2 connection is probed,
 	// and pingTimeout how long its answer may take.
-	pingIdleTime   = 2 * time.Second
-	pingTimeout = 2 * time.Second
+	pingIdleTime = 2 * time.Second
+	pingTimeout  = 2 * time.Second
 )
 
 // Options choose how a client connects.
