--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -56,7 +56,8 @@
 // EntryCloud tells where scaling orders and usage reports are sent.
 type EntryCloud struct {
 	Address string `toml:"address"`
-	// Duties are the tasks that this platform expects: "metering", "autoscale".
+	// Duties are the tasks that one entry process at a time does for the platform:
+	// "metering", "autoscale".
 	Duties []string `toml:"duties"`
 }
 
@@ -87,15 +88,15 @@
 // EntryConfiguration configures how fast changes of the operators' configuration
 // are applied.
 type EntryConfiguration struct {
-	// ChangeDue is the maximum time between the acknowledgement of a change and
-	// its being in force. Default 2s.
+	// ChangeDue bounds the time from the acknowledgement of a change until it is
+	// in force. Default 2s.
 	ChangeDue time.Duration `toml:"change_due"`
 }
 
 // EntryUpstreams configures how fast changes of upstreams are applied.
 type EntryUpstreams struct {
-	// DepartureDue is the maximum time after which an upstream that announced its
-	// departure still gets new work. Default 2s.
+	// DepartureDue bounds how long an upstream still gets new work after it
+	// announced its departure. Default 2s.
 	DepartureDue time.Duration `toml:"departure_due"`
 }
 
@@ -140,8 +141,8 @@
 	Share float64 `toml:"share"`
 	// Slack is how many requests the new version may get in addition. Default 50.
 	Slack float64 `toml:"slack"`
-	// StopDue is the maximum time after which a version whose answers were found
-	// bad still gets requests. Default 5s.
+	// StopDue bounds how long a new version still gets requests after its answers
+	// showed that it is bad. Default 5s.
 	StopDue time.Duration `toml:"stop_due"`
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -177,8 +177,8 @@
 	SnapshotInterval time.Duration `toml:"snapshot_interval"`
 }
 
-// TLS names the files for TLS towards callers, peers and upstreams. A side
-// without files uses no certificates.
+// TLS names the files for TLS towards callers, peers and upstreams. TLS is off for
+// callers or peers whose certificate files are not set.
 type TLS struct {
 	// Callers names the certificate that is presented to callers.
 	Callers KeyPair `toml:"callers"`
--- a/internal/tomlfile/bind.go
+++ b/internal/tomlfile/bind.go
@@ -11,12 +11,13 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// wantDuration is what a duration has to look like.
+// wantDuration describes a duration in findings.
 const wantDuration = `a duration with a unit, such as "250ms" or "30s"`
 
-// bindTable sets the fields of a struct from a table.
+// bindTable sets the fields of a struct from the root table.
 func (s *Source) bindTable(n *node, target reflect.Value) { s.bindTableAt(n, "", target) }
 
+// bindTableAt sets the fields of a struct from the table whose dotted key is key.
 func (s *Source) bindTableAt(n *node, key string, target reflect.Value) {
 	fields := fieldsByTag(target)
 	for _, name := range n.names {
@@ -30,7 +31,8 @@
 	}
 }
 
-// fieldsByTag also looks into embedded structs.
+// fieldsByTag returns the fields of a struct, those of embedded structs included, by
+// their toml tags.
 func fieldsByTag(target reflect.Value) map[string]reflect.Value {
 	fields := map[string]reflect.Value{}
 	for _, f := range reflect.VisibleFields(target.Type()) {
@@ -50,6 +52,7 @@
 	return strings.Join(names, ", ")
 }
 
+// bind sets target from a node, or records a finding.
 func (s *Source) bind(n *node, key string, target reflect.Value) {
 	if target.Type() == durationType {
 		s.bindDuration(n, key, target)
@@ -81,6 +84,7 @@
 	}
 }
 
+// expectKind reports whether a node is of a kind, and records a finding if not.
 func (s *Source) expectKind(n *node, key string, want kind) bool {
 	if n.kind == want {
 		return true
@@ -106,8 +110,9 @@
 	target.SetInt(int64(d))
 }
 
-// bindText takes what is wanted from the type's own error. The value is not
-// part of the finding: it may be a secret in the wrong place.
+// bindText sets a target that parses its own text. The target's error is what the
+// finding says is wanted. The finding leaves the value out, because it may be a secret
+// in the wrong place.
 func (s *Source) bindText(n *node, key string, target encoding.TextUnmarshaler) {
 	text := ""
 	problem := "is " + n.kind.String()
--- a/internal/tomlfile/parse.go
+++ b/internal/tomlfile/parse.go
@@ -11,13 +11,13 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxSyntaxFindings bounds how often parsing resumes after a syntax error.
+// maxSyntaxFindings is how many syntax errors are reported before parsing stops.
 const maxSyntaxFindings = 20
 
-// position is a position in the file; lines and columns count from 1.
+// position is a place in the file. Lines and columns count from 1.
 type position struct{ line, column int }
 
-// kind says what a node holds.
+// kind is the type of a node's value.
 type kind int
 
 const (
@@ -30,24 +30,25 @@
 	dateKind
 )
 
-// String returns the name that findings use.
-func (s kind) String() string {
-	return [...]string{"a table", "an array", "a string", "an integer", "a float", "a boolean", "a date"}[s]
+// String returns the kind's name in findings.
+func (k kind) String() string {
+	return [...]string{"a table", "an array", "a string", "an integer", "a float", "a boolean", "a date"}[k]
 }
 
-// node is one value of the file.
+// node is one value of the file: a table, an array or a scalar.
 type node struct {
 	kind     kind
 	position position
-	// fields of a table, in the order of names.
+	// fields are those of a table; names has their names in the order of the file.
 	fields map[string]*node
 	names  []string
-	items  []*node
-	// scalar is the value's text: unquoted for strings, raw for others.
+	// items are those of an array.
+	items []*node
+	// scalar is the text of any other value: unquoted for a string, else as written.
 	scalar string
-	// header: an explicit [table] header named this table.
+	// hasHeader is set once a [table] header has named this table.
 	hasHeader bool
-	// closed: an inline table or array, which later lines cannot extend.
+	// inline is set for an inline table or array, which later lines cannot extend.
 	inline bool
 }
 
@@ -60,59 +61,61 @@
 	n.names = append(n.names, name)
 }
 
-// treeBuilder turns go-toml's expressions into nodes.
+// treeBuilder builds a tree of nodes from go-toml's expressions.
 type treeBuilder struct {
 	source *Source
 	parser unstable.Parser
 	root   *node
-	// lineStarts are the offsets of the lines.
+	// lineStarts are the byte offsets at which lines begin.
 	lineStarts []int
-	// current is the table that key-value lines belong to, nil after a bad
-	// header: its keys are read but belong nowhere.
+	// current is the table that key-value lines belong to, and currentKey its
+	// dotted key. current is nil after an invalid header, so that the keys below
+	// it are ignored.
 	current    *node
 	currentKey string
 }
 
-// parse reads the file. After a syntax error it blanks the line and goes on,
-// so that one typing error does not hide the rest.
+// parse returns the file's root table. After a syntax error it blanks the line and
+// parses again, so that one typing error does not hide the other findings.
 func (s *Source) parse(data []byte) *node {
 	data = bytes.Clone(data)
 	for range maxSyntaxFindings {
-		r := &treeBuilder{source: s, root: newTable(position{1, 1})}
+		b := &treeBuilder{source: s, root: newTable(position{1, 1})}
 		before := len(s.findings)
-		err := r.build(data)
+		err := b.build(data)
 		if err == nil {
-			return r.root
+			return b.root
 		}
 		s.findings = s.findings[:before]
-		at := r.blankSyntaxError(data, err)
+		at := b.blankSyntaxError(data, err)
 		s.addAt(at, "", "syntax error: "+err.Error(), "TOML 1.0")
 	}
 	return newTable(position{1, 1})
 }
 
-func (r *treeBuilder) build(data []byte) error {
-	r.parser.Reset(data)
-	r.lineStarts = lineStarts(data)
-	r.current = r.root
-	for r.parser.NextExpression() {
-		e := r.parser.Expression()
+func (b *treeBuilder) build(data []byte) error {
+	b.parser.Reset(data)
+	b.lineStarts = lineStarts(data)
+	b.current = b.root
+	for b.parser.NextExpression() {
+		e := b.parser.Expression()
 		switch e.Kind {
 		case unstable.KeyValue:
-			r.addKeyValue(r.current, r.currentKey, e)
+			b.addKeyValue(b.current, b.currentKey, e)
 		case unstable.Table:
-			r.addTable(e)
+			b.addTable(e)
 		case unstable.ArrayTable:
-			r.addArrayTable(e)
+			b.addArrayTable(e)
 		}
 	}
-	return r.parser.Error()
+	return b.parser.Error()
 }
 
-// blankSyntaxError overwrites the line of a syntax error with spaces. A bad header takes
-// the keys below it along: they would else count as another table's keys.
-func (r *treeBuilder) blankSyntaxError(data []byte, err error) position {
-	offset := r.errorOffset(data, err)
+// blankSyntaxError overwrites the line of a syntax error with spaces and returns the
+// error's position. If the line is a table header, the keys below it are blanked too:
+// otherwise they would count as keys of the table before.
+func (b *treeBuilder) blankSyntaxError(data []byte, err error) position {
+	offset := b.errorOffset(data, err)
 	start := bytes.LastIndexByte(data[:offset], '\n') + 1
 	at := position{line: bytes.Count(data[:start], []byte("\n")) + 1, column: offset - start + 1}
 	end := lineEnd(data, offset)
@@ -129,7 +132,9 @@
 	return at
 }
 
-func (r *treeBuilder) errorOffset(data []byte, err error) int {
+// errorOffset returns the byte offset of a syntax error in data. go-toml gives the
+// error as a slice of data that begins there; without one it is the last byte.
+func (b *treeBuilder) errorOffset(data []byte, err error) int {
 	var parserError *unstable.ParserError
 	if !errors.As(err, &parserError) || cap(parserError.Highlight) == 0 {
 		return max(len(data)-1, 0)
@@ -153,12 +158,13 @@
 	return bytes.HasPrefix(bytes.TrimLeft(rest, " \t"), []byte("["))
 }
 
-// positionOf looks the line up instead of using the parser's Shape, which counts
-// lines from the start of the file for every node.
-func (r *treeBuilder) positionOf(raw unstable.Range) position {
+// positionOf returns the position of a range of the file. It looks the line up in
+// lineStarts, because the parser's Shape counts lines from the start of the file for
+// every node.
+func (b *treeBuilder) positionOf(raw unstable.Range) position {
 	offset := int(raw.Offset)
-	line := sort.SearchInts(r.lineStarts, offset+1)
-	return position{line: line, column: offset - r.lineStarts[line-1] + 1}
+	line := sort.SearchInts(b.lineStarts, offset+1)
+	return position{line: line, column: offset - b.lineStarts[line-1] + 1}
 }
 
 func lineStarts(data []byte) []int {
@@ -177,17 +183,19 @@
 	position position
 }
 
-func (r *treeBuilder) keyParts(e *unstable.Node) []keyPart {
+func (b *treeBuilder) keyParts(e *unstable.Node) []keyPart {
 	var parts []keyPart
 	for it := e.Key(); it.Next(); {
-		parts = append(parts, keyPart{string(it.Node().Data), r.positionOf(it.Node().Raw)})
+		parts = append(parts, keyPart{string(it.Node().Data), b.positionOf(it.Node().Raw)})
 	}
 	return parts
 }
 
-// resolveTable walks to the table that holds the last part, making tables on the
-// way. It returns nil after recording a finding when something else is there.
-func (r *treeBuilder) resolveTable(n *node, key string, parts []keyPart) (*node, string) {
+// resolveTable follows parts from table n, whose dotted key is key, and returns the
+// table that the last part names, with its key. It creates missing tables, and follows
+// an array of tables to its last entry. If a part names any other value, it records a
+// finding and returns nil.
+func (b *treeBuilder) resolveTable(n *node, key string, parts []keyPart) (*node, string) {
 	for _, p := range parts {
 		key = joinKey(key, p.name)
 		next := n.fields[p.name]
@@ -200,7 +208,7 @@
 			next = next.items[len(next.items)-1]
 		}
 		if next.kind != tableKind || next.inline {
-			r.source.addAt(p.position, key, r.alreadyDefined(next), "one definition")
+			b.source.addAt(p.position, key, b.alreadyDefined(next), "one definition")
 			return nil, key
 		}
 		n = next
@@ -208,38 +216,39 @@
 	return n, key
 }
 
-func (r *treeBuilder) alreadyDefined(n *node) string {
+// alreadyDefined returns the problem of a finding about a second definition of n.
+func (b *treeBuilder) alreadyDefined(n *node) string {
 	return fmt.Sprintf("is already %v on line %d", n.kind, n.position.line)
 }
 
-func (r *treeBuilder) addTable(e *unstable.Node) {
-	parts := r.keyParts(e)
+func (b *treeBuilder) addTable(e *unstable.Node) {
+	parts := b.keyParts(e)
 	last := parts[len(parts)-1]
-	r.current, r.currentKey = nil, ""
-	parent, key := r.resolveTable(r.root, "", parts[:len(parts)-1])
+	b.current, b.currentKey = nil, ""
+	parent, key := b.resolveTable(b.root, "", parts[:len(parts)-1])
 	if parent == nil {
 		return
 	}
 	if array := parent.fields[last.name]; array != nil && array.kind == arrayKind {
-		r.source.addAt(last.position, joinKey(key, last.name), r.alreadyDefined(array), "one definition, or [["+last.name+"]]")
+		b.source.addAt(last.position, joinKey(key, last.name), b.alreadyDefined(array), "one definition, or [["+last.name+"]]")
 		return
 	}
-	r.current, r.currentKey = r.resolveTable(parent, key, parts[len(parts)-1:])
-	if r.current == nil {
+	b.current, b.currentKey = b.resolveTable(parent, key, parts[len(parts)-1:])
+	if b.current == nil {
 		return
 	}
-	if r.current.hasHeader {
-		r.source.addAt(last.position, r.currentKey, r.alreadyDefined(r.current), "one definition")
+	if b.current.hasHeader {
+		b.source.addAt(last.position, b.currentKey, b.alreadyDefined(b.current), "one definition")
 	}
-	r.current.hasHeader = true
-	r.current.position = last.position
+	b.current.hasHeader = true
+	b.current.position = last.position
 }
 
-func (r *treeBuilder) addArrayTable(e *unstable.Node) {
-	parts := r.keyParts(e)
+func (b *treeBuilder) addArrayTable(e *unstable.Node) {
+	parts := b.keyParts(e)
 	last := parts[len(parts)-1]
-	r.current, r.currentKey = nil, ""
-	parent, key := r.resolveTable(r.root, "", parts[:len(parts)-1])
+	b.current, b.currentKey = nil, ""
+	parent, key := b.resolveTable(b.root, "", parts[:len(parts)-1])
 	if parent == nil {
 		return
 	}
@@ -250,45 +259,45 @@
 		parent.set(last.name, array)
 	}
 	if array.kind != arrayKind || array.inline {
-		r.source.addAt(last.position, key, r.alreadyDefined(array), "one definition")
+		b.source.addAt(last.position, key, b.alreadyDefined(array), "one definition")
 		return
 	}
 	item := newTable(last.position)
 	array.items = append(array.items, item)
-	r.current, r.currentKey = item, itemKey(key, len(array.items)-1)
+	b.current, b.currentKey = item, itemKey(key, len(array.items)-1)
 }
 
-func (r *treeBuilder) addKeyValue(table *node, key string, e *unstable.Node) {
+func (b *treeBuilder) addKeyValue(table *node, key string, e *unstable.Node) {
 	if table == nil {
 		return
 	}
-	parts := r.keyParts(e)
+	parts := b.keyParts(e)
 	last := parts[len(parts)-1]
-	table, key = r.resolveTable(table, key, parts[:len(parts)-1])
+	table, key = b.resolveTable(table, key, parts[:len(parts)-1])
 	if table == nil {
 		return
 	}
 	key = joinKey(key, last.name)
 	if earlier := table.fields[last.name]; earlier != nil {
-		r.source.addAt(last.position, key, r.alreadyDefined(earlier), "one definition")
+		b.source.addAt(last.position, key, b.alreadyDefined(earlier), "one definition")
 		return
 	}
-	table.set(last.name, r.newNode(key, last.position, e.Value()))
+	table.set(last.name, b.newNode(key, last.position, e.Value()))
 }
 
-func (r *treeBuilder) newNode(key string, at position, v *unstable.Node) *node {
+func (b *treeBuilder) newNode(key string, at position, v *unstable.Node) *node {
 	switch v.Kind {
 	case unstable.InlineTable:
 		n := newTable(at)
 		for it := v.Children(); it.Next(); {
-			r.addKeyValue(n, key, it.Node())
+			b.addKeyValue(n, key, it.Node())
 		}
 		n.inline = true
 		return n
 	case unstable.Array:
 		n := &node{kind: arrayKind, position: at, inline: true}
 		for it := v.Children(); it.Next(); {
-			item := r.newNode(itemKey(key, len(n.items)), r.itemPosition(at, it.Node()), it.Node())
+			item := b.newNode(itemKey(key, len(n.items)), b.itemPosition(at, it.Node()), it.Node())
 			n.items = append(n.items, item)
 		}
 		return n
@@ -296,12 +305,13 @@
 	return &node{kind: scalarKind(v.Kind), position: at, scalar: string(v.Data)}
 }
 
-// itemPosition falls back to the array's place: go-toml gives nested arrays none.
-func (r *treeBuilder) itemPosition(array position, v *unstable.Node) position {
+// itemPosition returns the position of an array's item, or that of the array for a
+// nested array, for which go-toml gives no position.
+func (b *treeBuilder) itemPosition(array position, v *unstable.Node) position {
 	if v.Raw.Length == 0 {
 		return array
 	}
-	return r.positionOf(v.Raw)
+	return b.positionOf(v.Raw)
 }
 
 func scalarKind(k unstable.Kind) kind {
--- a/internal/tomlfile/parse_test.go
+++ b/internal/tomlfile/parse_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Symptom: the limits of one client account change when another one is added.
-// Sequence: the new entry of an array of tables is headed by [accounts] instead
-// of [[accounts]]. Cause: TOML forbids it, but the header was taken for the last
-// entry of the array, as it rightly is in [accounts.part].
+// Guards against a header [accounts], written by mistake for [[accounts]], that sets
+// keys of the array's last entry: adding one client account would change the limits of
+// another one. TOML forbids it. In [accounts.part], accounts does stand for the last
+// entry.
 func TestHeaderInSingleBracketsExtendsNoEntry(t *testing.T) {
 	type file struct {
 		Accounts []struct {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,9 +1,9 @@
-// Package tomlfile decodes a TOML file into a struct and gathers everything
-// that is wrong with it, each fault with its line, column and key.
+// Package tomlfile decodes a TOML file into a struct and collects everything
+// that is wrong with it as findings, each with its line, column and key.
 //
-// go-toml reads the grammar. This package exists beside its Unmarshal because
-// that stops at the first value of a wrong type, so that an operator with five
-// faults would need five runs to hear of them.
+// The grammar is parsed by go-toml. Its Unmarshal is not used, because it stops
+// at the first value of a wrong type: an operator with five faults in a file
+// would need five runs to see them all.
 package tomlfile
 
 import (
@@ -14,18 +14,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/finding"
 )
 
-// Source is a decoded file. It places findings of checks that follow.
+// Source is a decoded file. Checks of the decoded values add their findings to it by
+// key, and it adds their place in the file. It is not safe for concurrent use.
 type Source struct {
 	file     string
 	root     *node
 	findings finding.List
 }
 
-// Decode reads data into the struct that target points to. Fields are matched
-// by their `toml` tags; keys without a field are findings; fields without a key
-// keep the value they had. Supported are strings, booleans, integers, floats,
-// time.Duration (a string with a unit), encoding.TextUnmarshaler, structs and
-// slices of these.
+// Decode decodes data into the struct that target points to; file is the file's
+// name in findings. Fields are matched by their `toml` tags. A key without a field
+// is a finding, and a field without a key keeps its value. Supported are strings,
+// booleans, integers, floats, time.Duration (a string with a unit),
+// encoding.TextUnmarshaler, structs and slices of these.
 func Decode(file string, data []byte, target any) *Source {
 	s := &Source{file: file}
 	s.root = s.parse(data)
@@ -33,7 +34,7 @@
 	return s
 }
 
-// Findings returns all findings so far in the order of their lines.
+// Findings returns all findings so far, sorted by line.
 func (s *Source) Findings() finding.List {
 	s.findings.Sort()
 	return s.findings
@@ -51,9 +52,10 @@
 	return true
 }
 
-// Add records a finding about a key. When the file does not set the key, the
-// finding is placed at the nearest table around it. A key that has a finding
-// already gets no other: its value was not taken, so a check of it says nothing.
+// Add records a finding about a key: its problem, and what is wanted instead. If
+// the file does not set the key, the finding is placed at the innermost table around
+// it that the file has. A key that already has a finding gets no second one: its
+// value was not decoded, so that a check of it means nothing.
 func (s *Source) Add(key, problem, want string) {
 	for _, f := range s.findings {
 		if f.Key == key {
@@ -63,7 +65,7 @@
 	s.addAt(s.nearestNode(key).position, key, problem, want)
 }
 
-// Check records a finding unless ok.
+// Check records a finding about a key, as Add does, unless ok is true.
 func (s *Source) Check(ok bool, key, problem, want string) {
 	if !ok {
 		s.Add(key, problem, want)
@@ -77,6 +79,7 @@
 	})
 }
 
+// nearestNode returns the node of a key, or of the innermost part of it that exists.
 func (s *Source) nearestNode(key string) *node {
 	n := s.root
 	for _, part := range splitKey(key) {
@@ -89,13 +92,13 @@
 	return n
 }
 
-// splitKey turns "a.b[2].c" into "a", "b", "[2]", "c".
+// splitKey splits "a.b[2].c" into "a", "b", "[2]" and "c".
 func splitKey(key string) []string {
 	spread := strings.ReplaceAll(key, "[", ".[")
 	return strings.FieldsFunc(spread, func(r rune) bool { return r == '.' })
 }
 
-// child finds a field by name or an item by "[index]".
+// child returns the field with a name, or the item at "[index]", or nil.
 func (n *node) child(part string) *node {
 	if !strings.HasPrefix(part, "[") {
 		return n.fields[part]
