--- a/internal/errcode/errcode.go
+++ b/internal/errcode/errcode.go
@@ -1,7 +1,7 @@
-// Package errcode gives every error a canonical code where it arises.
+// Package errcode gives errors a canonical code where they arise.
 //
-// The code travels with the error through wrapping (pkg/errors), so that the
-// edge of the process can translate it without looking at texts.
+// The code is kept when the error is wrapped, so that the outermost layer of the
+// process can translate it for a caller without reading the error's text.
 package errcode
 
 import (
@@ -31,14 +31,14 @@
 	Unauthenticated
 )
 
-// names are the codes' names in logs, in the order of the constants.
+// names holds the codes' names in logs, in the order of the constants.
 var names = [...]string{
 	"unknown", "cancelled", "invalid_argument", "deadline_exceeded", "not_found", "already_exists",
 	"permission_denied", "resource_exhausted", "failed_precondition", "aborted", "out_of_range",
 	"unavailable", "internal", "unauthenticated",
 }
 
-// String returns the code's name.
+// String returns the code's name, that of Unknown for a number that is no code.
 func (c Code) String() string {
 	if c < 0 || int(c) >= len(names) {
 		return names[Unknown]
@@ -46,7 +46,7 @@
 	return names[c]
 }
 
-// coded is an error with a code and the stack where it arose.
+// coded is an error with a code. The error inside has the stack of its origin.
 type coded struct {
 	code Code
 	err  error
@@ -54,7 +54,7 @@
 
 func (c *coded) Error() string { return c.err.Error() }
 
-// Unwrap gives errors.Is and errors.As access to the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (c *coded) Unwrap() error { return c.err }
 
 // New returns an error with a code and the caller's stack.
@@ -67,7 +67,8 @@
 	return &coded{code: code, err: pkgerrors.Errorf(format, args...)}
 }
 
-// Wrap gives err a code and a message. It returns nil for a nil err.
+// Wrap returns err with a code, and with message before its text. It returns nil for a
+// nil err.
 func Wrap(code Code, err error, message string) error {
 	if err == nil {
 		return nil
@@ -75,7 +76,7 @@
 	return &coded{code: code, err: pkgerrors.WithMessage(err, message)}
 }
 
-// Of returns the outermost code of err, or Unknown.
+// Of returns the outermost code of err, or Unknown if it has none.
 func Of(err error) Code {
 	var c *coded
 	if errors.As(err, &c) {
--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects what is wrong with an input, each with its place,
-// so that everything is reported together instead of one fault a run.
+// Package finding holds the faults of an input, each with its place, so that all of
+// them are reported together instead of one in each run.
 package finding
 
 import (
@@ -10,20 +10,20 @@
 
 // Finding is one fault of an input.
 type Finding struct {
-	// File names the input; empty when it has no file.
+	// File is the input's file name; empty if the input is not a file.
 	File string `json:"file,omitempty"`
-	// Line and Column count from 1; 0 when the place is not known.
+	// Line and Column count from 1; 0 means that the place is not known.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
 	// Key is the dotted key, for example "accounts[2].share".
 	Key string `json:"key,omitempty"`
-	// Problem says what is wrong.
+	// Problem is what is wrong with it.
 	Problem string `json:"problem"`
-	// Want says what would be right.
+	// Want is what would be right.
 	Want string `json:"want,omitempty"`
 }
 
-// String is the form for a terminal: file:line:column: key: problem; want.
+// String returns the finding as one line: "file:line:column: key: problem; want ...".
 func (f Finding) String() string {
 	var b strings.Builder
 	if f.File != "" {
@@ -45,7 +45,7 @@
 	return b.String()
 }
 
-// List is what was found in one input, in the order of its lines.
+// List holds the findings of one input.
 type List []Finding
 
 // Add appends a finding.
@@ -77,10 +77,10 @@
 	return &Error{Findings: l}
 }
 
-// Error is a list of findings as an error.
+// Error is the error that holds a list of findings.
 type Error struct{ Findings List }
 
-// Error lists one finding a line.
+// Error returns the findings, one a line.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, f := range e.Findings {
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,7 +1,7 @@
-// Package ident names the things that every other package talks about.
+// Package ident defines the types of the identifiers that all packages share.
 //
-// Each name is a string type of its own, so that an instance cannot be passed
-// where a client account is meant.
+// Each identifier has a type of its own, so that the ID of an instance cannot be
+// passed where a client account is meant.
 package ident
 
 import (
@@ -25,50 +25,52 @@
 // ClientAccount identifies a customer whose callers send requests.
 type ClientAccount string
 
-// Service identifies what one document describes.
+// Service identifies a service: upstreams that are described by one document.
 type Service string
 
-// Version names the software that an upstream runs. Versions of one service differ; they
-// have no order.
+// Version names the version of the software that an upstream runs. Versions of a
+// service can be compared for equality, but have no order.
 type Version string
 
-// Request identifies one request. Callers choose it for token streams.
+// Request identifies one request. For token streams the caller chooses it.
 type Request string
 
 // Key is a caller's idempotency key, unique within its client account.
 type Key string
 
-// Claim identifies one attempt to own a key.
+// Claim identifies one attempt to become the owner of an idempotency key, who may run
+// its call.
 type Claim string
 
-// Class names a latency class of a service's document.
+// Class names a latency class that a service's document defines.
 type Class string
 
 // Method names a method of a plain service.
 type Method string
 
-// Offset is a position in a stream of the platform's log, from 0.
+// Offset is the position of a record in a stream of the platform's log. The first is 0.
 type Offset uint64
 
-// Revision is a version of the configuration: the offset plus one of the
-// record that created it. 0 means that there is none.
+// Revision is the version of a configuration: one more than the offset of the log
+// record that created it. 0 means that there is no configuration.
 type Revision uint64
 
-// Fence is a fencing number. A higher one was granted later. 0 is none.
+// Fence is a fencing number of a lease. A higher one was granted later. 0 means none.
 type Fence uint64
 
-// Incarnation tells two lives of an instance with the same ID apart. The
-// later life has the higher number.
+// Incarnation tells successive processes with the same instance ID apart. The later
+// one has the higher number.
 type Incarnation uint64
 
-// CallKey is an idempotency key with its scope.
+// CallKey is an idempotency key with its scope: it is unique within the service and the
+// client account.
 type CallKey struct {
 	Service Service
 	Account ClientAccount
 	Key     Key
 }
 
-// String is the form in which upstreams see the key. Its parts are escaped:
+// String returns the form of the key that is sent to upstreams. Its parts are escaped:
 // otherwise the key "a/x" of one account could equal the key "x" of another
 // account whose name ends in "/a", and one would get the other's outcome.
 func (k CallKey) String() string {
--- a/internal/operations/operations.go
+++ b/internal/operations/operations.go
@@ -1,7 +1,7 @@
-// Package operations serves a process's operators over HTTP: liveness,
-// readiness with its reason, the expvar metrics, and profiles where they are
-// switched on. It listens apart from the callers' address, so that a process
-// can still be looked at when callers keep it busy.
+// Package operations is the HTTP server for a process's operators: liveness,
+// readiness with the reason if not ready, the expvar metrics and, if enabled,
+// profiles. It has a listener apart from that for callers, so that operators can
+// still examine a process whose callers overload it.
 package operations
 
 import (
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// The paths that every process serves.
+// The paths that every process serves; pprofPath only if profiles are enabled.
 const (
 	LivenessPath  = "/healthz"
 	ReadinessPath = "/readyz"
@@ -23,27 +23,28 @@
 	pprofPath     = "/debug/pprof/"
 )
 
-// Limits of an operators' connection. Without them a client that never finishes
-// its header, or asks nothing more, would hold a connection for good. Writing has
-// no limit: a profile takes as long as its client asks for.
+// The timeouts of an operator's connection. Without them a client that never finishes
+// its header, or sends no further request, would keep a connection open for ever.
+// Writing has no timeout, because a client chooses how long a profile takes.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = time.Minute
 )
 
-// Config says what to serve. Listener and Ready are required.
+// Config configures a Server. Listener and Ready are required.
 type Config struct {
 	// Listener is closed by Shutdown.
 	Listener net.Listener
-	// Ready reports whether the process should get work, and if not, why.
+	// Ready reports whether the process should get requests, and if not, the reason.
+	// It is called concurrently.
 	Ready func() (ok bool, reason string)
-	// Pprof serves the profiles of net/http/pprof.
+	// Pprof enables the profiles of net/http/pprof.
 	Pprof bool
-	// Handlers are further handlers by pattern, as in http.ServeMux.
+	// Handlers are further handlers by their patterns for http.ServeMux.
 	Handlers map[string]http.Handler
 }
 
-// Server serves the operators of one process. Create it with New.
+// Server is the HTTP server for the operators of one process. Create it with New.
 type Server struct {
 	listener net.Listener
 	http     *http.Server
@@ -62,11 +63,11 @@
 	}
 }
 
-// Address is the address that the server listens on.
+// Address returns the address that the server listens on, as host:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve answers until Shutdown. It returns nil after Shutdown, and the
-// listener's error otherwise.
+// Serve answers requests until Shutdown is called, and then returns nil. If the
+// listener fails, it returns the error.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -75,8 +76,8 @@
 	return err
 }
 
-// Shutdown stops listening, waits for running answers until ctx ends, and
-// then cuts them off.
+// Shutdown stops listening and waits for requests in flight. If ctx ends first, it
+// closes their connections and returns an error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
 	if err == nil {
@@ -85,7 +86,7 @@
 	return errors.Join(err, s.http.Close())
 }
 
-// newHandler routes the operators' paths.
+// newHandler returns the handler of all paths.
 func newHandler(cfg Config) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+LivenessPath, serveLiveness)
@@ -104,7 +105,7 @@
 	writeText(w, http.StatusOK, "ok")
 }
 
-// readinessHandler answers 200, or 503 with the reason.
+// readinessHandler answers with status 200, or with 503 and the reason if not ready.
 func readinessHandler(ready func() (bool, string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		ok, reason := ready()
@@ -120,11 +121,11 @@
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	// The client may be gone; there is nobody left to tell.
+	// Writing fails if the client is gone; then nobody can be told of it.
 	_, _ = io.WriteString(w, text+"\n")
 }
 
-// addPprofHandlers serves the profiles at their customary paths.
+// addPprofHandlers adds the profiles at the paths of net/http/pprof.
 func addPprofHandlers(mux *http.ServeMux) {
 	mux.HandleFunc(pprofPath, pprof.Index)
 	mux.HandleFunc(pprofPath+"cmdline", pprof.Cmdline)
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,30 +1,32 @@
-// Package outcome says how a request ended, in the words callers hear.
+// Package outcome defines how a request can end, with the kinds and reasons that
+// callers receive.
 package outcome
 
 import "time"
 
-// Kind says how a request ended, or that it has not yet.
+// Kind tells how a request ended, or that it is still in progress.
 type Kind int
 
-// The kinds. Their numbers are those of the callers' API.
+// The kinds. Their numbers are those of OutcomeKind in the callers' API.
 const (
-	// Completed: the request ran and its whole answer is known.
+	// Completed means that the request ran and its whole answer is known.
 	Completed Kind = 1
-	// NotRun: this attempt reached no upstream and never will.
+	// NotRun means that this attempt has not reached an upstream and never will.
 	NotRun Kind = 2
-	// Unknown: the request may have run. Asking again by key tells more.
+	// Unknown means that the request may have run. A caller learns more by asking
+	// for the outcome of its idempotency key.
 	Unknown Kind = 3
-	// InProgress: another attempt with the same key is running.
+	// InProgress means that another attempt with the same idempotency key is running.
 	InProgress Kind = 4
-	// Failed: the upstream ran the request and answered with an
+	// Failed means that the upstream ran the request and answered with an
 	// application error.
 	Failed Kind = 5
-	// Interrupted: a token stream ended before its answer did. What was
-	// delivered is right, and the caller may resume at any gateway.
+	// Interrupted means that a token stream ended before its answer was complete.
+	// The delivered tokens are correct, and the caller may resume at any gateway.
 	Interrupted Kind = 6
 )
 
-// String returns the name that logs and pages use.
+// String returns the kind's name in logs and in what operators see.
 func (k Kind) String() string {
 	switch k {
 	case Completed:
@@ -43,13 +45,13 @@
 	return "unspecified"
 }
 
-// Final reports whether the kind never changes once told for a key.
+// Final reports whether an outcome of this kind never changes for its idempotency key.
 func (k Kind) Final() bool { return k == Completed || k == Failed }
 
 // Reason is the machine-readable cause of an outcome.
 type Reason string
 
-// The reasons that callers see.
+// The reasons that callers receive.
 const (
 	ReasonRateLimited      Reason = "rate_limited"
 	ReasonOverloaded       Reason = "overloaded"
@@ -65,37 +67,37 @@
 	ReasonClaimedElsewhere Reason = "claimed_elsewhere"
 	ReasonKeyReused        Reason = "key_reused"
 	ReasonApplication      Reason = "application_error"
-	// ReasonNotSeen: no gateway has seen the key. The call may still be on
-	// its way; sending it again with a higher attempt is always safe.
+	// ReasonNotSeen means that no gateway knows the idempotency key. The call may
+	// still arrive; sending it again with a higher attempt is always safe.
 	ReasonNotSeen Reason = "not_seen"
-	// ReasonReplaced: the same caller resumed the request elsewhere, with
-	// tokens that this stream does not continue.
+	// ReasonReplaced means that the same caller resumed the request elsewhere, with
+	// delivered tokens that this stream does not continue.
 	ReasonReplaced Reason = "replaced"
 )
 
-// Outcome is how a request ended, with when to come back.
+// Outcome is how a request ended, and when the caller may ask again.
 type Outcome struct {
 	Kind   Kind
 	Reason Reason
-	// Message is one sentence for a person.
+	// Message is one sentence for people to read.
 	Message string
-	// RetryAfter tells when asking again makes sense; 0 for final kinds.
+	// RetryAfter is the time to wait before asking again; 0 for final kinds.
 	RetryAfter time.Duration
 	// Payload is the upstream's answer, for Completed and Failed.
 	Payload []byte
 }
 
-// NewNotRun returns a refusal.
+// NewNotRun returns an outcome for a request that was refused.
 func NewNotRun(reason Reason, message string, retryAfter time.Duration) Outcome {
 	return Outcome{Kind: NotRun, Reason: reason, Message: message, RetryAfter: retryAfter}
 }
 
-// NewUnknown returns an outcome for a request that may have run.
+// NewUnknown returns an outcome for a request that may or may not have run.
 func NewUnknown(reason Reason, message string, retryAfter time.Duration) Outcome {
 	return Outcome{Kind: Unknown, Reason: reason, Message: message, RetryAfter: retryAfter}
 }
 
-// NewInterrupted returns the end of a token stream that may be resumed.
+// NewInterrupted returns an outcome for a token stream that may be resumed.
 func NewInterrupted(reason Reason, message string, retryAfter time.Duration) Outcome {
 	return Outcome{Kind: Interrupted, Reason: reason, Message: message, RetryAfter: retryAfter}
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program is the common frame of the daemons: command line, settings
-// check, signals and exit status.
+// Package program runs daemons: it parses the command line, loads and checks the
+// settings, handles signals and returns the exit status.
 package program
 
 import (
@@ -18,21 +18,22 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/finding"
 )
 
-// The exit statuses of every program.
+// The exit statuses of every daemon.
 const (
 	ExitOK = 0
-	// ExitFailed: the program ran and failed.
+	// ExitFailed means that the program ran and failed.
 	ExitFailed = 1
-	// ExitUsage: bad command line or settings.
+	// ExitUsage means that the command line or the settings are invalid.
 	ExitUsage = 2
 )
 
-// killGrace is how long a program has after the second signal to log what it
-// cuts off.
+// killGrace is how long a program may run on after the second signal, to log which
+// work it aborts.
 const killGrace = 500 * time.Millisecond
 
-// Signals tell a running program to stop. Stop ends at the first SIGTERM or
-// SIGINT: stop gracefully. Kill ends at the second one: return at once.
+// Signals holds the contexts that end when a running program is told to stop. At the
+// first SIGTERM or SIGINT, Stop ends: the program stops gracefully. At the second one,
+// Kill ends: the program returns at once.
 type Signals struct {
 	Stop context.Context
 	Kill context.Context
@@ -42,16 +43,16 @@
 type Daemon[S any] struct {
 	Name        string
 	Description string
-	// DefaultSettings is the settings file where the command line names none;
-	// empty where it must.
+	// DefaultSettings is the settings file that is used if the command line names
+	// none. If it is empty, the command line must name one.
 	DefaultSettings string
-	// Load reads the settings file.
+	// Load reads the settings file. Any finding keeps the daemon from running.
 	Load func(path string) (*S, finding.List)
-	// Run works until signals.Stop ends, then stops gracefully.
+	// Run runs until signals.Stop ends, then stops gracefully.
 	Run func(signals Signals, settings *S) error
 }
 
-// arguments are the command line of every daemon.
+// arguments holds the command line of every daemon.
 type arguments struct {
 	Settings      string `arg:"--settings" placeholder:"FILE" help:"settings of this process (TOML)"`
 	CheckSettings bool   `arg:"--check-settings" help:"check the settings, print all findings and exit: 0 good, 2 bad"`
@@ -59,13 +60,14 @@
 	name, description string
 }
 
-// Description is the text above the options in --help.
+// Description returns the text above the options in --help.
 func (a arguments) Description() string { return a.description }
 
-// Version is what --version prints.
+// Version returns what --version prints.
 func (a arguments) Version() string { return a.name + " " + Version() }
 
-// Version returns the version that the Go toolchain stamped into the binary.
+// Version returns the module version and the Go version that the toolchain recorded in
+// the binary.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -101,8 +103,8 @@
 	return ExitOK
 }
 
-// parse fills parsed. It reports done when the command line asks for nothing
-// more, or is wrong.
+// parse fills parsed from args. It reports done if the program has to exit with status:
+// after --help or --version, or because the command line is invalid.
 func parse(parsed *arguments, name string, args []string, stdout, stderr io.Writer) (status int, done bool) {
 	parser, err := arg.NewParser(arg.Config{Program: name, Out: stdout}, parsed)
 	if err != nil {
@@ -133,9 +135,10 @@
 	return d.Run(signals, settings)
 }
 
-// watchSignals ends Stop at the first signal and Kill at the second. If the
-// program has not returned killGrace after the second, it is ended, so that a
-// stuck stop cannot outlive an operator's patience.
+// watchSignals returns Signals whose Stop ends at the first signal and Kill at the
+// second, and a function that stops watching. If that function has not been called
+// killGrace after the second signal, the process exits, so that a stop that hangs cannot
+// keep it alive.
 func watchSignals() (Signals, func()) {
 	stop, endStop := context.WithCancel(context.Background())
 	kill, endKill := context.WithCancel(context.Background())
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -14,7 +14,7 @@
 // testSettings are the settings of a test daemon.
 type testSettings struct{ path string }
 
-// load finds two faults in any file but "good.toml".
+// load returns two findings for any file but "good.toml".
 func load(path string) (*testSettings, finding.List) {
 	if path == "good.toml" {
 		return &testSettings{path: path}, nil
@@ -30,7 +30,7 @@
 		args   []string
 		fails  error
 		status int
-		// runs: the daemon's work was begun.
+		// runs tells whether Run is called.
 		runs           bool
 		stdout, stderr []string
 	}{
@@ -65,7 +65,7 @@
 	}
 }
 
-// expect checks that a text holds all parts, and is empty when there are none.
+// expect checks that a text contains all parts, and is empty if there are none.
 func expect(t *testing.T, where, text string, parts []string) {
 	t.Helper()
 	if len(parts) == 0 && text != "" {
@@ -78,7 +78,7 @@
 	}
 }
 
-// The first signal asks for a graceful stop; only the second one cuts it short.
+// Checks that the first signal ends only Stop, and the second one Kill.
 func TestSignals(t *testing.T) {
 	for _, kind := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		signals, release := watchSignals()
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,6 +1,5 @@
-// Package report is what a gateway tells its operators as JSON: the contract
-// between its operators' address and spoolctl. What /explain answers is in
-// package explain.
+// Package report defines the JSON that a gateway serves on its operators' address and
+// spoolctl reads. The answer of ExplainPath is in package explain.
 package report
 
 import (
@@ -13,41 +12,43 @@
 const (
 	StatusPath  = "/status"
 	ExplainPath = "/explain"
-	// RequestParameter names the request on ExplainPath.
+	// RequestParameter is the query parameter of ExplainPath with the request's ID.
 	RequestParameter = "request_id"
 )
 
-// Status is what an operator sees of a gateway.
+// Status is the answer of StatusPath: a gateway's state.
 type Status struct {
 	Instance      ident.Instance      `json:"instance"`
 	Incarnation   ident.Incarnation   `json:"incarnation"`
 	FailureDomain ident.FailureDomain `json:"failure_domain"`
 	Ready         bool                `json:"ready"`
-	// NotReady says why Ready is false.
+	// NotReady is the reason why Ready is false, and empty otherwise.
 	NotReady string `json:"not_ready,omitempty"`
 	Stopping bool   `json:"stopping"`
-	// Revision of the configuration in force.
+	// Revision is that of the configuration in force.
 	Revision ident.Revision `json:"revision"`
-	// Services with the revision of each one's document.
+	// Services has the revision of each service's document.
 	Services map[ident.Service]ident.Revision `json:"services"`
-	// Problem of the configuration, such as a record that is not understood.
+	// Problem tells what is wrong with the configuration, for example a record that
+	// this version cannot read. Empty means nothing.
 	Problem      string   `json:"problem,omitempty"`
 	LogReachable bool     `json:"log_reachable"`
 	JournalReady bool     `json:"journal_ready"`
 	Members      []Member `json:"members"`
 }
 
-// Member is one instance as the gateway sees it.
+// Member is one instance as the gateway knows it.
 type Member struct {
 	ID            ident.Instance      `json:"id"`
 	Role          string              `json:"role"`
 	Service       ident.Service       `json:"service,omitempty"`
 	FailureDomain ident.FailureDomain `json:"failure_domain"`
 	State         string              `json:"state"`
+	// Since is when the gateway learnt of the state.
 	Since         time.Time           `json:"since"`
 }
 
-// Problem is the answer to a question that cannot be answered.
+// Problem is the answer to a request that fails.
 type Problem struct {
 	Error string `json:"error"`
 }
--- a/internal/telemetry/ring.go
+++ b/internal/telemetry/ring.go
@@ -6,12 +6,14 @@
 	"sync/atomic"
 )
 
-// maxPendingBytes bounds the log lines that wait to be written. A second of a flood of
-// refusals is some 200 KiB.
+// maxPendingBytes bounds the log lines that wait to be written. During overload, the
+// lines about refused requests are some 200 KiB a second.
 const maxPendingBytes = 512 << 10
 
-// Ring takes log lines without ever blocking. One goroutine writes them on; when
-// its writer is stuck and the ring is full, lines are dropped and counted.
+// Ring is an io.Writer for log lines that never blocks. It buffers up to
+// maxPendingBytes, and one goroutine writes them to the output. While the output is
+// stuck and the buffer is full, lines are dropped and counted. It is safe for
+// concurrent use.
 type Ring struct {
 	output   io.Writer
 	dropped  atomic.Int64
@@ -24,15 +26,16 @@
 	writing bool
 }
 
-// NewRing returns a ring that writes to next.
-func NewRing(next io.Writer) *Ring {
-	r := &Ring{output: next, wake: make(chan struct{}, 1)}
+// NewRing returns a Ring that writes to output. Its goroutine never ends.
+func NewRing(output io.Writer) *Ring {
+	r := &Ring{output: output, wake: make(chan struct{}, 1)}
 	r.idle = sync.NewCond(&r.mu)
 	go r.run()
 	return r
 }
 
-// Write implements io.Writer for a whole line.
+// Write implements io.Writer. Each call must hold one whole line. It never returns an
+// error, not even for a line that is dropped.
 func (r *Ring) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	if len(r.pending)+len(line) > maxPendingBytes {
@@ -57,7 +60,7 @@
 		buffer, r.pending = r.pending, buffer[:0]
 		r.writing = true
 		r.mu.Unlock()
-		// There is no other place to tell of a standard output that fails.
+		// An error is ignored: there is no other place to report it.
 		_, _ = r.output.Write(buffer)
 		r.mu.Lock()
 		r.writing = false
@@ -66,8 +69,8 @@
 	}
 }
 
-// Flush waits until all lines were written. It waits for ever on a writer that
-// is stuck, so call it where the process ends anyway.
+// Flush waits until all buffered lines are written. It never returns while the output
+// is stuck, so call it only where the process ends anyway.
 func (r *Ring) Flush() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,5 +79,5 @@
 	}
 }
 
-// Counts returns how many lines were taken and how many dropped.
-func (r *Ring) Counts() (taken, dropped int64) { return r.accepted.Load(), r.dropped.Load() }
+// Counts returns how many lines were accepted and how many were dropped.
+func (r *Ring) Counts() (accepted, dropped int64) { return r.accepted.Load(), r.dropped.Load() }
--- a/internal/telemetry/ring_test.go
+++ b/internal/telemetry/ring_test.go
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-// stuck is a standard output that nobody reads until it is freed.
-type stuck struct {
-	free chan struct{}
-	mu   sync.Mutex
-	got  int
+// stuckWriter blocks in Write until free is closed, and counts the lines it gets.
+type stuckWriter struct {
+	free  chan struct{}
+	mu    sync.Mutex
+	lines int
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *stuckWriter) Write(p []byte) (int, error) {
 	<-s.free
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got += strings.Count(string(p), "\n")
+	s.lines += strings.Count(string(p), "\n")
 	return len(p), nil
 }
 
-// Symptom: requests hang because standard output is stuck. Sequence: nobody reads
-// it, and lines go on coming. Cause: a log that blocks.
+// Guards against requests that hang because nobody reads standard output and the log
+// blocks. Lines beyond the buffer are dropped and counted instead.
 func TestAStuckOutputBlocksNobodyAndLosesCountedLines(t *testing.T) {
-	out := &stuck{free: make(chan struct{})}
+	out := &stuckWriter{free: make(chan struct{})}
 	ring := NewRing(out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 3 * maxPendingBytes / 1024
@@ -33,17 +33,17 @@
 			t.Fatalf("wrote %d, error %v", n, err)
 		}
 	}
-	taken, dropped := ring.Counts()
-	// One ring full waits, and at the most one is with the stuck writer.
+	accepted, dropped := ring.Counts()
+	// One full buffer is pending, and at the most one more is in the stuck Write.
 	const full = maxPendingBytes / 1024
-	if taken+dropped != lines || taken < full || taken > 2*full {
-		t.Errorf("%d taken, %d dropped of %d, want %d to %d taken", taken, dropped, lines, full, 2*full)
+	if accepted+dropped != lines || accepted < full || accepted > 2*full {
+		t.Errorf("%d accepted, %d dropped of %d, want %d to %d accepted", accepted, dropped, lines, full, 2*full)
 	}
 	close(out.free)
 	ring.Flush()
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	if int64(out.got) != taken {
-		t.Errorf("%d lines written, %d taken", out.got, taken)
+	if int64(out.lines) != accepted {
+		t.Errorf("%d lines written, %d accepted", out.lines, accepted)
 	}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry builds a process's log and tracer from its settings, the
-// same way in every program.
+// Package telemetry creates a process's logger and tracer from its settings, the same
+// way in every program.
 package telemetry
 
 import (
@@ -30,15 +30,15 @@
 
 // The trace exporters.
 const (
-	// ExporterNone records no spans; the W3C headers still pass through.
+	// ExporterNone records no spans; trace contexts in W3C headers are still passed on.
 	ExporterNone = "none"
 	// ExporterStdout writes spans as JSON to Config.TraceOutput.
 	ExporterStdout = "stdout"
-	// ExporterOTLP sends spans by OTLP over HTTP.
+	// ExporterOTLP sends spans by OTLP over HTTP to Config.TraceEndpoint.
 	ExporterOTLP = "otlp"
 )
 
-// The resource attributes, by the names of OpenTelemetry's conventions.
+// The resource attributes of spans, named by OpenTelemetry's semantic conventions.
 const (
 	serviceNameKey      = attribute.Key("service.name")
 	serviceInstanceKey  = attribute.Key("service.instance.id")
@@ -52,42 +52,43 @@
 	defaultLogLevel     = "info"
 )
 
-// Config is what the settings say of logs and traces. Empty values stand for
-// the defaults: level info, format text, exporter none.
+// Config configures logs and traces. Empty values stand for the defaults: log level
+// info, log format text, trace exporter none.
 type Config struct {
-	// Program is the service name of the spans, for example "gateway".
+	// Program is the logger's name and the spans' service name, for example "gateway".
 	Program       string
 	Instance      ident.Instance
 	FailureDomain ident.FailureDomain
 	Region        ident.Region
 	LogLevel      string
 	LogFormat     string
-	// LogOutput is os.Stderr when nil.
+	// LogOutput is where the log is written. Nil is os.Stderr.
 	LogOutput     io.Writer
 	TraceExporter string
 	// TraceEndpoint is the URL that OTLP spans are sent to, for example
 	// "http://127.0.0.1:4318/v1/traces".
 	TraceEndpoint string
-	// TraceOutput takes the spans of ExporterStdout; os.Stderr when nil,
-	// because stdout carries the program's events.
+	// TraceOutput is where ExporterStdout writes spans. Nil is os.Stderr, because
+	// stdout carries the program's events.
 	TraceOutput io.Writer
-	// SampledShare of new traces, 0 to 1; nil is all. A trace that a caller
-	// began keeps the caller's choice.
+	// SampledShare is the fraction of new traces that is sampled, from 0 to 1. Nil
+	// samples all. For a trace that a caller began, the caller's decision holds.
 	SampledShare *float64
 }
 
-// Telemetry is a process's log and tracer.
+// Telemetry holds a process's logger and tracer. Create it with Setup.
 type Telemetry struct {
 	Log    hclog.Logger
 	Tracer trace.Tracer
-	// Propagator carries trace contexts in W3C headers.
+	// Propagator reads and writes trace contexts in W3C headers.
 	Propagator propagation.TextMapPropagator
 	provider   trace.TracerProvider
 	shutdown   func(context.Context) error
 }
 
-// Setup builds the log and the tracer and makes them OpenTelemetry's globals.
-// Errors: errcode.InvalidArgument for a value that is not known.
+// Setup creates the logger and the tracer, and sets OpenTelemetry's globals: the tracer
+// provider, the propagator and an error handler that logs. Its errors have the code
+// errcode.InvalidArgument if a value of cfg is not known.
 func Setup(cfg Config) (*Telemetry, error) {
 	log, err := NewLog(cfg)
 	if err != nil {
@@ -103,21 +104,21 @@
 	otel.SetTracerProvider(t.provider)
 	otel.SetTextMapPropagator(t.Propagator)
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
-		log.Named("telemetry").Warn("traces", "error", err)
+		log.Named("telemetry").Warn("OpenTelemetry reported an error", "error", err)
 	}))
 	return t, nil
 }
 
-// Provider is the process's tracer provider.
+// Provider returns the process's tracer provider.
 func (t *Telemetry) Provider() trace.TracerProvider { return t.provider }
 
-// Shutdown sends the spans that are still buffered. Spans that end later are
-// dropped. It gives up when ctx ends.
+// Shutdown sends the spans that are still buffered, until ctx ends. Spans that end
+// later are dropped.
 func (t *Telemetry) Shutdown(ctx context.Context) error {
 	return errcode.Wrap(errcode.Unavailable, t.shutdown(ctx), "flush spans")
 }
 
-// NewLog builds the log alone.
+// NewLog creates the logger alone.
 func NewLog(cfg Config) (hclog.Logger, error) {
 	level := hclog.LevelFromString(valueOr(cfg.LogLevel, defaultLogLevel))
 	if level == hclog.NoLevel {
@@ -140,7 +141,7 @@
 	return log.With("instance", string(cfg.Instance)), nil
 }
 
-// setUpTracer sets the provider, the tracer and their shutdown.
+// setUpTracer sets the fields Tracer, provider and shutdown.
 func (t *Telemetry) setUpTracer(cfg Config) error {
 	exporter, err := newExporter(cfg)
 	if err != nil {
@@ -160,7 +161,7 @@
 	return nil
 }
 
-// newExporter returns nil for ExporterNone.
+// newExporter returns the configured exporter, or nil for ExporterNone.
 func newExporter(cfg Config) (sdktrace.SpanExporter, error) {
 	switch valueOr(cfg.TraceExporter, ExporterNone) {
 	case ExporterNone:
@@ -185,12 +186,13 @@
 	if endpoint == "" {
 		return nil, unknownValueError("trace endpoint", endpoint, "a URL")
 	}
-	// New connects lazily, so an absent collector never delays the start.
+	// New does not connect yet, so that an OTLP collector that is down cannot delay
+	// the start.
 	exporter, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(endpoint))
 	return exporter, errcode.Wrap(errcode.InvalidArgument, err, "create trace exporter")
 }
 
-// newSampler records nothing where nothing is exported.
+// newSampler returns a sampler that samples nothing if there is no exporter.
 func newSampler(cfg Config, exporter sdktrace.SpanExporter) sdktrace.Sampler {
 	if exporter == nil {
 		return sdktrace.NeverSample()
