--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -1,6 +1,5 @@
-// Command capacity measures what the parts of the system cost by size and
-// rewrites the generated parts of docs/CAPACITY.md. It is a tool for
-// development.
+// Command capacity measures how the cost of the system's parts grows with its size, and
+// rewrites the generated parts of docs/CAPACITY.md. It is a development tool.
 package main
 
 import (
@@ -46,7 +45,8 @@
 	return capacity.WritePage(args.Page, lines, describeRun())
 }
 
-// describeRun says when and where the figures were taken.
+// describeRun returns a sentence that tells when and on what machine the figures were
+// measured.
 func describeRun() string {
 	load := "unknown"
 	if data, err := os.ReadFile("/proc/loadavg"); err == nil {
--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,6 +1,6 @@
-// Command controller takes the leased decisions: which upstreams to start and
-// to stop, and what model engines run. One runs beside the gateway on each
-// entry instance.
+// Command controller decides which upstreams to start and to stop, and what model
+// engines run. One process runs beside the gateway on each entry instance. Deciding
+// needs a lease, which one of them at a time holds.
 package main
 
 import (
--- a/cmd/entry/main.go
+++ b/cmd/entry/main.go
@@ -1,5 +1,5 @@
-// Command entry is the process that callers reach on a platform with its own
-// store. One runs on each entry instance.
+// Command entry is the process that callers connect to on a platform with its own
+// store. One process runs on each entry instance.
 package main
 
 import (
@@ -13,8 +13,8 @@
 	"github.com/goldcrestspool/goldcrestspool/platform"
 )
 
-// reload carries SIGHUP. It is set up before anything else, because the signal
-// ends a process that does not catch it.
+// reload receives SIGHUP. It is set up first of all, because the signal ends a process
+// that does not handle it.
 var reload = make(chan os.Signal, 1)
 
 func main() {
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment compares routing policies over stand-ins of the engines,
-// in virtual time. It is a tool for development.
+// Command experiment compares routing policies in a simulation with stand-ins of the
+// engines, in virtual time. It is a development tool.
 package main
 
 import (
@@ -21,7 +21,8 @@
 	Report   string `arg:"--report" help:"write table and plots into this directory"`
 }
 
-// gcPercent trades memory for time: a run allocates much and keeps little.
+// gcPercent is above the default of 100 to save time: a run allocates much and keeps
+// little, so that fewer collections cost little memory.
 const gcPercent = 400
 
 func main() {
@@ -33,7 +34,8 @@
 	cases := filterByName(experiment.Cases(), args.Case, func(c experiment.Case) string { return c.Name })
 	policies := experiment.Contenders()
 	if args.Policy != "" {
-		// Runs only by name: it shows what happens without admission.
+		// This policy runs only if it is named. It shows what happens without
+		// admission control.
 		policies = append(policies, experiment.LetAllIn())
 	}
 	policies = filterByName(policies, args.Policy, func(p experiment.Contender) string { return p.Name })
@@ -55,10 +57,11 @@
 	}
 }
 
-// filterByName keeps the entries with a name; an empty name keeps all.
-func filterByName[T any](list []T, name string, of func(T) string) []T {
+// filterByName returns the entries whose name, as nameOf returns it, is name. An empty
+// name returns all.
+func filterByName[T any](list []T, name string, nameOf func(T) string) []T {
 	if name == "" {
 		return list
 	}
-	return slices.DeleteFunc(list, func(x T) bool { return of(x) != name })
+	return slices.DeleteFunc(list, func(x T) bool { return nameOf(x) != name })
 }
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,5 +1,5 @@
-// Command fleetsim plays what entry gateways decide against modelled engines of several
-// kinds, in virtual time. It is a tool for development.
+// Command fleetsim simulates the decisions of entry gateways for modelled engines of
+// several kinds, in virtual time. It is a development tool.
 package main
 
 import (
@@ -26,7 +26,8 @@
 	Report   string  `arg:"--report" help:"write table and plot into this directory"`
 }
 
-// gcPercent trades memory for time: a run allocates much and keeps little.
+// gcPercent is above the default of 100 to save time: a run allocates much and keeps
+// little, so that fewer collections cost little memory.
 const gcPercent = 400
 
 func main() {
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -1,4 +1,4 @@
-// Command gateway is the process that callers reach. One runs on each entry
+// Command gateway is the process that callers connect to. One process runs on each entry
 // instance.
 package main
 
--- a/cmd/spoolctl/main.go
+++ b/cmd/spoolctl/main.go
@@ -1,5 +1,5 @@
-// Command spoolctl is the operators' client: it validates and publishes
-// documents and shows what the system does.
+// Command spoolctl is the operators' client: it validates and publishes documents, and
+// shows the state of the system.
 package main
 
 import (
--- a/examples/caller/main.go
+++ b/examples/caller/main.go
@@ -1,6 +1,6 @@
-// Command caller shows how to call a gateway: a token stream, an idempotent
-// call and a booking that must not be repeated. It checks the answers against
-// those of the stand-ins and exits with 1 if one is not whole and right.
+// Command caller shows how to call a gateway: with a token stream, an idempotent call and
+// a booking that must not be repeated. It compares the answers with those of the stand-ins
+// and exits with status 1 if one is incomplete or wrong.
 package main
 
 import (
@@ -23,10 +23,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/answer"
 )
 
-// requestTimeout is how long one request may take.
+// requestTimeout bounds each step.
 const requestTimeout = 20 * time.Second
 
-// arguments are the command line.
+// arguments holds the command line.
 type arguments struct {
 	Gateway string `arg:"--gateway,required" placeholder:"HOST:PORT" help:"callers' address of a gateway"`
 	Other   string `arg:"--other" placeholder:"HOST:PORT" help:"another gateway, to ask for the booking's outcome"`
@@ -35,7 +35,7 @@
 	Plain   string `arg:"--plain-service" default:"auktion-app" help:"service for the calls"`
 }
 
-// Description is the text above the options in --help.
+// Description returns the text above the options in --help.
 func (arguments) Description() string {
 	return "Sends a token stream, an idempotent call and a booking to a gateway and prints the answers."
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// run gives a step its time and its token.
+// run runs a step with a timeout and with the bearer token in its requests.
 func (c *caller) run(step func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -129,7 +129,7 @@
 	return checkAnswer(resp.GetOutcome(), resp.GetPayload(), "lookup", payload)
 }
 
-// book places a bid and asks for its outcome at the other gateway.
+// book places a bid and then asks the other gateway for its outcome.
 func (c *caller) book(ctx context.Context) error {
 	payload := []byte("lot 17: 250 EUR")
 	req := &callerv1.CallRequest{
@@ -161,7 +161,7 @@
 		if found.GetOutcome().GetKind() == callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED {
 			return checkAnswer(found.GetOutcome(), found.GetPayload(), "place_bid", payload)
 		}
-		// Not known there yet: it says when to ask again.
+		// The other gateway does not know the outcome yet; it tells when to ask again.
 		time.Sleep(found.GetOutcome().GetRetryAfter().AsDuration())
 		if ctx.Err() != nil {
 			return ctx.Err()
--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -1,5 +1,6 @@
-// Package agenda runs actions in virtual time, in the order of their moments, and those
-// of one moment in the order in which they were added.
+// Package agenda is the event queue of simulations: it runs actions in virtual time, in
+// the order of their times. Actions with the same time run in the order in which they
+// were added.
 package agenda
 
 import (
@@ -7,15 +8,15 @@
 	"time"
 )
 
-// Agenda is a list of actions that are due. The zero value is an empty one at time 0.
-// It is not safe for concurrent use.
+// Agenda is a queue of actions with its virtual time. The zero value is empty and at
+// time 0. It is not safe for concurrent use.
 type Agenda struct {
 	now     time.Duration
 	seq     int
 	pending actions
 }
 
-// action happens at a moment; seq orders those of the same moment.
+// action is run at a time; seq orders actions with the same time.
 type action struct {
 	at  time.Duration
 	seq int
@@ -24,19 +25,20 @@
 
 type actions []action
 
-// Now is the present.
+// Now returns the virtual time: that of the action that runs or ran last.
 func (a *Agenda) Now() time.Duration { return a.now }
 
-// Clock is the present as decision code sees it.
+// Clock returns the virtual time as a time.Time, for code that takes a clock.
 func (a *Agenda) Clock() time.Time { return time.Unix(0, int64(a.now)) }
 
-// At adds an action.
-func (a *Agenda) At(t time.Duration, do func()) {
+// At adds an action that runs at virtual time t.
+func (a *Agenda) At(t time.Duration, run func()) {
 	a.seq++
-	heap.Push(&a.pending, action{at: t, seq: a.seq, run: do})
+	heap.Push(&a.pending, action{at: t, seq: a.seq, run: run})
 }
 
-// Step runs the next action, if there is one.
+// Step advances the virtual time to that of the next action and runs it. It returns
+// false if there is none.
 func (a *Agenda) Step() bool {
 	if len(a.pending) == 0 {
 		return false
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -1,6 +1,6 @@
-// Package certificate keeps a process's TLS certificates as their files are
-// now: files that change are read again, so that certificates are renewed
-// without a restart. The least version is TLS 1.3.
+// Package certificate loads a process's TLS certificates from files and loads them
+// again when the files change, so that certificates can be renewed without a restart.
+// The minimum version is TLS 1.3.
 package certificate
 
 import (
@@ -15,33 +15,34 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
-// reloadsFailed counts reads of changed files that failed; the certificate
-// before stays in use.
+// reloadsFailed counts failed reads of changed files. After such a failure the
+// certificates that were read before stay in use.
 var reloadsFailed = expvar.NewInt("goldcrestspool.certificate.reloads_failed")
 
-// Files names PEM files.
+// Files names the PEM files of one side of TLS connections.
 type Files struct {
-	// Certificate and Key are this process's own.
+	// Certificate and Key are the files of this process's certificate and private key.
 	Certificate, Key string
-	// Authority holds the certificates that the other side's must descend
-	// from. Empty: a server asks its clients for none.
+	// Authority is the file of the authority's certificates, by which the other
+	// side's certificate is verified. If it is empty, a server requires no
+	// certificate of its clients.
 	Authority string
-	// ServerName is the name that every peer's certificate carries. Peers are
-	// dialled by IP numbers that are reused, so the name says "a peer", and
-	// the authority vouches for it.
+	// ServerName is the DNS name that a client expects in the server's certificate.
+	// Peers are dialled by IP addresses, which are reused, so the certificates of
+	// all peers have the same name, and the authority attests that it is a peer.
 	ServerName string
 }
 
-// Set reports whether TLS is wanted.
+// Set reports whether any file is named, and so TLS is on.
 func (f Files) Set() bool { return f != Files{} }
 
-// keyMaterial is what the files hold.
+// keyMaterial is the content of the files.
 type keyMaterial struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// read loads all files. Errors name the file.
+// read reads all files. Errors name the file.
 func (f Files) read() (*keyMaterial, error) {
 	own, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
@@ -68,42 +69,47 @@
 	return authority, nil
 }
 
-// fileState tells one state of a file from the next.
+// fileState identifies a version of a file. A file that cannot be examined has the zero
+// value.
 type fileState struct {
 	modified time.Time
 	size     int64
 }
 
-// fileStates are those of certificate, key and authority.
+// fileStates holds the states of the files of certificate, key and authority.
 type fileStates [3]fileState
 
 func (f Files) states() fileStates {
-	var found fileStates
+	var states fileStates
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
 		if info, err := os.Stat(name); err == nil {
-			found[i] = stateOf(info)
+			states[i] = stateOf(info)
 		}
 	}
-	return found
+	return states
 }
 
 func stateOf(info fs.FileInfo) fileState {
 	return fileState{modified: info.ModTime(), size: info.Size()}
 }
 
-// Reloader reads files again when one has changed. It is safe for concurrent
-// use.
+// Reloader holds the content of files, and reads them again when one has changed. It is
+// safe for concurrent use.
 type Reloader struct {
 	files Files
 
-	mu            sync.Mutex
-	current       *keyMaterial
+	mu      sync.Mutex
+	current *keyMaterial
+	// currentStates are the states of the files that current was read from.
 	currentStates fileStates
-	// lastTriedStates is the state of the files that was read last, also in vain.
+	// lastTriedStates are the states of the files at the last attempt to read them,
+	// whether it failed or not: files that are invalid are not read again until they
+	// change.
 	lastTriedStates fileStates
 }
 
-// NewReloader reads the files. Errors name the file that is missing or bad.
+// NewReloader returns a Reloader that has read the files. Errors name the file that is
+// missing or invalid.
 func NewReloader(files Files) (*Reloader, error) {
 	now := files.states()
 	m, err := files.read()
@@ -113,8 +119,9 @@
 	return &Reloader{files: files, current: m, currentStates: now, lastTriedStates: now}, nil
 }
 
-// currentMaterial returns what the files hold. Files that are being replaced may not fit
-// together for a moment; what was read before stays until they do.
+// currentMaterial returns the content of the files, and reads them again if one has
+// changed. While files are being replaced, they may not match for a moment; until they
+// do, it returns what was read before.
 func (r *Reloader) currentMaterial() *keyMaterial {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,9 +140,9 @@
 	return r.current
 }
 
-// Server returns the configuration of a listener. With an authority, only
-// clients with a certificate of it are served. Protocols are left to the
-// caller: they are taken over into each connection's configuration.
+// Server returns the configuration of a listener, which uses the current files for each
+// new connection. If there is an authority, clients need a certificate of it. protocols
+// are those offered by ALPN.
 func (r *Reloader) Server(protocols ...string) *tls.Config {
 	config := r.serverConfig(protocols)
 	config.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) { return r.serverConfig(protocols), nil }
@@ -152,16 +159,16 @@
 	if m.authority != nil {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
 		config.ClientCAs = m.authority
-		// A resumed session would not be checked against an authority
-		// that has changed since. Peers keep their connections, so that
-		// resuming would save little.
+		// The client of a resumed session would not be verified by an authority
+		// that has changed since. Peers keep their connections open, so that
+		// resuming sessions would save little.
 		config.SessionTicketsDisabled = true
 	}
 	return config
 }
 
-// Client returns the configuration of one new connection to a server of the
-// same authority.
+// Client returns the configuration for one new connection to a server with a
+// certificate of the same authority. It is made from the current files.
 func (r *Reloader) Client() *tls.Config {
 	m := r.currentMaterial()
 	return &tls.Config{
--- a/internal/gzipped/gzipped.go
+++ b/internal/gzipped/gzipped.go
@@ -1,5 +1,5 @@
-// Package gzipped compresses data that is kept or told whole, and reads it again within a
-// bound.
+// Package gzipped compresses data that fits in memory, and decompresses it up to a
+// maximum size.
 package gzipped
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Pack compresses data at a level of package gzip.
+// Pack compresses data. The level is one of package compress/gzip.
 func Pack(data []byte, level int) ([]byte, error) {
 	var buffer bytes.Buffer
 	w, err := gzip.NewWriterLevel(&buffer, level)
@@ -26,19 +26,19 @@
 	return buffer.Bytes(), nil
 }
 
-// Unpack is the inverse of Pack. Data of more than most bytes is an error: a small damaged
-// or hostile message must not take all of a machine's memory.
-func Unpack(packed []byte, most int64) ([]byte, error) {
+// Unpack decompresses what Pack returned. Data of more than maxBytes bytes is an error: a
+// small message that is damaged or hostile must not use up the machine's memory.
+func Unpack(packed []byte, maxBytes int64) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress")
 	}
-	data, err := io.ReadAll(io.LimitReader(r, most+1))
+	data, err := io.ReadAll(io.LimitReader(r, maxBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress")
 	}
-	if int64(len(data)) > most {
-		return nil, errors.Errorf("decompress: more than %d bytes", most)
+	if int64(len(data)) > maxBytes {
+		return nil, errors.Errorf("decompress: more than %d bytes", maxBytes)
 	}
 	return data, nil
 }
--- a/internal/gzipped/gzipped_test.go
+++ b/internal/gzipped/gzipped_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against a small message that unpacks to more than a machine's memory, and against
-// one that is damaged.
+// Guards against a small message that decompresses to more than a machine's memory, and
+// against one that is damaged.
 func TestWhatIsTooLargeOrDamagedIsRefused(t *testing.T) {
 	data := bytes.Repeat([]byte("x"), 10_000)
 	packed, err := Pack(data, gzip.BestSpeed)
--- a/internal/ident/content.go
+++ b/internal/ident/content.go
@@ -18,7 +18,7 @@
 
 const (
 	// requestBits masks the bits of a Mark that tell requests with the same Content apart.
-	requestBits  = 0xff
+	requestBits = 0xff
 	// outlineShift is the number of bits below the Outline in a Content.
 	outlineShift = 32
 )
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time unless there is a reason to stop.
+// Package pause waits for a time or until a context ends.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits and reports true, or false as soon as ctx has ended. A time that is
-// not positive waits for nothing.
+// For waits for d and returns true, or returns false as soon as ctx ends. With a d that
+// is not positive it does not wait.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -1,4 +1,4 @@
-// Package procstat tells what this process uses of the machine, for measurements.
+// Package procstat measures the processor time and memory that this process uses.
 package procstat
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Processor returns the processor time that this process has used so far. Unlike the
-// wall clock it does not count the machine's other work.
+// Processor returns the processor time, user and system, that this process has used so
+// far. Unlike elapsed time it does not include the time of the machine's other processes.
 func Processor() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -17,10 +17,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// Memory returns the bytes of the heap's objects and of the stacks that are in use,
-// after a garbage collection.
+// Memory returns the bytes of the objects on the heap and of the stacks in use, after a
+// garbage collection.
 func Memory() (heap, stacks int64) {
-	// The second collection frees what the first one's finalizers let go.
+	// The second collection frees what finalizers that ran after the first released.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -1,5 +1,5 @@
-// Package prompt measures prompts: their tokens, and the hashes of their
-// prefix blocks, by which gateways and engines name cached prefixes.
+// Package prompt computes the number of tokens of a prompt and the hashes of its prefix
+// blocks, by which gateways and engines identify cached prefixes.
 package prompt
 
 import (
@@ -9,22 +9,22 @@
 )
 
 const (
-	// BytesPerToken is the mean length of a token, by which gateways
-	// estimate and the stand-in engine counts.
+	// BytesPerToken is the mean length of a token. Gateways use it as an estimate;
+	// for the stand-in engine it is exact.
 	BytesPerToken = 4
-	// BlockTokens is the length of a prefix block in tokens.
+	// BlockTokens is the number of tokens of a prefix block.
 	BlockTokens = 64
 	blockBytes  = BytesPerToken * BlockTokens
 )
 
-// Tokens returns the number of tokens of a text.
+// Tokens returns the number of tokens of a text, rounded up.
 func Tokens(text string) int {
 	return (len(text) + BytesPerToken - 1) / BytesPerToken
 }
 
-// Blocks returns one hash for each whole block of the text. The hash of a
-// block covers the whole text up to the block's end, so that two texts share
-// their first n hashes exactly when they share their first n blocks.
+// Blocks returns one hash for each whole block of the text. The hash of a block covers
+// the text from its beginning to the block's end, so that two texts have the same first
+// n hashes exactly when they have the same first n blocks.
 func Blocks(text string) []uint64 {
 	blocks := make([]uint64, 0, len(text)/blockBytes)
 	var link [8]byte
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -45,7 +45,7 @@
 	FailureDomain ident.FailureDomain `json:"failure_domain"`
 	State         string              `json:"state"`
 	// Since is when the gateway learnt of the state.
-	Since         time.Time           `json:"since"`
+	Since time.Time `json:"since"`
 }
 
 // Problem is the answer to a request that fails.
--- a/internal/testkit/authority.go
+++ b/internal/testkit/authority.go
@@ -15,19 +15,21 @@
 	"time"
 )
 
-// Authority makes certificates for a test.
+// Authority is a certificate authority for a test.
 type Authority struct {
-	// File holds the authority's certificate, in PEM.
+	// File is the path of the authority's certificate, in PEM.
 	File string
 
-	t             testing.TB
-	key           *ecdsa.PrivateKey
-	cert          *x509.Certificate
+	t    testing.TB
+	key  *ecdsa.PrivateKey
+	cert *x509.Certificate
+	// issued is how many certificates were issued.
 	issued        int64
 	lastWriteTime time.Time
 }
 
-// NewAuthority returns an authority of its own.
+// NewAuthority returns an authority with a new key. Its files are deleted when the test
+// ends.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{t: t, key: newKey(t), lastWriteTime: time.Now()}
@@ -47,16 +49,16 @@
 	return a
 }
 
-// Pool returns the authority's certificate alone.
+// Pool returns a pool that holds only the authority's certificate.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Issue writes a new certificate for a name and for loopback, with its key, and
-// returns its serial number. Files that exist are replaced, and their time of
-// change always differs from the one before.
+// Issue writes a new certificate for a DNS name and for 127.0.0.1, and its private key,
+// and returns the certificate's serial number. Existing files are replaced, and always
+// get another modification time than before.
 func (a *Authority) Issue(certFile, keyFile, name string) int64 {
 	a.t.Helper()
 	key := newKey(a.t)
@@ -80,6 +82,8 @@
 	return template.SerialNumber.Int64()
 }
 
+// write writes a PEM file whose modification time is a second after that of the file
+// before.
 func (a *Authority) write(file, kind string, der []byte) {
 	a.t.Helper()
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
--- a/internal/testkit/bubble.go
+++ b/internal/testkit/bubble.go
@@ -7,18 +7,17 @@
 	"testing/synctest"
 )
 
-// Bubble runs f in a synctest bubble of its own and passes on its panic, by
-// which rapid ends a failed check. Use it inside rapid.Check:
+// Bubble runs f in a synctest bubble of its own. A panic of f, by which rapid ends a
+// failed check, becomes a panic of Bubble. Use it inside rapid.Check:
 //
 //	rapid.Check(t, func(r *rapid.T) {
 //		testkit.Bubble(t, func() { ... })
 //	})
 //
-// One bubble around the whole rapid.Check would share its virtual time among
-// all checks: rapid gives up after 24 h by its clock and then passes with the
-// few checks it made. All goroutines that f starts must have ended when it
-// returns or panics, and it must not use the context of t or of rapid's T: that
-// belongs outside of the bubble.
+// With one bubble around the whole rapid.Check, all checks would share one virtual
+// time: rapid stops after 24 h by that time, and then passes with the few checks it has
+// made. All goroutines that f starts must have ended when it returns or panics. f must
+// not use the context of t or of rapid's T, because they belong outside the bubble.
 func Bubble(t *testing.T, f func()) {
 	t.Helper()
 	var failure any
@@ -29,8 +28,9 @@
 	if failure == nil {
 		return
 	}
-	// rapid tells failures apart by the line of their panic. A run that drew
-	// past its data is none, so it has to panic on a line of its own.
+	// rapid tells failures apart by the line of their panic. A run that has drawn
+	// all of its data panics too, but is not a failure, so that its panic needs a
+	// line of its own.
 	if strings.HasSuffix(fmt.Sprintf("%T", failure), "invalidData") {
 		panic(failure)
 	}
--- a/internal/testkit/logbuffer.go
+++ b/internal/testkit/logbuffer.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// LogBuffer is a log that a test reads while it is written. Its zero value is empty.
+// LogBuffer is a buffer that a test can read while a log is written to it. The zero
+// value is empty.
 type LogBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -18,7 +19,7 @@
 	return b.buffer.Write(data)
 }
 
-// String returns what was written so far.
+// String returns all that was written so far.
 func (b *LogBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testkit/measure.go
+++ b/internal/testkit/measure.go
@@ -17,7 +17,7 @@
 	return used
 }
 
-// LiveHeap returns the bytes of the objects on the heap that are in use.
+// LiveHeap returns the bytes of the objects on the heap after a garbage collection.
 func LiveHeap() int64 {
 	heap, _ := procstat.Memory()
 	return heap
--- a/internal/testkit/relay.go
+++ b/internal/testkit/relay.go
@@ -12,15 +12,16 @@
 	"time"
 )
 
-// Relay forwards TCP connections to a server, and can let the open ones go
-// silent for good while new ones work, as when something between the two ends
-// has lost track of them.
+// Relay forwards TCP connections to a server and simulates faults of the network between
+// the two. Among others it can make the open connections silent for ever while new ones
+// work, as when a device on the way has lost their state. It is safe for concurrent use.
 type Relay struct {
 	target   string
 	listener net.Listener
 	group    sync.WaitGroup
 
-	// delay is in nanoseconds; cut drops everything, hold keeps it for later.
+	// delay is in nanoseconds. While cut is set, all bytes are dropped; while hold
+	// is set, they are kept for later.
 	delay     atomic.Int64
 	cut, hold atomic.Bool
 
@@ -28,14 +29,14 @@
 	conns []*relayedConn
 }
 
-// relayedConn is one forwarded connection.
+// relayedConn is one forwarded connection. Once silent is set, all its bytes are dropped.
 type relayedConn struct {
 	relay          *Relay
 	client, server net.Conn
 	silent         atomic.Bool
 }
 
-// NewRelay starts a relay to the server at a base URL. It ends with the test.
+// NewRelay starts a Relay to the server at a base URL. It stops when the test ends.
 func NewRelay(t testing.TB, baseURL string) *Relay {
 	t.Helper()
 	parsed, err := url.Parse(baseURL)
@@ -52,86 +53,89 @@
 	return r
 }
 
-// URL returns the base URL of the relay.
+// URL returns the relay's base URL.
 func (r *Relay) URL() string { return "http://" + r.listener.Addr().String() }
 
-// Address returns host:port of the relay.
+// Address returns the relay's address, as host:port.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Delay holds each piece of bytes back for a time from now on; zero ends it.
+// Delay delays the bytes of each read from now on. Zero ends the delay.
 func (r *Relay) Delay(d time.Duration) { r.delay.Store(int64(d)) }
 
-// Reset ends the open connections by a reset.
+// Reset ends all open connections with a TCP reset.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.conns {
-		for _, c := range []net.Conn{p.client, p.server} {
-			if tcp, ok := c.(*net.TCPConn); ok {
-				_ = tcp.SetLinger(0) // a closed connection cannot be reset any more
+	for _, c := range r.conns {
+		for _, end := range []net.Conn{c.client, c.server} {
+			if tcp, ok := end.(*net.TCPConn); ok {
+				_ = tcp.SetLinger(0) // fails only if the connection is closed already
 			}
-			_ = c.Close()
+			_ = end.Close()
 		}
 	}
 	r.conns = nil
 }
 
-// Cut drops all bytes of all connections, also of new ones, until it is undone.
+// Cut starts, or with false stops, dropping all bytes of all connections, also of new
+// ones. A connection that has lost bytes stays silent for ever.
 func (r *Relay) Cut(cut bool) { r.cut.Store(cut) }
 
-// Hold keeps all bytes until it is undone, and delivers them then, also those of
-// connections that were closed meanwhile: as a cut link does, over which the sender's
-// kernel goes on repeating them. Only a reset by the sender drops what is held.
+// Hold starts to keep all bytes, and with false delivers them, also those of connections
+// that were closed meanwhile. It simulates a link that is broken for a time, over which
+// the sender's kernel goes on retransmitting them. Only a reset by the sender drops the
+// held bytes.
 func (r *Relay) Hold(hold bool) { r.hold.Store(hold) }
 
-// Silence drops all further bytes of the open connections, closes included.
+// Silence drops all further bytes of the open connections, and hides from each end that
+// the other one closed.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.conns {
-		p.silent.Store(true)
+	for _, c := range r.conns {
+		c.silent.Store(true)
 	}
 }
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", r.target)
+		server, err := net.Dial("tcp", r.target)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		p := &relayedConn{relay: r, client: near, server: far}
+		c := &relayedConn{relay: r, client: client, server: server}
 		r.mu.Lock()
-		r.conns = append(r.conns, p)
+		r.conns = append(r.conns, c)
 		r.mu.Unlock()
-		r.group.Go(func() { p.forward(near, far) })
-		r.group.Go(func() { p.forward(far, near) })
+		r.group.Go(func() { c.forward(client, server) })
+		r.group.Go(func() { c.forward(server, client) })
 	}
 }
 
-// forward copies until one end closes, and drops everything once silent.
-func (p *relayedConn) forward(from, to net.Conn) {
+// forward copies bytes until one end closes. Once the connection is silent, it drops them.
+func (c *relayedConn) forward(from, to net.Conn) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
-		if p.silent.Load() || p.relay.cut.Load() {
+		if c.silent.Load() || c.relay.cut.Load() {
 			if err != nil {
 				return
 			}
-			// Lost bytes are not sent later: the connection is of no use any more.
-			p.silent.Store(true)
+			// Bytes are missing in the connection, so nothing after them may pass.
+			c.silent.Store(true)
 			continue
 		}
-		if delay := p.relay.delay.Load(); delay > 0 {
+		if delay := c.relay.delay.Load(); delay > 0 {
 			<-time.After(time.Duration(delay))
 		}
 		piece := buffer[:n]
-		if p.relay.hold.Load() {
-			piece, err = p.receiveHeld(from, append([]byte(nil), piece...), err)
+		if c.relay.hold.Load() {
+			piece, err = c.receiveHeld(from, append([]byte(nil), piece...), err)
 		}
 		if _, failed := to.Write(piece); failed != nil {
 			_ = from.Close()
@@ -144,17 +148,18 @@
 	}
 }
 
-// receiveHeld gathers what comes while the relay holds, and returns it with how the reading
-// ended, if it did. Of a connection that was reset nothing is left.
-func (p *relayedConn) receiveHeld(from net.Conn, pending []byte, err error) ([]byte, error) {
-	const look = 5 * time.Millisecond
+// receiveHeld reads bytes while the relay holds them, and returns pending with these
+// appended, and the error that ended the reading, if any. If from was reset, it returns no
+// bytes.
+func (c *relayedConn) receiveHeld(from net.Conn, pending []byte, err error) ([]byte, error) {
+	const pollInterval = 5 * time.Millisecond
 	buffer := make([]byte, 4096)
-	for p.relay.hold.Load() {
+	for c.relay.hold.Load() {
 		if err != nil {
-			<-time.After(look)
+			<-time.After(pollInterval)
 			continue
 		}
-		_ = from.SetReadDeadline(time.Now().Add(look)) // TCP connections all take deadlines
+		_ = from.SetReadDeadline(time.Now().Add(pollInterval)) // every TCP connection supports deadlines
 		var n int
 		n, err = from.Read(buffer)
 		pending = append(pending, buffer[:n]...)
@@ -172,9 +177,9 @@
 func (r *Relay) close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
-	for _, p := range r.conns {
-		_ = p.client.Close()
-		_ = p.server.Close()
+	for _, c := range r.conns {
+		_ = c.client.Close()
+		_ = c.server.Close()
 	}
 	r.mu.Unlock()
 	r.group.Wait()
--- a/internal/testkit/seed.go
+++ b/internal/testkit/seed.go
@@ -1,6 +1,6 @@
-// Package testkit holds what the tests of several packages share: fixed seeds,
-// bubbles of virtual time, loopback servers, a relay that loses connections,
-// and certificates. Only test files import it.
+// Package testkit holds helpers that the tests of several packages share: fixed seeds,
+// virtual time, servers on loopback, a relay that simulates network faults, and
+// certificates. Only test files import it.
 package testkit
 
 import (
@@ -10,31 +10,31 @@
 	"testing"
 )
 
-// The environment that `make fuzz` sets to leave the fixed seed.
+// The environment variables that `make fuzz` sets to use other seeds than the fixed one,
+// and the fixed one.
 const (
 	seedVariable   = "FUZZ_SEED"
 	checksVariable = "FUZZ_CHECKS"
 	fixedSeed      = "1"
 )
 
-// shrinkTime bounds the search for a smaller failing run. It passes in virtual
-// time, of which a short run takes next to nothing: rapid's default of 30 s
+// shrinkTime bounds rapid's search for a smaller failing run. Where it is measured in
+// virtual time, of which a short run takes next to nothing, rapid's default of 30 s
 // would last for many real minutes.
 const shrinkTime = "5s"
 
 // OneProcessor makes this package's tests run on one processor. Call it where
 // tests run timers in synctest bubbles.
 //
-// The race detector of Go 1.26 gives all timers of a bubble one context, which
-// is not safe when two threads run timers at once: it ends the test binary with
-// a SIGSEGV or a failed check of its own (seen in about one run of fifteen, also
-// with the standard library alone). Races are found by happens-before, so that
-// one processor hides none of them.
+// The race detector of Go 1.26 uses one context for all timers of a bubble, which is not
+// safe while two threads run timers: about one run in fifteen ends with a SIGSEGV or a
+// failed check of the detector, also with the standard library alone. The detector finds
+// races by happens-before, so that running on one processor hides none.
 func OneProcessor() { runtime.GOMAXPROCS(1) }
 
-// FixSeed makes rapid's tests of this package start from a fixed seed, or from
-// FUZZ_SEED with FUZZ_CHECKS runs each. Call it from an init function of a
-// test file that imports rapid.
+// FixSeed makes the rapid tests of the calling package start from a fixed seed, or from
+// FUZZ_SEED, with FUZZ_CHECKS checks each if that is set. It calls OneProcessor. Call it
+// from an init function of a test file that imports rapid.
 func FixSeed() {
 	OneProcessor()
 	setFlag("rapid.shrinktime", shrinkTime)
@@ -45,8 +45,8 @@
 	}
 }
 
-// UseSeed makes rapid's checks of one test start from a seed that once failed,
-// with so many runs, whatever FixSeed chose for the package.
+// UseSeed makes one rapid test start from a seed that once failed and make a number of
+// checks, whatever FixSeed chose for the package.
 func UseSeed(t testing.TB, seed, checks string) {
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.checks": checks} {
 		before := flag.Lookup(name).Value.String()
--- a/internal/testkit/serve.go
+++ b/internal/testkit/serve.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// Serve serves a handler on a loopback port that the kernel chose, until the
-// test ends, and returns the base URL.
+// Serve serves a handler on a loopback port that the kernel chooses, until the test ends,
+// and returns the base URL.
 func Serve(t testing.TB, handler http.Handler) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,19 +32,20 @@
 	return "http://" + listener.Addr().String()
 }
 
-// nextPort is below the ports that the kernel gives to outgoing connections, so
-// that none of those takes a port between its choice and its use, and apart from
-// those of tests of other packages that run at the same time.
+// nextPort is the last port that FreeAddress tried. Its ports are below those that the
+// kernel gives to outgoing connections, so that no connection takes a port between its
+// choice and its use. They depend on the process ID, because tests of other packages run
+// at the same time.
 var nextPort atomic.Int32
 
-// FreeAddress returns an address on loopback on which nobody listens.
+// FreeAddress returns a loopback address on which nobody listens.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	nextPort.CompareAndSwap(0, int32(20000+os.Getpid()%120*100))
 	for range 1000 {
 		address := fmt.Sprintf("127.0.0.1:%d", nextPort.Add(1))
 		if l, err := net.Listen("tcp", address); err == nil {
-			_ = l.Close() // it is only asked whether it can be had
+			_ = l.Close() // the port was only tried
 			return address
 		}
 	}
--- a/internal/testkit/timeline.go
+++ b/internal/testkit/timeline.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Timeline plays events in the order of their times, without waiting. Events of one time
-// are played in the order in which they were added.
+// Timeline runs events in virtual time, in the order of their times and without waiting.
+// Events with the same time run in the order in which they were added. The zero value is
+// empty and at time 0. It is not safe for concurrent use.
 type Timeline struct {
 	now    time.Duration
 	added  int
@@ -16,7 +17,7 @@
 type timedEvent struct {
 	at    time.Duration
 	order int
-	do    func()
+	run   func()
 }
 
 type timedEvents []timedEvent
@@ -33,21 +34,21 @@
 	return last
 }
 
-// Now is the time since the start.
+// Now returns the virtual time since the start.
 func (t *Timeline) Now() time.Duration { return t.now }
 
-// In adds an event.
-func (t *Timeline) In(after time.Duration, do func()) {
+// In adds an event that runs after a time from now.
+func (t *Timeline) In(after time.Duration, run func()) {
 	t.added++
-	heap.Push(&t.events, timedEvent{at: t.now + after, order: t.added, do: do})
+	heap.Push(&t.events, timedEvent{at: t.now + after, order: t.added, run: run})
 }
 
-// Play plays all events up to a time.
+// Play runs all events up to a virtual time, and sets the virtual time to it.
 func (t *Timeline) Play(until time.Duration) {
 	for len(t.events) > 0 && t.events[0].at <= until {
 		e := heap.Pop(&t.events).(timedEvent)
 		t.now = e.at
-		e.do()
+		e.run()
 	}
 	t.now = until
 }
--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -9,10 +9,11 @@
 	"sync"
 )
 
-// errSealed is what a late write to a sealed connection gets.
+// errSealed is the error of a write to a sealed connection.
 var errSealed = errors.New("connection sealed after a failed request")
 
-// trackedConn counts its writes and can be sealed against further ones.
+// trackedConn is a connection that counts its writes and can be sealed: it then rejects
+// further ones.
 type trackedConn struct {
 	net.Conn
 
@@ -29,6 +30,7 @@
 	return c.Conn.Write(data)
 }
 
+// beginWrite counts a write, or returns errSealed.
 func (c *trackedConn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,40 +47,43 @@
 	return c.writes
 }
 
-// seal forbids further writes and reports true if no write began since the
-// count. Without the seal a request that was given up on could still be
-// written a moment after its caller was told that it was not sent.
-func (c *trackedConn) seal(since uint64) bool {
+// seal rejects further writes and returns true if no write has begun since writeCount
+// returned writesBefore; else it returns false. Without the seal, a request that was
+// given up could still be written just after its caller was told that it was not sent.
+func (c *trackedConn) seal(writesBefore uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writes != since {
+	if c.writes != writesBefore {
 		return false
 	}
 	c.sealed = true
 	return true
 }
 
-// Attempt observes one request of a client made by NewClient.
+// Attempt observes one request of a client that NewClient returned. It is safe for
+// concurrent use.
 type Attempt struct {
 	mu    sync.Mutex
 	conns []usedConn
 }
 
-// usedConn is a connection that the request got, with its writes before.
+// usedConn is a connection that the request got, with the number of writes on it before
+// the request. conn is nil if the connection's writes are not tracked.
 type usedConn struct {
 	conn         *trackedConn
 	writesBefore uint64
 }
 
-// Observe returns a context for one request, and its Attempt.
+// Observe returns a context for one request and the Attempt that observes it.
 func Observe(ctx context.Context) (context.Context, *Attempt) {
 	attempt := &Attempt{}
 	trace := &httptrace.ClientTrace{GotConn: attempt.gotConn}
 	return httptrace.WithClientTrace(ctx, trace), attempt
 }
 
-// NotSent reports whether it is certain that no byte of the request left this
-// process and none will. Ask once the request has failed.
+// NotSent reports whether it is certain that no byte of the request has left this
+// process or ever will. Call it after the request has failed: it seals the connections
+// that the request got.
 func (a *Attempt) NotSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,7 +106,7 @@
 	a.conns = append(a.conns, usedConn{conn: c, writesBefore: c.writeCount()})
 }
 
-// trackedConnOf returns the counted connection below c, or nil if there is none.
+// trackedConnOf returns the trackedConn that c is or that TLS wraps, or nil if there is none.
 func trackedConnOf(c net.Conn) *trackedConn {
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
--- a/internal/transport/attempt_test.go
+++ b/internal/transport/attempt_test.go
@@ -12,10 +12,10 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Symptom: a call that was reported as not sent runs at the upstream.
-// Sequence: a request gets its connection, is given up on before its first
-// byte, and the transport's writer, which was already on its way, writes it.
-// Cause: looking at what was written, without stopping later writes.
+// Guards against a call that is reported as not sent and yet runs at the upstream. A
+// request gets its connection and is given up before its first byte; the transport's
+// writer, which is already running, writes it after that. So NotSent must stop later
+// writes, besides looking at the earlier ones.
 func TestNotSentStopsLateWrites(t *testing.T) {
 	ours, theirs := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, theirs) }()
@@ -60,7 +60,7 @@
 	}
 }
 
-// recorder is a round tripper that keeps the request.
+// recorder is a round tripper that records the request and fails.
 type recorder struct{ got *http.Request }
 
 func (r *recorder) RoundTrip(req *http.Request) (*http.Response, error) {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -1,9 +1,8 @@
-// Package transport makes the HTTP clients and servers that the Connect
-// adapters share, and carries typed errors across them.
+// Package transport creates the HTTP clients and servers that the Connect adapters
+// share, and transmits the reasons of errors between them.
 //
-// The client sends each request at most once and can tell whether a failed
-// request was sent at all. docs/design/transport.md says why it speaks
-// HTTP/1.1.
+// A client sends each request at most once, and can tell whether a failed request was
+// sent at all. docs/design/transport.md explains why it uses HTTP/1.1.
 package transport
 
 import (
@@ -19,32 +18,32 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// idleTimeout is below the servers' idle timeout, so that a client seldom
-	// picks a connection that its server is closing.
+	// idleTimeout is below serverIdleTimeout, so that a client seldom uses a
+	// connection that its server is closing.
 	idleTimeout       = 10 * time.Second
 	serverIdleTimeout = 60 * time.Second
 	maxIdlePerHost    = 256
-	// pingIdleTime is the silence after which an HTTP/2 connection is probed,
-	// and pingTimeout how long its answer may take.
+	// pingIdleTime is how long an HTTP/2 connection may be silent before it gets a
+	// ping, and pingTimeout how long the ping's answer may take.
 	pingIdleTime = 2 * time.Second
 	pingTimeout  = 2 * time.Second
 )
 
-// Options choose how a client connects.
+// Options configures how a client connects.
 type Options struct {
-	// FreshConnections dials a connection for each request. An open
-	// connection can go silent for good while new ones work; a request that
-	// may not be repeated then fails to connect, which is certain, instead of
-	// vanishing in a dead connection, which is not.
+	// FreshConnections dials a new connection for each request. An open connection
+	// can go silent for ever while new ones work. A request that must not be
+	// repeated is then lost in it, and nobody knows whether it ran; with a new
+	// connection it either gets through or is known not to have been sent.
 	FreshConnections bool
-	// HTTP2 speaks HTTP/2 without TLS. NotSent is then rarely certain.
+	// HTTP2 uses HTTP/2 without TLS. Attempt.NotSent then hardly ever returns true.
 	HTTP2 bool
-	// TLS is used for https URLs.
+	// TLS is the configuration for https URLs; nil is the default one.
 	TLS *tls.Config
 }
 
-// NewClient returns a client that never repeats a request by itself and
-// carries the W3C trace context of the request's context.
+// NewClient returns a client that never repeats a request by itself, follows no
+// redirects, and sends the W3C trace context of the request's context.
 func NewClient(options Options) *http.Client {
 	return &http.Client{
 		Transport:     &noRetryTransport{next: newTransport(options)},
@@ -57,8 +56,8 @@
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, address)
 		if err != nil || options.HTTP2 {
-			// Requests share an HTTP/2 connection: its writes tell
-			// nothing about one of them.
+			// Requests share an HTTP/2 connection, so that its writes tell
+			// nothing about a single request.
 			return c, err
 		}
 		return &trackedConn{Conn: c}, nil
@@ -80,12 +79,11 @@
 	}
 }
 
-// maxCachedSessions is how many servers' TLS sessions a client keeps, to connect anew
-// without checking the certificate's signatures again.
+// maxCachedSessions is how many TLS sessions a client keeps. A connection that resumes a
+// session need not verify the signatures of the server's certificate again.
 const maxCachedSessions = 256
 
-// clientTLS returns a configuration that speaks no TLS before 1.3 and resumes
-// sessions.
+// clientTLS returns a copy of config that requires TLS 1.3 and resumes sessions.
 func clientTLS(config *tls.Config) *tls.Config {
 	if config == nil {
 		config = &tls.Config{}
@@ -96,20 +94,19 @@
 	return config
 }
 
-// refuseRedirect hands a redirect to the caller as the answer. Followed, a 307
-// or 308 would send the request a second time, after the first server may have
-// run it already.
+// refuseRedirect makes a client return a redirect as the answer. Following a status 307
+// or 308 would send the request a second time, although the first server may have run
+// it already.
 func refuseRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
-// noRetryTransport is a round tripper that lets no transport send a request twice.
+// noRetryTransport is a round tripper that keeps net/http from sending a request twice.
 //
-// What goes wrong without it: a reused connection is reset or the server
-// refuses an HTTP/2 stream, and net/http sends the request again because
-// GetBody gives it the body again, or because there is no body. The upstream
-// then counts two requests where the caller sent one. Without GetBody and with
-// a body that net/http cannot tell to be empty it reports the failure instead.
+// When a reused connection is reset, or the server refuses an HTTP/2 stream, net/http
+// sends a request again if it has no body or if GetBody returns its body anew. The
+// upstream would then count two requests where the caller sent one. A request without
+// GetBody, and with a body that net/http cannot know to be empty, fails instead.
 type noRetryTransport struct {
 	next http.RoundTripper
 }
@@ -125,14 +122,15 @@
 	return s.next.RoundTrip(once)
 }
 
-// CloseIdleConnections serves http.Client.CloseIdleConnections.
+// CloseIdleConnections is called by http.Client.CloseIdleConnections.
 func (s *noRetryTransport) CloseIdleConnections() {
 	if closer, ok := s.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
 }
 
-// emptyBody is a body that net/http cannot tell to be empty.
+// emptyBody is an empty body that net/http cannot know to be empty, because it is not
+// http.NoBody.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -8,22 +8,23 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
-// reasonHeader carries a Reason beside an error's code.
+// reasonHeader is the header that holds the Reason of an error.
 const reasonHeader = "Goldcrestspool-Reason"
 
-// Reason tells apart errors that share a code. It is part of the protocol.
+// Reason tells errors with the same code apart. Its values are part of the protocol.
 type Reason string
 
-// NewError returns the error that a handler sends to its client.
+// NewError returns the error that a handler returns to its client, with a code and a
+// reason.
 func NewError(code connect.Code, reason Reason, err error) *connect.Error {
 	wire := connect.NewError(code, err)
 	wire.Meta().Set(reasonHeader, string(reason))
 	return wire
 }
 
-// ReasonOf returns the reason that the server gave with err, or "". Connect
-// reads it only from an error in its own format, so that a proxy's error page
-// has none.
+// ReasonOf returns the reason that the server sent with err, or "" if there is none.
+// Connect reads headers only from an error in its own format, so that the error page of
+// a proxy has no reason.
 func ReasonOf(err error) Reason {
 	var wire *connect.Error
 	if !errors.As(err, &wire) {
@@ -32,7 +33,7 @@
 	return Reason(wire.Meta().Get(reasonHeader))
 }
 
-// connectCodes pairs the canonical codes with Connect's.
+// connectCodes maps the canonical codes to Connect's.
 var connectCodes = map[errcode.Code]connect.Code{
 	errcode.Unknown:            connect.CodeUnknown,
 	errcode.Cancelled:          connect.CodeCanceled,
@@ -50,14 +51,14 @@
 	errcode.Unauthenticated:    connect.CodeUnauthenticated,
 }
 
-// ConnectCode returns Connect's code for a canonical one.
+// ConnectCode returns Connect's code for a canonical code.
 func ConnectCode(code errcode.Code) connect.Code { return connectCodes[code] }
 
 // Code returns the canonical code of an error that a Connect client returned.
 func Code(err error) errcode.Code {
-	wanted := connect.CodeOf(err)
+	got := connect.CodeOf(err)
 	for canonical, code := range connectCodes {
-		if code == wanted {
+		if code == got {
 			return canonical
 		}
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -10,7 +10,7 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// NewServer returns a server for HTTP/1.1 and for HTTP/2, with TLS or without.
+// NewServer returns a server for HTTP/1.1 and HTTP/2, both with and without TLS.
 func NewServer(handler http.Handler) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
