--- a/internal/gzipped/gzipped.go
+++ b/internal/gzipped/gzipped.go
@@ -26,7 +26,7 @@
 	return buffer.Bytes(), nil
 }
 
-// Unpack decompresses what Pack returned. Data of more than maxBytes bytes is an error: a
+// Unpack returns the decompressed data. More than maxBytes bytes of it are an error: a
 // small message that is damaged or hostile must not use up the machine's memory.
 func Unpack(packed []byte, maxBytes int64) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
--- a/internal/ident/content.go
+++ b/internal/ident/content.go
@@ -7,31 +7,32 @@
 )
 
 // Content is a hash of what a request asks for: requests of one client account with the
-// same method, host, path, query and body have the same Content, whatever their IDs are.
-// Its upper 32 bits are the Outline, the others are of the body's hash. Its low byte is
-// zero.
+// same method, host, path, query and body have the same one, whatever their IDs are. Its
+// upper 32 bits are the hash of all but the body, and its lower 32 bits come from the
+// body's hash, with the lowest byte zero.
 type Content uint64
 
-// Outline is the part of a Content that is computed without the body: a hash of client
-// account, method, host, path and query.
+// Outline is the part of a content hash that is computed without the body: a hash of
+// client account, method, host, path and query.
 type Outline uint32
 
 const (
-	// requestBits masks the bits of a Mark that tell requests with the same Content apart.
+	// requestBits masks the bits of a Mark that tell requests with the same content
+	// apart.
 	requestBits = 0xff
-	// outlineShift is the number of bits below the Outline in a Content.
+	// outlineShift is the number of bits in a content hash below its outline.
 	outlineShift = 32
 )
 
-// ContentOf returns the Content for an Outline and the hash of a body. It is never 0.
+// ContentOf returns the content hash for an outline and the hash of a body. It is never 0.
 func ContentOf(outline Outline, body uint64) Content {
 	return Content(max(uint64(outline)<<outlineShift|body&(1<<outlineShift-1)&^requestBits, requestBits+1))
 }
 
-// Outline returns the Outline in the Content.
+// Outline returns the outline in the content hash.
 func (c Content) Outline() Outline { return Outline(c >> outlineShift) }
 
-// String returns the Content in hexadecimal, as in logs and in operators' requests.
+// String returns the hash in hexadecimal, as in logs and in operators' requests.
 func (c Content) String() string { return strconv.FormatUint(uint64(c), 16) }
 
 // ParseContent parses what Content.String returned.
@@ -40,14 +41,14 @@
 	return Content(v), err
 }
 
-// Mark is a Content together with eight bits of the hash of a request's ID. Two requests
-// with the same Content have the same Mark by chance once in 256.
+// Mark is a content hash whose lowest byte is that of the hash of a request's ID. Two
+// requests with the same content have the same Mark by chance once in 256.
 type Mark uint64
 
-// MarkOf returns the Mark of a request with a Content and an ID.
+// MarkOf returns the Mark of a request with a content hash and an ID.
 func MarkOf(content Content, id Request) Mark {
 	return Mark(uint64(content) | xxhash.Sum64String(string(id))&requestBits)
 }
 
-// Content returns the Content in the Mark.
+// Content returns the content hash in the Mark.
 func (m Mark) Content() Content { return Content(m &^ requestBits) }
