--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Agenda is a queue of actions with its virtual time. The zero value is empty and at
+// Agenda holds pending actions and the virtual time. The zero value is empty and at
 // time 0. It is not safe for concurrent use.
 type Agenda struct {
 	now     time.Duration
--- a/internal/ident/content.go
+++ b/internal/ident/content.go
@@ -35,7 +35,7 @@
 // String returns the hash in hexadecimal, as in logs and in operators' requests.
 func (c Content) String() string { return strconv.FormatUint(uint64(c), 16) }
 
-// ParseContent parses what Content.String returned.
+// ParseContent parses the text of a content hash.
 func ParseContent(text string) (Content, error) {
 	v, err := strconv.ParseUint(text, 16, 64)
 	return Content(v), err
--- a/internal/telemetry/asyncwriter.go
+++ b/internal/telemetry/asyncwriter.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// maxPendingBytes bounds the log lines that wait to be written. During overload, the
+// maxPendingBytes bounds the buffered log lines. During overload, the
 // lines about refused requests are some 200 KiB a second.
 const maxPendingBytes = 512 << 10
 
@@ -26,58 +26,58 @@
 	writing bool
 }
 
-// NewRing returns a Ring that writes to output. Its goroutine never ends.
+// NewRing returns a writer of log lines to output. Its goroutine never ends.
 func NewRing(output io.Writer) *Ring {
-	r := &Ring{output: output, wake: make(chan struct{}, 1)}
-	r.idle = sync.NewCond(&r.mu)
-	go r.run()
-	return r
+	w := &Ring{output: output, wake: make(chan struct{}, 1)}
+	w.idle = sync.NewCond(&w.mu)
+	go w.run()
+	return w
 }
 
 // Write implements io.Writer. Each call must hold one whole line. It never returns an
 // error, not even for a line that is dropped.
-func (r *Ring) Write(line []byte) (int, error) {
-	r.mu.Lock()
-	if len(r.pending)+len(line) > maxPendingBytes {
-		r.mu.Unlock()
-		r.dropped.Add(1)
+func (w *Ring) Write(line []byte) (int, error) {
+	w.mu.Lock()
+	if len(w.pending)+len(line) > maxPendingBytes {
+		w.mu.Unlock()
+		w.dropped.Add(1)
 		return len(line), nil
 	}
-	r.pending = append(r.pending, line...)
-	r.mu.Unlock()
-	r.accepted.Add(1)
+	w.pending = append(w.pending, line...)
+	w.mu.Unlock()
+	w.accepted.Add(1)
 	select {
-	case r.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-func (r *Ring) run() {
+func (w *Ring) run() {
 	var buffer []byte
-	for range r.wake {
-		r.mu.Lock()
-		buffer, r.pending = r.pending, buffer[:0]
-		r.writing = true
-		r.mu.Unlock()
+	for range w.wake {
+		w.mu.Lock()
+		buffer, w.pending = w.pending, buffer[:0]
+		w.writing = true
+		w.mu.Unlock()
 		// An error is ignored: there is no other place to report it.
-		_, _ = r.output.Write(buffer)
-		r.mu.Lock()
-		r.writing = false
-		r.idle.Broadcast()
-		r.mu.Unlock()
+		_, _ = w.output.Write(buffer)
+		w.mu.Lock()
+		w.writing = false
+		w.idle.Broadcast()
+		w.mu.Unlock()
 	}
 }
 
 // Flush waits until all buffered lines are written. It never returns while the output
 // is stuck, so call it only where the process ends anyway.
-func (r *Ring) Flush() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for len(r.pending) > 0 || r.writing {
-		r.idle.Wait()
+func (w *Ring) Flush() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for len(w.pending) > 0 || w.writing {
+		w.idle.Wait()
 	}
 }
 
 // Counts returns how many lines were accepted and how many were dropped.
-func (r *Ring) Counts() (accepted, dropped int64) { return r.accepted.Load(), r.dropped.Load() }
+func (w *Ring) Counts() (accepted, dropped int64) { return w.accepted.Load(), w.dropped.Load() }
--- a/internal/telemetry/asyncwriter_test.go
+++ b/internal/telemetry/asyncwriter_test.go
@@ -25,22 +25,22 @@
 // blocks. Lines beyond the buffer are dropped and counted instead.
 func TestAStuckOutputBlocksNobodyAndLosesCountedLines(t *testing.T) {
 	out := &stuckWriter{free: make(chan struct{})}
-	ring := NewRing(out)
+	w := NewRing(out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 3 * maxPendingBytes / 1024
 	for range lines {
-		if n, err := ring.Write(line); n != len(line) || err != nil {
+		if n, err := w.Write(line); n != len(line) || err != nil {
 			t.Fatalf("wrote %d, error %v", n, err)
 		}
 	}
-	accepted, dropped := ring.Counts()
+	accepted, dropped := w.Counts()
 	// One full buffer is pending, and at the most one more is in the stuck Write.
 	const full = maxPendingBytes / 1024
 	if accepted+dropped != lines || accepted < full || accepted > 2*full {
 		t.Errorf("%d accepted, %d dropped of %d, want %d to %d accepted", accepted, dropped, lines, full, 2*full)
 	}
 	close(out.free)
-	ring.Flush()
+	w.Flush()
 	out.mu.Lock()
 	defer out.mu.Unlock()
 	if int64(out.lines) != accepted {
--- a/internal/testkit/runseeds.go
+++ b/internal/testkit/runseeds.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// maxParallelRuns bounds the concurrent runs of Plays.
+// maxParallelRuns bounds the runs that go on at the same time.
 const maxParallelRuns = 4
 
 // Plays calls run with each seed from 1 to n, up to maxParallelRuns of them at a time, and
