--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -142,7 +142,7 @@
 
 // Server returns the configuration of a listener, which uses the current files for each
 // new connection. If there is an authority, clients need a certificate of it. protocols
-// are those offered by ALPN.
+// are those offered by ALPN; they are also set in the configuration of each connection.
 func (r *Reloader) Server(protocols ...string) *tls.Config {
 	config := r.serverConfig(protocols)
 	config.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) { return r.serverConfig(protocols), nil }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -32,9 +32,9 @@
 // Options configures how a client connects.
 type Options struct {
 	// FreshConnections dials a new connection for each request. An open connection
-	// can go silent for ever while new ones work. A request that must not be
-	// repeated is then lost in it, and nobody knows whether it ran; with a new
-	// connection it either gets through or is known not to have been sent.
+	// can go silent for ever while new ones work; of a request that is lost in it,
+	// nobody knows whether it ran. If a new connection cannot be dialled, the request
+	// is certain not to have been sent, which matters if it must not be repeated.
 	FreshConnections bool
 	// HTTP2 uses HTTP/2 without TLS. Attempt.NotSent then hardly ever returns true.
 	HTTP2 bool
@@ -79,8 +79,8 @@
 	}
 }
 
-// maxCachedSessions is how many TLS sessions a client keeps. A connection that resumes a
-// session need not verify the signatures of the server's certificate again.
+// maxCachedSessions is for how many servers a client keeps the TLS session. A connection
+// that resumes a session need not verify the signatures of the server's certificate again.
 const maxCachedSessions = 256
 
 // clientTLS returns a copy of config that requires TLS 1.3 and resumes sessions.
