--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -138,7 +138,7 @@
 
 // Membership configures how gateways tell each other which instances are alive.
 type Membership struct {
-	// Heartbeat is the interval between two exchanges. Default 500ms.
+	// Heartbeat is the interval between two heartbeats. Default 500ms.
 	Heartbeat time.Duration `toml:"heartbeat"`
 	// PeersPerDomain is how many peers of the own failure domain get each
 	// heartbeat at the most; if there are more, they take turns. 0 sends to all.
