--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,5 +1,5 @@
-// Command fleetsim plays what entry gateways decide against modelled engines of several
-// kinds, in virtual time. It is a tool for development.
+// Command fleetsim simulates the decisions of entry gateways for modelled engines of
+// several kinds, in virtual time. It is a development tool.
 package main
 
 import (
@@ -26,7 +26,8 @@
 	Report   string  `arg:"--report" help:"write table and plot into this directory"`
 }
 
-// gcPercent trades memory for time: a run allocates much and keeps little.
+// gcPercent is above the default of 100 to save time: a run allocates much and keeps
+// little, so that fewer collections cost little memory.
 const gcPercent = 400
 
 func main() {
@@ -51,14 +52,14 @@
 	if args.Report == "" {
 		return
 	}
-	if err := report(args.Report, table.Bytes(), cells); err != nil {
+	if err := writeReport(args.Report, table.Bytes(), cells); err != nil {
 		fmt.Fprintln(os.Stderr, "report:", err)
 		os.Exit(1)
 	}
 }
 
-// report writes the table and the plot into a directory.
-func report(directory string, table []byte, cells []fleetsim.Cell) error {
+// writeReport writes the table and the plot into a directory.
+func writeReport(directory string, table []byte, cells []fleetsim.Cell) error {
 	if err := os.WriteFile(filepath.Join(directory, "fleet.txt"), table, 0o644); err != nil {
 		return err
 	}
--- a/internal/ident/content.go
+++ b/internal/ident/content.go
@@ -6,45 +6,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content tells requests apart by what they ask for: requests of one client account with
-// the same method, host, path, query and body have the same, whatever their IDs are. Its
-// high half is that of all but the body, and its low byte is zero.
+// Content is a hash of what a request asks for: requests of one client account with the
+// same method, host, path, query and body have the same one, whatever their IDs are. Its
+// upper 32 bits are the hash of all but the body, and its lower 32 bits come from the
+// body's hash, with the lowest byte zero.
 type Content uint64
 
-// Outline is the part of a content that is known without reading the body.
+// Outline is the part of a content hash that is computed without the body: a hash of
+// client account, method, host, path and query.
 type Outline uint32
 
 const (
-	// arrivalBits is the byte of a Mark that tells requests with the same content apart.
-	arrivalBits = 0xff
-	outlineAt   = 32
+	// requestBits masks the bits of a Mark that tell requests with the same content
+	// apart.
+	requestBits = 0xff
+	// outlineShift is the number of bits in a content hash below its outline.
+	outlineShift = 32
 )
 
-// ContentOf returns the content of an outline and the hash of a body. It is never 0.
+// ContentOf returns the content hash for an outline and the hash of a body. It is never 0.
 func ContentOf(outline Outline, body uint64) Content {
-	return Content(max(uint64(outline)<<outlineAt|body&(1<<outlineAt-1)&^arrivalBits, arrivalBits+1))
+	return Content(max(uint64(outline)<<outlineShift|body&(1<<outlineShift-1)&^requestBits, requestBits+1))
 }
 
-// Outline returns the content's.
-func (c Content) Outline() Outline { return Outline(c >> outlineAt) }
+// Outline returns the outline in the content hash.
+func (c Content) Outline() Outline { return Outline(c >> outlineShift) }
 
-// String is the content's name in logs and for operators.
+// String returns the hash in hexadecimal, as in logs and in operators' requests.
 func (c Content) String() string { return strconv.FormatUint(uint64(c), 16) }
 
-// ParseContent reads what String wrote.
+// ParseContent parses the text of a content hash.
 func ParseContent(text string) (Content, error) {
 	v, err := strconv.ParseUint(text, 16, 64)
 	return Content(v), err
 }
 
-// Mark is a content with some bits of the ID of one request with it: of two such requests
-// the marks are equal once in 256.
+// Mark is a content hash whose lowest byte is that of the hash of a request's ID. Two
+// requests with the same content have the same Mark by chance once in 256.
 type Mark uint64
 
-// MarkOf returns a request's mark.
+// MarkOf returns the Mark of a request with a content hash and an ID.
 func MarkOf(content Content, id Request) Mark {
-	return Mark(uint64(content) | xxhash.Sum64String(string(id))&arrivalBits)
+	return Mark(uint64(content) | xxhash.Sum64String(string(id))&requestBits)
 }
 
-// Content returns the content that the mark is of.
-func (m Mark) Content() Content { return Content(m &^ arrivalBits) }
+// Content returns the content hash in the Mark.
+func (m Mark) Content() Content { return Content(m &^ requestBits) }
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// kernelChosen is a loopback address whose port the kernel chooses.
-const kernelChosen = "127.0.0.1:0"
+// loopbackAnyPort is a loopback address whose port the kernel chooses.
+const loopbackAnyPort = "127.0.0.1:0"
 
-// The defaults by which the control plane's cost is measured; see
+// The defaults with which the control plane's cost is measured; see
 // docs/CAPACITY.md.
 const (
-	// DefaultHeartbeat is the interval of heartbeats between gateways.
+	// DefaultHeartbeat is the interval between the heartbeats of a gateway.
 	DefaultHeartbeat = 500 * time.Millisecond
-	// DefaultBatchWait is the least time between two appends of a journal
-	// partition by one gateway. Eight gateways with two partitions each then
-	// make at most 320 appends a second. With less, a rush of keyed calls
-	// takes the log's several hundred alone: claims queue in the log, and
-	// behind them the renewals of leases.
+	// DefaultBatchWait is the minimum time between two appends of one gateway
+	// to one partition of the journal. Eight gateways with two partitions each
+	// then make at most 320 appends a second. With a shorter time, a load spike
+	// of calls with idempotency keys uses up all of the several hundred appends
+	// a second that the log can take: claims queue in the log, and the renewals
+	// of leases wait behind them.
 	DefaultBatchWait = 50 * time.Millisecond
 )
 
@@ -48,9 +49,9 @@
 	return &Gateway{
 		Common: defaultCommon(),
 		Listen: GatewayListen{
-			Callers:   kernelChosen,
-			Peers:     kernelChosen,
-			Operators: kernelChosen,
+			Callers:   loopbackAnyPort,
+			Peers:     loopbackAnyPort,
+			Operators: loopbackAnyPort,
 		},
 	}
 }
@@ -58,7 +59,7 @@
 func defaultController() *Controller {
 	return &Controller{
 		Common: defaultCommon(),
-		Listen: ControllerListen{Operators: kernelChosen},
+		Listen: ControllerListen{Operators: loopbackAnyPort},
 		Control: Control{
 			Lease:            10 * time.Second,
 			Margin:           2 * time.Second,
--- a/internal/testkit/authority.go
+++ b/internal/testkit/authority.go
@@ -15,22 +15,24 @@
 	"time"
 )
 
-// Authority makes certificates for a test.
+// Authority is a certificate authority for a test.
 type Authority struct {
-	// File holds the authority's certificate, in PEM.
+	// File is the path of the authority's certificate, in PEM.
 	File string
 
-	t       testing.TB
-	key     *ecdsa.PrivateKey
-	cert    *x509.Certificate
-	issued  int64
-	written time.Time
+	t    testing.TB
+	key  *ecdsa.PrivateKey
+	cert *x509.Certificate
+	// issued is how many certificates were issued.
+	issued        int64
+	lastWriteTime time.Time
 }
 
-// NewAuthority returns an authority of its own.
+// NewAuthority returns an authority with a new key. Its files are deleted when the test
+// ends.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
-	a := &Authority{t: t, key: newKey(t), written: time.Now()}
+	a := &Authority{t: t, key: newKey(t), lastWriteTime: time.Now()}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign,
@@ -47,16 +49,16 @@
 	return a
 }
 
-// Pool returns the authority's certificate alone.
+// Pool returns a pool that holds only the authority's certificate.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Issue writes a new certificate for a name and for loopback, with its key, and
-// returns its serial number. Files that exist are replaced, and their time of
-// change always differs from the one before.
+// Issue writes a new certificate for a DNS name and for 127.0.0.1, and its private key,
+// and returns the certificate's serial number. Existing files are replaced, and always
+// get another modification time than before.
 func (a *Authority) Issue(certFile, keyFile, name string) int64 {
 	a.t.Helper()
 	key := newKey(a.t)
@@ -80,13 +82,15 @@
 	return template.SerialNumber.Int64()
 }
 
+// write writes a PEM file whose modification time is a second after that of the file
+// before.
 func (a *Authority) write(file, kind string, der []byte) {
 	a.t.Helper()
 	if err := os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		a.t.Fatal(err)
 	}
-	a.written = a.written.Add(time.Second)
-	if err := os.Chtimes(file, a.written, a.written); err != nil {
+	a.lastWriteTime = a.lastWriteTime.Add(time.Second)
+	if err := os.Chtimes(file, a.lastWriteTime, a.lastWriteTime); err != nil {
 		a.t.Fatal(err)
 	}
 }
