--- a/internal/capacity/all.go
+++ b/internal/capacity/all.go
@@ -27,7 +27,7 @@
 			return nil, err
 		}
 		fmt.Fprintf(progress, "%-24s %s + %s per %s (%s), residual %.0f%%: %v\n", s.ID,
-			figure(line.Base), figure(line.Slope), s.Size, s.Unit, 100*line.Residual, line.Points)
+			figure(line.Base), figure(line.Slope), s.SizeUnit, s.Unit, 100*line.Residual, line.Points)
 		lines = append(lines, line)
 	}
 	return lines, nil
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -35,8 +35,8 @@
 // Series is one figure measured at several sizes.
 type Series struct {
 	ID ID
-	// What is measured, by which code, against what size.
-	What, Package, Size string
+	// Description is measured, by which code, against what size.
+	Description, Package, SizeUnit string
 	Unit                Unit
 	Sizes               []int
 	// Measure returns the figure at one size.
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -22,8 +22,8 @@
 	// system: client accounts with limits of their own, and prices.
 	documentAccounts = 20
 	documentDomains  = 10
-	// publications is how many changes are timed.
-	publications = 3
+	// timedChanges is how many changes are timed.
+	timedChanges = 3
 )
 
 // documentText returns the document of a service.
@@ -54,14 +54,14 @@
 	})
 }
 
-// folded is a process's configuration with a number of documents.
-type folded struct {
+// foldedDocuments is a process's configuration with a number of documents.
+type foldedDocuments struct {
 	state document.State
 	set   *document.Set
 }
 
-func foldDocuments(documents int) (*folded, error) {
-	f := &folded{}
+func foldDocuments(documents int) (*foldedDocuments, error) {
+	f := &foldedDocuments{}
 	var records []platform.Record
 	for i := range documents {
 		data, err := publication(serviceAt(i), 0)
@@ -81,8 +81,8 @@
 
 func documentMemory(documents int) (float64, error) {
 	var err error
-	used := held(func() any {
-		var f *folded
+	used := memoryHeldBy(func() any {
+		var f *foldedDocuments
 		f, err = foldDocuments(documents)
 		return f
 	})
@@ -100,7 +100,7 @@
 		return 0, err
 	}
 	record := []platform.Record{{Offset: ident.Offset(documents), Data: data}}
-	return cost(func() {
+	return microsPerCall(func() {
 		next, _ := document.Fold(f.state, record)
 		document.BuildSet(next, f.set, document.CurrentSchema)
 	}), nil
@@ -116,11 +116,11 @@
 	return float64(len(data)), err
 }
 
-// inForce is the longest time from an append until all processes serve by it,
+// timeUntilInForce is the longest time from an append until all processes serve by it,
 // with a log that answers at once.
-func inForce(processes int) (float64, error) {
+func timeUntilInForce(processes int) (float64, error) {
 	log := logstore.New(logstore.Options{})
-	loops := newBackground()
+	loops := newBackgroundLoops()
 	defer loops.stop()
 	var sections []*blackboard.Section[*document.Set]
 	for i := range processes {
@@ -133,7 +133,7 @@
 		loops.run(func(ctx context.Context) { _ = c.Run(ctx) })
 	}
 	longest := time.Duration(0)
-	for i := range publications {
+	for i := range timedChanges {
 		// The processes are waiting at the log's head by then.
 		time.Sleep(300 * time.Millisecond)
 		data, err := publication(serviceAt(i), 0)
@@ -181,13 +181,13 @@
 func configurationSeries() []Series {
 	documents := []int{2, 20, 80, 320}
 	return []Series{
-		{ID: ChangeCost, What: "one change: fold and new set", Package: "document", Size: "documents", Unit: Microseconds,
+		{ID: ChangeCost, Description: "one change: fold and new set", Package: "document", SizeUnit: "documents", Unit: Microseconds,
 			Sizes: documents, Measure: changeCost},
-		{ID: DocumentMemory, What: "records and parsed documents", Package: "document", Size: "documents", Unit: Bytes,
+		{ID: DocumentMemory, Description: "records and parsed documents", Package: "document", SizeUnit: "documents", Unit: Bytes,
 			Sizes: documents, Measure: documentMemory},
-		{ID: SnapshotBytes, What: "the snapshot record; its slope is one revision", Package: "document", Size: "documents", Unit: Bytes,
+		{ID: SnapshotBytes, Description: "the snapshot record; its slope is one revision", Package: "document", SizeUnit: "documents", Unit: Bytes,
 			Sizes: documents, Measure: snapshotBytes},
-		{ID: InForce, What: "append to in force at all, wall clock, log without delay", Package: "controllers/configuration", Size: "processes",
-			Unit: Milliseconds, Sizes: []int{8, 32, 128, 330}, Measure: inForce},
+		{ID: InForce, Description: "append to in force at all, wall clock, log without delay", Package: "controllers/configuration", SizeUnit: "processes",
+			Unit: Milliseconds, Sizes: []int{8, 32, 128, 330}, Measure: timeUntilInForce},
 	}
 }
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -18,8 +18,8 @@
 // Leases are measured with all times a tenth of the defaults, and the rates
 // divided by ten.
 const (
-	leaseSpeed = 10
-	leaseRun   = 3 * time.Second
+	leaseSpeedup = 10
+	leaseRunTime   = 3 * time.Second
 )
 
 // leaseAppends runs one holder of a number of leases.
@@ -27,17 +27,17 @@
 	log := logstore.New(logstore.Options{})
 	m := lease.New(lease.Config{
 		Holder:     lease.NewHolder("g-1", 1),
-		Length:     lease.DefaultLength / leaseSpeed,
-		Margin:     lease.DefaultMargin / leaseSpeed,
-		RenewEvery: lease.DefaultRenewEvery / leaseSpeed,
-		Poll:       lease.DefaultPoll / leaseSpeed,
+		Length:     lease.DefaultLength / leaseSpeedup,
+		Margin:     lease.DefaultMargin / leaseSpeedup,
+		RenewEvery: lease.DefaultRenewEvery / leaseSpeedup,
+		Poll:       lease.DefaultPoll / leaseSpeedup,
 	}, log)
 	var wanted []lease.Wanted
 	for i := range leases {
 		wanted = append(wanted, lease.Wanted{Name: lease.Name{Service: serviceAt(i), FailureDomain: domainOf(0, 10)}})
 	}
 	m.Want(wanted)
-	loops := newBackground()
+	loops := newBackgroundLoops()
 	loops.run(m.Run)
 	defer loops.stop()
 	deadline := time.Now().Add(3 * time.Second)
@@ -48,8 +48,8 @@
 		return 0, fmt.Errorf("%d of %d leases held", held, leases)
 	}
 	before, began := log.Appends(), time.Now()
-	time.Sleep(leaseRun)
-	return float64(log.Appends()-before) / time.Since(began).Seconds() / leaseSpeed, nil
+	time.Sleep(leaseRunTime)
+	return float64(log.Appends()-before) / time.Since(began).Seconds() / leaseSpeedup, nil
 }
 
 // planCost is one plan of a fleet in a steady state.
@@ -71,20 +71,20 @@
 		})
 	}
 	now := time.Now()
-	return cost(func() { planner.Plan(actual, planner.Wanted{Placement: placement}, now) }), nil
+	return microsPerCall(func() { planner.Plan(actual, planner.Wanted{Placement: placement}, now) }), nil
 }
 
-// echo answers a heartbeat with as many lines as it brought.
-type echo struct{}
+// echoHeartbeats answers a heartbeat with as many lines as it brought.
+type echoHeartbeats struct{}
 
 // Exchange implements peer.Heartbeats.
-func (echo) Exchange(_ context.Context, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
+func (echoHeartbeats) Exchange(_ context.Context, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	return &peerv1.ExchangeResponse{From: req.From, Figures: req.Figures, Position: req.Position}, nil
 }
 
 // heartbeatOverWire is one exchange over gRPC with lines in both directions.
 func heartbeatOverWire(lines int) (wireFigures, error) {
-	server, err := peer.NewServer(peer.Handlers{Heartbeats: echo{}}, peer.TLSFiles{})
+	server, err := peer.NewServer(peer.Handlers{Heartbeats: echoHeartbeats{}}, peer.TLSFiles{})
 	if err != nil {
 		return wireFigures{}, err
 	}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return wireFigures{}, err
 	}
-	l := &loopback{address: listener.Addr().String()}
+	l := &loopbackServer{address: listener.Addr().String()}
 	ctx, cancel := context.WithCancel(context.Background())
 	var served sync.WaitGroup
 	served.Go(func() { _ = server.Serve(ctx, &countingListener{Listener: listener, bytes: &l.bytes}, time.Second) })
@@ -105,7 +105,7 @@
 	defer pool.Close()
 	req := &peerv1.ExchangeRequest{From: "g-1", Position: &peerv1.DigestPosition{Epoch: 1, Sequence: 1, Checksum: 1 << 60}}
 	req.Figures = figuresOf(instances(0, lines, 10))
-	return wireCostOf(&l.bytes, func() error {
+	return measureWire(&l.bytes, func() error {
 		_, err := pool.Exchange(ctx, l.address, req)
 		return err
 	})
@@ -120,16 +120,16 @@
 )
 
 func controlSeries() []Series {
-	heartbeat := newShared(heartbeatOverWire)
+	heartbeat := newMemoized(heartbeatOverWire)
 	lines := []int{0, 32, 64, 128}
 	return []Series{
-		{ID: HeartbeatWire, What: "one exchange over gRPC on loopback, one end, without the merge", Package: "peer", Size: "lines each way",
+		{ID: HeartbeatWire, Description: "one exchange over gRPC on loopback, one end, without the merge", Package: "peer", SizeUnit: "lines each way",
 			Unit: Microseconds, Sizes: lines, Measure: func(n int) (float64, error) { w, err := heartbeat.at(n); return w.processor, err }},
-		{ID: HeartbeatBytes, What: "one exchange over gRPC, both directions", Package: "peer", Size: "lines each way",
+		{ID: HeartbeatBytes, Description: "one exchange over gRPC, both directions", Package: "peer", SizeUnit: "lines each way",
 			Unit: Bytes, Sizes: lines, Measure: func(n int) (float64, error) { w, err := heartbeat.at(n); return w.bytes, err }},
-		{ID: LeaseAppends, What: "appends of one holder", Package: "lease", Size: "leases", Unit: PerSecond,
+		{ID: LeaseAppends, Description: "appends of one holder", Package: "lease", SizeUnit: "leases", Unit: PerSecond,
 			Sizes: []int{1, 4, 16, 64}, Measure: leaseAppends},
-		{ID: PlanCost, What: "one plan in a steady state", Package: "planner", Size: "runners", Unit: Microseconds,
+		{ID: PlanCost, Description: "one plan in a steady state", Package: "planner", SizeUnit: "runners", Unit: Microseconds,
 			Sizes: runnerSizes, Measure: planCost},
 	}
 }
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// enough is the least processor time of one measurement, so that the
+	// minMeasuredTime is the least processor time of one measurement, so that the
 	// clock's resolution does not matter.
-	enough = 30 * time.Millisecond
-	// repeats is how often a measurement is made; the least counts, since
+	minMeasuredTime = 30 * time.Millisecond
+	// repetitions is how often a measurement is made; the least counts, since
 	// what else runs on the machine only adds.
-	repeats = 3
+	repetitions = 3
 )
 
-// processor returns the processor time that this process has used.
-func processor() time.Duration {
+// processorTime returns the processor time that this process has used.
+func processorTime() time.Duration {
 	used, err := procstat.Processor()
 	if err != nil {
 		panic(err)
@@ -25,53 +25,53 @@
 	return used
 }
 
-// cost returns the processor time of one call of op, in microseconds.
-func cost(op func()) float64 {
+// microsPerCall returns the processor time of one call of op, in microseconds.
+func microsPerCall(op func()) float64 {
 	op()
 	count := 1
 	for {
-		used := costOf(op, count)
-		if used >= enough {
+		used := processorTimeOf(op, count)
+		if used >= minMeasuredTime {
 			break
 		}
 		count *= 2
 	}
-	least := costOf(op, count)
-	for range repeats - 1 {
-		least = min(least, costOf(op, count))
+	least := processorTimeOf(op, count)
+	for range repetitions - 1 {
+		least = min(least, processorTimeOf(op, count))
 	}
 	return micros(least) / float64(count)
 }
 
-func costOf(op func(), count int) time.Duration {
-	before := processor()
+func processorTimeOf(op func(), count int) time.Duration {
+	before := processorTime()
 	for range count {
 		op()
 	}
-	return processor() - before
+	return processorTime() - before
 }
 
 func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// held returns the bytes of heap that what build returns holds.
-func held(build func() any) float64 {
-	before := inUse()
+// memoryHeldBy returns the bytes of heap that what build returns holds.
+func memoryHeldBy(build func() any) float64 {
+	before := memoryInUse()
 	kept := build()
-	after := inUse()
+	after := memoryInUse()
 	runtime.KeepAlive(kept)
 	return max(0, float64(after-before))
 }
 
-// inUse returns heap and stacks in use after garbage collection.
-func inUse() int64 {
+// memoryInUse returns heap and stacks in use after garbage collection.
+func memoryInUse() int64 {
 	heap, stacks := procstat.Memory()
 	return heap + stacks
 }
 
-// rate runs for a time and returns the processor time of this process, in
+// measureProcessorRate runs for a time and returns the processor time of this process, in
 // microseconds for each second of the run.
-func rate(run time.Duration) float64 {
-	began, before := time.Now(), processor()
+func measureProcessorRate(run time.Duration) float64 {
+	began, before := time.Now(), processorTime()
 	time.Sleep(run)
-	return micros(processor()-before) / time.Since(began).Seconds()
+	return micros(processorTime()-before) / time.Since(began).Seconds()
 }
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -39,7 +39,7 @@
 	if *target {
 		sizes = append(slices.Clone(sizes), entrySizes[len(entrySizes)-1])
 	}
-	all := fleets{}
+	all := figuresBySize{}
 	for _, entries := range sizes {
 		synctest.Test(t, func(t *testing.T) { all[entries] = runFleet(entries) })
 		t.Logf("%d entries: %+v", entries, all[entries])
--- a/internal/capacity/journal.go
+++ b/internal/capacity/journal.go
@@ -31,8 +31,8 @@
 	answerBytes = 256
 	// recordsPerKey are a claim and an outcome.
 	recordsPerKey = 2
-	// journalRun is how long coordinators run for one figure.
-	journalRun = 4 * time.Second
+	// journalRunTime is how long coordinators run for one figure.
+	journalRunTime = 4 * time.Second
 	// callRate is the keyed calls a second of one gateway in that run: a
 	// fifth of the requests that a gateway of 330 gets.
 	callRate = 2.5
@@ -42,7 +42,7 @@
 	busyGateways = 8
 )
 
-func claimOf(i int, at time.Time) journal.Claim {
+func newClaim(i int, at time.Time) journal.Claim {
 	key := ident.CallKey{Service: app, Account: ident.ClientAccount(fmt.Sprintf("client-account-%d", i%50)), Key: ident.Key(uuid.NewString())}
 	target := gatewayAt(i%20, 10)
 	return journal.Claim{
@@ -58,7 +58,7 @@
 	payload := make([]byte, answerBytes)
 	records := make([][]byte, 0, recordsPerKey*keys)
 	for i := range keys {
-		c := claimOf(i, now)
+		c := newClaim(i, now)
 		_, _ = rand.Read(payload)
 		for _, event := range []journal.Event{c, journal.Outcome{Head: c.Head, Kind: outcome.Completed, Payload: payload}} {
 			data, err := journal.Encode(event)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return 0, err
 	}
-	used := held(func() any {
+	used := memoryHeldBy(func() any {
 		var f *fold.Fold
 		f, err = foldAll(records)
 		return f
@@ -105,7 +105,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return cost(func() { _, err = foldAll(records) }), err
+	return microsPerCall(func() { _, err = foldAll(records) }), err
 }
 
 // readOverWire is one read of the log that returns a number of journal
@@ -123,49 +123,49 @@
 	}
 	mux := http.NewServeMux()
 	connectplatform.Mount(mux, connectplatform.Services{Log: log})
-	l, err := newLoopback(mux)
+	l, err := newLoopbackServer(mux)
 	if err != nil {
 		return wireFigures{}, err
 	}
 	client := connectplatform.NewClient(transport.NewClient(transport.Options{}), l.url())
-	return wireCost(l, func() error {
+	return measureServer(l, func() error {
 		_, err := client.Read(context.Background(), journal.Stream(0), 0, records+1, 0)
 		return err
 	})
 }
 
-// instant dispatches every call to one place that answers at once.
-type instant struct{ answer []byte }
+// instantDispatcher dispatches every call to one place that answers at once.
+type instantDispatcher struct{ answer []byte }
 
 // Pick implements calls.Dispatcher.
-func (instant) Pick(context.Context, calls.Call, []ident.Instance) (journal.Target, bool) {
+func (instantDispatcher) Pick(context.Context, calls.Call, []ident.Instance) (journal.Target, bool) {
 	u := runnerAt(0, 10)
 	return journal.Target{Instance: u.ID, Incarnation: u.Incarnation, Address: u.Address}, true
 }
 
 // Invoke implements calls.Dispatcher.
-func (d instant) Invoke(context.Context, calls.Call, journal.Target, ident.Fence) (upstream.Answer, error) {
+func (d instantDispatcher) Invoke(context.Context, calls.Call, journal.Target, ident.Fence) (upstream.Answer, error) {
 	return upstream.Answer{Payload: d.answer}, nil
 }
 
 // Find implements calls.Dispatcher.
-func (instant) Find(context.Context, ident.CallKey, journal.Target, ident.Fence) (upstream.FindResult, error) {
+func (instantDispatcher) Find(context.Context, ident.CallKey, journal.Target, ident.Fence) (upstream.FindResult, error) {
 	return upstream.FindResult{State: upstream.Absent}, nil
 }
 
-// coordinators runs gateways' coordinators over one log, each with its own
+// measureAppends runs gateways' coordinators over one log, each with its own
 // calls, and returns the appends a second of all.
-func coordinators(gateways int, perSecond float64, interval time.Duration) (float64, error) {
+func measureAppends(gateways int, perSecond float64, interval time.Duration) (float64, error) {
 	log := logstore.New(logstore.Options{})
 	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{app: {Document: &document.Document{
 		Service: app, Kind: document.Plain, Methods: []document.Method{{Name: method, Timeout: 3 * time.Second}},
 	}}}})
-	loops := newBackground()
+	loops := newBackgroundLoops()
 	var failures sync.Map
 	for i := range gateways {
 		health := blackboard.NewSection(blackboard.JournalHealth{})
 		c := calls.New(calls.Config{
-			Instance: gatewayAt(i, 10).ID, Incarnation: 1, Log: log, Dispatcher: instant{make([]byte, answerBytes)},
+			Instance: gatewayAt(i, 10).ID, Incarnation: 1, Log: log, Dispatcher: instantDispatcher{make([]byte, answerBytes)},
 			Documents: documents, Health: health, Limits: calls.Limits{AppendInterval: interval},
 		})
 		loops.run(func(ctx context.Context) { _ = c.Run(ctx) })
@@ -178,12 +178,12 @@
 			}
 			// Gateways start apart, as their callers do.
 			time.Sleep(time.Duration(float64(time.Second) / perSecond * float64(i) / float64(gateways)))
-			callAll(ctx, c, perSecond, &failures)
+			sendCalls(ctx, c, perSecond, &failures)
 		})
 	}
 	time.Sleep(time.Second)
 	before, began := log.Appends(), time.Now()
-	time.Sleep(journalRun)
+	time.Sleep(journalRunTime)
 	appends, took := log.Appends()-before, time.Since(began)
 	loops.stop()
 	var failed error
@@ -194,8 +194,8 @@
 	return float64(appends) / took.Seconds(), failed
 }
 
-// callAll sends calls at a steady rate, each in a goroutine of its own.
-func callAll(ctx context.Context, c *calls.Coordinator, perSecond float64, failures *sync.Map) {
+// sendCalls sends calls at a steady rate, each in a goroutine of its own.
+func sendCalls(ctx context.Context, c *calls.Coordinator, perSecond float64, failures *sync.Map) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
@@ -219,12 +219,12 @@
 }
 
 func appendsByGateways(gateways int) (float64, error) {
-	return coordinators(gateways, callRate, settings.DefaultBatchWait)
+	return measureAppends(gateways, callRate, settings.DefaultBatchWait)
 }
 
 // appendsByInterval takes the batches a second that one partition allows.
 func appendsByInterval(batches int) (float64, error) {
-	return coordinators(busyGateways, busyRate, time.Second/time.Duration(batches))
+	return measureAppends(busyGateways, busyRate, time.Second/time.Duration(batches))
 }
 
 // The series of the journal.
@@ -238,21 +238,21 @@
 )
 
 func journalSeries() []Series {
-	read := newShared(readOverWire)
+	read := newMemoized(readOverWire)
 	keys := []int{1000, 4000, 16000, 64000}
 	records := []int{0, 32, 256, 1024}
 	return []Series{
-		{ID: KeyMemory, What: "keys of a window, claim and outcome of 256 B", Package: "calls/fold", Size: "keys", Unit: Bytes,
+		{ID: KeyMemory, Description: "keys of a window, claim and outcome of 256 B", Package: "calls/fold", SizeUnit: "keys", Unit: Bytes,
 			Sizes: keys, Measure: foldMemory},
-		{ID: KeyProcessor, What: "reading the records of keys, without the network", Package: "calls/fold", Size: "keys", Unit: Microseconds,
+		{ID: KeyProcessor, Description: "reading the records of keys, without the network", Package: "calls/fold", SizeUnit: "keys", Unit: Microseconds,
 			Sizes: keys, Measure: foldCost},
-		{ID: ReadWire, What: "one read of the log over loopback, one end", Package: "platform/connectplatform", Size: "records", Unit: Microseconds,
+		{ID: ReadWire, Description: "one read of the log over loopback, one end", Package: "platform/connectplatform", SizeUnit: "records", Unit: Microseconds,
 			Sizes: records, Measure: func(n int) (float64, error) { w, err := read.at(n); return w.processor, err }},
-		{ID: ReadWireBytes, What: "one read of the log, both directions", Package: "platform/connectplatform", Size: "records", Unit: Bytes,
+		{ID: ReadWireBytes, Description: "one read of the log, both directions", Package: "platform/connectplatform", SizeUnit: "records", Unit: Bytes,
 			Sizes: records, Measure: func(n int) (float64, error) { w, err := read.at(n); return w.bytes, err }},
-		{ID: AppendsGateways, What: "appends of all gateways, 2.5 keyed calls/s each", Package: "calls", Size: "gateways", Unit: PerSecond,
+		{ID: AppendsGateways, Description: "appends of all gateways, 2.5 keyed calls/s each", Package: "calls", SizeUnit: "gateways", Unit: PerSecond,
 			Sizes: []int{4, 8, 16, 32}, Measure: appendsByGateways},
-		{ID: AppendsInterval, What: "appends of 8 gateways, 25 keyed calls/s each", Package: "calls", Size: "batches/s allowed", Unit: PerSecond,
+		{ID: AppendsInterval, Description: "appends of 8 gateways, 25 keyed calls/s each", Package: "calls", SizeUnit: "batches/s allowed", Unit: PerSecond,
 			Sizes: []int{6, 12, 25, 50, 100}, Measure: appendsByInterval},
 	}
 }
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// fleetSettle lets the first digests pass: a session with a peer that was
+	// fleetSettleTime lets the first digests pass: a session with a peer that was
 	// never met begins with the facts of up to 30 s. fleetRun is one round of
 	// the slowest refresh.
-	fleetSettle = 34 * time.Second
-	fleetRun    = 10 * time.Second
-	// probers is how many gateways tell the load of an upstream.
-	probers = 2
+	fleetSettleTime = 34 * time.Second
+	fleetRunTime    = 10 * time.Second
+	// probersPerUpstream is how many gateways tell the load of an upstream.
+	probersPerUpstream = 2
 	// probeInterval is that of package probing.
 	probeInterval = time.Second
 )
@@ -61,21 +61,21 @@
 	Memory float64
 }
 
-// fleet is many real membership controllers in this process. Messages are
+// fleetTransport is many real membership controllers in this process. Messages are
 // encoded and decoded, but travel without a network.
-type fleet struct {
+type fleetTransport struct {
 	byAddress        map[string]*controller.Controller
 	bytes, exchanges atomic.Int64
 }
 
 // Exchange implements controller.Transport.
-func (f *fleet) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
+func (f *fleetTransport) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	to, ok := f.byAddress[address]
 	if !ok {
 		return nil, errcode.New(errcode.Unavailable, "no such peer")
 	}
 	var arrived peerv1.ExchangeRequest
-	if err := f.carry(req, &arrived); err != nil {
+	if err := f.transmit(req, &arrived); err != nil {
 		return nil, err
 	}
 	resp, err := to.Exchange(ctx, &arrived)
@@ -84,10 +84,10 @@
 	}
 	f.exchanges.Add(1)
 	var answer peerv1.ExchangeResponse
-	return &answer, f.carry(resp, &answer)
+	return &answer, f.transmit(resp, &answer)
 }
 
-func (f *fleet) carry(from, to proto.Message) error {
+func (f *fleetTransport) transmit(from, to proto.Message) error {
 	data, err := proto.Marshal(from)
 	if err != nil {
 		return err
@@ -96,8 +96,8 @@
 	return proto.Unmarshal(data, to)
 }
 
-// member returns a controller as the gateway wires it.
-func member(self platform.Instance, transport controller.Transport) *controller.Controller {
+// newMember returns a controller as the gateway wires it.
+func newMember(self platform.Instance, transport controller.Transport) *controller.Controller {
 	config := controller.DefaultConfig(self)
 	config.Interval = settings.DefaultHeartbeat
 	return controller.New(config, controller.Deps{
@@ -111,24 +111,24 @@
 func runFleet(entries int) fleetFigures {
 	gateways, runners, domains := fleetOf(entries)
 	list := instances(gateways, runners, domains)
-	f := &fleet{byAddress: map[string]*controller.Controller{}}
+	f := &fleetTransport{byAddress: map[string]*controller.Controller{}}
 	members := make([]*controller.Controller, gateways)
-	memory := held(func() any {
+	memory := memoryHeldBy(func() any {
 		for i := range members {
-			members[i] = member(list[i], f)
+			members[i] = newMember(list[i], f)
 			f.byAddress[list[i].PeerAddress] = members[i]
 			members[i].ApplyList(list)
 		}
 		return members
 	})
-	loops := newBackground()
+	loops := newBackgroundLoops()
 	for _, m := range members {
 		loops.run(func(ctx context.Context) { _ = m.Run(ctx) })
 	}
-	loops.every(probeInterval, func() { observeAll(members, list[gateways:], domains) })
-	time.Sleep(fleetSettle)
+	loops.every(probeInterval, func() { reportLoads(members, list[gateways:], domains) })
+	time.Sleep(fleetSettleTime)
 	bytes, exchanges, began := f.bytes.Load(), f.exchanges.Load(), time.Now()
-	used := rate(fleetRun)
+	used := measureProcessorRate(fleetRunTime)
 	seconds := time.Since(began).Seconds()
 	bytes, exchanges = f.bytes.Load()-bytes, f.exchanges.Load()-exchanges
 	loops.stop()
@@ -142,20 +142,20 @@
 	}
 }
 
-// fleets are the figures by number of entries. TestFleets writes them: it runs
+// figuresBySize are the figures by number of entries. TestFleets writes them: it runs
 // the fleets in virtual time, so that a busy machine delays no heartbeat.
-type fleets map[int]fleetFigures
+type figuresBySize map[int]fleetFigures
 
-func readFleets(path string) (fleets, error) {
+func readFleets(path string) (figuresBySize, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var all fleets
+	var all figuresBySize
 	return all, json.Unmarshal(data, &all)
 }
 
-func (f fleets) write(path string) error {
+func (f figuresBySize) write(path string) error {
 	data, err := json.Marshal(f)
 	if err != nil {
 		return err
@@ -163,11 +163,11 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// observeAll tells the load of each upstream to its probers.
-func observeAll(members []*controller.Controller, runners []platform.Instance, domains int) {
+// reportLoads tells the load of each upstream to its probers.
+func reportLoads(members []*controller.Controller, runners []platform.Instance, domains int) {
 	now := time.Now()
 	for i, u := range runners {
-		for k := range probers {
+		for k := range probersPerUpstream {
 			// The members of a domain are domains places apart.
 			at := i%domains + domains*(i/domains+k)
 			members[at%len(members)].Observe(controller.Observation{
@@ -184,7 +184,7 @@
 func exchangeCost(lines int) (float64, error) {
 	gateways, runners, domains := fleetOf(entrySizes[len(entrySizes)-1])
 	list := instances(gateways, runners, domains)
-	m := member(list[0], &fleet{})
+	m := newMember(list[0], &fleetTransport{})
 	m.ApplyList(list)
 	req := &peerv1.ExchangeRequest{
 		From: string(list[domains].ID), Incarnation: uint64(list[domains].Incarnation),
@@ -193,8 +193,8 @@
 	}
 	req.Figures = figuresOf(list[gateways : gateways+lines])
 	var failed error
-	used := cost(func() {
-		resp, err := serve(m, req)
+	used := microsPerCall(func() {
+		resp, err := serveExchange(m, req)
 		if err != nil {
 			failed = err
 			return
@@ -222,8 +222,8 @@
 	return figures
 }
 
-// serve hands a heartbeat over as it would come from the network.
-func serve(m *controller.Controller, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
+// serveExchange hands a heartbeat over as it would come from the network.
+func serveExchange(m *controller.Controller, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	data, err := proto.Marshal(req)
 	if err != nil {
 		return nil, err
@@ -244,9 +244,9 @@
 func listCost(entries int) (float64, error) {
 	gateways, runners, domains := fleetOf(entries)
 	list := instances(gateways, runners, domains)
-	m := member(list[0], &fleet{})
+	m := newMember(list[0], &fleetTransport{})
 	m.ApplyList(list)
-	return cost(func() { m.ApplyList(list) }), nil
+	return microsPerCall(func() { m.ApplyList(list) }), nil
 }
 
 // The series of membership.
@@ -259,7 +259,7 @@
 	ListMerge      ID = "membership.list"
 )
 
-func membershipSeries(whole fleets) []Series {
+func membershipSeries(whole figuresBySize) []Series {
 	from := func(figure func(fleetFigures) float64) func(int) (float64, error) {
 		return func(entries int) (float64, error) {
 			f, ok := whole[entries]
@@ -275,17 +275,17 @@
 	const pkg = "controllers/membership"
 	sizes := append(slices.Clone(fleetSizes), entrySizes[len(entrySizes)-1])
 	return []Series{
-		{ID: FleetProcessor, What: "heartbeats of one gateway, without the network", Package: pkg, Size: "entries", Unit: MicrosPerSecond,
+		{ID: FleetProcessor, Description: "heartbeats of one gateway, without the network", Package: pkg, SizeUnit: "entries", Unit: MicrosPerSecond,
 			Sizes: sizes, Measure: from(func(f fleetFigures) float64 { return f.Processor })},
-		{ID: FleetBytes, What: "heartbeats of one gateway, in and out, messages only", Package: pkg, Size: "entries", Unit: BytesPerSecond,
+		{ID: FleetBytes, Description: "heartbeats of one gateway, in and out, messages only", Package: pkg, SizeUnit: "entries", Unit: BytesPerSecond,
 			Sizes: sizes, Measure: from(func(f fleetFigures) float64 { return f.Bytes })},
-		{ID: FleetExchanges, What: "heartbeats that one gateway sends", Package: pkg, Size: "entries", Unit: PerSecond,
+		{ID: FleetExchanges, Description: "heartbeats that one gateway sends", Package: pkg, SizeUnit: "entries", Unit: PerSecond,
 			Sizes: sizes, Measure: from(func(f fleetFigures) float64 { return f.Exchanges })},
-		{ID: FleetMemory, What: "table and published snapshot of one gateway", Package: pkg, Size: "entries", Unit: Bytes,
+		{ID: FleetMemory, Description: "table and published snapshot of one gateway", Package: pkg, SizeUnit: "entries", Unit: Bytes,
 			Sizes: sizes, Measure: from(func(f fleetFigures) float64 { return f.Memory })},
-		{ID: ExchangeCost, What: "one served heartbeat at 1020 entries", Package: pkg, Size: "changed lines", Unit: Microseconds,
+		{ID: ExchangeCost, Description: "one served heartbeat at 1020 entries", Package: pkg, SizeUnit: "changed lines", Unit: Microseconds,
 			Sizes: []int{0, 32, 64, 128}, Measure: exchangeCost},
-		{ID: ListMerge, What: "one merge of the platform's list", Package: "membership", Size: "entries", Unit: Microseconds,
+		{ID: ListMerge, Description: "one merge of the platform's list", Package: "membership", SizeUnit: "entries", Unit: Microseconds,
 			Sizes: entrySizes, Measure: listCost},
 	}
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -51,13 +51,13 @@
 func roleTable(lines Lines) string {
 	var b strings.Builder
 	b.WriteString("| role | figure | unit | today | target | kind | from |\n|---|---|---|---|---|---|---|\n")
-	for _, r := range roles() {
+	for _, r := range allRows() {
 		var from []string
-		for _, id := range r.from {
+		for _, id := range r.sources {
 			from = append(from, "`"+string(id)+"`")
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s |\n", r.role, r.what, r.unit,
-			figure(r.value(lines, Today())), figure(r.value(lines, Target())), r.kind, strings.Join(from, ", "))
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s |\n", r.role, r.description, r.unit,
+			figure(r.value(lines, Today())), figure(r.value(lines, Target())), r.origin, strings.Join(from, ", "))
 	}
 	return b.String()
 }
@@ -65,9 +65,9 @@
 func planTable(lines Lines) string {
 	var b strings.Builder
 	b.WriteString("| change | figure | unit | as built | with the change | from |\n|---|---|---|---|---|---|\n")
-	for _, p := range plans() {
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | `%s` |\n", p.change, p.what, p.unit,
-			figure(p.now(lines, Target())), figure(p.then(lines, Target())), p.from)
+	for _, p := range plannedChanges() {
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | `%s` |\n", p.change, p.description, p.unit,
+			figure(p.current(lines, Target())), figure(p.planned(lines, Target())), p.source)
 	}
 	return b.String()
 }
@@ -86,42 +86,42 @@
 		{totalBytes, BytesPerSecond, budgetBytes},
 		{totalAppends, PerSecond, budgetAppends},
 	} {
-		now, then := sum(lines, Today(), line.name, ""), sum(lines, Target(), line.name, "")
-		rest := sum(lines, Target(), line.name, "journal")
+		now, then := sumOfTotal(lines, Today(), line.name, ""), sumOfTotal(lines, Target(), line.name, "")
+		rest := sumOfTotal(lines, Target(), line.name, "journal")
 		fmt.Fprintf(&b, "| %s (%s) | %s | %s %s | %s %s | %s %s | %s |\n", line.name, line.unit, figure(line.budget),
-			figure(now), fits(now, line.budget), figure(then), fits(then, line.budget), figure(rest), fits(rest, line.budget),
-			largest(lines, line.name))
+			figure(now), budgetVerdict(now, line.budget), figure(then), budgetVerdict(then, line.budget), figure(rest), budgetVerdict(rest, line.budget),
+			largestParts(lines, line.name))
 	}
 	now, then := lines.at(InForce, Today().Gateways), lines.at(InForce, Target().Gateways)
 	fmt.Fprintf(&b, "| configuration in force everywhere, log without delay (%s) | %s | %s %s | %s %s | | |\n", Milliseconds,
-		figure(budgetInForce), figure(now), fits(now, budgetInForce), figure(then), fits(then, budgetInForce))
+		figure(budgetInForce), figure(now), budgetVerdict(now, budgetInForce), figure(then), budgetVerdict(then, budgetInForce))
 	return b.String()
 }
 
-func fits(value, budget float64) string {
+func budgetVerdict(value, budget float64) string {
 	if value <= budget {
 		return "ok"
 	}
 	return fmt.Sprintf("SHORT by %.1fx", value/budget)
 }
 
-// sum adds the rows of a total, without those of one role.
-func sum(lines Lines, s Size, of total, without string) float64 {
+// sumOfTotal adds the rows of a total, without those of one role.
+func sumOfTotal(lines Lines, s Size, of total, without string) float64 {
 	all := 0.0
-	for _, r := range roles() {
-		if r.sum == of && r.role != without {
+	for _, r := range allRows() {
+		if r.total == of && r.role != without {
 			all += r.value(lines, s)
 		}
 	}
 	return all
 }
 
-// largest names the parts of a total at the target, the largest two.
-func largest(lines Lines, of total) string {
+// largestParts names the parts of a total at the target, the largest two.
+func largestParts(lines Lines, of total) string {
 	var first, second row
 	var a, b float64
-	for _, r := range roles() {
-		if r.sum != of {
+	for _, r := range allRows() {
+		if r.total != of {
 			continue
 		}
 		v := r.value(lines, Target())
@@ -134,7 +134,7 @@
 		}
 	}
 	return fmt.Sprintf("breaks first: %s, %s (%s); then %s, %s (%s)",
-		first.role, first.what, figure(a), second.role, second.what, figure(b))
+		first.role, first.description, figure(a), second.role, second.description, figure(b))
 }
 
 func slopeTable(measured []*Line) string {
@@ -145,8 +145,8 @@
 		for _, p := range l.Points {
 			points = append(points, fmt.Sprintf("%s: %s", figure(p.X), figure(p.Y)))
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %s per %s | %.0f%% |\n", l.ID, l.What, l.Package, l.Unit,
-			strings.Join(points, ", "), figure(l.Base), figure(l.Slope), l.Size, 100*l.Residual)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %s per %s | %.0f%% |\n", l.ID, l.Description, l.Package, l.Unit,
+			strings.Join(points, ", "), figure(l.Base), figure(l.Slope), l.SizeUnit, 100*l.Residual)
 	}
 	return b.String()
 }
--- a/internal/capacity/plans.go
+++ b/internal/capacity/plans.go
@@ -22,15 +22,15 @@
 	plannedBlocks = 0.25
 )
 
-// change is one figure of a planned change.
-type change struct {
-	change, what string
+// plannedChange is one figure of a planned change.
+type plannedChange struct {
+	change, description string
 	unit         Unit
-	from         ID
-	now, then    func(Lines, Size) float64
+	source         ID
+	current, planned    func(Lines, Size) float64
 }
 
-func plans() []change {
+func plannedChanges() []plannedChange {
 	const (
 		partitions = "journal: 32 streams, each with one writer and one reader in each failure domain"
 		memory     = "journal: answers stay with two peers, entries packed"
@@ -39,26 +39,26 @@
 		published  = "probing: one publication a second"
 	)
 	interval := plannedStreams / float64(plannedAppends)
-	return []change{
+	return []plannedChange{
 		{partitions, "appends of all gateways", PerSecond, AppendsGateways,
-			func(l Lines, s Size) float64 { return s.appends(l) },
+			func(l Lines, s Size) float64 { return s.journalAppends(l) },
 			func(_ Lines, s Size) float64 { return min(plannedAppends, recordsPerKey*s.keyedCalls()) }},
 		{partitions, "longest wait of a claim for its append", Milliseconds, AppendsInterval,
 			func(Lines, Size) float64 { return 1000 * settings.DefaultBatchWait.Seconds() },
 			func(Lines, Size) float64 { return 1000 * interval }},
 		{partitions, "reading of one gateway", MicrosPerSecond, KeyProcessor,
-			value("journal", MicrosPerSecond), func(l Lines, s Size) float64 {
+			budgetFigure("journal", MicrosPerSecond), func(l Lines, s Size) float64 {
 				calls := s.keyedCalls() / plannedStreams
 				return calls*(l.slope(KeyProcessor)+recordsPerKey*l.slope(ReadWire)) + l.at(ReadWire, 0)/interval
 			}},
 		{partitions, "reading of one gateway", BytesPerSecond, ReadWireBytes,
-			value("journal", BytesPerSecond), func(l Lines, s Size) float64 {
+			budgetFigure("journal", BytesPerSecond), func(l Lines, s Size) float64 {
 				return recordsPerKey*s.keyedCalls()/plannedStreams*l.slope(ReadWireBytes) + l.at(ReadWireBytes, 0)/interval
 			}},
 		{partitions, "an hour of keys", Bytes, KeyMemory,
-			value("journal", Bytes), func(l Lines, s Size) float64 { return s.keysInWindow() / plannedStreams * l.slope(KeyMemory) }},
+			budgetFigure("journal", Bytes), func(l Lines, s Size) float64 { return s.keysInWindow() / plannedStreams * l.slope(KeyMemory) }},
 		{memory, "an hour of keys, with the streams above", Bytes, KeyMemory,
-			value("journal", Bytes), func(_ Lines, s Size) float64 { return s.keysInWindow() / plannedStreams * plannedKeyBytes }},
+			budgetFigure("journal", Bytes), func(_ Lines, s Size) float64 { return s.keysInWindow() / plannedStreams * plannedKeyBytes }},
 		{lists, "list", BytesPerSecond, ListWireBytes,
 			func(l Lines, s Size) float64 { return listsPerSecond * l.at(ListWireBytes, s.entries()) },
 			func(l Lines, s Size) float64 { return plannedLists * l.at(ListWireBytes, s.entries()) }},
@@ -73,12 +73,12 @@
 	}
 }
 
-// value returns the first figure of a role with a unit that counts in a
+// budgetFigure returns the first figure of a role with a unit that counts in a
 // budget.
-func value(role string, unit Unit) func(Lines, Size) float64 {
+func budgetFigure(role string, unit Unit) func(Lines, Size) float64 {
 	return func(l Lines, s Size) float64 {
-		for _, r := range roles() {
-			if r.role == role && r.unit == unit && r.sum != none {
+		for _, r := range allRows() {
+			if r.role == role && r.unit == unit && r.total != noTotal {
 				return r.value(l, s)
 			}
 		}
--- a/internal/capacity/probing.go
+++ b/internal/capacity/probing.go
@@ -19,8 +19,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// probingRun is how long the probing controller runs for one figure.
-const probingRun = 4 * time.Second
+// probingRunTime is how long the probing controller runs for one figure.
+const probingRunTime = 4 * time.Second
 
 // idleEngine answers at once with a report and without new cache events.
 type idleEngine struct {
@@ -60,7 +60,7 @@
 	board := blackboard.NewBoard()
 	config := controller.DefaultConfig(list[0])
 	config.Interval = settings.DefaultHeartbeat
-	members := controller.New(config, controller.Deps{Board: board, Transport: &fleet{}, Log: hclog.NewNullLogger()})
+	members := controller.New(config, controller.Deps{Board: board, Transport: &fleetTransport{}, Log: hclog.NewNullLogger()})
 	members.ApplyList(list)
 	// Gateways count as probers once they were heard of.
 	for _, g := range list[:gateways] {
@@ -74,10 +74,10 @@
 		Cache:      probing.NewCaches(cacheview.DefaultParams()),
 		Log:        hclog.NewNullLogger(),
 	})
-	loops := newBackground()
+	loops := newBackgroundLoops()
 	loops.run(func(ctx context.Context) { _ = probes.Run(ctx) })
 	time.Sleep(probeInterval / 2)
-	used := rate(probingRun)
+	used := measureProcessorRate(probingRunTime)
 	loops.stop()
 	return used, nil
 }
@@ -85,14 +85,14 @@
 // wireFigures are what one exchange over loopback costs.
 type wireFigures struct{ processor, bytes float64 }
 
-// wireCost measures calls over an HTTP server on loopback. Both ends are in
+// measureServer measures calls over an HTTP server on loopback. Both ends are in
 // this process; half of the processor time is taken for one end.
-func wireCost(l *loopback, call func() error) (wireFigures, error) {
+func measureServer(l *loopbackServer, call func() error) (wireFigures, error) {
 	defer l.close()
-	return wireCostOf(&l.bytes, call)
+	return measureWire(&l.bytes, call)
 }
 
-func wireCostOf(counted *atomic.Int64, call func() error) (wireFigures, error) {
+func measureWire(counted *atomic.Int64, call func() error) (wireFigures, error) {
 	const calls = 20
 	if err := call(); err != nil {
 		return wireFigures{}, err
@@ -105,7 +105,7 @@
 	}
 	bytes := float64(counted.Load()-before) / calls
 	var failed error
-	used := cost(func() {
+	used := microsPerCall(func() {
 		if err := call(); err != nil {
 			failed = err
 		}
@@ -121,14 +121,14 @@
 		Instance: "i-00000000000000001", Incarnation: 1_700_000_001, Running: 7, QueuedPrefillTokens: 900,
 		BatchTokens: 40000, Model: "spool-llm", Version: "2026-11", Age: time.Second, PrefillRate: 20000, Step: 20 * time.Millisecond,
 	}})
-	l, err := newLoopback(mux)
+	l, err := newLoopbackServer(mux)
 	if err != nil {
 		return wireFigures{}, err
 	}
 	dialer := connectupstream.NewDialer(nil)
 	defer dialer.Close()
 	engine := dialer.Engine(l.address)
-	return wireCost(l, func() error {
+	return measureServer(l, func() error {
 		if _, err := engine.Report(context.Background()); err != nil {
 			return err
 		}
@@ -141,13 +141,13 @@
 func listOverWire(entries int) (wireFigures, error) {
 	gateways, runners, domains := fleetOf(entries)
 	mux := http.NewServeMux()
-	connectplatform.Mount(mux, connectplatform.Services{Instances: listed(instances(gateways, runners, domains))})
-	l, err := newLoopback(mux)
+	connectplatform.Mount(mux, connectplatform.Services{Instances: instanceList(instances(gateways, runners, domains))})
+	l, err := newLoopbackServer(mux)
 	if err != nil {
 		return wireFigures{}, err
 	}
 	client := connectplatform.NewClient(transport.NewClient(transport.Options{}), l.url())
-	return wireCost(l, func() error {
+	return measureServer(l, func() error {
 		_, err := client.List(context.Background())
 		return err
 	})
@@ -163,14 +163,14 @@
 )
 
 func probingSeries() []Series {
-	probe, list := newShared(probeOverWire), newShared(listOverWire)
-	processor := func(s *shared[wireFigures]) func(int) (float64, error) {
+	probe, list := newMemoized(probeOverWire), newMemoized(listOverWire)
+	processor := func(s *memoized[wireFigures]) func(int) (float64, error) {
 		return func(n int) (float64, error) {
 			w, err := s.at(n)
 			return w.processor, err
 		}
 	}
-	bytes := func(s *shared[wireFigures]) func(int) (float64, error) {
+	bytes := func(s *memoized[wireFigures]) func(int) (float64, error) {
 		return func(n int) (float64, error) {
 			w, err := s.at(n)
 			return w.bytes, err
@@ -178,15 +178,15 @@
 	}
 	events := []int{0, 16, 64, 256}
 	return []Series{
-		{ID: ProbingLocal, What: "probing and publication of one gateway, without the network", Package: "controllers/probing", Size: "runners",
+		{ID: ProbingLocal, Description: "probing and publication of one gateway, without the network", Package: "controllers/probing", SizeUnit: "runners",
 			Unit: MicrosPerSecond, Sizes: []int{9, 100, 330, 690}, Measure: probingCost},
-		{ID: ProbeWire, What: "one probe of an engine over loopback, one end", Package: "upstream/connectupstream", Size: "cache events",
+		{ID: ProbeWire, Description: "one probe of an engine over loopback, one end", Package: "upstream/connectupstream", SizeUnit: "cache events",
 			Unit: Microseconds, Sizes: events, Measure: processor(probe)},
-		{ID: ProbeBytes, What: "one probe of an engine, both directions", Package: "upstream/connectupstream", Size: "cache events",
+		{ID: ProbeBytes, Description: "one probe of an engine, both directions", Package: "upstream/connectupstream", SizeUnit: "cache events",
 			Unit: Bytes, Sizes: events, Measure: bytes(probe)},
-		{ID: ListWire, What: "one read of the platform's list over loopback, one end", Package: "platform/connectplatform", Size: "entries",
+		{ID: ListWire, Description: "one read of the platform's list over loopback, one end", Package: "platform/connectplatform", SizeUnit: "entries",
 			Unit: Microseconds, Sizes: entrySizes, Measure: processor(list)},
-		{ID: ListWireBytes, What: "one read of the platform's list, both directions", Package: "platform/connectplatform", Size: "entries",
+		{ID: ListWireBytes, Description: "one read of the platform's list, both directions", Package: "platform/connectplatform", SizeUnit: "entries",
 			Unit: Bytes, Sizes: entrySizes, Measure: bytes(list)},
 	}
 }
--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -24,8 +24,8 @@
 // runnerSizes are numbers of runners: today's first, the last to be reached.
 var runnerSizes = []int{9, 100, 330, 690}
 
-// view is what routing sees of runners with empty or warm cache views.
-func view(runners int, now time.Time, blocks []uint64) []blackboard.Upstream {
+// upstreamView is what routing sees of runners with empty or warm cache views.
+func upstreamView(runners int, now time.Time, blocks []uint64) []blackboard.Upstream {
 	out := make([]blackboard.Upstream, runners)
 	for i := range out {
 		cache := cacheview.New(cacheview.DefaultParams(), now)
@@ -45,8 +45,8 @@
 	return out
 }
 
-// routingWorld is one service's router with a request.
-type routingWorld struct {
+// routingFixture is one service's router with a request.
+type routingFixture struct {
 	router *routing.Router
 	doc    *document.Document
 	views  [2][]blackboard.Upstream
@@ -54,10 +54,10 @@
 	now    time.Time
 }
 
-func newRoutingWorld(runners int) *routingWorld {
+func newRoutingFixture(runners int) *routingFixture {
 	now := time.Now()
 	text := strings.Repeat("dossier ", promptTokens*prompt.BytesPerToken/len("dossier "))
-	w := &routingWorld{
+	w := &routingFixture{
 		router: routing.New(routing.DefaultParams(), now.Add(-time.Minute)),
 		doc:    &document.Document{Service: service, Kind: document.Model},
 		now:    now,
@@ -67,21 +67,21 @@
 			Blocks: prompt.Blocks(text), PromptTokens: prompt.Tokens(text),
 		},
 	}
-	w.views[0] = view(runners, now, w.req.Blocks)
+	w.views[0] = upstreamView(runners, now, w.req.Blocks)
 	w.views[1] = slices.Clone(w.views[0])
 	return w
 }
 
 func decisionCost(runners int) (float64, error) {
-	w := newRoutingWorld(runners)
-	return cost(func() { w.router.Decide(w.doc, w.views[0], w.req, w.now) }), nil
+	w := newRoutingFixture(runners)
+	return microsPerCall(func() { w.router.Decide(w.doc, w.views[0], w.req, w.now) }), nil
 }
 
 // preparationCost is what the first decision on a new view costs more.
 func preparationCost(runners int) (float64, error) {
-	w := newRoutingWorld(runners)
+	w := newRoutingFixture(runners)
 	turn := 0
-	both := cost(func() {
+	both := microsPerCall(func() {
 		turn++
 		w.router.Decide(w.doc, w.views[turn%2], w.req, w.now)
 	})
@@ -91,15 +91,15 @@
 
 // routingMemory is what a gateway keeps to route to runners.
 func routingMemory(runners int) (float64, error) {
-	return held(func() any {
-		w := newRoutingWorld(runners)
+	return memoryHeldBy(func() any {
+		w := newRoutingFixture(runners)
 		w.router.Decide(w.doc, w.views[0], w.req, w.now)
 		return w
 	}), nil
 }
 
 func cacheMemory(runners int) (float64, error) {
-	return held(func() any {
+	return memoryHeldBy(func() any {
 		views := make([]*cacheview.View, runners)
 		for i := range views {
 			views[i] = cacheview.New(cacheview.DefaultParams(), time.Now())
@@ -116,13 +116,13 @@
 		ids = append(ids, runnerAt(i, 10).ID)
 	}
 	c.SetUpstreams(service, ids)
-	return cost(func() { c.SetUpstreams(service, ids) }), nil
+	return microsPerCall(func() { c.SetUpstreams(service, ids) }), nil
 }
 
 // accountSizes are numbers of client accounts.
 var accountSizes = []int{1, 10, 100, 1000}
 
-func accounts(n int) []admission.Request {
+func admissionRequests(n int) []admission.Request {
 	requests := make([]admission.Request, n)
 	for i := range requests {
 		name := ident.ClientAccount(fmt.Sprintf("client-account-%d", i))
@@ -155,9 +155,9 @@
 }
 
 func admissionCost(n int) (float64, error) {
-	c, requests := newAdmission(), accounts(n)
+	c, requests := newAdmission(), admissionRequests(n)
 	var failed error
-	used := cost(func() {
+	used := microsPerCall(func() {
 		if err := admitAll(c, requests); err != nil {
 			failed = err
 		}
@@ -166,9 +166,9 @@
 }
 
 func admissionMemory(n int) (float64, error) {
-	requests := accounts(n)
+	requests := admissionRequests(n)
 	var failed error
-	used := held(func() any {
+	used := memoryHeldBy(func() any {
 		c := newAdmission()
 		failed = admitAll(c, requests)
 		return c
@@ -182,7 +182,7 @@
 func blackboardCost(runners int) (float64, error) {
 	section := blackboard.NewSection(&blackboard.Upstreams{})
 	value := &blackboard.Upstreams{ByService: map[ident.Service][]blackboard.Upstream{service: make([]blackboard.Upstream, runners)}}
-	return cost(func() {
+	return microsPerCall(func() {
 		section.Publish(value)
 		_ = section.Value()
 	}), nil
@@ -202,21 +202,21 @@
 
 func routingSeries() []Series {
 	return []Series{
-		{ID: Decision, What: "one decision, prompt of 4096 tokens", Package: "routing", Size: "runners", Unit: Microseconds,
+		{ID: Decision, Description: "one decision, prompt of 4096 tokens", Package: "routing", SizeUnit: "runners", Unit: Microseconds,
 			Sizes: runnerSizes, Measure: decisionCost},
-		{ID: Preparation, What: "one new view of the runners", Package: "routing", Size: "runners", Unit: Microseconds,
+		{ID: Preparation, Description: "one new view of the runners", Package: "routing", SizeUnit: "runners", Unit: Microseconds,
 			Sizes: runnerSizes, Measure: preparationCost},
-		{ID: RoutingMemory, What: "views, cache views and slots of one service", Package: "routing, cacheview", Size: "runners", Unit: Bytes,
+		{ID: RoutingMemory, Description: "views, cache views and slots of one service", Package: "routing, cacheview", SizeUnit: "runners", Unit: Bytes,
 			Sizes: runnerSizes, Measure: routingMemory},
-		{ID: CacheMemory, What: "cache views", Package: "cacheview", Size: "runners", Unit: Bytes,
+		{ID: CacheMemory, Description: "cache views", Package: "cacheview", SizeUnit: "runners", Unit: Bytes,
 			Sizes: runnerSizes, Measure: cacheMemory},
-		{ID: SetUpstreams, What: "one new list of live upstreams", Package: "admission", Size: "runners", Unit: Microseconds,
+		{ID: SetUpstreams, Description: "one new list of live upstreams", Package: "admission", SizeUnit: "runners", Unit: Microseconds,
 			Sizes: runnerSizes, Measure: upstreamsCost},
-		{ID: Admission, What: "one request admitted and ended", Package: "admission", Size: "client accounts", Unit: Microseconds,
+		{ID: Admission, Description: "one request admitted and ended", Package: "admission", SizeUnit: "client accounts", Unit: Microseconds,
 			Sizes: accountSizes, Measure: admissionCost},
-		{ID: AdmissionMemory, What: "client accounts that were seen", Package: "admission", Size: "client accounts", Unit: Bytes,
+		{ID: AdmissionMemory, Description: "client accounts that were seen", Package: "admission", SizeUnit: "client accounts", Unit: Bytes,
 			Sizes: accountSizes, Measure: admissionMemory},
-		{ID: Blackboard, What: "one publication and one load of a section", Package: "blackboard", Size: "runners", Unit: Microseconds,
+		{ID: Blackboard, Description: "one publication and one load of a section", Package: "blackboard", SizeUnit: "runners", Unit: Microseconds,
 			Sizes: runnerSizes, Measure: blackboardCost},
 	}
 }
--- a/internal/capacity/streams.go
+++ b/internal/capacity/streams.go
@@ -28,7 +28,7 @@
 	g := tokens.NewRegistry(tokens.Engine{StopAt: uint32(count) + 1})
 	defer g.Close()
 	round := 0
-	used := cost(func() {
+	used := microsPerCall(func() {
 		var all sync.WaitGroup
 		for i := range streams {
 			all.Go(func() {
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var here, callers sync.WaitGroup
-	used := held(func() any {
+	used := memoryHeldBy(func() any {
 		for i := range streams {
 			here.Add(1)
 			callers.Go(func() {
@@ -73,9 +73,9 @@
 
 func streamSeries() []Series {
 	return []Series{
-		{ID: StreamCost, What: "one whole stream among 200, without the network", Package: "streaming", Size: "tokens", Unit: Microseconds,
+		{ID: StreamCost, Description: "one whole stream among 200, without the network", Package: "streaming", SizeUnit: "tokens", Unit: Microseconds,
 			Sizes: []int{64, 128, answerTokens, 1024}, Measure: tokensCost},
-		{ID: StreamMemory, What: "open streams at token 178, without buffers of the network", Package: "streaming", Size: "streams", Unit: Bytes,
+		{ID: StreamMemory, Description: "open streams at token 178, without buffers of the network", Package: "streaming", SizeUnit: "streams", Unit: Bytes,
 			Sizes: []int{50, 200, 800, 2000}, Measure: streamsMemory},
 	}
 }
--- a/internal/capacity/world.go
+++ b/internal/capacity/world.go
@@ -26,14 +26,14 @@
 	return ident.FailureDomain(fmt.Sprintf("tirol-hall-%c", 'a'+i%domains))
 }
 
-// name is a random-looking name of a platform's usual length, the same at
+// instanceName is a random-looking name of a platform's usual length, the same at
 // every run: numbers in a row would compress better than real names do.
-func name(kind string, i int) string {
+func instanceName(kind string, i int) string {
 	return fmt.Sprintf("%s-%016x", kind, xxhash.Sum64String(fmt.Sprint(kind, i)))
 }
 
-// address is a random-looking address.
-func address(kind string, i, port int) string {
+// socketAddress is a random-looking address.
+func socketAddress(kind string, i, port int) string {
 	h := xxhash.Sum64String(fmt.Sprint("address", kind, i))
 	return fmt.Sprintf("10.%d.%d.%d:%d", h>>16%256, h>>8%256, h%256, port)
 }
@@ -41,14 +41,14 @@
 // gatewayAt describes the i-th entry instance.
 func gatewayAt(i, domains int) platform.Instance {
 	return platform.Instance{
-		ID:            ident.Instance(name("g", i)),
+		ID:            ident.Instance(instanceName("g", i)),
 		Incarnation:   ident.Incarnation(1_700_000_000 + i),
 		Role:          platform.RoleEntry,
 		Region:        "tirol",
 		FailureDomain: domainOf(i, domains),
 		Class:         "entry-small",
-		Address:       address("g", i, 443),
-		PeerAddress:   address("g", i, 7000),
+		Address:       socketAddress("g", i, 443),
+		PeerAddress:   socketAddress("g", i, 7000),
 		State:         platform.Live,
 	}
 }
@@ -56,7 +56,7 @@
 // runnerAt describes the i-th engine.
 func runnerAt(i, domains int) platform.Instance {
 	return platform.Instance{
-		ID:            ident.Instance(name("i", i)),
+		ID:            ident.Instance(instanceName("i", i)),
 		Incarnation:   ident.Incarnation(1_700_000_000 + i),
 		Role:          platform.RoleEngine,
 		Service:       service,
@@ -64,7 +64,7 @@
 		FailureDomain: domainOf(i, domains),
 		Class:         "runner-large",
 		Reclaimable:   i%3 > 0,
-		Address:       address("i", i, 8000),
+		Address:       socketAddress("i", i, 8000),
 		State:         platform.Live,
 	}
 }
@@ -81,34 +81,34 @@
 	return list
 }
 
-// listed is a platform's list of instances.
-type listed []platform.Instance
+// instanceList is a platform's list of instances.
+type instanceList []platform.Instance
 
 // List implements platform.Instances.
-func (l listed) List(context.Context) ([]platform.Instance, error) { return l, nil }
+func (l instanceList) List(context.Context) ([]platform.Instance, error) { return l, nil }
 
-// loopback is an HTTP server on loopback that counts the bytes of its
+// loopbackServer is an HTTP server on loopback that counts the bytes of its
 // connections, in both directions and with all headers of HTTP.
-type loopback struct {
+type loopbackServer struct {
 	address string
 	bytes   atomic.Int64
 	server  *http.Server
 	served  sync.WaitGroup
 }
 
-func newLoopback(handler http.Handler) (*loopback, error) {
+func newLoopbackServer(handler http.Handler) (*loopbackServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &loopback{address: listener.Addr().String(), server: transport.NewServer(handler)}
+	l := &loopbackServer{address: listener.Addr().String(), server: transport.NewServer(handler)}
 	l.served.Go(func() { _ = l.server.Serve(&countingListener{Listener: listener, bytes: &l.bytes}) })
 	return l, nil
 }
 
-func (l *loopback) url() string { return "http://" + l.address }
+func (l *loopbackServer) url() string { return "http://" + l.address }
 
-func (l *loopback) close() {
+func (l *loopbackServer) close() {
 	_ = l.server.Close()
 	l.served.Wait()
 }
@@ -147,18 +147,18 @@
 	return n, err
 }
 
-// shared runs an expensive measurement once for each size and lets several
+// memoized runs an expensive measurement once for each size and lets several
 // series take a figure from it.
-type shared[T any] struct {
+type memoized[T any] struct {
 	run  func(size int) (T, error)
 	done map[int]T
 }
 
-func newShared[T any](run func(size int) (T, error)) *shared[T] {
-	return &shared[T]{run: run, done: map[int]T{}}
+func newMemoized[T any](run func(size int) (T, error)) *memoized[T] {
+	return &memoized[T]{run: run, done: map[int]T{}}
 }
 
-func (s *shared[T]) at(size int) (T, error) {
+func (s *memoized[T]) at(size int) (T, error) {
 	if r, ok := s.done[size]; ok {
 		return r, nil
 	}
@@ -169,25 +169,25 @@
 	return r, err
 }
 
-// background is a set of loops that end together.
-type background struct {
+// backgroundLoops is a set of loops that end together.
+type backgroundLoops struct {
 	cancel  context.CancelFunc
 	ctx     context.Context
 	running sync.WaitGroup
 }
 
-func newBackground() *background {
-	b := &background{}
+func newBackgroundLoops() *backgroundLoops {
+	b := &backgroundLoops{}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	return b
 }
 
-func (b *background) run(loop func(context.Context)) {
+func (b *backgroundLoops) run(loop func(context.Context)) {
 	b.running.Go(func() { loop(b.ctx) })
 }
 
 // every calls tick at an interval.
-func (b *background) every(interval time.Duration, tick func()) {
+func (b *backgroundLoops) every(interval time.Duration, tick func()) {
 	b.run(func(ctx context.Context) {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
@@ -202,7 +202,7 @@
 	})
 }
 
-func (b *background) stop() {
+func (b *backgroundLoops) stop() {
 	b.cancel()
 	b.running.Wait()
 }
