--- a/internal/capacity/all.go
+++ b/internal/capacity/all.go
@@ -6,19 +6,20 @@
 	"slices"
 )
 
-// All returns all series. fleetFile is what TestFleets wrote.
+// All returns all series. fleetFile is the file that TestFleets wrote.
 func All(fleetFile string) ([]Series, error) {
-	whole, err := readFleets(fleetFile)
+	fleets, err := readFleets(fleetFile)
 	if err != nil {
 		return nil, err
 	}
 	return slices.Concat(
-		membershipSeries(whole), probingSeries(), routingSeries(), configurationSeries(),
+		membershipSeries(fleets), probingSeries(), routingSeries(), configurationSeries(),
 		journalSeries(), controlSeries(), streamSeries(),
 	), nil
 }
 
-// Measure runs series one after the other and reports each as it ends.
+// Measure measures series one after the other and writes a line to progress after
+// each.
 func Measure(series []Series, progress io.Writer) ([]*Line, error) {
 	var lines []*Line
 	for _, s := range series {
@@ -33,8 +34,8 @@
 	return lines, nil
 }
 
-// figure prints three significant digits without an exponent where that is
-// readable.
+// figure formats a number with three significant digits, from 1000 on as a whole
+// number with separated thousands.
 func figure(v float64) string {
 	switch {
 	case v == 0:
@@ -45,7 +46,7 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// thousands separates the digits in threes.
+// thousands formats a number with its digits in groups of three.
 func thousands(n int64) string {
 	if n < 0 {
 		return "-" + thousands(-n)
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,11 +1,11 @@
-// Package capacity measures what the parts of the system cost as a function of
-// size, fits lines, and works out from them what each role costs at today's
-// sizes and at the sizes that the system has to reach. cmd/capacity writes the
-// results into docs/CAPACITY.md. It is a tool for development.
+// Package capacity measures what the parts of the system cost at several sizes,
+// fits a line to each cost, and computes from the lines what each role costs at
+// today's size and at the size that the system has to reach. cmd/capacity writes
+// the results into docs/CAPACITY.md. The package is a tool for development.
 //
-// Processor time is that of this process, user and system, by getrusage: wall
-// clock would also measure what else runs on the machine. Memory is what the
-// heap holds after a garbage collection.
+// Processor time is the user and system time of this process, by getrusage:
+// wall-clock time would include what else runs on the machine. Memory is the
+// memory in use after a garbage collection.
 package capacity
 
 import (
@@ -14,14 +14,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
-// Unit is the unit of a measured figure.
+// Unit is the unit of a figure, as the page prints it.
 type Unit string
 
-// The units.
 const (
 	Microseconds Unit = "us CPU"
-	// MicrosPerSecond is processor time of a running part: 10000 is 1% of a
-	// core.
+	// MicrosPerSecond is the processor time that a running component uses per
+	// second: 10000 is 1% of a core.
 	MicrosPerSecond Unit = "us CPU/s"
 	Bytes           Unit = "B"
 	BytesPerSecond  Unit = "B/s"
@@ -29,36 +28,37 @@
 	Milliseconds    Unit = "ms"
 )
 
-// ID names a series.
+// ID identifies a series.
 type ID string
 
 // Series is one figure measured at several sizes.
 type Series struct {
 	ID ID
-	// Description is measured, by which code, against what size.
+	// Description says what is measured, Package which package does the work,
+	// and SizeUnit what Sizes count.
 	Description, Package, SizeUnit string
-	Unit                Unit
-	Sizes               []int
+	Unit                           Unit
+	Sizes                          []int
 	// Measure returns the figure at one size.
 	Measure func(size int) (float64, error)
 }
 
-// Point is one measurement.
+// Point is one measurement: the figure Y at the size X.
 type Point struct{ X, Y float64 }
 
-// Line is a fitted series.
+// Line is a measured series with the line fitted to its points.
 type Line struct {
 	Series
 	Points []Point
-	// Base and Slope: the figure is about Base + Slope * size.
+	// The figure is about Base + Slope * size.
 	Base, Slope float64
-	// Residual is the standard deviation of the points around the line as a
-	// share of the largest point.
+	// Residual is the standard deviation of the points from the line, as a
+	// fraction of the largest figure.
 	Residual float64
 }
 
-// At returns the figure at a size: between measured sizes what lies between
-// their figures, and beyond them what the line gives.
+// At returns the figure at a size: interpolated between measured sizes, and taken
+// from the fitted line beyond them.
 func (l *Line) At(size float64) float64 {
 	for i := 1; i < len(l.Points); i++ {
 		low, high := l.Points[i-1], l.Points[i]
@@ -84,7 +84,7 @@
 }
 
 func (l *Line) fit() {
-	var xs, ys, rest []float64
+	var xs, ys, residuals []float64
 	highest := 0.0
 	for _, p := range l.Points {
 		xs, ys = append(xs, p.X), append(ys, p.Y)
@@ -92,17 +92,18 @@
 	}
 	l.Base, l.Slope = stat.LinearRegression(xs, ys, nil, false)
 	for _, p := range l.Points {
-		rest = append(rest, p.Y-l.Base-l.Slope*p.X)
+		residuals = append(residuals, p.Y-l.Base-l.Slope*p.X)
 	}
 	if highest > 0 {
-		l.Residual = stat.StdDev(rest, nil) / highest
+		l.Residual = stat.StdDev(residuals, nil) / highest
 	}
 }
 
-// Lines are all measured lines.
+// Lines are the measured lines by series.
 type Lines map[ID]*Line
 
-// at returns a figure. A line that is missing is a fault of this package.
+// at returns a series' figure at a size. It panics if the series is missing, which
+// is a bug in this package.
 func (l Lines) at(id ID, size float64) float64 {
 	line, ok := l[id]
 	if !ok {
@@ -111,7 +112,8 @@
 	return line.At(size)
 }
 
-// slope returns what one more of the size costs.
+// slope returns by how much a series' figure grows per unit of size. It panics if
+// the series is missing.
 func (l Lines) slope(id ID) float64 {
 	line, ok := l[id]
 	if !ok {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -6,8 +6,8 @@
 )
 
 func TestLine(t *testing.T) {
-	heights := map[int]float64{0: 5, 10: 25, 20: 45, 40: 85}
-	line, err := Run(Series{Sizes: []int{0, 10, 20, 40}, Measure: func(n int) (float64, error) { return heights[n], nil }})
+	figures := map[int]float64{0: 5, 10: 25, 20: 45, 40: 85}
+	line, err := Run(Series{Sizes: []int{0, 10, 20, 40}, Measure: func(n int) (float64, error) { return figures[n], nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -18,11 +18,12 @@
 )
 
 const (
-	// documentAccounts and documentDomains size a document for the letter's
-	// system: client accounts with limits of their own, and prices.
+	// documentAccounts and documentDomains are the numbers of client accounts with
+	// their own limits, and of failure domains with prices, in a document of the
+	// system's target size.
 	documentAccounts = 20
 	documentDomains  = 10
-	// timedChanges is how many changes are timed.
+	// timedChanges is how many changes timeUntilInForce measures.
 	timedChanges = 3
 )
 
@@ -54,7 +55,8 @@
 	})
 }
 
-// foldedDocuments is a process's configuration with a number of documents.
+// foldedDocuments is the configuration that a process has after it has read a number of
+// documents.
 type foldedDocuments struct {
 	state document.State
 	set   *document.Set
@@ -79,6 +81,7 @@
 	return f, nil
 }
 
+// documentMemory returns the memory of a number of documents.
 func documentMemory(documents int) (float64, error) {
 	var err error
 	used := memoryHeldBy(func() any {
@@ -89,7 +92,8 @@
 	return used, err
 }
 
-// changeCost is one change among a number of documents: fold and new set.
+// changeCost returns the cost of one change among a number of documents: to fold the record
+// and to build the new set.
 func changeCost(documents int) (float64, error) {
 	f, err := foldDocuments(documents)
 	if err != nil {
@@ -106,7 +110,7 @@
 	}), nil
 }
 
-// snapshotBytes is the record that keeps all documents.
+// snapshotBytes returns the size of the snapshot record of a number of documents.
 func snapshotBytes(documents int) (float64, error) {
 	f, err := foldDocuments(documents)
 	if err != nil {
@@ -116,8 +120,8 @@
 	return float64(len(data)), err
 }
 
-// timeUntilInForce is the longest time from an append until all processes serve by it,
-// with a log that answers at once.
+// timeUntilInForce returns the longest time in milliseconds from the append of a change until
+// all processes use the changed configuration. The log answers at once.
 func timeUntilInForce(processes int) (float64, error) {
 	log := logstore.New(logstore.Options{})
 	loops := newBackgroundLoops()
@@ -134,7 +138,7 @@
 	}
 	longest := time.Duration(0)
 	for i := range timedChanges {
-		// The processes are waiting at the log's head by then.
+		// By then the processes wait at the log's head.
 		time.Sleep(300 * time.Millisecond)
 		data, err := publication(serviceAt(i), 0)
 		if err != nil {
@@ -153,7 +157,7 @@
 	return longest.Seconds() * 1000, nil
 }
 
-// awaitRevision waits until all processes serve by a revision.
+// awaitRevision waits until all processes use a revision, at most 10 s.
 func awaitRevision(sections []*blackboard.Section[*document.Set], wanted ident.Revision) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -170,7 +174,7 @@
 	return nil
 }
 
-// The series of configuration.
+// The series of the configuration.
 const (
 	ChangeCost     ID = "configuration.cpu"
 	DocumentMemory ID = "configuration.memory"
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -15,17 +15,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/logstore"
 )
 
-// Leases are measured with all times a tenth of the defaults, and the rates
-// divided by ten.
 const (
+	// leaseSpeedup divides all times of the leases, so that a measurement takes
+	// less time. The measured rates are divided by it as well.
 	leaseSpeedup = 10
-	leaseRunTime   = 3 * time.Second
+	leaseRunTime = 3 * time.Second
 )
 
-// leaseAppends runs one holder of a number of leases.
+// leaseAppends returns the appends per second of one holder of a number of leases.
 func leaseAppends(leases int) (float64, error) {
 	log := logstore.New(logstore.Options{})
-	m := lease.New(lease.Config{
+	manager := lease.New(lease.Config{
 		Holder:     lease.NewHolder("g-1", 1),
 		Length:     lease.DefaultLength / leaseSpeedup,
 		Margin:     lease.DefaultMargin / leaseSpeedup,
@@ -36,15 +36,15 @@
 	for i := range leases {
 		wanted = append(wanted, lease.Wanted{Name: lease.Name{Service: serviceAt(i), FailureDomain: domainOf(0, 10)}})
 	}
-	m.Want(wanted)
+	manager.Want(wanted)
 	loops := newBackgroundLoops()
-	loops.run(m.Run)
+	loops.run(manager.Run)
 	defer loops.stop()
 	deadline := time.Now().Add(3 * time.Second)
-	for len(m.Held()) < leases && time.Now().Before(deadline) {
+	for len(manager.Held()) < leases && time.Now().Before(deadline) {
 		time.Sleep(20 * time.Millisecond)
 	}
-	if held := len(m.Held()); held < leases {
+	if held := len(manager.Held()); held < leases {
 		return 0, fmt.Errorf("%d of %d leases held", held, leases)
 	}
 	before, began := log.Appends(), time.Now()
@@ -52,7 +52,7 @@
 	return float64(log.Appends()-before) / time.Since(began).Seconds() / leaseSpeedup, nil
 }
 
-// planCost is one plan of a fleet in a steady state.
+// planCost returns the cost of one plan for a fleet in a steady state.
 func planCost(runners int) (float64, error) {
 	actual := planner.Actual{Service: service, Holder: 7, Demand: 0.7 * float64(runners)}
 	placement := document.Placement{Min: 2, Max: 2 * runners, OnDemandShare: 0.32}
@@ -74,7 +74,7 @@
 	return microsPerCall(func() { planner.Plan(actual, planner.Wanted{Placement: placement}, now) }), nil
 }
 
-// echoHeartbeats answers a heartbeat with as many lines as it brought.
+// echoHeartbeats answers a heartbeat with the lines that it contains.
 type echoHeartbeats struct{}
 
 // Exchange implements peer.Heartbeats.
@@ -82,7 +82,8 @@
 	return &peerv1.ExchangeResponse{From: req.From, Figures: req.Figures, Position: req.Position}, nil
 }
 
-// heartbeatOverWire is one exchange over gRPC with lines in both directions.
+// heartbeatOverWire returns the cost of one exchange over gRPC with a number of lines in each
+// direction.
 func heartbeatOverWire(lines int) (wireFigures, error) {
 	server, err := peer.NewServer(peer.Handlers{Heartbeats: echoHeartbeats{}}, peer.TLSFiles{})
 	if err != nil {
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// minMeasuredTime is the least processor time of one measurement, so that the
-	// clock's resolution does not matter.
+	// minMeasuredTime is the least processor time of one measurement. With less,
+	// the clock's resolution would matter.
 	minMeasuredTime = 30 * time.Millisecond
-	// repetitions is how often a measurement is made; the least counts, since
-	// what else runs on the machine only adds.
+	// repetitions is how often a measurement is made. The least result counts,
+	// since what else runs on the machine can only add to it.
 	repetitions = 3
 )
 
-// processorTime returns the processor time that this process has used.
+// processorTime returns the processor time that this process has used so far.
 func processorTime() time.Duration {
 	used, err := procstat.Processor()
 	if err != nil {
@@ -25,7 +25,8 @@
 	return used
 }
 
-// microsPerCall returns the processor time of one call of op, in microseconds.
+// microsPerCall returns the processor time of one call of op in microseconds. It
+// calls op once before it measures.
 func microsPerCall(op func()) float64 {
 	op()
 	count := 1
@@ -43,6 +44,7 @@
 	return micros(least) / float64(count)
 }
 
+// processorTimeOf returns the processor time of count calls of op.
 func processorTimeOf(op func(), count int) time.Duration {
 	before := processorTime()
 	for range count {
@@ -53,7 +55,8 @@
 
 func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// memoryHeldBy returns the bytes of heap that what build returns holds.
+// memoryHeldBy returns how many bytes of memory the value that build returns keeps in
+// use.
 func memoryHeldBy(build func() any) float64 {
 	before := memoryInUse()
 	kept := build()
@@ -62,14 +65,14 @@
 	return max(0, float64(after-before))
 }
 
-// memoryInUse returns heap and stacks in use after garbage collection.
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() int64 {
 	heap, stacks := procstat.Memory()
 	return heap + stacks
 }
 
-// measureProcessorRate runs for a time and returns the processor time of this process, in
-// microseconds for each second of the run.
+// measureProcessorRate waits for the given time and returns the processor time that this
+// process used meanwhile, in microseconds per second.
 func measureProcessorRate(run time.Duration) float64 {
 	began, before := time.Now(), processorTime()
 	time.Sleep(run)
--- a/internal/capacity/fleet_test.go
+++ b/internal/capacity/fleet_test.go
@@ -9,15 +9,16 @@
 	"testing/synctest"
 )
 
-// fleetFile is where TestFleets writes the figures of fleets of all sizes.
+// fleetFile names the file to which TestFleets writes the figures of fleets of all sizes.
 var fleetFile = flag.String("fleets", "", "file for the figures of fleets of all sizes")
 
-// target adds the fleet of the target's size, which takes over two minutes.
+// target makes TestFleets run the fleet of the target's size as well, which takes over two
+// minutes.
 var target = flag.Bool("target", false, "run the fleet of the target's size as well")
 
-// TestMain runs the small fleet on one processor: the race detector of Go 1.26
-// crashes when two threads run timers of a synctest bubble at once; see
-// controllers/membership. The large fleets run without it.
+// TestMain runs the small fleet on one processor: the race detector of Go 1.26 crashes if two
+// threads run timers of a synctest bubble at once; see controllers/membership. The large fleets
+// run without the race detector and on all processors.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if *fleetFile == "" && !*target {
@@ -26,11 +27,11 @@
 	os.Exit(m.Run())
 }
 
-// controlBytes is the budget of a node in bytes a second.
+// controlBytes is the budget of control traffic of one node, in bytes per second.
 const controlBytes = 24_000
 
 // TestFleets runs whole fleets of membership controllers in virtual time.
-// Heartbeats at today's size have to stay within the budget.
+// At today's size the heartbeats must stay within the budget.
 func TestFleets(t *testing.T) {
 	sizes := fleetSizes[:1]
 	if *fleetFile != "" {
--- a/internal/capacity/journal.go
+++ b/internal/capacity/journal.go
@@ -27,21 +27,22 @@
 )
 
 const (
-	// answerBytes is the length of a call's answer.
+	// answerBytes is the length of a call's answer in bytes.
 	answerBytes = 256
-	// recordsPerKey are a claim and an outcome.
+	// recordsPerKey is the number of records of a key: a claim and an outcome.
 	recordsPerKey = 2
-	// journalRunTime is how long coordinators run for one figure.
+	// journalRunTime is how long the appends of coordinators are counted.
 	journalRunTime = 4 * time.Second
-	// callRate is the keyed calls a second of one gateway in that run: a
-	// fifth of the requests that a gateway of 330 gets.
+	// callRate is how many keyed calls per second a gateway receives meanwhile:
+	// a fifth of the requests of one gateway of 330.
 	callRate = 2.5
-	// busyRate is that of a gateway under a rush, and busyGateways how many
-	// there are, as today.
+	// busyRate is the same in a load spike, and busyGateways the number of gateways
+	// then, which is today's.
 	busyRate     = 25
 	busyGateways = 8
 )
 
+// newClaim returns the i-th claim, with a new key and issued at the given time.
 func newClaim(i int, at time.Time) journal.Claim {
 	key := ident.CallKey{Service: app, Account: ident.ClientAccount(fmt.Sprintf("client-account-%d", i%50)), Key: ident.Key(uuid.NewString())}
 	target := gatewayAt(i%20, 10)
@@ -71,7 +72,7 @@
 	return records, nil
 }
 
-// foldAll reads records as a gateway does.
+// foldAll decodes and folds records as a gateway does.
 func foldAll(records [][]byte) (*fold.Fold, error) {
 	f := fold.New(false)
 	now := time.Now()
@@ -85,6 +86,7 @@
 	return f, nil
 }
 
+// foldMemory returns the memory of a fold with a number of keys.
 func foldMemory(keys int) (float64, error) {
 	records, err := keyRecords(keys)
 	if err != nil {
@@ -95,11 +97,12 @@
 		f, err = foldAll(records)
 		return f
 	})
-	// They count on both sides of the measurement.
+	// The records must be in use both before and after the measurement.
 	runtime.KeepAlive(records)
 	return used, err
 }
 
+// foldCost returns the cost of decoding and folding the records of a number of keys.
 func foldCost(keys int) (float64, error) {
 	records, err := keyRecords(keys)
 	if err != nil {
@@ -108,7 +111,7 @@
 	return microsPerCall(func() { _, err = foldAll(records) }), err
 }
 
-// readOverWire is one read of the log that returns a number of journal
+// readOverWire returns the cost of one read of the log that returns a number of journal
 // records.
 func readOverWire(records int) (wireFigures, error) {
 	log := logstore.New(logstore.Options{})
@@ -134,7 +137,7 @@
 	})
 }
 
-// instantDispatcher dispatches every call to one place that answers at once.
+// instantDispatcher sends every call to the same upstream, which answers at once.
 type instantDispatcher struct{ answer []byte }
 
 // Pick implements calls.Dispatcher.
@@ -153,8 +156,8 @@
 	return upstream.FindResult{State: upstream.Absent}, nil
 }
 
-// measureAppends runs gateways' coordinators over one log, each with its own
-// calls, and returns the appends a second of all.
+// measureAppends runs the call coordinators of several gateways on one log, each with its
+// own calls, and returns the appends per second of all together.
 func measureAppends(gateways int, perSecond float64, interval time.Duration) (float64, error) {
 	log := logstore.New(logstore.Options{})
 	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{app: {Document: &document.Document{
@@ -176,7 +179,7 @@
 					return
 				}
 			}
-			// Gateways start apart, as their callers do.
+			// Gateways start at different times, as their callers do.
 			time.Sleep(time.Duration(float64(time.Second) / perSecond * float64(i) / float64(gateways)))
 			sendCalls(ctx, c, perSecond, &failures)
 		})
@@ -194,7 +197,8 @@
 	return float64(appends) / took.Seconds(), failed
 }
 
-// sendCalls sends calls at a steady rate, each in a goroutine of its own.
+// sendCalls sends calls at a steady rate until ctx is done, each in a goroutine of its own.
+// It stores the messages of failed calls in failures.
 func sendCalls(ctx context.Context, c *calls.Coordinator, perSecond float64, failures *sync.Map) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -218,11 +222,13 @@
 	}
 }
 
+// appendsByGateways returns the appends per second of a number of gateways.
 func appendsByGateways(gateways int) (float64, error) {
 	return measureAppends(gateways, callRate, settings.DefaultBatchWait)
 }
 
-// appendsByInterval takes the batches a second that one partition allows.
+// appendsByInterval returns the appends per second of busy gateways that append at most so
+// many batches per second to a partition.
 func appendsByInterval(batches int) (float64, error) {
 	return measureAppends(busyGateways, busyRate, time.Second/time.Duration(batches))
 }
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -21,30 +21,34 @@
 )
 
 const (
-	// fleetSettleTime lets the first digests pass: a session with a peer that was
-	// never met begins with the facts of up to 30 s. fleetRun is one round of
-	// the slowest refresh.
+	// fleetSettleTime excludes the first digests from the measurement: the first
+	// exchange with a peer contains the facts of up to 30 s. fleetRunTime is one
+	// round of the slowest refresh.
 	fleetSettleTime = 34 * time.Second
 	fleetRunTime    = 10 * time.Second
-	// probersPerUpstream is how many gateways tell the load of an upstream.
+	// probersPerUpstream is how many gateways probe an upstream and report its
+	// load.
 	probersPerUpstream = 2
-	// probeInterval is that of package probing.
+	// probeInterval is the interval of probes in package probing.
 	probeInterval = time.Second
 )
 
-// entrySizes are numbers of entries, gateways and upstreams together; see
-// fleetOf. The first is today's, the last the one to be reached.
+// entrySizes are numbers of entries, which are gateways and upstreams together; fleetOf
+// divides them. The first is today's size, the last the target's.
 var entrySizes = []int{21, 102, 306, 1020}
 
-// fleetSizes are those at which a whole fleet runs. 1020 entries take over two
-// minutes: at the start every gateway meets every other one with all its facts.
+// fleetSizes are the numbers of entries at which TestFleets runs a whole fleet by default.
+// 1020 entries take over two minutes, since at the start every gateway sends all its facts to
+// every other gateway.
 var fleetSizes = []int{21, 102, 306, 612}
 
-// recordedFleet is the fleet of the target's size, 330 gateways and 690 runners, as
-// make capacity-fleet gave it. It stands in where a run leaves that size out.
+// recordedFleet are the figures of the fleet of the target's size, 330 gateways and 690
+// runners, as `make capacity-fleet` measured them. They are used if the file of TestFleets
+// does not contain that size.
 var recordedFleet = fleetFigures{Processor: 5231, Bytes: 9868, Exchanges: 10.06, Memory: 769_817}
 
-// fleetOf splits a number of entries.
+// fleetOf returns how many gateways, runners and failure domains a fleet with a number of
+// entries has.
 func fleetOf(entries int) (gateways, runners, domains int) {
 	if entries == entrySizes[0] {
 		return 8, entries - 8, 4
@@ -53,16 +57,16 @@
 	return gateways, entries - gateways, 10
 }
 
-// fleetFigures are what one gateway of a fleet costs.
+// fleetFigures are the costs of one gateway of a fleet.
 type fleetFigures struct {
-	// Processor in microseconds a second; Bytes and Exchanges a second.
+	// Processor is in microseconds per second, Bytes and Exchanges are per second.
 	Processor, Bytes, Exchanges float64
-	// Memory in bytes.
+	// Memory is in bytes.
 	Memory float64
 }
 
-// fleetTransport is many real membership controllers in this process. Messages are
-// encoded and decoded, but travel without a network.
+// fleetTransport connects membership controllers in this process without a network.
+// Messages are encoded and decoded, and their bytes are counted.
 type fleetTransport struct {
 	byAddress        map[string]*controller.Controller
 	bytes, exchanges atomic.Int64
@@ -87,6 +91,7 @@
 	return &answer, f.transmit(resp, &answer)
 }
 
+// transmit encodes one message and decodes it into the other.
 func (f *fleetTransport) transmit(from, to proto.Message) error {
 	data, err := proto.Marshal(from)
 	if err != nil {
@@ -96,7 +101,7 @@
 	return proto.Unmarshal(data, to)
 }
 
-// newMember returns a controller as the gateway wires it.
+// newMember returns a membership controller that is set up as a gateway's.
 func newMember(self platform.Instance, transport controller.Transport) *controller.Controller {
 	config := controller.DefaultConfig(self)
 	config.Interval = settings.DefaultHeartbeat
@@ -107,7 +112,7 @@
 	})
 }
 
-// runFleet runs a whole fleet in steady state and divides by its gateways.
+// runFleet runs a fleet in a steady state and returns the mean costs of a gateway.
 func runFleet(entries int) fleetFigures {
 	gateways, runners, domains := fleetOf(entries)
 	list := instances(gateways, runners, domains)
@@ -135,14 +140,14 @@
 	n := float64(gateways)
 	return fleetFigures{
 		Processor: used / n,
-		// Each message costs two gateways.
+		// Each message costs the gateway that sends it and the one that receives it.
 		Bytes:     2 * float64(bytes) / seconds / n,
 		Exchanges: float64(exchanges) / seconds / n,
 		Memory:    memory / n,
 	}
 }
 
-// figuresBySize are the figures by number of entries. TestFleets writes them: it runs
+// figuresBySize are fleets' figures by number of entries. TestFleets writes them: it runs
 // the fleets in virtual time, so that a busy machine delays no heartbeat.
 type figuresBySize map[int]fleetFigures
 
@@ -163,12 +168,13 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// reportLoads tells the load of each upstream to its probers.
+// reportLoads reports the load of each runner to the members that probe it.
 func reportLoads(members []*controller.Controller, runners []platform.Instance, domains int) {
 	now := time.Now()
 	for i, u := range runners {
 		for k := range probersPerUpstream {
-			// The members of a domain are domains places apart.
+			// Members of the same domain have indexes that differ by a multiple of
+			// domains.
 			at := i%domains + domains*(i/domains+k)
 			members[at%len(members)].Observe(controller.Observation{
 				Instance:    u.ID,
@@ -179,8 +185,8 @@
 	}
 }
 
-// exchangeCost is one served heartbeat with a number of changed lines, at a
-// table of the largest size: merge, publication, digest and checksum.
+// exchangeCost returns the cost of serving one heartbeat with a number of changed lines,
+// with a table of the largest size: merge, publication, digest and checksum.
 func exchangeCost(lines int) (float64, error) {
 	gateways, runners, domains := fleetOf(entrySizes[len(entrySizes)-1])
 	list := instances(gateways, runners, domains)
@@ -199,7 +205,7 @@
 			failed = err
 			return
 		}
-		// The next heartbeat tells that this answer came.
+		// The next heartbeat acknowledges this answer.
 		req.Position.AcknowledgedEpoch = resp.Position.Epoch
 		req.Position.AcknowledgedSequence = resp.Position.Sequence
 		req.Position.AcknowledgedFigures = resp.Position.FiguresSequence
@@ -208,7 +214,7 @@
 	return used, failed
 }
 
-// figuresOf are the figures of runners as a digest carries them.
+// figuresOf returns load figures of runners as a digest contains them.
 func figuresOf(runners []platform.Instance) *peerv1.Figures {
 	figures := &peerv1.Figures{}
 	for i, u := range runners {
@@ -222,7 +228,8 @@
 	return figures
 }
 
-// serveExchange hands a heartbeat over as it would come from the network.
+// serveExchange lets a member serve a heartbeat, with both messages encoded and decoded as
+// for the network.
 func serveExchange(m *controller.Controller, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	data, err := proto.Marshal(req)
 	if err != nil {
@@ -240,7 +247,7 @@
 	return resp, err
 }
 
-// listCost is one merge of the platform's list, which changes nothing.
+// listCost returns the cost of merging a platform's list that changes nothing.
 func listCost(entries int) (float64, error) {
 	gateways, runners, domains := fleetOf(entries)
 	list := instances(gateways, runners, domains)
@@ -259,10 +266,10 @@
 	ListMerge      ID = "membership.list"
 )
 
-func membershipSeries(whole figuresBySize) []Series {
+func membershipSeries(fleets figuresBySize) []Series {
 	from := func(figure func(fleetFigures) float64) func(int) (float64, error) {
 		return func(entries int) (float64, error) {
-			f, ok := whole[entries]
+			f, ok := fleets[entries]
 			if !ok && entries == entrySizes[len(entrySizes)-1] {
 				f, ok = recordedFleet, true
 			}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -8,13 +8,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
+// The comments in a page between which a generated part stands.
 const (
 	beginMark = "<!-- begin generated: %s -->\n"
 	endMark   = "<!-- end generated: %s -->\n"
 )
 
-// WritePage rewrites the generated parts of a page. what describes the run.
-func WritePage(path string, measured []*Line, what string) error {
+// WritePage rewrites the generated parts of a page. runDescription says when and where the
+// lines were measured.
+func WritePage(path string, measured []*Line, runDescription string) error {
 	lines := Lines{}
 	for _, l := range measured {
 		lines[l.ID] = l
@@ -28,7 +30,7 @@
 		"budget": budgetTable(lines),
 		"roles":  roleTable(lines),
 		"plans":  planTable(lines),
-		"slopes": what + "\n\n" + slopeTable(measured),
+		"slopes": runDescription + "\n\n" + slopeTable(measured),
 	} {
 		if page, err = replacePart(page, name, text); err != nil {
 			return err
@@ -37,7 +39,8 @@
 	return errcode.Wrap(errcode.Internal, os.WriteFile(path, []byte(page), 0o644), "write page")
 }
 
-// replacePart replaces what stands between the markers of a name.
+// replacePart replaces the text between the marks of a generated part. It fails if the page
+// has no such part.
 func replacePart(page, name, text string) (string, error) {
 	begin, end := fmt.Sprintf(beginMark, name), fmt.Sprintf(endMark, name)
 	head, rest, ok := strings.Cut(page, begin)
@@ -72,7 +75,8 @@
 	return b.String()
 }
 
-// budgetTable sums the rows of each budget, and says which parts break it.
+// budgetTable compares each total with its budget and names the two largest parts of the
+// total.
 func budgetTable(lines Lines) string {
 	var b strings.Builder
 	b.WriteString("| line | budget | today | target | target without the journal | verdict |\n|---|---|---|---|---|---|\n")
@@ -86,15 +90,15 @@
 		{totalBytes, BytesPerSecond, budgetBytes},
 		{totalAppends, PerSecond, budgetAppends},
 	} {
-		now, then := sumOfTotal(lines, Today(), line.name, ""), sumOfTotal(lines, Target(), line.name, "")
-		rest := sumOfTotal(lines, Target(), line.name, "journal")
+		atToday, atTarget := sumOfTotal(lines, Today(), line.name, ""), sumOfTotal(lines, Target(), line.name, "")
+		withoutJournal := sumOfTotal(lines, Target(), line.name, "journal")
 		fmt.Fprintf(&b, "| %s (%s) | %s | %s %s | %s %s | %s %s | %s |\n", line.name, line.unit, figure(line.budget),
-			figure(now), budgetVerdict(now, line.budget), figure(then), budgetVerdict(then, line.budget), figure(rest), budgetVerdict(rest, line.budget),
+			figure(atToday), budgetVerdict(atToday, line.budget), figure(atTarget), budgetVerdict(atTarget, line.budget), figure(withoutJournal), budgetVerdict(withoutJournal, line.budget),
 			largestParts(lines, line.name))
 	}
-	now, then := lines.at(InForce, Today().Gateways), lines.at(InForce, Target().Gateways)
+	atToday, atTarget := lines.at(InForce, Today().Gateways), lines.at(InForce, Target().Gateways)
 	fmt.Fprintf(&b, "| configuration in force everywhere, log without delay (%s) | %s | %s %s | %s %s | | |\n", Milliseconds,
-		figure(budgetInForce), figure(now), budgetVerdict(now, budgetInForce), figure(then), budgetVerdict(then, budgetInForce))
+		figure(budgetInForce), figure(atToday), budgetVerdict(atToday, budgetInForce), figure(atTarget), budgetVerdict(atTarget, budgetInForce))
 	return b.String()
 }
 
@@ -105,18 +109,18 @@
 	return fmt.Sprintf("SHORT by %.1fx", value/budget)
 }
 
-// sumOfTotal adds the rows of a total, without those of one role.
+// sumOfTotal adds up the figures of a total, except those of the role without.
 func sumOfTotal(lines Lines, s Size, of total, without string) float64 {
-	all := 0.0
+	sum := 0.0
 	for _, r := range allRows() {
 		if r.total == of && r.role != without {
-			all += r.value(lines, s)
+			sum += r.value(lines, s)
 		}
 	}
-	return all
+	return sum
 }
 
-// largestParts names the parts of a total at the target, the largest two.
+// largestParts names the two largest parts of a total at the target size.
 func largestParts(lines Lines, of total) string {
 	var first, second row
 	var a, b float64
--- a/internal/capacity/plans.go
+++ b/internal/capacity/plans.go
@@ -2,42 +2,49 @@
 
 import "github.com/goldcrestspool/goldcrestspool/internal/settings"
 
-// The changes that are planned and not built. Their figures are computed at
-// the target from the slopes of today's code.
+// The parameters of changes that are planned and not built. The figures of these changes
+// are computed at the target size from the slopes of today's code.
 const (
-	// plannedStreams are the journal's streams: every failure domain has about
-	// one gateway to read each, so that the domain alone knows all keys.
+	// plannedStreams is the number of the journal's streams. In every failure
+	// domain about one gateway reads each stream, so that the gateways of one
+	// domain together know all keys.
 	plannedStreams = 32
-	// plannedAppends is the journal's part of the log's appends, which sets
-	// how long each stream's one writer gathers.
+	// plannedAppends is the journal's part of the log's budget of appends. It
+	// determines how long each stream's only writer collects a batch.
 	plannedAppends = 250
-	// plannedKeyBytes is what a key may take in memory: its answer stays with
-	// two peers, and the entry is packed. An aim, not measured.
+	// plannedKeyBytes is how many bytes of memory a key may take if its answer is
+	// stored at two peers and its entry is packed. It is a goal, not a
+	// measurement.
 	plannedKeyBytes = 250
-	// plannedLists is one read of the platform's list in 20 s by each gateway.
+	// plannedLists is each gateway's rate of reads of the platform's list: one in
+	// 20 s.
 	plannedLists = 0.05
-	// plannedPublications a second, since digests bring nothing sooner.
+	// plannedPublications is the rate of publications per second. More would be
+	// useless, since digests arrive no more often.
 	plannedPublications = 1
-	// plannedBlocks is the part of today's cache views that is kept.
+	// plannedBlocks is the fraction of the blocks of today's cache views that is
+	// kept.
 	plannedBlocks = 0.25
 )
 
-// plannedChange is one figure of a planned change.
+// plannedChange is one figure that a planned change affects: its value with the code
+// as built, and with the change.
 type plannedChange struct {
 	change, description string
-	unit         Unit
-	source         ID
+	unit                Unit
+	source              ID
 	current, planned    func(Lines, Size) float64
 }
 
 func plannedChanges() []plannedChange {
 	const (
 		partitions = "journal: 32 streams, each with one writer and one reader in each failure domain"
-		memory     = "journal: answers stay with two peers, entries packed"
+		packed     = "journal: answers stay with two peers, entries packed"
 		lists      = "platform's list: every 20 s, and at notices"
 		caches     = "cache views: 1024 blocks for a runner"
 		published  = "probing: one publication a second"
 	)
+	// How long a stream's writer collects a batch, in seconds.
 	interval := plannedStreams / float64(plannedAppends)
 	return []plannedChange{
 		{partitions, "appends of all gateways", PerSecond, AppendsGateways,
@@ -57,7 +64,7 @@
 			}},
 		{partitions, "an hour of keys", Bytes, KeyMemory,
 			budgetFigure("journal", Bytes), func(l Lines, s Size) float64 { return s.keysInWindow() / plannedStreams * l.slope(KeyMemory) }},
-		{memory, "an hour of keys, with the streams above", Bytes, KeyMemory,
+		{packed, "an hour of keys, with the streams above", Bytes, KeyMemory,
 			budgetFigure("journal", Bytes), func(_ Lines, s Size) float64 { return s.keysInWindow() / plannedStreams * plannedKeyBytes }},
 		{lists, "list", BytesPerSecond, ListWireBytes,
 			func(l Lines, s Size) float64 { return listsPerSecond * l.at(ListWireBytes, s.entries()) },
@@ -73,8 +80,8 @@
 	}
 }
 
-// budgetFigure returns the first figure of a role with a unit that counts in a
-// budget.
+// budgetFigure returns the first figure of a role that has the given unit and is part
+// of a total. It panics if there is none, which is a bug in this package.
 func budgetFigure(role string, unit Unit) func(Lines, Size) float64 {
 	return func(l Lines, s Size) float64 {
 		for _, r := range allRows() {
--- a/internal/capacity/probing.go
+++ b/internal/capacity/probing.go
@@ -19,10 +19,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
 )
 
-// probingRunTime is how long the probing controller runs for one figure.
+// probingRunTime is how long the processor time of a probing controller is measured.
 const probingRunTime = 4 * time.Second
 
-// idleEngine answers at once with a report and without new cache events.
+// idleEngine answers at once with its report and a number of cache events. It implements no
+// other methods of upstream.Engine.
 type idleEngine struct {
 	upstream.Engine
 	report upstream.Report
@@ -41,7 +42,7 @@
 	return events, nil
 }
 
-// engineDialer reaches idle engines without a network.
+// engineDialer returns idle engines that are called without a network.
 type engineDialer struct{ probing.Dialer }
 
 // Engine implements probing.Dialer.
@@ -49,8 +50,9 @@
 	return idleEngine{report: upstream.Report{Running: 7, PrefillRate: 20000, Step: 20 * time.Millisecond}}
 }
 
-// probingCost runs one gateway's probing controller among as many gateways as
-// belong to that number of runners. Probes travel without a network.
+// probingCost returns the processor time of one gateway's probing controller, in
+// microseconds per second. The number of gateways is in the target's proportion to the
+// number of runners. Probes need no network.
 func probingCost(runners int) (float64, error) {
 	gateways, domains := 8, 4
 	if runners > 9 {
@@ -60,38 +62,40 @@
 	board := blackboard.NewBoard()
 	config := controller.DefaultConfig(list[0])
 	config.Interval = settings.DefaultHeartbeat
-	members := controller.New(config, controller.Deps{Board: board, Transport: &fleetTransport{}, Log: hclog.NewNullLogger()})
-	members.ApplyList(list)
-	// Gateways count as probers once they were heard of.
+	membership := controller.New(config, controller.Deps{Board: board, Transport: &fleetTransport{}, Log: hclog.NewNullLogger()})
+	membership.ApplyList(list)
+	// A gateway counts as a prober once it has been observed.
 	for _, g := range list[:gateways] {
-		members.Observe(controller.Observation{Instance: g.ID, Incarnation: g.Incarnation})
+		membership.Observe(controller.Observation{Instance: g.ID, Incarnation: g.Incarnation})
 	}
-	members.ApplyList(list)
-	probes := probing.New(probing.DefaultConfig(list[0].ID, list[0].FailureDomain), probing.Deps{
+	membership.ApplyList(list)
+	prober := probing.New(probing.DefaultConfig(list[0].ID, list[0].FailureDomain), probing.Deps{
 		Board:      board,
-		Membership: members,
+		Membership: membership,
 		Dialer:     engineDialer{},
 		Cache:      probing.NewCaches(cacheview.DefaultParams()),
 		Log:        hclog.NewNullLogger(),
 	})
 	loops := newBackgroundLoops()
-	loops.run(func(ctx context.Context) { _ = probes.Run(ctx) })
+	loops.run(func(ctx context.Context) { _ = prober.Run(ctx) })
 	time.Sleep(probeInterval / 2)
 	used := measureProcessorRate(probingRunTime)
 	loops.stop()
 	return used, nil
 }
 
-// wireFigures are what one exchange over loopback costs.
+// wireFigures are the costs of one call over loopback: one end's processor time in
+// microseconds, and the bytes in both directions.
 type wireFigures struct{ processor, bytes float64 }
 
-// measureServer measures calls over an HTTP server on loopback. Both ends are in
-// this process; half of the processor time is taken for one end.
+// measureServer measures calls of an HTTP server on loopback, and then closes the server.
 func measureServer(l *loopbackServer, call func() error) (wireFigures, error) {
 	defer l.close()
 	return measureWire(&l.bytes, call)
 }
 
+// measureWire measures calls over loopback whose bytes are added to counted. Both ends are
+// in this process, so that half of its processor time counts for one end.
 func measureWire(counted *atomic.Int64, call func() error) (wireFigures, error) {
 	const calls = 20
 	if err := call(); err != nil {
@@ -113,8 +117,8 @@
 	return wireFigures{processor: used / 2, bytes: bytes}, failed
 }
 
-// probeOverWire is one probe of an engine with a number of new cache events:
-// its report and the events.
+// probeOverWire returns the cost of one probe of an engine with a number of new cache
+// events: it gets the engine's report and the events.
 func probeOverWire(events int) (wireFigures, error) {
 	mux := http.NewServeMux()
 	connectupstream.MountEngine(mux, idleEngine{events: events, report: upstream.Report{
@@ -137,7 +141,7 @@
 	})
 }
 
-// listOverWire is one read of the platform's list.
+// listOverWire returns the cost of one read of the platform's list of instances.
 func listOverWire(entries int) (wireFigures, error) {
 	gateways, runners, domains := fleetOf(entries)
 	mux := http.NewServeMux()
--- a/internal/capacity/roles.go
+++ b/internal/capacity/roles.go
@@ -1,6 +1,8 @@
 package capacity
 
-// The budgets of control on one node, and what the log takes of all.
+// The budgets of the control plane on one node: processor time in microseconds per second,
+// memory in bytes, and bytes per second; for all processes together: appends to the log per
+// second, and milliseconds until a configuration is in force everywhere.
 const (
 	budgetProcessor = 12_000
 	budgetMemory    = 64e6
@@ -9,41 +11,42 @@
 	budgetInForce   = 12_000
 )
 
-// figureOrigin tells where a figure comes from.
+// figureOrigin says how a figure was obtained.
 type figureOrigin string
 
 const (
-	// computed from measured lines, rates of the code and sizes.
+	// computed: from measured lines, rates defined in the code, and sizes.
 	computed figureOrigin = "computed"
-	// measured at the size itself for what runs today, computed beyond.
+	// measuredToday: measured at today's size, computed for larger sizes.
 	measuredToday figureOrigin = "measured today"
-	// assumed enters with a size that nobody has said.
+	// assumed: computed from a size that is an assumption.
 	assumed figureOrigin = "assumes shares"
 )
 
 // row is one figure of a role.
 type row struct {
 	role, description string
-	unit       Unit
-	origin       figureOrigin
-	sources       []ID
-	value      func(Lines, Size) float64
-	// total names the total that the row is a part of.
+	unit              Unit
+	origin            figureOrigin
+	sources           []ID
+	value             func(Lines, Size) float64
+	// total is the total that the figure is added to; noTotal if none.
 	total total
 }
 
-// total is a line of the budget.
+// total is a sum of figures that has a budget.
 type total string
 
 const (
-	noTotal           total = ""
+	noTotal        total = ""
 	totalProcessor total = "control: processor time of one gateway"
 	totalMemory    total = "control: memory of one gateway"
 	totalBytes     total = "control: bytes of one gateway, in and out"
 	totalAppends   total = "log: appends of all processes"
 )
 
-// allRows returns all figures; each is one gateway's unless it says otherwise.
+// allRows returns all figures. Each is for one gateway unless its description says
+// otherwise.
 func allRows() []row {
 	return concat(membershipRows(), probingRows(), routingRows(), configurationRows(), journalRows(), controllerRows(), streamRows())
 }
--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -18,18 +18,20 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// promptTokens is the length of the prompt in routing's figures.
+// promptTokens is the length of the prompt for which routing is measured.
 const promptTokens = 4096
 
-// runnerSizes are numbers of runners: today's first, the last to be reached.
+// runnerSizes are numbers of runners. The first is today's, the last the target's.
 var runnerSizes = []int{9, 100, 330, 690}
 
-// upstreamView is what routing sees of runners with empty or warm cache views.
+// upstreamView returns routing's view of a number of runners whose cache views contain none,
+// some or all of the given blocks.
 func upstreamView(runners int, now time.Time, blocks []uint64) []blackboard.Upstream {
 	out := make([]blackboard.Upstream, runners)
 	for i := range out {
 		cache := cacheview.New(cacheview.DefaultParams(), now)
-		// Each runner holds a part of the prompt, so that look-ups go deep.
+		// Runners hold none, a third, two thirds or all of the prompt, so that
+		// look-ups search many blocks.
 		cache.Placed(blocks[:len(blocks)*(i%4)/3], now)
 		out[i] = blackboard.Upstream{
 			Instance: runnerAt(i, 10),
@@ -45,7 +47,8 @@
 	return out
 }
 
-// routingFixture is one service's router with a request.
+// routingFixture is the router of one service, two equal views of its upstreams, and a
+// request.
 type routingFixture struct {
 	router *routing.Router
 	doc    *document.Document
@@ -72,24 +75,26 @@
 	return w
 }
 
+// decisionCost returns the cost of one decision among a number of runners.
 func decisionCost(runners int) (float64, error) {
 	w := newRoutingFixture(runners)
 	return microsPerCall(func() { w.router.Decide(w.doc, w.views[0], w.req, w.now) }), nil
 }
 
-// preparationCost is what the first decision on a new view costs more.
+// preparationCost returns how much more the first decision on a new view costs than later
+// ones.
 func preparationCost(runners int) (float64, error) {
 	w := newRoutingFixture(runners)
-	turn := 0
-	both := microsPerCall(func() {
-		turn++
-		w.router.Decide(w.doc, w.views[turn%2], w.req, w.now)
+	calls := 0
+	withNewView := microsPerCall(func() {
+		calls++
+		w.router.Decide(w.doc, w.views[calls%2], w.req, w.now)
 	})
-	alone, err := decisionCost(runners)
-	return max(0, both-alone), err
+	withSameView, err := decisionCost(runners)
+	return max(0, withNewView-withSameView), err
 }
 
-// routingMemory is what a gateway keeps to route to runners.
+// routingMemory returns the memory that a gateway needs to route to a number of runners.
 func routingMemory(runners int) (float64, error) {
 	return memoryHeldBy(func() any {
 		w := newRoutingFixture(runners)
@@ -98,6 +103,7 @@
 	}), nil
 }
 
+// cacheMemory returns the memory of the cache views of a number of runners.
 func cacheMemory(runners int) (float64, error) {
 	return memoryHeldBy(func() any {
 		views := make([]*cacheview.View, runners)
@@ -108,7 +114,7 @@
 	}), nil
 }
 
-// upstreamsCost is what admission does at each publication of the upstreams.
+// upstreamsCost returns the cost of admission's work for each published list of upstreams.
 func upstreamsCost(runners int) (float64, error) {
 	c := admission.New(admission.Config{})
 	var ids []ident.Instance
@@ -122,6 +128,7 @@
 // accountSizes are numbers of client accounts.
 var accountSizes = []int{1, 10, 100, 1000}
 
+// admissionRequests returns a request of each of a number of client accounts.
 func admissionRequests(n int) []admission.Request {
 	requests := make([]admission.Request, n)
 	for i := range requests {
@@ -135,7 +142,7 @@
 	return requests
 }
 
-// admitAll admits and ends one request of each account.
+// admitAll admits and ends the requests one after the other.
 func admitAll(c *admission.Controller, requests []admission.Request) error {
 	for _, r := range requests {
 		r.ID = "7e2f"
@@ -154,6 +161,8 @@
 	return c
 }
 
+// admissionCost returns the cost of admitting and ending one request, with a number of client
+// accounts.
 func admissionCost(n int) (float64, error) {
 	c, requests := newAdmission(), admissionRequests(n)
 	var failed error
@@ -165,6 +174,7 @@
 	return used / float64(n), failed
 }
 
+// admissionMemory returns the memory of admission with a number of client accounts.
 func admissionMemory(n int) (float64, error) {
 	requests := admissionRequests(n)
 	var failed error
@@ -173,12 +183,12 @@
 		failed = admitAll(c, requests)
 		return c
 	})
-	// They count on both sides of the measurement.
+	// The requests must be in use both before and after the measurement.
 	runtime.KeepAlive(requests)
 	return used, failed
 }
 
-// blackboardCost is one publication and one load of a section.
+// blackboardCost returns the cost of one publication and one load of a section.
 func blackboardCost(runners int) (float64, error) {
 	section := blackboard.NewSection(&blackboard.Upstreams{})
 	value := &blackboard.Upstreams{ByService: map[ident.Service][]blackboard.Upstream{service: make([]blackboard.Upstream, runners)}}
--- a/internal/capacity/streams.go
+++ b/internal/capacity/streams.go
@@ -10,29 +10,29 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-// answerTokens is the mean answer: 1.5 million tokens and 4,200 requests a
-// second.
+// answerTokens is the mean length of an answer: 1.5 million tokens per second for 4,200
+// requests per second.
 const answerTokens = 357
 
-func streamRequest(i int, most uint32) streaming.Request {
+func streamRequest(i int, maxTokens uint32) streaming.Request {
 	return streaming.Request{
 		Key: streaming.Key{Account: "registrar", Request: ident.Request(strconv.Itoa(i))},
-		Ask: streaming.Ask{Service: service, Prompt: "dossier", MaxTokens: most},
+		Ask: streaming.Ask{Service: service, Prompt: "dossier", MaxTokens: maxTokens},
 	}
 }
 
-// tokensCost is one whole stream with a number of tokens, from the engine's
-// frames to the caller's sink, among as many as a gateway has at once.
+// tokensCost returns the cost of one whole stream with a number of tokens, from the engine's
+// frames to the caller's sink. It runs as many streams at once as a gateway does.
 func tokensCost(count int) (float64, error) {
 	const streams = 200
-	g := tokens.NewRegistry(tokens.Engine{StopAt: uint32(count) + 1})
-	defer g.Close()
+	registry := tokens.NewRegistry(tokens.Engine{StopAt: uint32(count) + 1})
+	defer registry.Close()
 	round := 0
 	used := microsPerCall(func() {
 		var all sync.WaitGroup
 		for i := range streams {
 			all.Go(func() {
-				_, _ = g.Generate(context.Background(), streamRequest(round*streams+i, uint32(count)), &tokens.Sink{Left: count, Done: func() {}})
+				_, _ = registry.Generate(context.Background(), streamRequest(round*streams+i, uint32(count)), &tokens.Sink{Left: count, Done: func() {}})
 			})
 		}
 		all.Wait()
@@ -41,24 +41,24 @@
 	return used / streams, nil
 }
 
-// streamsMemory is what open streams hold that wait for their next token half
-// way through the answer.
+// streamsMemory returns the memory of a number of open streams that wait for their next token
+// in the middle of the answer.
 func streamsMemory(streams int) (float64, error) {
 	const half = answerTokens / 2
-	g := tokens.NewRegistry(tokens.Engine{StopAt: half})
-	defer g.Close()
+	registry := tokens.NewRegistry(tokens.Engine{StopAt: half})
+	defer registry.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var here, callers sync.WaitGroup
+	var halfDone, callers sync.WaitGroup
 	used := memoryHeldBy(func() any {
 		for i := range streams {
-			here.Add(1)
+			halfDone.Add(1)
 			callers.Go(func() {
-				_, _ = g.Generate(ctx, streamRequest(i, half+1), &tokens.Sink{Left: half, Done: here.Done})
+				_, _ = registry.Generate(ctx, streamRequest(i, half+1), &tokens.Sink{Left: half, Done: halfDone.Done})
 			})
 		}
-		here.Wait()
-		return g
+		halfDone.Wait()
+		return registry
 	})
 	cancel()
 	callers.Wait()
--- a/internal/capacity/world.go
+++ b/internal/capacity/world.go
@@ -22,23 +22,25 @@
 	method  = ident.Method("place_bid")
 )
 
+// domainOf returns the failure domain of the i-th instance of a kind: instances go to
+// the domains in turn.
 func domainOf(i, domains int) ident.FailureDomain {
 	return ident.FailureDomain(fmt.Sprintf("tirol-hall-%c", 'a'+i%domains))
 }
 
-// instanceName is a random-looking name of a platform's usual length, the same at
-// every run: numbers in a row would compress better than real names do.
+// instanceName returns a pseudo-random instance ID of the usual length, the same in
+// every run. Consecutive numbers would compress better than real IDs do.
 func instanceName(kind string, i int) string {
 	return fmt.Sprintf("%s-%016x", kind, xxhash.Sum64String(fmt.Sprint(kind, i)))
 }
 
-// socketAddress is a random-looking address.
+// socketAddress returns a pseudo-random IPv4 address with a port, the same in every run.
 func socketAddress(kind string, i, port int) string {
 	h := xxhash.Sum64String(fmt.Sprint("address", kind, i))
 	return fmt.Sprintf("10.%d.%d.%d:%d", h>>16%256, h>>8%256, h%256, port)
 }
 
-// gatewayAt describes the i-th entry instance.
+// gatewayAt returns the i-th entry instance.
 func gatewayAt(i, domains int) platform.Instance {
 	return platform.Instance{
 		ID:            ident.Instance(instanceName("g", i)),
@@ -53,7 +55,7 @@
 	}
 }
 
-// runnerAt describes the i-th engine.
+// runnerAt returns the i-th runner, which is an instance with an engine.
 func runnerAt(i, domains int) platform.Instance {
 	return platform.Instance{
 		ID:            ident.Instance(instanceName("i", i)),
@@ -69,7 +71,7 @@
 	}
 }
 
-// instances lists gateways and runners.
+// instances returns so many gateways, followed by so many runners.
 func instances(gateways, runners, domains int) []platform.Instance {
 	var list []platform.Instance
 	for i := range gateways {
@@ -81,14 +83,14 @@
 	return list
 }
 
-// instanceList is a platform's list of instances.
+// instanceList is a platform.Instances whose list is fixed.
 type instanceList []platform.Instance
 
 // List implements platform.Instances.
 func (l instanceList) List(context.Context) ([]platform.Instance, error) { return l, nil }
 
 // loopbackServer is an HTTP server on loopback that counts the bytes of its
-// connections, in both directions and with all headers of HTTP.
+// connections in both directions, HTTP headers included.
 type loopbackServer struct {
 	address string
 	bytes   atomic.Int64
@@ -113,7 +115,7 @@
 	l.served.Wait()
 }
 
-// countingListener counts the bytes of the connections that it accepts.
+// countingListener adds the bytes of the connections that it accepts to a counter.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -147,8 +149,8 @@
 	return n, err
 }
 
-// memoized runs an expensive measurement once for each size and lets several
-// series take a figure from it.
+// memoized runs an expensive measurement once for each size, so that several series
+// can each take a figure of its result.
 type memoized[T any] struct {
 	run  func(size int) (T, error)
 	done map[int]T
@@ -169,7 +171,7 @@
 	return r, err
 }
 
-// backgroundLoops is a set of loops that end together.
+// backgroundLoops is a set of loops in goroutines that are stopped together.
 type backgroundLoops struct {
 	cancel  context.CancelFunc
 	ctx     context.Context
@@ -186,7 +188,7 @@
 	b.running.Go(func() { loop(b.ctx) })
 }
 
-// every calls tick at an interval.
+// every calls tick at an interval until stop.
 func (b *backgroundLoops) every(interval time.Duration, tick func()) {
 	b.run(func(ctx context.Context) {
 		ticker := time.NewTicker(interval)
@@ -202,6 +204,7 @@
 	})
 }
 
+// stop cancels the loops and waits until they have ended.
 func (b *backgroundLoops) stop() {
 	b.cancel()
 	b.running.Wait()
