--- a/internal/capacity/journal.go
+++ b/internal/capacity/journal.go
@@ -44,10 +44,10 @@
 
 // newClaim returns the i-th claim, with a new key and issued at the given time.
 func newClaim(i int, at time.Time) journal.Claim {
-	key := ident.CallKey{Service: app, Account: ident.ClientAccount(fmt.Sprintf("client-account-%d", i%50)), Key: ident.Key(uuid.NewString())}
+	key := ident.CallKey{Service: plainService, Account: ident.ClientAccount(fmt.Sprintf("client-account-%d", i%50)), Key: ident.Key(uuid.NewString())}
 	target := gatewayAt(i%20, 10)
 	return journal.Claim{
-		Head:   journal.Head{Key: key, ID: journal.NewClaimID(), Digest: journal.NewDigest(key, method, at, nil), IssuedAt: at},
+		Head:   journal.Head{Key: key, ID: journal.NewClaimID(), Digest: journal.NewDigest(key, plainMethod, at, nil), IssuedAt: at},
 		Holder: gatewayAt(i%330, 10).ID, HolderIncarnation: 1_700_000_000, Attempt: 1,
 		Target: journal.Target{Instance: target.ID, Incarnation: target.Incarnation, Address: target.Address},
 	}
@@ -160,8 +160,8 @@
 // own calls, and returns the appends per second of all together.
 func measureAppends(gateways int, perSecond float64, interval time.Duration) (float64, error) {
 	log := logstore.New(logstore.Options{})
-	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{app: {Document: &document.Document{
-		Service: app, Kind: document.Plain, Methods: []document.Method{{Name: method, Timeout: 3 * time.Second}},
+	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{plainService: {Document: &document.Document{
+		Service: plainService, Kind: document.Plain, Methods: []document.Method{{Name: plainMethod, Timeout: 3 * time.Second}},
 	}}}})
 	loops := newBackgroundLoops()
 	var failures sync.Map
@@ -207,8 +207,8 @@
 	for {
 		running.Go(func() {
 			o := c.Do(context.WithoutCancel(ctx), calls.Call{
-				Key:    ident.CallKey{Service: app, Account: "trader", Key: ident.Key(uuid.NewString())},
-				Method: method, IssuedAt: time.Now(), Attempt: 1,
+				Key:    ident.CallKey{Service: plainService, Account: "trader", Key: ident.Key(uuid.NewString())},
+				Method: plainMethod, IssuedAt: time.Now(), Attempt: 1,
 			})
 			if o.Kind != outcome.Completed && ctx.Err() == nil {
 				failures.Store(o.Message, nil)
--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -62,10 +62,10 @@
 	text := strings.Repeat("dossier ", promptTokens*prompt.BytesPerToken/len("dossier "))
 	w := &routingFixture{
 		router: routing.New(routing.DefaultParams(), now.Add(-time.Minute)),
-		doc:    &document.Document{Service: service, Kind: document.Model},
+		doc:    &document.Document{Service: modelService, Kind: document.Model},
 		now:    now,
 		req: routing.Request{
-			Service: service, Account: "registrar", FailureDomain: domainOf(0, 10), MaxTokens: 357,
+			Service: modelService, Account: "registrar", FailureDomain: domainOf(0, 10), MaxTokens: 357,
 			Class:  document.Class{Name: "short", FirstToken: 460 * time.Millisecond, Priority: 20},
 			Blocks: prompt.Blocks(text), PromptTokens: prompt.Tokens(text),
 		},
@@ -121,8 +121,8 @@
 	for i := range runners {
 		ids = append(ids, runnerAt(i, 10).ID)
 	}
-	c.SetUpstreams(service, ids)
-	return microsPerCall(func() { c.SetUpstreams(service, ids) }), nil
+	c.SetUpstreams(modelService, ids)
+	return microsPerCall(func() { c.SetUpstreams(modelService, ids) }), nil
 }
 
 // accountSizes are numbers of client accounts.
@@ -134,7 +134,7 @@
 	for i := range requests {
 		name := ident.ClientAccount(fmt.Sprintf("client-account-%d", i))
 		requests[i] = admission.Request{
-			Service: service, Account: name,
+			Service: modelService, Account: name,
 			Limit: document.AccountLimit{Account: name, RequestsPerSecond: 1e9, Burst: 1 << 30, MaxInFlight: 1 << 20, Share: 1},
 			Class: document.Class{Name: "short", FirstToken: time.Second}, Cost: 400, Remaining: time.Second,
 		}
@@ -157,7 +157,7 @@
 
 func newAdmission() *admission.Controller {
 	c := admission.New(admission.Config{})
-	c.SetUpstreams(service, []ident.Instance{"i-1", "i-2", "i-3", "i-4"})
+	c.SetUpstreams(modelService, []ident.Instance{"i-1", "i-2", "i-3", "i-4"})
 	return c
 }
 
@@ -191,7 +191,7 @@
 // blackboardCost returns the cost of one publication and one load of a section.
 func blackboardCost(runners int) (float64, error) {
 	section := blackboard.NewSection(&blackboard.Upstreams{})
-	value := &blackboard.Upstreams{ByService: map[ident.Service][]blackboard.Upstream{service: make([]blackboard.Upstream, runners)}}
+	value := &blackboard.Upstreams{ByService: map[ident.Service][]blackboard.Upstream{modelService: make([]blackboard.Upstream, runners)}}
 	return microsPerCall(func() {
 		section.Publish(value)
 		_ = section.Value()
--- a/internal/capacity/streams.go
+++ b/internal/capacity/streams.go
@@ -17,7 +17,7 @@
 func streamRequest(i int, maxTokens uint32) streaming.Request {
 	return streaming.Request{
 		Key: streaming.Key{Account: "registrar", Request: ident.Request(strconv.Itoa(i))},
-		Ask: streaming.Ask{Service: service, Prompt: "dossier", MaxTokens: maxTokens},
+		Ask: streaming.Ask{Service: modelService, Prompt: "dossier", MaxTokens: maxTokens},
 	}
 }
 
--- a/internal/capacity/world.go
+++ b/internal/capacity/world.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	service = ident.Service("spool-llm")
-	app     = ident.Service("auktion-app")
-	method  = ident.Method("place_bid")
+	modelService = ident.Service("spool-llm")
+	plainService = ident.Service("auktion-app")
+	plainMethod  = ident.Method("place_bid")
 )
 
 // domainOf returns the failure domain of the i-th instance of a kind: instances go to
@@ -61,7 +61,7 @@
 		ID:            ident.Instance(instanceName("i", i)),
 		Incarnation:   ident.Incarnation(1_700_000_000 + i),
 		Role:          platform.RoleEngine,
-		Service:       service,
+		Service:       modelService,
 		Region:        "tirol",
 		FailureDomain: domainOf(i, domains),
 		Class:         "runner-large",
