--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -14,8 +14,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
 )
 
-// maxReturns is how often a refused caller comes back as told.
-const maxReturns = 5
+// maxCallerRetries is how often a refused caller comes back as told.
+const maxCallerRetries = 5
 
 // admission is one decider's admission for one service: the pure parts that
 // admission.Controller wraps for goroutines, driven in virtual time.
@@ -44,7 +44,7 @@
 		}
 	}
 	a.ejection.SetUpstreams(ids)
-	a.gate.SetSlots(policy.Slots(view, deciders, now))
+	a.gate.SetSlots(policy.Slots(view, gatewayCount, now))
 }
 
 // offer asks for a slot for a request as routing sees it now.
@@ -52,7 +52,7 @@
 	account := ident.ClientAccount(strconv.Itoa(k.account))
 	k.entry = &gate.Entry{Request: gate.Request{
 		ID: k.id(), Account: account, Limit: document.AccountLimit{Account: account, Share: 1}, Class: k.kind.Class,
-		Predicted: d.FirstToken, PredictedBy: d.FirstTokenBy, Unloaded: d.Unloaded, Remaining: time.Duration(k.output) * d.BetweenTokens,
+		Predicted: d.FirstToken, PredictedBy: d.FirstTokenBy, Unloaded: d.Unloaded, Remaining: time.Duration(k.outputTokens) * d.BetweenTokens,
 		Cost: d.Work, Attempt: uint32(k.refusals + 1),
 	}}
 	a.entries[k.entry] = k
@@ -60,17 +60,17 @@
 }
 
 // admission is that of a request's service at its decider; nil without one.
-func (r *run) admission(k *call) *admission { return k.decider.admissions[r.document(k.kind.Plain)] }
+func (r *run) admission(k *call) *admission { return k.gateway.admissions[r.document(k.kind.Plain)] }
 
 // admit lets a request in, makes it wait, or refuses it.
 func (r *run) admit(k *call) {
 	doc := r.document(k.kind.Plain)
-	a := k.decider.admissions[doc]
+	a := k.gateway.admissions[doc]
 	if a == nil {
 		r.dispatch(k)
 		return
 	}
-	d := k.decider.policies[doc].Decide(doc, k.decider.views[doc], k.request(doc.Service), r.agenda.Clock())
+	d := k.gateway.policies[doc].Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.agenda.Clock())
 	decision := a.offer(k, d, r.agenda.Clock())
 	if k.refusals > 0 {
 		k.retries++
@@ -105,8 +105,8 @@
 	delete(r.admission(k).entries, k.entry)
 	k.entry = nil
 	k.refusals++
-	if k.done || k.refusals > maxReturns || o.RetryAfter <= 0 {
-		r.close(k)
+	if k.done || k.refusals > maxCallerRetries || o.RetryAfter <= 0 {
+		r.finish(k)
 		return
 	}
 	r.agenda.At(r.agenda.Now()+o.RetryAfter, func() {
@@ -116,8 +116,8 @@
 	})
 }
 
-// answered tells a request's first token to the gate.
-func (r *run) answered(k *call) {
+// recordFirstToken tells a request's first token to the gate.
+func (r *run) recordFirstToken(k *call) {
 	if a := r.admission(k); a != nil && k.entry != nil {
 		a.gate.FirstToken(r.agenda.Clock(), k.entry)
 	}
@@ -150,17 +150,17 @@
 	}
 }
 
-// observe learns from an attempt that ended at an upstream.
-func (r *run) observe(k *call, u *runner, failed bool) {
+// recordAttemptEnd learns from an attempt that ended at an upstream.
+func (r *run) recordAttemptEnd(k *call, u *runner, failed bool) {
 	a := r.admission(k)
 	if a == nil {
 		return
 	}
 	// The time between tokens hardly depends on the queue, so that it tells a
 	// slow upstream from one that is only asked for much.
-	sample := ejection.Sample{Failed: failed, Started: time.Unix(0, int64(k.sent))}
-	if n := k.delivered - k.resumedAt; n > 1 {
-		gap := (r.agenda.Now() - k.sent - k.firstOfAttempt) / time.Duration(n-1)
+	sample := ejection.Sample{Failed: failed, Started: time.Unix(0, int64(k.sentAt))}
+	if n := k.delivered - k.deliveredBefore; n > 1 {
+		gap := (r.agenda.Now() - k.sentAt - k.attemptFirstToken) / time.Duration(n-1)
 		sample.Latency = gap.Seconds() / k.decision.BetweenTokens.Seconds()
 	}
 	a.ejection.Ended(r.agenda.Clock(), u.ID, sample)
--- a/internal/experiment/brownout.go
+++ b/internal/experiment/brownout.go
@@ -9,18 +9,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// spentReturn is when a caller may come back whose retry no budget paid for.
-const spentReturn = time.Second
+// unpaidRetryAfter is when a caller may come back whose retry no budget paid for.
+const unpaidRetryAfter = time.Second
 
-// refuses reports whether an upstream refuses an attempt in a brown-out.
-func (r *run) refuses() bool {
-	return r.fault.Refusing > 0 && r.agenda.Now() >= faultAt && r.agenda.Now() < rushEnd && r.rng.Float64() < r.fault.Refusing
+// upstreamRefuses reports whether an upstream refuses an attempt in a brown-out.
+func (r *run) upstreamRefuses() bool {
+	return r.fault.RefusedShare > 0 && r.agenda.Now() >= faultAt && r.agenda.Now() < faultEnd && r.rng.Float64() < r.fault.RefusedShare
 }
 
-// mayTry reports whether a request's next attempt is paid for. The first is,
+// mayAttempt reports whether a request's next attempt is paid for. The first is,
 // and so is the one that resumes a stream after its upstream was lost; each
 // after a refusal is taken from the decider's budget.
-func (r *run) mayTry(k *call, refused bool) bool {
+func (r *run) mayAttempt(k *call, refused bool) bool {
 	a := r.admission(k)
 	if a == nil {
 		return true
@@ -31,25 +31,25 @@
 	return !refused || a.budget.Spend(r.agenda.Clock())
 }
 
-// noteRefusal tells the ejection of an attempt that an upstream refused.
-func (r *run) noteRefusal(k *call, id ident.Instance) {
+// recordUpstreamRefusal tells the ejection of an attempt that an upstream refused.
+func (r *run) recordUpstreamRefusal(k *call, id ident.Instance) {
 	if a := r.admission(k); a != nil {
 		a.ejection.Started(r.agenda.Clock(), id)
 		a.ejection.Ended(r.agenda.Clock(), id, ejection.Sample{Failed: true, Started: r.agenda.Clock()})
 	}
 }
 
-// turnAway ends a request whose retry is not paid for. It ran nowhere, so its
+// refuseRetry ends a request whose retry is not paid for. It ran nowhere, so its
 // caller hears when to come back.
-func (r *run) turnAway(k *call) {
+func (r *run) refuseRetry(k *call) {
 	a := r.admission(k)
 	if k.delivered > 0 || k.entry == nil {
-		r.close(k)
+		r.finish(k)
 		return
 	}
-	k.turnedAway++
+	k.unpaidRetries++
 	entry := k.entry
-	r.refuse(k, outcome.NewNotRun(outcome.ReasonUpstreamRefused, "", returntime.Spread(spentReturn, k.id())))
+	r.refuse(k, outcome.NewNotRun(outcome.ReasonUpstreamRefused, "", returntime.Spread(unpaidRetryAfter, k.id())))
 	a.gate.Done(r.agenda.Clock(), entry, 0)
 	r.grantWaiting(a)
 }
--- a/internal/experiment/calls.go
+++ b/internal/experiment/calls.go
@@ -30,7 +30,7 @@
 	}
 	k.gaveUp = true
 	k.done = true
-	r.open--
+	r.openRequests--
 	if k.entry != nil && k.entry.Waiting() {
 		r.abandon(k, k.entry, outcome.ReasonCancelled)
 		return
@@ -38,14 +38,14 @@
 	if k.runner != nil {
 		k.runner.model.Cancel(r.agenda.Clock(), k.id())
 	}
-	r.leave(k, routing.ResultCancelled)
+	r.endAttempt(k, routing.ResultCancelled)
 	r.release(k)
 }
 
-func (r *run) close(k *call) {
+func (r *run) finish(k *call) {
 	if !k.done {
 		k.done = true
-		r.open--
+		r.openRequests--
 	}
 	r.release(k)
 }
@@ -55,7 +55,7 @@
 func (k *call) request(doc ident.Service) routing.Request {
 	q := routing.Request{
 		Service: doc, Account: ident.ClientAccount(strconv.Itoa(k.account)), Class: k.kind.Class,
-		Blocks: k.blocks, PromptTokens: k.prompt + k.delivered, MaxTokens: k.output - k.delivered, Exclude: k.exclude,
+		Blocks: k.blocks, PromptTokens: k.promptTokens + k.delivered, MaxTokens: k.outputTokens - k.delivered, Exclude: k.exclude,
 	}
 	return q
 }
@@ -64,54 +64,54 @@
 // upstream refuses it.
 func (r *run) dispatch(k *call) {
 	doc := r.document(k.kind.Plain)
-	policy := k.decider.policies[doc]
+	policy := k.gateway.policies[doc]
 	for refused := false; k.attempts < maxAttempts; refused = true {
-		if !r.mayTry(k, refused) {
-			r.turnAway(k)
+		if !r.mayAttempt(k, refused) {
+			r.refuseRetry(k)
 			return
 		}
 		k.attempts++
 		req := k.request(doc.Service)
-		if a := k.decider.admissions[doc]; a != nil {
+		if a := k.gateway.admissions[doc]; a != nil {
 			req.Exclude = slices.Concat(req.Exclude, a.ejection.Excluded(r.agenda.Clock()))
 		}
-		d := policy.Decide(doc, k.decider.views[doc], req, r.agenda.Clock())
+		d := policy.Decide(doc, k.gateway.views[doc], req, r.agenda.Clock())
 		if !d.Found() {
 			break
 		}
 		k.ticket = policy.Started(d, req, r.agenda.Clock())
-		if u := r.runner(d.Upstream); r.submit(k, u, d) {
+		if u := r.runnerByID(d.Upstream); r.submit(k, u, d) {
 			return
 		}
 		policy.Finished(&k.ticket, routing.ResultRefused, r.agenda.Clock())
-		r.noteRefusal(k, d.Upstream)
+		r.recordUpstreamRefusal(k, d.Upstream)
 		k.exclude = append(k.exclude, d.Upstream)
 	}
-	r.close(k)
+	r.finish(k)
 }
 
 func (r *run) submit(k *call, u *runner, d routing.Decision) bool {
-	if u.ended || r.refuses() {
+	if u.ended || r.upstreamRefuses() {
 		return false
 	}
 	w := engine.Work{
 		ID: k.id(), Tag: k.index<<attemptBits | k.attempts, Priority: int32(k.kind.Class.Priority),
-		Blocks: k.blocks, Context: k.prompt + k.delivered, Output: k.output - k.delivered,
+		Blocks: k.blocks, Context: k.promptTokens + k.delivered, Output: k.outputTokens - k.delivered,
 	}
 	if u.model.Submit(r.agenda.Clock(), w) != nil {
 		return false
 	}
-	k.runner, k.decision, k.sent, k.firstOfAttempt = u, d, r.agenda.Now(), 0
-	k.resumedAt = k.delivered
+	k.runner, k.decision, k.sentAt, k.attemptFirstToken = u, d, r.agenda.Now(), 0
+	k.deliveredBefore = k.delivered
 	if a := r.admission(k); a != nil {
 		a.ejection.Started(r.agenda.Clock(), u.ID)
 	}
 	u.active[k.index] = k
-	r.step(u)
+	r.startStep(u)
 	return true
 }
 
-func (r *run) runner(id ident.Instance) *runner {
+func (r *run) runnerByID(id ident.Instance) *runner {
 	for _, u := range r.runners {
 		if u.ID == id {
 			return u
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// step begins the next step of an idle runner.
-func (r *run) step(u *runner) {
+// startStep begins the next step of an idle runner.
+func (r *run) startStep(u *runner) {
 	if u.busy || u.ended {
 		return
 	}
@@ -132,9 +132,9 @@
 	}
 	u.busy = true
 	if r.agenda.Now() >= warmUp {
-		u.used += d
+		u.busyTime += d
 	}
-	u.longest = max(u.longest, u.model.Waiting())
+	u.longestQueue = max(u.longestQueue, u.model.Waiting())
 	r.agenda.At(r.agenda.Now()+d, func() {
 		if u.ended {
 			return
@@ -142,15 +142,15 @@
 		// The runner stays busy until its tokens are handed out: an ended
 		// request lets the next one in, which must not begin another step yet.
 		for _, t := range u.tokens {
-			r.token(u, t)
+			r.deliverToken(u, t)
 		}
 		u.busy = false
-		r.step(u)
+		r.startStep(u)
 	})
 }
 
-// token hands a token to its request, unless the attempt is over.
-func (r *run) token(u *runner, t engine.Token) {
+// deliverToken hands a token to its request, unless the attempt is over.
+func (r *run) deliverToken(u *runner, t engine.Token) {
 	k := r.calls[t.Tag>>attemptBits]
 	if k.runner != u || t.Tag&(1<<attemptBits-1) != k.attempts {
 		return
@@ -159,41 +159,41 @@
 		r.firstToken(k, t)
 	}
 	k.delivered++
-	k.last = r.agenda.Now()
+	k.lastTokenAt = r.agenda.Now()
 	if !t.Done {
 		return
 	}
-	r.leave(k, routing.ResultDone)
-	r.close(k)
+	r.endAttempt(k, routing.ResultDone)
+	r.finish(k)
 }
 
 // firstToken notes an attempt's first token and what its prefill repeated.
 func (r *run) firstToken(k *call, t engine.Token) {
 	r.policy(k).FirstToken(&k.ticket, r.agenda.Clock())
-	r.answered(k)
-	k.firstOfAttempt = r.agenda.Now() - k.sent
+	r.recordFirstToken(k)
+	k.attemptFirstToken = r.agenda.Now() - k.sentAt
 	if k.attempts == 1 {
-		k.predicted, k.actual = k.decision.FirstToken, r.agenda.Now()-k.sent
+		k.predicted, k.actual = k.decision.FirstToken, r.agenda.Now()-k.sentAt
 	}
 	if k.delivered > 0 {
 		k.resumed += t.Prefilled
 		k.recomputed += t.Prefilled
 		return
 	}
-	k.first = r.agenda.Now()
-	computedFrom := k.prompt - t.Prefilled
+	k.firstTokenAt = r.agenda.Now()
+	computedFrom := k.promptTokens - t.Prefilled
 	for i, b := range k.blocks {
-		if i*prompt.BlockTokens >= computedFrom && r.seen[b] {
+		if i*prompt.BlockTokens >= computedFrom && r.computedBlocks[b] {
 			k.recomputed += prompt.BlockTokens
 		}
-		r.seen[b] = true
+		r.computedBlocks[b] = true
 	}
 }
 
-func (r *run) policy(k *call) Policy { return k.decider.policies[r.document(k.kind.Plain)] }
+func (r *run) policy(k *call) Policy { return k.gateway.policies[r.document(k.kind.Plain)] }
 
-// leave ends the request's present attempt, if there is one.
-func (r *run) leave(k *call, result routing.Result) {
+// endAttempt ends the request's present attempt, if there is one.
+func (r *run) endAttempt(k *call, result routing.Result) {
 	if k.runner == nil {
 		return
 	}
@@ -201,29 +201,29 @@
 	u := k.runner
 	k.runner = nil
 	if result != routing.ResultCancelled {
-		r.observe(k, u, result == routing.ResultFailed)
+		r.recordAttemptEnd(k, u, result == routing.ResultFailed)
 	}
 	r.policy(k).Finished(&k.ticket, result, r.agenda.Clock())
 }
 
-// gap is the mean time between two tokens, interruptions included.
-func (k *call) gap() time.Duration {
+// meanTokenGap is the mean time between two tokens, interruptions included.
+func (k *call) meanTokenGap() time.Duration {
 	if k.delivered < 2 {
 		return 0
 	}
-	return (k.last - k.first) / time.Duration(k.delivered-1)
+	return (k.lastTokenAt - k.firstTokenAt) / time.Duration(k.delivered-1)
 }
 
 // met reports whether the request met all targets of its class.
 func (k *call) met() bool {
 	c := k.kind.Class
 	switch {
-	case k.delivered < k.output:
+	case k.delivered < k.outputTokens:
 		return false
-	case k.first-k.at > c.FirstToken:
+	case k.firstTokenAt-k.at > c.FirstToken:
 		return false
-	case c.BetweenTokens > 0 && k.gap() > c.BetweenTokens:
+	case c.BetweenTokens > 0 && k.meanTokenGap() > c.BetweenTokens:
 		return false
 	}
-	return c.Completion == 0 || k.last-k.at <= c.Completion
+	return c.Completion == 0 || k.lastTokenAt-k.at <= c.Completion
 }
--- a/internal/experiment/driver.go
+++ b/internal/experiment/driver.go
@@ -36,40 +36,40 @@
 	leaving bool
 	endsAt  time.Duration
 	ended   bool
-	// used is the time spent in steps after the warm-up.
-	used     time.Duration
-	from, to time.Duration
-	active   map[int]*call
-	longest  int
+	// busyTime is the time spent in steps after the warm-up.
+	busyTime             time.Duration
+	startedAt, stoppedAt time.Duration
+	active               map[int]*call
+	longestQueue         int
 }
 
-// decider is one gateway's decisions; it sees no other decider's.
-type decider struct {
-	policies map[*document.Document]Policy
-	views    map[*document.Document][]blackboard.Upstream
-	caches   map[ident.Instance]*cacheview.View
-	blind    bool
+// gateway is one gateway's decisions; it sees no other decider's.
+type gateway struct {
+	policies      map[*document.Document]Policy
+	views         map[*document.Document][]blackboard.Upstream
+	caches        map[ident.Instance]*cacheview.View
+	blindToCaches bool
 	// admissions are empty for policies without admission.
 	admissions map[*document.Document]*admission
-	// evacuated are the leaving runners that were planned for; nil for
+	// planned are the leaving runners that were planned for; nil for
 	// policies that only react to the end.
-	evacuated map[ident.Instance]bool
+	planned map[ident.Instance]bool
 }
 
 // call is one request on its way through its attempts.
 type call struct {
 	arrival
-	index     int
-	decider   *decider
-	runner    *runner
-	ticket    routing.Ticket
-	decision  routing.Decision
-	exclude   []ident.Instance
-	attempts  int
-	sent      time.Duration
-	delivered int
-	first     time.Duration
-	last      time.Duration
+	index        int
+	gateway      *gateway
+	runner       *runner
+	ticket       routing.Ticket
+	decision     routing.Decision
+	exclude      []ident.Instance
+	attempts     int
+	sentAt       time.Duration
+	delivered    int
+	firstTokenAt time.Duration
+	lastTokenAt  time.Duration
 	// recomputed counts tokens that some engine had computed before, and
 	// resumed those of them that an interrupted stream cost.
 	recomputed, resumed int
@@ -79,12 +79,12 @@
 	refusals, retries, retriesAdmitted int
 	// entry is the request's place in its decider's admission, or nil.
 	entry *gate.Entry
-	// turnedAway counts the times when no budget paid for another attempt.
-	turnedAway int
-	// firstOfAttempt is of the present attempt.
-	firstOfAttempt time.Duration
-	// resumedAt is how many tokens the attempt began with.
-	resumedAt int
+	// unpaidRetries counts the times when no budget paid for another attempt.
+	unpaidRetries int
+	// attemptFirstToken is of the present attempt.
+	attemptFirstToken time.Duration
+	// deliveredBefore is how many tokens the attempt began with.
+	deliveredBefore int
 	// predicted and actual are of the first attempt's first token.
 	predicted, actual time.Duration
 }
@@ -96,31 +96,31 @@
 	rng      *rand.Rand
 	agenda   agenda.Agenda
 	runners  []*runner
-	deciders []*decider
+	gateways []*gateway
 	calls    []*call
-	// seen are the blocks that any engine has computed.
-	seen map[uint64]bool
-	open int
+	// computedBlocks are the blocks that any engine has computed.
+	computedBlocks map[uint64]bool
+	openRequests   int
 }
 
 // Run plays a case and returns its figures.
 func Run(w *Workload, c Case, contender Contender, seed uint64) Figures {
-	r := &run{workload: w, fault: c, rng: rand.New(rand.NewPCG(seed, 1)), seen: make(map[uint64]bool)}
+	r := &run{workload: w, fault: c, rng: rand.New(rand.NewPCG(seed, 1)), computedBlocks: make(map[uint64]bool)}
 	for _, i := range w.Runners {
 		r.addRunner(i, engine.DefaultParameters())
 	}
 	for _, i := range w.PlainRunners {
 		r.addRunner(i, plainParameters())
 	}
-	r.addDeciders(contender)
+	r.addGateways(contender)
 	for i, a := range w.arrivals(rand.New(rand.NewPCG(seed, 2)), c.phases(), c.accounts(w)) {
-		k := &call{arrival: a, index: i, decider: r.deciders[mix(seed+uint64(i)<<8)%deciders]}
+		k := &call{arrival: a, index: i, gateway: r.gateways[mixBits(seed+uint64(i)<<8)%gatewayCount]}
 		r.calls = append(r.calls, k)
 		r.agenda.At(a.at, func() { r.arrive(k) })
 	}
-	r.open = len(r.calls)
-	r.agenda.At(faultAt, r.strike)
-	for r.open > 0 && r.agenda.Now() < drainLimit && r.agenda.Step() {
+	r.openRequests = len(r.calls)
+	r.agenda.At(faultAt, r.injectFault)
+	for r.openRequests > 0 && r.agenda.Now() < drainLimit && r.agenda.Step() {
 	}
 	return r.figures()
 }
@@ -130,41 +130,41 @@
 		p.ReportLag = r.fault.ReportLag
 	}
 	p.EventGapEvery = r.fault.EventGapEvery
-	u := &runner{Instance: i, model: engine.NewModel(p), active: make(map[int]*call), from: r.agenda.Now(), to: arrivalsEnd}
+	u := &runner{Instance: i, model: engine.NewModel(p), active: make(map[int]*call), startedAt: r.agenda.Now(), stoppedAt: arrivalsEnd}
 	r.runners = append(r.runners, u)
 }
 
-func (r *run) addDeciders(contender Contender) {
-	for i := range deciders {
-		d := &decider{
-			caches: make(map[ident.Instance]*cacheview.View),
-			views:  make(map[*document.Document][]blackboard.Upstream),
-			blind:  contender.BlindToCaches,
+func (r *run) addGateways(contender Contender) {
+	for i := range gatewayCount {
+		d := &gateway{
+			caches:        make(map[ident.Instance]*cacheview.View),
+			views:         make(map[*document.Document][]blackboard.Upstream),
+			blindToCaches: contender.BlindToCaches,
 		}
 		d.policies = map[*document.Document]Policy{
 			r.workload.Model: contender.New(r.rng.Uint64, r.agenda.Clock()),
 			r.workload.Plain: contender.New(r.rng.Uint64, r.agenda.Clock()),
 		}
 		if contender.Admission {
-			d.evacuated = make(map[ident.Instance]bool)
+			d.planned = make(map[ident.Instance]bool)
 			d.admissions = map[*document.Document]*admission{
 				r.workload.Model: newAdmission(r.agenda.Clock()),
 				r.workload.Plain: newAdmission(r.agenda.Clock()),
 			}
 		}
-		r.deciders = append(r.deciders, d)
+		r.gateways = append(r.gateways, d)
 		r.poll(d)
-		r.agenda.At(pollEvery*time.Duration(i)/deciders, func() { r.pollRepeatedly(d) })
+		r.agenda.At(pollEvery*time.Duration(i)/gatewayCount, func() { r.pollRepeatedly(d) })
 	}
 }
 
-func (r *run) pollRepeatedly(d *decider) {
+func (r *run) pollRepeatedly(d *gateway) {
 	r.poll(d)
 	r.agenda.At(r.agenda.Now()+pollEvery, func() { r.pollRepeatedly(d) })
 }
 
 // poll reads all upstreams' reports and cache events into new views.
-func (r *run) poll(d *decider) {
+func (r *run) poll(d *gateway) {
 	d.views[r.workload.Model], d.views[r.workload.Plain] = nil, nil
 	for _, u := range r.runners {
 		if u.ended {
@@ -173,7 +173,7 @@
 		report := u.model.Report(r.agenda.Clock())
 		seen := blackboard.Upstream{Instance: u.Instance, State: blackboard.Alive, Report: report}
 		seen.AsOf = r.agenda.Clock().Add(-report.Age)
-		if !d.blind {
+		if !d.blindToCaches {
 			seen.Cache = r.cacheOf(d, u)
 		}
 		if u.leaving {
@@ -183,8 +183,8 @@
 		d.views[doc] = append(d.views[doc], seen)
 	}
 	for _, u := range r.runners {
-		if d.evacuated != nil && u.leaving && !u.ended {
-			r.evacuate(d, u)
+		if d.planned != nil && u.leaving && !u.ended {
+			r.planReclaim(d, u)
 		}
 	}
 	for doc, a := range d.admissions {
@@ -199,7 +199,7 @@
 
 // cacheOf returns what a decider believes of a runner's cache after reading
 // its newest events.
-func (r *run) cacheOf(d *decider, u *runner) *cacheview.View {
+func (r *run) cacheOf(d *gateway, u *runner) *cacheview.View {
 	cache := d.caches[u.ID]
 	if cache == nil {
 		cache = cacheview.New(cacheview.DefaultParams(), r.agenda.Clock())
@@ -216,10 +216,10 @@
 	return r.workload.Model
 }
 
-// strike brings the case's fault about.
-func (r *run) strike() {
-	if r.fault.Slow > 0 {
-		r.runners[0].model.SetSlowdown(r.fault.Slow)
+// injectFault brings the case's fault about.
+func (r *run) injectFault() {
+	if r.fault.Slowdown > 0 {
+		r.runners[0].model.SetSlowdown(r.fault.Slowdown)
 	}
 	if !r.fault.Reclaim {
 		return
@@ -232,7 +232,7 @@
 		u.leaving = true
 		u.model.Leave(r.agenda.Clock())
 		u.endsAt = r.agenda.Now() + reclaimNotice
-		r.agenda.At(u.endsAt, func() { r.end(u) })
+		r.agenda.At(u.endsAt, func() { r.endRunner(u) })
 		r.replace(u, 1)
 	}
 }
@@ -259,17 +259,17 @@
 	})
 }
 
-// end loses a runner and resumes its calls elsewhere, oldest first.
-func (r *run) end(u *runner) {
-	u.ended, u.to = true, r.agenda.Now()
-	for _, k := range sorted(u.active) {
-		r.leave(k, routing.ResultFailed)
+// endRunner loses a runner and resumes its calls elsewhere, oldest first.
+func (r *run) endRunner(u *runner) {
+	u.ended, u.stoppedAt = true, r.agenda.Now()
+	for _, k := range inArrivalOrder(u.active) {
+		r.endAttempt(k, routing.ResultFailed)
 		k.exclude = append(k.exclude, u.ID)
 		r.dispatch(k)
 	}
 }
 
-func sorted(active map[int]*call) []*call {
+func inArrivalOrder(active map[int]*call) []*call {
 	list := make([]*call, 0, len(active))
 	for _, k := range active {
 		list = append(list, k)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// light is a load at which a run is quick even under the race detector.
-const light = 0.2
+// lowLoad is a load at which a run is quick even under the race detector.
+const lowLoad = 0.2
 
 func ours() Contender { return Contenders()[len(Contenders())-1] }
 
@@ -11,7 +11,7 @@
 // on at once; another seed gives others. Every request ends, also while a
 // failure domain is reclaimed.
 func TestFiguresAreReproducible(t *testing.T) {
-	cases := []Case{{Name: "reclaimed", Load: light, Reclaim: true}}
+	cases := []Case{{Name: "reclaimed", Load: lowLoad, Reclaim: true}}
 	play := func() Table {
 		return RunAll([]*Workload{Domaenenhaus()}, cases, []Contender{Contenders()[0], ours()}, 2)
 	}
@@ -39,7 +39,7 @@
 // ended request lets the next one in at the same runner. Cause: that began the
 // runner's next step while the tokens of the last one were being handed out.
 func TestRushInterruptsNoStream(t *testing.T) {
-	f := Run(Harfang(), Case{Name: "rush", Load: light, Rush: 1.5}, ours(), 1)
+	f := Run(Harfang(), Case{Name: "rush", Load: lowLoad, SpikeLoad: 1.5}, ours(), 1)
 	if f.Resumed > 0 || f.Refused == 0 && f.Met > 0.99 {
 		t.Errorf("recomputed %.0f tokens of streams that were not interrupted; met %.3f", f.Resumed, f.Met)
 	}
@@ -50,7 +50,7 @@
 // Cause: routing believes reports alone.
 func TestSlowUpstreamIsLeftAlone(t *testing.T) {
 	const want = 0.985
-	slow := Case{Name: "slow upstream", Load: 2 * light, Slow: 4}
+	slow := Case{Name: "slow upstream", Load: 2 * lowLoad, Slowdown: 4}
 	if f := Run(Domaenenhaus(), slow, ours(), 1); f.Met < want {
 		t.Errorf("%.2f%% of the requests in target beside a slow upstream, want %.2f%%", 100*f.Met, 100*want)
 	}
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -17,8 +17,8 @@
 	// Short are the times to the first token of the most urgent class, and
 	// Long those of the least urgent one.
 	ShortP50, ShortP95, ShortP99, LongP95 float64
-	// Between is the 95th percentile of the mean time between tokens.
-	Between float64
+	// BetweenP95 is the 95th percentile of the mean time between tokens.
+	BetweenP95 float64
 	// Met is the share of requests that met their class's targets.
 	Met, ShortMet, LongMet float64
 	// ModelMet is Met without the plain services' calls.
@@ -39,16 +39,16 @@
 	// Refused is the share of requests refused for good, Unfinished the share
 	// that was begun or queued and never completed.
 	Refused, Unfinished float64
-	// Truthful is the share of retries at the return time that were taken.
-	Truthful float64
-	// LeastShare is the worst ratio of what a client account got to its fair
+	// RetriesAdmitted is the share of retries at the return time that were taken.
+	RetriesAdmitted float64
+	// LeastShareRatio is the worst ratio of what a client account got to its fair
 	// share; SmallShare is the same of the smallest account that did not ask
 	// for more than it does otherwise.
-	LeastShare, SmallShare float64
-	// Attempts is sent attempts for each time that a request was taken on:
+	LeastShareRatio, SmallShareRatio float64
+	// AttemptsPerRequest is sent attempts for each time that a request was taken on:
 	// once, and again whenever its caller came back after being turned away.
 	// Queue is the longest queue.
-	Attempts, Queue float64
+	AttemptsPerRequest, LongestQueue float64
 	// ErrorMedian is the median of |log2(actual/predicted)| first token, and
 	// ErrorBias the median of log2(actual/predicted).
 	ErrorMedian, ErrorBias float64
@@ -68,48 +68,48 @@
 	f.goodput(r.workload, calls)
 	f.costs(r, calls)
 	f.predictions(calls)
-	f.shares(calls, r.workload.Accounts)
+	f.fairness(calls, r.workload.Accounts)
 	return f
 }
 
 func (f *Figures) latencies(w *Workload, calls []*call) {
 	var short, long, between []float64
-	urgent, patient := &w.Kinds[0], longest(w)
+	urgent, patient := &w.Kinds[0], longestKind(w)
 	for _, k := range calls {
 		if k.kind == urgent {
-			short = append(short, k.waited())
+			short = append(short, k.firstTokenWait())
 		}
 		if k.kind == patient {
-			long = append(long, k.waited())
+			long = append(long, k.firstTokenWait())
 		}
 		if k.delivered > 1 {
-			between = append(between, milliseconds(k.gap()))
+			between = append(between, milliseconds(k.meanTokenGap()))
 		}
 	}
 	f.ShortP50, f.ShortP95, f.ShortP99 = quantile(short, 0.50), quantile(short, 0.95), quantile(short, 0.99)
 	f.LongP95 = quantile(long, 0.95)
-	f.Between = quantile(between, 0.95)
-	f.ShortMet = share(calls, func(k *call) bool { return k.kind == urgent }, (*call).met)
-	f.LongMet = share(calls, func(k *call) bool { return k.kind == patient }, (*call).met)
+	f.BetweenP95 = quantile(between, 0.95)
+	f.ShortMet = shareOf(calls, func(k *call) bool { return k.kind == urgent }, (*call).met)
+	f.LongMet = shareOf(calls, func(k *call) bool { return k.kind == patient }, (*call).met)
 }
 
-// longest is the kind of model request with the most output.
-func longest(w *Workload) *Kind {
+// longestKind is the kind of model request with the most output.
+func longestKind(w *Workload) *Kind {
 	found := &w.Kinds[0]
 	for i := range w.Kinds {
-		if w.Kinds[i].Output > found.Output {
+		if w.Kinds[i].OutputTokens > found.OutputTokens {
 			found = &w.Kinds[i]
 		}
 	}
 	return found
 }
 
-// waited is the time to the first token; for a request that never got one, the
+// firstTokenWait is the time to the first token; for a request that never got one, the
 // time until the caller gave up or the run ended.
-func (k *call) waited() float64 {
+func (k *call) firstTokenWait() float64 {
 	switch {
 	case k.delivered > 0:
-		return milliseconds(k.first - k.at)
+		return milliseconds(k.firstTokenAt - k.at)
 	case k.kind.Patience > 0:
 		return milliseconds(k.kind.Patience)
 	}
@@ -119,36 +119,36 @@
 func (f *Figures) counts(calls []*call) {
 	n := float64(len(calls))
 	all := func(*call) bool { return true }
-	f.Met = share(calls, all, (*call).met)
-	f.Unfinished = share(calls, all, func(k *call) bool { return k.delivered < k.output && k.refusals == 0 })
-	f.Refused = share(calls, all, func(k *call) bool { return k.refusals > 0 && k.attempts == 0 })
+	f.Met = shareOf(calls, all, (*call).met)
+	f.Unfinished = shareOf(calls, all, func(k *call) bool { return k.delivered < k.outputTokens && k.refusals == 0 })
+	f.Refused = shareOf(calls, all, func(k *call) bool { return k.refusals > 0 && k.attempts == 0 })
 	retries, admitted, taken := 0, 0, 0
 	for _, k := range calls {
 		f.Recomputed += float64(k.recomputed) * 1000 / n
 		f.Resumed += float64(k.resumed) * 1000 / n
-		f.Attempts += float64(k.attempts)
-		taken += 1 + k.turnedAway
+		f.AttemptsPerRequest += float64(k.attempts)
+		taken += 1 + k.unpaidRetries
 		retries += k.retries
 		admitted += k.retriesAdmitted
 	}
-	f.Attempts /= float64(max(1, taken))
-	f.Truthful = 1
+	f.AttemptsPerRequest /= float64(max(1, taken))
+	f.RetriesAdmitted = 1
 	if retries > 0 {
-		f.Truthful = float64(admitted) / float64(retries)
+		f.RetriesAdmitted = float64(admitted) / float64(retries)
 	}
 }
 
 // goodput counts what came in during the fault and met its targets.
 func (f *Figures) goodput(w *Workload, calls []*call) {
 	p := engine.DefaultParameters()
-	seconds := (rushEnd - faultAt).Seconds()
+	seconds := (faultEnd - faultAt).Seconds()
 	for _, k := range calls {
-		if k.at < faultAt || k.at >= rushEnd || !k.met() {
+		if k.at < faultAt || k.at >= faultEnd || !k.met() {
 			continue
 		}
 		f.Goodput += 1 / seconds
 		if !k.kind.Plain {
-			f.WorkGoodput += k.kind.perRequest(p) / seconds / float64(len(w.Runners))
+			f.WorkGoodput += k.kind.leastEngineTime(p) / seconds / float64(len(w.Runners))
 		}
 	}
 }
@@ -156,13 +156,13 @@
 func (f *Figures) costs(r *run, calls []*call) {
 	used, fleet := 0.0, 0.0
 	for _, u := range r.runners {
-		f.Queue = max(f.Queue, float64(u.longest))
+		f.LongestQueue = max(f.LongestQueue, float64(u.longestQueue))
 		if u.Role == platform.RolePlain {
 			continue
 		}
 		cents := centsPerHour(r.workload.Prices, u.Instance)
-		used += cents * u.used.Hours()
-		fleet += cents * max(0, u.to-max(u.from, warmUp)).Hours()
+		used += cents * u.busyTime.Hours()
+		fleet += cents * max(0, u.stoppedAt-max(u.startedAt, warmUp)).Hours()
 	}
 	met, asked := 0, 0
 	for _, k := range calls {
@@ -202,10 +202,10 @@
 	f.ErrorBias, f.ErrorMedian = quantile(bias, 0.5), quantile(size, 0.5)
 }
 
-// shares divides the engine time of the answers that met their targets fairly
+// fairness divides the engine time of the answers that met their targets fairly
 // (no account gets more than it asked for, and what one leaves the others
 // share equally) and compares it with what each account got.
-func (f *Figures) shares(calls []*call, usual []float64) {
+func (f *Figures) fairness(calls []*call, usual []float64) {
 	asked, got := make([]float64, len(usual)), make([]float64, len(usual))
 	total := 0.0
 	p := engine.DefaultParameters()
@@ -213,7 +213,7 @@
 		if k.kind.Plain {
 			continue
 		}
-		work := k.kind.perRequest(p)
+		work := k.kind.leastEngineTime(p)
 		asked[k.account] += work
 		if k.met() {
 			got[k.account] += work
@@ -221,12 +221,12 @@
 		}
 	}
 	fair := fairShares(asked, total)
-	f.LeastShare = 1
+	f.LeastShareRatio = 1
 	for a := range fair {
-		f.LeastShare = min(f.LeastShare, got[a]/max(fair[a], math.SmallestNonzeroFloat64))
+		f.LeastShareRatio = min(f.LeastShareRatio, got[a]/max(fair[a], math.SmallestNonzeroFloat64))
 	}
 	small := len(usual) - 2
-	f.SmallShare = got[small] / max(fair[small], math.SmallestNonzeroFloat64)
+	f.SmallShareRatio = got[small] / max(fair[small], math.SmallestNonzeroFloat64)
 }
 
 // fairShares fills the accounts up alike until the total is spent.
@@ -244,8 +244,8 @@
 	return fair
 }
 
-// share is the share of the calls in a group that have a property.
-func share(calls []*call, in, has func(*call) bool) float64 {
+// shareOf is the share of the calls in a group that have a property.
+func shareOf(calls []*call, in, has func(*call) bool) float64 {
 	n, yes := 0, 0
 	for _, k := range calls {
 		if !in(k) {
--- a/internal/experiment/goals.go
+++ b/internal/experiment/goals.go
@@ -59,27 +59,27 @@
 		goals = append(goals, t.recomputedGoal(ours))
 	}
 	c := ours.Case
-	if c.Load <= 0.9 && c.Rush == 0 && c.Greedy == 0 {
+	if c.Load <= 0.9 && c.SpikeLoad == 0 && c.GreedyFactor == 0 {
 		goals = append(goals, shortGoal(ours))
 	}
-	if c.Rush > 1 {
+	if c.SpikeLoad > 1 {
 		goals = append(goals, t.goodputGoal(ours))
 	}
-	if c.Greedy > 0 {
+	if c.GreedyFactor > 0 {
 		goals = append(goals, shareGoal(ours))
 	}
-	if c.Slow > 0 || c.Reclaim || c.Refusing > 0 {
+	if c.Slowdown > 0 || c.Reclaim || c.RefusedShare > 0 {
 		goals = append(goals, attemptsGoal(ours))
 	}
 	return goals
 }
 
-func name(c Cell, what string) string {
+func goalName(c Cell, what string) string {
 	return fmt.Sprintf("%s/%s/%s", c.Workload.Name, c.Case.Name, what)
 }
 
-// best returns the baseline of the same case with the least median.
-func (t Table) best(of Cell, figure func(Figures) float64) (best Cell, value float64) {
+// bestBaseline returns the baseline of the same case with the least median.
+func (t Table) bestBaseline(of Cell, figure func(Figures) float64) (best Cell, value float64) {
 	value = math.Inf(1)
 	for _, cell := range t {
 		if strings.HasPrefix(cell.Policy, Ours) || cell.Workload != of.Workload || cell.Case != of.Case {
@@ -92,16 +92,16 @@
 	return best, value
 }
 
-// ratio compares our figure with the best baseline's, seed by seed.
-func (t Table) ratio(ours Cell, what string, figure func(Figures) float64, wanted float64) Goal {
-	best, _ := t.best(ours, figure)
+// ratioGoal compares our figure with the best baseline's, seed by seed.
+func (t Table) ratioGoal(ours Cell, what string, figure func(Figures) float64, wanted float64) Goal {
+	best, _ := t.bestBaseline(ours, figure)
 	var ratios []Figures
 	for i, f := range ours.Seeds {
 		if i < len(best.Seeds) {
 			ratios = append(ratios, Figures{Met: figure(f) / figure(best.Seeds[i])})
 		}
 	}
-	g := Goal{Name: name(ours, what), Wanted: wanted, Got: math.NaN(), Bound: math.NaN()}
+	g := Goal{Name: goalName(ours, what), Wanted: wanted, Got: math.NaN(), Bound: math.NaN()}
 	if len(ratios) == 0 {
 		g.Note = "no baseline was run"
 		return g
@@ -117,10 +117,10 @@
 // same for all policies, so its cost can only fall as far as more requests
 // meet their target: to the baseline's share of them.
 func (t Table) costGoals(ours Cell) []Goal {
-	used := t.ratio(ours, "cost of used time at target", func(f Figures) float64 { return f.UsedCost }, wantCost)
+	used := t.ratioGoal(ours, "cost of used time at target", func(f Figures) float64 { return f.UsedCost }, wantCost)
 	fleetCost := func(f Figures) float64 { return f.FleetCost }
-	fleet := t.ratio(ours, "cost of the fleet at target", fleetCost, wantCost)
-	best, _ := t.best(ours, fleetCost)
+	fleet := t.ratioGoal(ours, "cost of the fleet at target", fleetCost, wantCost)
+	best, _ := t.bestBaseline(ours, fleetCost)
 	if len(best.Seeds) > 0 {
 		fleet.Bound = best.Median(func(f Figures) float64 { return f.ModelMet })
 		used.Bound = ours.Workload.leastCost(ours.Case) / best.Median(func(f Figures) float64 { return f.UsedCost })
@@ -130,7 +130,7 @@
 
 // recomputedGoal compares tokens recomputed. The bound is none at all.
 func (t Table) recomputedGoal(ours Cell) Goal {
-	g := t.ratio(ours, "tokens recomputed", func(f Figures) float64 { return f.Recomputed }, wantRecomputed)
+	g := t.ratioGoal(ours, "tokens recomputed", func(f Figures) float64 { return f.Recomputed }, wantRecomputed)
 	g.Bound = 0
 	return g
 }
@@ -138,7 +138,7 @@
 func shortGoal(ours Cell) Goal {
 	p95 := func(f Figures) float64 { return f.ShortP95 }
 	target := milliseconds(ours.Workload.Kinds[0].Class.FirstToken)
-	return Goal{Name: name(ours, "short p95 ms"), Wanted: target, Got: ours.Median(p95), Spread: ours.Spread(p95), Bound: math.NaN()}
+	return Goal{Name: goalName(ours, "short p95 ms"), Wanted: target, Got: ours.Median(p95), Spread: ours.Spread(p95), Bound: math.NaN()}
 }
 
 // goodputGoal compares goodput beyond capacity with our best goodput in any
@@ -152,24 +152,24 @@
 		}
 	}
 	return Goal{
-		Name: name(ours, "goodput of the peak"), Wanted: wantGoodput, AtLeast: true,
+		Name: goalName(ours, "goodput of the peak"), Wanted: wantGoodput, AtLeast: true,
 		Got: ours.Median(goodput) / peak, Spread: ours.Spread(goodput) / peak, Bound: 1 / peak,
 		Note: "by engine time of the answers in target",
 	}
 }
 
 func shareGoal(ours Cell) Goal {
-	least := func(f Figures) float64 { return f.SmallShare }
+	least := func(f Figures) float64 { return f.SmallShareRatio }
 	return Goal{
-		Name: name(ours, "small account's share"), Wanted: wantShare, AtLeast: true,
+		Name: goalName(ours, "small account's share"), Wanted: wantShare, AtLeast: true,
 		Got: ours.Median(least), Spread: ours.Spread(least), Bound: 1,
 	}
 }
 
 func attemptsGoal(ours Cell) Goal {
-	attempts := func(f Figures) float64 { return f.Attempts }
+	attempts := func(f Figures) float64 { return f.AttemptsPerRequest }
 	return Goal{
-		Name: name(ours, "attempts per request"), Wanted: wantAttempts,
+		Name: goalName(ours, "attempts per request"), Wanted: wantAttempts,
 		Got: ours.Median(attempts), Spread: ours.Spread(attempts), Bound: 1,
 	}
 }
@@ -183,20 +183,20 @@
 			verdict = "SHORT"
 			short++
 		}
-		fmt.Fprintf(out, "GOAL %-58s wanted %s got %s %s", "\""+g.Name+"\"", g.sign()+number(g.Wanted), number(g.Got), verdict)
-		fmt.Fprintf(out, " (spread %s, bound %s) %s\n", number(g.Spread), number(g.Bound), g.Note)
+		fmt.Fprintf(out, "GOAL %-58s wanted %s got %s %s", "\""+g.Name+"\"", g.comparison()+formatNumber(g.Wanted), formatNumber(g.Got), verdict)
+		fmt.Fprintf(out, " (spread %s, bound %s) %s\n", formatNumber(g.Spread), formatNumber(g.Bound), g.Note)
 	}
 	fmt.Fprintf(out, "%d of %d goals met\n", len(goals)-short, len(goals))
 }
 
-func (g Goal) sign() string {
+func (g Goal) comparison() string {
 	if g.AtLeast {
 		return ">="
 	}
 	return "<="
 }
 
-func number(x float64) string {
+func formatNumber(x float64) string {
 	if math.IsNaN(x) {
 		return "-"
 	}
--- a/internal/experiment/plots.go
+++ b/internal/experiment/plots.go
@@ -22,7 +22,7 @@
 // chart is one plotted figure.
 type chart struct {
 	file, title string
-	of          func(Figures) float64
+	value       func(Figures) float64
 }
 
 func charts() []chart {
@@ -74,7 +74,7 @@
 		if bars[cell.Policy] == nil {
 			policies = append(policies, cell.Policy)
 		}
-		bars[cell.Policy] = append(bars[cell.Policy], cell.Median(c.of))
+		bars[cell.Policy] = append(bars[cell.Policy], cell.Median(c.value))
 		if len(cases) == 0 || cases[len(cases)-1] != cell.Case.Name {
 			cases = append(cases, cell.Case.Name)
 		}
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -38,9 +38,9 @@
 // Contenders returns the baselines and our policy.
 func Contenders() []Contender {
 	return []Contender{
-		blind(baseline("round robin", roundRobin)),
-		blind(baseline("fewest in flight", fewestInFlight)),
-		blind(baseline("random of two", randomOfTwo)),
+		withoutCaches(baseline("round robin", roundRobin)),
+		withoutCaches(baseline("fewest in flight", fewestInFlight)),
+		withoutCaches(baseline("random of two", randomOfTwo)),
 		baseline("prefix affinity", prefixAffinity),
 		{Name: Ours, Admission: true, New: ourPolicy},
 	}
@@ -55,31 +55,31 @@
 	return routing.New(p, now)
 }
 
-// simple is a baseline: it chooses among the usable upstreams.
-type simple struct {
+// baselinePolicy is a baseline: it chooses among the usable upstreams.
+type baselinePolicy struct {
 	// Router only counts what is in flight.
 	*routing.Router
-	choose func(s *simple, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream
+	choose func(s *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream
 	random func() uint64
 	turn   int
 }
 
-func baseline(name string, choose func(*simple, []*blackboard.Upstream, routing.Request, time.Time) *blackboard.Upstream) Contender {
+func baseline(name string, choose func(*baselinePolicy, []*blackboard.Upstream, routing.Request, time.Time) *blackboard.Upstream) Contender {
 	return Contender{Name: name, New: func(random func() uint64, now time.Time) Policy {
 		p := routing.DefaultParams()
 		p.Random = random
-		return &simple{Router: routing.New(p, now), choose: choose, random: random, turn: int(random() % modelRunners)}
+		return &baselinePolicy{Router: routing.New(p, now), choose: choose, random: random, turn: int(random() % modelRunners)}
 	}}
 }
 
-func blind(c Contender) Contender {
+func withoutCaches(c Contender) Contender {
 	c.BlindToCaches = true
 	return c
 }
 
 // Decide narrows the view to the chosen upstream and lets the Router make the
 // decision, so that baselines are counted and predicted alike.
-func (s *simple) Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision {
+func (s *baselinePolicy) Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision {
 	var usable []*blackboard.Upstream
 	for i := range view {
 		if view[i].State == blackboard.Alive && !slices.Contains(req.Exclude, view[i].Instance.ID) {
@@ -93,12 +93,12 @@
 	return s.Router.Decide(doc, []blackboard.Upstream{*chosen}, req, now)
 }
 
-func roundRobin(s *simple, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+func roundRobin(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
 	s.turn++
 	return usable[s.turn%len(usable)]
 }
 
-func fewestInFlight(s *simple, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+func fewestInFlight(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
 	start := int(s.random() % uint64(len(usable)))
 	best := usable[start]
 	for i := range usable {
@@ -109,7 +109,7 @@
 	return best
 }
 
-func randomOfTwo(s *simple, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+func randomOfTwo(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
 	a := usable[s.random()%uint64(len(usable))]
 	b := usable[s.random()%uint64(len(usable))]
 	if s.Outstanding(b.Instance.ID) < s.Outstanding(a.Instance.ID) {
@@ -120,7 +120,7 @@
 
 // prefixAffinity goes where most of the prompt is cached, and to the fewest
 // in flight when that is equal.
-func prefixAffinity(s *simple, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream {
+func prefixAffinity(s *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream {
 	var longest []*blackboard.Upstream
 	most := -1
 	for _, u := range usable {
--- a/internal/experiment/reclaim.go
+++ b/internal/experiment/reclaim.go
@@ -6,17 +6,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/engine"
 )
 
-// evacuate lets a decider that has just learnt of a notice plan for its
+// planReclaim lets a decider that has just learnt of a notice plan for its
 // streams at the leaving runner.
-func (r *run) evacuate(d *decider, u *runner) {
-	if d.evacuated[u.ID] || u.Role == platform.RolePlain {
+func (r *run) planReclaim(d *gateway, u *runner) {
+	if d.planned[u.ID] || u.Role == platform.RolePlain {
 		return
 	}
-	d.evacuated[u.ID] = true
+	d.planned[u.ID] = true
 	var calls []*call
 	var streams []routing.LeavingStream
-	for _, k := range sorted(u.active) {
-		if k.decider != d {
+	for _, k := range inArrivalOrder(u.active) {
+		if k.gateway != d {
 			continue
 		}
 		doc := r.document(false)
@@ -24,12 +24,12 @@
 		next := r.policy(k).Decide(doc, d.views[doc], k.request(doc.Service), r.agenda.Clock())
 		calls = append(calls, k)
 		streams = append(streams, routing.LeavingStream{
-			Context: k.prompt + k.delivered, Cached: k.prompt + k.delivered - next.UncachedTokens,
-			Remaining: k.output - k.delivered, BetweenTokens: k.decision.BetweenTokens,
+			Context: k.promptTokens + k.delivered, Cached: k.promptTokens + k.delivered - next.UncachedTokens,
+			Remaining: k.outputTokens - k.delivered, BetweenTokens: k.decision.BetweenTokens,
 		})
 	}
 	left := u.endsAt - r.agenda.Now()
-	for _, step := range routing.PlanReclaim(streams, left, engine.DefaultParameters().TransferRate, deciders) {
+	for _, step := range routing.PlanReclaim(streams, left, engine.DefaultParameters().TransferRate, gatewayCount) {
 		k := calls[step.Stream]
 		switch step.Action {
 		case routing.MoveCache:
@@ -46,7 +46,7 @@
 		return
 	}
 	u.model.Cancel(r.agenda.Clock(), k.id())
-	r.leave(k, routing.ResultCancelled)
+	r.endAttempt(k, routing.ResultCancelled)
 	r.dispatch(k)
 }
 
@@ -66,13 +66,13 @@
 
 func (r *run) importTo(k *call, u *runner, exported engine.Exported) {
 	doc := r.document(false)
-	d := r.policy(k).Decide(doc, k.decider.views[doc], k.request(doc.Service), r.agenda.Clock())
+	d := r.policy(k).Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.agenda.Clock())
 	if !d.Found() {
 		return
 	}
-	target := r.runner(d.Upstream)
+	target := r.runnerByID(d.Upstream)
 	u.model.Cancel(r.agenda.Clock(), k.id())
-	r.leave(k, routing.ResultCancelled)
+	r.endAttempt(k, routing.ResultCancelled)
 	target.model.Import(k.id(), exported)
 	// The import counts as load at the target from now on.
 	k.ticket = r.policy(k).Started(d, k.request(doc.Service), r.agenda.Clock())
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -69,7 +69,7 @@
 // column is one printed figure.
 type column struct {
 	title string
-	of    func(Figures) float64
+	value func(Figures) float64
 	// scale multiplies the figure; digits follow the point.
 	scale  float64
 	digits int
@@ -84,7 +84,7 @@
 		{"p95", func(f Figures) float64 { return f.ShortP95 }, 1, 0},
 		{"p99", func(f Figures) float64 { return f.ShortP99 }, 1, 0},
 		{"long p95", func(f Figures) float64 { return f.LongP95 }, 1, 0},
-		{"between p95", func(f Figures) float64 { return f.Between }, 1, 1},
+		{"between p95", func(f Figures) float64 { return f.BetweenP95 }, 1, 1},
 		{"met %", func(f Figures) float64 { return f.Met }, 100, 1},
 		{"short met %", func(f Figures) float64 { return f.ShortMet }, 100, 1},
 		{"long met %", func(f Figures) float64 { return f.LongMet }, 100, 1},
@@ -94,13 +94,13 @@
 		{"resumed", func(f Figures) float64 { return f.Resumed }, 0.001, 1},
 		{"goodput/s", func(f Figures) float64 { return f.Goodput }, 1, 1},
 		{"refused %", func(f Figures) float64 { return f.Refused }, 100, 1},
-		{"truthful %", func(f Figures) float64 { return f.Truthful }, 100, 1},
+		{"truthful %", func(f Figures) float64 { return f.RetriesAdmitted }, 100, 1},
 		{"work goodput", func(f Figures) float64 { return f.WorkGoodput }, 1, 3},
 		{"unfinished %", func(f Figures) float64 { return f.Unfinished }, 100, 1},
-		{"least share", func(f Figures) float64 { return f.LeastShare }, 1, 2},
-		{"small share", func(f Figures) float64 { return f.SmallShare }, 1, 2},
-		{"attempts", func(f Figures) float64 { return f.Attempts }, 1, 3},
-		{"queue", func(f Figures) float64 { return f.Queue }, 1, 0},
+		{"least share", func(f Figures) float64 { return f.LeastShareRatio }, 1, 2},
+		{"small share", func(f Figures) float64 { return f.SmallShareRatio }, 1, 2},
+		{"attempts", func(f Figures) float64 { return f.AttemptsPerRequest }, 1, 3},
+		{"queue", func(f Figures) float64 { return f.LongestQueue }, 1, 0},
 		{"err log2", func(f Figures) float64 { return f.ErrorMedian }, 1, 2},
 		{"bias", func(f Figures) float64 { return f.ErrorBias }, 1, 2},
 	}
@@ -112,17 +112,17 @@
 	for _, cell := range t {
 		group := cell.Workload.Name + ", " + cell.Case.Name
 		if group != last {
-			header(out, group)
+			printHeader(out, group)
 			last = group
 		}
-		line(out, cell.Policy, cell.Median)
+		printRow(out, cell.Policy, cell.Median)
 		if cell.Policy == Ours {
-			line(out, "  spread", cell.Spread)
+			printRow(out, "  spread", cell.Spread)
 		}
 	}
 }
 
-func header(out io.Writer, group string) {
+func printHeader(out io.Writer, group string) {
 	fmt.Fprintf(out, "\n%s\n%-18s", group, "")
 	for _, c := range columns() {
 		fmt.Fprintf(out, " %*s", c.width(), c.title)
@@ -130,10 +130,10 @@
 	fmt.Fprintln(out)
 }
 
-func line(out io.Writer, name string, value func(func(Figures) float64) float64) {
+func printRow(out io.Writer, name string, value func(func(Figures) float64) float64) {
 	fmt.Fprintf(out, "%-18s", name)
 	for _, c := range columns() {
-		fmt.Fprintf(out, " %*.*f", c.width(), c.digits, c.scale*value(c.of))
+		fmt.Fprintf(out, " %*.*f", c.width(), c.digits, c.scale*value(c.value))
 	}
 	fmt.Fprintln(out)
 }
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -44,14 +44,14 @@
 	// Zipf-like popularity, and PrefixTokens their length.
 	Prefixes     int
 	PrefixTokens int
-	// Own is the mean length of what only this request has, Output that of
+	// OwnTokens is the mean length of what only this request has, Output that of
 	// the answer, in tokens.
-	Own, Output int
+	OwnTokens, OutputTokens int
 	// Turns is the length of a conversation whose every turn repeats all
 	// earlier ones; 0 and 1 are single requests.
 	Turns int
-	// Think is the mean time between two turns.
-	Think time.Duration
+	// ThinkTime is the mean time between two turns.
+	ThinkTime time.Duration
 	// Patience is how long the caller waits for the first token; 0: forever.
 	Patience time.Duration
 }
@@ -70,19 +70,19 @@
 
 // arrival is one request as it comes in.
 type arrival struct {
-	at      time.Duration
-	kind    *Kind
-	account int
-	blocks  []uint64
-	prompt  int
-	output  int
+	at           time.Duration
+	kind         *Kind
+	account      int
+	blocks       []uint64
+	promptTokens int
+	outputTokens int
 }
 
-// perRequest is the least engine time of a request of a kind: its own part is
+// leastEngineTime is the least engine time of a request of a kind: its own part is
 // prefilled, its prefix is cached, and it decodes in a full batch.
-func (k *Kind) perRequest(p engine.Parameters) float64 {
+func (k *Kind) leastEngineTime(p engine.Parameters) float64 {
 	token := p.StepBase.Seconds()/float64(p.MaxRunning) + p.StepPerStream.Seconds()
-	return float64(k.Own)/p.PrefillRate + float64(k.Output)*token
+	return float64(k.OwnTokens)/p.PrefillRate + float64(k.OutputTokens)*token
 }
 
 // Capacity is the number of model requests a second that the runners can
@@ -94,8 +94,8 @@
 	own, output, shares := 0.0, 0.0, 0.0
 	for _, k := range w.Kinds {
 		if !k.Plain {
-			own += k.Share * float64(k.Own)
-			output += k.Share * float64(k.Output)
+			own += k.Share * float64(k.OwnTokens)
+			output += k.Share * float64(k.OutputTokens)
 			shares += k.Share
 		}
 	}
@@ -136,27 +136,27 @@
 	salt := rng.Uint64()
 	for _, p := range phases {
 		for i := range w.Kinds {
-			all = append(all, w.stream(rng, i, p, accounts, salt)...)
+			all = append(all, w.arrivalsOf(rng, i, p, accounts, salt)...)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	return all
 }
 
-// stream draws Poisson arrivals of conversations of one kind. Some are under
+// arrivalsOf draws Poisson arrivals of conversations of one kind. Some are under
 // way when the phase begins, so that it has its load from its first second.
-func (w *Workload) stream(rng *rand.Rand, kind int, p phase, accounts []float64, salt uint64) []arrival {
+func (w *Workload) arrivalsOf(rng *rand.Rand, kind int, p phase, accounts []float64, salt uint64) []arrival {
 	k := &w.Kinds[kind]
 	turns := max(1, k.Turns)
 	rate := w.Capacity() * p.load * k.Share / float64(turns)
 	var list []arrival
-	at := p.from - time.Duration(turns)*k.Think
+	at := p.from - time.Duration(turns)*k.ThinkTime
 	for {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		if at >= p.to {
 			return list
 		}
-		for _, turn := range k.conversation(rng, kind, at, pick(rng, accounts), salt) {
+		for _, turn := range k.conversation(rng, kind, at, drawIndex(rng, accounts), salt) {
 			if turn.at >= p.from && turn.at < p.to {
 				list = append(list, turn)
 			}
@@ -168,19 +168,19 @@
 func (k *Kind) conversation(rng *rand.Rand, kind int, at time.Duration, account int, salt uint64) []arrival {
 	prefix := 0
 	if k.Prefixes > 0 {
-		prefix = pick(rng, zipf(k.Prefixes))
+		prefix = drawIndex(rng, zipfShares(k.Prefixes))
 	}
-	shared := mix(salt ^ (uint64(kind)<<40 | uint64(account)<<32 | uint64(prefix)<<16))
+	shared := mixBits(salt ^ (uint64(kind)<<40 | uint64(account)<<32 | uint64(prefix)<<16))
 	own := rng.Uint64()
 	var turns []arrival
 	length := k.PrefixTokens
 	for range max(1, k.Turns) {
-		length += around(rng, k.Own)
+		length += drawLength(rng, k.OwnTokens)
 		turns = append(turns, arrival{
-			at: at, kind: k, account: account, prompt: length, output: around(rng, k.Output),
+			at: at, kind: k, account: account, promptTokens: length, outputTokens: drawLength(rng, k.OutputTokens),
 			blocks: blocks(shared, k.PrefixTokens, own, length),
 		})
-		at += time.Duration((0.5 + rng.Float64()) * float64(k.Think))
+		at += time.Duration((0.5 + rng.Float64()) * float64(k.ThinkTime))
 	}
 	return turns
 }
@@ -194,25 +194,25 @@
 		if (i+1)*prompt.BlockTokens <= prefixTokens {
 			source = shared
 		}
-		list[i] = mix(source + uint64(i)*0x9e3779b97f4a7c15)
+		list[i] = mixBits(source + uint64(i)*0x9e3779b97f4a7c15)
 	}
 	return list
 }
 
-// mix spreads numbers over all 64 bits (the finalizer of splitmix64).
-func mix(x uint64) uint64 {
+// mixBits spreads numbers over all 64 bits (the finalizer of splitmix64).
+func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// around draws a length between half and one and a half times the mean.
-func around(rng *rand.Rand, mean int) int {
+// drawLength draws a length between half and one and a half times the mean.
+func drawLength(rng *rand.Rand, mean int) int {
 	return max(1, int(float64(mean)*(0.5+rng.Float64())))
 }
 
-// zipf returns the popularity of n things.
-func zipf(n int) []float64 {
+// zipfShares returns the popularity of n things.
+func zipfShares(n int) []float64 {
 	shares := make([]float64, n)
 	for i := range shares {
 		shares[i] = 1 / math.Pow(float64(i+1), 0.8)
@@ -220,8 +220,8 @@
 	return shares
 }
 
-// pick draws an index by its share.
-func pick(rng *rand.Rand, shares []float64) int {
+// drawIndex draws an index by its share.
+func drawIndex(rng *rand.Rand, shares []float64) int {
 	total := 0.0
 	for _, s := range shares {
 		total += s
@@ -235,9 +235,9 @@
 	return len(shares) - 1
 }
 
-// fleet places instances on failure domains and makes two of three
+// placeInstances places instances on failure domains and makes two of three
 // reclaimable.
-func fleet(service ident.Service, prefix string, domains []ident.FailureDomain, count int, role platform.Role) []platform.Instance {
+func placeInstances(service ident.Service, prefix string, domains []ident.FailureDomain, count int, role platform.Role) []platform.Instance {
 	var list []platform.Instance
 	for i := range count {
 		d := domains[i%len(domains)]
--- a/internal/experiment/workloads.go
+++ b/internal/experiment/workloads.go
@@ -12,7 +12,7 @@
 const (
 	modelRunners = 9
 	plainRunners = 4
-	deciders     = 6
+	gatewayCount = 6
 )
 
 // Names of the workloads.
@@ -36,22 +36,22 @@
 	w := &Workload{Name: domaenenhausName, Accounts: accountShares, Kinds: []Kind{
 		{
 			Class: class("tag", 460*time.Millisecond, 44*time.Millisecond, 0, 3),
-			Share: 0.50, Prefixes: 4, PrefixTokens: 512, Own: 50, Output: 8, Patience: 8 * time.Second,
+			Share: 0.50, Prefixes: 4, PrefixTokens: 512, OwnTokens: 50, OutputTokens: 8, Patience: 8 * time.Second,
 		},
 		{
 			Class: class("draft", 1500*time.Millisecond, 60*time.Millisecond, 0, 2),
-			Share: 0.30, Prefixes: 3, PrefixTokens: 1024, Own: 300, Output: 150, Patience: 20 * time.Second,
+			Share: 0.30, Prefixes: 3, PrefixTokens: 1024, OwnTokens: 300, OutputTokens: 150, Patience: 20 * time.Second,
 		},
 		{
 			Class: class("dossier", 4*time.Second, 100*time.Millisecond, 2*time.Minute, 1),
-			Share: 0.20, Prefixes: 40, PrefixTokens: 3072, Own: 1500, Output: 600,
+			Share: 0.20, Prefixes: 40, PrefixTokens: 3072, OwnTokens: 1500, OutputTokens: 600,
 		},
 		{
 			Class: class("bid", 100*time.Millisecond, 0, time.Second, 3),
-			Plain: true, Share: 0.50, Own: 1, Output: 1,
+			Plain: true, Share: 0.50, OwnTokens: 1, OutputTokens: 1,
 		},
 	}}
-	return w.on(domains, "spool-llm", "auktion-app")
+	return w.deployTo(domains, "spool-llm", "auktion-app")
 }
 
 // Harfang has short replies within conversations, long reviews and bookings.
@@ -61,25 +61,25 @@
 	w := &Workload{Name: harfangName, Accounts: accountShares, Kinds: []Kind{
 		{
 			Class: class("reply", 460*time.Millisecond, 44*time.Millisecond, 0, 3),
-			Share: 0.80, Prefixes: 1, PrefixTokens: 768, Own: 120, Output: 40,
-			Turns: 6, Think: 12 * time.Second, Patience: 8 * time.Second,
+			Share: 0.80, Prefixes: 1, PrefixTokens: 768, OwnTokens: 120, OutputTokens: 40,
+			Turns: 6, ThinkTime: 12 * time.Second, Patience: 8 * time.Second,
 		},
 		{
 			Class: class("review", 3*time.Second, 100*time.Millisecond, time.Minute, 1),
-			Share: 0.20, Prefixes: 2, PrefixTokens: 512, Own: 3000, Output: 500,
+			Share: 0.20, Prefixes: 2, PrefixTokens: 512, OwnTokens: 3000, OutputTokens: 500,
 		},
 		{
 			Class: class("booking", 100*time.Millisecond, 0, time.Second, 3),
-			Plain: true, Share: 0.20, Own: 1, Output: 1,
+			Plain: true, Share: 0.20, OwnTokens: 1, OutputTokens: 1,
 		},
 	}}
-	w.on(domains, "goldcrest-modeles", "appli-jumelage")
+	w.deployTo(domains, "goldcrest-modeles", "appli-jumelage")
 	w.Model.Placement.Prices = w.Prices
 	return w
 }
 
-// on places the workload's services on failure domains.
-func (w *Workload) on(domains []ident.FailureDomain, model, plain ident.Service) *Workload {
+// deployTo places the workload's services on failure domains.
+func (w *Workload) deployTo(domains []ident.FailureDomain, model, plain ident.Service) *Workload {
 	w.Model = &document.Document{Service: model, Kind: document.Model}
 	w.Prices = prices(domains)
 	for _, k := range w.Kinds {
@@ -88,8 +88,8 @@
 		}
 	}
 	w.Plain = &document.Document{Service: plain, Kind: document.Plain}
-	w.Runners = fleet(model, "runner-", domains, modelRunners, platform.RoleEngine)
-	w.PlainRunners = fleet(plain, "app-", domains, plainRunners, platform.RolePlain)
+	w.Runners = placeInstances(model, "runner-", domains, modelRunners, platform.RoleEngine)
+	w.PlainRunners = placeInstances(plain, "app-", domains, plainRunners, platform.RolePlain)
 	return w
 }
 
@@ -98,30 +98,30 @@
 	Name string
 	// Load is a share of the workload's Capacity.
 	Load float64
-	// Rush is the load from faultAt to rushEnd; 0 is no rush.
-	Rush float64
+	// SpikeLoad is the load from faultAt to rushEnd; 0 is no rush.
+	SpikeLoad float64
 	// Reclaim ends the first failure domain after a notice.
 	Reclaim bool
 	// FailingStarts is how many starts of each replacement fail.
 	FailingStarts int
-	// Slow makes one runner so many times slower than it reports.
-	Slow float64
+	// Slowdown makes one runner so many times slower than it reports.
+	Slowdown float64
 	// ReportLag replaces the engines' report lag; 0 keeps it.
 	ReportLag time.Duration
 	// EventGapEvery loses one run of cache events in so many.
 	EventGapEvery uint64
-	// Greedy multiplies the requests of the last client account.
-	Greedy float64
-	// Refusing is the share of attempts that upstreams refuse from faultAt
+	// GreedyFactor multiplies the requests of the last client account.
+	GreedyFactor float64
+	// RefusedShare is the share of attempts that upstreams refuse from faultAt
 	// to rushEnd.
-	Refusing float64
+	RefusedShare float64
 }
 
 // The times of a run.
 const (
 	warmUp        = 20 * time.Second
 	faultAt       = 45 * time.Second
-	rushEnd       = 85 * time.Second
+	faultEnd      = 85 * time.Second
 	arrivalsEnd   = 100 * time.Second
 	reclaimNotice = 5 * time.Second
 )
@@ -133,11 +133,11 @@
 		{Name: "load 0.9", Load: 0.9},
 		{Name: "domain reclaimed", Load: 0.6, Reclaim: true},
 		{Name: "reclaimed, starts fail", Load: 0.6, Reclaim: true, FailingStarts: 100},
-		{Name: "slow upstream", Load: 0.7, Slow: 4},
-		{Name: "rush 1.5", Load: 0.7, Rush: 1.5},
-		{Name: "rush 3", Load: 0.7, Rush: 3},
-		{Name: "one account x10", Load: 0.7, Greedy: 10},
-		{Name: "brown-out", Load: 0.6, Refusing: 0.5},
+		{Name: "slow upstream", Load: 0.7, Slowdown: 4},
+		{Name: "rush 1.5", Load: 0.7, SpikeLoad: 1.5},
+		{Name: "rush 3", Load: 0.7, SpikeLoad: 3},
+		{Name: "one account x10", Load: 0.7, GreedyFactor: 10},
+		{Name: "brown-out", Load: 0.6, RefusedShare: 0.5},
 		{Name: "reports lag 5 s", Load: 0.7, ReportLag: 5 * time.Second},
 		{Name: "cache events with gaps", Load: 0.7, EventGapEvery: 3},
 	}
@@ -146,12 +146,12 @@
 // phases returns the case's load over time.
 func (c Case) phases() []phase {
 	load := c.Load
-	if c.Greedy > 0 {
-		load *= 1 + (c.Greedy-1)*accountShares[len(accountShares)-1]
+	if c.GreedyFactor > 0 {
+		load *= 1 + (c.GreedyFactor-1)*accountShares[len(accountShares)-1]
 	}
 	list := []phase{{load: load, to: arrivalsEnd}}
-	if c.Rush > 0 {
-		list = append(list, phase{load: c.Rush - c.Load, from: faultAt, to: rushEnd})
+	if c.SpikeLoad > 0 {
+		list = append(list, phase{load: c.SpikeLoad - c.Load, from: faultAt, to: faultEnd})
 	}
 	return list
 }
@@ -159,8 +159,8 @@
 // accounts returns the client accounts' shares in a case.
 func (c Case) accounts(w *Workload) []float64 {
 	shares := append([]float64(nil), w.Accounts...)
-	if c.Greedy > 0 {
-		shares[len(shares)-1] *= c.Greedy
+	if c.GreedyFactor > 0 {
+		shares[len(shares)-1] *= c.GreedyFactor
 	}
 	return shares
 }
