--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -14,11 +14,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
 )
 
-// maxCallerRetries is how often a refused caller comes back as told.
+// maxCallerRetries is how often a refused caller retries after its retry-after time.
 const maxCallerRetries = 5
 
-// admission is one decider's admission for one service: the pure parts that
-// admission.Controller wraps for goroutines, driven in virtual time.
+// admission is one gateway's admission for one service. It consists of the parts that
+// admission.Controller makes safe for goroutines, here in virtual time.
 type admission struct {
 	gate     *gate.Gate
 	ejection *ejection.Set
@@ -35,7 +35,7 @@
 	}
 }
 
-// setUpstreams takes over which upstreams are alive.
+// setUpstreams passes on which upstreams are alive and how many slots they give the gateway.
 func (a *admission) setUpstreams(view []blackboard.Upstream, policy Policy, now time.Time) {
 	var ids []ident.Instance
 	for _, u := range view {
@@ -47,7 +47,7 @@
 	a.gate.SetSlots(policy.Slots(view, gatewayCount, now))
 }
 
-// offer asks for a slot for a request as routing sees it now.
+// offer asks the gate for a slot for a request, with the times that routing predicts for it.
 func (a *admission) offer(k *call, d routing.Decision, now time.Time) gate.Decision {
 	account := ident.ClientAccount(strconv.Itoa(k.account))
 	k.entry = &gate.Entry{Request: gate.Request{
@@ -59,10 +59,12 @@
 	return a.gate.Offer(now, k.entry)
 }
 
-// admission is that of a request's service at its decider; nil without one.
+// admission returns the admission of a request's service at its gateway, or nil if the policy
+// has none.
 func (r *run) admission(k *call) *admission { return k.gateway.admissions[r.document(k.kind.Plain)] }
 
-// admit lets a request in, makes it wait, or refuses it.
+// admit sends a request, lets it wait, or refuses it. Policies without admission send every
+// request.
 func (r *run) admit(k *call) {
 	doc := r.document(k.kind.Plain)
 	a := k.gateway.admissions[doc]
@@ -92,7 +94,7 @@
 	}
 }
 
-// abandon ends a wait that took too long, or whose caller left.
+// abandon ends a request's wait because it took too long or because the caller gave up.
 func (r *run) abandon(k *call, entry *gate.Entry, cause outcome.Reason) {
 	a := r.admission(k)
 	if refusal, waited := a.gate.Abandon(r.agenda.Clock(), entry, cause); waited {
@@ -100,7 +102,8 @@
 	}
 }
 
-// refuse tells a caller when to come back; it does so a few times.
+// refuse refuses a request. Its caller retries after the retry-after time, at most
+// maxCallerRetries times.
 func (r *run) refuse(k *call, o outcome.Outcome) {
 	delete(r.admission(k).entries, k.entry)
 	k.entry = nil
@@ -116,14 +119,14 @@
 	})
 }
 
-// recordFirstToken tells a request's first token to the gate.
+// recordFirstToken reports a request's first token to the gate.
 func (r *run) recordFirstToken(k *call) {
 	if a := r.admission(k); a != nil && k.entry != nil {
 		a.gate.FirstToken(r.agenda.Clock(), k.entry)
 	}
 }
 
-// release gives the slot of an ended request back and lets others in.
+// release returns the slot of an ended request and grants free slots to waiting requests.
 func (r *run) release(k *call) {
 	a := r.admission(k)
 	if a == nil || k.entry == nil {
@@ -135,7 +138,7 @@
 	r.grantWaiting(a)
 }
 
-// grantWaiting grants free slots to those who wait.
+// grantWaiting grants free slots to waiting requests and refuses those that waited too long.
 func (r *run) grantWaiting(a *admission) {
 	for {
 		granted, expired := a.gate.Next(r.agenda.Clock())
@@ -150,14 +153,14 @@
 	}
 }
 
-// recordAttemptEnd learns from an attempt that ended at an upstream.
+// recordAttemptEnd reports an attempt that ended at an upstream to the outlier ejection.
 func (r *run) recordAttemptEnd(k *call, u *runner, failed bool) {
 	a := r.admission(k)
 	if a == nil {
 		return
 	}
-	// The time between tokens hardly depends on the queue, so that it tells a
-	// slow upstream from one that is only asked for much.
+	// The time between tokens hardly depends on the queue. It therefore
+	// distinguishes a slow upstream from one that only has many requests.
 	sample := ejection.Sample{Failed: failed, Started: time.Unix(0, int64(k.sentAt))}
 	if n := k.delivered - k.deliveredBefore; n > 1 {
 		gap := (r.agenda.Now() - k.sentAt - k.attemptFirstToken) / time.Duration(n-1)
--- a/internal/experiment/brownout.go
+++ b/internal/experiment/brownout.go
@@ -9,17 +9,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// unpaidRetryAfter is when a caller may come back whose retry no budget paid for.
+// unpaidRetryAfter is the retry-after time of a caller whose request the retry budget allowed
+// no further attempt.
 const unpaidRetryAfter = time.Second
 
-// upstreamRefuses reports whether an upstream refuses an attempt in a brown-out.
+// upstreamRefuses draws whether an upstream refuses an attempt in a brown-out.
 func (r *run) upstreamRefuses() bool {
 	return r.fault.RefusedShare > 0 && r.agenda.Now() >= faultAt && r.agenda.Now() < faultEnd && r.rng.Float64() < r.fault.RefusedShare
 }
 
-// mayAttempt reports whether a request's next attempt is paid for. The first is,
-// and so is the one that resumes a stream after its upstream was lost; each
-// after a refusal is taken from the decider's budget.
+// mayAttempt reports whether a request's next attempt is allowed. The first attempt is, and
+// so is one that resumes a stream after its upstream was lost. An attempt after a refusal is
+// allowed if the gateway's retry budget has enough left, and is taken from it.
 func (r *run) mayAttempt(k *call, refused bool) bool {
 	a := r.admission(k)
 	if a == nil {
@@ -31,7 +32,7 @@
 	return !refused || a.budget.Spend(r.agenda.Clock())
 }
 
-// recordUpstreamRefusal tells the ejection of an attempt that an upstream refused.
+// recordUpstreamRefusal reports an attempt that an upstream refused to the outlier ejection.
 func (r *run) recordUpstreamRefusal(k *call, id ident.Instance) {
 	if a := r.admission(k); a != nil {
 		a.ejection.Started(r.agenda.Clock(), id)
@@ -39,8 +40,8 @@
 	}
 }
 
-// refuseRetry ends a request whose retry is not paid for. It ran nowhere, so its
-// caller hears when to come back.
+// refuseRetry ends a request whose next attempt the retry budget does not allow. If nothing
+// of its answer was delivered, it is refused with a retry-after time.
 func (r *run) refuseRetry(k *call) {
 	a := r.admission(k)
 	if k.delivered > 0 || k.entry == nil {
--- a/internal/experiment/calls.go
+++ b/internal/experiment/calls.go
@@ -12,10 +12,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/engine"
 )
 
-// attemptBits is how much of a token's tag names the attempt.
+// attemptBits is the number of low bits of a token's tag that hold the attempt's number.
 const attemptBits = 8
 
-// arrive takes a request in.
+// arrive handles the arrival of a request.
 func (r *run) arrive(k *call) {
 	if k.kind.Patience > 0 {
 		r.agenda.At(r.agenda.Now()+k.kind.Patience, func() { r.giveUp(k) })
@@ -23,7 +23,7 @@
 	r.admit(k)
 }
 
-// giveUp ends a request whose caller waited too long for the first token.
+// giveUp ends a request whose caller no longer waits for the first token.
 func (r *run) giveUp(k *call) {
 	if k.done || k.delivered > 0 {
 		return
@@ -42,6 +42,7 @@
 	r.release(k)
 }
 
+// finish marks a request as ended and returns its slot.
 func (r *run) finish(k *call) {
 	if !k.done {
 		k.done = true
@@ -60,8 +61,8 @@
 	return q
 }
 
-// dispatch sends the next attempt of a request, and another at once when an
-// upstream refuses it.
+// dispatch sends the next attempt of a request, and another one at once if the upstream
+// refuses it.
 func (r *run) dispatch(k *call) {
 	doc := r.document(k.kind.Plain)
 	policy := k.gateway.policies[doc]
@@ -90,6 +91,7 @@
 	r.finish(k)
 }
 
+// submit sends an attempt to a runner and reports whether the runner accepted it.
 func (r *run) submit(k *call, u *runner, d routing.Decision) bool {
 	if u.ended || r.upstreamRefuses() {
 		return false
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// startStep begins the next step of an idle runner.
+// startStep starts the next step of a runner that is idle and has work.
 func (r *run) startStep(u *runner) {
 	if u.busy || u.ended {
 		return
@@ -139,8 +141,8 @@
 		if u.ended {
 			return
 		}
-		// The runner stays busy until its tokens are handed out: an ended
-		// request lets the next one in, which must not begin another step yet.
+		// The runner stays busy until its tokens are delivered: the end of one
+		// request can start the next one, which must not start a step yet.
 		for _, t := range u.tokens {
 			r.deliverToken(u, t)
 		}
@@ -149,7 +151,7 @@
 	})
 }
 
-// deliverToken hands a token to its request, unless the attempt is over.
+// deliverToken delivers a token to its request, unless the attempt has ended.
 func (r *run) deliverToken(u *runner, t engine.Token) {
 	k := r.calls[t.Tag>>attemptBits]
 	if k.runner != u || t.Tag&(1<<attemptBits-1) != k.attempts {
@@ -167,7 +169,8 @@
 	r.finish(k)
 }
 
-// firstToken notes an attempt's first token and what its prefill repeated.
+// firstToken records an attempt's first token, and how many prefilled tokens some engine had
+// computed before.
 func (r *run) firstToken(k *call, t engine.Token) {
 	r.policy(k).FirstToken(&k.ticket, r.agenda.Clock())
 	r.recordFirstToken(k)
@@ -192,7 +195,7 @@
 
 func (r *run) policy(k *call) Policy { return k.gateway.policies[r.document(k.kind.Plain)] }
 
-// endAttempt ends the request's present attempt, if there is one.
+// endAttempt ends the request's current attempt, if there is one.
 func (r *run) endAttempt(k *call, result routing.Result) {
 	if k.runner == nil {
 		return
@@ -206,7 +209,8 @@
 	r.policy(k).Finished(&k.ticket, result, r.agenda.Clock())
 }
 
-// meanTokenGap is the mean time between two tokens, interruptions included.
+// meanTokenGap returns the mean time between two tokens, interruptions included, or 0 for
+// less than two tokens.
 func (k *call) meanTokenGap() time.Duration {
 	if k.delivered < 2 {
 		return 0
--- a/internal/experiment/driver.go
+++ b/internal/experiment/driver.go
@@ -18,45 +18,49 @@
 )
 
 const (
-	// pollEvery is how often a decider reads an upstream's report and events.
+	// pollEvery is the interval at which a gateway reads an upstream's report and
+	// cache events.
 	pollEvery = 200 * time.Millisecond
-	// maxAttempts bounds the attempts of one request.
+	// maxAttempts is the largest number of attempts of one request.
 	maxAttempts = 6
-	// drainLimit ends a run whose queues never empty.
+	// drainLimit is the virtual time at which a run ends even if requests are
+	// still open.
 	drainLimit = arrivalsEnd + 100*time.Second
 )
 
-// runner is one upstream.
+// runner is one upstream and what is simulated there.
 type runner struct {
 	platform.Instance
 	model *engine.Model
 	busy  bool
-	// tokens come out at the end of the step under way.
-	tokens  []engine.Token
+	// tokens are delivered when the current step ends.
+	tokens []engine.Token
+	// leaving: the runner was reclaimed and ends at endsAt.
 	leaving bool
 	endsAt  time.Duration
 	ended   bool
-	// busyTime is the time spent in steps after the warm-up.
+	// busyTime is the time spent in steps after the warm-up, and startedAt and
+	// stoppedAt bound the time that has to be paid.
 	busyTime             time.Duration
 	startedAt, stoppedAt time.Duration
 	active               map[int]*call
 	longestQueue         int
 }
 
-// gateway is one gateway's decisions; it sees no other decider's.
+// gateway makes the decisions of one gateway. It does not know what the others decide.
 type gateway struct {
 	policies      map[*document.Document]Policy
 	views         map[*document.Document][]blackboard.Upstream
 	caches        map[ident.Instance]*cacheview.View
 	blindToCaches bool
-	// admissions are empty for policies without admission.
+	// admissions is empty for policies without admission.
 	admissions map[*document.Document]*admission
-	// planned are the leaving runners that were planned for; nil for
-	// policies that only react to the end.
+	// planned are the leaving runners whose streams the gateway has planned to
+	// move. It is nil for policies that only react when a runner ends.
 	planned map[ident.Instance]bool
 }
 
-// call is one request on its way through its attempts.
+// call is one request with the state of its attempts.
 type call struct {
 	arrival
 	index        int
@@ -70,26 +74,27 @@
 	delivered    int
 	firstTokenAt time.Duration
 	lastTokenAt  time.Duration
-	// recomputed counts tokens that some engine had computed before, and
-	// resumed those of them that an interrupted stream cost.
+	// recomputed counts prefilled tokens that some engine had computed before,
+	// and resumed those of them that were due to an interrupted stream.
 	recomputed, resumed int
 	done, gaveUp        bool
-	// refusals counts refusals by admission; retries those that came back at
-	// the time they were told, and retriesAdmitted those then taken.
+	// refusals counts refusals by admission, retries how often the caller retried
+	// after the retry-after time, and retriesAdmitted the retries that were not
+	// refused.
 	refusals, retries, retriesAdmitted int
-	// entry is the request's place in its decider's admission, or nil.
+	// entry is the request's entry in its gateway's admission, or nil.
 	entry *gate.Entry
-	// unpaidRetries counts the times when no budget paid for another attempt.
+	// unpaidRetries counts how often the retry budget allowed no further attempt.
 	unpaidRetries int
-	// attemptFirstToken is of the present attempt.
+	// attemptFirstToken is the time to the current attempt's first token.
 	attemptFirstToken time.Duration
-	// deliveredBefore is how many tokens the attempt began with.
+	// deliveredBefore is how many tokens were delivered before the current attempt.
 	deliveredBefore int
-	// predicted and actual are of the first attempt's first token.
+	// predicted and actual are the times to the first attempt's first token.
 	predicted, actual time.Duration
 }
 
-// run is one policy under one case with one seed.
+// run is a run of one policy in one case with one seed.
 type run struct {
 	workload *Workload
 	fault    Case
@@ -98,12 +103,13 @@
 	runners  []*runner
 	gateways []*gateway
 	calls    []*call
-	// computedBlocks are the blocks that any engine has computed.
+	// computedBlocks are the prefix blocks that any engine has computed.
 	computedBlocks map[uint64]bool
-	openRequests   int
+	// openRequests is the number of requests that have not ended.
+	openRequests int
 }
 
-// Run plays a case and returns its figures.
+// Run simulates a case with one policy and returns the run's figures.
 func Run(w *Workload, c Case, contender Contender, seed uint64) Figures {
 	r := &run{workload: w, fault: c, rng: rand.New(rand.NewPCG(seed, 1)), computedBlocks: make(map[uint64]bool)}
 	for _, i := range w.Runners {
@@ -163,7 +169,8 @@
 	r.agenda.At(r.agenda.Now()+pollEvery, func() { r.pollRepeatedly(d) })
 }
 
-// poll reads all upstreams' reports and cache events into new views.
+// poll reads all upstreams' reports and cache events into the gateway's views, plans for
+// runners that are leaving, and grants slots that have become free.
 func (r *run) poll(d *gateway) {
 	d.views[r.workload.Model], d.views[r.workload.Plain] = nil, nil
 	for _, u := range r.runners {
@@ -197,8 +204,8 @@
 	}
 }
 
-// cacheOf returns what a decider believes of a runner's cache after reading
-// its newest events.
+// cacheOf returns a gateway's view of a runner's cache after it has read the newest
+// events.
 func (r *run) cacheOf(d *gateway, u *runner) *cacheview.View {
 	cache := d.caches[u.ID]
 	if cache == nil {
@@ -216,7 +223,7 @@
 	return r.workload.Model
 }
 
-// injectFault brings the case's fault about.
+// injectFault starts the case's slow runner and its reclaim of a failure domain.
 func (r *run) injectFault() {
 	if r.fault.Slowdown > 0 {
 		r.runners[0].model.SetSlowdown(r.fault.Slowdown)
@@ -237,7 +244,8 @@
 	}
 }
 
-// replace starts a new instance in place of one that was reclaimed.
+// replace starts an instance in place of one that was reclaimed. Starts that fail are
+// repeated.
 func (r *run) replace(old *runner, attempt int) {
 	p := engine.DefaultParameters()
 	p.FailingStarts = r.fault.FailingStarts
@@ -259,7 +267,7 @@
 	})
 }
 
-// endRunner loses a runner and resumes its calls elsewhere, oldest first.
+// endRunner ends a runner and sends its requests to other runners, oldest first.
 func (r *run) endRunner(u *runner) {
 	u.ended, u.stoppedAt = true, r.agenda.Now()
 	for _, k := range inArrivalOrder(u.active) {
@@ -269,6 +277,7 @@
 	}
 }
 
+// inArrivalOrder returns a runner's requests in the order in which they arrived.
 func inArrivalOrder(active map[int]*call) []*call {
 	list := make([]*call, 0, len(active))
 	for _, k := range active {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// lowLoad is a load at which a run is quick even under the race detector.
+// lowLoad is a load at which a run is quick even with the race detector.
 const lowLoad = 0.2
 
 func ours() Contender { return Contenders()[len(Contenders())-1] }
 
-// The same seed gives the same figures to the last digit, however many runs go
-// on at once; another seed gives others. Every request ends, also while a
-// failure domain is reclaimed.
+// The same seed must give exactly the same figures however many runs take place at
+// once, and another seed must give different ones. Every request must end, also while
+// a failure domain is reclaimed.
 func TestFiguresAreReproducible(t *testing.T) {
 	cases := []Case{{Name: "reclaimed", Load: lowLoad, Reclaim: true}}
-	play := func() Table {
+	runAll := func() Table {
 		return RunAll([]*Workload{Domaenenhaus()}, cases, []Contender{Contenders()[0], ours()}, 2)
 	}
-	first, second := play(), play()
+	first, second := runAll(), runAll()
 	for i := range first {
 		for seed, f := range first[i].Seeds {
 			if f != second[i].Seeds[seed] {
@@ -29,15 +29,15 @@
 	if first[1].Policy != Ours || first[1].Seeds[0] == first[1].Seeds[1] || first[1].Seeds[0] == first[0].Seeds[0] {
 		t.Error("two seeds or two policies gave the same figures")
 	}
-	const most = 0.2
-	if resumed := first[1].Seeds[0].Resumed; resumed > most*first[0].Seeds[0].Resumed {
+	const maxRatio = 0.2
+	if resumed := first[1].Seeds[0].Resumed; resumed > maxRatio*first[0].Seeds[0].Resumed {
 		t.Errorf("ours recomputed %.0f tokens of interrupted streams, round robin %.0f", resumed, first[0].Seeds[0].Resumed)
 	}
 }
 
-// Symptom: streams count as interrupted although nothing failed. Sequence: an
-// ended request lets the next one in at the same runner. Cause: that began the
-// runner's next step while the tokens of the last one were being handed out.
+// Guards against streams that count as interrupted although nothing failed. This happened
+// when the end of a request, which lets the next one start at the same runner, also started
+// the runner's next step while the last step's tokens were still being delivered.
 func TestRushInterruptsNoStream(t *testing.T) {
 	f := Run(Harfang(), Case{Name: "rush", Load: lowLoad, SpikeLoad: 1.5}, ours(), 1)
 	if f.Resumed > 0 || f.Refused == 0 && f.Met > 0.99 {
@@ -45,9 +45,8 @@
 	}
 }
 
-// Symptom: an upstream that is four times slower than it reports keeps its
-// share of the work. Sequence: it slows down; its reports do not change.
-// Cause: routing believes reports alone.
+// Guards against an upstream that keeps its share of the work although it has become
+// four times slower than it reports. It does if routing relies on reports alone.
 func TestSlowUpstreamIsLeftAlone(t *testing.T) {
 	const want = 0.985
 	slow := Case{Name: "slow upstream", Load: 2 * lowLoad, Slowdown: 4}
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -11,50 +11,54 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/engine"
 )
 
-// Figures are what one run measured, over the requests that came after the
-// warm-up. Times are in milliseconds, costs in cents, shares from 0 to 1.
+// Figures are the results of one run for the requests that arrived after the warm-up. Times
+// are in milliseconds, costs in cents, shares from 0 to 1.
 type Figures struct {
-	// Short are the times to the first token of the most urgent class, and
-	// Long those of the least urgent one.
+	// Short are percentiles of the time to the first token in the first kind of
+	// request, which is the most urgent; Long are those in the kind with the
+	// longest answers.
 	ShortP50, ShortP95, ShortP99, LongP95 float64
 	// BetweenP95 is the 95th percentile of the mean time between tokens.
 	BetweenP95 float64
-	// Met is the share of requests that met their class's targets.
+	// Met is the share of requests that met their class's targets; ShortMet and
+	// LongMet are those of the kinds of Short and Long.
 	Met, ShortMet, LongMet float64
 	// ModelMet is Met without the plain services' calls.
 	ModelMet float64
-	// UsedCost and FleetCost are per thousand requests that met their
-	// targets: of the engines' busy time, and of all the fleet's time.
+	// UsedCost and FleetCost are the costs of the engines' busy time and of their
+	// whole time, per thousand model requests that met their targets.
 	UsedCost, FleetCost float64
-	// Recomputed counts prefilled tokens that some engine had computed
-	// before, Resumed those that interrupted streams cost; per thousand
-	// requests.
+	// Recomputed counts prefilled tokens that some engine had computed before,
+	// Resumed those of them that were due to interrupted streams. Both are per
+	// thousand requests.
 	Recomputed, Resumed float64
-	// Goodput is requests that met their targets, a second, among those that
-	// came from faultAt to rushEnd.
+	// Goodput is the rate per second of requests that met their targets, among
+	// those that arrived from faultAt to faultEnd.
 	Goodput float64
-	// WorkGoodput is the same as a share of the fleet's engine time: each
-	// request counts as the least engine time that its kind takes.
+	// WorkGoodput is the goodput of model requests as a fraction of the fleet's
+	// engine time: each request counts as the least engine time of its kind.
 	WorkGoodput float64
-	// Refused is the share of requests refused for good, Unfinished the share
-	// that was begun or queued and never completed.
+	// Refused is the share of requests that were refused and never sent, Unfinished
+	// the share of those that were never refused and not completed either.
 	Refused, Unfinished float64
-	// RetriesAdmitted is the share of retries at the return time that were taken.
+	// RetriesAdmitted is the share of retries after the retry-after time that were
+	// not refused; 1 without retries.
 	RetriesAdmitted float64
-	// LeastShareRatio is the worst ratio of what a client account got to its fair
-	// share; SmallShare is the same of the smallest account that did not ask
-	// for more than it does otherwise.
+	// LeastShareRatio is the smallest ratio of what a client account got to its
+	// fair share. SmallShareRatio is that of the smallest account, apart from the
+	// last one, which sends more requests in some cases.
 	LeastShareRatio, SmallShareRatio float64
-	// AttemptsPerRequest is sent attempts for each time that a request was taken on:
-	// once, and again whenever its caller came back after being turned away.
-	// Queue is the longest queue.
+	// AttemptsPerRequest is the number of attempts divided by how often requests
+	// were accepted: once for each request, and once more each time that its retry
+	// was refused by the retry budget. LongestQueue is the longest queue of a
+	// runner.
 	AttemptsPerRequest, LongestQueue float64
-	// ErrorMedian is the median of |log2(actual/predicted)| first token, and
-	// ErrorBias the median of log2(actual/predicted).
+	// ErrorMedian is the median of |log2(actual/predicted)| for the time to the
+	// first token, and ErrorBias the median of log2(actual/predicted).
 	ErrorMedian, ErrorBias float64
 }
 
-// figures sums a finished run up.
+// figures computes the results of a finished run.
 func (r *run) figures() Figures {
 	var f Figures
 	var calls []*call
@@ -93,7 +97,7 @@
 	f.LongMet = shareOf(calls, func(k *call) bool { return k.kind == patient }, (*call).met)
 }
 
-// longestKind is the kind of model request with the most output.
+// longestKind returns the kind of request with the longest answers.
 func longestKind(w *Workload) *Kind {
 	found := &w.Kinds[0]
 	for i := range w.Kinds {
@@ -104,8 +108,8 @@
 	return found
 }
 
-// firstTokenWait is the time to the first token; for a request that never got one, the
-// time until the caller gave up or the run ended.
+// firstTokenWait returns the time to the first token in milliseconds. For a request without
+// a first token it is the time until the caller gave up or the run ended.
 func (k *call) firstTokenWait() float64 {
 	switch {
 	case k.delivered > 0:
@@ -122,23 +126,23 @@
 	f.Met = shareOf(calls, all, (*call).met)
 	f.Unfinished = shareOf(calls, all, func(k *call) bool { return k.delivered < k.outputTokens && k.refusals == 0 })
 	f.Refused = shareOf(calls, all, func(k *call) bool { return k.refusals > 0 && k.attempts == 0 })
-	retries, admitted, taken := 0, 0, 0
+	retries, admitted, accepted := 0, 0, 0
 	for _, k := range calls {
 		f.Recomputed += float64(k.recomputed) * 1000 / n
 		f.Resumed += float64(k.resumed) * 1000 / n
 		f.AttemptsPerRequest += float64(k.attempts)
-		taken += 1 + k.unpaidRetries
+		accepted += 1 + k.unpaidRetries
 		retries += k.retries
 		admitted += k.retriesAdmitted
 	}
-	f.AttemptsPerRequest /= float64(max(1, taken))
+	f.AttemptsPerRequest /= float64(max(1, accepted))
 	f.RetriesAdmitted = 1
 	if retries > 0 {
 		f.RetriesAdmitted = float64(admitted) / float64(retries)
 	}
 }
 
-// goodput counts what came in during the fault and met its targets.
+// goodput counts the requests that arrived during the fault and met their targets.
 func (f *Figures) goodput(w *Workload, calls []*call) {
 	p := engine.DefaultParameters()
 	seconds := (faultEnd - faultAt).Seconds()
@@ -175,7 +179,7 @@
 		}
 	}
 	f.ModelMet = float64(met) / float64(max(1, asked))
-	// A run that met nothing counts as one request met, to keep ratios finite.
+	// If no request met its targets, one is counted, so that ratios stay finite.
 	f.UsedCost = used * 1000 / float64(max(1, met))
 	f.FleetCost = fleet * 1000 / float64(max(1, met))
 }
@@ -202,9 +206,10 @@
 	f.ErrorBias, f.ErrorMedian = quantile(bias, 0.5), quantile(size, 0.5)
 }
 
-// fairness divides the engine time of the answers that met their targets fairly
-// (no account gets more than it asked for, and what one leaves the others
-// share equally) and compares it with what each account got.
+// fairness compares what each client account got with its fair share. The shares are a
+// max-min fair division of the engine time of all answers that met their targets: no account
+// gets more than it asked for, and what one account does not need is divided equally among the
+// others.
 func (f *Figures) fairness(calls []*call, usual []float64) {
 	asked, got := make([]float64, len(usual)), make([]float64, len(usual))
 	total := 0.0
@@ -229,7 +234,8 @@
 	f.SmallShareRatio = got[small] / max(fair[small], math.SmallestNonzeroFloat64)
 }
 
-// fairShares fills the accounts up alike until the total is spent.
+// fairShares divides the total max-min fairly: no account gets more than it asked for, and
+// the others get equal shares of the rest.
 func fairShares(asked []float64, total float64) []float64 {
 	order := make([]int, len(asked))
 	for i := range order {
@@ -244,7 +250,7 @@
 	return fair
 }
 
-// shareOf is the share of the calls in a group that have a property.
+// shareOf returns which share of the calls in a group has a property.
 func shareOf(calls []*call, in, has func(*call) bool) float64 {
 	n, yes := 0, 0
 	for _, k := range calls {
@@ -259,7 +265,8 @@
 	return float64(yes) / float64(max(1, n))
 }
 
-// quantile returns the value below which a share q of the values lies.
+// quantile returns the value below which a fraction q of the values lies, or 0 without
+// values.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/experiment/goals.go
+++ b/internal/experiment/goals.go
@@ -7,7 +7,9 @@
 	"strings"
 )
 
-// The goals, from issue 5.
+// The wanted values: costs and recomputed tokens relative to the best baseline, goodput
+// relative to the best goodput, a small account's share relative to its fair share, and
+// attempts per request. They are from issue 5.
 const (
 	wantCost       = 0.7
 	wantRecomputed = 0.4
@@ -16,18 +18,19 @@
 	wantAttempts   = 1.1
 )
 
-// Goal is one wanted figure with what was got.
+// Goal is a wanted figure and the measured one.
 type Goal struct {
 	Name string
-	// Wanted is the largest value that is ok, or the smallest if AtLeast.
+	// Wanted is the largest value that meets the goal, or the smallest if AtLeast.
 	Wanted  float64
 	AtLeast bool
 	Got     float64
-	// Spread of Got over the seeds; a difference within it is none.
+	// Spread is the spread of Got over the seeds. A smaller difference means nothing.
 	Spread float64
-	// Bound is what no policy can better in this case; NaN: not worked out.
+	// Bound is the best value that any policy can reach in this case; NaN if it was
+	// not computed.
 	Bound float64
-	// Note tells what Got is compared with.
+	// Note says what Got is compared with.
 	Note string
 }
 
@@ -39,7 +42,7 @@
 	return g.Got <= g.Wanted
 }
 
-// Goals works out all goals that a table can tell about.
+// Goals returns all goals for which the table has figures.
 func (t Table) Goals() []Goal {
 	var goals []Goal
 	for _, cell := range t {
@@ -78,7 +81,8 @@
 	return fmt.Sprintf("%s/%s/%s", c.Workload.Name, c.Case.Name, what)
 }
 
-// bestBaseline returns the baseline of the same case with the least median.
+// bestBaseline returns the baseline with the least median of a figure in the same case, and
+// that median.
 func (t Table) bestBaseline(of Cell, figure func(Figures) float64) (best Cell, value float64) {
 	value = math.Inf(1)
 	for _, cell := range t {
@@ -92,7 +96,7 @@
 	return best, value
 }
 
-// ratioGoal compares our figure with the best baseline's, seed by seed.
+// ratioGoal compares a figure of our policy with that of the best baseline, seed by seed.
 func (t Table) ratioGoal(ours Cell, what string, figure func(Figures) float64, wanted float64) Goal {
 	best, _ := t.bestBaseline(ours, figure)
 	var ratios []Figures
@@ -113,9 +117,10 @@
 	return g
 }
 
-// costGoals compare what a thousand requests at target cost. The fleet is the
-// same for all policies, so its cost can only fall as far as more requests
-// meet their target: to the baseline's share of them.
+// costGoals compares the costs of a thousand requests that met their targets. The fleet is
+// the same for all policies, so that its cost per request falls only if more requests meet
+// their targets. The bound of that ratio is therefore the share of requests that met their
+// targets with the baseline.
 func (t Table) costGoals(ours Cell) []Goal {
 	used := t.ratioGoal(ours, "cost of used time at target", func(f Figures) float64 { return f.UsedCost }, wantCost)
 	fleetCost := func(f Figures) float64 { return f.FleetCost }
@@ -128,7 +133,7 @@
 	return []Goal{used, fleet}
 }
 
-// recomputedGoal compares tokens recomputed. The bound is none at all.
+// recomputedGoal compares recomputed tokens. The bound is 0.
 func (t Table) recomputedGoal(ours Cell) Goal {
 	g := t.ratioGoal(ours, "tokens recomputed", func(f Figures) float64 { return f.Recomputed }, wantRecomputed)
 	g.Bound = 0
@@ -141,7 +146,7 @@
 	return Goal{Name: goalName(ours, "short p95 ms"), Wanted: target, Got: ours.Median(p95), Spread: ours.Spread(p95), Bound: math.NaN()}
 }
 
-// goodputGoal compares goodput beyond capacity with our best goodput in any
+// goodputGoal compares the goodput above capacity with the best goodput of our policy in any
 // case of the workload.
 func (t Table) goodputGoal(ours Cell) Goal {
 	goodput := func(f Figures) float64 { return f.WorkGoodput }
@@ -174,7 +179,7 @@
 	}
 }
 
-// PrintGoals writes one line for each goal.
+// PrintGoals writes a line for each goal, and how many are met.
 func PrintGoals(out io.Writer, goals []Goal) {
 	short := 0
 	for _, g := range goals {
--- a/internal/experiment/plots.go
+++ b/internal/experiment/plots.go
@@ -10,16 +10,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a plot and of its bars.
+// The sizes of a plot and of its bars.
 const (
 	plotWidth  = 30 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 	barWidth   = 7 * vg.Length(1)
-	// headroom above the highest bar holds the legend.
+	// headroom is the height of a plot relative to its highest bar. The legend is
+	// above the bars.
 	headroom = 1.35
 )
 
-// chart is one plotted figure.
+// chart is a figure that is plotted.
 type chart struct {
 	file, title string
 	value       func(Figures) float64
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// workloads are those in the table, in its order.
+// workloads returns the table's workloads in its order.
 func (t Table) workloads() []*Workload {
 	var list []*Workload
 	for _, cell := range t {
@@ -58,8 +59,8 @@
 	return list
 }
 
-// draw plots one figure of one workload: a group of bars for each case, a bar
-// for each policy, the median over the seeds.
+// draw plots one figure of one workload: a group of bars for each case, and in it a bar for
+// each policy with the median over the seeds.
 func (t Table) draw(w *Workload, c chart, directory string) error {
 	p := plot.New()
 	p.Title.Text = w.Name + ": " + c.title
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -9,27 +9,30 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
 )
 
-// Policy is one decider's way to choose upstreams.
+// Policy chooses upstreams for one gateway and one service.
 type Policy interface {
-	// Decide returns a decision without an upstream if there is none.
+	// Decide returns a decision without an upstream if none is usable.
 	Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision
+	// Started, FirstToken and Finished record the events of an attempt.
 	Started(d routing.Decision, req routing.Request, now time.Time) routing.Ticket
 	FirstToken(t *routing.Ticket, now time.Time)
 	Finished(t *routing.Ticket, r routing.Result, now time.Time)
+	// Slots returns how many requests the gateway may have in flight.
 	Slots(view []blackboard.Upstream, gateways int, now time.Time) int
 }
 
-// Contender makes a Policy for each service of each decider.
+// Contender is a policy that is compared with others. It makes a Policy for each service of
+// each gateway.
 type Contender struct {
 	Name string
-	// Admission: requests are admitted, wait or are refused.
+	// Admission: requests go through admission, which may let them wait or refuse them.
 	Admission bool
-	// BlindToCaches: upstreams' cache events are not read.
+	// BlindToCaches: the policy does not get the upstreams' cache events.
 	BlindToCaches bool
 	New           func(random func() uint64, now time.Time) Policy
 }
 
-// ourParams are those of our policy; a trial may replace them.
+// ourParams returns the parameters of our policy; a trial may replace it.
 var ourParams = routing.DefaultParams
 
 // Ours is the name of the policy that gateways use.
@@ -46,7 +49,7 @@
 	}
 }
 
-// LetAllIn is our routing without admission, for trials.
+// LetAllIn returns our policy without admission, for trials.
 func LetAllIn() Contender { return Contender{Name: Ours + ", all let in", New: ourPolicy} }
 
 func ourPolicy(random func() uint64, now time.Time) Policy {
@@ -55,15 +58,17 @@
 	return routing.New(p, now)
 }
 
-// baselinePolicy is a baseline: it chooses among the usable upstreams.
+// baselinePolicy chooses among the usable upstreams by a simple rule.
 type baselinePolicy struct {
-	// Router only counts what is in flight.
+	// Router counts the requests in flight; choose makes the choice.
 	*routing.Router
 	choose func(s *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream
 	random func() uint64
-	turn   int
+	// turn is the position of round robin.
+	turn int
 }
 
+// baseline returns a contender with the given rule and without admission.
 func baseline(name string, choose func(*baselinePolicy, []*blackboard.Upstream, routing.Request, time.Time) *blackboard.Upstream) Contender {
 	return Contender{Name: name, New: func(random func() uint64, now time.Time) Policy {
 		p := routing.DefaultParams()
@@ -72,13 +77,14 @@
 	}}
 }
 
+// withoutCaches returns the contender without the upstreams' cache events.
 func withoutCaches(c Contender) Contender {
 	c.BlindToCaches = true
 	return c
 }
 
-// Decide narrows the view to the chosen upstream and lets the Router make the
-// decision, so that baselines are counted and predicted alike.
+// Decide chooses an upstream and lets the Router decide on a view that contains only this
+// one, so that requests are counted and times predicted in the same way for all policies.
 func (s *baselinePolicy) Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision {
 	var usable []*blackboard.Upstream
 	for i := range view {
@@ -118,8 +124,8 @@
 	return a
 }
 
-// prefixAffinity goes where most of the prompt is cached, and to the fewest
-// in flight when that is equal.
+// prefixAffinity chooses the upstream that has most of the prompt cached, and among equals
+// the one with the fewest requests in flight.
 func prefixAffinity(s *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream {
 	var longest []*blackboard.Upstream
 	most := -1
--- a/internal/experiment/reclaim.go
+++ b/internal/experiment/reclaim.go
@@ -6,8 +6,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/engine"
 )
 
-// planReclaim lets a decider that has just learnt of a notice plan for its
-// streams at the leaving runner.
+// planReclaim lets a gateway plan what to do with its streams at a runner that is leaving.
+// It does so once for each runner.
 func (r *run) planReclaim(d *gateway, u *runner) {
 	if d.planned[u.ID] || u.Role == platform.RolePlain {
 		return
@@ -40,7 +40,8 @@
 	}
 }
 
-// resume goes on elsewhere from the prompt and what was delivered.
+// resume ends the attempt at a leaving runner and continues the stream at another one, which
+// prefills the prompt and the delivered tokens.
 func (r *run) resume(k *call, u *runner) {
 	if k.runner != u {
 		return
@@ -50,8 +51,8 @@
 	r.dispatch(k)
 }
 
-// export copies a stream's KV cache while the stream goes on, and then moves
-// the stream to where its prefix will be at home.
+// export copies a stream's KV cache from the leaving runner while the stream continues there.
+// Then the stream moves to the runner that routing chooses.
 func (r *run) export(k *call, u *runner) {
 	exported, ok := u.model.Export(k.id())
 	if k.runner != u || !ok {
@@ -64,6 +65,7 @@
 	})
 }
 
+// importTo moves a stream with its exported KV cache to the runner that routing chooses.
 func (r *run) importTo(k *call, u *runner, exported engine.Exported) {
 	doc := r.document(false)
 	d := r.policy(k).Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.agenda.Clock())
@@ -74,7 +76,7 @@
 	u.model.Cancel(r.agenda.Clock(), k.id())
 	r.endAttempt(k, routing.ResultCancelled)
 	target.model.Import(k.id(), exported)
-	// The import counts as load at the target from now on.
+	// From now on the import counts as load of the target.
 	k.ticket = r.policy(k).Started(d, k.request(doc.Service), r.agenda.Clock())
 	r.agenda.At(r.agenda.Now()+target.model.Transfer(r.agenda.Clock(), exported.Tokens), func() {
 		k.attempts++
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Cell is one policy in one case: its figures, one for each seed.
+// Cell holds the figures of one policy in one case, one for each seed.
 type Cell struct {
 	Workload *Workload
 	Case     Case
@@ -20,13 +20,14 @@
 	Seeds    []Figures
 }
 
-// Table is all cells of a set of runs.
+// Table holds the cells of a set of runs.
 type Table []Cell
 
-// Median returns the median over the seeds of one figure.
+// Median returns the median of a figure over the seeds.
 func (c Cell) Median(of func(Figures) float64) float64 { return quantile(c.values(of), 0.5) }
 
-// Spread returns the difference between the largest and the smallest figure.
+// Spread returns the difference between the largest and the smallest value of a figure over
+// the seeds.
 func (c Cell) Spread(of func(Figures) float64) float64 {
 	v := c.values(of)
 	return slices.Max(v) - slices.Min(v)
@@ -40,8 +41,8 @@
 	return v
 }
 
-// RunAll plays every contender in every case with every seed, many runs at
-// once. Each run is independent, so that their order does not matter.
+// RunAll runs every contender in every case with so many seeds, several runs at once. The
+// runs are independent, so that their order does not matter.
 func RunAll(workloads []*Workload, cases []Case, contenders []Contender, seeds int) Table {
 	var table Table
 	for _, w := range workloads {
@@ -70,12 +71,12 @@
 type column struct {
 	title string
 	value func(Figures) float64
-	// scale multiplies the figure; digits follow the point.
+	// scale multiplies the figure; digits is the number of decimal places.
 	scale  float64
 	digits int
 }
 
-// width is that of the title, but enough for most figures.
+// width returns the width of the title, but at least 7, which is enough for most figures.
 func (c column) width() int { return max(len(c.title), 7) }
 
 func columns() []column {
@@ -106,7 +107,8 @@
 	}
 }
 
-// Print writes medians and, below our policy's, the spread over the seeds.
+// Print writes the medians of each cell and, below those of our policy, the spread over the
+// seeds.
 func (t Table) Print(out io.Writer) {
 	last := ""
 	for _, cell := range t {
@@ -138,7 +140,7 @@
 	fmt.Fprintln(out)
 }
 
-// reportMode lets everybody read a report.
+// reportMode is the mode of report files: everybody may read them.
 const reportMode = 0o644
 
 // WriteReport writes the table, the goals and the plots into a directory.
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -1,8 +1,8 @@
-// Package experiment compares routing policies. A small discrete-event loop
-// drives the real decision code over stand-ins of the engines, in virtual
-// time and in one process. The same seed gives the same figures.
+// Package experiment compares routing policies by discrete-event simulation. It
+// runs the real decision code against models of the engines, in virtual time and
+// in one process. The same seed gives the same figures.
 //
-// It is no model of a cluster: there are no networks, processes or platform.
+// It does not model a whole cluster: there are no networks, processes or platform.
 package experiment
 
 import (
@@ -19,18 +19,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/engine"
 )
 
-// Workload is what one user runs and asks for. All of it is data.
+// Workload describes the services that one user runs, and the requests to them.
 type Workload struct {
 	Name string
-	// Model is the model service, Plain the application beside it.
+	// Model is the model service, Plain the plain service beside it.
 	Model, Plain *document.Document
-	// Prices are what the runners cost. The document of a workload names
-	// prices only where its owner wants them to decide.
+	// Prices are the runners' prices, by which costs are computed. The model's
+	// document contains prices only if routing shall take them into account.
 	Prices       []document.Price
 	Runners      []platform.Instance
 	PlainRunners []platform.Instance
 	Kinds        []Kind
-	// Accounts are the client accounts' shares of the requests.
+	// Accounts holds each client account's share of the requests.
 	Accounts []float64
 }
 
@@ -38,26 +38,28 @@
 type Kind struct {
 	Class document.Class
 	Plain bool
-	// Share of the requests of the model service; plain kinds come on top.
+	// Share is the fraction of the model service's requests. The requests of plain
+	// kinds are additional, as a fraction of the model service's rate.
 	Share float64
-	// Prefixes is how many shared prefixes each client account uses, by a
-	// Zipf-like popularity, and PrefixTokens their length.
+	// Prefixes is how many shared prefixes each client account uses, with a
+	// Zipf-like popularity, and PrefixTokens their length in tokens.
 	Prefixes     int
 	PrefixTokens int
-	// OwnTokens is the mean length of what only this request has, Output that of
-	// the answer, in tokens.
+	// OwnTokens is the mean length of the part of a prompt that is not shared, and
+	// OutputTokens that of the answer.
 	OwnTokens, OutputTokens int
-	// Turns is the length of a conversation whose every turn repeats all
-	// earlier ones; 0 and 1 are single requests.
+	// Turns is the number of requests of a conversation. Each repeats the prompts
+	// of all earlier ones. 0 and 1 mean single requests.
 	Turns int
 	// ThinkTime is the mean time between two turns.
 	ThinkTime time.Duration
-	// Patience is how long the caller waits for the first token; 0: forever.
+	// Patience is how long the caller waits for the first token; 0 means without
+	// limit.
 	Patience time.Duration
 }
 
-// plainParameters make a Model serve plain calls: one call is one step's
-// work of 15 ms, up to 8 at a time.
+// plainParameters returns parameters with which an engine.Model serves plain calls: a call
+// takes one step of 15 ms, and up to 8 calls run at a time.
 func plainParameters() engine.Parameters {
 	p := engine.DefaultParameters()
 	p.StepBase = 10 * time.Millisecond
@@ -68,7 +70,7 @@
 	return p
 }
 
-// arrival is one request as it comes in.
+// arrival is one request and its time of arrival.
 type arrival struct {
 	at           time.Duration
 	kind         *Kind
@@ -78,17 +80,17 @@
 	outputTokens int
 }
 
-// leastEngineTime is the least engine time of a request of a kind: its own part is
-// prefilled, its prefix is cached, and it decodes in a full batch.
+// leastEngineTime returns the least engine time of a request of a kind in seconds: only its
+// own part is prefilled, its prefix is cached, and it decodes in a full batch.
 func (k *Kind) leastEngineTime(p engine.Parameters) float64 {
 	token := p.StepBase.Seconds()/float64(p.MaxRunning) + p.StepPerStream.Seconds()
 	return float64(k.OwnTokens)/p.PrefillRate + float64(k.OutputTokens)*token
 }
 
-// Capacity is the number of model requests a second that the runners can
-// serve at most: every prefix is always cached where it is needed, and each
-// step holds the mix of decoding and prefill that the requests ask for, as
-// much of it as the step's budget and the batch allow.
+// Capacity returns the largest number of model requests per second that the runners can
+// serve: every prefix is cached where it is needed, and each step contains decoding and
+// prefill in the proportion of the requests, as much as the step's budget and the batch
+// allow.
 func (w *Workload) Capacity() float64 {
 	p := engine.DefaultParameters()
 	own, output, shares := 0.0, 0.0, 0.0
@@ -105,9 +107,9 @@
 	return float64(len(w.Runners)) * shares * streams / output / step
 }
 
-// leastCost is the least that a thousand model requests can cost at a case's
-// usual load, in cents: their least engine time is bought from the cheapest
-// runners first. In a case beyond capacity only what fits is bought.
+// leastCost returns the least cost of a thousand model requests in cents, at a case's load
+// outside its load spike: their least engine time is bought from the cheapest runners first.
+// If the load exceeds the capacity, only as much as the runners have is bought.
 func (w *Workload) leastCost(c Case) float64 {
 	var cents []float64
 	for _, i := range w.Runners {
@@ -123,16 +125,17 @@
 	return sum / (load * w.Capacity()) * 1000 / time.Hour.Seconds()
 }
 
-// phase is a stretch of a run with one load, as a share of Capacity.
+// phase is a period of a run with a constant load, as a fraction of Capacity.
 type phase struct {
 	load     float64
 	from, to time.Duration
 }
 
-// arrivals draws the requests of a run in the order in which they come.
+// arrivals draws the requests of a run and returns them in the order of arrival.
 func (w *Workload) arrivals(rng *rand.Rand, phases []phase, accounts []float64) []arrival {
 	var all []arrival
-	// Each run has prefixes of its own, so that their homes differ as well.
+	// Each run has its own prefixes, so that they are also assigned to different
+	// runners.
 	salt := rng.Uint64()
 	for _, p := range phases {
 		for i := range w.Kinds {
@@ -143,8 +146,9 @@
 	return all
 }
 
-// arrivalsOf draws Poisson arrivals of conversations of one kind. Some are under
-// way when the phase begins, so that it has its load from its first second.
+// arrivalsOf draws the requests of conversations of one kind, which start as a Poisson
+// process. Some conversations started before the phase, so that the phase has its load from
+// its first second.
 func (w *Workload) arrivalsOf(rng *rand.Rand, kind int, p phase, accounts []float64, salt uint64) []arrival {
 	k := &w.Kinds[kind]
 	turns := max(1, k.Turns)
@@ -164,7 +168,7 @@
 	}
 }
 
-// conversation draws the turns of one conversation, often only one.
+// conversation draws the requests of one conversation that starts at the given time.
 func (k *Kind) conversation(rng *rand.Rand, kind int, at time.Duration, account int, salt uint64) []arrival {
 	prefix := 0
 	if k.Prefixes > 0 {
@@ -185,8 +189,8 @@
 	return turns
 }
 
-// blocks names the prefix blocks of a prompt: the first ones by the shared
-// prefix, the rest by the conversation.
+// blocks returns the hashes of a prompt's prefix blocks: the first depend on the shared
+// prefix, the others on the conversation.
 func blocks(shared uint64, prefixTokens int, own uint64, length int) []uint64 {
 	list := make([]uint64, length/prompt.BlockTokens)
 	for i := range list {
@@ -199,7 +203,7 @@
 	return list
 }
 
-// mixBits spreads numbers over all 64 bits (the finalizer of splitmix64).
+// mixBits distributes a number over all 64 bits (the finalizer of splitmix64).
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -211,7 +215,7 @@
 	return max(1, int(float64(mean)*(0.5+rng.Float64())))
 }
 
-// zipfShares returns the popularity of n things.
+// zipfShares returns n Zipf-like weights with the exponent 0.8.
 func zipfShares(n int) []float64 {
 	shares := make([]float64, n)
 	for i := range shares {
@@ -220,7 +224,7 @@
 	return shares
 }
 
-// drawIndex draws an index by its share.
+// drawIndex draws an index with a probability in proportion to its share.
 func drawIndex(rng *rand.Rand, shares []float64) int {
 	total := 0.0
 	for _, s := range shares {
@@ -235,8 +239,8 @@
 	return len(shares) - 1
 }
 
-// placeInstances places instances on failure domains and makes two of three
-// reclaimable.
+// placeInstances returns live instances that are distributed over failure domains in turn.
+// Two of three are reclaimable.
 func placeInstances(service ident.Service, prefix string, domains []ident.FailureDomain, count int, role platform.Role) []platform.Instance {
 	var list []platform.Instance
 	for i := range count {
@@ -250,8 +254,8 @@
 	return list
 }
 
-// prices are invented, with the usual spread: a third of on-demand prices for
-// reclaimable instances, and up to 60% between failure domains.
+// prices returns invented prices with the usual differences: reclaimable instances cost a
+// third of on-demand ones, and failure domains differ by up to 60%.
 func prices(domains []ident.FailureDomain) []document.Price {
 	reclaimable := []float64{800, 650, 1000, 720}
 	var list []document.Price
--- a/internal/experiment/workloads.go
+++ b/internal/experiment/workloads.go
@@ -8,29 +8,30 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Sizes of both users; see docs/design/routing.md for where they come from.
+// The numbers of runners, plain runners and gateways of both workloads; see
+// docs/design/routing.md for their origin.
 const (
 	modelRunners = 9
 	plainRunners = 4
 	gatewayCount = 6
 )
 
-// Names of the workloads.
+// The names of the workloads, as reports print them.
 const (
 	domaenenhausName = "domaenenhaus"
 	harfangName      = "harfang"
 )
 
-// accountShares: five client accounts, a few of them large.
+// accountShares are the shares of five client accounts, three of which are large.
 var accountShares = []float64{0.40, 0.30, 0.20, 0.05, 0.05}
 
 func class(name ident.Class, first, between, completion time.Duration, priority int) document.Class {
 	return document.Class{Name: name, FirstToken: first, BetweenTokens: between, Completion: completion, Priority: priority}
 }
 
-// Domaenenhaus has long dossiers with shared prefixes, drafts, tags and bids.
-// It weighs recomputed tokens more heavily than cost, so its document names no
-// prices: work stays where its prefix is.
+// Domaenenhaus returns the workload with long dossiers that share prefixes, drafts, tags and
+// bids. To this user recomputed tokens matter more than cost. Its document therefore has no
+// prices, so that requests stay where their prefix is cached.
 func Domaenenhaus() *Workload {
 	domains := []ident.FailureDomain{"hall-a", "hall-b", "hall-c", "hall-d"}
 	w := &Workload{Name: domaenenhausName, Accounts: accountShares, Kinds: []Kind{
@@ -54,8 +55,8 @@
 	return w.deployTo(domains, "spool-llm", "auktion-app")
 }
 
-// Harfang has short replies within conversations, long reviews and bookings.
-// It weighs cost more heavily, and its document names prices.
+// Harfang returns the workload with short replies in conversations, long reviews and
+// bookings. To this user cost matters more, and its document has prices.
 func Harfang() *Workload {
 	domains := []ident.FailureDomain{"salle-a", "salle-b", "salle-c", "salle-d"}
 	w := &Workload{Name: harfangName, Accounts: accountShares, Kinds: []Kind{
@@ -78,7 +79,7 @@
 	return w
 }
 
-// deployTo places the workload's services on failure domains.
+// deployTo sets the workload's documents, prices and runners, in the given failure domains.
 func (w *Workload) deployTo(domains []ident.FailureDomain, model, plain ident.Service) *Workload {
 	w.Model = &document.Document{Service: model, Kind: document.Model}
 	w.Prices = prices(domains)
@@ -93,31 +94,35 @@
 	return w
 }
 
-// Case is one line of the table of faults.
+// Case is a load together with a fault.
 type Case struct {
 	Name string
-	// Load is a share of the workload's Capacity.
+	// Load is a fraction of the workload's Capacity.
 	Load float64
-	// SpikeLoad is the load from faultAt to rushEnd; 0 is no rush.
+	// SpikeLoad is the load from faultAt to faultEnd; 0 means no load spike.
 	SpikeLoad float64
-	// Reclaim ends the first failure domain after a notice.
+	// Reclaim: the instances of the first failure domain are reclaimed, after a
+	// notice.
 	Reclaim bool
-	// FailingStarts is how many starts of each replacement fail.
+	// FailingStarts is how many starts of each replacement fail before one succeeds.
 	FailingStarts int
-	// Slowdown makes one runner so many times slower than it reports.
+	// Slowdown is the factor by which one runner is slower than it reports; 0 means
+	// that none is.
 	Slowdown float64
 	// ReportLag replaces the engines' report lag; 0 keeps it.
 	ReportLag time.Duration
-	// EventGapEvery loses one run of cache events in so many.
+	// EventGapEvery: one in so many series of cache events is lost; 0 means none.
 	EventGapEvery uint64
-	// GreedyFactor multiplies the requests of the last client account.
+	// GreedyFactor multiplies the requests of the last client account; 0 leaves them.
 	GreedyFactor float64
-	// RefusedShare is the share of attempts that upstreams refuse from faultAt
-	// to rushEnd.
+	// RefusedShare is the fraction of attempts that upstreams refuse from faultAt
+	// to faultEnd.
 	RefusedShare float64
 }
 
-// The times of a run.
+// The times of a run: requests count from warmUp on, the fault lasts from faultAt to faultEnd,
+// and arrivals stop at arrivalsEnd. reclaimNotice is the time from a reclaim's notice until the
+// instances end.
 const (
 	warmUp        = 20 * time.Second
 	faultAt       = 45 * time.Second
@@ -126,7 +131,7 @@
 	reclaimNotice = 5 * time.Second
 )
 
-// Cases returns the table of faults.
+// Cases returns all cases.
 func Cases() []Case {
 	return []Case{
 		{Name: "no fault", Load: 0.7},
@@ -143,7 +148,7 @@
 	}
 }
 
-// phases returns the case's load over time.
+// phases returns the case's load over time. The loads of overlapping phases add up.
 func (c Case) phases() []phase {
 	load := c.Load
 	if c.GreedyFactor > 0 {
@@ -156,7 +161,7 @@
 	return list
 }
 
-// accounts returns the client accounts' shares in a case.
+// accounts returns the client accounts' relative shares of the requests in a case.
 func (c Case) accounts(w *Workload) []float64 {
 	shares := append([]float64(nil), w.Accounts...)
 	if c.GreedyFactor > 0 {
