--- a/internal/fleetsim/cloud.go
+++ b/internal/fleetsim/cloud.go
@@ -19,23 +19,23 @@
 const (
 	// reclaimablePrice is what a reclaimable engine costs of an on-demand one.
 	reclaimablePrice = 0.22
-	// notice is how long before its end a reclaimed engine says that it leaves, and
+	// reclaimNotice is how long before its end a reclaimed engine says that it leaves, and
 	// seenAfter how long until the gateways know.
-	notice    = 2500 * time.Millisecond
-	seenAfter = 600 * time.Millisecond
+	reclaimNotice = 2500 * time.Millisecond
+	noticeDelay   = 600 * time.Millisecond
 )
 
 // cloud takes the holder's orders and takes reclaimable engines away.
 type cloud struct {
-	w          *world
-	controller *scaling.Controller
-	wanted     map[scaling.Slot]int
-	dryUntil   time.Duration
-	made       int
-	orders     int
-	refused    int
-	// since is up to when the engines were paid.
-	since time.Duration
+	w                *world
+	controller       *scaling.Controller
+	wanted           map[scaling.Slot]int
+	unavailableUntil time.Duration
+	started          int
+	orders           int
+	refused          int
+	// paidUntil is up to when the engines were paid.
+	paidUntil time.Duration
 }
 
 func newCloud(w *world) *cloud {
@@ -56,11 +56,11 @@
 	return routetable.New(routetable.Spec{Revision: 1, Services: []routetable.Service{*w.svc}})
 }
 
-// start puts the first engines there: those that the traffic needs, half as many again.
-func (c *cloud) start() {
+// startFleet puts the first engines there: those that the traffic needs, half as many again.
+func (c *cloud) startFleet() {
 	n := c.w.c.Fixed
 	if n == 0 {
-		n = max(c.w.c.Fleet.Domains, int(1.5*c.w.c.Work+0.5))
+		n = max(c.w.c.Fleet.Domains, int(1.5*c.w.c.BusyEngines+0.5))
 		for _, at := range c.w.c.Load.Reclaims {
 			c.w.At(at, func() { c.reclaim(at) })
 		}
@@ -69,19 +69,19 @@
 	for i := range n {
 		slot := scaling.Slot{FailureDomain: c.w.domain(i % c.w.c.Fleet.Domains), Reclaimable: c.w.c.Fixed == 0}
 		c.wanted[slot]++
-		c.boot(slot)
+		c.startEngine(slot)
 	}
-	c.w.every(dutyEvery, c.pay)
+	c.w.every(dutyEvery, c.addCosts)
 }
 
-func (c *cloud) boot(slot scaling.Slot) {
+func (c *cloud) startEngine(slot scaling.Slot) {
 	w := c.w
 	slow := 1.0
-	if c.made%3 == 2 {
-		slow = w.c.Engine.Slow
+	if c.started%3 == 2 {
+		slow = w.c.Engine.Slowdown
 	}
-	id := ident.Instance(fmt.Sprintf("e%04d", c.made))
-	c.made++
+	id := ident.Instance(fmt.Sprintf("e%04d", c.started))
+	c.started++
 	s := &server{Upstream: directory.Upstream{
 		ID: id, Name: id, Service: service, FailureDomain: slot.FailureDomain, Slots: w.c.Engine.Slots, State: directory.Ready, Reclaimable: slot.Reclaimable,
 	}, model: engine.NewModel(w.c.Engine.parameters(slow))}
@@ -90,11 +90,11 @@
 	w.publish()
 }
 
-// pay adds up what the engines cost.
-func (c *cloud) pay() {
-	elapsed := c.w.Now() - c.since
-	c.since = c.w.Now()
-	if c.w.Now() < settleFor || c.w.Now() > runFor {
+// addCosts adds up what the engines cost.
+func (c *cloud) addCosts() {
+	elapsed := c.w.Now() - c.paidUntil
+	c.paidUntil = c.w.Now()
+	if c.w.Now() < warmUp || c.w.Now() > arrivalsEnd {
 		return
 	}
 	for _, s := range c.w.engines {
@@ -102,7 +102,7 @@
 		if s.Reclaimable {
 			price = reclaimablePrice
 		}
-		c.w.paid += price * elapsed.Seconds()
+		c.w.paidSeconds += price * elapsed.Seconds()
 	}
 }
 
@@ -115,22 +115,22 @@
 		}
 	}
 	domain := c.w.domain(n % c.w.c.Fleet.Domains)
-	c.dryUntil = c.w.Now() + notice + c.w.c.Load.Dry
+	c.unavailableUntil = c.w.Now() + reclaimNotice + c.w.c.Load.UnavailableFor
 	c.wanted[scaling.Slot{FailureDomain: domain, Reclaimable: true}] = 0
 	for _, s := range c.w.engines {
 		if s.FailureDomain == domain && s.Reclaimable {
-			c.leave(s, notice)
+			c.announceEnd(s, reclaimNotice)
 		}
 	}
 }
 
-// leave lets an engine say that it leaves, and ends it.
-func (c *cloud) leave(s *server, after time.Duration) {
-	c.w.At(c.w.Now()+seenAfter, func() {
+// announceEnd lets an engine say that it leaves, and ends it.
+func (c *cloud) announceEnd(s *server, after time.Duration) {
+	c.w.At(c.w.Now()+noticeDelay, func() {
 		s.State = directory.Leaving
 		c.w.publish()
 	})
-	c.w.At(c.w.Now()+after, func() { c.w.end(s) })
+	c.w.At(c.w.Now()+after, func() { c.w.endEngine(s) })
 }
 
 // Grant implements scaling.Leases.
@@ -144,21 +144,21 @@
 // Report implements platform.Duties.
 func (c *cloud) Report(context.Context, platform.Authority, platform.UsageReport) error { return nil }
 
-// givenUpAfter is how long an engine that is given up goes on with what it has.
-const givenUpAfter = 20 * time.Second
+// drainTime is how long an engine that is given up goes on with what it has.
+const drainTime = 20 * time.Second
 
 // Scale implements platform.Duties.
 func (c *cloud) Scale(_ context.Context, _ platform.Authority, o platform.ScaleOrder) error {
 	slot := scaling.Slot{FailureDomain: o.FailureDomain, Reclaimable: o.Reclaimable}
 	c.orders++
 	more := o.Wanted - c.wanted[slot]
-	if more > 0 && o.Reclaimable && c.w.Now() < c.dryUntil {
+	if more > 0 && o.Reclaimable && c.w.Now() < c.unavailableUntil {
 		c.refused++
 		return platform.ErrNoCapacity
 	}
 	c.wanted[slot] = o.Wanted
 	for range more {
-		c.w.At(c.w.Now()+c.w.svc.Scale.Startup, func() { c.boot(slot) })
+		c.w.At(c.w.Now()+c.w.svc.Scale.Startup, func() { c.startEngine(slot) })
 	}
 	for _, s := range c.w.engines {
 		if more >= 0 {
@@ -166,7 +166,7 @@
 		}
 		if s.FailureDomain == slot.FailureDomain && s.Reclaimable == slot.Reclaimable && s.State == directory.Ready {
 			more++
-			c.leave(s, givenUpAfter)
+			c.announceEnd(s, drainTime)
 		}
 	}
 	return nil
--- a/internal/fleetsim/figures.go
+++ b/internal/fleetsim/figures.go
@@ -9,30 +9,30 @@
 
 // Figures are what a run came to.
 type Figures struct {
-	// Whole is the part of the worth that was earned, Windows the same in the two worst
+	// EarnedShare is the part of the worth that was earned, Windows the same in the two worst
 	// windows, and Class that of the worst kind of request.
-	Whole, Windows, Class float64
+	EarnedShare, WorstWindows, WorstKind float64
 	// Refused is the part of the requests that were refused for good, and Again the part
 	// of the tokens that were read though some engine had read them.
-	Refused, Again float64
+	Refused, RereadShare float64
 	// Paid is the price of the engines, in on-demand engines for each that the traffic
 	// keeps busy.
 	Paid float64
 	// Orders are those that the holder sent, and OrdersRefused those turned down.
 	Orders, OrdersRefused int
-	// Rate is the reading rate that was learned, of the true one.
-	Rate float64
+	// RateRatio is the reading rate that was learned, of the true one.
+	RateRatio float64
 }
 
 const (
-	// window is the length of a window, and worst how many of the worst count.
-	window = 2 * time.Second
-	worst  = 2
+	// windowLength is the length of a window, and worst how many of the worst count.
+	windowLength     = 2 * time.Second
+	worstWindowCount = 2
 	// lateWorth is what a late answer is worth.
 	lateWorth = 0.1
 	// Weights of the parts of Value: the users' whole day with its domains, worst
 	// windows, worst kind.
-	wholeWeight, windowsWeight, classWeight = 0.6, 0.28, 0.12
+	earnedWeight, worstWindowsWeight, worstKindWeight = 0.6, 0.28, 0.12
 	// priceWeight is what an on-demand engine for each busy one costs, of the worth. For
 	// the users' deployments 0.05 to 0.25 was worked out on paper.
 	priceWeight = 0.1
@@ -40,13 +40,13 @@
 
 // Value is one figure for what callers get and what it costs.
 func (f Figures) Value() float64 {
-	return wholeWeight*f.Whole + windowsWeight*f.Windows + classWeight*f.Class - priceWeight*f.Paid
+	return earnedWeight*f.EarnedShare + worstWindowsWeight*f.WorstWindows + worstKindWeight*f.WorstKind - priceWeight*f.Paid
 }
 
-// part is worth earned of worth asked.
-type part struct{ earned, asked float64 }
+// worthSum is worth earned of worth asked.
+type worthSum struct{ earned, asked float64 }
 
-func (p part) share() float64 {
+func (p worthSum) share() float64 {
 	if p.asked == 0 {
 		return 1
 	}
@@ -54,43 +54,43 @@
 }
 
 func (w *world) figures() Figures {
-	var whole part
-	classes := make([]part, len(w.kinds))
-	windows := make([]part, (runFor-settleFor)/window)
+	var whole worthSum
+	classes := make([]worthSum, len(w.kinds))
+	windows := make([]worthSum, (arrivalsEnd-warmUp)/windowLength)
 	refused, n := 0, 0
 	for _, c := range w.calls {
-		if c.arrived < settleFor || c.arrived >= runFor {
+		if c.arrived < warmUp || c.arrived >= arrivalsEnd {
 			continue
 		}
 		n++
-		if c.at == nil {
+		if c.server == nil {
 			refused++
 		}
 		k := w.kinds[c.kind]
 		earned := 0.0
 		switch {
-		case c.first == 0 || !c.done:
-		case c.first-c.arrived <= k.Objective:
+		case c.firstEventAt == 0 || !c.done:
+		case c.firstEventAt-c.arrived <= k.Objective:
 			earned = k.Worth
 		default:
 			earned = lateWorth * k.Worth
 		}
-		for _, p := range []*part{&whole, &classes[c.kind], &windows[(c.arrived-settleFor)/window]} {
+		for _, p := range []*worthSum{&whole, &classes[c.kind], &windows[(c.arrived-warmUp)/windowLength]} {
 			p.earned += earned
 			p.asked += k.Worth
 		}
 	}
 	f := Figures{
-		Whole: whole.share(), Class: least(classes, 1), Windows: least(windows, worst), Refused: float64(refused) / float64(max(1, n)),
-		Again: float64(w.again) / float64(max(1, w.read)), Paid: w.paid / (runFor - settleFor).Seconds() / w.c.Work,
+		EarnedShare: whole.share(), WorstKind: meanOfLowest(classes, 1), WorstWindows: meanOfLowest(windows, worstWindowCount), Refused: float64(refused) / float64(max(1, n)),
+		RereadShare: float64(w.rereadTokens) / float64(max(1, w.readTokens)), Paid: w.paidSeconds / (arrivalsEnd - warmUp).Seconds() / w.c.BusyEngines,
 		Orders: w.cloud.orders, OrdersRefused: w.cloud.refused,
 	}
-	f.Rate = w.gateways[0].chooser.EngineFigures(service, w.Clock()).Rate() / (w.c.Engine.TokensPerMS * 1000)
+	f.RateRatio = w.gateways[0].chooser.EngineFigures(service, w.Clock()).Rate() / (w.c.Engine.TokensPerMS * 1000)
 	return f
 }
 
-// least is the mean share of the parts that earned least.
-func least(parts []part, count int) float64 {
+// meanOfLowest is the mean share of the parts that earned least.
+func meanOfLowest(parts []worthSum, count int) float64 {
 	var shares []float64
 	for _, p := range parts {
 		shares = append(shares, p.share())
@@ -108,13 +108,13 @@
 	var m Figures
 	n := float64(len(all))
 	for _, f := range all {
-		m.Whole += f.Whole / n
-		m.Windows += f.Windows / n
-		m.Class += f.Class / n
+		m.EarnedShare += f.EarnedShare / n
+		m.WorstWindows += f.WorstWindows / n
+		m.WorstKind += f.WorstKind / n
 		m.Refused += f.Refused / n
-		m.Again += f.Again / n
+		m.RereadShare += f.RereadShare / n
 		m.Paid += f.Paid / n
-		m.Rate += f.Rate / n
+		m.RateRatio += f.RateRatio / n
 		m.Orders += f.Orders
 		m.OrdersRefused += f.OrdersRefused
 	}
@@ -129,5 +129,5 @@
 // Print writes one line.
 func (f Figures) Print(out io.Writer, c Case) {
 	fmt.Fprintf(out, "%-16s %8d %-20s %6.3f %6.3f %7.3f %5.3f %5.2f %7.3f %5.3f %5.2f %6d %5d\n",
-		c.Engine.Name, c.Fleet.Gateways, c.Load.Name, f.Value(), f.Whole, f.Windows, f.Class, f.Paid, f.Refused, f.Again, f.Rate, f.Orders, f.OrdersRefused)
+		c.Engine.Name, c.Fleet.Gateways, c.Load.Name, f.Value(), f.EarnedShare, f.WorstWindows, f.WorstKind, f.Paid, f.Refused, f.RereadShare, f.RateRatio, f.Orders, f.OrdersRefused)
 }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -18,10 +18,10 @@
 		{engine: 3, gateways: 0, least: 0.85},
 	} {
 		kind, size := EngineKinds()[c.engine], FleetSizes()[c.gateways]
-		f := Play(Case{Engine: kind, Fleet: size, Load: Loads()[3], Work: 8, Seed: 1})
-		t.Logf("%s, %d gateways: whole %.3f, paid %.2f, refused %.3f", kind.Name, size.Gateways, f.Whole, f.Paid, f.Refused)
-		if f.Whole < c.least {
-			t.Errorf("%s, %d gateways: %.3f of the worth is earned, want %.3f", kind.Name, size.Gateways, f.Whole, c.least)
+		f := Play(Case{Engine: kind, Fleet: size, Load: Loads()[3], BusyEngines: 8, Seed: 1})
+		t.Logf("%s, %d gateways: whole %.3f, paid %.2f, refused %.3f", kind.Name, size.Gateways, f.EarnedShare, f.Paid, f.Refused)
+		if f.EarnedShare < c.least {
+			t.Errorf("%s, %d gateways: %.3f of the worth is earned, want %.3f", kind.Name, size.Gateways, f.EarnedShare, c.least)
 		}
 	}
 }
@@ -30,10 +30,10 @@
 // one kind of engine.
 func TestACalmLoadIsServedAtAPrice(t *testing.T) {
 	for _, kind := range EngineKinds()[:4] {
-		f := Play(Case{Engine: kind, Fleet: FleetSizes()[0], Load: Loads()[0], Work: 8, Seed: 1})
-		t.Logf("%s: whole %.3f, paid %.2f, rate %.2f", kind.Name, f.Whole, f.Paid, f.Rate)
-		if f.Whole < 0.98 || f.Paid > 0.95 {
-			t.Errorf("%s: %.3f of the worth for %.2f on-demand engines an engine that works", kind.Name, f.Whole, f.Paid)
+		f := Play(Case{Engine: kind, Fleet: FleetSizes()[0], Load: Loads()[0], BusyEngines: 8, Seed: 1})
+		t.Logf("%s: whole %.3f, paid %.2f, rate %.2f", kind.Name, f.EarnedShare, f.Paid, f.RateRatio)
+		if f.EarnedShare < 0.98 || f.Paid > 0.95 {
+			t.Errorf("%s: %.3f of the worth for %.2f on-demand engines an engine that works", kind.Name, f.EarnedShare, f.Paid)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 // once to one policy, and as late as the exchange makes it to the other.
 func TestAgedViewsCostLittle(t *testing.T) {
 	for _, size := range FleetSizes()[1:3] {
-		c := Case{Engine: EngineKinds()[0], Fleet: size, Load: Loads()[0], Work: 12, Seed: 1}
+		c := Case{Engine: EngineKinds()[0], Fleet: size, Load: Loads()[0], BusyEngines: 12, Seed: 1}
 		aged := Play(c)
 		c.Told = true
 		told := Play(c)
@@ -54,7 +54,7 @@
 }
 
 func TestARunRepeats(t *testing.T) {
-	c := Case{Engine: EngineKinds()[1], Fleet: FleetSizes()[0], Load: Loads()[4], Work: 4, Seed: 7}
+	c := Case{Engine: EngineKinds()[1], Fleet: FleetSizes()[0], Load: Loads()[4], BusyEngines: 4, Seed: 7}
 	if a, b := Play(c), Play(c); a != b {
 		t.Errorf("%+v and then %+v", a, b)
 	}
--- a/internal/fleetsim/kinds.go
+++ b/internal/fleetsim/kinds.go
@@ -24,35 +24,35 @@
 	Step, StepPerStream time.Duration
 	// Slots is how many requests it runs at a time.
 	Slots int
-	// First is what a first event takes beside reading.
-	First time.Duration
-	// Slow makes every third engine slower by this factor; 1 for none.
-	Slow float64
+	// FirstEventDelay is what a first event takes beside reading.
+	FirstEventDelay time.Duration
+	// Slowdown makes every third engine slower by this factor; 1 for none.
+	Slowdown float64
 }
 
 // EngineKinds are the users' three kinds and two beyond them: the ranges of reading rate, step
 // and slots that the policies must hold in.
 func EngineKinds() []EngineKind {
 	return []EngineKind{
-		{Name: "12 slots", TokensPerMS: 92, Step: 3030 * time.Microsecond, StepPerStream: 121 * time.Microsecond, Slots: 12, First: 60 * time.Millisecond, Slow: 1.3},
-		{Name: "64 slots", TokensPerMS: 92, Step: 3030 * time.Microsecond, StepPerStream: 121 * time.Microsecond, Slots: 64, First: 60 * time.Millisecond, Slow: 1},
-		{Name: "slow, 16 slots", TokensPerMS: 31, Step: 6170 * time.Microsecond, StepPerStream: 200 * time.Microsecond, Slots: 16, First: 60 * time.Millisecond, Slow: 1},
-		{Name: "tiny, 6 slots", TokensPerMS: 10, Step: 12 * time.Millisecond, StepPerStream: 500 * time.Microsecond, Slots: 6, First: 20 * time.Millisecond, Slow: 1},
-		{Name: "huge, 256 slots", TokensPerMS: 200, Step: 3 * time.Millisecond, StepPerStream: 40 * time.Microsecond, Slots: 256, First: 30 * time.Millisecond, Slow: 1.3},
+		{Name: "12 slots", TokensPerMS: 92, Step: 3030 * time.Microsecond, StepPerStream: 121 * time.Microsecond, Slots: 12, FirstEventDelay: 60 * time.Millisecond, Slowdown: 1.3},
+		{Name: "64 slots", TokensPerMS: 92, Step: 3030 * time.Microsecond, StepPerStream: 121 * time.Microsecond, Slots: 64, FirstEventDelay: 60 * time.Millisecond, Slowdown: 1},
+		{Name: "slow, 16 slots", TokensPerMS: 31, Step: 6170 * time.Microsecond, StepPerStream: 200 * time.Microsecond, Slots: 16, FirstEventDelay: 60 * time.Millisecond, Slowdown: 1},
+		{Name: "tiny, 6 slots", TokensPerMS: 10, Step: 12 * time.Millisecond, StepPerStream: 500 * time.Microsecond, Slots: 6, FirstEventDelay: 20 * time.Millisecond, Slowdown: 1},
+		{Name: "huge, 256 slots", TokensPerMS: 200, Step: 3 * time.Millisecond, StepPerStream: 40 * time.Microsecond, Slots: 256, FirstEventDelay: 30 * time.Millisecond, Slowdown: 1.3},
 	}
 }
 
-// chunk is how many tokens an engine reads in a step beside generating.
-const chunk = 1024
+// prefillTokensPerStep is how many tokens an engine reads in a step beside generating.
+const prefillTokensPerStep = 1024
 
-// kvBlocks is an engine's memory, in blocks of prompt tokens: that of the users' engines
+// memoryBlocks is an engine's memory, in blocks of prompt tokens: that of the users' engines
 // of 12 slots.
-const kvBlocks = 430_000 / prompt.BlockTokens
+const memoryBlocks = 430_000 / prompt.BlockTokens
 
 func (k EngineKind) parameters(slowdown float64) engine.Parameters {
 	p := engine.DefaultParameters()
-	p.StepTokens, p.StepBase, p.StepPerStream = chunk, k.Step, k.StepPerStream
-	p.PrefillRate, p.MaxRunning, p.MemoryBlocks, p.Slowdown = k.TokensPerMS*1000, k.Slots, kvBlocks, slowdown
+	p.StepTokens, p.StepBase, p.StepPerStream = prefillTokensPerStep, k.Step, k.StepPerStream
+	p.PrefillRate, p.MaxRunning, p.MemoryBlocks, p.Slowdown = k.TokensPerMS*1000, k.Slots, memoryBlocks, slowdown
 	return p
 }
 
@@ -60,16 +60,16 @@
 // on average.
 type FleetSize struct {
 	Gateways, Domains int
-	Age               time.Duration
+	ReportAge         time.Duration
 }
 
 // FleetSizes have the ages that the exchange between gateways reaches in its own test.
 func FleetSizes() []FleetSize {
 	return []FleetSize{
-		{Gateways: 8, Domains: 4, Age: 85 * time.Millisecond},
-		{Gateways: 78, Domains: 3, Age: 310 * time.Millisecond},
-		{Gateways: 195, Domains: 6, Age: 330 * time.Millisecond},
-		{Gateways: 330, Domains: 10, Age: 320 * time.Millisecond},
+		{Gateways: 8, Domains: 4, ReportAge: 85 * time.Millisecond},
+		{Gateways: 78, Domains: 3, ReportAge: 310 * time.Millisecond},
+		{Gateways: 195, Domains: 6, ReportAge: 330 * time.Millisecond},
+		{Gateways: 330, Domains: 10, ReportAge: 320 * time.Millisecond},
 	}
 }
 
@@ -78,17 +78,17 @@
 	Name string
 	// Share of all requests.
 	Share float64
-	// Own are its own tokens, log-normal with a spread (the standard deviation of the
+	// OwnTokens are its own tokens, log-normal with a spread (the standard deviation of the
 	// logarithm), and Shared those of the part that it shares with others of Things.
-	Own, Spread float64
-	Shared      int
-	Things      int
-	// Output is the mean number of tokens generated.
-	Output    float64
-	Objective time.Duration
-	Deadline  time.Duration
-	Worth     float64
-	Priority  int
+	OwnTokens, Spread float64
+	SharedTokens      int
+	SharedPrompts     int
+	// OutputTokens is the mean number of tokens generated.
+	OutputTokens float64
+	Objective    time.Duration
+	Deadline     time.Duration
+	Worth        float64
+	Priority     int
 }
 
 // requestKinds are the users' three kinds: long drafts, short notices, and tags. Sizes
@@ -96,9 +96,9 @@
 // follow the square root of their speed, as the users' do.
 func requestKinds() []RequestKind {
 	return []RequestKind{
-		{Name: "draft", Share: 0.24, Own: 6610, Spread: 1.0, Shared: 5376, Things: 300, Output: 380, Objective: time.Second, Deadline: 12 * time.Second, Worth: 3.9, Priority: 1},
-		{Name: "notice", Share: 0.23, Own: 628, Spread: 0.8, Shared: 192, Things: 300, Output: 290, Objective: 400 * time.Millisecond, Deadline: 10 * time.Second, Worth: 2.6},
-		{Name: "tag", Share: 0.53, Own: 1800, Spread: 0.9, Shared: 576, Things: 400, Output: 24, Objective: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 0.3, Priority: 2},
+		{Name: "draft", Share: 0.24, OwnTokens: 6610, Spread: 1.0, SharedTokens: 5376, SharedPrompts: 300, OutputTokens: 380, Objective: time.Second, Deadline: 12 * time.Second, Worth: 3.9, Priority: 1},
+		{Name: "notice", Share: 0.23, OwnTokens: 628, Spread: 0.8, SharedTokens: 192, SharedPrompts: 300, OutputTokens: 290, Objective: 400 * time.Millisecond, Deadline: 10 * time.Second, Worth: 2.6},
+		{Name: "tag", Share: 0.53, OwnTokens: 1800, Spread: 0.9, SharedTokens: 576, SharedPrompts: 400, OutputTokens: 24, Objective: 500 * time.Millisecond, Deadline: 2500 * time.Millisecond, Worth: 0.3, Priority: 2},
 	}
 }
 
@@ -108,12 +108,12 @@
 	// Burst multiplies the traffic between two moments.
 	Burst              float64
 	BurstFrom, BurstTo time.Duration
-	// HotKey is the part of the traffic that asks for one shared part.
-	HotKey float64
+	// HotKeyShare is the part of the traffic that asks for one shared part.
+	HotKeyShare float64
 	// Reclaims are when a domain's reclaimable engines are taken, one domain after the
 	// other; until Dry later nothing reclaimable is to be had.
-	Reclaims []time.Duration
-	Dry      time.Duration
+	Reclaims       []time.Duration
+	UnavailableFor time.Duration
 }
 
 // Loads are the heaviest that the users' days hold.
@@ -122,17 +122,17 @@
 	return []Load{
 		{Name: "calm", Burst: 1},
 		{Name: "burst", Burst: 1.7, BurstFrom: at(18), BurstTo: at(23)},
-		{Name: "hot key", Burst: 1, HotKey: 0.3},
-		{Name: "reclaims", Burst: 1, Reclaims: []time.Duration{at(15), at(21), at(27)}, Dry: at(3)},
-		{Name: "reclaims and burst", Burst: 1.7, BurstFrom: at(19), BurstTo: at(23), Reclaims: []time.Duration{at(15), at(19), at(32)}, Dry: at(4)},
+		{Name: "hot key", Burst: 1, HotKeyShare: 0.3},
+		{Name: "reclaims", Burst: 1, Reclaims: []time.Duration{at(15), at(21), at(27)}, UnavailableFor: at(3)},
+		{Name: "reclaims and burst", Burst: 1.7, BurstFrom: at(19), BurstTo: at(23), Reclaims: []time.Duration{at(15), at(19), at(32)}, UnavailableFor: at(4)},
 	}
 }
 
 const (
-	// runFor is how long requests arrive; the first settleFor do not count, so that the
+	// arrivalsEnd is how long requests arrive; the first settleFor do not count, so that the
 	// policies know their engines and their traffic.
-	runFor    = 40 * time.Second
-	settleFor = 8 * time.Second
-	// clump is how many requests come together: the users' traffic is that uneven.
-	clump = 3
+	arrivalsEnd = 40 * time.Second
+	warmUp      = 8 * time.Second
+	// requestsPerArrival is how many requests come together: the users' traffic is that uneven.
+	requestsPerArrival = 3
 )
--- a/internal/fleetsim/table.go
+++ b/internal/fleetsim/table.go
@@ -19,7 +19,7 @@
 	for _, kind := range EngineKinds() {
 		for _, size := range FleetSizes() {
 			for _, load := range Loads() {
-				out = append(out, Case{Engine: kind, Fleet: size, Load: load, Work: work})
+				out = append(out, Case{Engine: kind, Fleet: size, Load: load, BusyEngines: work})
 			}
 		}
 	}
@@ -55,5 +55,5 @@
 		all = append(all, c.Figures)
 	}
 	m := Mean(all)
-	fmt.Fprintf(out, "%-46s %6.3f %6.3f %7.3f %5.3f %5.2f\n", "mean", m.Value(), m.Whole, m.Windows, m.Class, m.Paid)
+	fmt.Fprintf(out, "%-46s %6.3f %6.3f %7.3f %5.3f %5.2f\n", "mean", m.Value(), m.EarnedShare, m.WorstWindows, m.WorstKind, m.Paid)
 }
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -30,9 +30,9 @@
 	Engine EngineKind
 	Fleet  FleetSize
 	Load   Load
-	// Work is how many engines the traffic would keep busy all the time.
-	Work float64
-	Seed uint64
+	// BusyEngines is how many engines the traffic would keep busy all the time.
+	BusyEngines float64
+	Seed        uint64
 	// Told: everyone's load is known at once. The engines' figures are learned all the
 	// same.
 	Told bool
@@ -43,11 +43,11 @@
 
 // Periods of the decisions that the entry process makes by itself.
 const (
-	snapshotEvery = 50 * time.Millisecond
-	dutyEvery     = 250 * time.Millisecond
-	waitStep      = 10 * time.Millisecond
-	// waitPart of the objective is how long a request waits for an engine.
-	waitPart = 8
+	recordEvery = 50 * time.Millisecond
+	dutyEvery   = 250 * time.Millisecond
+	placeEvery  = 10 * time.Millisecond
+	// waitDivisor of the objective is how long a request waits for an engine.
+	waitDivisor = 8
 )
 
 // service is the name of the only service.
@@ -66,17 +66,17 @@
 	view     *directory.View
 	gateways []*gateway
 	// total are all gateways' loads by engine at past moments, the newest last.
-	totals []map[ident.Instance]placement.Load
-	// present is the same now; who is told of everything places by it.
-	present map[ident.Instance]placement.Load
-	sums    enginemodel.Sums
-	cloud   *cloud
-	calls   []*call
-	seen    map[uint64]bool
-	again   int
-	read    int
-	// paid is the price of the engines since settleFor, in seconds of an on-demand one.
-	paid float64
+	pastTotals []map[ident.Instance]placement.Load
+	// currentLoads is the same now; who is told of everything places by it.
+	currentLoads map[ident.Instance]placement.Load
+	sums         enginemodel.Sums
+	cloud        *cloud
+	calls        []*call
+	readPrompts  map[uint64]bool
+	rereadTokens int
+	readTokens   int
+	// paidSeconds is the price of the engines since settleFor, in seconds of an on-demand one.
+	paidSeconds float64
 }
 
 // server is one engine.
@@ -90,42 +90,42 @@
 // gateway is one entry gateway.
 type gateway struct {
 	chooser *placement.Chooser
-	// own are its loads at past moments, and present at this one.
-	own     []map[ident.Instance]placement.Load
-	present map[ident.Instance]placement.Load
+	// pastLoads are its loads at past moments, and present at this one.
+	pastLoads    []map[ident.Instance]placement.Load
+	currentLoads map[ident.Instance]placement.Load
 }
 
 // call is one request.
 type call struct {
 	forward.Call
 	// index is its place among the calls, and kind that of its kind.
-	index   int
-	kind    int
-	gateway *gateway
-	blocks  []uint64
-	output  int
-	arrived time.Duration
-	choice  forward.Choice
-	at      *server
-	// first is when its first event came; 0 if it did not yet.
-	first   time.Duration
-	done    bool
-	retried bool
+	index        int
+	kind         int
+	gateway      *gateway
+	blocks       []uint64
+	outputTokens int
+	arrived      time.Duration
+	choice       forward.Choice
+	server       *server
+	// firstEventAt is when its first event came; 0 if it did not yet.
+	firstEventAt time.Duration
+	done         bool
+	retried      bool
 }
 
 // Play plays one run.
 func Play(c Case) Figures {
 	w := newWorld(c)
-	w.arrivals()
-	w.every(snapshotEvery, w.snapshot)
-	w.cloud.start()
-	for w.Now() < runFor+20*time.Second && w.Step() {
+	w.scheduleArrivals()
+	w.every(recordEvery, w.recordLoads)
+	w.cloud.startFleet()
+	for w.Now() < arrivalsEnd+20*time.Second && w.Step() {
 	}
 	return w.figures()
 }
 
 func newWorld(c Case) *world {
-	w := &world{c: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), byID: make(map[ident.Instance]*server), seen: make(map[uint64]bool), present: make(map[ident.Instance]placement.Load), view: directory.NewView(nil)}
+	w := &world{c: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), byID: make(map[ident.Instance]*server), readPrompts: make(map[uint64]bool), currentLoads: make(map[ident.Instance]placement.Load), view: directory.NewView(nil)}
 	scale := &routetable.Scale{Least: 1, Most: 400, Startup: 4 * time.Second, ReclaimablePrice: reclaimablePrice, Prices: make(map[ident.FailureDomain]float64)}
 	for i := range c.Fleet.Domains {
 		scale.Prices[w.domain(i)] = 1
@@ -133,7 +133,7 @@
 	w.svc = &routetable.Service{Name: service, MaxConnections: 100_000, Engine: &routetable.Engine{Slots: c.Engine.Slots}, Scale: scale}
 	speed := math.Sqrt(c.Engine.TokensPerMS / 92)
 	for _, k := range requestKinds() {
-		k.Own, k.Shared = k.Own*speed, int(float64(k.Shared)*speed)
+		k.OwnTokens, k.SharedTokens = k.OwnTokens*speed, int(float64(k.SharedTokens)*speed)
 		k.Objective = time.Duration(float64(k.Objective) / speed)
 		w.kinds = append(w.kinds, k)
 		w.routes = append(w.routes, &routetable.Route{
@@ -153,11 +153,11 @@
 }
 
 func (w *world) addGateway(i int) {
-	g := &gateway{present: make(map[ident.Instance]placement.Load)}
+	g := &gateway{currentLoads: make(map[ident.Instance]placement.Load)}
 	g.chooser = placement.New(placement.Config{
 		Params: placement.DefaultParams(), Self: ident.Instance(fmt.Sprint("gw", i)), Domain: w.domain(i % w.c.Fleet.Domains), Log: hclog.NewNullLogger(),
 		View:     func() *directory.View { return w.view },
-		Others:   func(id ident.Instance) placement.Load { return w.others(g, id) },
+		Others:   func(id ident.Instance) placement.Load { return w.loadOfOthers(g, id) },
 		Silent:   func(ident.FailureDomain) bool { return false },
 		Gateways: func() int { return w.c.Fleet.Gateways },
 		Engines:  func(ident.Service) enginemodel.Sums { return w.sums },
@@ -169,16 +169,16 @@
 	w.gateways = append(w.gateways, g)
 }
 
-// others is what a gateway knows of the others' load at an engine.
-func (w *world) others(g *gateway, id ident.Instance) placement.Load {
+// loadOfOthers is what a gateway knows of the others' load at an engine.
+func (w *world) loadOfOthers(g *gateway, id ident.Instance) placement.Load {
 	if w.c.Told {
-		return w.present[id].Minus(g.present[id])
+		return w.currentLoads[id].Minus(g.currentLoads[id])
 	}
-	back := int(w.c.Fleet.Age / snapshotEvery)
-	if len(w.totals) <= back {
+	back := int(w.c.Fleet.ReportAge / recordEvery)
+	if len(w.pastTotals) <= back {
 		return placement.Load{}
 	}
-	return w.totals[len(w.totals)-1-back][id].Minus(g.own[len(g.own)-1-back][id])
+	return w.pastTotals[len(w.pastTotals)-1-back][id].Minus(g.pastLoads[len(g.pastLoads)-1-back][id])
 }
 
 // every repeats an action until the run ends.
@@ -186,25 +186,25 @@
 	var again func()
 	again = func() {
 		do()
-		if w.Now() < runFor+5*time.Second {
+		if w.Now() < arrivalsEnd+5*time.Second {
 			w.At(w.Now()+period, again)
 		}
 	}
 	w.At(0, again)
 }
 
-// snapshot notes all gateways' loads, as of which the others will know them.
-func (w *world) snapshot() {
+// recordLoads notes all gateways' loads, as of which the others will know them.
+func (w *world) recordLoads() {
 	total := make(map[ident.Instance]placement.Load)
 	for _, g := range w.gateways {
 		own := g.chooser.Own()
-		g.own = append(g.own, own)
+		g.pastLoads = append(g.pastLoads, own)
 		for id, load := range own {
 			total[id] = total[id].Plus(load)
 		}
 	}
-	w.totals = append(w.totals, total)
-	if len(w.totals)%5 == 0 {
+	w.pastTotals = append(w.pastTotals, total)
+	if len(w.pastTotals)%5 == 0 {
 		var sums enginemodel.Sums
 		for _, g := range w.gateways {
 			sums.Add(g.chooser.Engines()[service])
@@ -213,70 +213,70 @@
 	}
 }
 
-// arrivals makes the requests.
-func (w *world) arrivals() {
+// scheduleArrivals makes the requests.
+func (w *world) scheduleArrivals() {
 	busy := 0.0
 	for _, k := range w.kinds {
 		// Streams share steps: with all slots taken, each has its part of one.
 		step := w.c.Engine.Step + time.Duration(w.c.Engine.Slots)*w.c.Engine.StepPerStream
-		generating := k.Output * step.Seconds() / float64(w.c.Engine.Slots)
-		busy += k.Share * (k.Own/(w.c.Engine.TokensPerMS*1000) + generating)
+		generating := k.OutputTokens * step.Seconds() / float64(w.c.Engine.Slots)
+		busy += k.Share * (k.OwnTokens/(w.c.Engine.TokensPerMS*1000) + generating)
 	}
-	rate := w.c.Work / busy
-	for t := time.Duration(0); t < runFor; {
-		now := rate / clump
+	rate := w.c.BusyEngines / busy
+	for t := time.Duration(0); t < arrivalsEnd; {
+		now := rate / requestsPerArrival
 		if l := w.c.Load; t >= l.BurstFrom && t < l.BurstTo {
 			now *= l.Burst
 		}
 		t += time.Duration(w.rng.ExpFloat64() / now * float64(time.Second))
-		for range clump {
-			w.arrive(t)
+		for range requestsPerArrival {
+			w.addRequest(t)
 		}
 	}
 }
 
-func (w *world) arrive(t time.Duration) {
+func (w *world) addRequest(t time.Duration) {
 	u, n := w.rng.Float64(), 0
 	for n < len(w.kinds)-1 && u >= w.kinds[n].Share {
 		u -= w.kinds[n].Share
 		n++
 	}
 	k := w.kinds[n]
-	own := max(16, int(k.Own*math.Exp(k.Spread*w.rng.NormFloat64()-k.Spread*k.Spread/2)))
-	thing := w.rng.IntN(k.Things)
-	if w.rng.Float64() < w.c.Load.HotKey {
+	own := max(16, int(k.OwnTokens*math.Exp(k.Spread*w.rng.NormFloat64()-k.Spread*k.Spread/2)))
+	thing := w.rng.IntN(k.SharedPrompts)
+	if w.rng.Float64() < w.c.Load.HotKeyShare {
 		thing = 0
 	}
 	part := uint64(n+1)<<32 + uint64(thing+1)
-	c := &call{index: len(w.calls), kind: n, gateway: w.gateways[w.rng.IntN(len(w.gateways))], arrived: t, output: max(1, int(k.Output*w.rng.ExpFloat64()))}
+	c := &call{index: len(w.calls), kind: n, gateway: w.gateways[w.rng.IntN(len(w.gateways))], arrived: t, outputTokens: max(1, int(k.OutputTokens*w.rng.ExpFloat64()))}
 	c.Call = forward.Call{
 		ID: ident.Request(strconv.Itoa(len(w.calls))), Route: w.routes[n], Service: w.svc, Priority: k.Priority,
-		Parts:        []forward.PromptPart{{ID: part, Tokens: k.Shared}, {ID: uint64(len(w.calls)), Tokens: own}},
-		PromptTokens: k.Shared + own, MostTokens: c.output,
+		Parts:        []forward.PromptPart{{ID: part, Tokens: k.SharedTokens}, {ID: uint64(len(w.calls)), Tokens: own}},
+		PromptTokens: k.SharedTokens + own, MostTokens: c.outputTokens,
 		Received: time.Unix(0, int64(t)), Expires: time.Unix(0, int64(t+k.Deadline)),
 	}
-	for block := range k.Shared / prompt.BlockTokens {
+	for block := range k.SharedTokens / prompt.BlockTokens {
 		c.blocks = append(c.blocks, part<<10+uint64(block))
 	}
 	w.calls = append(w.calls, c)
-	w.At(t, func() { w.offer(c, t) })
+	w.At(t, func() { w.place(c, t) })
 }
 
-// offer tries to send a request; since is when it came or came back.
-func (w *world) offer(c *call, since time.Duration) {
+// place tries to send a request; since is when it came or came back.
+func (w *world) place(c *call, since time.Duration) {
 	now := w.Clock()
 	choice, found := c.gateway.chooser.Choose(&c.Call, nil, now)
 	switch {
 	case found:
 		w.send(c, choice)
-	case w.Now() < since+c.Route.Objective/waitPart:
-		w.At(w.Now()+waitStep, func() { w.offer(c, since) })
+	case w.Now() < since+c.Route.Objective/waitDivisor:
+		w.At(w.Now()+placeEvery, func() { w.place(c, since) })
 	case !c.retried:
 		// The caller comes back once, when it was told to.
 		c.retried = true
 		room := c.gateway.chooser.RoomIn(&c.Call, now)
 		again := w.Now() + returntime.Spread(max(c.Route.Objective/2, room, 100*time.Millisecond), c.ID)
-		w.At(again, func() { w.offer(c, again) })
+		w.At(again, func() { w.place(c, again) })
 	default:
 		c.done = true
 	}
@@ -284,21 +284,21 @@
 
 func (w *world) send(c *call, choice forward.Choice) {
 	s := w.byID[choice.Upstream]
-	c.choice, c.at = choice, s
-	w.note(c, 1, c.PromptTokens)
-	err := s.model.Submit(w.Clock(), engine.Work{ID: c.ID, Tag: c.index, Priority: -int32(c.Priority), Blocks: c.blocks, Context: c.PromptTokens, Output: c.output})
+	c.choice, c.server = choice, s
+	w.addLoad(c, 1, c.PromptTokens)
+	err := s.model.Submit(w.Clock(), engine.Work{ID: c.ID, Tag: c.index, Priority: -int32(c.Priority), Blocks: c.blocks, Context: c.PromptTokens, Output: c.outputTokens})
 	if s.ended || err != nil {
 		w.finish(c, forward.Rejected)
 		return
 	}
-	w.wake(s)
+	w.startStep(s)
 }
 
-// note adds to the present load of a request's engine. Prompts count whole here: what the
+// addLoad adds to the present load of a request's engine. Prompts count whole here: what the
 // engine holds of them is not known to those who place.
-func (w *world) note(c *call, running, unread int) {
-	for _, loads := range []map[ident.Instance]placement.Load{w.present, c.gateway.present} {
-		loads[c.at.ID] = loads[c.at.ID].Plus(placement.Load{Running: running, Unread: unread})
+func (w *world) addLoad(c *call, running, unread int) {
+	for _, loads := range []map[ident.Instance]placement.Load{w.currentLoads, c.gateway.currentLoads} {
+		loads[c.server.ID] = loads[c.server.ID].Plus(placement.Load{Running: running, Unread: unread})
 	}
 }
 
@@ -308,15 +308,15 @@
 	}
 	c.done = true
 	unread := 0
-	if c.first == 0 {
+	if c.firstEventAt == 0 {
 		unread = c.PromptTokens
 	}
-	w.note(c, -1, -unread)
+	w.addLoad(c, -1, -unread)
 	c.gateway.chooser.Finished(c.choice, result, w.Clock())
 }
 
-// wake lets an engine step as long as it has work.
-func (w *world) wake(s *server) {
+// startStep lets an engine step as long as it has work.
+func (w *world) startStep(s *server) {
 	if s.busy || s.ended {
 		return
 	}
@@ -328,52 +328,52 @@
 	w.At(w.Now()+d, func() {
 		s.busy = false
 		for _, t := range tokens {
-			w.token(w.calls[t.Tag], t)
+			w.deliverToken(w.calls[t.Tag], t)
 		}
-		w.wake(s)
+		w.startStep(s)
 	})
 }
 
-func (w *world) token(c *call, t engine.Token) {
+func (w *world) deliverToken(c *call, t engine.Token) {
 	if c.done {
 		return
 	}
 	if t.Index == 0 {
-		w.read += t.Prefilled
-		w.countAgain(c, t.Prefilled)
-		w.At(w.Now()+w.c.Engine.First, func() { w.first(c) })
+		w.readTokens += t.Prefilled
+		w.countRereadTokens(c, t.Prefilled)
+		w.At(w.Now()+w.c.Engine.FirstEventDelay, func() { w.firstEvent(c) })
 	}
 	if t.Done {
-		w.At(w.Now()+w.c.Engine.First, func() { w.finish(c, forward.Done) })
+		w.At(w.Now()+w.c.Engine.FirstEventDelay, func() { w.finish(c, forward.Done) })
 	}
 }
 
-// countAgain counts shared tokens that some engine had read before.
-func (w *world) countAgain(c *call, prefilled int) {
+// countRereadTokens counts shared tokens that some engine had read before.
+func (w *world) countRereadTokens(c *call, prefilled int) {
 	own := c.Parts[1].Tokens
-	if shared := prefilled - own; shared > 0 && w.seen[c.Parts[0].ID] {
-		w.again += shared
+	if shared := prefilled - own; shared > 0 && w.readPrompts[c.Parts[0].ID] {
+		w.rereadTokens += shared
 	}
-	w.seen[c.Parts[0].ID] = true
+	w.readPrompts[c.Parts[0].ID] = true
 }
 
-func (w *world) first(c *call) {
-	if c.at.ended || c.done {
+func (w *world) firstEvent(c *call) {
+	if c.server.ended || c.done {
 		return
 	}
-	c.first = w.Now()
-	w.note(c, 0, -c.PromptTokens)
+	c.firstEventAt = w.Now()
+	w.addLoad(c, 0, -c.PromptTokens)
 	c.gateway.chooser.Began(c.choice, w.Clock())
 }
 
-// end takes an engine away with all that it has.
-func (w *world) end(s *server) {
+// endEngine takes an engine away with all that it has.
+func (w *world) endEngine(s *server) {
 	s.ended = true
 	delete(w.byID, s.ID)
 	for _, c := range w.calls {
-		if c.at == s && !c.done {
+		if c.server == s && !c.done {
 			w.finish(c, forward.Broken)
-			c.first = 0
+			c.firstEventAt = 0
 		}
 	}
 	w.engines = slices.DeleteFunc(w.engines, func(other *server) bool { return other == s })
