--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for people. CI calls .ci/run, which calls test and demo.
+# Targets for developers. CI calls .ci/run, which calls generate-check, test and demo.
 GO    ?= go
 TOOL  := $(GO) tool -modfile=tools/go.mod
 FOR   ?= 60s
@@ -14,17 +14,17 @@
 	$(GO) vet -tags e2e,soak ./...
 	$(TOOL) staticcheck -tags e2e,soak ./...
 
-# The fuzzing tests fix their seeds (internal/testkit), so a run is repeatable.
+# Randomized tests use fixed seeds (internal/testkit), so that a run is repeatable.
 test: lint
 	scripts/test.sh
 	$(MAKE) --no-print-directory e2e
 	$(MAKE) --no-print-directory soak
 
-# Tests with separate processes, one after the other.
+# Tests with separate processes, which run one after the other.
 e2e:
 	$(GO) test -tags e2e -count=1 ./internal/e2e
 
-# Faults on entry processes: make soak SOAK_FOR=5m SOAK_SEED=7
+# Causes faults at entry processes for a time: make soak SOAK_FOR=5m SOAK_SEED=7
 .PHONY: soak
 soak:
 	SOAK_FOR=$(SOAK_FOR) SOAK_SEED=$(SOAK_SEED) $(GO) test -tags soak -count=1 -timeout 60m -v -run TestSoak ./platform/soak
@@ -33,7 +33,7 @@
 	$(TOOL) buf generate --template buf.gen.connect.yaml --exclude-path api/peer
 	$(TOOL) buf generate --template buf.gen.grpc.yaml --path api/peer
 
-# Fails when the committed generated code differs from what the protos give.
+# Fails if the committed generated code differs from what is generated from the .proto files.
 generate-check: generate
 	git diff --exit-code -- api
 
@@ -43,7 +43,7 @@
 demo-up: build
 	scripts/demo.sh --up
 
-# Load at today's size, with one gateway stopped gracefully half-way.
+# Runs load at today's size, and stops one gateway gracefully in the middle.
 load: build
 	STOP=10 scripts/load.sh 200 20s
 
@@ -51,7 +51,7 @@
 promises:
 	scripts/promises.sh
 
-# Looks for new failures with fresh seeds for a time: make fuzz FOR=60s
+# Searches for new failures with new seeds for a time: make fuzz FOR=60s
 fuzz:
 	scripts/fuzz.sh $(FOR)
 
@@ -60,19 +60,19 @@
 SEEDS  ?= 5
 REPORT ?= docs/report
 
-# Compares routing policies in virtual time and prints which goals are met.
+# Simulates routing policies in virtual time and prints which goals are met.
 policy:
 	$(GO) run ./cmd/experiment --seeds $(SEEDS)
 
-# The same with plots, into REPORT.
+# The same; writes table and plots into REPORT.
 policy-report:
 	$(GO) run ./cmd/experiment --seeds $(SEEDS) --report $(REPORT)
 
-# The slopes of docs/capacity-engine.md.
+# Runs the benchmarks for the figures of docs/capacity-engine.md.
 capacity-engine:
 	$(GO) test ./internal/routing ./internal/cacheview -run XXX -bench . -benchtime 300ms
 
-# Entry gateways' decisions against modelled engines (cmd/fleetsim).
+# Simulates entry gateways' decisions with models of engines (cmd/fleetsim).
 .PHONY: fleet fleet-report
 fleet:
 	$(GO) run ./cmd/fleetsim --seeds $(SEEDS)
@@ -80,17 +80,19 @@
 fleet-report:
 	$(GO) run ./cmd/fleetsim --seeds $(SEEDS) --report $(REPORT)
 
-# Plays of a new version of a service's upstreams, in virtual time; into REPORT.
+# Simulates rollouts of a new version of a service's upstreams in virtual time; writes a table
+# into REPORT.
 .PHONY: rollout-report
 rollout-report:
 	$(GO) test ./internal/rollout -count=1 -timeout 60m -run '^TestStories$$' -args -seeds $(SEEDS) -large -table="$$PWD/$(REPORT)/rollouts.txt"
 
-# Plays of requests that end upstreams, in virtual time; into REPORT.
+# Simulates poison requests, which crash upstreams, in virtual time; writes a table into REPORT.
 .PHONY: poison-report
 poison-report:
 	$(GO) test ./internal/poison -count=1 -timeout 60m -run '^TestStories$$' -args -poison.seeds $(SEEDS) -poison.large -poison.table="$$PWD/$(REPORT)/poison.txt"
 
-# Plays of upstreams that name limits, in virtual time, beside other ways to share a rate; into REPORT.
+# Simulates upstreams that announce rate limits in virtual time, and compares ways to share a
+# rate; writes a table into REPORT.
 .PHONY: limits-report
 limits-report:
 	$(GO) test ./internal/upstreamlimit -count=1 -timeout 60m -run '^TestStories$$' -args -limit.seeds $(SEEDS) -limit.large -limit.table="$$PWD/$(REPORT)/limits.txt"
@@ -98,17 +100,17 @@
 # --- capacity (cmd/capacity, docs/CAPACITY.md) ---
 .PHONY: capacity capacity-fleet capacity-whole
 
-# Measures the slopes again and rewrites the tables of docs/CAPACITY.md.
+# Measures all series again and rewrites the tables of docs/CAPACITY.md.
 capacity:
 	@mkdir -p bin
 	$(GO) test ./internal/capacity -count=1 -run '^TestFleets$$' -args -fleets="$$PWD/bin/fleets.json"
 	$(GO) build -o bin/capacity ./cmd/capacity
 	bin/capacity --fleets bin/fleets.json
 
-# Runs the fleet of the target's size in virtual time; over two minutes.
+# Runs the fleet of the target's size in virtual time; takes over two minutes.
 capacity-fleet:
 	$(GO) test ./internal/capacity -count=1 -v -run '^TestFleets$$' -args -target
 
-# Measures whole gateway processes and prints their table.
+# Measures whole gateway processes and prints a table of their costs.
 capacity-whole: build
 	scripts/capacity-whole.sh
--- a/scripts/capacity-controller.sh
+++ b/scripts/capacity-controller.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Measures what a controller spends on upstreams: processor time, bytes of its
-# reads and writes, and memory, of one that holds all leases and of one that is
-# no candidate. All engines are listed at the address of one stand-in.
+# Measures what upstreams cost a controller: processor time, bytes read and
+# written, and memory. It measures a controller that holds all leases and one that
+# is no candidate for leases. All engines are registered with the address of the
+# same stand-in.
 #
 #   scripts/capacity-controller.sh COUNT...     default: 8 64 128 256
 set -uo pipefail
@@ -10,7 +11,8 @@
 export LOG_LEVEL=error
 readonly SETTLE=14 WINDOW=20
 
-# usage NAME prints milliseconds of processor time, bytes and resident KB.
+# usage NAME prints a process's milliseconds of processor time, bytes read and
+# written, and resident memory in KB.
 usage() {
   local pid=${PIDS[$1]}
   awk '{printf "%d ", ($14 + $15) * 10}' "/proc/$pid/stat"
@@ -18,7 +20,8 @@
   awk '/VmRSS/ {print $2}' "/proc/$pid/status"
 }
 
-# measure COUNT runs one size and prints a line for each controller.
+# measure COUNT runs the system with so many engines and prints a line for each
+# controller.
 measure() {
   local engines=$1 i name cpu bytes rss cpu_before bytes_before
   local -A before
--- a/scripts/capacity-whole.sh
+++ b/scripts/capacity-whole.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures real gateway processes, idle and under load, at several numbers of
-# gateways before 9 engines and 4 plain services, and prints a table for
-# docs/CAPACITY.md: means of one gateway.
+# Measures real gateway processes, idle and under load, with several numbers of
+# gateways, 9 engines and 4 plain services. Prints a table for docs/CAPACITY.md
+# with means per gateway.
 #
 #   scripts/capacity-whole.sh [GATEWAYS...]      default: 2 4 8 16
 set -euo pipefail
@@ -23,8 +23,9 @@
   exec 3<&-
 }
 
-# sample prints the sums over all gateways: milliseconds of processor time,
-# KiB resident, bytes of heartbeats, journal appends.
+# sample prints sums over all gateways: milliseconds of processor time, resident
+# memory in KiB, bytes of heartbeats, and appends to the journal. The last number is
+# the time in nanoseconds.
 sample() {
   local name pid cpu=0 rss=0 bytes=0 appends=0 fields
   for name in "${GATEWAYS[@]}"; do
@@ -38,7 +39,7 @@
   echo "$cpu $rss $bytes $appends $(date +%s%N)"
 }
 
-# row LABEL BEFORE AFTER prints a line of the table.
+# row LABEL BEFORE AFTER prints a row of the table from two samples.
 row() {
   local b=($2) a=($3)
   awk -v label="$1" -v n="${#GATEWAYS[@]}" -v cpu=$((a[0] - b[0])) -v rss="${a[1]}" -v bytes=$((a[2] - b[2])) \
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Starts a small system of separate processes on loopback, sends a token
-# stream, an idempotent call and a booking, and takes all down gracefully.
-# Exit status 0 only if every answer was whole and right.
+# Starts a small system of separate processes on loopback, requests a token
+# stream, an idempotent call and a booking, and stops all processes gracefully.
+# The exit status is 0 only if every answer was complete and correct.
 #
 #   scripts/demo.sh        run the requests and stop
-#   scripts/demo.sh --up   leave it running until Ctrl-C
+#   scripts/demo.sh --up   keep the system running until Ctrl-C
 set -euo pipefail
 source "$(dirname "$0")/lib.sh"
 trap clean_up EXIT
@@ -52,7 +52,7 @@
   bin/standin admin --platform $PLATFORM notice --id engine-1 --seconds 5
   bin/loadgen --gateway $CALLERS_A --gateway $CALLERS_B --account registrar=$TOKEN --account trader=trader-token --plain $(field app-1 address)
 EOF
-  # The next line of a terminal begins after the "^C" that it shows.
+  # Ends the terminal's line with the "^C".
   trap echo INT
   wait "${PIDS[gateway-a]}" || true
   trap - INT
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Looks for new failures with fresh seeds for a time in seconds: fuzz.sh 60s
-# Prints how to repeat what it finds. Exit status 1 if it found something.
+# Searches for new failures with new seeds for a time in seconds: fuzz.sh 60s
+# Prints how to reproduce a failure. The exit status is 1 if it found one.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 LIMIT=${1:-60s}
 SECONDS_LEFT=$(( ${LIMIT%s} ))
 END=$(( $(date +%s) + SECONDS_LEFT ))
-# Checks of one round: a round of every state machine takes some seconds.
+# Checks per round: with 50, a round of all state machines takes some seconds.
 export FUZZ_CHECKS=${FUZZ_CHECKS:-50}
 
 MACHINES=$(grep -rl --include='*_test.go' 'testkit.FixSeed()' internal | xargs -n1 dirname | sort -u | sed 's#^#./#')
@@ -20,7 +20,7 @@
   fi
   rounds=$((rounds + 1))
 done
-# The coverage-guided targets share what is left, a few seconds each.
+# Then each coverage-guided target runs for a few seconds.
 grep -rn --include='*_test.go' -o 'func Fuzz[A-Za-z0-9]*' internal platform | sed 's/:[0-9]*:func / /' | while read -r file target; do
   go test -run '^$' -fuzz "^$target\$" -fuzztime 5s "./$(dirname "$file")" >/dev/null 2>&1 || { echo "found by $target in $file"; exit 1; }
 done || found=1
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,5 +1,5 @@
-# Functions that start the processes of a small system on loopback. Sourced by
-# demo.sh and by the other scripts. Needs bash and the programs under bin/.
+# Functions that start the processes of a small system on loopback. Other scripts
+# source this file. It needs bash and the programs under bin/.
 
 ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 BIN="$ROOT/bin"
@@ -7,10 +7,10 @@
 TOKEN=demo-token
 declare -A PIDS
 
-# start NAME PROGRAM ARGS... starts a process in the background; its output
-# goes to $WORK/NAME.out and .err. It gets a process group of its own: Ctrl-C
-# would otherwise reach it as well, and with the SIGTERM of stop_all it would
-# count two signals and end at once.
+# start NAME PROGRAM ARGS... starts a process in the background. Its output goes to
+# $WORK/NAME.out and .err. The process gets its own process group. Otherwise Ctrl-C
+# would send it a signal too; together with the SIGTERM of stop_all it would get
+# two signals and exit at once instead of gracefully.
 start() {
   local name=$1
   shift
@@ -20,7 +20,7 @@
   set +m
 }
 
-# await_line NAME waits until the process has printed where it listens.
+# await_line NAME waits until the process has printed its addresses.
 await_line() {
   local i
   for i in $(seq 200); do
@@ -33,12 +33,12 @@
   return 1
 }
 
-# field NAME KEY prints a field of the line that a process printed.
+# field NAME KEY prints a field of the line of JSON that a process printed.
 field() {
   sed -n 's/.*"'"$2"'":"\([^"]*\)".*/\1/p' "$WORK/$1.out" | head -1
 }
 
-# digest TEXT prints its SHA-256 in hexadecimal.
+# digest TEXT prints the text's SHA-256 in hexadecimal.
 digest() { printf %s "$1" | sha256sum | cut -d' ' -f1; }
 
 # gateway_settings NAME FAILURE_DOMAIN prints the settings of a gateway.
@@ -56,8 +56,8 @@
 EOF
 }
 
-# instance_settings INSTANCE FAILURE_DOMAIN prints the settings that a gateway
-# and the controller beside it share. A controller needs no others.
+# instance_settings INSTANCE FAILURE_DOMAIN prints the settings that a gateway and
+# the controller of the same instance share. A controller needs no others.
 instance_settings() {
   cat <<EOF
 [instance]
@@ -79,7 +79,8 @@
   PLATFORM=$(field platform address)
 }
 
-# start_gateway NAME FAILURE_DOMAIN starts a gateway and lists it.
+# start_gateway NAME FAILURE_DOMAIN starts a gateway and registers it with the
+# platform stand-in.
 start_gateway() {
   gateway_settings "$1" "$2" >"$WORK/$1.toml"
   start "$1" gateway --settings "$WORK/$1.toml"
@@ -88,17 +89,18 @@
     --failure-domain "$2" --address "$(field "$1" callers)" --peer-address "$(field "$1" peers)" >/dev/null
 }
 
-# start_controller NAME FAILURE_DOMAIN [INSTANCE] starts a controller. Only one
-# whose entry instance is listed is a candidate for leases.
+# start_controller NAME FAILURE_DOMAIN [INSTANCE] starts a controller. It is a
+# candidate for leases only if its instance is registered with the platform.
 start_controller() {
   instance_settings "${3:-$1}" "$2" >"$WORK/$1.toml"
   start "$1" controller --settings "$WORK/$1.toml"
   await_line "$1"
 }
 
-# start_system GATEWAYS ENGINES APPS starts a whole system over four failure
-# domains, publishes its documents, waits until every gateway is ready, and
-# lists the names in the arrays GATEWAYS, ENGINES and APPS.
+# start_system GATEWAYS ENGINES APPS starts a whole system in four failure domains,
+# publishes its documents and waits until every gateway is ready. The arguments are
+# numbers of processes; their names are then in the arrays GATEWAYS, ENGINES and
+# APPS.
 start_system() {
   local i name document domains=(hall-a hall-b hall-c hall-d)
   GATEWAYS=() ENGINES=() APPS=()
@@ -124,7 +126,8 @@
   for name in "${GATEWAYS[@]}"; do ready_or_fail "$name"; done
 }
 
-# ready_or_fail NAME waits until an operators' address says ready.
+# ready_or_fail NAME waits until the process reports at its operators' address that
+# it is ready.
 ready_or_fail() {
   local i host port status
   IFS=: read -r host port <<<"$(field "$1" operators)"
@@ -141,10 +144,10 @@
   return 1
 }
 
-# stop_all NAMES... stops processes gracefully, in order, and returns 1 if one
-# did not exit with 0. One may have ended before, for example reclaimed: its
-# signal fails, and under set -e that would end the script with the others
-# still running.
+# stop_all NAMES... stops processes gracefully and returns 1 if one of them did not
+# exit with status 0. A process may have ended before, for example if it was
+# reclaimed. Its signal then fails, which is ignored: with set -e it would end the
+# script while the other processes still run.
 stop_all() {
   local name failed=0
   for name in "$@"; do
@@ -163,8 +166,8 @@
   return $failed
 }
 
-# clean_up ends what still runs, by process ID, and removes the work folder. Its
-# signals fail for what has ended, as those of stop_all do.
+# clean_up kills the processes that still run, by process ID, and removes the work
+# folder. As in stop_all, signals to processes that have ended fail and are ignored.
 clean_up() {
   local name
   for name in "${!PIDS[@]}"; do
--- a/scripts/load.sh
+++ b/scripts/load.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Runs loadgen against a system of today's size on loopback: four failure
-# domains, 8 gateways, 9 engines, 4 plain services, as separate processes.
+# Runs loadgen against a system of today's size on loopback: 8 gateways, 9 engines
+# and 4 plain services in four failure domains, all as separate processes.
 #
 #   scripts/load.sh [RATE] [DURATION]      default: 200 requests/s for 20s
 #
-# GATEWAY_COUNT, ENGINE_COUNT and APP_COUNT change the numbers of processes.
-# With STOP=SECONDS one gateway is stopped gracefully after so many seconds.
-# With ROLL=SECONDS all gateways are replaced one after the other from then on.
+# GATEWAY_COUNT, ENGINE_COUNT and APP_COUNT set other numbers of processes.
+# With STOP=SECONDS a gateway is stopped gracefully after that time.
+# With ROLL=SECONDS all gateways are stopped gracefully after that time, one after
+# the other.
 set -euo pipefail
 source "$(dirname "$0")/lib.sh"
 trap clean_up EXIT
--- a/scripts/promises.sh
+++ b/scripts/promises.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
 # Runs every test that docs/PROMISES.md names, with the race detector, and
 # prints a line for each:  PROMISE n name ok|FAILED|not proved
-# A test that is named and does not exist fails.
+# A named test that does not exist counts as failed.
 #
-# It reads two forms of lines below a heading "## N. ...":
+# The script reads two kinds of lines below a heading "## N. ...":
 #   - `./package` `TestName` text
 #   - not proved: text
 set -uo pipefail
@@ -20,10 +20,11 @@
 
 RESULTS=$(mktemp)
 trap 'rm -f "$RESULTS"' EXIT
-# run_tests PACKAGE TESTS notes "PACKAGE TEST PASS|FAIL|SKIP" for each test.
+# run_tests PACKAGE TESTS appends "PACKAGE TEST PASS|FAIL|SKIP" to RESULTS for each
+# test.
 run_tests() {
   local race=-race
-  # Separate processes need the cores that the detector would take.
+  # The race detector would take the cores that the separate processes need.
   [ "$1" = ./internal/e2e ] && race=-tags=e2e
   go test "$race" -count=1 -v -run "^($2)\$" "$1" 2>&1 |
     awk -v p="$1" '/^--- (PASS|FAIL|SKIP): /{sub(":", "", $2); print p, $3, $2}' >>"$RESULTS"
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,28 +1,28 @@
 #!/usr/bin/env bash
 # Runs all tests with the race detector.
 #
-# The detector's own runtime sometimes ends a test binary that starts hundreds
-# of thousands of goroutines (seen with Go 1.26: "ThreadSanitizer: CHECK failed:
-# tsan_rtl.cpp", or a bare SIGSEGV within it, in 2 of 29 runs of the state
-# machine of internal/controllers/configuration). Such an end is no verdict on
-# the code: no test has failed and no race was reported. Only then the package
-# is run again, twice at most, and the script says so. A failed test, a reported
-# race, a panic or a time-out fails at once.
+# The detector's own runtime sometimes crashes in a test binary that starts
+# hundreds of thousands of goroutines (seen with Go 1.26: "ThreadSanitizer: CHECK
+# failed: tsan_rtl.cpp", or a SIGSEGV within it, in 2 of 29 runs of the state
+# machine of internal/controllers/configuration). Such a crash says nothing about
+# the code: no test has failed and no race was reported. Only in this case the
+# script runs the package again, at most twice, and prints that it does. After a
+# failed test, a reported race, a panic or a timeout it fails at once.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 GO=${GO:-go}
 OUT=$(mktemp)
 trap 'rm -f "$OUT"' EXIT
 
-# verdict_missing succeeds if the output in $1 shows an end of the detector's
+# verdict_missing succeeds if the output in $1 shows a crash of the detector's
 # runtime and no failure of the code.
 verdict_missing() {
   grep -qE '^ThreadSanitizer: CHECK failed|^SIGSEGV: segmentation violation$' "$1" &&
     ! grep -qE '^\s*--- FAIL|WARNING: DATA RACE|^panic: |\[build failed\]|\[setup failed\]' "$1"
 }
 
-# Tests that KNOWN-RED.txt lists, one entry a line that begins "(test NAME)", are passed
-# over and named.
+# Tests in KNOWN-RED.txt, whose lines begin with "(test NAME)", are skipped and their names
+# printed.
 skip=()
 red=$(sed -n 's/^(test \(Test[A-Za-z0-9_]*\)).*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd '|')
 if [ -n "$red" ]; then
