--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -19,7 +19,7 @@
 		{engine: 3, gateways: 0, minEarned: 0.85},
 	} {
 		kind, size := EngineKinds()[c.engine], FleetSizes()[c.gateways]
-		f := Play(Case{Engine: kind, Fleet: size, Load: Loads()[3], BusyEngines: 8, Seed: 1})
+		f := Run(Case{Engine: kind, Fleet: size, Load: Loads()[3], BusyEngines: 8, Seed: 1})
 		t.Logf("%s, %d gateways: whole %.3f, paid %.2f, refused %.3f", kind.Name, size.Gateways, f.EarnedShare, f.Paid, f.Refused)
 		if f.EarnedShare < c.minEarned {
 			t.Errorf("%s, %d gateways: %.3f of the worth is earned, want %.3f", kind.Name, size.Gateways, f.EarnedShare, c.minEarned)
@@ -31,7 +31,7 @@
 // number of engines follows from a fraction of used slots that suits only one kind of engine.
 func TestACalmLoadIsServedAtAPrice(t *testing.T) {
 	for _, kind := range EngineKinds()[:4] {
-		f := Play(Case{Engine: kind, Fleet: FleetSizes()[0], Load: Loads()[0], BusyEngines: 8, Seed: 1})
+		f := Run(Case{Engine: kind, Fleet: FleetSizes()[0], Load: Loads()[0], BusyEngines: 8, Seed: 1})
 		t.Logf("%s: whole %.3f, paid %.2f, rate %.2f", kind.Name, f.EarnedShare, f.Paid, f.RateRatio)
 		if f.EarnedShare < 0.98 || f.Paid > 0.95 {
 			t.Errorf("%s: %.3f of the worth for %.2f on-demand engines an engine that works", kind.Name, f.EarnedShare, f.Paid)
@@ -44,9 +44,9 @@
 func TestAgedViewsCostLittle(t *testing.T) {
 	for _, size := range FleetSizes()[1:3] {
 		c := Case{Engine: EngineKinds()[0], Fleet: size, Load: Loads()[0], BusyEngines: 12, Seed: 1}
-		aged := Play(c)
+		aged := Run(c)
 		c.Told = true
-		told := Play(c)
+		told := Run(c)
 		t.Logf("%d gateways: aged %.3f, told %.3f", size.Gateways, aged.Value(), told.Value())
 		if aged.Value() < told.Value()-0.03 {
 			t.Errorf("%d gateways: %.3f, told at once %.3f", size.Gateways, aged.Value(), told.Value())
@@ -56,7 +56,7 @@
 
 func TestARunRepeats(t *testing.T) {
 	c := Case{Engine: EngineKinds()[1], Fleet: FleetSizes()[0], Load: Loads()[4], BusyEngines: 4, Seed: 7}
-	if a, b := Play(c), Play(c); a != b {
+	if a, b := Run(c), Run(c); a != b {
 		t.Errorf("%+v and then %+v", a, b)
 	}
 }
--- a/internal/fleetsim/table.go
+++ b/internal/fleetsim/table.go
@@ -40,7 +40,7 @@
 			for seed := range seeds {
 				c := cells[i].Case
 				c.Seed = uint64(seed + 1)
-				runs = append(runs, Play(c))
+				runs = append(runs, Run(c))
 			}
 			cells[i].Figures = Mean(runs)
 		})
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -116,8 +116,8 @@
 	retried      bool
 }
 
-// Play simulates one run and returns its figures.
-func Play(c Case) Figures {
+// Run simulates one run and returns its figures.
+func Run(c Case) Figures {
 	w := newWorld(c)
 	w.scheduleArrivals()
 	w.every(recordEvery, w.recordLoads)
