--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	// documentAccounts and documentDomains size a document for the letter's
-	// system: client accounts with limits of their own, and prices.
+	// documentAccounts and documentDomains are the numbers of client accounts with
+	// their own limits, and of failure domains with prices, in a document of the
+	// system's target size.
 	documentAccounts = 20
 	documentDomains  = 10
-	// publications is how many changes are timed.
-	publications = 3
+	// timedChanges is how many changes timeUntilInForce measures.
+	timedChanges = 3
 )
 
 // documentText returns the document of a service.
@@ -54,14 +55,15 @@
 	})
 }
 
-// folded is a process's configuration with a number of documents.
-type folded struct {
+// foldedDocuments is the configuration that a process has after it has read a number of
+// documents.
+type foldedDocuments struct {
 	state document.State
 	set   *document.Set
 }
 
-func foldDocuments(documents int) (*folded, error) {
-	f := &folded{}
+func foldDocuments(documents int) (*foldedDocuments, error) {
+	f := &foldedDocuments{}
 	var records []platform.Record
 	for i := range documents {
 		data, err := publication(serviceAt(i), 0)
@@ -79,17 +81,19 @@
 	return f, nil
 }
 
+// documentMemory returns the memory of a number of documents.
 func documentMemory(documents int) (float64, error) {
 	var err error
-	used := held(func() any {
-		var f *folded
+	used := memoryHeldBy(func() any {
+		var f *foldedDocuments
 		f, err = foldDocuments(documents)
 		return f
 	})
 	return used, err
 }
 
-// changeCost is one change among a number of documents: fold and new set.
+// changeCost returns the cost of one change among a number of documents: to fold the record
+// and to build the new set.
 func changeCost(documents int) (float64, error) {
 	f, err := foldDocuments(documents)
 	if err != nil {
@@ -100,13 +104,13 @@
 		return 0, err
 	}
 	record := []platform.Record{{Offset: ident.Offset(documents), Data: data}}
-	return cost(func() {
+	return microsPerCall(func() {
 		next, _ := document.Fold(f.state, record)
 		document.BuildSet(next, f.set, document.CurrentSchema)
 	}), nil
 }
 
-// snapshotBytes is the record that keeps all documents.
+// snapshotBytes returns the size of the snapshot record of a number of documents.
 func snapshotBytes(documents int) (float64, error) {
 	f, err := foldDocuments(documents)
 	if err != nil {
@@ -116,11 +120,11 @@
 	return float64(len(data)), err
 }
 
-// inForce is the longest time from an append until all processes serve by it,
-// with a log that answers at once.
-func inForce(processes int) (float64, error) {
+// timeUntilInForce returns the longest time in milliseconds from the append of a change until
+// all processes use the changed configuration. The log answers at once.
+func timeUntilInForce(processes int) (float64, error) {
 	log := logstore.New(logstore.Options{})
-	loops := newBackground()
+	loops := newBackgroundLoops()
 	defer loops.stop()
 	var sections []*blackboard.Section[*document.Set]
 	for i := range processes {
@@ -133,8 +137,8 @@
 		loops.run(func(ctx context.Context) { _ = c.Run(ctx) })
 	}
 	longest := time.Duration(0)
-	for i := range publications {
-		// The processes are waiting at the log's head by then.
+	for i := range timedChanges {
+		// By then the processes wait at the log's head.
 		time.Sleep(300 * time.Millisecond)
 		data, err := publication(serviceAt(i), 0)
 		if err != nil {
@@ -153,7 +157,7 @@
 	return longest.Seconds() * 1000, nil
 }
 
-// awaitRevision waits until all processes serve by a revision.
+// awaitRevision waits until all processes use a revision, at most 10 s.
 func awaitRevision(sections []*blackboard.Section[*document.Set], wanted ident.Revision) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -170,7 +174,7 @@
 	return nil
 }
 
-// The series of configuration.
+// The series of the configuration.
 const (
 	ChangeCost     ID = "configuration.cpu"
 	DocumentMemory ID = "configuration.memory"
@@ -181,13 +185,13 @@
 func configurationSeries() []Series {
 	documents := []int{2, 20, 80, 320}
 	return []Series{
-		{ID: ChangeCost, What: "one change: fold and new set", Package: "document", Size: "documents", Unit: Microseconds,
+		{ID: ChangeCost, Description: "one change: fold and new set", Package: "document", SizeUnit: "documents", Unit: Microseconds,
 			Sizes: documents, Measure: changeCost},
-		{ID: DocumentMemory, What: "records and parsed documents", Package: "document", Size: "documents", Unit: Bytes,
+		{ID: DocumentMemory, Description: "records and parsed documents", Package: "document", SizeUnit: "documents", Unit: Bytes,
 			Sizes: documents, Measure: documentMemory},
-		{ID: SnapshotBytes, What: "the snapshot record; its slope is one revision", Package: "document", Size: "documents", Unit: Bytes,
+		{ID: SnapshotBytes, Description: "the snapshot record; its slope is one revision", Package: "document", SizeUnit: "documents", Unit: Bytes,
 			Sizes: documents, Measure: snapshotBytes},
-		{ID: InForce, What: "append to in force at all, wall clock, log without delay", Package: "controllers/configuration", Size: "processes",
-			Unit: Milliseconds, Sizes: []int{8, 32, 128, 330}, Measure: inForce},
+		{ID: InForce, Description: "append to in force at all, wall clock, log without delay", Package: "controllers/configuration", SizeUnit: "processes",
+			Unit: Milliseconds, Sizes: []int{8, 32, 128, 330}, Measure: timeUntilInForce},
 	}
 }
--- a/internal/capacity/journal.go
+++ b/internal/capacity/journal.go
@@ -27,26 +27,27 @@
 )
 
 const (
-	// answerBytes is the length of a call's answer.
+	// answerBytes is the length of a call's answer in bytes.
 	answerBytes = 256
-	// recordsPerKey are a claim and an outcome.
+	// recordsPerKey is the number of records of a key: a claim and an outcome.
 	recordsPerKey = 2
-	// journalRun is how long coordinators run for one figure.
-	journalRun = 4 * time.Second
-	// callRate is the keyed calls a second of one gateway in that run: a
-	// fifth of the requests that a gateway of 330 gets.
+	// journalRunTime is how long the appends of coordinators are counted.
+	journalRunTime = 4 * time.Second
+	// callRate is how many keyed calls per second a gateway receives meanwhile:
+	// a fifth of the requests of one gateway of 330.
 	callRate = 2.5
-	// busyRate is that of a gateway under a rush, and busyGateways how many
-	// there are, as today.
+	// busyRate is the same in a load spike, and busyGateways the number of gateways
+	// then, which is today's.
 	busyRate     = 25
 	busyGateways = 8
 )
 
-func claimOf(i int, at time.Time) journal.Claim {
-	key := ident.CallKey{Service: app, Account: ident.ClientAccount(fmt.Sprintf("client-account-%d", i%50)), Key: ident.Key(uuid.NewString())}
+// newClaim returns the i-th claim, with a new key and issued at the given time.
+func newClaim(i int, at time.Time) journal.Claim {
+	key := ident.CallKey{Service: plainService, Account: ident.ClientAccount(fmt.Sprintf("client-account-%d", i%50)), Key: ident.Key(uuid.NewString())}
 	target := gatewayAt(i%20, 10)
 	return journal.Claim{
-		Head:   journal.Head{Key: key, ID: journal.NewClaimID(), Digest: journal.NewDigest(key, method, at, nil), IssuedAt: at},
+		Head:   journal.Head{Key: key, ID: journal.NewClaimID(), Digest: journal.NewDigest(key, plainMethod, at, nil), IssuedAt: at},
 		Holder: gatewayAt(i%330, 10).ID, HolderIncarnation: 1_700_000_000, Attempt: 1,
 		Target: journal.Target{Instance: target.ID, Incarnation: target.Incarnation, Address: target.Address},
 	}
@@ -58,7 +59,7 @@
 	payload := make([]byte, answerBytes)
 	records := make([][]byte, 0, recordsPerKey*keys)
 	for i := range keys {
-		c := claimOf(i, now)
+		c := newClaim(i, now)
 		_, _ = rand.Read(payload)
 		for _, event := range []journal.Event{c, journal.Outcome{Head: c.Head, Kind: outcome.Completed, Payload: payload}} {
 			data, err := journal.Encode(event)
@@ -71,7 +72,7 @@
 	return records, nil
 }
 
-// foldAll reads records as a gateway does.
+// foldAll decodes and folds records as a gateway does.
 func foldAll(records [][]byte) (*fold.Fold, error) {
 	f := fold.New(false)
 	now := time.Now()
@@ -85,30 +86,32 @@
 	return f, nil
 }
 
+// foldMemory returns the memory of a fold with a number of keys.
 func foldMemory(keys int) (float64, error) {
 	records, err := keyRecords(keys)
 	if err != nil {
 		return 0, err
 	}
-	used := held(func() any {
+	used := memoryHeldBy(func() any {
 		var f *fold.Fold
 		f, err = foldAll(records)
 		return f
 	})
-	// They count on both sides of the measurement.
+	// The records must be in use both before and after the measurement.
 	runtime.KeepAlive(records)
 	return used, err
 }
 
+// foldCost returns the cost of decoding and folding the records of a number of keys.
 func foldCost(keys int) (float64, error) {
 	records, err := keyRecords(keys)
 	if err != nil {
 		return 0, err
 	}
-	return cost(func() { _, err = foldAll(records) }), err
+	return microsPerCall(func() { _, err = foldAll(records) }), err
 }
 
-// readOverWire is one read of the log that returns a number of journal
+// readOverWire returns the cost of one read of the log that returns a number of journal
 // records.
 func readOverWire(records int) (wireFigures, error) {
 	log := logstore.New(logstore.Options{})
@@ -123,49 +126,49 @@
 	}
 	mux := http.NewServeMux()
 	connectplatform.Mount(mux, connectplatform.Services{Log: log})
-	l, err := newLoopback(mux)
+	l, err := newLoopbackServer(mux)
 	if err != nil {
 		return wireFigures{}, err
 	}
 	client := connectplatform.NewClient(transport.NewClient(transport.Options{}), l.url())
-	return wireCost(l, func() error {
+	return measureServer(l, func() error {
 		_, err := client.Read(context.Background(), journal.Stream(0), 0, records+1, 0)
 		return err
 	})
 }
 
-// instant dispatches every call to one place that answers at once.
-type instant struct{ answer []byte }
+// instantDispatcher sends every call to the same upstream, which answers at once.
+type instantDispatcher struct{ answer []byte }
 
 // Pick implements calls.Dispatcher.
-func (instant) Pick(context.Context, calls.Call, []ident.Instance) (journal.Target, bool) {
+func (instantDispatcher) Pick(context.Context, calls.Call, []ident.Instance) (journal.Target, bool) {
 	u := runnerAt(0, 10)
 	return journal.Target{Instance: u.ID, Incarnation: u.Incarnation, Address: u.Address}, true
 }
 
 // Invoke implements calls.Dispatcher.
-func (d instant) Invoke(context.Context, calls.Call, journal.Target, ident.Fence) (upstream.Answer, error) {
+func (d instantDispatcher) Invoke(context.Context, calls.Call, journal.Target, ident.Fence) (upstream.Answer, error) {
 	return upstream.Answer{Payload: d.answer}, nil
 }
 
 // Find implements calls.Dispatcher.
-func (instant) Find(context.Context, ident.CallKey, journal.Target, ident.Fence) (upstream.FindResult, error) {
+func (instantDispatcher) Find(context.Context, ident.CallKey, journal.Target, ident.Fence) (upstream.FindResult, error) {
 	return upstream.FindResult{State: upstream.Absent}, nil
 }
 
-// coordinators runs gateways' coordinators over one log, each with its own
-// calls, and returns the appends a second of all.
-func coordinators(gateways int, perSecond float64, interval time.Duration) (float64, error) {
+// measureAppends runs the call coordinators of several gateways on one log, each with its
+// own calls, and returns the appends per second of all together.
+func measureAppends(gateways int, perSecond float64, interval time.Duration) (float64, error) {
 	log := logstore.New(logstore.Options{})
-	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{app: {Document: &document.Document{
-		Service: app, Kind: document.Plain, Methods: []document.Method{{Name: method, Timeout: 3 * time.Second}},
+	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{plainService: {Document: &document.Document{
+		Service: plainService, Kind: document.Plain, Methods: []document.Method{{Name: plainMethod, Timeout: 3 * time.Second}},
 	}}}})
-	loops := newBackground()
+	loops := newBackgroundLoops()
 	var failures sync.Map
 	for i := range gateways {
 		health := blackboard.NewSection(blackboard.JournalHealth{})
 		c := calls.New(calls.Config{
-			Instance: gatewayAt(i, 10).ID, Incarnation: 1, Log: log, Dispatcher: instant{make([]byte, answerBytes)},
+			Instance: gatewayAt(i, 10).ID, Incarnation: 1, Log: log, Dispatcher: instantDispatcher{make([]byte, answerBytes)},
 			Documents: documents, Health: health, Limits: calls.Limits{AppendInterval: interval},
 		})
 		loops.run(func(ctx context.Context) { _ = c.Run(ctx) })
@@ -176,14 +179,14 @@
 					return
 				}
 			}
-			// Gateways start apart, as their callers do.
+			// Gateways start at different times, as their callers do.
 			time.Sleep(time.Duration(float64(time.Second) / perSecond * float64(i) / float64(gateways)))
-			callAll(ctx, c, perSecond, &failures)
+			sendCalls(ctx, c, perSecond, &failures)
 		})
 	}
 	time.Sleep(time.Second)
 	before, began := log.Appends(), time.Now()
-	time.Sleep(journalRun)
+	time.Sleep(journalRunTime)
 	appends, took := log.Appends()-before, time.Since(began)
 	loops.stop()
 	var failed error
@@ -194,8 +197,9 @@
 	return float64(appends) / took.Seconds(), failed
 }
 
-// callAll sends calls at a steady rate, each in a goroutine of its own.
-func callAll(ctx context.Context, c *calls.Coordinator, perSecond float64, failures *sync.Map) {
+// sendCalls sends calls at a steady rate until ctx is done, each in a goroutine of its own.
+// It stores the messages of failed calls in failures.
+func sendCalls(ctx context.Context, c *calls.Coordinator, perSecond float64, failures *sync.Map) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
@@ -203,8 +207,8 @@
 	for {
 		running.Go(func() {
 			o := c.Do(context.WithoutCancel(ctx), calls.Call{
-				Key:    ident.CallKey{Service: app, Account: "trader", Key: ident.Key(uuid.NewString())},
-				Method: method, IssuedAt: time.Now(), Attempt: 1,
+				Key:    ident.CallKey{Service: plainService, Account: "trader", Key: ident.Key(uuid.NewString())},
+				Method: plainMethod, IssuedAt: time.Now(), Attempt: 1,
 			})
 			if o.Kind != outcome.Completed && ctx.Err() == nil {
 				failures.Store(o.Message, nil)
@@ -218,13 +222,15 @@
 	}
 }
 
+// appendsByGateways returns the appends per second of a number of gateways.
 func appendsByGateways(gateways int) (float64, error) {
-	return coordinators(gateways, callRate, settings.DefaultBatchWait)
+	return measureAppends(gateways, callRate, settings.DefaultBatchWait)
 }
 
-// appendsByInterval takes the batches a second that one partition allows.
+// appendsByInterval returns the appends per second of busy gateways that append at most so
+// many batches per second to a partition.
 func appendsByInterval(batches int) (float64, error) {
-	return coordinators(busyGateways, busyRate, time.Second/time.Duration(batches))
+	return measureAppends(busyGateways, busyRate, time.Second/time.Duration(batches))
 }
 
 // The series of the journal.
@@ -238,21 +244,21 @@
 )
 
 func journalSeries() []Series {
-	read := newShared(readOverWire)
+	read := newMemoized(readOverWire)
 	keys := []int{1000, 4000, 16000, 64000}
 	records := []int{0, 32, 256, 1024}
 	return []Series{
-		{ID: KeyMemory, What: "keys of a window, claim and outcome of 256 B", Package: "calls/fold", Size: "keys", Unit: Bytes,
+		{ID: KeyMemory, Description: "keys of a window, claim and outcome of 256 B", Package: "calls/fold", SizeUnit: "keys", Unit: Bytes,
 			Sizes: keys, Measure: foldMemory},
-		{ID: KeyProcessor, What: "reading the records of keys, without the network", Package: "calls/fold", Size: "keys", Unit: Microseconds,
+		{ID: KeyProcessor, Description: "reading the records of keys, without the network", Package: "calls/fold", SizeUnit: "keys", Unit: Microseconds,
 			Sizes: keys, Measure: foldCost},
-		{ID: ReadWire, What: "one read of the log over loopback, one end", Package: "platform/connectplatform", Size: "records", Unit: Microseconds,
+		{ID: ReadWire, Description: "one read of the log over loopback, one end", Package: "platform/connectplatform", SizeUnit: "records", Unit: Microseconds,
 			Sizes: records, Measure: func(n int) (float64, error) { w, err := read.at(n); return w.processor, err }},
-		{ID: ReadWireBytes, What: "one read of the log, both directions", Package: "platform/connectplatform", Size: "records", Unit: Bytes,
+		{ID: ReadWireBytes, Description: "one read of the log, both directions", Package: "platform/connectplatform", SizeUnit: "records", Unit: Bytes,
 			Sizes: records, Measure: func(n int) (float64, error) { w, err := read.at(n); return w.bytes, err }},
-		{ID: AppendsGateways, What: "appends of all gateways, 2.5 keyed calls/s each", Package: "calls", Size: "gateways", Unit: PerSecond,
+		{ID: AppendsGateways, Description: "appends of all gateways, 2.5 keyed calls/s each", Package: "calls", SizeUnit: "gateways", Unit: PerSecond,
 			Sizes: []int{4, 8, 16, 32}, Measure: appendsByGateways},
-		{ID: AppendsInterval, What: "appends of 8 gateways, 25 keyed calls/s each", Package: "calls", Size: "batches/s allowed", Unit: PerSecond,
+		{ID: AppendsInterval, Description: "appends of 8 gateways, 25 keyed calls/s each", Package: "calls", SizeUnit: "batches/s allowed", Unit: PerSecond,
 			Sizes: []int{6, 12, 25, 50, 100}, Measure: appendsByInterval},
 	}
 }
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -21,30 +21,34 @@
 )
 
 const (
-	// fleetSettle lets the first digests pass: a session with a peer that was
-	// never met begins with the facts of up to 30 s. fleetRun is one round of
-	// the slowest refresh.
-	fleetSettle = 34 * time.Second
-	fleetRun    = 10 * time.Second
-	// probers is how many gateways tell the load of an upstream.
-	probers = 2
-	// probeInterval is that of package probing.
+	// fleetSettleTime excludes the first digests from the measurement: the first
+	// exchange with a peer contains the facts of up to 30 s. fleetRunTime is one
+	// round of the slowest refresh.
+	fleetSettleTime = 34 * time.Second
+	fleetRunTime    = 10 * time.Second
+	// probersPerUpstream is how many gateways probe an upstream and report its
+	// load.
+	probersPerUpstream = 2
+	// probeInterval is the interval of probes in package probing.
 	probeInterval = time.Second
 )
 
-// entrySizes are numbers of entries, gateways and upstreams together; see
-// fleetOf. The first is today's, the last the one to be reached.
+// entrySizes are numbers of entries, which are gateways and upstreams together; fleetOf
+// divides them. The first is today's size, the last the target's.
 var entrySizes = []int{21, 102, 306, 1020}
 
-// fleetSizes are those at which a whole fleet runs. 1020 entries take over two
-// minutes: at the start every gateway meets every other one with all its facts.
+// fleetSizes are the numbers of entries at which TestFleets runs a whole fleet by default.
+// 1020 entries take over two minutes, since at the start every gateway sends all its facts to
+// every other gateway.
 var fleetSizes = []int{21, 102, 306, 612}
 
-// recordedFleet is the fleet of the target's size, 330 gateways and 690 runners, as
-// make capacity-fleet gave it. It stands in where a run leaves that size out.
+// recordedFleet are the figures of the fleet of the target's size, 330 gateways and 690
+// runners, as `make capacity-fleet` measured them. They are used if the file of TestFleets
+// does not contain that size.
 var recordedFleet = fleetFigures{Processor: 5231, Bytes: 9868, Exchanges: 10.06, Memory: 769_817}
 
-// fleetOf splits a number of entries.
+// fleetOf returns how many gateways, runners and failure domains a fleet with a number of
+// entries has.
 func fleetOf(entries int) (gateways, runners, domains int) {
 	if entries == entrySizes[0] {
 		return 8, entries - 8, 4
@@ -53,29 +57,29 @@
 	return gateways, entries - gateways, 10
 }
 
-// fleetFigures are what one gateway of a fleet costs.
+// fleetFigures are the costs of one gateway of a fleet.
 type fleetFigures struct {
-	// Processor in microseconds a second; Bytes and Exchanges a second.
+	// Processor is in microseconds per second, Bytes and Exchanges are per second.
 	Processor, Bytes, Exchanges float64
-	// Memory in bytes.
+	// Memory is in bytes.
 	Memory float64
 }
 
-// fleet is many real membership controllers in this process. Messages are
-// encoded and decoded, but travel without a network.
-type fleet struct {
+// fleetTransport connects membership controllers in this process without a network.
+// Messages are encoded and decoded, and their bytes are counted.
+type fleetTransport struct {
 	byAddress        map[string]*controller.Controller
 	bytes, exchanges atomic.Int64
 }
 
 // Exchange implements controller.Transport.
-func (f *fleet) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
+func (f *fleetTransport) Exchange(ctx context.Context, address string, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	to, ok := f.byAddress[address]
 	if !ok {
 		return nil, errcode.New(errcode.Unavailable, "no such peer")
 	}
 	var arrived peerv1.ExchangeRequest
-	if err := f.carry(req, &arrived); err != nil {
+	if err := f.transmit(req, &arrived); err != nil {
 		return nil, err
 	}
 	resp, err := to.Exchange(ctx, &arrived)
@@ -84,10 +88,11 @@
 	}
 	f.exchanges.Add(1)
 	var answer peerv1.ExchangeResponse
-	return &answer, f.carry(resp, &answer)
+	return &answer, f.transmit(resp, &answer)
 }
 
-func (f *fleet) carry(from, to proto.Message) error {
+// transmit encodes one message and decodes it into the other.
+func (f *fleetTransport) transmit(from, to proto.Message) error {
 	data, err := proto.Marshal(from)
 	if err != nil {
 		return err
@@ -96,8 +101,8 @@
 	return proto.Unmarshal(data, to)
 }
 
-// member returns a controller as the gateway wires it.
-func member(self platform.Instance, transport controller.Transport) *controller.Controller {
+// newMember returns a membership controller that is set up as a gateway's.
+func newMember(self platform.Instance, transport controller.Transport) *controller.Controller {
 	config := controller.DefaultConfig(self)
 	config.Interval = settings.DefaultHeartbeat
 	return controller.New(config, controller.Deps{
@@ -107,55 +112,55 @@
 	})
 }
 
-// runFleet runs a whole fleet in steady state and divides by its gateways.
+// runFleet runs a fleet in a steady state and returns the mean costs of a gateway.
 func runFleet(entries int) fleetFigures {
 	gateways, runners, domains := fleetOf(entries)
 	list := instances(gateways, runners, domains)
-	f := &fleet{byAddress: map[string]*controller.Controller{}}
+	f := &fleetTransport{byAddress: map[string]*controller.Controller{}}
 	members := make([]*controller.Controller, gateways)
-	memory := held(func() any {
+	memory := memoryHeldBy(func() any {
 		for i := range members {
-			members[i] = member(list[i], f)
+			members[i] = newMember(list[i], f)
 			f.byAddress[list[i].PeerAddress] = members[i]
 			members[i].ApplyList(list)
 		}
 		return members
 	})
-	loops := newBackground()
+	loops := newBackgroundLoops()
 	for _, m := range members {
 		loops.run(func(ctx context.Context) { _ = m.Run(ctx) })
 	}
-	loops.every(probeInterval, func() { observeAll(members, list[gateways:], domains) })
-	time.Sleep(fleetSettle)
+	loops.every(probeInterval, func() { reportLoads(members, list[gateways:], domains) })
+	time.Sleep(fleetSettleTime)
 	bytes, exchanges, began := f.bytes.Load(), f.exchanges.Load(), time.Now()
-	used := rate(fleetRun)
+	used := measureProcessorRate(fleetRunTime)
 	seconds := time.Since(began).Seconds()
 	bytes, exchanges = f.bytes.Load()-bytes, f.exchanges.Load()-exchanges
 	loops.stop()
 	n := float64(gateways)
 	return fleetFigures{
 		Processor: used / n,
-		// Each message costs two gateways.
+		// Each message costs the gateway that sends it and the one that receives it.
 		Bytes:     2 * float64(bytes) / seconds / n,
 		Exchanges: float64(exchanges) / seconds / n,
 		Memory:    memory / n,
 	}
 }
 
-// fleets are the figures by number of entries. TestFleets writes them: it runs
+// figuresBySize are fleets' figures by number of entries. TestFleets writes them: it runs
 // the fleets in virtual time, so that a busy machine delays no heartbeat.
-type fleets map[int]fleetFigures
+type figuresBySize map[int]fleetFigures
 
-func readFleets(path string) (fleets, error) {
+func readFleets(path string) (figuresBySize, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var all fleets
+	var all figuresBySize
 	return all, json.Unmarshal(data, &all)
 }
 
-func (f fleets) write(path string) error {
+func (f figuresBySize) write(path string) error {
 	data, err := json.Marshal(f)
 	if err != nil {
 		return err
@@ -163,12 +168,13 @@
 	return os.WriteFile(path, data, 0o600)
 }
 
-// observeAll tells the load of each upstream to its probers.
-func observeAll(members []*controller.Controller, runners []platform.Instance, domains int) {
+// reportLoads reports the load of each runner to the members that probe it.
+func reportLoads(members []*controller.Controller, runners []platform.Instance, domains int) {
 	now := time.Now()
 	for i, u := range runners {
-		for k := range probers {
-			// The members of a domain are domains places apart.
+		for k := range probersPerUpstream {
+			// Members of the same domain have indexes that differ by a multiple of
+			// domains.
 			at := i%domains + domains*(i/domains+k)
 			members[at%len(members)].Observe(controller.Observation{
 				Instance:    u.ID,
@@ -179,12 +185,12 @@
 	}
 }
 
-// exchangeCost is one served heartbeat with a number of changed lines, at a
-// table of the largest size: merge, publication, digest and checksum.
+// exchangeCost returns the cost of serving one heartbeat with a number of changed lines,
+// with a table of the largest size: merge, publication, digest and checksum.
 func exchangeCost(lines int) (float64, error) {
 	gateways, runners, domains := fleetOf(entrySizes[len(entrySizes)-1])
 	list := instances(gateways, runners, domains)
-	m := member(list[0], &fleet{})
+	m := newMember(list[0], &fleetTransport{})
 	m.ApplyList(list)
 	req := &peerv1.ExchangeRequest{
 		From: string(list[domains].ID), Incarnation: uint64(list[domains].Incarnation),
@@ -193,13 +199,13 @@
 	}
 	req.Figures = figuresOf(list[gateways : gateways+lines])
 	var failed error
-	used := cost(func() {
-		resp, err := serve(m, req)
+	used := microsPerCall(func() {
+		resp, err := serveExchange(m, req)
 		if err != nil {
 			failed = err
 			return
 		}
-		// The next heartbeat tells that this answer came.
+		// The next heartbeat acknowledges this answer.
 		req.Position.AcknowledgedEpoch = resp.Position.Epoch
 		req.Position.AcknowledgedSequence = resp.Position.Sequence
 		req.Position.AcknowledgedFigures = resp.Position.FiguresSequence
@@ -208,7 +214,7 @@
 	return used, failed
 }
 
-// figuresOf are the figures of runners as a digest carries them.
+// figuresOf returns load figures of runners as a digest contains them.
 func figuresOf(runners []platform.Instance) *peerv1.Figures {
 	figures := &peerv1.Figures{}
 	for i, u := range runners {
@@ -222,8 +228,9 @@
 	return figures
 }
 
-// serve hands a heartbeat over as it would come from the network.
-func serve(m *controller.Controller, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
+// serveExchange lets a member serve a heartbeat, with both messages encoded and decoded as
+// for the network.
+func serveExchange(m *controller.Controller, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error) {
 	data, err := proto.Marshal(req)
 	if err != nil {
 		return nil, err
@@ -240,13 +247,13 @@
 	return resp, err
 }
 
-// listCost is one merge of the platform's list, which changes nothing.
+// listCost returns the cost of merging a platform's list that changes nothing.
 func listCost(entries int) (float64, error) {
 	gateways, runners, domains := fleetOf(entries)
 	list := instances(gateways, runners, domains)
-	m := member(list[0], &fleet{})
+	m := newMember(list[0], &fleetTransport{})
 	m.ApplyList(list)
-	return cost(func() { m.ApplyList(list) }), nil
+	return microsPerCall(func() { m.ApplyList(list) }), nil
 }
 
 // The series of membership.
@@ -259,10 +266,10 @@
 	ListMerge      ID = "membership.list"
 )
 
-func membershipSeries(whole fleets) []Series {
+func membershipSeries(fleets figuresBySize) []Series {
 	from := func(figure func(fleetFigures) float64) func(int) (float64, error) {
 		return func(entries int) (float64, error) {
-			f, ok := whole[entries]
+			f, ok := fleets[entries]
 			if !ok && entries == entrySizes[len(entrySizes)-1] {
 				f, ok = recordedFleet, true
 			}
@@ -275,17 +282,17 @@
 	const pkg = "controllers/membership"
 	sizes := append(slices.Clone(fleetSizes), entrySizes[len(entrySizes)-1])
 	return []Series{
-		{ID: FleetProcessor, What: "heartbeats of one gateway, without the network", Package: pkg, Size: "entries", Unit: MicrosPerSecond,
+		{ID: FleetProcessor, Description: "heartbeats of one gateway, without the network", Package: pkg, SizeUnit: "entries", Unit: MicrosPerSecond,
 			Sizes: sizes, Measure: from(func(f fleetFigures) float64 { return f.Processor })},
-		{ID: FleetBytes, What: "heartbeats of one gateway, in and out, messages only", Package: pkg, Size: "entries", Unit: BytesPerSecond,
+		{ID: FleetBytes, Description: "heartbeats of one gateway, in and out, messages only", Package: pkg, SizeUnit: "entries", Unit: BytesPerSecond,
 			Sizes: sizes, Measure: from(func(f fleetFigures) float64 { return f.Bytes })},
-		{ID: FleetExchanges, What: "heartbeats that one gateway sends", Package: pkg, Size: "entries", Unit: PerSecond,
+		{ID: FleetExchanges, Description: "heartbeats that one gateway sends", Package: pkg, SizeUnit: "entries", Unit: PerSecond,
 			Sizes: sizes, Measure: from(func(f fleetFigures) float64 { return f.Exchanges })},
-		{ID: FleetMemory, What: "table and published snapshot of one gateway", Package: pkg, Size: "entries", Unit: Bytes,
+		{ID: FleetMemory, Description: "table and published snapshot of one gateway", Package: pkg, SizeUnit: "entries", Unit: Bytes,
 			Sizes: sizes, Measure: from(func(f fleetFigures) float64 { return f.Memory })},
-		{ID: ExchangeCost, What: "one served heartbeat at 1020 entries", Package: pkg, Size: "changed lines", Unit: Microseconds,
+		{ID: ExchangeCost, Description: "one served heartbeat at 1020 entries", Package: pkg, SizeUnit: "changed lines", Unit: Microseconds,
 			Sizes: []int{0, 32, 64, 128}, Measure: exchangeCost},
-		{ID: ListMerge, What: "one merge of the platform's list", Package: "membership", Size: "entries", Unit: Microseconds,
+		{ID: ListMerge, Description: "one merge of the platform's list", Package: "membership", SizeUnit: "entries", Unit: Microseconds,
 			Sizes: entrySizes, Measure: listCost},
 	}
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -8,13 +8,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
+// The comments in a page between which a generated part stands.
 const (
 	beginMark = "<!-- begin generated: %s -->\n"
 	endMark   = "<!-- end generated: %s -->\n"
 )
 
-// WritePage rewrites the generated parts of a page. what describes the run.
-func WritePage(path string, measured []*Line, what string) error {
+// WritePage rewrites the generated parts of a page. runDescription says when and where the
+// lines were measured.
+func WritePage(path string, measured []*Line, runDescription string) error {
 	lines := Lines{}
 	for _, l := range measured {
 		lines[l.ID] = l
@@ -28,7 +30,7 @@
 		"budget": budgetTable(lines),
 		"roles":  roleTable(lines),
 		"plans":  planTable(lines),
-		"slopes": what + "\n\n" + slopeTable(measured),
+		"slopes": runDescription + "\n\n" + slopeTable(measured),
 	} {
 		if page, err = replacePart(page, name, text); err != nil {
 			return err
@@ -37,7 +39,8 @@
 	return errcode.Wrap(errcode.Internal, os.WriteFile(path, []byte(page), 0o644), "write page")
 }
 
-// replacePart replaces what stands between the markers of a name.
+// replacePart replaces the text between the marks of a generated part. It fails if the page
+// has no such part.
 func replacePart(page, name, text string) (string, error) {
 	begin, end := fmt.Sprintf(beginMark, name), fmt.Sprintf(endMark, name)
 	head, rest, ok := strings.Cut(page, begin)
@@ -51,13 +54,13 @@
 func roleTable(lines Lines) string {
 	var b strings.Builder
 	b.WriteString("| role | figure | unit | today | target | kind | from |\n|---|---|---|---|---|---|---|\n")
-	for _, r := range roles() {
+	for _, r := range allRows() {
 		var from []string
-		for _, id := range r.from {
+		for _, id := range r.sources {
 			from = append(from, "`"+string(id)+"`")
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s |\n", r.role, r.what, r.unit,
-			figure(r.value(lines, Today())), figure(r.value(lines, Target())), r.kind, strings.Join(from, ", "))
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s |\n", r.role, r.description, r.unit,
+			figure(r.value(lines, Today())), figure(r.value(lines, Target())), r.origin, strings.Join(from, ", "))
 	}
 	return b.String()
 }
@@ -65,14 +68,15 @@
 func planTable(lines Lines) string {
 	var b strings.Builder
 	b.WriteString("| change | figure | unit | as built | with the change | from |\n|---|---|---|---|---|---|\n")
-	for _, p := range plans() {
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | `%s` |\n", p.change, p.what, p.unit,
-			figure(p.now(lines, Target())), figure(p.then(lines, Target())), p.from)
+	for _, p := range plannedChanges() {
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | `%s` |\n", p.change, p.description, p.unit,
+			figure(p.current(lines, Target())), figure(p.planned(lines, Target())), p.source)
 	}
 	return b.String()
 }
 
-// budgetTable sums the rows of each budget, and says which parts break it.
+// budgetTable compares each total with its budget and names the two largest parts of the
+// total.
 func budgetTable(lines Lines) string {
 	var b strings.Builder
 	b.WriteString("| line | budget | today | target | target without the journal | verdict |\n|---|---|---|---|---|---|\n")
@@ -86,42 +90,42 @@
 		{totalBytes, BytesPerSecond, budgetBytes},
 		{totalAppends, PerSecond, budgetAppends},
 	} {
-		now, then := sum(lines, Today(), line.name, ""), sum(lines, Target(), line.name, "")
-		rest := sum(lines, Target(), line.name, "journal")
+		atToday, atTarget := sumOfTotal(lines, Today(), line.name, ""), sumOfTotal(lines, Target(), line.name, "")
+		withoutJournal := sumOfTotal(lines, Target(), line.name, "journal")
 		fmt.Fprintf(&b, "| %s (%s) | %s | %s %s | %s %s | %s %s | %s |\n", line.name, line.unit, figure(line.budget),
-			figure(now), fits(now, line.budget), figure(then), fits(then, line.budget), figure(rest), fits(rest, line.budget),
-			largest(lines, line.name))
+			figure(atToday), budgetVerdict(atToday, line.budget), figure(atTarget), budgetVerdict(atTarget, line.budget), figure(withoutJournal), budgetVerdict(withoutJournal, line.budget),
+			largestParts(lines, line.name))
 	}
-	now, then := lines.at(InForce, Today().Gateways), lines.at(InForce, Target().Gateways)
+	atToday, atTarget := lines.at(InForce, Today().Gateways), lines.at(InForce, Target().Gateways)
 	fmt.Fprintf(&b, "| configuration in force everywhere, log without delay (%s) | %s | %s %s | %s %s | | |\n", Milliseconds,
-		figure(budgetInForce), figure(now), fits(now, budgetInForce), figure(then), fits(then, budgetInForce))
+		figure(budgetInForce), figure(atToday), budgetVerdict(atToday, budgetInForce), figure(atTarget), budgetVerdict(atTarget, budgetInForce))
 	return b.String()
 }
 
-func fits(value, budget float64) string {
+func budgetVerdict(value, budget float64) string {
 	if value <= budget {
 		return "ok"
 	}
 	return fmt.Sprintf("SHORT by %.1fx", value/budget)
 }
 
-// sum adds the rows of a total, without those of one role.
-func sum(lines Lines, s Size, of total, without string) float64 {
-	all := 0.0
-	for _, r := range roles() {
-		if r.sum == of && r.role != without {
-			all += r.value(lines, s)
+// sumOfTotal adds up the figures of a total, except those of the role without.
+func sumOfTotal(lines Lines, s Size, of total, without string) float64 {
+	sum := 0.0
+	for _, r := range allRows() {
+		if r.total == of && r.role != without {
+			sum += r.value(lines, s)
 		}
 	}
-	return all
+	return sum
 }
 
-// largest names the parts of a total at the target, the largest two.
-func largest(lines Lines, of total) string {
+// largestParts names the two largest parts of a total at the target size.
+func largestParts(lines Lines, of total) string {
 	var first, second row
 	var a, b float64
-	for _, r := range roles() {
-		if r.sum != of {
+	for _, r := range allRows() {
+		if r.total != of {
 			continue
 		}
 		v := r.value(lines, Target())
@@ -134,7 +138,7 @@
 		}
 	}
 	return fmt.Sprintf("breaks first: %s, %s (%s); then %s, %s (%s)",
-		first.role, first.what, figure(a), second.role, second.what, figure(b))
+		first.role, first.description, figure(a), second.role, second.description, figure(b))
 }
 
 func slopeTable(measured []*Line) string {
@@ -145,8 +149,8 @@
 		for _, p := range l.Points {
 			points = append(points, fmt.Sprintf("%s: %s", figure(p.X), figure(p.Y)))
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %s per %s | %.0f%% |\n", l.ID, l.What, l.Package, l.Unit,
-			strings.Join(points, ", "), figure(l.Base), figure(l.Slope), l.Size, 100*l.Residual)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s | %s per %s | %.0f%% |\n", l.ID, l.Description, l.Package, l.Unit,
+			strings.Join(points, ", "), figure(l.Base), figure(l.Slope), l.SizeUnit, 100*l.Residual)
 	}
 	return b.String()
 }
--- a/internal/experiment/driver.go
+++ b/internal/experiment/driver.go
@@ -18,109 +18,115 @@
 )
 
 const (
-	// pollEvery is how often a decider reads an upstream's report and events.
+	// pollEvery is the interval at which a gateway reads an upstream's report and
+	// cache events.
 	pollEvery = 200 * time.Millisecond
-	// maxAttempts bounds the attempts of one request.
+	// maxAttempts is the largest number of attempts of one request.
 	maxAttempts = 6
-	// drainLimit ends a run whose queues never empty.
+	// drainLimit is the virtual time at which a run ends even if requests are
+	// still open.
 	drainLimit = arrivalsEnd + 100*time.Second
 )
 
-// runner is one upstream.
+// runner is one upstream and what is simulated there.
 type runner struct {
 	platform.Instance
 	model *engine.Model
 	busy  bool
-	// tokens come out at the end of the step under way.
-	tokens  []engine.Token
+	// tokens are delivered when the current step ends.
+	tokens []engine.Token
+	// leaving: the runner was reclaimed and ends at endsAt.
 	leaving bool
 	endsAt  time.Duration
 	ended   bool
-	// used is the time spent in steps after the warm-up.
-	used     time.Duration
-	from, to time.Duration
-	active   map[int]*call
-	longest  int
+	// busyTime is the time spent in steps after the warm-up, and startedAt and
+	// stoppedAt bound the time that has to be paid.
+	busyTime             time.Duration
+	startedAt, stoppedAt time.Duration
+	active               map[int]*call
+	longestQueue         int
 }
 
-// decider is one gateway's decisions; it sees no other decider's.
-type decider struct {
-	policies map[*document.Document]Policy
-	views    map[*document.Document][]blackboard.Upstream
-	caches   map[ident.Instance]*cacheview.View
-	blind    bool
-	// admissions are empty for policies without admission.
+// gateway makes the decisions of one gateway. It does not know what the others decide.
+type gateway struct {
+	policies      map[*document.Document]Policy
+	views         map[*document.Document][]blackboard.Upstream
+	caches        map[ident.Instance]*cacheview.View
+	blindToCaches bool
+	// admissions is empty for policies without admission.
 	admissions map[*document.Document]*admission
-	// evacuated are the leaving runners that were planned for; nil for
-	// policies that only react to the end.
-	evacuated map[ident.Instance]bool
+	// planned are the leaving runners whose streams the gateway has planned to
+	// move. It is nil for policies that only react when a runner ends.
+	planned map[ident.Instance]bool
 }
 
-// call is one request on its way through its attempts.
+// call is one request with the state of its attempts.
 type call struct {
 	arrival
-	index     int
-	decider   *decider
-	runner    *runner
-	ticket    routing.Ticket
-	decision  routing.Decision
-	exclude   []ident.Instance
-	attempts  int
-	sent      time.Duration
-	delivered int
-	first     time.Duration
-	last      time.Duration
-	// recomputed counts tokens that some engine had computed before, and
-	// resumed those of them that an interrupted stream cost.
+	index        int
+	gateway      *gateway
+	runner       *runner
+	ticket       routing.Ticket
+	decision     routing.Decision
+	exclude      []ident.Instance
+	attempts     int
+	sentAt       time.Duration
+	delivered    int
+	firstTokenAt time.Duration
+	lastTokenAt  time.Duration
+	// recomputed counts prefilled tokens that some engine had computed before,
+	// and resumed those of them that were due to an interrupted stream.
 	recomputed, resumed int
 	done, gaveUp        bool
-	// refusals counts refusals by admission; retries those that came back at
-	// the time they were told, and retriesAdmitted those then taken.
+	// refusals counts refusals by admission, retries how often the caller retried
+	// after the retry-after time, and retriesAdmitted the retries that were not
+	// refused.
 	refusals, retries, retriesAdmitted int
-	// entry is the request's place in its decider's admission, or nil.
+	// entry is the request's entry in its gateway's admission, or nil.
 	entry *gate.Entry
-	// turnedAway counts the times when no budget paid for another attempt.
-	turnedAway int
-	// firstOfAttempt is of the present attempt.
-	firstOfAttempt time.Duration
-	// resumedAt is how many tokens the attempt began with.
-	resumedAt int
-	// predicted and actual are of the first attempt's first token.
+	// unpaidRetries counts how often the retry budget allowed no further attempt.
+	unpaidRetries int
+	// attemptFirstToken is the time to the current attempt's first token.
+	attemptFirstToken time.Duration
+	// deliveredBefore is how many tokens were delivered before the current attempt.
+	deliveredBefore int
+	// predicted and actual are the times to the first attempt's first token.
 	predicted, actual time.Duration
 }
 
-// run is one policy under one case with one seed.
+// run is a run of one policy in one case with one seed.
 type run struct {
 	workload *Workload
 	fault    Case
 	rng      *rand.Rand
 	agenda   agenda.Agenda
 	runners  []*runner
-	deciders []*decider
+	gateways []*gateway
 	calls    []*call
-	// seen are the blocks that any engine has computed.
-	seen map[uint64]bool
-	open int
+	// computedBlocks are the prefix blocks that any engine has computed.
+	computedBlocks map[uint64]bool
+	// openRequests is the number of requests that have not ended.
+	openRequests int
 }
 
-// Run plays a case and returns its figures.
+// Run simulates a case with one policy and returns the run's figures.
 func Run(w *Workload, c Case, contender Contender, seed uint64) Figures {
-	r := &run{workload: w, fault: c, rng: rand.New(rand.NewPCG(seed, 1)), seen: make(map[uint64]bool)}
+	r := &run{workload: w, fault: c, rng: rand.New(rand.NewPCG(seed, 1)), computedBlocks: make(map[uint64]bool)}
 	for _, i := range w.Runners {
 		r.addRunner(i, engine.DefaultParameters())
 	}
 	for _, i := range w.PlainRunners {
 		r.addRunner(i, plainParameters())
 	}
-	r.addDeciders(contender)
+	r.addGateways(contender)
 	for i, a := range w.arrivals(rand.New(rand.NewPCG(seed, 2)), c.phases(), c.accounts(w)) {
-		k := &call{arrival: a, index: i, decider: r.deciders[mix(seed+uint64(i)<<8)%deciders]}
+		k := &call{arrival: a, index: i, gateway: r.gateways[mixBits(seed+uint64(i)<<8)%gatewayCount]}
 		r.calls = append(r.calls, k)
 		r.agenda.At(a.at, func() { r.arrive(k) })
 	}
-	r.open = len(r.calls)
-	r.agenda.At(faultAt, r.strike)
-	for r.open > 0 && r.agenda.Now() < drainLimit && r.agenda.Step() {
+	r.openRequests = len(r.calls)
+	r.agenda.At(faultAt, r.injectFault)
+	for r.openRequests > 0 && r.agenda.Now() < drainLimit && r.agenda.Step() {
 	}
 	return r.figures()
 }
@@ -130,41 +136,42 @@
 		p.ReportLag = r.fault.ReportLag
 	}
 	p.EventGapEvery = r.fault.EventGapEvery
-	u := &runner{Instance: i, model: engine.NewModel(p), active: make(map[int]*call), from: r.agenda.Now(), to: arrivalsEnd}
+	u := &runner{Instance: i, model: engine.NewModel(p), active: make(map[int]*call), startedAt: r.agenda.Now(), stoppedAt: arrivalsEnd}
 	r.runners = append(r.runners, u)
 }
 
-func (r *run) addDeciders(contender Contender) {
-	for i := range deciders {
-		d := &decider{
-			caches: make(map[ident.Instance]*cacheview.View),
-			views:  make(map[*document.Document][]blackboard.Upstream),
-			blind:  contender.BlindToCaches,
+func (r *run) addGateways(contender Contender) {
+	for i := range gatewayCount {
+		d := &gateway{
+			caches:        make(map[ident.Instance]*cacheview.View),
+			views:         make(map[*document.Document][]blackboard.Upstream),
+			blindToCaches: contender.BlindToCaches,
 		}
 		d.policies = map[*document.Document]Policy{
 			r.workload.Model: contender.New(r.rng.Uint64, r.agenda.Clock()),
 			r.workload.Plain: contender.New(r.rng.Uint64, r.agenda.Clock()),
 		}
 		if contender.Admission {
-			d.evacuated = make(map[ident.Instance]bool)
+			d.planned = make(map[ident.Instance]bool)
 			d.admissions = map[*document.Document]*admission{
 				r.workload.Model: newAdmission(r.agenda.Clock()),
 				r.workload.Plain: newAdmission(r.agenda.Clock()),
 			}
 		}
-		r.deciders = append(r.deciders, d)
+		r.gateways = append(r.gateways, d)
 		r.poll(d)
-		r.agenda.At(pollEvery*time.Duration(i)/deciders, func() { r.pollRepeatedly(d) })
+		r.agenda.At(pollEvery*time.Duration(i)/gatewayCount, func() { r.pollRepeatedly(d) })
 	}
 }
 
-func (r *run) pollRepeatedly(d *decider) {
+func (r *run) pollRepeatedly(d *gateway) {
 	r.poll(d)
 	r.agenda.At(r.agenda.Now()+pollEvery, func() { r.pollRepeatedly(d) })
 }
 
-// poll reads all upstreams' reports and cache events into new views.
-func (r *run) poll(d *decider) {
+// poll reads all upstreams' reports and cache events into the gateway's views, plans for
+// runners that are leaving, and grants slots that have become free.
+func (r *run) poll(d *gateway) {
 	d.views[r.workload.Model], d.views[r.workload.Plain] = nil, nil
 	for _, u := range r.runners {
 		if u.ended {
@@ -173,7 +180,7 @@
 		report := u.model.Report(r.agenda.Clock())
 		seen := blackboard.Upstream{Instance: u.Instance, State: blackboard.Alive, Report: report}
 		seen.AsOf = r.agenda.Clock().Add(-report.Age)
-		if !d.blind {
+		if !d.blindToCaches {
 			seen.Cache = r.cacheOf(d, u)
 		}
 		if u.leaving {
@@ -183,8 +190,8 @@
 		d.views[doc] = append(d.views[doc], seen)
 	}
 	for _, u := range r.runners {
-		if d.evacuated != nil && u.leaving && !u.ended {
-			r.evacuate(d, u)
+		if d.planned != nil && u.leaving && !u.ended {
+			r.planReclaim(d, u)
 		}
 	}
 	for doc, a := range d.admissions {
@@ -197,9 +204,9 @@
 	}
 }
 
-// cacheOf returns what a decider believes of a runner's cache after reading
-// its newest events.
-func (r *run) cacheOf(d *decider, u *runner) *cacheview.View {
+// cacheOf returns a gateway's view of a runner's cache after it has read the newest
+// events.
+func (r *run) cacheOf(d *gateway, u *runner) *cacheview.View {
 	cache := d.caches[u.ID]
 	if cache == nil {
 		cache = cacheview.New(cacheview.DefaultParams(), r.agenda.Clock())
@@ -216,10 +223,10 @@
 	return r.workload.Model
 }
 
-// strike brings the case's fault about.
-func (r *run) strike() {
-	if r.fault.Slow > 0 {
-		r.runners[0].model.SetSlowdown(r.fault.Slow)
+// injectFault starts the case's slow runner and its reclaim of a failure domain.
+func (r *run) injectFault() {
+	if r.fault.Slowdown > 0 {
+		r.runners[0].model.SetSlowdown(r.fault.Slowdown)
 	}
 	if !r.fault.Reclaim {
 		return
@@ -232,12 +239,13 @@
 		u.leaving = true
 		u.model.Leave(r.agenda.Clock())
 		u.endsAt = r.agenda.Now() + reclaimNotice
-		r.agenda.At(u.endsAt, func() { r.end(u) })
+		r.agenda.At(u.endsAt, func() { r.endRunner(u) })
 		r.replace(u, 1)
 	}
 }
 
-// replace starts a new instance in place of one that was reclaimed.
+// replace starts an instance in place of one that was reclaimed. Starts that fail are
+// repeated.
 func (r *run) replace(old *runner, attempt int) {
 	p := engine.DefaultParameters()
 	p.FailingStarts = r.fault.FailingStarts
@@ -259,17 +267,18 @@
 	})
 }
 
-// end loses a runner and resumes its calls elsewhere, oldest first.
-func (r *run) end(u *runner) {
-	u.ended, u.to = true, r.agenda.Now()
-	for _, k := range sorted(u.active) {
-		r.leave(k, routing.ResultFailed)
+// endRunner ends a runner and sends its requests to other runners, oldest first.
+func (r *run) endRunner(u *runner) {
+	u.ended, u.stoppedAt = true, r.agenda.Now()
+	for _, k := range inArrivalOrder(u.active) {
+		r.endAttempt(k, routing.ResultFailed)
 		k.exclude = append(k.exclude, u.ID)
 		r.dispatch(k)
 	}
 }
 
-func sorted(active map[int]*call) []*call {
+// inArrivalOrder returns a runner's requests in the order in which they arrived.
+func inArrivalOrder(active map[int]*call) []*call {
 	list := make([]*call, 0, len(active))
 	for _, k := range active {
 		list = append(list, k)
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -9,27 +9,30 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
 )
 
-// Policy is one decider's way to choose upstreams.
+// Policy chooses upstreams for one gateway and one service.
 type Policy interface {
-	// Decide returns a decision without an upstream if there is none.
+	// Decide returns a decision without an upstream if none is usable.
 	Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision
+	// Started, FirstToken and Finished record the events of an attempt.
 	Started(d routing.Decision, req routing.Request, now time.Time) routing.Ticket
 	FirstToken(t *routing.Ticket, now time.Time)
 	Finished(t *routing.Ticket, r routing.Result, now time.Time)
+	// Slots returns how many requests the gateway may have in flight.
 	Slots(view []blackboard.Upstream, gateways int, now time.Time) int
 }
 
-// Contender makes a Policy for each service of each decider.
+// Contender is a policy that is compared with others. It makes a Policy for each service of
+// each gateway.
 type Contender struct {
 	Name string
-	// Admission: requests are admitted, wait or are refused.
+	// Admission: requests go through admission, which may let them wait or refuse them.
 	Admission bool
-	// BlindToCaches: upstreams' cache events are not read.
+	// BlindToCaches: the policy does not get the upstreams' cache events.
 	BlindToCaches bool
 	New           func(random func() uint64, now time.Time) Policy
 }
 
-// ourParams are those of our policy; a trial may replace them.
+// ourParams returns the parameters of our policy; a trial may replace it.
 var ourParams = routing.DefaultParams
 
 // Ours is the name of the policy that gateways use.
@@ -38,15 +41,15 @@
 // Contenders returns the baselines and our policy.
 func Contenders() []Contender {
 	return []Contender{
-		blind(baseline("round robin", roundRobin)),
-		blind(baseline("fewest in flight", fewestInFlight)),
-		blind(baseline("random of two", randomOfTwo)),
+		withoutCaches(baseline("round robin", roundRobin)),
+		withoutCaches(baseline("fewest in flight", fewestInFlight)),
+		withoutCaches(baseline("random of two", randomOfTwo)),
 		baseline("prefix affinity", prefixAffinity),
 		{Name: Ours, Admission: true, New: ourPolicy},
 	}
 }
 
-// LetAllIn is our routing without admission, for trials.
+// LetAllIn returns our policy without admission, for trials.
 func LetAllIn() Contender { return Contender{Name: Ours + ", all let in", New: ourPolicy} }
 
 func ourPolicy(random func() uint64, now time.Time) Policy {
@@ -55,31 +58,34 @@
 	return routing.New(p, now)
 }
 
-// simple is a baseline: it chooses among the usable upstreams.
-type simple struct {
-	// Router only counts what is in flight.
+// baselinePolicy chooses among the usable upstreams by a simple rule.
+type baselinePolicy struct {
+	// Router counts the requests in flight; choose makes the choice.
 	*routing.Router
-	choose func(s *simple, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream
+	choose func(s *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream
 	random func() uint64
-	turn   int
+	// turn is the position of round robin.
+	turn int
 }
 
-func baseline(name string, choose func(*simple, []*blackboard.Upstream, routing.Request, time.Time) *blackboard.Upstream) Contender {
+// baseline returns a contender with the given rule and without admission.
+func baseline(name string, choose func(*baselinePolicy, []*blackboard.Upstream, routing.Request, time.Time) *blackboard.Upstream) Contender {
 	return Contender{Name: name, New: func(random func() uint64, now time.Time) Policy {
 		p := routing.DefaultParams()
 		p.Random = random
-		return &simple{Router: routing.New(p, now), choose: choose, random: random, turn: int(random() % modelRunners)}
+		return &baselinePolicy{Router: routing.New(p, now), choose: choose, random: random, turn: int(random() % modelRunners)}
 	}}
 }
 
-func blind(c Contender) Contender {
+// withoutCaches returns the contender without the upstreams' cache events.
+func withoutCaches(c Contender) Contender {
 	c.BlindToCaches = true
 	return c
 }
 
-// Decide narrows the view to the chosen upstream and lets the Router make the
-// decision, so that baselines are counted and predicted alike.
-func (s *simple) Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision {
+// Decide chooses an upstream and lets the Router decide on a view that contains only this
+// one, so that requests are counted and times predicted in the same way for all policies.
+func (s *baselinePolicy) Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision {
 	var usable []*blackboard.Upstream
 	for i := range view {
 		if view[i].State == blackboard.Alive && !slices.Contains(req.Exclude, view[i].Instance.ID) {
@@ -93,12 +99,12 @@
 	return s.Router.Decide(doc, []blackboard.Upstream{*chosen}, req, now)
 }
 
-func roundRobin(s *simple, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+func roundRobin(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
 	s.turn++
 	return usable[s.turn%len(usable)]
 }
 
-func fewestInFlight(s *simple, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+func fewestInFlight(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
 	start := int(s.random() % uint64(len(usable)))
 	best := usable[start]
 	for i := range usable {
@@ -109,7 +115,7 @@
 	return best
 }
 
-func randomOfTwo(s *simple, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+func randomOfTwo(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
 	a := usable[s.random()%uint64(len(usable))]
 	b := usable[s.random()%uint64(len(usable))]
 	if s.Outstanding(b.Instance.ID) < s.Outstanding(a.Instance.ID) {
@@ -118,9 +124,9 @@
 	return a
 }
 
-// prefixAffinity goes where most of the prompt is cached, and to the fewest
-// in flight when that is equal.
-func prefixAffinity(s *simple, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream {
+// prefixAffinity chooses the upstream that has most of the prompt cached, and among equals
+// the one with the fewest requests in flight.
+func prefixAffinity(s *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream {
 	var longest []*blackboard.Upstream
 	most := -1
 	for _, u := range usable {
--- a/internal/experiment/reclaim.go
+++ b/internal/experiment/reclaim.go
@@ -6,17 +6,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/engine"
 )
 
-// evacuate lets a decider that has just learnt of a notice plan for its
-// streams at the leaving runner.
-func (r *run) evacuate(d *decider, u *runner) {
-	if d.evacuated[u.ID] || u.Role == platform.RolePlain {
+// planReclaim lets a gateway plan what to do with its streams at a runner that is leaving.
+// It does so once for each runner.
+func (r *run) planReclaim(d *gateway, u *runner) {
+	if d.planned[u.ID] || u.Role == platform.RolePlain {
 		return
 	}
-	d.evacuated[u.ID] = true
+	d.planned[u.ID] = true
 	var calls []*call
 	var streams []routing.LeavingStream
-	for _, k := range sorted(u.active) {
-		if k.decider != d {
+	for _, k := range inArrivalOrder(u.active) {
+		if k.gateway != d {
 			continue
 		}
 		doc := r.document(false)
@@ -24,12 +24,12 @@
 		next := r.policy(k).Decide(doc, d.views[doc], k.request(doc.Service), r.agenda.Clock())
 		calls = append(calls, k)
 		streams = append(streams, routing.LeavingStream{
-			Context: k.prompt + k.delivered, Cached: k.prompt + k.delivered - next.UncachedTokens,
-			Remaining: k.output - k.delivered, BetweenTokens: k.decision.BetweenTokens,
+			Context: k.promptTokens + k.delivered, Cached: k.promptTokens + k.delivered - next.UncachedTokens,
+			Remaining: k.outputTokens - k.delivered, BetweenTokens: k.decision.BetweenTokens,
 		})
 	}
 	left := u.endsAt - r.agenda.Now()
-	for _, step := range routing.PlanReclaim(streams, left, engine.DefaultParameters().TransferRate, deciders) {
+	for _, step := range routing.PlanReclaim(streams, left, engine.DefaultParameters().TransferRate, gatewayCount) {
 		k := calls[step.Stream]
 		switch step.Action {
 		case routing.MoveCache:
@@ -40,18 +40,19 @@
 	}
 }
 
-// resume goes on elsewhere from the prompt and what was delivered.
+// resume ends the attempt at a leaving runner and continues the stream at another one, which
+// prefills the prompt and the delivered tokens.
 func (r *run) resume(k *call, u *runner) {
 	if k.runner != u {
 		return
 	}
 	u.model.Cancel(r.agenda.Clock(), k.id())
-	r.leave(k, routing.ResultCancelled)
+	r.endAttempt(k, routing.ResultCancelled)
 	r.dispatch(k)
 }
 
-// export copies a stream's KV cache while the stream goes on, and then moves
-// the stream to where its prefix will be at home.
+// export copies a stream's KV cache from the leaving runner while the stream continues there.
+// Then the stream moves to the runner that routing chooses.
 func (r *run) export(k *call, u *runner) {
 	exported, ok := u.model.Export(k.id())
 	if k.runner != u || !ok {
@@ -64,17 +65,18 @@
 	})
 }
 
+// importTo moves a stream with its exported KV cache to the runner that routing chooses.
 func (r *run) importTo(k *call, u *runner, exported engine.Exported) {
 	doc := r.document(false)
-	d := r.policy(k).Decide(doc, k.decider.views[doc], k.request(doc.Service), r.agenda.Clock())
+	d := r.policy(k).Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.agenda.Clock())
 	if !d.Found() {
 		return
 	}
-	target := r.runner(d.Upstream)
+	target := r.runnerByID(d.Upstream)
 	u.model.Cancel(r.agenda.Clock(), k.id())
-	r.leave(k, routing.ResultCancelled)
+	r.endAttempt(k, routing.ResultCancelled)
 	target.model.Import(k.id(), exported)
-	// The import counts as load at the target from now on.
+	// From now on the import counts as load of the target.
 	k.ticket = r.policy(k).Started(d, k.request(doc.Service), r.agenda.Clock())
 	r.agenda.At(r.agenda.Now()+target.model.Transfer(r.agenda.Clock(), exported.Tokens), func() {
 		k.attempts++
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Cell is one policy in one case: its figures, one for each seed.
+// Cell holds the figures of one policy in one case, one for each seed.
 type Cell struct {
 	Workload *Workload
 	Case     Case
@@ -20,13 +20,14 @@
 	Seeds    []Figures
 }
 
-// Table is all cells of a set of runs.
+// Table holds the cells of a set of runs.
 type Table []Cell
 
-// Median returns the median over the seeds of one figure.
+// Median returns the median of a figure over the seeds.
 func (c Cell) Median(of func(Figures) float64) float64 { return quantile(c.values(of), 0.5) }
 
-// Spread returns the difference between the largest and the smallest figure.
+// Spread returns the difference between the largest and the smallest value of a figure over
+// the seeds.
 func (c Cell) Spread(of func(Figures) float64) float64 {
 	v := c.values(of)
 	return slices.Max(v) - slices.Min(v)
@@ -40,8 +41,8 @@
 	return v
 }
 
-// RunAll plays every contender in every case with every seed, many runs at
-// once. Each run is independent, so that their order does not matter.
+// RunAll runs every contender in every case with so many seeds, several runs at once. The
+// runs are independent, so that their order does not matter.
 func RunAll(workloads []*Workload, cases []Case, contenders []Contender, seeds int) Table {
 	var table Table
 	for _, w := range workloads {
@@ -69,13 +70,13 @@
 // column is one printed figure.
 type column struct {
 	title string
-	of    func(Figures) float64
-	// scale multiplies the figure; digits follow the point.
+	value func(Figures) float64
+	// scale multiplies the figure; digits is the number of decimal places.
 	scale  float64
 	digits int
 }
 
-// width is that of the title, but enough for most figures.
+// width returns the width of the title, but at least 7, which is enough for most figures.
 func (c column) width() int { return max(len(c.title), 7) }
 
 func columns() []column {
@@ -84,7 +85,7 @@
 		{"p95", func(f Figures) float64 { return f.ShortP95 }, 1, 0},
 		{"p99", func(f Figures) float64 { return f.ShortP99 }, 1, 0},
 		{"long p95", func(f Figures) float64 { return f.LongP95 }, 1, 0},
-		{"between p95", func(f Figures) float64 { return f.Between }, 1, 1},
+		{"between p95", func(f Figures) float64 { return f.BetweenP95 }, 1, 1},
 		{"met %", func(f Figures) float64 { return f.Met }, 100, 1},
 		{"short met %", func(f Figures) float64 { return f.ShortMet }, 100, 1},
 		{"long met %", func(f Figures) float64 { return f.LongMet }, 100, 1},
@@ -94,35 +95,36 @@
 		{"resumed", func(f Figures) float64 { return f.Resumed }, 0.001, 1},
 		{"goodput/s", func(f Figures) float64 { return f.Goodput }, 1, 1},
 		{"refused %", func(f Figures) float64 { return f.Refused }, 100, 1},
-		{"truthful %", func(f Figures) float64 { return f.Truthful }, 100, 1},
+		{"truthful %", func(f Figures) float64 { return f.RetriesAdmitted }, 100, 1},
 		{"work goodput", func(f Figures) float64 { return f.WorkGoodput }, 1, 3},
 		{"unfinished %", func(f Figures) float64 { return f.Unfinished }, 100, 1},
-		{"least share", func(f Figures) float64 { return f.LeastShare }, 1, 2},
-		{"small share", func(f Figures) float64 { return f.SmallShare }, 1, 2},
-		{"attempts", func(f Figures) float64 { return f.Attempts }, 1, 3},
-		{"queue", func(f Figures) float64 { return f.Queue }, 1, 0},
+		{"least share", func(f Figures) float64 { return f.LeastShareRatio }, 1, 2},
+		{"small share", func(f Figures) float64 { return f.SmallShareRatio }, 1, 2},
+		{"attempts", func(f Figures) float64 { return f.AttemptsPerRequest }, 1, 3},
+		{"queue", func(f Figures) float64 { return f.LongestQueue }, 1, 0},
 		{"err log2", func(f Figures) float64 { return f.ErrorMedian }, 1, 2},
 		{"bias", func(f Figures) float64 { return f.ErrorBias }, 1, 2},
 	}
 }
 
-// Print writes medians and, below our policy's, the spread over the seeds.
+// Print writes the medians of each cell and, below those of our policy, the spread over the
+// seeds.
 func (t Table) Print(out io.Writer) {
 	last := ""
 	for _, cell := range t {
 		group := cell.Workload.Name + ", " + cell.Case.Name
 		if group != last {
-			header(out, group)
+			printHeader(out, group)
 			last = group
 		}
-		line(out, cell.Policy, cell.Median)
+		printRow(out, cell.Policy, cell.Median)
 		if cell.Policy == Ours {
-			line(out, "  spread", cell.Spread)
+			printRow(out, "  spread", cell.Spread)
 		}
 	}
 }
 
-func header(out io.Writer, group string) {
+func printHeader(out io.Writer, group string) {
 	fmt.Fprintf(out, "\n%s\n%-18s", group, "")
 	for _, c := range columns() {
 		fmt.Fprintf(out, " %*s", c.width(), c.title)
@@ -130,15 +132,15 @@
 	fmt.Fprintln(out)
 }
 
-func line(out io.Writer, name string, value func(func(Figures) float64) float64) {
+func printRow(out io.Writer, name string, value func(func(Figures) float64) float64) {
 	fmt.Fprintf(out, "%-18s", name)
 	for _, c := range columns() {
-		fmt.Fprintf(out, " %*.*f", c.width(), c.digits, c.scale*value(c.of))
+		fmt.Fprintf(out, " %*.*f", c.width(), c.digits, c.scale*value(c.value))
 	}
 	fmt.Fprintln(out)
 }
 
-// reportMode lets everybody read a report.
+// reportMode is the mode of report files: everybody may read them.
 const reportMode = 0o644
 
 // WriteReport writes the table, the goals and the plots into a directory.
--- a/internal/fleetsim/table.go
+++ b/internal/fleetsim/table.go
@@ -13,32 +13,34 @@
 	Figures
 }
 
-// Cases are all kinds of engines, sizes and loads.
-func Cases(work float64) []Case {
+// Cases returns all combinations of kinds of engines, sizes and loads. busyEngines is each
+// case's BusyEngines.
+func Cases(busyEngines float64) []Case {
 	var out []Case
 	for _, kind := range EngineKinds() {
 		for _, size := range FleetSizes() {
 			for _, load := range Loads() {
-				out = append(out, Case{Engine: kind, Fleet: size, Load: load, Work: work})
+				out = append(out, Case{Engine: kind, Fleet: size, Load: load, BusyEngines: busyEngines})
 			}
 		}
 	}
 	return out
 }
 
-// PlayAll plays each cell with so many seeds, several at a time.
+// PlayAll simulates each cell's case with so many seeds and sets the cell's figures to the
+// mean. Several cells run at once.
 func PlayAll(cells []Cell, seeds int) {
 	var all sync.WaitGroup
-	places := make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
+	slots := make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
 	for i := range cells {
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			var runs []Figures
 			for seed := range seeds {
 				c := cells[i].Case
 				c.Seed = uint64(seed + 1)
-				runs = append(runs, Play(c))
+				runs = append(runs, Run(c))
 			}
 			cells[i].Figures = Mean(runs)
 		})
@@ -46,7 +48,7 @@
 	all.Wait()
 }
 
-// PrintAll writes a line a cell, and the mean of all.
+// PrintAll writes a line for each cell, and the mean of all cells.
 func PrintAll(out io.Writer, cells []Cell) {
 	fmt.Fprintln(out, header)
 	var all []Figures
@@ -55,5 +57,5 @@
 		all = append(all, c.Figures)
 	}
 	m := Mean(all)
-	fmt.Fprintf(out, "%-46s %6.3f %6.3f %7.3f %5.3f %5.2f\n", "mean", m.Value(), m.Whole, m.Windows, m.Class, m.Paid)
+	fmt.Fprintf(out, "%-46s %6.3f %6.3f %7.3f %5.3f %5.2f\n", "mean", m.Value(), m.EarnedShare, m.WorstWindows, m.WorstKind, m.Paid)
 }
