--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -36,34 +36,34 @@
 
 // engineLeases are those under which the engines of controlled get orders.
 var engineLeases = []lease.Name{
-	{Service: "spool-llm", FailureDomain: ident.FailureDomain(domain(0))},
-	{Service: "spool-llm", FailureDomain: ident.FailureDomain(domain(1))},
+	{Service: "spool-llm", FailureDomain: ident.FailureDomain(failureDomain(0))},
+	{Service: "spool-llm", FailureDomain: ident.FailureDomain(failureDomain(1))},
 }
 
-// controlled is a system whose engines check fencing numbers or ignore them,
+// newControlledSystem is a system whose engines check fencing numbers or ignore them,
 // one of each in each failure domain, with the first controller holding all
 // leases and a second one beside it. It returns the document's revision.
-func controlled(t *testing.T) (s *system, holder, other *process, base int) {
+func newControlledSystem(t *testing.T) (s *system, holder, other *process, base int) {
 	t.Helper()
 	s = newSystem(t)
 	for i, id := range []string{"engine-1", "engine-2"} {
-		s.engine(id, domain(i), "--load-time", "300ms", "--checks-fencing")
+		s.engine(id, failureDomain(i), "--load-time", "300ms", "--checks-fencing")
 	}
 	for i, id := range []string{"engine-3", "engine-4"} {
-		s.engine(id, domain(i), "--load-time", "300ms")
+		s.engine(id, failureDomain(i), "--load-time", "300ms")
 	}
-	s.plain("app-1", domain(0))
-	s.plain("app-2", domain(1))
-	s.gateway("gateway-1", domain(0))
-	s.gateway("gateway-2", domain(1))
-	s.run("spoolctl", "publish", filepath.Join(root, "examples", "auktion-app.toml"), "--platform", s.address())
+	s.plain("app-1", failureDomain(0))
+	s.plain("app-2", failureDomain(1))
+	s.gateway("gateway-1", failureDomain(0))
+	s.gateway("gateway-2", failureDomain(1))
+	s.run("spoolctl", "publish", filepath.Join(rootDir, "examples", "auktion-app.toml"), "--platform", s.address())
 	base = s.publishModel("2026-11", 0)
 	for _, g := range s.gateways {
 		s.awaitReady(g)
 	}
-	holder = s.controller("gateway-1", domain(0))
+	holder = s.controller("gateway-1", failureDomain(0))
 	s.awaitHeld(holder)
-	other = s.controller("gateway-2", domain(1))
+	other = s.controller("gateway-2", failureDomain(1))
 	s.awaitReady(other)
 	return s, holder, other, base
 }
@@ -78,7 +78,7 @@
 // the model, in the place of the revision base, and returns the new revision.
 func (s *system) publishModel(version string, base int) int {
 	s.t.Helper()
-	text, err := os.ReadFile(filepath.Join(root, "examples", "spool-llm.toml"))
+	text, err := os.ReadFile(filepath.Join(rootDir, "examples", "spool-llm.toml"))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 // await waits until done; what names it if that never comes.
 func (s *system) await(what string, done func() bool) {
 	s.t.Helper()
-	for deadline := time.Now().Add(patience); !done(); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(waitLimit); !done(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			s.t.Fatalf("never: %s", what)
 		}
@@ -108,7 +108,7 @@
 	s.t.Helper()
 	var fences map[lease.Name]ident.Fence
 	s.await(controller.name+" holds the leases over the engines", func() bool {
-		fences = held(controller)
+		fences = heldFences(controller)
 		for _, name := range engineLeases {
 			if _, ok := fences[name]; !ok {
 				return false
@@ -119,10 +119,10 @@
 	return fences
 }
 
-// held returns the fencing numbers of the leases that a controller holds now.
-func held(controller *process) map[lease.Name]ident.Fence {
+// heldFences returns the fencing numbers of the leases that a controller holds now.
+func heldFences(controller *process) map[lease.Name]ident.Fence {
 	fences := make(map[lease.Name]ident.Fence)
-	resp, err := http.Get("http://" + controller.at.Operators + "/status")
+	resp, err := http.Get("http://" + controller.addresses.Operators + "/status")
 	if err != nil {
 		return fences
 	}
@@ -151,7 +151,7 @@
 	defer dialer.Close()
 	for i, p := range s.engines {
 		s.await(p.name+" runs "+version+" by the holder's order", func() bool {
-			report, err := dialer.Engine(p.at.Address).Report(s.t.Context())
+			report, err := dialer.Engine(p.addresses.Address).Report(s.t.Context())
 			return err == nil && report.Version == version && report.AppliedFence == fences[engineLeases[i%len(engineLeases)]]
 		})
 	}
@@ -162,9 +162,9 @@
 // version is published. Cause: a lease that outlives its holder, or a successor
 // that orders nothing.
 func TestKilledHolderIsSucceeded(t *testing.T) {
-	s, holder, other, base := controlled(t)
+	s, holder, other, base := newControlledSystem(t)
 	result := s.load(controlRate, controlDuration, func() {
-		time.Sleep(settle)
+		time.Sleep(warmUp)
 		holder.kill()
 		s.publishModel("2026-12", base)
 		s.awaitVersion("2026-12", s.awaitHeld(other))
@@ -179,9 +179,9 @@
 // arrive, as from a slow connection. Cause: a holder that goes on by what it
 // knew, or one that orders each engine only once.
 func TestFrozenHolderRevertsNothing(t *testing.T) {
-	s, holder, other, base := controlled(t)
+	s, holder, other, base := newControlledSystem(t)
 	result := s.load(controlRate, controlDuration, func() {
-		time.Sleep(settle)
+		time.Sleep(warmUp)
 		old := s.awaitHeld(holder)
 		base = s.publishModel("2026-12", base)
 		holder.signal(syscall.SIGSTOP)
@@ -189,10 +189,10 @@
 		s.publishModel("2027-01", base)
 		s.awaitVersion("2027-01", fences)
 		holder.signal(syscall.SIGCONT)
-		s.sendLate("2026-12", old)
+		s.sendStaleOrders("2026-12", old)
 		s.awaitVersion("2027-01", fences)
 		s.awaitReady(holder)
-		if still := held(holder); len(still) > 0 {
+		if still := heldFences(holder); len(still) > 0 {
 			t.Errorf("the woken controller holds %v beside its successor", still)
 		}
 	})
@@ -202,15 +202,15 @@
 	other.stop()
 }
 
-// sendLate sends every engine an order with an old fencing number. The engines
+// sendStaleOrders sends every engine an order with an old fencing number. The engines
 // that check it must refuse; the others are the holder's to repair.
-func (s *system) sendLate(version string, fences map[lease.Name]ident.Fence) {
+func (s *system) sendStaleOrders(version string, fences map[lease.Name]ident.Fence) {
 	s.t.Helper()
 	dialer := connectupstream.NewDialer(nil)
 	defer dialer.Close()
 	for i, p := range s.engines {
 		late := upstream.Order{Fence: fences[engineLeases[i%len(engineLeases)]], Model: "spool-llm", Version: version}
-		err := dialer.Engine(p.at.Address).Apply(s.t.Context(), late)
+		err := dialer.Engine(p.addresses.Address).Apply(s.t.Context(), late)
 		checks := i < len(engineLeases)
 		if refused := errors.Is(err, upstream.ErrOldFence); refused != checks {
 			s.t.Errorf("%s: an order with an old fencing number: %v, want refused: %v", p.name, err, checks)
@@ -223,9 +223,9 @@
 // leases and a new version, and then SIGTERM too. Cause: a stop that fails, or
 // a data path that needs a controller.
 func TestPlannedStopOfHoldersCutsNothingOff(t *testing.T) {
-	s, holder, other, base := controlled(t)
+	s, holder, other, base := newControlledSystem(t)
 	result := s.load(controlRate, controlDuration, func() {
-		time.Sleep(settle)
+		time.Sleep(warmUp)
 		holder.stop()
 		fences := s.awaitHeld(other)
 		s.publishModel("2026-12", base)
@@ -239,12 +239,12 @@
 // platform is frozen, so that requests hang; the holder gets SIGTERM. Cause: a
 // round, or a release, that waits for an answer.
 func TestHolderStopsWhileThePlatformHangs(t *testing.T) {
-	s, holder, _, _ := controlled(t)
+	s, holder, _, _ := newControlledSystem(t)
 	s.platform.signal(syscall.SIGSTOP)
 	holder.signal(syscall.SIGTERM)
 	select {
 	case <-holder.exited:
-	case <-time.After(patience):
+	case <-time.After(waitLimit):
 		t.Fatal("the holder never ended")
 	}
 	if holder.err != nil {
--- a/internal/e2e/promises_test.go
+++ b/internal/e2e/promises_test.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	rate     = 40
-	duration = 5 * time.Second
-	// settle is how long the load runs before something happens to it.
-	settle = time.Second
+	loadRate     = 40
+	loadDuration = 5 * time.Second
+	// warmUp is how long the load runs before something happens to it.
+	warmUp = time.Second
 )
 
-// small is a system of two failure domains with gateways in both.
-func small(t *testing.T, gateways int) *system {
+// newSmallSystem is a system of two failure domains with gateways in both.
+func newSmallSystem(t *testing.T, gateways int) *system {
 	s := newSystem(t)
 	for i, id := range []string{"engine-1", "engine-2", "engine-3", "engine-4"} {
-		s.engine(id, domain(i))
+		s.engine(id, failureDomain(i))
 	}
-	s.plain("app-1", domain(0))
-	s.plain("app-2", domain(1))
+	s.plain("app-1", failureDomain(0))
+	s.plain("app-2", failureDomain(1))
 	for i := range gateways {
-		s.gateway("gateway-"+string(rune('1'+i)), domain(i))
+		s.gateway("gateway-"+string(rune('1'+i)), failureDomain(i))
 	}
 	s.publish()
 	return s
 }
 
-func domain(i int) string { return []string{"hall-a", "hall-b"}[i%2] }
+func failureDomain(i int) string { return []string{"hall-a", "hall-b"}[i%2] }
 
 // Symptom: callers are cut off while the programs are updated. Sequence: under
 // load, one gateway after another gets SIGTERM, with streams and calls open,
 // while newer ones serve. Cause: a stop that does not finish or hand over what
 // is in progress.
 func TestRollingReplacementCutsNothingOff(t *testing.T) {
-	s := small(t, 6)
-	result := s.load(rate, duration, func() {
-		time.Sleep(settle)
+	s := newSmallSystem(t, 6)
+	result := s.load(loadRate, loadDuration, func() {
+		time.Sleep(warmUp)
 		for _, g := range s.gateways[:4] {
 			g.stop()
 		}
@@ -58,14 +58,14 @@
 // a crash. Sequence: a gateway is killed with calls claimed and dispatched;
 // callers ask again at others. Cause: a claim taken over because time passed.
 func TestKilledGatewayDoublesNothing(t *testing.T) {
-	s := small(t, 4)
-	result := s.load(rate, duration, func() {
-		time.Sleep(settle)
+	s := newSmallSystem(t, 4)
+	result := s.load(loadRate, loadDuration, func() {
+		time.Sleep(warmUp)
 		s.gateways[0].kill()
-		time.Sleep(settle)
+		time.Sleep(warmUp)
 		s.gateways[1].kill()
 	})
-	expectKept(t, result)
+	expectNoBrokenPromise(t, result)
 }
 
 // Symptom: a bid is executed a second time long after. Sequence: a gateway is
@@ -73,14 +73,14 @@
 // on as if nothing had happened. Cause: a check before the freeze, the act
 // after it.
 func TestFrozenGatewayDoublesNothing(t *testing.T) {
-	s := small(t, 4)
-	result := s.load(rate, duration, func() {
-		time.Sleep(settle)
+	s := newSmallSystem(t, 4)
+	result := s.load(loadRate, loadDuration, func() {
+		time.Sleep(warmUp)
 		s.gateways[0].signal(syscall.SIGSTOP)
-		time.Sleep(4 * settle)
+		time.Sleep(4 * warmUp)
 		s.gateways[0].signal(syscall.SIGCONT)
 	})
-	expectKept(t, result)
+	expectNoBrokenPromise(t, result)
 	s.gateways[0].stop()
 }
 
@@ -88,9 +88,9 @@
 // and a gateway get notices of a few seconds and are ended when these are over.
 // Cause: streams that stay until the end of the notice.
 func TestReclaimedInstancesLoseNothing(t *testing.T) {
-	s := small(t, 4)
-	result := s.load(rate, duration, func() {
-		time.Sleep(settle)
+	s := newSmallSystem(t, 4)
+	result := s.load(loadRate, loadDuration, func() {
+		time.Sleep(warmUp)
 		s.admin("notice", "--id", "engine-1", "--seconds", "4")
 		s.admin("notice", "--id", "gateway-1", "--seconds", "4")
 		<-s.gateways[0].exited
@@ -106,9 +106,9 @@
 // a notice of 4 s; each gateway hands over while its neighbours leave too.
 // Cause: a hand-over to a peer that is itself leaving.
 func TestReclaimedFailureDomainLosesNothing(t *testing.T) {
-	s := small(t, 4)
-	result := s.load(rate, duration, func() {
-		time.Sleep(settle)
+	s := newSmallSystem(t, 4)
+	result := s.load(loadRate, loadDuration, func() {
+		time.Sleep(warmUp)
 		for _, id := range []string{"gateway-1", "gateway-3", "engine-1", "engine-3", "app-1"} {
 			s.admin("notice", "--id", id, "--seconds", "4")
 		}
@@ -122,14 +122,14 @@
 // Sequence: the log goes down under load and comes back. Cause: a data path
 // that waits for the platform, or a call dispatched without its claim.
 func TestLogOutageIsToldAtOnce(t *testing.T) {
-	s := small(t, 2)
-	result := s.load(rate, duration, func() {
-		time.Sleep(settle)
+	s := newSmallSystem(t, 2)
+	result := s.load(loadRate, loadDuration, func() {
+		time.Sleep(warmUp)
 		s.admin("outage", "on")
-		time.Sleep(2 * settle)
+		time.Sleep(2 * warmUp)
 		s.admin("outage", "off")
 	})
-	expectKept(t, result)
+	expectNoBrokenPromise(t, result)
 	for _, kind := range []loadgen.Kind{loadgen.Short, loadgen.Long} {
 		if k := result.Kinds[kind]; k.Verdicts[loadgen.Whole] != k.Sent {
 			t.Errorf("%s: streams need no log: %v", kind, k.Verdicts)
@@ -140,9 +140,9 @@
 // Symptom: a stuck stop cannot be ended. Sequence: SIGTERM with a long stream
 // open, then a second SIGTERM. Cause: signals that are only heard once.
 func TestSecondSignalEndsAtOnce(t *testing.T) {
-	s := small(t, 2)
-	s.load(rate, duration, func() {
-		time.Sleep(settle)
+	s := newSmallSystem(t, 2)
+	s.load(loadRate, loadDuration, func() {
+		time.Sleep(warmUp)
 		g := s.gateways[0]
 		g.signal(syscall.SIGTERM)
 		g.signal(syscall.SIGTERM)
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	for _, program := range []string{"gateway", "controller"} {
-		out, err := exec.Command(filepath.Join(bin, program), "--check-settings", "--settings", file).CombinedOutput()
+		out, err := exec.Command(filepath.Join(binDir, program), "--check-settings", "--settings", file).CombinedOutput()
 		exit, ok := err.(*exec.ExitError)
 		if !ok || exit.ExitCode() != 2 {
 			t.Errorf("%s: %v, want exit status 2", program, err)
--- a/internal/e2e/system_test.go
+++ b/internal/e2e/system_test.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	root = "../.."
-	// patience bounds every wait of the tests; nothing is asserted by it.
-	patience = 60 * time.Second
+	rootDir = "../.."
+	// waitLimit bounds every wait of the tests; nothing is asserted by it.
+	waitLimit = 60 * time.Second
 	token    = "test-token"
 	account  = "registrar"
 	services = "spool-llm auktion-app"
 )
 
-// bin is where TestMain puts the programs.
-var bin string
+// binDir is where TestMain puts the programs.
+var binDir string
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
@@ -42,9 +42,9 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	bin = dir
+	binDir = dir
 	build := exec.Command("go", "build", raceFlag, "-o", dir+"/", "./cmd/gateway", "./cmd/controller", "./cmd/standin", "./cmd/spoolctl")
-	build.Dir = root
+	build.Dir = rootDir
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
@@ -62,7 +62,7 @@
 	name   string
 	cmd    *exec.Cmd
 	stderr bytes.Buffer
-	at     addresses
+	addresses     addresses
 	exited chan struct{}
 	err    error
 }
@@ -71,7 +71,7 @@
 // killed at the end of the test unless it has ended by then.
 func launch(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(bin, program), args...), exited: make(chan struct{})}
+	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binDir, program), args...), exited: make(chan struct{})}
 	p.cmd.Stderr = &p.stderr
 	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -87,7 +87,7 @@
 	}()
 	t.Cleanup(p.kill)
 	if err == nil {
-		err = json.Unmarshal(line, &p.at)
+		err = json.Unmarshal(line, &p.addresses)
 	}
 	if err != nil {
 		p.kill()
@@ -135,14 +135,14 @@
 	return &system{t: t, platform: launch(t, "platform", "standin", "platform")}
 }
 
-func (s *system) address() string { return s.platform.at.Address }
+func (s *system) address() string { return s.platform.addresses.Address }
 
 // run runs a program to its end and returns what it printed.
 func (s *system) run(program string, args ...string) string {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(s.t.Context(), waitLimit)
 	defer cancel()
-	out, err := exec.CommandContext(ctx, filepath.Join(bin, program), args...).CombinedOutput()
+	out, err := exec.CommandContext(ctx, filepath.Join(binDir, program), args...).CombinedOutput()
 	if err != nil {
 		s.t.Fatalf("%s %s: %v\n%s", program, strings.Join(args, " "), err, out)
 	}
@@ -208,7 +208,7 @@
 `, account, sha256.Sum256([]byte(token))))
 	p := launch(s.t, id, "gateway", "--settings", file)
 	s.admin("register", "--id", id, "--incarnation", "1", "--failure-domain", domain,
-		"--address", p.at.Callers, "--peer-address", p.at.Peers)
+		"--address", p.addresses.Callers, "--peer-address", p.addresses.Peers)
 	s.gateways = append(s.gateways, p)
 	return p
 }
@@ -218,7 +218,7 @@
 func (s *system) publish() {
 	s.t.Helper()
 	for _, service := range strings.Fields(services) {
-		s.run("spoolctl", "publish", filepath.Join(root, "examples", service+".toml"), "--platform", s.address())
+		s.run("spoolctl", "publish", filepath.Join(rootDir, "examples", service+".toml"), "--platform", s.address())
 	}
 	for _, g := range s.gateways {
 		s.awaitReady(g)
@@ -227,9 +227,9 @@
 
 func (s *system) awaitReady(p *process) {
 	s.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitLimit)
 	for {
-		resp, err := http.Get("http://" + p.at.Operators + "/readyz")
+		resp, err := http.Get("http://" + p.addresses.Operators + "/readyz")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -257,12 +257,12 @@
 		},
 		Weights: map[loadgen.Kind]float64{loadgen.Short: 0.4, loadgen.Long: 0.1, loadgen.Booking: 0.5},
 	}
-	options := loadgen.Options{Patience: patience, Silence: 5 * time.Second, MaxRefusals: 20, FreshConnections: true}
+	options := loadgen.Options{CallerTimeout: waitLimit, SilenceTimeout: 5 * time.Second, MaxRefusals: 20, FreshConnections: true}
 	for _, g := range s.gateways {
-		options.Gateways = append(options.Gateways, g.at.Callers)
+		options.Gateways = append(options.Gateways, g.addresses.Callers)
 	}
 	for _, p := range s.plains {
-		options.Plains = append(options.Plains, p.at.Address)
+		options.PlainStandins = append(options.PlainStandins, p.addresses.Address)
 	}
 	run := loadgen.NewRun(options, workload)
 	done := make(chan *loadgen.Result, 1)
@@ -275,8 +275,8 @@
 	return result
 }
 
-// expectKept fails the test if a promise was broken.
-func expectKept(t *testing.T, r *loadgen.Result) {
+// expectNoBrokenPromise fails the test if a promise was broken.
+func expectNoBrokenPromise(t *testing.T, r *loadgen.Result) {
 	t.Helper()
 	if r.Broken > 0 {
 		t.Errorf("%d answers broke a promise: %+v", r.Broken, r.Problems)
@@ -296,7 +296,7 @@
 // answer.
 func expectWhole(t *testing.T, r *loadgen.Result) {
 	t.Helper()
-	expectKept(t, r)
+	expectNoBrokenPromise(t, r)
 	for kind, result := range r.Kinds {
 		if whole := result.Verdicts[loadgen.Whole]; whole != result.Sent {
 			t.Errorf("%s: %d of %d whole: %v %v", kind, whole, result.Sent, result.Verdicts, result.Reasons)
--- a/internal/loadgen/audit.go
+++ b/internal/loadgen/audit.go
@@ -13,9 +13,9 @@
 type executions struct {
 	// count is by key, over all plain stand-ins that answered.
 	count map[string]uint32
-	// silent counts those that did not answer, because their instances ended
+	// unreachable counts those that did not answer, because their instances ended
 	// for example. What they executed is missing in count.
-	silent int
+	unreachable int
 }
 
 // readExecutions asks every plain stand-in what it executed.
@@ -25,7 +25,7 @@
 		admin := standinv1connect.NewPlainAdminServiceClient(client, "http://"+address)
 		response, err := admin.GetEffects(ctx, &standinv1.GetEffectsRequest{})
 		if err != nil {
-			total.silent++
+			total.unreachable++
 			continue
 		}
 		for _, effect := range response.GetEffects() {
@@ -35,27 +35,27 @@
 	return total
 }
 
-// audit returns what a booking's caller could not see, or nil: that it was
+// auditBooking returns what a booking's caller could not see, or nil: that it was
 // executed twice, confirmed without being executed, or refused although it was
 // executed. A booking that is not counted may have been executed where nobody
 // answers.
-func (e executions) audit(key string, told Verdict) *finding {
+func (e executions) auditBooking(key string, told Verdict) *assessment {
 	count := e.count[key]
 	switch {
 	case count > 1:
-		return findingf(Doubled, "executed %d times", count)
-	case told == Whole && count == 0 && e.silent == 0:
-		return findingf(Lost, "confirmed but not executed")
+		return assessmentf(Doubled, "executed %d times", count)
+	case told == Whole && count == 0 && e.unreachable == 0:
+		return assessmentf(Lost, "confirmed but not executed")
 	case told == Refused && count > 0:
-		return findingf(Wrong, "refused as not run but executed")
+		return assessmentf(Wrong, "refused as not run but executed")
 	}
 	return nil
 }
 
 // String says what an audit is worth.
 func (e executions) String() string {
-	if e.silent == 0 {
+	if e.unreachable == 0 {
 		return "bookings compared with their executions"
 	}
-	return fmt.Sprintf("partial, %d plain stand-ins could not be asked for their executions", e.silent)
+	return fmt.Sprintf("partial, %d plain stand-ins could not be asked for their executions", e.unreachable)
 }
--- a/internal/loadgen/booking.go
+++ b/internal/loadgen/booking.go
@@ -19,45 +19,45 @@
 type bookingCaller struct {
 	caller
 	request *callerv1.CallRequest
-	// silence is how long a gateway may give no answer. A frozen gateway, or a
+	// silenceTimeout is how long a gateway may give no answer. A frozen gateway, or a
 	// connection gone silent, would otherwise hold the caller for good.
-	silence time.Duration
+	silenceTimeout time.Duration
 	// doubt: a call may be running, so ask for its outcome before another.
-	doubt bool
-	// impatient callers send a call in doubt again instead of asking, which
+	outcomeUnknown bool
+	// resendIfUnknown callers send a call in doubt again instead of asking, which
 	// has to be as safe.
-	impatient bool
+	resendIfUnknown bool
 }
 
 // run sends the call until its outcome is final, it was refused maxRefusals
 // times, or ctx ends.
-func (b *bookingCaller) run(ctx context.Context, maxRefusals int) *finding {
+func (b *bookingCaller) run(ctx context.Context, maxRefusals int) *assessment {
 	for {
-		reply, err := b.once(ctx)
+		reply, err := b.sendOrQuery(ctx)
 		if err != nil {
-			if final := rejected(err); final != nil {
+			if final := assessRejection(err); final != nil {
 				return final
 			}
-			if !b.broken(ctx) {
-				return b.giveUp(err)
+			if !b.backOff(ctx) {
+				return b.assessUnfinished(err)
 			}
 			continue
 		}
 		outcome := reply.outcome
 		switch outcome.GetKind() {
 		case callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED:
-			return b.judge(reply.payload)
+			return b.assessPayload(reply.payload)
 		case callerv1.OutcomeKind_OUTCOME_KIND_FAILED:
-			return fromOutcome(Failed, outcome)
+			return assessOutcome(Failed, outcome)
 		case callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN:
 			b.refusals++
-			b.doubt = false
+			b.outcomeUnknown = false
 		default:
-			b.doubt = outcome.GetReason() != string(outcomes.ReasonNotSeen)
+			b.outcomeUnknown = outcome.GetReason() != string(outcomes.ReasonNotSeen)
 		}
-		if b.refusals >= maxRefusals || !b.told(ctx, outcome) {
-			b.last = outcome
-			return b.giveUp(nil)
+		if b.refusals >= maxRefusals || !b.waitRetryAfter(ctx, outcome) {
+			b.lastOutcome = outcome
+			return b.assessUnfinished(nil)
 		}
 	}
 }
@@ -68,20 +68,20 @@
 	payload []byte
 }
 
-// once asks for the outcome of a call in doubt, or sends the call.
-func (b *bookingCaller) once(ctx context.Context) (callReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, b.silence)
+// sendOrQuery asks for the outcome of a call in doubt, or sends the call.
+func (b *bookingCaller) sendOrQuery(ctx context.Context) (callReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, b.silenceTimeout)
 	defer cancel()
-	if b.doubt && !b.impatient {
-		return b.ask(ctx)
+	if b.outcomeUnknown && !b.resendIfUnknown {
+		return b.queryOutcome(ctx)
 	}
 	ctx, attempt := transport.Observe(ctx)
-	ctx, gateway := b.try(ctx)
+	ctx, gateway := b.prepareAttempt(ctx)
 	b.request.Attempt++
 	response, err := gateway.Call(ctx, proto.CloneOf(b.request))
 	if err != nil {
-		b.doubt = b.sent(attempt, err)
-		if !b.doubt {
+		b.outcomeUnknown = b.recordFailure(attempt, err)
+		if !b.outcomeUnknown {
 			b.request.Attempt--
 		}
 		return callReply{}, err
@@ -89,26 +89,26 @@
 	return callReply{response.GetOutcome(), response.GetPayload()}, nil
 }
 
-// ask asks for the outcome. A key that nobody knows may be sent again: its
+// queryOutcome asks for the outcome. A key that nobody knows may be sent again: its
 // repeat is the gateways' to recognize.
-func (b *bookingCaller) ask(ctx context.Context) (callReply, error) {
-	ctx, gateway := b.try(ctx)
+func (b *bookingCaller) queryOutcome(ctx context.Context) (callReply, error) {
+	ctx, gateway := b.prepareAttempt(ctx)
 	response, err := gateway.GetOutcome(ctx, &callerv1.GetOutcomeRequest{
 		Service:        b.request.GetService(),
 		IdempotencyKey: b.request.GetIdempotencyKey(),
 		IssuedAt:       b.request.GetIssuedAt(),
 	})
 	if err != nil {
-		b.doubt = connect.CodeOf(err) != connect.CodeNotFound
+		b.outcomeUnknown = connect.CodeOf(err) != connect.CodeNotFound
 		return callReply{}, err
 	}
 	return callReply{response.GetOutcome(), response.GetPayload()}, nil
 }
 
-func (b *bookingCaller) judge(payload []byte) *finding {
+func (b *bookingCaller) assessPayload(payload []byte) *assessment {
 	want := answer.Reply(ident.Method(b.request.GetMethod()), b.request.GetPayload())
 	if !bytes.Equal(payload, want) {
-		return findingf(Wrong, "payload %q, want %q", payload, want)
+		return assessmentf(Wrong, "payload %q, want %q", payload, want)
 	}
-	return findingf(Whole, "")
+	return assessmentf(Whole, "")
 }
--- a/internal/loadgen/caller.go
+++ b/internal/loadgen/caller.go
@@ -17,16 +17,16 @@
 	// The wait before a caller tries again after a failed connection.
 	firstBackoff = 20 * time.Millisecond
 	maxBackoff   = time.Second
-	// defaultReturn is used where an outcome names no time to return.
-	defaultReturn = 500 * time.Millisecond
+	// defaultRetryAfter is used where an outcome names no time to return.
+	defaultRetryAfter = 500 * time.Millisecond
 )
 
 // caller holds the state of one request: which gateway is next, and what it
 // has cost so far.
 type caller struct {
 	gateways []callerv1connect.CallerServiceClient
-	// next is the gateway that is asked next.
-	next    int
+	// nextGateway is the gateway that is asked next.
+	nextGateway    int
 	token   string
 	backoff time.Duration
 	// tries counts requests to gateways.
@@ -36,8 +36,8 @@
 	cuts int
 	// refusals counts outcomes that said not_run.
 	refusals int
-	// last is the outcome that was heard last, or nil.
-	last *callerv1.Outcome
+	// lastOutcome is the outcome that was heard last, or nil.
+	lastOutcome *callerv1.Outcome
 }
 
 func newGateways(client *http.Client, addresses []string) []callerv1connect.CallerServiceClient {
@@ -48,63 +48,63 @@
 	return gateways
 }
 
-// try prepares one request to the next gateway.
-func (c *caller) try(ctx context.Context) (context.Context, callerv1connect.CallerServiceClient) {
+// prepareAttempt prepares one request to the next gateway.
+func (c *caller) prepareAttempt(ctx context.Context) (context.Context, callerv1connect.CallerServiceClient) {
 	c.tries++
 	ctx, call := connect.NewClientContext(ctx)
 	call.RequestHeader().Set("Authorization", "Bearer "+c.token)
-	return ctx, c.gateways[c.next%len(c.gateways)]
+	return ctx, c.gateways[c.nextGateway%len(c.gateways)]
 }
 
-// sent reports whether a request that failed with err may have been taken. It
+// recordFailure reports whether a request that failed with err may have been taken. It
 // counts a cut, unless the gateway answered with a rejection.
-func (c *caller) sent(attempt *transport.Attempt, err error) bool {
+func (c *caller) recordFailure(attempt *transport.Attempt, err error) bool {
 	if attempt.NotSent() {
 		return false
 	}
-	if rejected(err) == nil {
+	if assessRejection(err) == nil {
 		c.cuts++
 	}
 	return true
 }
 
-// broken moves to another gateway after a failed connection, with a wait that
+// backOff moves to another gateway after a failed connection, with a wait that
 // grows. It returns false when the caller's patience has ended.
-func (c *caller) broken(ctx context.Context) bool {
-	c.next++
+func (c *caller) backOff(ctx context.Context) bool {
+	c.nextGateway++
 	c.backoff = min(max(2*c.backoff, firstBackoff), maxBackoff)
 	return pause.For(ctx, c.backoff)
 }
 
-// told notes an outcome that is not final and waits until the time to return.
-func (c *caller) told(ctx context.Context, outcome *callerv1.Outcome) bool {
-	c.next++
+// waitRetryAfter notes an outcome that is not final and waits until the time to return.
+func (c *caller) waitRetryAfter(ctx context.Context, outcome *callerv1.Outcome) bool {
+	c.nextGateway++
 	c.backoff = 0
-	c.last = outcome
+	c.lastOutcome = outcome
 	after := outcome.GetRetryAfter().AsDuration()
 	if after <= 0 {
-		after = defaultReturn
+		after = defaultRetryAfter
 	}
 	return pause.For(ctx, after)
 }
 
-// giveUp judges a request whose caller's patience has ended.
-func (c *caller) giveUp(problem error) *finding {
-	switch c.last.GetKind() {
+// assessUnfinished judges a request whose caller's patience has ended.
+func (c *caller) assessUnfinished(problem error) *assessment {
+	switch c.lastOutcome.GetKind() {
 	case callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN:
-		return fromOutcome(Refused, c.last)
+		return assessOutcome(Refused, c.lastOutcome)
 	case callerv1.OutcomeKind_OUTCOME_KIND_UNKNOWN, callerv1.OutcomeKind_OUTCOME_KIND_IN_PROGRESS:
-		return fromOutcome(Unknown, c.last)
+		return assessOutcome(Unknown, c.lastOutcome)
 	}
-	return findingf(Lost, "no outcome after %d tries: %v", c.tries, problem)
+	return assessmentf(Lost, "no outcome after %d tries: %v", c.tries, problem)
 }
 
-// rejected returns what to say of an error that no other gateway would answer
+// assessRejection returns what to say of an error that no other gateway would answer
 // differently, or nil.
-func rejected(err error) *finding {
+func assessRejection(err error) *assessment {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnauthenticated, connect.CodeInvalidArgument, connect.CodeUnimplemented:
-		return findingf(Lost, "rejected: %v", err)
+		return assessmentf(Lost, "rejected: %v", err)
 	}
 	return nil
 }
--- a/internal/loadgen/command/command.go
+++ b/internal/loadgen/command/command.go
@@ -27,8 +27,8 @@
 	ExitUsage  = 2
 )
 
-// progressEvery is how often the progress line changes.
-const progressEvery = 250 * time.Millisecond
+// progressInterval is how often the progress line changes.
+const progressInterval = 250 * time.Millisecond
 
 // account is a client account on the command line: NAME=TOKEN or
 // NAME=TOKEN=WEIGHT.
@@ -178,9 +178,9 @@
 func (a *arguments) send(ctx context.Context, arrivals []loadgen.Arrival, stderr *os.File) *loadgen.Result {
 	run := loadgen.NewRun(loadgen.Options{
 		Gateways:    a.Gateways,
-		Plains:      a.Plains,
-		Patience:    a.Patience,
-		Silence:     a.Silence,
+		PlainStandins:      a.Plains,
+		CallerTimeout:    a.Patience,
+		SilenceTimeout:     a.Silence,
 		MaxRefusals: a.MaxRefusals,
 	}, a.workload())
 	if isTerminal(stderr) {
--- a/internal/loadgen/command/progress.go
+++ b/internal/loadgen/command/progress.go
@@ -22,12 +22,12 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		ticker := time.NewTicker(progressEvery)
+		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ticker.C:
-				fmt.Fprint(out, "\r", line(run.Progress(), total), "\x1b[K")
+				fmt.Fprint(out, "\r", progressLine(run.Progress(), total), "\x1b[K")
 			case <-quit:
 				fmt.Fprint(out, "\r\x1b[K")
 				return
@@ -40,7 +40,7 @@
 	}
 }
 
-func line(p loadgen.Progress, total int) string {
+func progressLine(p loadgen.Progress, total int) string {
 	text := fmt.Sprintf("%4.0fs  sent %d/%d  in flight %d", p.Elapsed.Seconds(), p.Started, total, p.Started-p.Ended)
 	for _, verdict := range loadgen.Verdicts {
 		if count := p.Verdicts[verdict]; count > 0 {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -27,9 +27,9 @@
 // errCut cuts the connection in place of an answer.
 var errCut = errors.New("cut")
 
-// gateway is a scripted gateway over a plain stand-in. Each script is used
+// scriptedGateway is a scripted gateway over a plain stand-in. Each script is used
 // once, the last one for ever.
-type gateway struct {
+type scriptedGateway struct {
 	callerv1connect.UnimplementedCallerServiceHandler
 	plain *plain.Service
 
@@ -43,10 +43,10 @@
 type streamScript func(ctx context.Context, prompt string, from, to int, send func(int, ...string)) (*callerv1.Outcome, error)
 
 // callScript answers a call.
-type callScript func(ctx context.Context, g *gateway, key string) (*callerv1.Outcome, []byte, error)
+type callScript func(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error)
 
-// take returns the next script of a list.
-func take[S any](g *gateway, scripts *[]S) S {
+// nextScript returns the next script of a list.
+func nextScript[S any](g *scriptedGateway, scripts *[]S) S {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	script := (*scripts)[0]
@@ -56,10 +56,10 @@
 	return script
 }
 
-func (g *gateway) Generate(
+func (g *scriptedGateway) Generate(
 	ctx context.Context, req *callerv1.GenerateRequest, out *connect.ServerStream[callerv1.GenerateResponse],
 ) error {
-	outcome, err := take(g, &g.streams)(ctx, req.GetPrompt(), 0, int(req.GetMaxTokens()), func(i int, tokens ...string) {
+	outcome, err := nextScript(g, &g.streams)(ctx, req.GetPrompt(), 0, int(req.GetMaxTokens()), func(i int, tokens ...string) {
 		frame := &callerv1.TokenFrame{Index: uint32(i), Tokens: tokens}
 		_ = out.Send(&callerv1.GenerateResponse{Event: &callerv1.GenerateResponse_Tokens{Tokens: frame}})
 	})
@@ -69,11 +69,11 @@
 	return out.Send(&callerv1.GenerateResponse{Event: &callerv1.GenerateResponse_Outcome{Outcome: outcome}})
 }
 
-func (g *gateway) Resume(
+func (g *scriptedGateway) Resume(
 	ctx context.Context, req *callerv1.ResumeRequest, out *connect.ServerStream[callerv1.ResumeResponse],
 ) error {
 	from, to := int(req.GetNextIndex()), int(req.GetOriginal().GetMaxTokens())
-	outcome, err := take(g, &g.streams)(ctx, req.GetOriginal().GetPrompt(), from, to, func(i int, tokens ...string) {
+	outcome, err := nextScript(g, &g.streams)(ctx, req.GetOriginal().GetPrompt(), from, to, func(i int, tokens ...string) {
 		frame := &callerv1.TokenFrame{Index: uint32(i), Tokens: tokens}
 		_ = out.Send(&callerv1.ResumeResponse{Event: &callerv1.ResumeResponse_Tokens{Tokens: frame}})
 	})
@@ -83,8 +83,8 @@
 	return out.Send(&callerv1.ResumeResponse{Event: &callerv1.ResumeResponse_Outcome{Outcome: outcome}})
 }
 
-func (g *gateway) Call(ctx context.Context, req *callerv1.CallRequest) (*callerv1.CallResponse, error) {
-	outcome, payload, err := take(g, &g.calls)(ctx, g, req.GetIdempotencyKey())
+func (g *scriptedGateway) Call(ctx context.Context, req *callerv1.CallRequest) (*callerv1.CallResponse, error) {
+	outcome, payload, err := nextScript(g, &g.calls)(ctx, g, req.GetIdempotencyKey())
 	if connect.CodeOf(err) == connect.CodeInvalidArgument {
 		return nil, err
 	}
@@ -94,24 +94,24 @@
 	return &callerv1.CallResponse{Outcome: outcome, Payload: payload}, nil
 }
 
-func (g *gateway) GetOutcome(
+func (g *scriptedGateway) GetOutcome(
 	ctx context.Context, req *callerv1.GetOutcomeRequest,
 ) (*callerv1.GetOutcomeResponse, error) {
-	outcome, payload, err := take(g, &g.outcomes)(ctx, g, req.GetIdempotencyKey())
+	outcome, payload, err := nextScript(g, &g.outcomes)(ctx, g, req.GetIdempotencyKey())
 	if err != nil {
 		return nil, connect.NewError(connect.CodeNotFound, err)
 	}
 	return &callerv1.GetOutcomeResponse{Outcome: outcome, Payload: payload}, nil
 }
 
-func told(kind callerv1.OutcomeKind) *callerv1.Outcome {
+func outcomeOf(kind callerv1.OutcomeKind) *callerv1.Outcome {
 	return &callerv1.Outcome{Kind: kind, Reason: "overloaded", RetryAfter: durationpb.New(time.Millisecond)}
 }
 
 var (
-	completed = told(callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED)
-	notRun    = told(callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN)
-	unknown   = told(callerv1.OutcomeKind_OUTCOME_KIND_UNKNOWN)
+	completed = outcomeOf(callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED)
+	notRun    = outcomeOf(callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN)
+	unknown   = outcomeOf(callerv1.OutcomeKind_OUTCOME_KIND_UNKNOWN)
 	notSeen   = &callerv1.Outcome{Kind: callerv1.OutcomeKind_OUTCOME_KIND_UNKNOWN, Reason: "not_seen"}
 )
 
@@ -137,8 +137,8 @@
 	return nil, errCut
 }
 
-// sends returns a script that sends one frame and calls the answer whole.
-func sends(index int, tokens func(prompt string, n int) []string) streamScript {
+// sendsFrame returns a script that sends one frame and calls the answer whole.
+func sendsFrame(index int, tokens func(prompt string, n int) []string) streamScript {
 	return func(_ context.Context, prompt string, _, to int, send func(int, ...string)) (*callerv1.Outcome, error) {
 		send(index, tokens(prompt, to)...)
 		return completed, nil
@@ -146,7 +146,7 @@
 }
 
 // execute runs a booking once at the plain stand-in.
-func execute(ctx context.Context, g *gateway, key string) (*callerv1.Outcome, []byte, error) {
+func execute(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 	got, err := g.plain.Invoke(ctx, upstream.InvokeRequest{
 		Method:  "bid",
 		Key:     ident.CallKey{Service: "auktion-app", Account: "alpha", Key: ident.Key(key)}.String(),
@@ -155,43 +155,43 @@
 	return completed, got.Payload, err
 }
 
-func executeTwice(ctx context.Context, g *gateway, key string) (*callerv1.Outcome, []byte, error) {
+func executeTwice(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 	_, _, _ = execute(ctx, g, key)
 	return execute(ctx, g, key)
 }
 
-// executeButTell executes a booking and tells something else.
-func executeButTell(outcome *callerv1.Outcome, err error) callScript {
-	return func(ctx context.Context, g *gateway, key string) (*callerv1.Outcome, []byte, error) {
+// executeButAnswer executes a booking and tells something else.
+func executeButAnswer(outcome *callerv1.Outcome, err error) callScript {
+	return func(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 		_, _, _ = execute(ctx, g, key)
 		return outcome, []byte("something else"), err
 	}
 }
 
-// tell answers without executing anything.
-func tell(outcome *callerv1.Outcome, err error) callScript {
-	return func(_ context.Context, _ *gateway, key string) (*callerv1.Outcome, []byte, error) {
+// answerOnly answers without executing anything.
+func answerOnly(outcome *callerv1.Outcome, err error) callScript {
+	return func(_ context.Context, _ *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 		return outcome, answer.Reply("bid", []byte("booking "+key)), err
 	}
 }
 
 const (
-	// patience is more than any answer takes.
-	patience = time.Minute
-	// shortPatience ends the cases that have no end of their own.
-	shortPatience = 2 * time.Second
-	// shortSilence ends a stream that is silent for good.
-	shortSilence = 100 * time.Millisecond
+	// testTimeout is more than any answer takes.
+	testTimeout = time.Minute
+	// shortTimeout ends the cases that have no end of their own.
+	shortTimeout = 2 * time.Second
+	// shortSilenceTimeout ends a stream that is silent for good.
+	shortSilenceTimeout = 100 * time.Millisecond
 )
 
-// drive sends one arrival to a scripted gateway, expects a verdict and returns
+// runOne sends one arrival to a scripted gateway, expects a verdict and returns
 // the result. Timeouts that no case waits for are long, so that a busy machine
 // does not run into them.
-func drive(t *testing.T, g *gateway, kind Kind, silence time.Duration, want Verdict) *Result {
+func runOne(t *testing.T, g *scriptedGateway, kind Kind, silence time.Duration, want Verdict) *Result {
 	t.Helper()
-	options := Options{Patience: patience, Silence: silence, MaxRefusals: 2}
+	options := Options{CallerTimeout: testTimeout, SilenceTimeout: silence, MaxRefusals: 2}
 	if want == Lost || want == Unknown {
-		options.Patience = shortPatience
+		options.CallerTimeout = shortTimeout
 	}
 	g.plain = plain.New(plain.Options{})
 	mux := http.NewServeMux()
@@ -204,13 +204,13 @@
 		Accounts: []Account{account},
 		Shapes:   map[Kind]Shape{Short: {Class: "short", PromptTokens: 8, MaxTokens: 4}},
 	}
-	options.Gateways, options.Plains = []string{address}, []string{address}
+	options.Gateways, options.PlainStandins = []string{address}, []string{address}
 	result := NewRun(options, workload).Do(t.Context(), []Arrival{{Kind: kind, Account: account}})
-	expect(t, result, kind, want)
+	expectVerdict(t, result, kind, want)
 	return result
 }
 
-func expect(t *testing.T, result *Result, kind Kind, want Verdict) {
+func expectVerdict(t *testing.T, result *Result, kind Kind, want Verdict) {
 	t.Helper()
 	if got := result.Kinds[kind].Verdicts; !cmp.Equal(got, map[Verdict]int{want: 1}) {
 		t.Errorf("got %v, want %s; %+v", got, want, result.Problems)
@@ -222,7 +222,7 @@
 	if got := result.Kinds[kind].Reasons; !cmp.Equal(got, reasons) {
 		t.Errorf("reasons %v, want %v", got, reasons)
 	}
-	if (result.Broken > 0) != want.Broken() {
+	if (result.Broken > 0) != want.BreaksPromise() {
 		t.Errorf("%d broken for verdict %s", result.Broken, want)
 	}
 }
@@ -235,11 +235,11 @@
 		resumes int
 	}{
 		{"whole answer", []streamScript{whole}, Whole, 0},
-		{"answer of another prompt", []streamScript{sends(0, func(_ string, n int) []string { return answer.Tokens("other", n) })}, Wrong, 0},
-		{"gap", []streamScript{sends(1, answer.Tokens)}, Wrong, 0},
-		{"more than asked", []streamScript{sends(0, func(p string, n int) []string { return answer.Tokens(p, n+1) })}, Wrong, 0},
-		{"end missing", []streamScript{sends(0, func(p string, n int) []string { return answer.Tokens(p, n-1) })}, Incomplete, 0},
-		{"resumed with a token again", []streamScript{cut, sends(0, answer.Tokens)}, Doubled, 1},
+		{"answer of another prompt", []streamScript{sendsFrame(0, func(_ string, n int) []string { return answer.Tokens("other", n) })}, Wrong, 0},
+		{"gap", []streamScript{sendsFrame(1, answer.Tokens)}, Wrong, 0},
+		{"more than asked", []streamScript{sendsFrame(0, func(p string, n int) []string { return answer.Tokens(p, n+1) })}, Wrong, 0},
+		{"end missing", []streamScript{sendsFrame(0, func(p string, n int) []string { return answer.Tokens(p, n-1) })}, Incomplete, 0},
+		{"resumed with a token again", []streamScript{cut, sendsFrame(0, answer.Tokens)}, Doubled, 1},
 		{"cut and resumed", []streamScript{cut, cut, whole}, Whole, 2},
 		{"refused, then served", []streamScript{refuse, whole}, Whole, 0},
 		{"cut, refused, then resumed", []streamScript{cut, refuse, whole}, Whole, 2},
@@ -250,7 +250,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
-			result := drive(t, &gateway{streams: c.streams}, Short, patience, c.want)
+			result := runOne(t, &scriptedGateway{streams: c.streams}, Short, testTimeout, c.want)
 			if c.resumes >= 0 && result.Resumes != c.resumes {
 				t.Errorf("%d resumes, want %d", result.Resumes, c.resumes)
 			}
@@ -261,7 +261,7 @@
 // Symptom: a caller waits for ever. Sequence: its stream goes silent, not even
 // heartbeats come. Cause: nothing watches the silence.
 func TestSilentStreamIsResumed(t *testing.T) {
-	result := drive(t, &gateway{streams: []streamScript{silent, whole}}, Short, shortSilence, Whole)
+	result := runOne(t, &scriptedGateway{streams: []streamScript{silent, whole}}, Short, shortSilenceTimeout, Whole)
 	if result.Resumes == 0 {
 		t.Error("the stream was not resumed")
 	}
@@ -270,13 +270,13 @@
 // Symptom: a caller waits for ever. Sequence: a gateway takes a call, executes
 // it and freezes. Cause: nothing bounds one attempt.
 func TestSilentCallIsAskedFor(t *testing.T) {
-	frozen := func(ctx context.Context, g *gateway, key string) (*callerv1.Outcome, []byte, error) {
+	frozen := func(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 		_, _, _ = execute(ctx, g, key)
 		<-ctx.Done()
 		return nil, nil, errCut
 	}
-	g := &gateway{calls: []callScript{frozen, executeTwice}, outcomes: []callScript{tell(completed, nil)}}
-	drive(t, g, Booking, shortSilence, Whole)
+	g := &scriptedGateway{calls: []callScript{frozen, executeTwice}, outcomes: []callScript{answerOnly(completed, nil)}}
+	runOne(t, g, Booking, shortSilenceTimeout, Whole)
 }
 
 func TestBookingsAreJudged(t *testing.T) {
@@ -287,20 +287,20 @@
 		want            Verdict
 	}{
 		{"executed once", calls(execute), nil, Whole},
-		{"answer of another booking", calls(executeButTell(completed, nil)), nil, Wrong},
+		{"answer of another booking", calls(executeButAnswer(completed, nil)), nil, Wrong},
 		{"executed twice", calls(executeTwice), nil, Doubled},
-		{"confirmed but not executed", calls(tell(completed, nil)), nil, Lost},
-		{"called not run but executed", calls(executeButTell(notRun, nil), tell(notRun, nil)), nil, Wrong},
-		{"refused, then served", calls(tell(notRun, nil), execute), nil, Whole},
-		{"refused for ever", calls(tell(notRun, nil)), nil, Refused},
-		{"answer lost, outcome found", calls(executeButTell(nil, errCut)), calls(tell(unknown, nil), tell(completed, nil)), Whole},
-		{"request lost, key unknown, sent again", calls(tell(nil, errCut), execute), calls(tell(nil, errCut)), Whole},
-		{"request lost, not seen, sent again", calls(tell(nil, errCut), execute), calls(tell(notSeen, nil)), Whole},
-		{"unknown for ever", calls(tell(unknown, nil)), calls(tell(unknown, nil)), Unknown},
+		{"confirmed but not executed", calls(answerOnly(completed, nil)), nil, Lost},
+		{"called not run but executed", calls(executeButAnswer(notRun, nil), answerOnly(notRun, nil)), nil, Wrong},
+		{"refused, then served", calls(answerOnly(notRun, nil), execute), nil, Whole},
+		{"refused for ever", calls(answerOnly(notRun, nil)), nil, Refused},
+		{"answer lost, outcome found", calls(executeButAnswer(nil, errCut)), calls(answerOnly(unknown, nil), answerOnly(completed, nil)), Whole},
+		{"request lost, key unknown, sent again", calls(answerOnly(nil, errCut), execute), calls(answerOnly(nil, errCut)), Whole},
+		{"request lost, not seen, sent again", calls(answerOnly(nil, errCut), execute), calls(answerOnly(notSeen, nil)), Whole},
+		{"unknown for ever", calls(answerOnly(unknown, nil)), calls(answerOnly(unknown, nil)), Unknown},
 	}
 	for _, c := range cases {
 		t.Run(c.story, func(t *testing.T) {
-			drive(t, &gateway{calls: c.calls, outcomes: c.outcomes}, Booking, patience, c.want)
+			runOne(t, &scriptedGateway{calls: c.calls, outcomes: c.outcomes}, Booking, testTimeout, c.want)
 		})
 	}
 }
@@ -310,7 +310,7 @@
 // that was sent counts as a cut.
 func TestRejectedBookingIsNoCut(t *testing.T) {
 	rejection := connect.NewError(connect.CodeInvalidArgument, errors.New("no such method"))
-	result := drive(t, &gateway{calls: []callScript{tell(nil, rejection)}}, Booking, patience, Lost)
+	result := runOne(t, &scriptedGateway{calls: []callScript{answerOnly(nil, rejection)}}, Booking, testTimeout, Lost)
 	if result.Cuts != 0 {
 		t.Errorf("%d cuts, want none", result.Cuts)
 	}
@@ -370,10 +370,10 @@
 		{"refused", 0, Refused, ""},
 	}
 	for _, c := range cases {
-		e := executions{count: map[string]uint32{key: c.count}, silent: 1}
-		found := e.audit(key, c.told)
+		e := executions{count: map[string]uint32{key: c.count}, unreachable: 1}
+		found := e.auditBooking(key, c.told)
 		if found == nil {
-			found = &finding{}
+			found = &assessment{}
 		}
 		if found.verdict != c.want {
 			t.Errorf("%s: got %q, want %q", c.story, found.verdict, c.want)
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -14,11 +14,11 @@
 	Verdicts map[Verdict]int
 }
 
-// ended is one request at its end.
-type ended struct {
+// finishedRequest is one request at its end.
+type finishedRequest struct {
 	arrival    Arrival
-	request    string
-	finding    *finding
+	requestID    string
+	assessment    *assessment
 	completion time.Duration
 	times      streamTimes
 	tries      int
@@ -31,7 +31,7 @@
 	mu       sync.Mutex
 	start    time.Time
 	started  int
-	ended    []*ended
+	finished    []*finishedRequest
 	verdicts map[Verdict]int
 }
 
@@ -43,17 +43,17 @@
 	r.start = start
 }
 
-func (r *recorder) begin() {
+func (r *recorder) recordStart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started++
 }
 
-func (r *recorder) end(e *ended) {
+func (r *recorder) recordEnd(e *finishedRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = append(r.ended, e)
-	r.verdicts[e.finding.verdict]++
+	r.finished = append(r.finished, e)
+	r.verdicts[e.assessment.verdict]++
 }
 
 func (r *recorder) progress() Progress {
@@ -61,7 +61,7 @@
 	defer r.mu.Unlock()
 	progress := Progress{
 		Started:  r.started,
-		Ended:    len(r.ended),
+		Ended:    len(r.finished),
 		Verdicts: maps.Clone(r.verdicts),
 	}
 	if !r.start.IsZero() {
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -15,7 +15,7 @@
 	// The histograms' range in microseconds, and their precision.
 	lowestMicros  = 1
 	highestMicros = int64(time.Hour / time.Microsecond)
-	digits        = 3
+	significantDigits        = 3
 	// maxProblems bounds the problems that a result lists.
 	maxProblems = 20
 )
@@ -77,7 +77,7 @@
 
 // histograms are those of one kind.
 type histograms struct {
-	firstToken, between, completion *hdrhistogram.Histogram
+	firstToken, betweenTokens, completion *hdrhistogram.Histogram
 }
 
 func newHistograms() histograms {
@@ -85,11 +85,11 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestMicros, highestMicros, digits)
+	return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 }
 
-// record adds a time; the range's end stands for longer ones.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+// recordTime adds a time; the range's end stands for longer ones.
+func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
 }
 
@@ -105,7 +105,7 @@
 }
 
 // summarize makes the result of all requests.
-func summarize(all []*ended, elapsed time.Duration) *Result {
+func summarize(all []*finishedRequest, elapsed time.Duration) *Result {
 	result := &Result{
 		Seconds:  elapsed.Seconds(),
 		Kinds:    make(map[Kind]*KindResult),
@@ -123,38 +123,38 @@
 	for kind, h := range times {
 		k := result.Kinds[kind]
 		k.FirstToken = percentiles(h.firstToken)
-		k.BetweenTokens = percentiles(h.between)
+		k.BetweenTokens = percentiles(h.betweenTokens)
 		k.Completion = percentiles(h.completion)
 	}
 	return result
 }
 
-func (r *Result) add(e *ended, h histograms) {
+func (r *Result) add(e *finishedRequest, h histograms) {
 	k := r.Kinds[e.arrival.Kind]
 	k.Sent++
-	k.Verdicts[e.finding.verdict]++
-	if e.finding.reason != "" {
-		k.Reasons[e.finding.reason]++
+	k.Verdicts[e.assessment.verdict]++
+	if e.assessment.reason != "" {
+		k.Reasons[e.assessment.reason]++
 	}
 	r.Tries += e.tries
 	r.Cuts += e.cuts
 	r.Resumes += e.resumes
 	account := r.account(string(e.arrival.Account.Name))
 	account.Sent++
-	if e.finding.verdict.Broken() {
+	if e.assessment.verdict.BreaksPromise() {
 		r.addProblem(e)
 	}
-	if e.finding.verdict != Whole {
+	if e.assessment.verdict != Whole {
 		return
 	}
 	account.Whole++
-	record(h.completion, e.completion)
+	recordTime(h.completion, e.completion)
 	if e.arrival.Kind == Booking {
 		return
 	}
-	record(h.firstToken, e.times.firstToken)
-	for _, d := range e.times.between {
-		record(h.between, d)
+	recordTime(h.firstToken, e.times.firstToken)
+	for _, d := range e.times.betweenTokens {
+		recordTime(h.betweenTokens, d)
 	}
 }
 
@@ -167,16 +167,16 @@
 	return a
 }
 
-func (r *Result) addProblem(e *ended) {
+func (r *Result) addProblem(e *finishedRequest) {
 	r.Broken++
 	if len(r.Problems) >= maxProblems {
 		return
 	}
 	r.Problems = append(r.Problems, Problem{
 		Kind:    e.arrival.Kind,
-		Request: e.request,
-		Verdict: e.finding.verdict,
-		Detail:  e.finding.detail,
+		Request: e.requestID,
+		Verdict: e.assessment.verdict,
+		Detail:  e.assessment.detail,
 	})
 }
 
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -24,12 +24,12 @@
 type Options struct {
 	// Gateways are host:port addresses for callers.
 	Gateways []string
-	// Plains are host:port addresses of plain stand-ins, for the audit.
-	Plains []string
-	// Patience is how long a caller waits for its final outcome.
-	Patience time.Duration
-	// Silence is how long a stream may give nothing, and a call no answer.
-	Silence time.Duration
+	// PlainStandins are host:port addresses of plain stand-ins, for the audit.
+	PlainStandins []string
+	// CallerTimeout is how long a caller waits for its final outcome.
+	CallerTimeout time.Duration
+	// SilenceTimeout is how long a stream may give nothing, and a call no answer.
+	SilenceTimeout time.Duration
 	// MaxRefusals is after how many refusals a caller gives up.
 	MaxRefusals int
 	// FreshConnections dials a connection for each request, so that a kept
@@ -72,13 +72,13 @@
 		if !pause.For(ctx, time.Until(due)) {
 			break
 		}
-		r.recorder.begin()
-		group.Go(func() { r.recorder.end(r.request(arrival, due)) })
+		r.recorder.recordStart()
+		group.Go(func() { r.recorder.recordEnd(r.runRequest(arrival, due)) })
 	}
 	group.Wait()
 	elapsed := time.Since(start)
-	state := r.audit()
-	result := summarize(r.recorder.ended, elapsed)
+	state := r.auditBookings()
+	result := summarize(r.recorder.finished, elapsed)
 	result.Audit = state
 	return result
 }
@@ -86,20 +86,20 @@
 // Progress returns the state so far. It may be called while Do runs.
 func (r *Run) Progress() Progress { return r.recorder.progress() }
 
-// request carries one arrival through to its end.
-func (r *Run) request(a Arrival, due time.Time) *ended {
-	ctx, cancel := context.WithTimeout(context.Background(), r.options.Patience)
+// runRequest carries one arrival through to its end.
+func (r *Run) runRequest(a Arrival, due time.Time) *finishedRequest {
+	ctx, cancel := context.WithTimeout(context.Background(), r.options.CallerTimeout)
 	defer cancel()
-	base := caller{gateways: r.gateways, next: a.Number, token: a.Account.Token}
+	base := caller{gateways: r.gateways, nextGateway: a.Number, token: a.Account.Token}
 	if a.Kind == Booking {
-		return r.book(ctx, base, a, due)
+		return r.runBooking(ctx, base, a, due)
 	}
-	return r.stream(ctx, base, a, due)
+	return r.runStream(ctx, base, a, due)
 }
 
-func (r *Run) book(ctx context.Context, base caller, a Arrival, due time.Time) *ended {
+func (r *Run) runBooking(ctx context.Context, base caller, a Arrival, due time.Time) *finishedRequest {
 	key := fmt.Sprintf("%s-%d", r.id, a.Number)
-	b := &bookingCaller{caller: base, silence: r.options.Silence, impatient: a.Number%2 == 1, request: &callerv1.CallRequest{
+	b := &bookingCaller{caller: base, silenceTimeout: r.options.SilenceTimeout, resendIfUnknown: a.Number%2 == 1, request: &callerv1.CallRequest{
 		Service:        string(r.workload.PlainService),
 		Method:         string(r.workload.BookingMethod),
 		IdempotencyKey: key,
@@ -107,19 +107,19 @@
 		Payload:        []byte("booking " + key),
 	}}
 	found := b.run(ctx, r.options.MaxRefusals)
-	return &ended{
+	return &finishedRequest{
 		arrival:    a,
-		request:    key,
-		finding:    found,
+		requestID:    key,
+		assessment:    found,
 		completion: time.Since(due),
 		tries:      b.tries,
 		cuts:       b.cuts,
 	}
 }
 
-func (r *Run) stream(ctx context.Context, base caller, a Arrival, due time.Time) *ended {
+func (r *Run) runStream(ctx context.Context, base caller, a Arrival, due time.Time) *finishedRequest {
 	shape := r.workload.Shapes[a.Kind]
-	text := r.workload.prompt(r.id, a)
+	text := r.workload.promptFor(r.id, a)
 	s := &streamCaller{
 		caller: base,
 		check:  tokenCheck{prompt: text, want: shape.MaxTokens},
@@ -130,14 +130,14 @@
 			MaxTokens: uint32(shape.MaxTokens),
 			RequestId: string(ident.NewRequest()),
 		},
-		due:     due,
-		silence: r.options.Silence,
+		dueAt:     due,
+		silenceTimeout: r.options.SilenceTimeout,
 	}
 	found := s.run(ctx, r.options.MaxRefusals)
-	return &ended{
+	return &finishedRequest{
 		arrival:    a,
-		request:    s.original.GetRequestId(),
-		finding:    found,
+		requestID:    s.original.GetRequestId(),
+		assessment:    found,
 		completion: time.Since(due),
 		times:      s.times,
 		tries:      s.tries,
@@ -146,26 +146,26 @@
 	}
 }
 
-// audit compares all bookings with what the plain stand-ins executed, and
+// auditBookings compares all bookings with what the plain stand-ins executed, and
 // says in words whether it could.
-func (r *Run) audit() string {
-	if len(r.options.Plains) == 0 {
+func (r *Run) auditBookings() string {
+	if len(r.options.PlainStandins) == 0 {
 		return "not run, no plain stand-in given"
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), auditTimeout)
 	defer cancel()
-	executed := readExecutions(ctx, r.client, r.options.Plains)
-	for _, e := range r.recorder.ended {
+	executed := readExecutions(ctx, r.client, r.options.PlainStandins)
+	for _, e := range r.recorder.finished {
 		if e.arrival.Kind != Booking {
 			continue
 		}
 		scoped := ident.CallKey{
 			Service: r.workload.PlainService,
 			Account: e.arrival.Account.Name,
-			Key:     ident.Key(e.request),
+			Key:     ident.Key(e.requestID),
 		}
-		if found := executed.audit(scoped.String(), e.finding.verdict); found != nil {
-			e.finding = found
+		if found := executed.auditBooking(scoped.String(), e.assessment.verdict); found != nil {
+			e.assessment = found
 		}
 	}
 	return executed.String()
--- a/internal/loadgen/stream.go
+++ b/internal/loadgen/stream.go
@@ -17,8 +17,8 @@
 // streamTimes are the times of one stream, from when it was due.
 type streamTimes struct {
 	firstToken time.Duration
-	// between are the times between tokens.
-	between []time.Duration
+	// betweenTokens are the times between tokens.
+	betweenTokens []time.Duration
 }
 
 // streamCaller carries one streamed request through to its end.
@@ -26,14 +26,14 @@
 	caller
 	check    tokenCheck
 	original *callerv1.GenerateRequest
-	due      time.Time
-	// silence is how long a stream may give nothing.
-	silence time.Duration
+	dueAt      time.Time
+	// silenceTimeout is how long a stream may give nothing.
+	silenceTimeout time.Duration
 	// begun: some gateway may have taken the request.
-	begun   bool
+	maybeAccepted   bool
 	resumes int
 	times   streamTimes
-	latest  time.Time
+	lastTokenAt  time.Time
 }
 
 // tokenEvents is what Generate and Resume have in common.
@@ -44,76 +44,76 @@
 	err() error
 }
 
-type generated struct {
+type generateEvents struct {
 	*connect.ServerStreamForClient[callerv1.GenerateResponse]
 }
 
-func (g generated) receive() bool                { return g.Receive() }
-func (g generated) tokens() *callerv1.TokenFrame { return g.Msg().GetTokens() }
-func (g generated) outcome() *callerv1.Outcome   { return g.Msg().GetOutcome() }
-func (g generated) err() error                   { return g.Err() }
+func (g generateEvents) receive() bool                { return g.Receive() }
+func (g generateEvents) tokens() *callerv1.TokenFrame { return g.Msg().GetTokens() }
+func (g generateEvents) outcome() *callerv1.Outcome   { return g.Msg().GetOutcome() }
+func (g generateEvents) err() error                   { return g.Err() }
 
-type resumed struct {
+type resumeEvents struct {
 	*connect.ServerStreamForClient[callerv1.ResumeResponse]
 }
 
-func (r resumed) receive() bool                { return r.Receive() }
-func (r resumed) tokens() *callerv1.TokenFrame { return r.Msg().GetTokens() }
-func (r resumed) outcome() *callerv1.Outcome   { return r.Msg().GetOutcome() }
-func (r resumed) err() error                   { return r.Err() }
+func (r resumeEvents) receive() bool                { return r.Receive() }
+func (r resumeEvents) tokens() *callerv1.TokenFrame { return r.Msg().GetTokens() }
+func (r resumeEvents) outcome() *callerv1.Outcome   { return r.Msg().GetOutcome() }
+func (r resumeEvents) err() error                   { return r.Err() }
 
 // run sends the request until its answer is whole, something is wrong with it,
 // it was refused maxRefusals times, or ctx ends.
-func (s *streamCaller) run(ctx context.Context, maxRefusals int) *finding {
+func (s *streamCaller) run(ctx context.Context, maxRefusals int) *assessment {
 	for {
-		outcome, verdict, err := s.once(ctx)
+		outcome, verdict, err := s.runOnce(ctx)
 		if verdict != nil {
 			return verdict
 		}
 		if err != nil {
-			if final := rejected(err); final != nil {
+			if final := assessRejection(err); final != nil {
 				return final
 			}
-			if !s.broken(ctx) {
-				return s.giveUp(err)
+			if !s.backOff(ctx) {
+				return s.assessUnfinished(err)
 			}
 			continue
 		}
 		switch outcome.GetKind() {
 		case callerv1.OutcomeKind_OUTCOME_KIND_COMPLETED:
-			return s.check.complete()
+			return s.check.assessComplete()
 		case callerv1.OutcomeKind_OUTCOME_KIND_FAILED:
-			return fromOutcome(Failed, outcome)
+			return assessOutcome(Failed, outcome)
 		case callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN:
 			s.refusals++
 			// A refusal of a stream that has given nothing leaves
 			// nothing to resume.
-			s.begun = len(s.check.got) > 0
+			s.maybeAccepted = len(s.check.got) > 0
 		}
-		if s.refusals >= maxRefusals || !s.told(ctx, outcome) {
-			s.last = outcome
-			return s.giveUp(nil)
+		if s.refusals >= maxRefusals || !s.waitRetryAfter(ctx, outcome) {
+			s.lastOutcome = outcome
+			return s.assessUnfinished(nil)
 		}
 	}
 }
 
-// once reads one stream to its outcome, a finding or the connection's end.
-func (s *streamCaller) once(parent context.Context) (*callerv1.Outcome, *finding, error) {
+// runOnce reads one stream to its outcome, a finding or the connection's end.
+func (s *streamCaller) runOnce(parent context.Context) (*callerv1.Outcome, *assessment, error) {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(s.silence, func() { cancel(errSilent) })
+	watchdog := time.AfterFunc(s.silenceTimeout, func() { cancel(errSilent) })
 	defer watchdog.Stop()
 	ctx, attempt := transport.Observe(ctx)
 	events, err := s.open(ctx)
 	if err != nil {
-		s.begun = s.sent(attempt, err) || s.begun
+		s.maybeAccepted = s.recordFailure(attempt, err) || s.maybeAccepted
 		return nil, nil, err
 	}
 	for events.receive() {
-		watchdog.Reset(s.silence)
-		s.begun = true
+		watchdog.Reset(s.silenceTimeout)
+		s.maybeAccepted = true
 		if frame := events.tokens(); frame != nil {
-			if wrong := s.take(frame); wrong != nil {
+			if wrong := s.addFrame(frame); wrong != nil {
 				return nil, wrong, nil
 			}
 		}
@@ -125,17 +125,17 @@
 	if err == nil {
 		err = errors.New("stream ended without an outcome")
 	}
-	s.begun = s.sent(attempt, err) || s.begun
+	s.maybeAccepted = s.recordFailure(attempt, err) || s.maybeAccepted
 	return nil, nil, err
 }
 
 // open starts the stream, or resumes it once a gateway may have taken it.
 func (s *streamCaller) open(ctx context.Context) (tokenEvents, error) {
-	ctx, gateway := s.try(ctx)
-	if !s.begun {
+	ctx, gateway := s.prepareAttempt(ctx)
+	if !s.maybeAccepted {
 		s.original.Attempt = uint32(s.refusals) + 1
 		stream, err := gateway.Generate(ctx, s.original)
-		return generated{stream}, err
+		return generateEvents{stream}, err
 	}
 	s.resumes++
 	stream, err := gateway.Resume(ctx, &callerv1.ResumeRequest{
@@ -145,11 +145,11 @@
 		Original:  s.original,
 		Delivered: s.check.got,
 	})
-	return resumed{stream}, err
+	return resumeEvents{stream}, err
 }
 
-// take checks the tokens of a frame and notes their times.
-func (s *streamCaller) take(frame *callerv1.TokenFrame) *finding {
+// addFrame checks the tokens of a frame and notes their times.
+func (s *streamCaller) addFrame(frame *callerv1.TokenFrame) *assessment {
 	now := time.Now()
 	first := len(s.check.got) == 0
 	if wrong := s.check.add(frame.GetIndex(), frame.GetTokens()); wrong != nil {
@@ -159,10 +159,10 @@
 		return nil
 	}
 	if first {
-		s.times.firstToken = now.Sub(s.due)
+		s.times.firstToken = now.Sub(s.dueAt)
 	} else {
-		s.times.between = append(s.times.between, now.Sub(s.latest))
+		s.times.betweenTokens = append(s.times.betweenTokens, now.Sub(s.lastTokenAt))
 	}
-	s.latest = now
+	s.lastTokenAt = now
 	return nil
 }
--- a/internal/loadgen/verdict.go
+++ b/internal/loadgen/verdict.go
@@ -36,26 +36,26 @@
 // Verdicts lists the verdicts in the order of reports.
 var Verdicts = []Verdict{Whole, Refused, Failed, Unknown, Wrong, Incomplete, Doubled, Lost}
 
-// Broken reports whether a verdict breaks a promise.
-func (v Verdict) Broken() bool {
+// BreaksPromise reports whether a verdict breaks a promise.
+func (v Verdict) BreaksPromise() bool {
 	return v == Wrong || v == Incomplete || v == Doubled || v == Lost
 }
 
-// finding is a verdict with what led to it.
-type finding struct {
+// assessment is a verdict with what led to it.
+type assessment struct {
 	verdict Verdict
 	// reason is the gateway's, for refusals, failures and unknown ends.
 	reason string
 	detail string
 }
 
-func findingf(verdict Verdict, format string, args ...any) *finding {
-	return &finding{verdict: verdict, detail: fmt.Sprintf(format, args...)}
+func assessmentf(verdict Verdict, format string, args ...any) *assessment {
+	return &assessment{verdict: verdict, detail: fmt.Sprintf(format, args...)}
 }
 
-// fromOutcome returns a finding that a gateway gave its reason for.
-func fromOutcome(verdict Verdict, outcome *callerv1.Outcome) *finding {
-	return &finding{
+// assessOutcome returns a finding that a gateway gave its reason for.
+func assessOutcome(verdict Verdict, outcome *callerv1.Outcome) *assessment {
+	return &assessment{
 		verdict: verdict,
 		reason:  outcome.GetReason(),
 		detail:  outcome.GetReason() + ": " + outcome.GetMessage(),
@@ -71,29 +71,29 @@
 
 // add takes consecutive tokens from an index on. It returns what is wrong with
 // them, or nil.
-func (c *tokenCheck) add(index uint32, tokens []string) *finding {
+func (c *tokenCheck) add(index uint32, tokens []string) *assessment {
 	if int(index) < len(c.got) {
-		return findingf(Doubled, "token %d came again", index)
+		return assessmentf(Doubled, "token %d came again", index)
 	}
 	if int(index) > len(c.got) {
-		return findingf(Wrong, "token %d came after %d tokens", index, len(c.got))
+		return assessmentf(Wrong, "token %d came after %d tokens", index, len(c.got))
 	}
 	for _, token := range tokens {
 		if want := answer.Token(c.prompt, len(c.got)); token != want {
-			return findingf(Wrong, "token %d is %q, want %q", len(c.got), token, want)
+			return assessmentf(Wrong, "token %d is %q, want %q", len(c.got), token, want)
 		}
 		c.got = append(c.got, token)
 	}
 	if len(c.got) > c.want {
-		return findingf(Wrong, "%d tokens, want %d", len(c.got), c.want)
+		return assessmentf(Wrong, "%d tokens, want %d", len(c.got), c.want)
 	}
 	return nil
 }
 
-// complete judges an answer that was called whole.
-func (c *tokenCheck) complete() *finding {
+// assessComplete judges an answer that was called whole.
+func (c *tokenCheck) assessComplete() *assessment {
 	if len(c.got) < c.want {
-		return findingf(Incomplete, "%d tokens, want %d", len(c.got), c.want)
+		return assessmentf(Incomplete, "%d tokens, want %d", len(c.got), c.want)
 	}
-	return findingf(Whole, "")
+	return assessmentf(Whole, "")
 }
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -98,15 +98,15 @@
 		}
 		arrivals = append(arrivals, Arrival{
 			At:      at,
-			Kind:    Kinds[pick(random, kinds)],
-			Account: w.Accounts[pick(random, accounts)],
+			Kind:    Kinds[pickWeighted(random, kinds)],
+			Account: w.Accounts[pickWeighted(random, accounts)],
 			Number:  len(arrivals),
 		})
 	}
 }
 
-// pick returns an index with a probability proportional to its weight.
-func pick(random *rand.Rand, weights []float64) int {
+// pickWeighted returns an index with a probability proportional to its weight.
+func pickWeighted(random *rand.Rand, weights []float64) int {
 	total := 0.0
 	for _, weight := range weights {
 		total += weight
@@ -175,18 +175,18 @@
 	return Arrival{At: at, Kind: parsed.Kind, Account: account}, nil
 }
 
-// prompt returns a prompt of the shape's length that no other arrival of the
+// promptFor returns a prompt of the shape's length that no other arrival of the
 // run has: a part that the account's requests share, then one of its own.
-func (w *Workload) prompt(run string, a Arrival) string {
+func (w *Workload) promptFor(run string, a Arrival) string {
 	shape := w.Shapes[a.Kind]
-	shared := fill(fmt.Sprintf("%s %s. ", a.Account.Name, a.Kind), shape.SharedTokens)
-	own := fill(fmt.Sprintf("%s %d. ", run, a.Number), max(shape.PromptTokens-shape.SharedTokens, 0))
+	shared := repeatToTokens(fmt.Sprintf("%s %s. ", a.Account.Name, a.Kind), shape.SharedTokens)
+	own := repeatToTokens(fmt.Sprintf("%s %d. ", run, a.Number), max(shape.PromptTokens-shape.SharedTokens, 0))
 	return shared + own
 }
 
-// fill repeats a text up to a length in tokens, but gives it whole at least
+// repeatToTokens repeats a text up to a length in tokens, but gives it whole at least
 // once.
-func fill(text string, tokens int) string {
+func repeatToTokens(text string, tokens int) string {
 	if tokens <= 0 {
 		return ""
 	}
--- a/internal/spoolctl/gateway.go
+++ b/internal/spoolctl/gateway.go
@@ -22,18 +22,18 @@
 const (
 	// gatewayTimeout bounds one question to a gateway.
 	gatewayTimeout = 5 * time.Second
-	// maxAnswer bounds a gateway's answer.
-	maxAnswer = 16 << 20
+	// maxAnswerBytes bounds a gateway's answer.
+	maxAnswerBytes = 16 << 20
 )
 
 func (c *command) status(ctx context.Context, a *statusArguments) error {
 	var status report.Status
-	if err := ask(ctx, a.Gateway, report.StatusPath, nil, &status); err != nil {
+	if err := queryGateway(ctx, a.Gateway, report.StatusPath, nil, &status); err != nil {
 		return err
 	}
 	c.print(status, statusText(status))
 	if !status.Ready {
-		return errTold
+		return errResultPrinted
 	}
 	return nil
 }
@@ -41,15 +41,15 @@
 func (c *command) explain(ctx context.Context, a *explainArguments) error {
 	var records []explain.Record
 	query := url.Values{report.RequestParameter: {a.RequestID}}
-	if err := ask(ctx, a.Gateway, report.ExplainPath, query, &records); err != nil {
+	if err := queryGateway(ctx, a.Gateway, report.ExplainPath, query, &records); err != nil {
 		return err
 	}
 	c.print(records, explanationText(records))
 	return nil
 }
 
-// ask gets one page of a gateway's operators' address.
-func ask(ctx context.Context, gateway, path string, query url.Values, answer any) error {
+// queryGateway gets one page of a gateway's operators' address.
+func queryGateway(ctx context.Context, gateway, path string, query url.Values, answer any) error {
 	base, err := baseURL(gateway)
 	if err != nil {
 		return err
@@ -65,18 +65,18 @@
 		return errcode.Wrap(errcode.Unavailable, err, "the gateway does not answer")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return errcode.Wrap(errcode.Unavailable, err, "the gateway's answer broke off")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return errcode.Errorf(errcode.NotFound, "the gateway answers %s: %s", resp.Status, said(body))
+		return errcode.Errorf(errcode.NotFound, "the gateway answers %s: %s", resp.Status, errorText(body))
 	}
 	return errcode.Wrap(errcode.Internal, json.Unmarshal(body, answer), "the gateway's answer is not understood")
 }
 
-// said takes the text out of a gateway's error.
-func said(body []byte) string {
+// errorText takes the text out of a gateway's error.
+func errorText(body []byte) string {
 	var problem report.Problem
 	if err := json.Unmarshal(body, &problem); err == nil && problem.Error != "" {
 		return problem.Error
@@ -88,10 +88,10 @@
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "instance\t%s (%s)\n", s.Instance, s.FailureDomain)
-	fmt.Fprintf(w, "ready\t%s\n", yesOr(s.Ready, s.NotReady))
+	fmt.Fprintf(w, "ready\t%s\n", yesOrReason(s.Ready, s.NotReady))
 	fmt.Fprintf(w, "revision\t%d\n", s.Revision)
-	fmt.Fprintf(w, "log\t%s\n", yesOr(s.LogReachable, "not reachable"))
-	fmt.Fprintf(w, "journal\t%s\n", yesOr(s.JournalReady, "reading its window"))
+	fmt.Fprintf(w, "log\t%s\n", yesOrReason(s.LogReachable, "not reachable"))
+	fmt.Fprintf(w, "journal\t%s\n", yesOrReason(s.JournalReady, "reading its window"))
 	if s.Problem != "" {
 		fmt.Fprintf(w, "problem\t%s\n", s.Problem)
 	}
@@ -111,7 +111,7 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-func yesOr(ok bool, reason string) string {
+func yesOrReason(ok bool, reason string) string {
 	if ok {
 		return "yes"
 	}
@@ -127,11 +127,11 @@
 		for i, attempt := range r.Attempts {
 			fmt.Fprintf(&b, "attempt %d: %s\n", i+1, attemptText(attempt))
 			for _, reason := range attempt.Reasons {
-				fmt.Fprintf(&b, "  %s\n", joined(": ", string(reason.Upstream), string(reason.Rule), reason.Detail))
+				fmt.Fprintf(&b, "  %s\n", joinNonEmpty(": ", string(reason.Upstream), string(reason.Rule), reason.Detail))
 			}
 		}
 		for _, ending := range r.Endings {
-			fmt.Fprintf(&b, "told: %s\n", joined(", ", ending.Outcome, ending.Reason, ending.Message))
+			fmt.Fprintf(&b, "told: %s\n", joinNonEmpty(", ", ending.Outcome, ending.Reason, ending.Message))
 		}
 	}
 	return strings.TrimSuffix(b.String(), "\n")
@@ -142,20 +142,20 @@
 	if upstream == "" {
 		upstream = "no upstream"
 	}
-	return joined(", ", upstream, a.Cause, duration("predicted", a.Predicted),
-		duration("answered after", a.FirstToken), a.Error)
+	return joinNonEmpty(", ", upstream, a.Cause, durationText("predicted", a.Predicted),
+		durationText("answered after", a.FirstToken), a.Error)
 }
 
-// duration leaves out what is not known.
-func duration(what string, d time.Duration) string {
+// durationText leaves out what is not known.
+func durationText(what string, d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
 	return fmt.Sprintf("%s %v", what, d.Round(time.Millisecond))
 }
 
-// joined leaves out empty parts.
-func joined(separator string, parts ...string) string {
+// joinNonEmpty leaves out empty parts.
+func joinNonEmpty(separator string, parts ...string) string {
 	parts = slices.DeleteFunc(parts, func(p string) bool { return p == "" })
 	return strings.Join(parts, separator)
 }
--- a/internal/spoolctl/history.go
+++ b/internal/spoolctl/history.go
@@ -31,12 +31,12 @@
 }
 
 // versions lists what the log still tells of a service, oldest first.
-func (s *stream) versions(service ident.Service) []version {
+func (s *configStream) versions(service ident.Service) []version {
 	current, _ := s.reader.State().Current(service)
-	list := s.fromSnapshot(service)
+	list := s.snapshotVersions(service)
 	for _, d := range s.decisions {
 		if d.Publication.Service == service {
-			list = append(list, s.version(d))
+			list = append(list, s.versionOf(d))
 		}
 	}
 	for i := range list {
@@ -45,9 +45,9 @@
 	return list
 }
 
-// fromSnapshot lists the versions that the reader took from a snapshot instead
+// snapshotVersions lists the versions that the reader took from a snapshot instead
 // of folding their records.
-func (s *stream) fromSnapshot(service ident.Service) []version {
+func (s *configStream) snapshotVersions(service ident.Service) []version {
 	folded := map[ident.Revision]bool{}
 	for _, d := range s.decisions {
 		if d.Kind == document.AcceptedRecord {
@@ -58,15 +58,15 @@
 	for _, a := range s.reader.State().Versions(service) {
 		if !folded[a.Revision] {
 			v := newVersion(a.Publication, accepted, a.Revision)
-			v.At = s.at(ident.Offset(a.Revision - 1))
+			v.At = s.appendTime(ident.Offset(a.Revision - 1))
 			list = append(list, v)
 		}
 	}
 	return list
 }
 
-// at returns when a record was appended, or nil if it expired.
-func (s *stream) at(offset ident.Offset) *time.Time {
+// appendTime returns when a record was appended, or nil if it expired.
+func (s *configStream) appendTime(offset ident.Offset) *time.Time {
 	at, read := s.appendedAt[offset]
 	if !read {
 		return nil
@@ -74,7 +74,7 @@
 	return &at
 }
 
-func (s *stream) version(d document.Decision) version {
+func (s *configStream) versionOf(d document.Decision) version {
 	var v version
 	if d.Kind == document.AcceptedRecord {
 		v = newVersion(d.Publication, accepted, d.Current)
@@ -82,7 +82,7 @@
 		v = newVersion(d.Publication, lost, 0)
 		v.LostTo = d.Current
 	}
-	v.At = s.at(d.Offset)
+	v.At = s.appendTime(d.Offset)
 	return v
 }
 
@@ -94,11 +94,11 @@
 }
 
 func (c *command) history(ctx context.Context, a *historyArguments) error {
-	s, err := a.stream()
+	s, err := a.openStream()
 	if err != nil {
 		return err
 	}
-	if err := s.toHead(ctx); err != nil {
+	if err := s.readToHead(ctx); err != nil {
 		return err
 	}
 	list := s.versions(ident.Service(a.Service))
@@ -122,7 +122,7 @@
 			at = v.At.UTC().Format(time.RFC3339)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", dashForNone(v.Revision), revisionOrNone(v.Base),
-			at, v.Schema, v.Bytes, v.PublishID, v.remark())
+			at, v.Schema, v.Bytes, v.PublishID, v.verdictText())
 	}
 	_ = w.Flush()
 	return strings.TrimSuffix(b.String(), "\n")
@@ -135,7 +135,7 @@
 	return fmt.Sprint(r)
 }
 
-func (v version) remark() string {
+func (v version) verdictText() string {
 	switch {
 	case v.Verdict == lost:
 		return "lost to " + revisionOrNone(v.LostTo)
@@ -146,11 +146,11 @@
 }
 
 func (c *command) show(ctx context.Context, a *showArguments) error {
-	s, err := a.stream()
+	s, err := a.openStream()
 	if err != nil {
 		return err
 	}
-	if err := s.toHead(ctx); err != nil {
+	if err := s.readToHead(ctx); err != nil {
 		return err
 	}
 	service, wanted := ident.Service(a.Service), ident.Revision(a.Revision)
@@ -168,5 +168,5 @@
 	if wanted == 0 {
 		return errcode.Errorf(errcode.NotFound, "no document of service %q was published", a.Service)
 	}
-	return notKept(service, wanted)
+	return revisionNotFound(service, wanted)
 }
--- a/internal/spoolctl/publish.go
+++ b/internal/spoolctl/publish.go
@@ -48,7 +48,7 @@
 	if err := found.Err(); err != nil {
 		return err
 	}
-	s, err := a.stream()
+	s, err := a.openStream()
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 	}
 	c.print(result, result.String())
 	if result.Verdict != accepted {
-		return errTold
+		return errResultPrinted
 	}
 	return nil
 }
@@ -97,13 +97,13 @@
 // publish appends a publication at most once and reads back until its own
 // record is decided. An answer of the log that was lost is resolved by the
 // publish ID, never by a second append: the first may have taken effect.
-func publish(ctx context.Context, s *stream, p document.Publication, base *uint64) (publication, error) {
-	if err := s.toHead(ctx); err != nil {
+func publish(ctx context.Context, s *configStream, p document.Publication, base *uint64) (publication, error) {
+	if err := s.readToHead(ctx); err != nil {
 		return publication{}, err
 	}
 	if p.PublishID == "" {
 		p.PublishID = uuid.NewString()
-	} else if result, ok := s.settled(p); ok {
+	} else if result, ok := s.findDecision(p); ok {
 		return result, nil
 	}
 	current, _ := s.reader.State().Current(p.Service)
@@ -116,17 +116,17 @@
 		result.Verdict, result.Revision = lost, current.Revision
 		return result, nil
 	}
-	return s.append(ctx, p, result)
+	return s.appendPublication(ctx, p, result)
 }
 
-func (s *stream) append(ctx context.Context, p document.Publication, result publication) (publication, error) {
+func (s *configStream) appendPublication(ctx context.Context, p document.Publication, result publication) (publication, error) {
 	record, err := document.EncodePublication(p)
 	if err != nil {
 		return result, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.patience)
+	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
-	s.skipped = false
+	s.recordsExpired = false
 	appendCtx, cancelAppend := context.WithTimeout(ctx, readTimeout)
 	defer cancelAppend()
 	_, err = s.log.Append(appendCtx, document.StreamName, [][]byte{record})
@@ -134,17 +134,17 @@
 		result.Verdict, result.Detail, result.Revision = notPublished, err.Error(), p.Base
 		return result, nil
 	}
-	return s.await(ctx, p, result, err)
+	return s.awaitDecision(ctx, p, result, err)
 }
 
-// await reads until the publication is decided. lostAnswer is the append's
+// awaitDecision reads until the publication is decided. lostAnswer is the append's
 // error, or nil.
-func (s *stream) await(ctx context.Context, p document.Publication, result publication, lostAnswer error) (publication, error) {
+func (s *configStream) awaitDecision(ctx context.Context, p document.Publication, result publication, lostAnswer error) (publication, error) {
 	for {
-		if decided, ok := s.settled(p); ok {
+		if decided, ok := s.findDecision(p); ok {
 			return decided, nil
 		}
-		if current, _ := s.reader.State().Current(p.Service); current.Revision != p.Base && !s.skipped {
+		if current, _ := s.reader.State().Current(p.Service); current.Revision != p.Base && !s.recordsExpired {
 			// All records to this revision were read and the own one is not
 			// among them; after it the fold can only refuse it.
 			result.Verdict, result.Revision = lost, current.Revision
@@ -158,14 +158,14 @@
 			}
 			return result, nil
 		}
-		if err := s.read(ctx, readWait); err != nil {
+		if err := s.readBatch(ctx, readWait); err != nil {
 			pause(ctx, retryPause)
 		}
 	}
 }
 
-// settled finds what became of the publication with p's ID.
-func (s *stream) settled(p document.Publication) (publication, bool) {
+// findDecision finds what became of the publication with p's ID.
+func (s *configStream) findDecision(p document.Publication) (publication, bool) {
 	result := publication{Service: p.Service, PublishID: p.PublishID, Base: p.Base}
 	for _, d := range s.decisions {
 		if d.Publication.PublishID != p.PublishID || d.Publication.Service != p.Service {
@@ -214,8 +214,8 @@
 	return nil
 }
 
-// notKept is the error for a revision that the log no longer has.
-func notKept(service ident.Service, revision ident.Revision) error {
+// revisionNotFound is the error for a revision that the log no longer has.
+func revisionNotFound(service ident.Service, revision ident.Revision) error {
 	return errcode.Errorf(errcode.NotFound,
 		"%s has no revision %d, or the log no longer keeps it", service, revision)
 }
--- a/internal/spoolctl/publish_test.go
+++ b/internal/spoolctl/publish_test.go
@@ -19,12 +19,12 @@
 
 const (
 	service  ident.Service = "auktion-app"
-	patience               = 30 * time.Second
+	testTimeout               = 30 * time.Second
 )
 
-// operator publishes once and reports what it was told.
-func operator(t *rapid.T, log *logstore.Log, id string, base *uint64) publication {
-	s := &stream{log: log, patience: patience}
+// publishOnce publishes once and reports what it was told.
+func publishOnce(t *rapid.T, log *logstore.Log, id string, base *uint64) publication {
+	s := &configStream{log: log, timeout: testTimeout}
 	p := document.Publication{Service: service, PublishID: "", Schema: 1, Document: []byte(id)}
 	result, err := publish(context.Background(), s, p, base)
 	if err != nil {
@@ -33,10 +33,10 @@
 	return result
 }
 
-// fates reads the log from the start and says what became of each publication.
-func fates(t *rapid.T, log *logstore.Log) map[string]publication {
-	s := &stream{log: log, patience: patience}
-	if err := s.toHead(context.Background()); err != nil {
+// readVerdicts reads the log from the start and says what became of each publication.
+func readVerdicts(t *rapid.T, log *logstore.Log) map[string]publication {
+	s := &configStream{log: log, timeout: testTimeout}
+	if err := s.readToHead(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	out := map[string]publication{}
@@ -78,7 +78,7 @@
 		}
 		results := make(chan publication, operators)
 		for i := range operators {
-			go func() { results <- operator(t, log, fmt.Sprintf("%d-%d", round, i), nil) }()
+			go func() { results <- publishOnce(t, log, fmt.Sprintf("%d-%d", round, i), nil) }()
 		}
 		if rapid.Bool().Draw(t, "outage") {
 			log.SetOutage(true)
@@ -90,10 +90,10 @@
 		}
 	}
 	time.Sleep(time.Minute)
-	compare(t, told, fates(t, log))
+	checkVerdicts(t, told, readVerdicts(t, log))
 }
 
-func compare(t *rapid.T, told []publication, fates map[string]publication) {
+func checkVerdicts(t *rapid.T, told []publication, fates map[string]publication) {
 	for _, p := range told {
 		fate, inLog := fates[p.PublishID]
 		switch p.Verdict {
@@ -122,7 +122,7 @@
 		log := logstore.New(logstore.Options{})
 		log.SetLateness(time.Minute)
 		log.LoseNext(fault.Late)
-		first := &stream{log: log, patience: patience}
+		first := &configStream{log: log, timeout: testTimeout}
 		p := document.Publication{Service: service, Schema: 1, Document: []byte("x")}
 		result, err := publish(context.Background(), first, p, nil)
 		if err != nil || result.Verdict != undecided {
@@ -131,7 +131,7 @@
 		time.Sleep(time.Minute)
 		p.PublishID = result.PublishID
 		base := uint64(result.Base)
-		again, err := publish(context.Background(), &stream{log: log, patience: patience}, p, &base)
+		again, err := publish(context.Background(), &configStream{log: log, timeout: testTimeout}, p, &base)
 		if err != nil || again.Verdict != accepted || again.Revision != 1 {
 			t.Errorf("again: %+v, %v", again, err)
 		}
@@ -151,7 +151,7 @@
 		ctx := context.Background()
 		log := logstore.New(logstore.Options{})
 		p := document.Publication{Service: service, Schema: 1, Document: []byte("x")}
-		open := func() *stream { return &stream{log: log, patience: patience} }
+		open := func() *configStream { return &configStream{log: log, timeout: testTimeout} }
 		if _, err := publish(ctx, open(), p, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -185,12 +185,12 @@
 		log := logstore.New(logstore.Options{})
 		for _, text := range []string{"x", "y"} {
 			p := document.Publication{Service: service, Schema: 1, Document: []byte(text)}
-			if _, err := publish(ctx, &stream{log: log, patience: patience}, p, nil); err != nil {
+			if _, err := publish(ctx, &configStream{log: log, timeout: testTimeout}, p, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
-		writer := &stream{log: log, patience: patience}
-		if err := writer.toHead(ctx); err != nil {
+		writer := &configStream{log: log, timeout: testTimeout}
+		if err := writer.readToHead(ctx); err != nil {
 			t.Fatal(err)
 		}
 		snapshot, err := document.EncodeSnapshot(writer.reader.State())
@@ -201,8 +201,8 @@
 			t.Fatal(err)
 		}
 		log.Expire(document.StreamName, 1)
-		s := &stream{log: log, patience: patience}
-		if err := s.toHead(ctx); err != nil {
+		s := &configStream{log: log, timeout: testTimeout}
+		if err := s.readToHead(ctx); err != nil {
 			t.Fatal(err)
 		}
 		list := s.versions(service)
--- a/internal/spoolctl/spoolctl.go
+++ b/internal/spoolctl/spoolctl.go
@@ -124,7 +124,7 @@
 		return ExitUsage
 	}
 	c := &command{out: stdout, json: parsed.JSON}
-	return c.exit(c.run(ctx, &parsed), stderr)
+	return c.exitStatus(c.run(ctx, &parsed), stderr)
 }
 
 // command carries out one command.
@@ -151,8 +151,8 @@
 	return c.explain(ctx, a.Explain)
 }
 
-// exit reports an error and chooses the exit status.
-func (c *command) exit(err error, stderr io.Writer) int {
+// exitStatus reports an error and chooses the exit status.
+func (c *command) exitStatus(err error, stderr io.Writer) int {
 	var findings *finding.Error
 	switch {
 	case err == nil:
@@ -160,7 +160,7 @@
 	case errors.As(err, &findings):
 		c.printFindings(findings.Findings, stderr)
 		return ExitUsage
-	case errors.Is(err, errTold):
+	case errors.Is(err, errResultPrinted):
 		return ExitRefused
 	}
 	fmt.Fprintln(stderr, "spoolctl:", err)
@@ -170,8 +170,8 @@
 	return ExitRefused
 }
 
-// errTold ends a command whose result was printed and is not good.
-var errTold = errors.New("result was printed")
+// errResultPrinted ends a command whose result was printed and is not good.
+var errResultPrinted = errors.New("result was printed")
 
 func (c *command) printFindings(list finding.List, stderr io.Writer) {
 	if c.json {
@@ -185,14 +185,14 @@
 	}
 }
 
-// stream opens the configuration stream.
-func (a *platformArguments) stream() (*stream, error) {
+// openStream opens the configuration stream.
+func (a *platformArguments) openStream() (*configStream, error) {
 	base, err := baseURL(a.Platform)
 	if err != nil {
 		return nil, err
 	}
 	client := transport.NewClient(transport.Options{FreshConnections: true})
-	return &stream{log: platform.Log(connectplatform.NewClient(client, base)), patience: a.Patience}, nil
+	return &configStream{log: platform.Log(connectplatform.NewClient(client, base)), timeout: a.Patience}, nil
 }
 
 // baseURL accepts host:port besides URLs.
--- a/internal/spoolctl/startover.go
+++ b/internal/spoolctl/startover.go
@@ -17,7 +17,7 @@
 // A process that still knows documents takes no snapshot that lacks them, so a
 // mistake reverts nothing; its services only have to be published again.
 func (c *command) startOver(ctx context.Context, a *startOverArguments) error {
-	s, err := a.stream()
+	s, err := a.openStream()
 	if err != nil {
 		return err
 	}
@@ -31,8 +31,8 @@
 	return nil
 }
 
-func (s *stream) startOver(ctx context.Context, confirmed bool) (ident.Offset, error) {
-	err := s.toHead(ctx)
+func (s *configStream) startOver(ctx context.Context, confirmed bool) (ident.Offset, error) {
+	err := s.readToHead(ctx)
 	if err == nil {
 		return 0, errcode.New(errcode.FailedPrecondition, "the documents are not lost; nothing was done")
 	}
@@ -47,10 +47,10 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.patience)
+	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	// An answer that was lost is no matter: what counts is whether the stream
 	// can be read now.
 	_, _ = s.log.Append(ctx, document.StreamName, [][]byte{record})
-	return covers, s.toHead(ctx)
+	return covers, s.readToHead(ctx)
 }
--- a/internal/spoolctl/stream.go
+++ b/internal/spoolctl/stream.go
@@ -22,30 +22,30 @@
 	retryPause = 250 * time.Millisecond
 )
 
-// stream is the configuration stream as one command reads it.
-type stream struct {
+// configStream is the configuration stream as one command reads it.
+type configStream struct {
 	log      platform.Log
-	patience time.Duration
+	timeout time.Duration
 
 	reader    document.Reader
 	decisions []document.Decision
 	// appendedAt is the log's time of each record read.
 	appendedAt map[ident.Offset]time.Time
 	// skipped: records expired before they were read.
-	skipped bool
+	recordsExpired bool
 }
 
-// toHead reads all records that the log has now.
-func (s *stream) toHead(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.patience)
+// readToHead reads all records that the log has now.
+func (s *configStream) readToHead(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
 	for {
-		err := s.read(ctx, 0)
+		err := s.readBatch(ctx, 0)
 		if err == nil && s.reader.AtHead() {
 			return nil
 		}
 		if ctx.Err() != nil {
-			return s.gaveUp(err)
+			return s.headError(err)
 		}
 		if err != nil || s.reader.Searching() {
 			pause(ctx, retryPause)
@@ -53,8 +53,8 @@
 	}
 }
 
-// gaveUp says why the head was not reached.
-func (s *stream) gaveUp(err error) error {
+// headError says why the head was not reached.
+func (s *configStream) headError(err error) error {
 	if s.reader.Searching() {
 		return errcode.New(errcode.Unavailable,
 			s.reader.Problem()+"; a controller that read them writes one within two minutes; "+
@@ -63,14 +63,14 @@
 	return errcode.Wrap(errcode.Unavailable, err, "the configuration stream cannot be read")
 }
 
-// read folds one batch.
-func (s *stream) read(ctx context.Context, wait time.Duration) error {
+// readBatch folds one batch.
+func (s *configStream) readBatch(ctx context.Context, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	batch, err := s.log.Read(ctx, document.StreamName, s.reader.From(), readLimit, wait)
 	if errors.Is(err, platform.ErrExpired) {
 		s.reader.Expired(batch.First)
-		s.skipped = true
+		s.recordsExpired = true
 		return nil
 	}
 	if err != nil {
--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -37,15 +37,15 @@
 	// fences are the highest fencing numbers by service. Numbers of different
 	// services are not compared: their holders change apart.
 	fences  map[ident.Service]ident.Fence
-	started map[string]ident.Instance
-	// services of the instances that were started here.
-	services map[ident.Instance]ident.Service
-	full     map[market]bool
+	instanceByStartID map[string]ident.Instance
+	// serviceByInstance of the instances that were started here.
+	serviceByInstance map[ident.Instance]ident.Service
+	noCapacity     map[capacityKey]bool
 	notices  []notice
 }
 
-// market is where and what the cloud has, or has not, in stock.
-type market struct {
+// capacityKey is where and what the cloud has, or has not, in stock.
+type capacityKey struct {
 	domain ident.FailureDomain
 	class  ident.MachineClass
 }
@@ -63,9 +63,9 @@
 	return &Cloud{
 		options:  options,
 		fences:   make(map[ident.Service]ident.Fence),
-		started:  make(map[string]ident.Instance),
-		services: make(map[ident.Instance]ident.Service),
-		full:     make(map[market]bool),
+		instanceByStartID:  make(map[string]ident.Instance),
+		serviceByInstance: make(map[ident.Instance]ident.Service),
+		noCapacity:     make(map[capacityKey]bool),
 	}
 }
 
@@ -73,7 +73,7 @@
 func (c *Cloud) SetCapacity(domain ident.FailureDomain, class ident.MachineClass, available bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.full[market{domain, class}] = !available
+	c.noCapacity[capacityKey{domain, class}] = !available
 }
 
 // Announce issues a notice that one life of an instance ends after endsIn.
@@ -140,7 +140,7 @@
 }
 
 func (c *Cloud) start(req platform.StartRequest) (ident.Instance, error) {
-	id, fresh, err := c.reserve(req)
+	id, fresh, err := c.createOnce(req)
 	if err != nil {
 		return "", err
 	}
@@ -150,21 +150,21 @@
 	return id, nil
 }
 
-func (c *Cloud) reserve(req platform.StartRequest) (id ident.Instance, fresh bool, err error) {
+func (c *Cloud) createOnce(req platform.StartRequest) (id ident.Instance, fresh bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.checkFence(req.Service, req.Fence); err != nil {
 		return "", false, err
 	}
-	if id, ok := c.started[req.StartID]; ok {
+	if id, ok := c.instanceByStartID[req.StartID]; ok {
 		return id, false, nil
 	}
-	if c.full[market{req.FailureDomain, req.Class}] {
+	if c.noCapacity[capacityKey{req.FailureDomain, req.Class}] {
 		return "", false, platform.ErrNoCapacity
 	}
-	id = ident.Instance(fmt.Sprintf("%s-%s-%d", req.Service, req.FailureDomain, len(c.started)+1))
-	c.started[req.StartID] = id
-	c.services[id] = req.Service
+	id = ident.Instance(fmt.Sprintf("%s-%s-%d", req.Service, req.FailureDomain, len(c.instanceByStartID)+1))
+	c.instanceByStartID[req.StartID] = id
+	c.serviceByInstance[id] = req.Service
 	return id, true, nil
 }
 
@@ -183,7 +183,7 @@
 
 // serviceOf is called with the lock held.
 func (c *Cloud) serviceOf(id ident.Instance) ident.Service {
-	if service, known := c.services[id]; known || c.options.ServiceOf == nil {
+	if service, known := c.serviceByInstance[id]; known || c.options.ServiceOf == nil {
 		return service
 	}
 	return c.options.ServiceOf(id)
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -70,14 +70,14 @@
 	return append(args, more...)
 }
 
-// adminRun runs an administrator's command and returns its exit status.
-func adminRun(p *program, line string) (int, string) {
+// runAdmin runs an administrator's command and returns its exit status.
+func runAdmin(p *program, line string) (int, string) {
 	var out bytes.Buffer
 	args := append([]string{"admin", "--platform", p.Address}, strings.Fields(line)...)
 	return Run(context.Background(), args, &out, io.Discard), out.String()
 }
 
-func listed(t *testing.T, client *connectplatform.Client) map[ident.Instance]platform.InstanceState {
+func instanceStates(t *testing.T, client *connectplatform.Client) map[ident.Instance]platform.InstanceState {
 	t.Helper()
 	list, err := client.List(t.Context())
 	if err != nil {
@@ -122,7 +122,7 @@
 
 	engineProgram.terminate()
 	plainProgram.terminate()
-	for !leaving(t, engine) {
+	for !isLeaving(t, engine) {
 	}
 	_, err = engine.Generate(t.Context(), upstream.GenerateRequest{Request: "r-2", Prompt: "p", MaxTokens: 1})
 	if !errors.Is(err, upstream.ErrLeaving) {
@@ -147,12 +147,12 @@
 		}
 	}
 	want := map[ident.Instance]platform.InstanceState{"engine-1": platform.Ended, "plain-1": platform.Ended}
-	if got := listed(t, client); !cmp.Equal(got, want) {
+	if got := instanceStates(t, client); !cmp.Equal(got, want) {
 		t.Errorf("states %v, want %v", got, want)
 	}
 }
 
-func leaving(t *testing.T, engine upstream.Engine) bool {
+func isLeaving(t *testing.T, engine upstream.Engine) bool {
 	t.Helper()
 	report, err := engine.Report(t.Context())
 	if err != nil {
@@ -164,10 +164,10 @@
 func TestReclaimEndsAnUpstream(t *testing.T) {
 	p, client := launchPlatform(t)
 	plainProgram := launch(t, upstreamArgs("plain", p)...)
-	if status, out := adminRun(p, "notice --id plain-1 --seconds 0.3"); status != ExitGood {
+	if status, out := runAdmin(p, "notice --id plain-1 --seconds 0.3"); status != ExitGood {
 		t.Fatal(out)
 	}
-	if got := listed(t, client)["plain-1"]; got != platform.Leaving {
+	if got := instanceStates(t, client)["plain-1"]; got != platform.Leaving {
 		t.Errorf("state %v after the notice, want leaving", got)
 	}
 	plainProgram.expect(t, "reclaimed")
@@ -195,17 +195,17 @@
 		{"register --id gw-1 --failure-domain hall-a --address 127.0.0.1:1 --peer-address 127.0.0.1:2", ExitGood, nil},
 	}
 	for _, step := range steps {
-		if status, _ := adminRun(p, step.command); status != step.status {
+		if status, _ := runAdmin(p, step.command); status != step.status {
 			t.Errorf("%s: exit status %d, want %d", step.command, status, step.status)
 		}
 		if _, err := client.Append(t.Context(), "s", [][]byte{{1}}); !errors.Is(err, step.want) {
 			t.Errorf("%s: append got %v, want %v", step.command, err, step.want)
 		}
 	}
-	if got := listed(t, client); got["gw-1"] != platform.Live {
+	if got := instanceStates(t, client); got["gw-1"] != platform.Live {
 		t.Errorf("states %v, want gw-1 live", got)
 	}
-	if _, out := adminRun(p, "stats"); !strings.Contains(out, `"appends":"7"`) {
+	if _, out := runAdmin(p, "stats"); !strings.Contains(out, `"appends":"7"`) {
 		t.Errorf("stats %s, want 7 appends", out)
 	}
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -7,23 +7,23 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// gapRun is how many consecutive cache events are lost together.
-const gapRun = 32
+// eventsPerGap is how many consecutive cache events are lost together.
+const eventsPerGap = 32
 
 // block is a prefix block in memory.
 type block struct {
 	hash uint64
 	// users are the running streams that need the block.
 	users int
-	// idle is the block's place among the unused ones, or nil.
-	idle *list.Element
+	// idleElement is the block's place among the unused ones, or nil.
+	idleElement *list.Element
 }
 
 // cache is the engine's KV memory: blocks with a prefix hash, which streams
 // share, and anonymous blocks, which belong to one running stream.
 type cache struct {
 	capacity  int
-	anonymous int
+	privateBlocks int
 	blocks    map[uint64]*block
 	// idle holds the unused blocks, least recently used at the back.
 	idle   *list.List
@@ -35,12 +35,12 @@
 		capacity: p.MemoryBlocks,
 		blocks:   make(map[uint64]*block),
 		idle:     list.New(),
-		events:   eventLog{lag: p.EventLag, gapEvery: p.EventGapEvery, keep: p.EventLog},
+		events:   eventLog{lag: p.EventLag, gapEvery: p.EventGapEvery, maxKept: p.MaxKeptEvents},
 	}
 }
 
-// hits returns how many leading blocks are in memory.
-func (c *cache) hits(blocks []uint64) int {
+// cachedPrefix returns how many leading blocks are in memory.
+func (c *cache) cachedPrefix(blocks []uint64) int {
 	for i, h := range blocks {
 		if c.blocks[h] == nil {
 			return i
@@ -52,14 +52,14 @@
 // reserve makes room for n anonymous blocks by evicting unused ones. It
 // changes nothing and returns false if that is not enough.
 func (c *cache) reserve(n int, now time.Time) bool {
-	excess := len(c.blocks) + c.anonymous + n - c.capacity
+	excess := len(c.blocks) + c.privateBlocks + n - c.capacity
 	if excess > c.idle.Len() {
 		return false
 	}
 	for ; excess > 0; excess-- {
 		c.evict(now)
 	}
-	c.anonymous += n
+	c.privateBlocks += n
 	return true
 }
 
@@ -70,24 +70,24 @@
 	c.events.add(now, false, b.hash)
 }
 
-// use marks a block in memory as needed by one more stream.
-func (c *cache) use(hash uint64) {
+// acquire marks a block in memory as needed by one more stream.
+func (c *cache) acquire(hash uint64) {
 	b := c.blocks[hash]
-	if b.idle != nil {
-		c.idle.Remove(b.idle)
-		b.idle = nil
+	if b.idleElement != nil {
+		c.idle.Remove(b.idleElement)
+		b.idleElement = nil
 	}
 	b.users++
 }
 
 // store turns one anonymous block into a shared one, used by one stream.
 func (c *cache) store(hash uint64, now time.Time) {
-	c.anonymous--
+	c.privateBlocks--
 	if c.blocks[hash] == nil {
 		c.blocks[hash] = &block{hash: hash}
 		c.events.add(now, true, hash)
 	}
-	c.use(hash)
+	c.acquire(hash)
 }
 
 // release ends the use of blocks by one stream. The last block becomes the
@@ -97,7 +97,7 @@
 		b := c.blocks[blocks[i]]
 		b.users--
 		if b.users == 0 {
-			b.idle = c.idle.PushFront(b)
+			b.idleElement = c.idle.PushFront(b)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 type eventLog struct {
 	lag      time.Duration
 	gapEvery uint64
-	keep     int
-	last     uint64
+	maxKept     int
+	lastSequence     uint64
 	events   []event
 }
 
@@ -117,30 +117,30 @@
 }
 
 func (l *eventLog) add(now time.Time, stored bool, hash uint64) {
-	l.last++
-	if l.lost(l.last) {
+	l.lastSequence++
+	if l.isLost(l.lastSequence) {
 		return
 	}
-	if len(l.events) >= 2*l.keep {
-		l.events = append(l.events[:0], l.events[len(l.events)-l.keep:]...)
+	if len(l.events) >= 2*l.maxKept {
+		l.events = append(l.events[:0], l.events[len(l.events)-l.maxKept:]...)
 	}
-	e := upstream.CacheEvent{Sequence: l.last, Stored: stored, Block: hash}
+	e := upstream.CacheEvent{Sequence: l.lastSequence, Stored: stored, Block: hash}
 	l.events = append(l.events, event{CacheEvent: e, at: now})
 }
 
-// lost spreads the gaps evenly but not regularly over the sequence numbers.
-func (l *eventLog) lost(sequence uint64) bool {
+// isLost spreads the gaps evenly but not regularly over the sequence numbers.
+func (l *eventLog) isLost(sequence uint64) bool {
 	if l.gapEvery == 0 {
 		return false
 	}
 	const mix = 0x9e3779b97f4a7c15
-	run := (sequence / gapRun) * mix
+	run := (sequence / eventsPerGap) * mix
 	return (run>>32)%l.gapEvery == 0
 }
 
-// after returns the readable events above a sequence number.
-func (l *eventLog) after(sequence uint64, now time.Time) []upstream.CacheEvent {
-	first := l.index(sequence)
+// readableAfter returns the readable events above a sequence number.
+func (l *eventLog) readableAfter(sequence uint64, now time.Time) []upstream.CacheEvent {
+	first := l.firstAbove(sequence)
 	readable := now.Add(-l.lag)
 	end := len(l.events)
 	for end > first && l.events[end-1].at.After(readable) {
@@ -153,8 +153,8 @@
 	return found
 }
 
-// index returns the place of the first event above a sequence number.
-func (l *eventLog) index(sequence uint64) int {
+// firstAbove returns the place of the first event above a sequence number.
+func (l *eventLog) firstAbove(sequence uint64) int {
 	low, high := 0, len(l.events)
 	for low < high {
 		mid := (low + high) / 2
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -43,8 +43,8 @@
 type Engine struct {
 	config Config
 	wake   chan struct{}
-	done   chan struct{}
-	ended  chan struct{}
+	closing   chan struct{}
+	stopped  chan struct{}
 	once   sync.Once
 
 	mu      sync.Mutex
@@ -52,8 +52,8 @@
 	streams map[ident.Request]*tokenStream
 	fence   ident.Fence
 	loaded  loadedModel
-	next    loadedModel
-	gone    bool
+	target    loadedModel
+	closed    bool
 }
 
 var _ upstream.Engine = (*Engine)(nil)
@@ -61,7 +61,7 @@
 // loadedModel is a model in memory, usable from a time on.
 type loadedModel struct {
 	model, version string
-	from           time.Time
+	usableFrom           time.Time
 }
 
 // New starts an engine. Close it after use.
@@ -73,12 +73,12 @@
 	e := &Engine{
 		config:  c,
 		wake:    make(chan struct{}, 1),
-		done:    make(chan struct{}),
-		ended:   make(chan struct{}),
+		closing:    make(chan struct{}),
+		stopped:   make(chan struct{}),
 		model:   NewModel(c.Parameters),
 		streams: make(map[ident.Request]*tokenStream),
 		loaded:  first,
-		next:    first,
+		target:    first,
 	}
 	go e.run()
 	return e
@@ -89,15 +89,15 @@
 func (e *Engine) Close() {
 	e.once.Do(func() {
 		e.mu.Lock()
-		e.gone = true
+		e.closed = true
 		for _, s := range e.streams {
 			s.fail(ErrEnded)
 		}
 		clear(e.streams)
 		e.mu.Unlock()
-		close(e.done)
+		close(e.closing)
 	})
-	<-e.ended
+	<-e.stopped
 }
 
 // Leave makes the engine refuse new work, as after a reclaim notice. Its
@@ -117,14 +117,14 @@
 
 // run does step after step until Close.
 func (e *Engine) run() {
-	defer close(e.ended)
+	defer close(e.stopped)
 	for {
 		tokens, d := e.step()
 		if d == 0 {
 			select {
 			case <-e.wake:
 				continue
-			case <-e.done:
+			case <-e.closing:
 				return
 			}
 		}
@@ -132,7 +132,7 @@
 		select {
 		case <-timer.C:
 			e.deliver(tokens)
-		case <-e.done:
+		case <-e.closing:
 			timer.Stop()
 			return
 		}
@@ -193,10 +193,10 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return ErrEnded
 	}
-	e.replace(req)
+	e.cancelEarlierAttempt(req)
 	if err := e.model.Submit(time.Now(), w); err != nil {
 		return err
 	}
@@ -204,11 +204,11 @@
 	return nil
 }
 
-// replace ends an earlier attempt of the same request. When its connection
+// cancelEarlierAttempt ends an earlier attempt of the same request. When its connection
 // fell silent, no cancel has arrived and none will: without this, the engine
 // would refuse the attempt that follows on a new connection, and the request
 // would lose the prefix that is cached here.
-func (e *Engine) replace(req upstream.GenerateRequest) {
+func (e *Engine) cancelEarlierAttempt(req upstream.GenerateRequest) {
 	old := e.streams[req.Request]
 	if old == nil || old.req.Attempt >= req.Attempt || e.model.leaving {
 		return
@@ -233,23 +233,23 @@
 func (e *Engine) Report(context.Context) (upstream.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return upstream.Report{}, ErrEnded
 	}
 	r := e.model.Report(time.Now())
 	// Leaving is told without lag: an engine knows its own notice.
 	r.Leaving = e.model.leaving
 	r.Instance, r.Incarnation = e.config.Instance, e.config.Incarnation
-	e.settle()
+	e.activateLoaded()
 	r.Model, r.Version = e.loaded.model, e.loaded.version
 	r.AppliedFence = e.fence
 	return r, nil
 }
 
-// settle takes a model into use that has finished loading.
-func (e *Engine) settle() {
-	if !e.next.from.After(time.Now()) {
-		e.loaded = e.next
+// activateLoaded takes a model into use that has finished loading.
+func (e *Engine) activateLoaded() {
+	if !e.target.usableFrom.After(time.Now()) {
+		e.loaded = e.target
 	}
 }
 
@@ -257,7 +257,7 @@
 func (e *Engine) CacheEvents(_ context.Context, after uint64) ([]upstream.CacheEvent, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return nil, ErrEnded
 	}
 	return e.model.CacheEvents(after, time.Now()), nil
@@ -268,7 +268,7 @@
 func (e *Engine) ExportCache(ctx context.Context, id ident.Request) ([]byte, error) {
 	e.mu.Lock()
 	exported, ok := e.model.Export(id)
-	gone := e.gone
+	gone := e.closed
 	e.mu.Unlock()
 	if gone {
 		return nil, ErrEnded
@@ -312,7 +312,7 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-e.done:
+	case <-e.closing:
 		return ErrEnded
 	}
 }
@@ -321,17 +321,17 @@
 func (e *Engine) Apply(_ context.Context, o upstream.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return ErrEnded
 	}
 	if e.config.ChecksFencing && o.Fence < e.fence {
 		return upstream.ErrOldFence
 	}
 	e.fence = o.Fence
-	e.settle()
-	if o.Model == e.next.model && o.Version == e.next.version {
+	e.activateLoaded()
+	if o.Model == e.target.model && o.Version == e.target.version {
 		return nil
 	}
-	e.next = loadedModel{model: o.Model, version: o.Version, from: time.Now().Add(e.config.LoadTime)}
+	e.target = loadedModel{model: o.Model, version: o.Version, usableFrom: time.Now().Add(e.config.LoadTime)}
 	return nil
 }
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -18,16 +18,16 @@
 	cache   cache
 	waiting []*stream
 	running []*stream
-	// pending is scratch space of prefill.
-	pending []*stream
+	// prefilling is scratch space of prefill.
+	prefilling []*stream
 	byID    map[ident.Request]*stream
 	// imported maps a request to the context tokens that came with a KV
 	// import before the request itself.
 	imported map[ident.Request]int
 	leaving  bool
-	lastStep time.Duration
-	// transferFree is when the bandwidth of KV transfer is free again.
-	transferFree time.Time
+	lastStepTime time.Duration
+	// transferFreeAt is when the bandwidth of KV transfer is free again.
+	transferFreeAt time.Time
 	// waitingTokens is the sum of estimate over the waiting streams.
 	waitingTokens int
 	reports       reportLog
@@ -36,17 +36,17 @@
 // stream is one attempt in the engine.
 type stream struct {
 	Work
-	// shared is how many of Blocks this stream uses in the cache.
-	shared int
-	// anonymous is how many blocks it holds besides.
-	anonymous int
+	// sharedBlocks is how many of Blocks this stream uses in the cache.
+	sharedBlocks int
+	// privateBlocks is how many blocks it holds besides.
+	privateBlocks int
 	// computed counts the context tokens in memory.
 	computed int
 	// prefilled counts the context tokens that were computed here.
 	prefilled int
 	generated int
-	// estimate is the context tokens to compute, as seen on arrival.
-	estimate int
+	// estimatedPrefill is the context tokens to compute, as seen on arrival.
+	estimatedPrefill int
 }
 
 // NewModel returns an idle engine.
@@ -56,7 +56,7 @@
 		cache:    newCache(p),
 		byID:     make(map[ident.Request]*stream),
 		imported: make(map[ident.Request]int),
-		lastStep: p.StepBase,
+		lastStepTime: p.StepBase,
 		reports:  reportLog{lag: p.ReportLag},
 	}
 }
@@ -72,16 +72,16 @@
 	}
 	s := &stream{Work: w}
 	s.computed = m.imported[w.ID]
-	s.estimate = w.Context - max(s.computed, m.cache.hits(w.Blocks)*prompt.BlockTokens)
-	m.waitingTokens += s.estimate
+	s.estimatedPrefill = w.Context - max(s.computed, m.cache.cachedPrefix(w.Blocks)*prompt.BlockTokens)
+	m.waitingTokens += s.estimatedPrefill
 	m.byID[w.ID] = s
-	m.waiting = slices.Insert(m.waiting, m.place(w.Priority), s)
-	m.record(now)
+	m.waiting = slices.Insert(m.waiting, m.queueIndex(w.Priority), s)
+	m.recordLoad(now)
 	return nil
 }
 
-// place returns where work of a priority joins the queue.
-func (m *Model) place(priority int32) int {
+// queueIndex returns where work of a priority joins the queue.
+func (m *Model) queueIndex(priority int32) int {
 	i := len(m.waiting)
 	for i > 0 && m.waiting[i-1].Priority < priority {
 		i--
@@ -97,13 +97,13 @@
 	}
 	m.waiting = slices.DeleteFunc(m.waiting, func(o *stream) bool {
 		if o == s {
-			m.waitingTokens -= s.estimate
+			m.waitingTokens -= s.estimatedPrefill
 		}
 		return o == s
 	})
 	m.running = slices.DeleteFunc(m.running, func(o *stream) bool { return o == s })
-	m.finish(s)
-	m.record(now)
+	m.free(s)
+	m.recordLoad(now)
 }
 
 // Step runs one step that begins now. It returns the tokens that come out at
@@ -112,7 +112,7 @@
 func (m *Model) Step(now time.Time, out []Token) ([]Token, time.Duration) {
 	m.admit(now)
 	if len(m.running) == 0 {
-		m.record(now)
+		m.recordLoad(now)
 		return out, 0
 	}
 	budget := m.params.StepTokens
@@ -124,10 +124,10 @@
 	}
 	out = m.decode(out)
 	prefill, out := m.prefill(now, budget-decoding, out)
-	m.lastStep = m.params.stepTime(decoding, prefill)
-	m.drop()
-	d := time.Duration(float64(m.lastStep) * m.params.slowdown())
-	m.record(now.Add(d))
+	m.lastStepTime = m.params.stepTime(decoding, prefill)
+	m.removeDone()
+	d := time.Duration(float64(m.lastStepTime) * m.params.slowdown())
+	m.recordLoad(now.Add(d))
 	return out, d
 }
 
@@ -135,23 +135,23 @@
 func (m *Model) admit(now time.Time) {
 	n := 0
 	for n < len(m.waiting) && len(m.running) < m.params.MaxRunning {
-		if !m.load(now, m.waiting[n]) {
+		if !m.allocate(now, m.waiting[n]) {
 			break
 		}
 		m.running = append(m.running, m.waiting[n])
-		m.waitingTokens -= m.waiting[n].estimate
+		m.waitingTokens -= m.waiting[n].estimatedPrefill
 		n++
 	}
 	m.waiting = slices.Delete(m.waiting, 0, n)
 }
 
-// load reserves memory for a stream and takes over what is cached.
-func (m *Model) load(now time.Time, s *stream) bool {
-	hits := m.cache.hits(s.Blocks)
+// allocate reserves memory for a stream and takes over what is cached.
+func (m *Model) allocate(now time.Time, s *stream) bool {
+	hits := m.cache.cachedPrefix(s.Blocks)
 	// The hits are taken into use first, or room would be made by evicting
 	// just them.
 	for _, h := range s.Blocks[:hits] {
-		m.cache.use(h)
+		m.cache.acquire(h)
 	}
 	need := blocksFor(s.Context+s.Output) - hits
 	if !m.cache.reserve(need, now) {
@@ -159,11 +159,11 @@
 		return false
 	}
 	delete(m.imported, s.ID)
-	s.shared, s.anonymous = hits, need
+	s.sharedBlocks, s.privateBlocks = hits, need
 	s.computed = max(s.computed, hits*prompt.BlockTokens)
 	// The last token is always computed, since its output is needed.
 	s.computed = min(s.computed, s.Context-1)
-	m.share(now, s)
+	m.shareBlocks(now, s)
 	return true
 }
 
@@ -171,7 +171,7 @@
 func (m *Model) decode(out []Token) []Token {
 	for _, s := range m.running {
 		if s.computed >= s.Context {
-			out = append(out, s.next())
+			out = append(out, s.nextToken())
 		}
 	}
 	return out
@@ -179,15 +179,15 @@
 
 // prefill spends the rest of the budget in order of priority and arrival.
 func (m *Model) prefill(now time.Time, budget int, out []Token) (int, []Token) {
-	m.pending = m.pending[:0]
+	m.prefilling = m.prefilling[:0]
 	for _, s := range m.running {
 		if s.computed < s.Context {
-			m.pending = append(m.pending, s)
+			m.prefilling = append(m.prefilling, s)
 		}
 	}
-	slices.SortStableFunc(m.pending, func(a, b *stream) int { return cmp.Compare(b.Priority, a.Priority) })
+	slices.SortStableFunc(m.prefilling, func(a, b *stream) int { return cmp.Compare(b.Priority, a.Priority) })
 	spent := 0
-	for _, s := range m.pending {
+	for _, s := range m.prefilling {
 		chunk := min(s.Context-s.computed, budget-spent)
 		if chunk <= 0 {
 			break
@@ -195,26 +195,26 @@
 		spent += chunk
 		s.computed += chunk
 		s.prefilled += chunk
-		m.share(now, s)
+		m.shareBlocks(now, s)
 		if s.computed >= s.Context {
-			out = append(out, s.next())
+			out = append(out, s.nextToken())
 		}
 	}
 	return spent, out
 }
 
-// share makes the whole blocks that were computed available to others.
-func (m *Model) share(now time.Time, s *stream) {
+// shareBlocks makes the whole blocks that were computed available to others.
+func (m *Model) shareBlocks(now time.Time, s *stream) {
 	whole := min(s.computed/prompt.BlockTokens, len(s.Blocks))
-	for s.shared < whole {
-		m.cache.store(s.Blocks[s.shared], now)
-		s.anonymous--
-		s.shared++
+	for s.sharedBlocks < whole {
+		m.cache.store(s.Blocks[s.sharedBlocks], now)
+		s.privateBlocks--
+		s.sharedBlocks++
 	}
 }
 
-// next generates one token.
-func (s *stream) next() Token {
+// nextToken generates one token.
+func (s *stream) nextToken() Token {
 	t := Token{ID: s.ID, Tag: s.Tag, Index: s.generated}
 	if s.generated == 0 {
 		t.Prefilled = s.prefilled
@@ -224,32 +224,32 @@
 	return t
 }
 
-// drop removes the streams that are done.
-func (m *Model) drop() {
+// removeDone removes the streams that are done.
+func (m *Model) removeDone() {
 	kept := m.running[:0]
 	for _, s := range m.running {
 		if s.generated < s.Output {
 			kept = append(kept, s)
 			continue
 		}
-		m.finish(s)
+		m.free(s)
 	}
 	clear(m.running[len(kept):])
 	m.running = kept
 }
 
-// finish gives a stream's memory back.
-func (m *Model) finish(s *stream) {
-	m.cache.release(s.Blocks[:s.shared])
-	m.cache.anonymous -= s.anonymous
-	s.shared, s.anonymous = 0, 0
+// free gives a stream's memory back.
+func (m *Model) free(s *stream) {
+	m.cache.release(s.Blocks[:s.sharedBlocks])
+	m.cache.privateBlocks -= s.privateBlocks
+	s.sharedBlocks, s.privateBlocks = 0, 0
 	delete(m.byID, s.ID)
 }
 
 // Leave makes the engine refuse new work from now on.
 func (m *Model) Leave(now time.Time) {
 	m.leaving = true
-	m.record(now)
+	m.recordLoad(now)
 }
 
 // Export returns the KV cache of a stream; false if nothing was computed.
@@ -258,7 +258,7 @@
 	if s == nil || s.computed == 0 {
 		return Exported{}, false
 	}
-	e := Exported{Blocks: slices.Clone(s.Blocks[:s.shared]), Tokens: s.computed + s.generated}
+	e := Exported{Blocks: slices.Clone(s.Blocks[:s.sharedBlocks]), Tokens: s.computed + s.generated}
 	return e, true
 }
 
@@ -271,16 +271,16 @@
 // what is booked already, and returns when from now the transfer is over.
 func (m *Model) Transfer(now time.Time, tokens int) time.Duration {
 	begin := now
-	if m.transferFree.After(begin) {
-		begin = m.transferFree
+	if m.transferFreeAt.After(begin) {
+		begin = m.transferFreeAt
 	}
-	m.transferFree = begin.Add(m.params.TransferTime(tokens))
-	return m.transferFree.Sub(now)
+	m.transferFreeAt = begin.Add(m.params.TransferTime(tokens))
+	return m.transferFreeAt.Sub(now)
 }
 
 // Report returns the load as it was ReportLag ago.
 func (m *Model) Report(now time.Time) upstream.Report {
-	r := m.reports.at(now)
+	r := m.reports.laggedReport(now)
 	r.Age = m.params.ReportLag
 	r.PrefillRate = m.params.PrefillRate
 	if r.Step == 0 {
@@ -291,7 +291,7 @@
 
 // CacheEvents returns the readable cache events above a sequence number.
 func (m *Model) CacheEvents(after uint64, now time.Time) []upstream.CacheEvent {
-	return m.cache.events.after(after, now)
+	return m.cache.events.readableAfter(after, now)
 }
 
 // Waiting returns how many requests are not in the batch yet.
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -16,8 +16,8 @@
 
 func init() { testkit.FixSeed() }
 
-// small parameters reach every limit within a few requests.
-func small() Parameters {
+// smallParameters parameters reach every limit within a few requests.
+func smallParameters() Parameters {
 	p := DefaultParameters()
 	p.StepTokens, p.MaxRunning, p.MemoryBlocks = 96, 4, 12
 	p.ReportLag, p.EventLag = 0, 0
@@ -42,7 +42,7 @@
 // is free in the end, and the cache events tell exactly what is cached.
 func TestModelKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewModel(small())
+		m := NewModel(smallParameters())
 		now := time.Unix(0, 0)
 		got, want := make(map[int]int), make(map[int]int)
 		cached := make(map[uint64]bool)
@@ -97,15 +97,15 @@
 				t.Fatalf("request %d got %d of %d tokens", i, got[i], n)
 			}
 		}
-		if m.cache.anonymous != 0 || m.cache.idle.Len() != len(m.cache.blocks) || m.missing() != 0 {
-			t.Fatalf("idle, but %d private blocks and %d tokens to compute are left", m.cache.anonymous, m.missing())
+		if m.cache.privateBlocks != 0 || m.cache.idle.Len() != len(m.cache.blocks) || m.uncomputedTokens() != 0 {
+			t.Fatalf("idle, but %d private blocks and %d tokens to compute are left", m.cache.privateBlocks, m.uncomputedTokens())
 		}
 	})
 }
 
 func checkMemory(t *rapid.T, m *Model) {
-	if used := len(m.cache.blocks) + m.cache.anonymous; used > m.params.MemoryBlocks || m.cache.anonymous < 0 {
-		t.Fatalf("%d of %d blocks in use, %d private", used, m.params.MemoryBlocks, m.cache.anonymous)
+	if used := len(m.cache.blocks) + m.cache.privateBlocks; used > m.params.MemoryBlocks || m.cache.privateBlocks < 0 {
+		t.Fatalf("%d of %d blocks in use, %d private", used, m.params.MemoryBlocks, m.cache.privateBlocks)
 	}
 	if len(m.running) > m.params.MaxRunning {
 		t.Fatalf("%d requests in the batch", len(m.running))
@@ -181,7 +181,7 @@
 // are queued or half prefilled; an urgent request comes. Cause: priorities are
 // not honoured, in the queue or among the prefills of a step.
 func TestModelServesUrgentRequestsFirst(t *testing.T) {
-	m := NewModel(small())
+	m := NewModel(smallParameters())
 	now := time.Unix(0, 0)
 	submit := func(tag, context int, priority int32) {
 		w := Work{ID: ident.Request(strconv.Itoa(tag)), Tag: tag, Priority: priority, Context: context, Output: 1}
--- a/internal/standin/engine/parameters.go
+++ b/internal/standin/engine/parameters.go
@@ -35,8 +35,8 @@
 	EventLag time.Duration
 	// EventGapEvery loses one run of cache events in so many; 0 loses none.
 	EventGapEvery uint64
-	// EventLog is how many cache events are kept for readers.
-	EventLog int
+	// MaxKeptEvents is how many cache events are kept for readers.
+	MaxKeptEvents int
 	// TransferRate is the bandwidth of KV export and import in tokens a
 	// second.
 	TransferRate float64
@@ -61,7 +61,7 @@
 		MemoryBlocks:  6144,
 		ReportLag:     250 * time.Millisecond,
 		EventLag:      500 * time.Millisecond,
-		EventLog:      1 << 14,
+		MaxKeptEvents:      1 << 14,
 		TransferRate:  50000,
 		StartDelay:    30 * time.Second,
 	}
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -68,7 +68,7 @@
 	timer := time.NewTimer(s.engine.config.Heartbeat)
 	defer timer.Stop()
 	for {
-		if f, ok, err := s.take(); ok || err != nil {
+		if f, ok, err := s.takeFrame(); ok || err != nil {
 			return f, err
 		}
 		select {
@@ -82,7 +82,7 @@
 	}
 }
 
-func (s *tokenStream) take() (upstream.Frame, bool, error) {
+func (s *tokenStream) takeFrame() (upstream.Frame, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.frames) == 0 {
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -32,9 +32,9 @@
 	mu      sync.Mutex
 	outage  bool
 	delay   time.Duration
-	late    time.Duration
+	lateBy    time.Duration
 	losses  []Loss
-	changed chan struct{}
+	outageChanged chan struct{}
 }
 
 // SetOutage makes every request fail with platform.ErrUnavailable, or ends
@@ -43,9 +43,9 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.outage = on
-	if i.changed != nil {
-		close(i.changed)
-		i.changed = nil
+	if i.outageChanged != nil {
+		close(i.outageChanged)
+		i.outageChanged = nil
 	}
 }
 
@@ -60,7 +60,7 @@
 func (i *Injector) SetLateness(d time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.late = d
+	i.lateBy = d
 }
 
 // LoseNext queues losses for the next requests that have an effect.
@@ -74,29 +74,29 @@
 // when the requester gives up while nothing has taken effect yet.
 func (i *Injector) Begin(ctx context.Context) error {
 	if err := sleep(ctx, i.currentDelay()); err != nil {
-		return GaveUp(err)
+		return UnavailableError(err)
 	}
-	if i.Down() {
+	if i.OutageOn() {
 		return platform.ErrUnavailable
 	}
 	return nil
 }
 
-// Down reports whether an outage is on.
-func (i *Injector) Down() bool {
+// OutageOn reports whether an outage is on.
+func (i *Injector) OutageOn() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.outage
 }
 
-// Changed returns a channel that is closed when an outage begins or ends.
-func (i *Injector) Changed() <-chan struct{} {
+// OutageChanged returns a channel that is closed when an outage begins or ends.
+func (i *Injector) OutageChanged() <-chan struct{} {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.changed == nil {
-		i.changed = make(chan struct{})
+	if i.outageChanged == nil {
+		i.outageChanged = make(chan struct{})
 	}
-	return i.changed
+	return i.outageChanged
 }
 
 // Run carries out a request with an effect, with the next queued loss. It
@@ -125,7 +125,7 @@
 	}
 	loss := i.losses[0]
 	i.losses = i.losses[1:]
-	return loss, i.late
+	return loss, i.lateBy
 }
 
 func (i *Injector) currentDelay() time.Duration {
@@ -134,9 +134,9 @@
 	return i.delay
 }
 
-// GaveUp returns the error of a request whose requester gave up before it took
+// UnavailableError returns the error of a request whose requester gave up before it took
 // effect; cause is the context's error.
-func GaveUp(cause error) error {
+func UnavailableError(cause error) error {
 	return fmt.Errorf("%w: %w", platform.ErrUnavailable, cause)
 }
 
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -53,7 +53,7 @@
 		instance.State = platform.Live
 	}
 	l.current[instance.ID] = instance
-	l.record()
+	l.appendVersion()
 	return instance.Incarnation
 }
 
@@ -68,7 +68,7 @@
 	}
 	instance.State = state
 	l.current[id] = instance
-	l.record()
+	l.appendVersion()
 	return true
 }
 
@@ -97,7 +97,7 @@
 	return slices.Clone(l.history[0].instances), nil
 }
 
-func (l *List) record() {
+func (l *List) appendVersion() {
 	list := slices.SortedFunc(maps.Values(l.current), func(a, b platform.Instance) int {
 		return cmp.Compare(a.ID, b.ID)
 	})
--- a/internal/standin/logstore/logstore.go
+++ b/internal/standin/logstore/logstore.go
@@ -39,8 +39,8 @@
 type stream struct {
 	first   ident.Offset
 	records []platform.Record
-	// grown is closed at the next append; nil while nobody waits.
-	grown chan struct{}
+	// appended is closed at the next append; nil while nobody waits.
+	appended chan struct{}
 }
 
 var _ platform.Log = (*Log)(nil)
@@ -61,13 +61,13 @@
 	}
 	if l.limiter != nil {
 		if err := l.limiter.Wait(ctx); err != nil {
-			return 0, fault.GaveUp(err)
+			return 0, fault.UnavailableError(err)
 		}
 	}
-	copies := clone(records)
+	copies := cloneRecords(records)
 	var first ident.Offset
 	err := l.Run(func() error {
-		first = l.add(name, copies)
+		first = l.appendRecords(name, copies)
 		return nil
 	})
 	if err != nil {
@@ -86,8 +86,8 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		outage := l.Changed()
-		if l.Down() {
+		outage := l.OutageChanged()
+		if l.OutageOn() {
 			return platform.Batch{}, platform.ErrUnavailable
 		}
 		batch, grown, err := l.read(name, from, limit)
@@ -100,7 +100,7 @@
 		case <-timer.C:
 			return batch, nil
 		case <-ctx.Done():
-			return platform.Batch{}, fault.GaveUp(ctx.Err())
+			return platform.Batch{}, fault.UnavailableError(ctx.Err())
 		}
 	}
 }
@@ -116,10 +116,10 @@
 func (l *Log) Expire(name string, before ident.Offset) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stream(name).drop(before)
+	l.stream(name).dropBefore(before)
 }
 
-func (l *Log) add(name string, records [][]byte) ident.Offset {
+func (l *Log) appendRecords(name string, records [][]byte) ident.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
@@ -130,11 +130,11 @@
 	}
 	l.appends++
 	if kept := ident.Offset(l.options.MaxRecords); kept > 0 && s.head() > kept {
-		s.drop(s.head() - kept)
+		s.dropBefore(s.head() - kept)
 	}
-	if s.grown != nil {
-		close(s.grown)
-		s.grown = nil
+	if s.appended != nil {
+		close(s.appended)
+		s.appended = nil
 	}
 	return first
 }
@@ -153,10 +153,10 @@
 		rest := s.records[from-s.first:]
 		batch.Records = slices.Clone(rest[:min(limit, len(rest))])
 	}
-	if s.grown == nil {
-		s.grown = make(chan struct{})
+	if s.appended == nil {
+		s.appended = make(chan struct{})
 	}
-	return batch, s.grown, nil
+	return batch, s.appended, nil
 }
 
 func (l *Log) stream(name string) *stream {
@@ -170,7 +170,7 @@
 
 func (s *stream) head() ident.Offset { return s.first + ident.Offset(len(s.records)) }
 
-func (s *stream) drop(before ident.Offset) {
+func (s *stream) dropBefore(before ident.Offset) {
 	if before <= s.first {
 		return
 	}
@@ -179,7 +179,7 @@
 	s.first = before
 }
 
-func clone(records [][]byte) [][]byte {
+func cloneRecords(records [][]byte) [][]byte {
 	copies := make([][]byte, len(records))
 	for i, data := range records {
 		copies[i] = slices.Clone(data)
--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -36,16 +36,16 @@
 	mu     sync.Mutex
 	topics map[string]*topic
 	mode   Mode
-	// refuse returns whether one machine's calls are refused.
-	refuse func(r *http.Request) bool
+	// refuseWhere returns whether one machine's calls are refused.
+	refuseWhere func(r *http.Request) bool
 	calls  map[string]int
 }
 
 type topic struct {
 	records []record
-	// first is the oldest offset still in the history.
-	first int
-	grown chan struct{}
+	// firstKept is the oldest offset still in the history.
+	firstKept int
+	appended chan struct{}
 }
 
 type record struct {
@@ -67,7 +67,7 @@
 func (s *Store) RefuseWhere(match func(*http.Request) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refuse = match
+	s.refuseWhere = match
 }
 
 // Calls returns how many calls came to a path.
@@ -90,7 +90,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
-	t.first = len(t.records)
+	t.firstKept = len(t.records)
 }
 
 // Newest returns a key's newest value, or nil.
@@ -109,7 +109,7 @@
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
-		t = &topic{grown: make(chan struct{})}
+		t = &topic{appended: make(chan struct{})}
 		s.topics[name] = t
 	}
 	return t
@@ -119,8 +119,8 @@
 	t := s.topic(name)
 	first := len(t.records)
 	t.records = append(t.records, records...)
-	close(t.grown)
-	t.grown = make(chan struct{})
+	close(t.appended)
+	t.appended = make(chan struct{})
 	return first
 }
 
@@ -129,7 +129,7 @@
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
 	mode := s.mode
-	if s.refuse != nil && s.refuse(r) {
+	if s.refuseWhere != nil && s.refuseWhere(r) {
 		mode = Refusing
 	}
 	s.mu.Unlock()
@@ -163,7 +163,7 @@
 
 func (s *Store) serveAppend(w http.ResponseWriter, r *http.Request, mode Mode) {
 	body, err := io.ReadAll(r.Body)
-	records, ok := decode(body)
+	records, ok := decodeRecords(body)
 	if err != nil || !ok {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -173,7 +173,7 @@
 	end := len(s.topic(name).records)
 	if at := r.URL.Query().Get("At"); at != "" && at != strconv.Itoa(end) {
 		s.mu.Unlock()
-		answer(w, http.StatusPreconditionFailed, map[string]int{"End": end})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]int{"End": end})
 		return
 	}
 	offset := s.append(name, records)
@@ -182,10 +182,10 @@
 		hang(r)
 		return
 	}
-	answer(w, http.StatusOK, map[string]int{"Offset": offset, "End": offset + len(records)})
+	writeJSON(w, http.StatusOK, map[string]int{"Offset": offset, "End": offset + len(records)})
 }
 
-func decode(body []byte) ([]record, bool) {
+func decodeRecords(body []byte) ([]record, bool) {
 	var out []record
 	for len(body) >= 4 {
 		length := int(binary.BigEndian.Uint32(body))
@@ -217,14 +217,14 @@
 	for {
 		s.mu.Lock()
 		t := s.topic(query.Get("Topic"))
-		first, end, grown := t.first, len(t.records), t.grown
+		first, end, grown := t.firstKept, len(t.records), t.appended
 		var records []record
 		if from >= first && from < end {
 			records = t.records[from:]
 		}
 		s.mu.Unlock()
 		if from < first {
-			answer(w, http.StatusGone, map[string]int{"First": first})
+			writeJSON(w, http.StatusGone, map[string]int{"First": first})
 			return
 		}
 		if len(records) == 0 && wait > 0 {
@@ -239,12 +239,12 @@
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
 		// The reader may be gone; it asks again.
-		_, _ = w.Write(encode(end, first, records))
+		_, _ = w.Write(encodeRecords(end, first, records))
 		return
 	}
 }
 
-func encode(end, first int, records []record) []byte {
+func encodeRecords(end, first int, records []record) []byte {
 	out := binary.BigEndian.AppendUint64(nil, uint64(end))
 	out = binary.BigEndian.AppendUint64(out, uint64(first))
 	for _, rec := range records {
@@ -284,10 +284,10 @@
 	if more {
 		items = items[:pageSize]
 	}
-	answer(w, http.StatusOK, map[string]any{"Items": items, "HasMore": more, "End": len(t.records)})
+	writeJSON(w, http.StatusOK, map[string]any{"Items": items, "HasMore": more, "End": len(t.records)})
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -157,7 +157,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.call(key)
+	c := s.callOf(key)
 	if s.options.ChecksFencing {
 		c.fence = max(c.fence, fence)
 	}
@@ -207,7 +207,7 @@
 		return acceptance{}, upstream.ErrRefused
 	}
 	if req.Key != "" {
-		c := s.call(req.Key)
+		c := s.callOf(req.Key)
 		if s.options.ChecksFencing && req.Fence < c.fence {
 			return acceptance{}, upstream.ErrOldFence
 		}
@@ -229,14 +229,14 @@
 	defer s.running.End()
 	time.Sleep(accepted.delays.BeforeEffect)
 	if accepted.failure == LostBeforeEffect {
-		s.forget(req.Key)
+		s.forgetCall(req.Key)
 		return result{err: ErrConnectionLost}
 	}
 	reply := upstream.Answer{
 		Payload: answer.Reply(req.Method, req.Payload),
 		Failed:  accepted.failure == ApplicationError,
 	}
-	s.effect(req.Key, reply)
+	s.recordEffect(req.Key, reply)
 	time.Sleep(accepted.delays.AfterEffect)
 	if accepted.failure == LostAfterEffect {
 		return result{err: ErrConnectionLost}
@@ -244,30 +244,30 @@
 	return result{answer: reply}
 }
 
-// effect records the one effect of a call.
-func (s *Service) effect(key string, reply upstream.Answer) {
+// recordEffect records the one effect of a call.
+func (s *Service) recordEffect(key string, reply upstream.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.effects[key]++
 	if key == "" {
 		return
 	}
-	c := s.call(key)
+	c := s.callOf(key)
 	c.state = upstream.Done
 	c.answer = reply
 }
 
-// forget drops a call that ended without an effect.
-func (s *Service) forget(key string) {
+// forgetCall drops a call that ended without an effect.
+func (s *Service) forgetCall(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c := s.call(key); c.state == upstream.Running {
+	if c := s.callOf(key); c.state == upstream.Running {
 		c.state = upstream.Absent
 	}
 }
 
-// call is called with the lock held.
-func (s *Service) call(key string) *call {
+// callOf is called with the lock held.
+func (s *Service) callOf(key string) *call {
 	c, ok := s.calls[key]
 	if !ok {
 		c = &call{state: upstream.Absent}
--- a/internal/standin/process/engine.go
+++ b/internal/standin/process/engine.go
@@ -26,7 +26,7 @@
 func RunEngine(ctx context.Context, options EngineOptions, logger hclog.Logger, out io.Writer) error {
 	options.Instance.Role = platform.RoleEngine
 	var running *engine.Engine
-	build := func(mux *http.ServeMux, incarnation ident.Incarnation) work {
+	build := func(mux *http.ServeMux, incarnation ident.Incarnation) drainable {
 		config := options.Config
 		config.Instance = options.Instance.ID
 		config.Incarnation = incarnation
--- a/internal/standin/process/plain.go
+++ b/internal/standin/process/plain.go
@@ -26,7 +26,7 @@
 // RunPlain serves a plain stand-in until ctx ends or it is reclaimed.
 func RunPlain(ctx context.Context, options PlainOptions, logger hclog.Logger, out io.Writer) error {
 	options.Instance.Role = platform.RolePlain
-	build := func(mux *http.ServeMux, incarnation ident.Incarnation) work {
+	build := func(mux *http.ServeMux, incarnation ident.Incarnation) drainable {
 		service := plain.New(plain.Options{
 			Instance:      options.Instance.ID,
 			Incarnation:   incarnation,
@@ -36,14 +36,14 @@
 		service.SetDelays(options.Delays)
 		connectupstream.MountPlain(mux, service)
 		mux.Handle(standinv1connect.NewPlainAdminServiceHandler(&admin.Plain{Service: service}))
-		return plainWork{service}
+		return drainablePlain{service}
 	}
 	return runUpstream(ctx, "plain", options.UpstreamOptions, build, logger, out)
 }
 
-// plainWork is a plain service at its stop.
-type plainWork struct{ service *plain.Service }
+// drainablePlain is a plain service at its stop.
+type drainablePlain struct{ service *plain.Service }
 
-func (p plainWork) Leave() { p.service.SetLeaving(true) }
+func (p drainablePlain) Leave() { p.service.SetLeaving(true) }
 
-func (p plainWork) Wait(ctx context.Context) error { return p.service.Drain(ctx) }
+func (p drainablePlain) Wait(ctx context.Context) error { return p.service.Drain(ctx) }
--- a/internal/standin/process/platform.go
+++ b/internal/standin/process/platform.go
@@ -40,7 +40,7 @@
 	select {
 	case <-ctx.Done():
 		return stopPlatform(server)
-	case err := <-server.failed:
+	case err := <-server.serveErr:
 		return err
 	}
 }
@@ -49,7 +49,7 @@
 // their readers read again.
 func stopPlatform(server *server) error {
 	if err := server.shutdown(); err != nil {
-		return server.cut()
+		return server.closeNow()
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 				return instance.Service
 			},
 			Stopped:   func(id ident.Instance) { list.SetState(id, 0, platform.Leaving) },
-			Announced: func(n platform.Notice) { reclaim(list, n) },
+			Announced: func(n platform.Notice) { applyNotice(list, n) },
 		}),
 		Weights: weights.New(weights.Options{
 			ModelBytes:     options.ModelBytes,
@@ -87,8 +87,8 @@
 	return mux
 }
 
-// reclaim takes an instance through the states that follow a notice.
-func reclaim(list *instances.List, n platform.Notice) {
+// applyNotice takes an instance through the states that follow a notice.
+func applyNotice(list *instances.List, n platform.Notice) {
 	list.SetState(n.Instance, n.Incarnation, platform.Leaving)
 	time.AfterFunc(n.EndsIn, func() {
 		list.SetState(n.Instance, n.Incarnation, platform.Ended)
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -15,8 +15,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// shutdownLimit bounds the wait for connections once the work has ended.
-const shutdownLimit = 5 * time.Second
+// shutdownTimeout bounds the wait for connections once the work has ended.
+const shutdownTimeout = 5 * time.Second
 
 // event is one line on stdout, for the script that started the process.
 type event struct {
@@ -33,7 +33,7 @@
 type server struct {
 	http    *http.Server
 	address string
-	failed  chan error
+	serveErr  chan error
 }
 
 // serve listens on an address and serves until stopped.
@@ -45,11 +45,11 @@
 	s := &server{
 		http:    transport.NewServer(handler),
 		address: listener.Addr().String(),
-		failed:  make(chan error, 1),
+		serveErr:  make(chan error, 1),
 	}
 	go func() {
 		if err := s.http.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			s.failed <- err
+			s.serveErr <- err
 		}
 	}()
 	return s, nil
@@ -57,10 +57,10 @@
 
 // shutdown ends the server once its connections are idle.
 func (s *server) shutdown() error {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	return s.http.Shutdown(ctx)
 }
 
-// cut ends the server and all its connections at once.
-func (s *server) cut() error { return s.http.Close() }
+// closeNow ends the server and all its connections at once.
+func (s *server) closeNow() error { return s.http.Close() }
--- a/internal/standin/process/upstream.go
+++ b/internal/standin/process/upstream.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// noticeEvery is how often an upstream asks for its reclaim notice.
-	noticeEvery = 200 * time.Millisecond
+	// noticePollInterval is how often an upstream asks for its reclaim notice.
+	noticePollInterval = 200 * time.Millisecond
 	// adminTimeout bounds one request to the platform stand-in.
 	adminTimeout = 5 * time.Second
 )
@@ -36,8 +36,8 @@
 	DrainLimit time.Duration
 }
 
-// work is the part of an upstream that a stop concerns.
-type work interface {
+// drainable is the part of an upstream that a stop concerns.
+type drainable interface {
 	// Leave makes the upstream refuse new work.
 	Leave()
 	// Wait returns nil once no work runs, or the context's error.
@@ -50,7 +50,7 @@
 	role     string
 	instance platform.Instance
 	server   *server
-	work     work
+	upstream     drainable
 	admin    standinv1connect.PlatformAdminServiceClient
 	cloud    platform.Cloud
 	logger   hclog.Logger
@@ -58,7 +58,7 @@
 }
 
 // buildFunc makes an upstream once its incarnation is known.
-type buildFunc func(mux *http.ServeMux, incarnation ident.Incarnation) work
+type buildFunc func(mux *http.ServeMux, incarnation ident.Incarnation) drainable
 
 // runUpstream registers and serves an upstream until ctx ends or its instance
 // is reclaimed.
@@ -82,13 +82,13 @@
 		logger:   logger,
 		out:      out,
 	}
-	if err := u.register(ctx, func(incarnation ident.Incarnation) { u.work = build(mux, incarnation) }); err != nil {
+	if err := u.register(ctx, func(incarnation ident.Incarnation) { u.upstream = build(mux, incarnation) }); err != nil {
 		return errors.WithMessage(errors.WithStack(err), "register with the platform")
 	}
-	if err := u.event("listening").print(out); err != nil {
+	if err := u.newEvent("listening").print(out); err != nil {
 		return err
 	}
-	return u.wait(ctx)
+	return u.serveUntilStopped(ctx)
 }
 
 // register learns the incarnation with a first entry that is not live, makes
@@ -110,8 +110,8 @@
 	return u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_LIVE)
 }
 
-// wait returns once the upstream has stopped.
-func (u *upstreamServer) wait(ctx context.Context) error {
+// serveUntilStopped returns once the upstream has stopped.
+func (u *upstreamServer) serveUntilStopped(ctx context.Context) error {
 	watching, cancel := context.WithCancel(ctx)
 	defer cancel()
 	notices := make(chan platform.Notice, 1)
@@ -121,24 +121,24 @@
 		select {
 		case <-ctx.Done():
 			return u.stop()
-		case err := <-u.server.failed:
+		case err := <-u.server.serveErr:
 			return err
 		case notice := <-notices:
-			u.work.Leave()
+			u.upstream.Leave()
 			u.logger.Info("reclaim announced", "instance", u.instance.ID, "ends_in", notice.EndsIn)
 			reclaimed = time.After(notice.EndsIn)
 		case <-reclaimed:
-			if err := u.event("reclaimed").print(u.out); err != nil {
+			if err := u.newEvent("reclaimed").print(u.out); err != nil {
 				return err
 			}
-			return u.server.cut()
+			return u.server.closeNow()
 		}
 	}
 }
 
 // watchNotices sends the first notice that concerns this life of the instance.
 func (u *upstreamServer) watchNotices(ctx context.Context, notices chan<- platform.Notice) {
-	ticker := time.NewTicker(noticeEvery)
+	ticker := time.NewTicker(noticePollInterval)
 	defer ticker.Stop()
 	after := uint64(0)
 	for {
@@ -165,11 +165,11 @@
 func (u *upstreamServer) stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), u.options.DrainLimit)
 	defer cancel()
-	u.work.Leave()
+	u.upstream.Leave()
 	if err := u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_LEAVING); err != nil {
 		u.logger.Warn("cannot tell the platform of leaving", "error", err)
 	}
-	if err := u.work.Wait(ctx); err != nil {
+	if err := u.upstream.Wait(ctx); err != nil {
 		u.logger.Error("work cut off at the drain limit", "limit", u.options.DrainLimit)
 		return errors.WithStack(err)
 	}
@@ -179,7 +179,7 @@
 	if err := u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_ENDED); err != nil {
 		u.logger.Warn("cannot tell the platform of the end", "error", err)
 	}
-	return u.event("stopped").print(u.out)
+	return u.newEvent("stopped").print(u.out)
 }
 
 func (u *upstreamServer) setState(ctx context.Context, state platformv1.InstanceState) error {
@@ -191,7 +191,7 @@
 	return err
 }
 
-func (u *upstreamServer) event(name string) event {
+func (u *upstreamServer) newEvent(name string) event {
 	return event{
 		Event:       name,
 		Role:        u.role,
--- a/internal/standin/worker/limits.go
+++ b/internal/standin/worker/limits.go
@@ -36,18 +36,18 @@
 func (w *Worker) Arrivals() (namedAt time.Time, arrivals []Arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.namedAt, append([]Arrival(nil), w.arrivals...)
+	return w.limitNamedAt, append([]Arrival(nil), w.arrivals...)
 }
 
-// limitLine is the header line that names the limit, if there is one.
-func (w *Worker) limitLine() string {
+// limitHeader is the header line that names the limit, if there is one.
+func (w *Worker) limitHeader() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.limit == "" {
 		return ""
 	}
-	if w.namedAt.IsZero() {
-		w.namedAt = time.Now()
+	if w.limitNamedAt.IsZero() {
+		w.limitNamedAt = time.Now()
 	}
 	return "Server-Limit: " + w.limit + "\r\n"
 }
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -30,17 +30,17 @@
 	listener net.Listener
 
 	mu    sync.Mutex
-	acts  []Act
-	usual Act
-	ran   map[string]int
-	seen  []*http.Request
+	queuedActs  []Act
+	defaultAct Act
+	runs   map[string]int
+	requests  []*http.Request
 	conns map[net.Conn]bool
 	// bodies are those of the requests seen.
 	bodies []string
 	// limit is what all answers name as the rate that is taken; empty for none.
 	limit string
-	// namedAt is when an answer first named a limit, and arrivals the requests since.
-	namedAt  time.Time
+	// limitNamedAt is when an answer first named a limit, and arrivals the requests since.
+	limitNamedAt  time.Time
 	arrivals []Arrival
 }
 
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &Worker{ID: id, listener: listener, usual: Answer(http.StatusOK, "fine"), ran: make(map[string]int), conns: make(map[net.Conn]bool)}
+	w := &Worker{ID: id, listener: listener, defaultAct: Answer(http.StatusOK, "fine"), runs: make(map[string]int), conns: make(map[net.Conn]bool)}
 	var work sync.WaitGroup
 	work.Go(func() { w.accept(&work) })
 	t.Cleanup(func() {
@@ -78,35 +78,35 @@
 func (w *Worker) Next(acts ...Act) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.acts = append(w.acts, acts...)
+	w.queuedActs = append(w.queuedActs, acts...)
 }
 
 // Default says how requests are treated for which nothing else was said.
 func (w *Worker) Default(act Act) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.usual = act
+	w.defaultAct = act
 }
 
 // Reset forgets how the next requests are to be treated.
 func (w *Worker) Reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.acts = nil
+	w.queuedActs = nil
 }
 
 // Ran returns how often a request ran.
 func (w *Worker) Ran(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.ran[id]
+	return w.runs[id]
 }
 
 // Seen returns the requests that came, and their bodies.
 func (w *Worker) Seen() ([]*http.Request, []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]*http.Request(nil), w.seen...), append([]string(nil), w.bodies...)
+	return append([]*http.Request(nil), w.requests...), append([]string(nil), w.bodies...)
 }
 
 // Connections returns how many connections are open.
@@ -146,7 +146,7 @@
 		if err != nil {
 			return
 		}
-		act := w.note(r, string(body))
+		act := w.recordRequest(r, string(body))
 		out := &Writer{worker: w, conn: c, request: r}
 		act(out, r)
 		if out.closed {
@@ -155,19 +155,19 @@
 	}
 }
 
-func (w *Worker) note(r *http.Request, body string) Act {
+func (w *Worker) recordRequest(r *http.Request, body string) Act {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.seen = append(w.seen, r)
+	w.requests = append(w.requests, r)
 	w.bodies = append(w.bodies, body)
-	if !w.namedAt.IsZero() {
+	if !w.limitNamedAt.IsZero() {
 		w.arrivals = append(w.arrivals, Arrival{ID: r.Header.Get(RequestID), At: time.Now()})
 	}
-	if len(w.acts) == 0 {
-		return w.usual
+	if len(w.queuedActs) == 0 {
+		return w.defaultAct
 	}
-	act := w.acts[0]
-	w.acts = w.acts[1:]
+	act := w.queuedActs[0]
+	w.queuedActs = w.queuedActs[1:]
 	return act
 }
 
@@ -183,7 +183,7 @@
 func (w *Writer) Run() {
 	w.worker.mu.Lock()
 	defer w.worker.mu.Unlock()
-	w.worker.ran[w.request.Header.Get(RequestID)]++
+	w.worker.runs[w.request.Header.Get(RequestID)]++
 }
 
 // Raw writes bytes as they are.
@@ -195,7 +195,7 @@
 // Head writes a status line and the headers of a genuine answer.
 func (w *Writer) Head(status int, more string) {
 	w.Raw(fmt.Sprintf("HTTP/1.1 %d X\r\nX-Request-Id: %s\r\nX-Response-Signature: sig-%s\r\nX-Instance-Id: %s\r\n%s%s\r\n",
-		status, w.request.Header.Get(RequestID), w.worker.ID, w.worker.ID, w.worker.limitLine(), more))
+		status, w.request.Header.Get(RequestID), w.worker.ID, w.worker.ID, w.worker.limitHeader(), more))
 }
 
 // Close ends the connection; with reset it is reset.
