--- a/internal/e2e/system_test.go
+++ b/internal/e2e/system_test.go
@@ -25,9 +25,9 @@
 	rootDir = "../.."
 	// waitLimit bounds every wait of the tests; nothing is asserted by it.
 	waitLimit = 60 * time.Second
-	token    = "test-token"
-	account  = "registrar"
-	services = "spool-llm auktion-app"
+	token     = "test-token"
+	account   = "registrar"
+	services  = "spool-llm auktion-app"
 )
 
 // binDir is where TestMain puts the programs.
@@ -58,13 +58,13 @@
 
 // process is a program that a test started.
 type process struct {
-	t      *testing.T
-	name   string
-	cmd    *exec.Cmd
-	stderr bytes.Buffer
-	addresses     addresses
-	exited chan struct{}
-	err    error
+	t         *testing.T
+	name      string
+	cmd       *exec.Cmd
+	stderr    bytes.Buffer
+	addresses addresses
+	exited    chan struct{}
+	err       error
 }
 
 // launch starts a program and waits until it says where it listens. It is
--- a/internal/loadgen/caller.go
+++ b/internal/loadgen/caller.go
@@ -26,9 +26,9 @@
 type caller struct {
 	gateways []callerv1connect.CallerServiceClient
 	// nextGateway is the gateway that is asked next.
-	nextGateway    int
-	token   string
-	backoff time.Duration
+	nextGateway int
+	token       string
+	backoff     time.Duration
 	// tries counts requests to gateways.
 	tries int
 	// cuts counts connections that broke after the request may have been
--- a/internal/loadgen/command/command.go
+++ b/internal/loadgen/command/command.go
@@ -177,11 +177,11 @@
 
 func (a *arguments) send(ctx context.Context, arrivals []loadgen.Arrival, stderr *os.File) *loadgen.Result {
 	run := loadgen.NewRun(loadgen.Options{
-		Gateways:    a.Gateways,
-		PlainStandins:      a.Plains,
-		CallerTimeout:    a.Patience,
-		SilenceTimeout:     a.Silence,
-		MaxRefusals: a.MaxRefusals,
+		Gateways:       a.Gateways,
+		PlainStandins:  a.Plains,
+		CallerTimeout:  a.Patience,
+		SilenceTimeout: a.Silence,
+		MaxRefusals:    a.MaxRefusals,
 	}, a.workload())
 	if isTerminal(stderr) {
 		stop := showProgress(run, len(arrivals), stderr)
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -17,8 +17,8 @@
 // finishedRequest is one request at its end.
 type finishedRequest struct {
 	arrival    Arrival
-	requestID    string
-	assessment    *assessment
+	requestID  string
+	assessment *assessment
 	completion time.Duration
 	times      streamTimes
 	tries      int
@@ -31,7 +31,7 @@
 	mu       sync.Mutex
 	start    time.Time
 	started  int
-	finished    []*finishedRequest
+	finished []*finishedRequest
 	verdicts map[Verdict]int
 }
 
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -13,9 +13,9 @@
 
 const (
 	// The histograms' range in microseconds, and their precision.
-	lowestMicros  = 1
-	highestMicros = int64(time.Hour / time.Microsecond)
-	significantDigits        = 3
+	lowestMicros      = 1
+	highestMicros     = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
 	// maxProblems bounds the problems that a result lists.
 	maxProblems = 20
 )
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -109,8 +109,8 @@
 	found := b.run(ctx, r.options.MaxRefusals)
 	return &finishedRequest{
 		arrival:    a,
-		requestID:    key,
-		assessment:    found,
+		requestID:  key,
+		assessment: found,
 		completion: time.Since(due),
 		tries:      b.tries,
 		cuts:       b.cuts,
@@ -130,14 +130,14 @@
 			MaxTokens: uint32(shape.MaxTokens),
 			RequestId: string(ident.NewRequest()),
 		},
-		dueAt:     due,
+		dueAt:          due,
 		silenceTimeout: r.options.SilenceTimeout,
 	}
 	found := s.run(ctx, r.options.MaxRefusals)
 	return &finishedRequest{
 		arrival:    a,
-		requestID:    s.original.GetRequestId(),
-		assessment:    found,
+		requestID:  s.original.GetRequestId(),
+		assessment: found,
 		completion: time.Since(due),
 		times:      s.times,
 		tries:      s.tries,
--- a/internal/loadgen/stream.go
+++ b/internal/loadgen/stream.go
@@ -26,14 +26,14 @@
 	caller
 	check    tokenCheck
 	original *callerv1.GenerateRequest
-	dueAt      time.Time
+	dueAt    time.Time
 	// silenceTimeout is how long a stream may give nothing.
 	silenceTimeout time.Duration
 	// begun: some gateway may have taken the request.
-	maybeAccepted   bool
-	resumes int
-	times   streamTimes
-	lastTokenAt  time.Time
+	maybeAccepted bool
+	resumes       int
+	times         streamTimes
+	lastTokenAt   time.Time
 }
 
 // tokenEvents is what Generate and Resume have in common.
--- a/internal/spoolctl/command_test.go
+++ b/internal/spoolctl/command_test.go
@@ -19,7 +19,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/logstore"
 )
 
-// run carries out a command line against a platform at address.
+// run executes a command line and returns its exit status and what it printed
+// on stdout and stderr.
 func run(t *testing.T, line ...string) (int, string) {
 	t.Helper()
 	stderr, err := os.Create(filepath.Join(t.TempDir(), "stderr"))
@@ -29,14 +30,14 @@
 	defer func() { _ = stderr.Close() }()
 	var out bytes.Buffer
 	status := Run(context.Background(), line, &out, stderr)
-	said, err := os.ReadFile(stderr.Name())
+	messages, err := os.ReadFile(stderr.Name())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return status, out.String() + string(said)
+	return status, out.String() + string(messages)
 }
 
-// newGateway answers as a gateway's operators' address does.
+// newGateway returns a server that answers like a gateway's operators' address.
 func newGateway() *httptest.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+report.StatusPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -98,9 +99,9 @@
 		{"a gateway that does not answer", []string{"status", "--gateway", "127.0.0.1:1"}, ExitRefused, "does not answer"},
 	}
 	for _, step := range steps {
-		status, said := run(t, step.line...)
-		if status != step.status || !strings.Contains(said, step.want) {
-			t.Errorf("%s: status %d, want %d; said %q, want %q", step.name, status, step.status, said, step.want)
+		status, printed := run(t, step.line...)
+		if status != step.status || !strings.Contains(printed, step.want) {
+			t.Errorf("%s: status %d, want %d; printed %q, want %q", step.name, status, step.status, printed, step.want)
 		}
 	}
 }
--- a/internal/spoolctl/gateway.go
+++ b/internal/spoolctl/gateway.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// gatewayTimeout bounds one question to a gateway.
+	// gatewayTimeout is the time limit of one request to a gateway.
 	gatewayTimeout = 5 * time.Second
-	// maxAnswerBytes bounds a gateway's answer.
+	// maxAnswerBytes limits how much of a gateway's answer is read.
 	maxAnswerBytes = 16 << 20
 )
 
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// queryGateway gets one page of a gateway's operators' address.
+// queryGateway sends a GET request to a gateway's operators' address and decodes
+// the JSON answer into answer.
 func queryGateway(ctx context.Context, gateway, path string, query url.Values, answer any) error {
 	base, err := baseURL(gateway)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return errcode.Wrap(errcode.Internal, json.Unmarshal(body, answer), "the gateway's answer is not understood")
 }
 
-// errorText takes the text out of a gateway's error.
+// errorText returns the error message in the body of a gateway's error answer.
 func errorText(body []byte) string {
 	var problem report.Problem
 	if err := json.Unmarshal(body, &problem); err == nil && problem.Error != "" {
@@ -118,8 +119,9 @@
 	return "no: " + reason
 }
 
-// explanationText tells each account's request with the ID: what was tried, why
-// there, and what the caller was told.
+// explanationText formats the requests that have the wanted ID, one for each
+// client account that used it: the attempts, the reasons for each choice of
+// upstream, and the outcome that was sent to the caller.
 func explanationText(records []explain.Record) string {
 	var b strings.Builder
 	for _, r := range records {
@@ -146,15 +148,15 @@
 		durationText("answered after", a.FirstToken), a.Error)
 }
 
-// durationText leaves out what is not known.
-func durationText(what string, d time.Duration) string {
+// durationText returns a label with a duration, or "" for 0, which means unknown.
+func durationText(label string, d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%s %v", what, d.Round(time.Millisecond))
+	return fmt.Sprintf("%s %v", label, d.Round(time.Millisecond))
 }
 
-// joinNonEmpty leaves out empty parts.
+// joinNonEmpty joins the parts that are not empty.
 func joinNonEmpty(separator string, parts ...string) string {
 	parts = slices.DeleteFunc(parts, func(p string) bool { return p == "" })
 	return strings.Join(parts, separator)
--- a/internal/spoolctl/history.go
+++ b/internal/spoolctl/history.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// version is one line of a service's history.
+// version is one publication in a service's history, accepted or refused.
 type version struct {
 	// Revision is 0 for a publication that was refused.
 	Revision  ident.Revision `json:"revision,omitempty"`
@@ -21,16 +21,17 @@
 	Schema    int            `json:"schema"`
 	Bytes     int            `json:"bytes"`
 	Verdict   verdict        `json:"verdict"`
-	// LostTo is the revision that came first, for a refused publication.
+	// LostTo is the revision that was in force instead, for a refused publication.
 	LostTo ident.Revision `json:"lost_to,omitempty"`
-	// At is the log's time; nil if the record itself expired.
+	// At is when the log appended the record; nil if the record has expired.
 	At      *time.Time `json:"at,omitempty"`
 	InForce bool       `json:"in_force,omitempty"`
 
 	document []byte
 }
 
-// versions lists what the log still tells of a service, oldest first.
+// versions lists the publications of a service that the log still holds, as
+// records or in a snapshot, oldest first.
 func (s *configStream) versions(service ident.Service) []version {
 	current, _ := s.reader.State().Current(service)
 	list := s.snapshotVersions(service)
@@ -45,18 +46,18 @@
 	return list
 }
 
-// snapshotVersions lists the versions that the reader took from a snapshot instead
-// of folding their records.
+// snapshotVersions lists the accepted versions that the reader knows from a
+// snapshot only, since it did not apply their records.
 func (s *configStream) snapshotVersions(service ident.Service) []version {
-	folded := map[ident.Revision]bool{}
+	applied := map[ident.Revision]bool{}
 	for _, d := range s.decisions {
 		if d.Kind == document.AcceptedRecord {
-			folded[d.Current] = true
+			applied[d.Current] = true
 		}
 	}
 	var list []version
 	for _, a := range s.reader.State().Versions(service) {
-		if !folded[a.Revision] {
+		if !applied[a.Revision] {
 			v := newVersion(a.Publication, accepted, a.Revision)
 			v.At = s.appendTime(ident.Offset(a.Revision - 1))
 			list = append(list, v)
@@ -65,7 +66,8 @@
 	return list
 }
 
-// appendTime returns when a record was appended, or nil if it expired.
+// appendTime returns when a record was appended, or nil if the record expired
+// before it was read.
 func (s *configStream) appendTime(offset ident.Offset) *time.Time {
 	at, read := s.appendedAt[offset]
 	if !read {
@@ -86,10 +88,10 @@
 	return v
 }
 
-func newVersion(p document.Publication, what verdict, revision ident.Revision) version {
+func newVersion(p document.Publication, outcome verdict, revision ident.Revision) version {
 	return version{
 		Revision: revision, Base: p.Base, PublishID: p.PublishID, Schema: p.Schema,
-		Bytes: len(p.Document), Verdict: what, document: p.Document,
+		Bytes: len(p.Document), Verdict: outcome, document: p.Document,
 	}
 }
 
--- a/internal/spoolctl/output.go
+++ b/internal/spoolctl/output.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// print shows a result: as JSON, or as text for a terminal.
+// print prints a result as JSON if that is asked for, else its text.
 func (c *command) print(result any, text string) {
 	if c.json {
 		c.printJSON(result)
@@ -18,7 +18,7 @@
 	encoder := json.NewEncoder(c.out)
 	encoder.SetIndent("", "  ")
 	encoder.SetEscapeHTML(false)
-	// The results are plain structs; only a closed output fails, and then
-	// nobody reads on.
+	// The results are plain structs, so that only writing to a closed output
+	// fails, which nobody reads.
 	_ = encoder.Encode(result)
 }
--- a/internal/spoolctl/publish.go
+++ b/internal/spoolctl/publish.go
@@ -15,19 +15,21 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// verdict says what became of a publication.
+// verdict is the outcome of a publication.
 type verdict string
 
 // The verdicts.
 const (
-	// accepted: in force from the revision on.
+	// accepted: the document came into force with the revision.
 	accepted verdict = "accepted"
-	// lost: another operator's publication came first. Nothing changed.
+	// lost: another operator's publication came first and this one changed
+	// nothing.
 	lost verdict = "lost"
-	// notPublished: the log did not take it and never will.
+	// notPublished: the log was unavailable and did not append the record, nor
+	// will it do so later.
 	notPublished verdict = "not_published"
-	// undecided: the log's answer was lost and the record has not shown up.
-	// It may still be accepted.
+	// undecided: the log's answer was lost, or the log cannot be read back. The
+	// publication may still be accepted.
 	undecided verdict = "undecided"
 )
 
@@ -36,9 +38,10 @@
 	Service   ident.Service `json:"service"`
 	PublishID string        `json:"publish_id"`
 	Verdict   verdict       `json:"verdict"`
-	// Base is the revision that was to be replaced.
+	// Base is the revision that this publication replaces if it is accepted.
 	Base ident.Revision `json:"base_revision"`
-	// Revision is the own one if accepted, else the one in force.
+	// Revision is that of this publication if it was accepted, else the one in
+	// force.
 	Revision ident.Revision `json:"revision"`
 	Detail   string         `json:"detail,omitempty"`
 }
@@ -69,7 +72,7 @@
 	return nil
 }
 
-// String tells the verdict in a sentence.
+// String describes the verdict in a sentence.
 func (p publication) String() string {
 	switch p.Verdict {
 	case accepted:
@@ -94,9 +97,11 @@
 	return doc, data, found
 }
 
-// publish appends a publication at most once and reads back until its own
-// record is decided. An answer of the log that was lost is resolved by the
-// publish ID, never by a second append: the first may have taken effect.
+// publish appends a publication at most once and then reads the stream until the
+// publication's record is accepted or refused. If the log's answer is lost, the
+// record is looked for by its publish ID and never appended again, since the
+// first append may have taken effect. A publication that already has a publish
+// ID is looked for before it is appended.
 func publish(ctx context.Context, s *configStream, p document.Publication, base *uint64) (publication, error) {
 	if err := s.readToHead(ctx); err != nil {
 		return publication{}, err
@@ -137,23 +142,24 @@
 	return s.awaitDecision(ctx, p, result, err)
 }
 
-// awaitDecision reads until the publication is decided. lostAnswer is the append's
-// error, or nil.
-func (s *configStream) awaitDecision(ctx context.Context, p document.Publication, result publication, lostAnswer error) (publication, error) {
+// awaitDecision reads the stream until the publication is accepted or refused, or
+// ctx ends. appendErr is the append's error, or nil.
+func (s *configStream) awaitDecision(ctx context.Context, p document.Publication, result publication, appendErr error) (publication, error) {
 	for {
 		if decided, ok := s.findDecision(p); ok {
 			return decided, nil
 		}
 		if current, _ := s.reader.State().Current(p.Service); current.Revision != p.Base && !s.recordsExpired {
-			// All records to this revision were read and the own one is not
-			// among them; after it the fold can only refuse it.
+			// All records up to this revision were read and this publication's
+			// record is not among them. A record that comes later has a base
+			// that is no longer in force and is refused.
 			result.Verdict, result.Revision = lost, current.Revision
 			return result, nil
 		}
 		if ctx.Err() != nil {
 			result.Verdict, result.Revision = undecided, p.Base
 			result.Detail = "the log's answer was lost and the record is not in the log yet"
-			if lostAnswer == nil {
+			if appendErr == nil {
 				result.Detail = "the log took the record but could not be read back"
 			}
 			return result, nil
@@ -164,7 +170,8 @@
 	}
 }
 
-// findDecision finds what became of the publication with p's ID.
+// findDecision returns the verdict on the publication with p's service and
+// publish ID, or false if there is none yet.
 func (s *configStream) findDecision(p document.Publication) (publication, bool) {
 	result := publication{Service: p.Service, PublishID: p.PublishID, Base: p.Base}
 	for _, d := range s.decisions {
@@ -178,7 +185,8 @@
 		}
 		return result, true
 	}
-	// The record itself may have expired; a snapshot then tells.
+	// The record itself may have expired; then a snapshot contains its document
+	// if it is in force.
 	current, _ := s.reader.State().Current(p.Service)
 	if current.PublishID == p.PublishID {
 		result.Base, result.Revision, result.Verdict = current.Base, current.Revision, accepted
@@ -214,7 +222,8 @@
 	return nil
 }
 
-// revisionNotFound is the error for a revision that the log no longer has.
+// revisionNotFound returns the error for a revision that does not exist or has
+// expired.
 func revisionNotFound(service ident.Service, revision ident.Revision) error {
 	return errcode.Errorf(errcode.NotFound,
 		"%s has no revision %d, or the log no longer keeps it", service, revision)
--- a/internal/spoolctl/publish_test.go
+++ b/internal/spoolctl/publish_test.go
@@ -18,11 +18,11 @@
 func init() { testkit.FixSeed() }
 
 const (
-	service  ident.Service = "auktion-app"
+	service     ident.Service = "auktion-app"
 	testTimeout               = 30 * time.Second
 )
 
-// publishOnce publishes once and reports what it was told.
+// publishOnce publishes once, as an operator does, and returns the result.
 func publishOnce(t *rapid.T, log *logstore.Log, id string, base *uint64) publication {
 	s := &configStream{log: log, timeout: testTimeout}
 	p := document.Publication{Service: service, PublishID: "", Schema: 1, Document: []byte(id)}
@@ -33,7 +33,8 @@
 	return result
 }
 
-// readVerdicts reads the log from the start and says what became of each publication.
+// readVerdicts reads the log from the start and returns the verdict on each
+// publication by publish ID.
 func readVerdicts(t *rapid.T, log *logstore.Log) map[string]publication {
 	s := &configStream{log: log, timeout: testTimeout}
 	if err := s.readToHead(context.Background()); err != nil {
@@ -41,24 +42,23 @@
 	}
 	out := map[string]publication{}
 	for _, d := range s.decisions {
-		verdict := lost
+		decided := lost
 		if d.Kind == document.AcceptedRecord {
-			verdict = accepted
+			decided = accepted
 		}
 		if _, twice := out[d.Publication.PublishID]; twice {
 			t.Fatalf("%s was appended twice", d.Publication.PublishID)
 		}
-		out[d.Publication.PublishID] = publication{Verdict: verdict, Revision: d.Current}
+		out[d.Publication.PublishID] = publication{Verdict: decided, Revision: d.Current}
 	}
 	return out
 }
 
-// Symptom: an operator is told accepted for a change that is not in force, or
-// lost for one that is, or a change is appended twice.
-// Sequence: operators race for one service; answers of the log are lost before
-// or after the append took effect, or the append takes effect later; outages
-// begin and end meanwhile.
-// Cause: a verdict taken from the append's answer instead of the log's order.
+// Guards against a verdict that is taken from the append's answer instead of the
+// log's order: an operator is told "accepted" for a change that is not in force,
+// or "lost" for one that is, or a change is appended twice. Operators race for
+// one service while the log loses answers before or after the append takes
+// effect, applies appends late, and has outages.
 func TestVerdictsAreTrue(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		testkit.Bubble(t, func() { raceOperators(r) })
@@ -68,7 +68,7 @@
 func raceOperators(t *rapid.T) {
 	log := logstore.New(logstore.Options{})
 	log.SetLateness(time.Duration(rapid.IntRange(1, 60).Draw(t, "late")) * time.Second)
-	var told []publication
+	var results []publication
 	for round := range rapid.IntRange(1, 4).Draw(t, "rounds") {
 		operators := rapid.IntRange(1, 4).Draw(t, "operators")
 		for range operators {
@@ -76,9 +76,9 @@
 				fault.None, fault.None, fault.BeforeEffect, fault.AfterEffect, fault.Late,
 			}).Draw(t, "loss"))
 		}
-		results := make(chan publication, operators)
+		finished := make(chan publication, operators)
 		for i := range operators {
-			go func() { results <- publishOnce(t, log, fmt.Sprintf("%d-%d", round, i), nil) }()
+			go func() { finished <- publishOnce(t, log, fmt.Sprintf("%d-%d", round, i), nil) }()
 		}
 		if rapid.Bool().Draw(t, "outage") {
 			log.SetOutage(true)
@@ -86,37 +86,37 @@
 			log.SetOutage(false)
 		}
 		for range operators {
-			told = append(told, <-results)
+			results = append(results, <-finished)
 		}
 	}
 	time.Sleep(time.Minute)
-	checkVerdicts(t, told, readVerdicts(t, log))
+	checkVerdicts(t, results, readVerdicts(t, log))
 }
 
-func checkVerdicts(t *rapid.T, told []publication, fates map[string]publication) {
-	for _, p := range told {
-		fate, inLog := fates[p.PublishID]
+// checkVerdicts compares the operators' results with the verdicts in the log.
+func checkVerdicts(t *rapid.T, results []publication, logged map[string]publication) {
+	for _, p := range results {
+		inLog, found := logged[p.PublishID]
 		switch p.Verdict {
 		case accepted:
-			if fate.Verdict != accepted || fate.Revision != p.Revision {
-				t.Fatalf("told %+v, fate %+v", p, fate)
+			if inLog.Verdict != accepted || inLog.Revision != p.Revision {
+				t.Fatalf("operator got %+v, log has %+v", p, inLog)
 			}
 		case lost:
-			if fate.Verdict == accepted {
-				t.Fatalf("told lost, but it is revision %d", fate.Revision)
+			if inLog.Verdict == accepted {
+				t.Fatalf("operator got lost, but the log accepted it at revision %d", inLog.Revision)
 			}
 		case notPublished:
-			if inLog && p.PublishID != "" {
-				t.Fatalf("told not published, but the log has it: %+v", fate)
+			if found && p.PublishID != "" {
+				t.Fatalf("operator got not published, but the log has it: %+v", inLog)
 			}
 		}
 	}
 }
 
-// Symptom: a second publication of a change whose answer was lost.
-// Sequence: the log loses the answer and takes the record only after the
-// operator's program gave up; the operator runs it again with the same ID.
-// Cause: a second append without looking for the first.
+// Guards against a second append of a change whose first append was not looked
+// for. The log loses the answer and appends the record only after the operator's
+// command gave up; the operator then runs it again with the same publish ID.
 func TestUndecidedPublicationIsSettledByItsID(t *testing.T) {
 	testkit.Bubble(t, func() {
 		log := logstore.New(logstore.Options{})
@@ -141,11 +141,10 @@
 	})
 }
 
-// Symptom: after all instances were stopped for longer than the log keeps
-// records, no instance gets ready and nothing can be published.
-// Sequence: all records expire and no snapshot is left; an operator tries to
-// publish, starts over, and publishes again.
-// Cause: nobody can tell what was in force, and nothing may be assumed.
+// Guards against a state that no operator can end: all instances were stopped for
+// longer than the log keeps records, so that all records expired and no snapshot
+// is left. Nobody can tell what was in force, no instance gets ready and nothing
+// can be published until an operator starts over.
 func TestStartOverAfterTheLogLostTheDocuments(t *testing.T) {
 	testkit.Bubble(t, func() {
 		ctx := context.Background()
@@ -175,10 +174,10 @@
 	})
 }
 
-// Symptom: history and show find no document of a service that has one.
-// Sequence: the first records expire; the record of the version in force is
-// still there, before the snapshot that covers it.
-// Cause: a version left out because its record was seen, though not folded.
+// Guards against history and show leaving out a version whose record was read but
+// not applied, so that they find no document of a service that has one. The first
+// records expire, and the record of the version in force is still there, before
+// the snapshot that covers it.
 func TestHistoryFromASnapshot(t *testing.T) {
 	testkit.Bubble(t, func() {
 		ctx := context.Background()
--- a/internal/spoolctl/spoolctl.go
+++ b/internal/spoolctl/spoolctl.go
@@ -1,5 +1,6 @@
-// Package spoolctl is the operators' command line: documents are validated and
-// published, their history is shown, and gateways are asked what they do.
+// Package spoolctl is the operators' command line. It validates and publishes
+// the services' configuration documents, shows their history, and queries
+// gateways for their status and for the explanation of a request.
 package spoolctl
 
 import (
@@ -24,11 +25,12 @@
 
 // The exit statuses.
 const (
-	// ExitGood: done.
+	// ExitGood means that the command succeeded.
 	ExitGood = 0
-	// ExitRefused: refused, lost to another operator, or not reachable.
+	// ExitRefused means that the command was refused, that another operator's
+	// publication came first, or that the platform or gateway is not reachable.
 	ExitRefused = 1
-	// ExitUsage: bad usage, or a document with findings.
+	// ExitUsage means a bad command line or a document with findings.
 	ExitUsage = 2
 )
 
@@ -50,7 +52,7 @@
 	Files []string `arg:"positional,required" placeholder:"FILE"`
 }
 
-// platformArguments are of the commands that read the platform's log.
+// platformArguments are common to the commands that read the platform's log.
 type platformArguments struct {
 	Platform string        `arg:"required,env:SPOOLCTL_PLATFORM" placeholder:"ADDR" help:"platform's address, host:port or URL"`
 	Patience time.Duration `default:"30s" help:"how long to wait for the log"`
@@ -79,7 +81,7 @@
 	Confirm bool `help:"all instances that knew the documents are gone; all services will be published again"`
 }
 
-// gatewayArguments are of the commands that ask a gateway.
+// gatewayArguments are common to the commands that query a gateway.
 type gatewayArguments struct {
 	Gateway string `arg:"required,env:SPOOLCTL_GATEWAY" placeholder:"ADDR" help:"gateway's operators' address, host:port or URL"`
 }
@@ -100,7 +102,7 @@
 // Version implements go-arg's interface for --version.
 func (arguments) Version() string { return "spoolctl (goldcrestspool)" }
 
-// Run carries out a command line and returns the exit status.
+// Run executes a command line and returns the exit status.
 func Run(ctx context.Context, args []string, stdout io.Writer, stderr *os.File) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "spoolctl", Out: stderr}, &parsed)
@@ -127,7 +129,8 @@
 	return c.exitStatus(c.run(ctx, &parsed), stderr)
 }
 
-// command carries out one command.
+// command executes one command and prints its result to out, as JSON if json
+// is set.
 type command struct {
 	out  io.Writer
 	json bool
@@ -151,7 +154,7 @@
 	return c.explain(ctx, a.Explain)
 }
 
-// exitStatus reports an error and chooses the exit status.
+// exitStatus prints the command's error, if any, and returns the exit status.
 func (c *command) exitStatus(err error, stderr io.Writer) int {
 	var findings *finding.Error
 	switch {
@@ -170,7 +173,8 @@
 	return ExitRefused
 }
 
-// errResultPrinted ends a command whose result was printed and is not good.
+// errResultPrinted is returned by a command that has printed an unsuccessful
+// result itself, so that no error message follows.
 var errResultPrinted = errors.New("result was printed")
 
 func (c *command) printFindings(list finding.List, stderr io.Writer) {
@@ -185,7 +189,8 @@
 	}
 }
 
-// openStream opens the configuration stream.
+// openStream returns the configuration stream of the platform's log. It sends
+// no request yet.
 func (a *platformArguments) openStream() (*configStream, error) {
 	base, err := baseURL(a.Platform)
 	if err != nil {
@@ -195,7 +200,7 @@
 	return &configStream{log: platform.Log(connectplatform.NewClient(client, base)), timeout: a.Patience}, nil
 }
 
-// baseURL accepts host:port besides URLs.
+// baseURL returns the URL of an address that is given as host:port or as a URL.
 func baseURL(address string) (string, error) {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
@@ -207,7 +212,8 @@
 	return strings.TrimSuffix(address, "/"), nil
 }
 
-// revisionOrNone prints revision 0 as what it means.
+// revisionOrNone formats a revision; 0 means that no document is in force and
+// becomes "none".
 func revisionOrNone(r ident.Revision) string {
 	if r == 0 {
 		return "none"
--- a/internal/spoolctl/startover.go
+++ b/internal/spoolctl/startover.go
@@ -9,13 +9,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// startOver writes an empty snapshot, from which new processes begin. Without
-// it, documents that are in no snapshot and that no process knows any more would
-// keep every new process from getting ready, and every publication from being
-// decided: nobody can tell what was in force.
+// startOver appends an empty snapshot, from which new processes begin. It is
+// needed when the records of documents have expired, no snapshot contains them
+// and no running process knows them: nobody can tell what was in force, so that
+// no new process would get ready and no publication would be decided.
 //
-// A process that still knows documents takes no snapshot that lacks them, so a
-// mistake reverts nothing; its services only have to be published again.
+// A process that still knows documents accepts no snapshot that lacks them, so a
+// start-over by mistake reverts nothing; the services only have to be published
+// again.
 func (c *command) startOver(ctx context.Context, a *startOverArguments) error {
 	s, err := a.openStream()
 	if err != nil {
@@ -49,8 +50,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
-	// An answer that was lost is no matter: what counts is whether the stream
-	// can be read now.
+	// The append's error is ignored: its answer may have been lost. What counts
+	// is whether the stream can be read now.
 	_, _ = s.log.Append(ctx, document.StreamName, [][]byte{record})
 	return covers, s.readToHead(ctx)
 }
--- a/internal/spoolctl/stream.go
+++ b/internal/spoolctl/stream.go
@@ -12,30 +12,35 @@
 )
 
 const (
-	// readLimit bounds the records of one read.
+	// readLimit is the maximum number of records of one read.
 	readLimit = 256
-	// readWait is how long a read waits for a record at the head.
+	// readWait is how long a read at the head waits for the next record.
 	readWait = time.Second
-	// readTimeout is added to readWait.
+	// readTimeout is the time limit of an append, and that of a read beyond the
+	// time that it may wait for a record.
 	readTimeout = 5 * time.Second
-	// retryPause is the time between two tries while the log fails.
+	// retryPause is the time between two reads while the log fails or no
+	// snapshot is found.
 	retryPause = 250 * time.Millisecond
 )
 
-// configStream is the configuration stream as one command reads it.
+// configStream reads and appends to the configuration stream on behalf of one
+// command. It is not safe for concurrent use.
 type configStream struct {
-	log      platform.Log
+	log platform.Log
+	// timeout is how long the command waits for the log.
 	timeout time.Duration
 
-	reader    document.Reader
+	reader document.Reader
+	// decisions are those on all publications read so far.
 	decisions []document.Decision
-	// appendedAt is the log's time of each record read.
+	// appendedAt is when the log appended each record read so far.
 	appendedAt map[ident.Offset]time.Time
-	// skipped: records expired before they were read.
+	// recordsExpired is set when records expired before they were read.
 	recordsExpired bool
 }
 
-// readToHead reads all records that the log has now.
+// readToHead reads all records that the log holds now.
 func (s *configStream) readToHead(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
@@ -53,7 +58,8 @@
 	}
 }
 
-// headError says why the head was not reached.
+// headError returns why the head was not reached in time. err is the error of the
+// last read, or nil.
 func (s *configStream) headError(err error) error {
 	if s.reader.Searching() {
 		return errcode.New(errcode.Unavailable,
@@ -63,7 +69,8 @@
 	return errcode.Wrap(errcode.Unavailable, err, "the configuration stream cannot be read")
 }
 
-// readBatch folds one batch.
+// readBatch reads and applies one batch of records. It waits up to wait for a
+// record if there is none.
 func (s *configStream) readBatch(ctx context.Context, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -36,12 +36,12 @@
 	mu sync.Mutex
 	// fences are the highest fencing numbers by service. Numbers of different
 	// services are not compared: their holders change apart.
-	fences  map[ident.Service]ident.Fence
+	fences            map[ident.Service]ident.Fence
 	instanceByStartID map[string]ident.Instance
 	// serviceByInstance of the instances that were started here.
 	serviceByInstance map[ident.Instance]ident.Service
-	noCapacity     map[capacityKey]bool
-	notices  []notice
+	noCapacity        map[capacityKey]bool
+	notices           []notice
 }
 
 // capacityKey is where and what the cloud has, or has not, in stock.
@@ -61,11 +61,11 @@
 // New returns a cloud that has every class in every failure domain.
 func New(options Options) *Cloud {
 	return &Cloud{
-		options:  options,
-		fences:   make(map[ident.Service]ident.Fence),
-		instanceByStartID:  make(map[string]ident.Instance),
+		options:           options,
+		fences:            make(map[ident.Service]ident.Fence),
+		instanceByStartID: make(map[string]ident.Instance),
 		serviceByInstance: make(map[ident.Instance]ident.Service),
-		noCapacity:     make(map[capacityKey]bool),
+		noCapacity:        make(map[capacityKey]bool),
 	}
 }
 
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -22,9 +22,9 @@
 // cache is the engine's KV memory: blocks with a prefix hash, which streams
 // share, and anonymous blocks, which belong to one running stream.
 type cache struct {
-	capacity  int
+	capacity      int
 	privateBlocks int
-	blocks    map[uint64]*block
+	blocks        map[uint64]*block
 	// idle holds the unused blocks, least recently used at the back.
 	idle   *list.List
 	events eventLog
@@ -104,11 +104,11 @@
 
 // eventLog holds the cache events, late and with gaps.
 type eventLog struct {
-	lag      time.Duration
-	gapEvery uint64
-	maxKept     int
-	lastSequence     uint64
-	events   []event
+	lag          time.Duration
+	gapEvery     uint64
+	maxKept      int
+	lastSequence uint64
+	events       []event
 }
 
 type event struct {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -41,19 +41,19 @@
 // for concurrent use. Its timers are those of package time, so that it works
 // in a testing/synctest bubble.
 type Engine struct {
-	config Config
-	wake   chan struct{}
-	closing   chan struct{}
-	stopped  chan struct{}
-	once   sync.Once
+	config  Config
+	wake    chan struct{}
+	closing chan struct{}
+	stopped chan struct{}
+	once    sync.Once
 
 	mu      sync.Mutex
 	model   *Model
 	streams map[ident.Request]*tokenStream
 	fence   ident.Fence
 	loaded  loadedModel
-	target    loadedModel
-	closed    bool
+	target  loadedModel
+	closed  bool
 }
 
 var _ upstream.Engine = (*Engine)(nil)
@@ -61,7 +61,7 @@
 // loadedModel is a model in memory, usable from a time on.
 type loadedModel struct {
 	model, version string
-	usableFrom           time.Time
+	usableFrom     time.Time
 }
 
 // New starts an engine. Close it after use.
@@ -73,12 +73,12 @@
 	e := &Engine{
 		config:  c,
 		wake:    make(chan struct{}, 1),
-		closing:    make(chan struct{}),
-		stopped:   make(chan struct{}),
+		closing: make(chan struct{}),
+		stopped: make(chan struct{}),
 		model:   NewModel(c.Parameters),
 		streams: make(map[ident.Request]*tokenStream),
 		loaded:  first,
-		target:    first,
+		target:  first,
 	}
 	go e.run()
 	return e
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -20,11 +20,11 @@
 	running []*stream
 	// prefilling is scratch space of prefill.
 	prefilling []*stream
-	byID    map[ident.Request]*stream
+	byID       map[ident.Request]*stream
 	// imported maps a request to the context tokens that came with a KV
 	// import before the request itself.
-	imported map[ident.Request]int
-	leaving  bool
+	imported     map[ident.Request]int
+	leaving      bool
 	lastStepTime time.Duration
 	// transferFreeAt is when the bandwidth of KV transfer is free again.
 	transferFreeAt time.Time
@@ -52,12 +52,12 @@
 // NewModel returns an idle engine.
 func NewModel(p Parameters) *Model {
 	return &Model{
-		params:   p,
-		cache:    newCache(p),
-		byID:     make(map[ident.Request]*stream),
-		imported: make(map[ident.Request]int),
+		params:       p,
+		cache:        newCache(p),
+		byID:         make(map[ident.Request]*stream),
+		imported:     make(map[ident.Request]int),
 		lastStepTime: p.StepBase,
-		reports:  reportLog{lag: p.ReportLag},
+		reports:      reportLog{lag: p.ReportLag},
 	}
 }
 
--- a/internal/standin/engine/parameters.go
+++ b/internal/standin/engine/parameters.go
@@ -61,7 +61,7 @@
 		MemoryBlocks:  6144,
 		ReportLag:     250 * time.Millisecond,
 		EventLag:      500 * time.Millisecond,
-		MaxKeptEvents:      1 << 14,
+		MaxKeptEvents: 1 << 14,
 		TransferRate:  50000,
 		StartDelay:    30 * time.Second,
 	}
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -14,7 +14,7 @@
 }
 
 type reportEntry struct {
-	since   time.Time
+	since  time.Time
 	report upstream.Report
 }
 
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -29,11 +29,11 @@
 
 // Injector holds the faults of one stand-in. Its zero value injects none.
 type Injector struct {
-	mu      sync.Mutex
-	outage  bool
-	delay   time.Duration
-	lateBy    time.Duration
-	losses  []Loss
+	mu            sync.Mutex
+	outage        bool
+	delay         time.Duration
+	lateBy        time.Duration
+	losses        []Loss
 	outageChanged chan struct{}
 }
 
--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -38,14 +38,14 @@
 	mode   Mode
 	// refuseWhere returns whether one machine's calls are refused.
 	refuseWhere func(r *http.Request) bool
-	calls  map[string]int
+	calls       map[string]int
 }
 
 type topic struct {
 	records []record
 	// firstKept is the oldest offset still in the history.
 	firstKept int
-	appended chan struct{}
+	appended  chan struct{}
 }
 
 type record struct {
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -31,9 +31,9 @@
 
 // server is a listening HTTP server.
 type server struct {
-	http    *http.Server
-	address string
-	serveErr  chan error
+	http     *http.Server
+	address  string
+	serveErr chan error
 }
 
 // serve listens on an address and serves until stopped.
@@ -43,9 +43,9 @@
 		return nil, errors.WithMessage(err, "listen on "+listen)
 	}
 	s := &server{
-		http:    transport.NewServer(handler),
-		address: listener.Addr().String(),
-		serveErr:  make(chan error, 1),
+		http:     transport.NewServer(handler),
+		address:  listener.Addr().String(),
+		serveErr: make(chan error, 1),
 	}
 	go func() {
 		if err := s.http.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/standin/process/upstream.go
+++ b/internal/standin/process/upstream.go
@@ -50,7 +50,7 @@
 	role     string
 	instance platform.Instance
 	server   *server
-	upstream     drainable
+	upstream drainable
 	admin    standinv1connect.PlatformAdminServiceClient
 	cloud    platform.Cloud
 	logger   hclog.Logger
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -29,19 +29,19 @@
 	ID       string
 	listener net.Listener
 
-	mu    sync.Mutex
-	queuedActs  []Act
+	mu         sync.Mutex
+	queuedActs []Act
 	defaultAct Act
-	runs   map[string]int
-	requests  []*http.Request
-	conns map[net.Conn]bool
+	runs       map[string]int
+	requests   []*http.Request
+	conns      map[net.Conn]bool
 	// bodies are those of the requests seen.
 	bodies []string
 	// limit is what all answers name as the rate that is taken; empty for none.
 	limit string
 	// limitNamedAt is when an answer first named a limit, and arrivals the requests since.
-	limitNamedAt  time.Time
-	arrivals []Arrival
+	limitNamedAt time.Time
+	arrivals     []Arrival
 }
 
 // New starts a worker; it ends with the test.
