--- a/internal/loadgen/audit.go
+++ b/internal/loadgen/audit.go
@@ -9,16 +9,18 @@
 	"github.com/goldcrestspool/goldcrestspool/api/standin/v1/standinv1connect"
 )
 
-// executions are what the plain stand-ins executed.
+// executions counts what the plain stand-ins executed.
 type executions struct {
-	// count is by key, over all plain stand-ins that answered.
+	// count is the number of executions by call key, over all plain stand-ins
+	// that answered.
 	count map[string]uint32
-	// unreachable counts those that did not answer, because their instances ended
-	// for example. What they executed is missing in count.
+	// unreachable is the number of plain stand-ins that did not answer, for
+	// example because their instances ended. Their executions are missing in
+	// count.
 	unreachable int
 }
 
-// readExecutions asks every plain stand-in what it executed.
+// readExecutions queries every plain stand-in for its executions.
 func readExecutions(ctx context.Context, client *http.Client, addresses []string) executions {
 	total := executions{count: make(map[string]uint32)}
 	for _, address := range addresses {
@@ -35,24 +37,24 @@
 	return total
 }
 
-// auditBooking returns what a booking's caller could not see, or nil: that it was
-// executed twice, confirmed without being executed, or refused although it was
-// executed. A booking that is not counted may have been executed where nobody
-// answers.
-func (e executions) auditBooking(key string, told Verdict) *assessment {
+// auditBooking returns an assessment if a booking was executed twice, confirmed
+// without being executed, or refused although it was executed, which its caller
+// cannot see; else nil. verdict is the caller's. While plain stand-ins are
+// unreachable, a booking without executions may have been executed there.
+func (e executions) auditBooking(key string, verdict Verdict) *assessment {
 	count := e.count[key]
 	switch {
 	case count > 1:
 		return assessmentf(Doubled, "executed %d times", count)
-	case told == Whole && count == 0 && e.unreachable == 0:
+	case verdict == Whole && count == 0 && e.unreachable == 0:
 		return assessmentf(Lost, "confirmed but not executed")
-	case told == Refused && count > 0:
+	case verdict == Refused && count > 0:
 		return assessmentf(Wrong, "refused as not run but executed")
 	}
 	return nil
 }
 
-// String says what an audit is worth.
+// String describes how complete an audit with these executions is.
 func (e executions) String() string {
 	if e.unreachable == 0 {
 		return "bookings compared with their executions"
--- a/internal/loadgen/booking.go
+++ b/internal/loadgen/booking.go
@@ -15,17 +15,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// bookingCaller carries one call that may not be repeated through to its end.
+// bookingCaller sends one call that must be executed at most once, until it has
+// ended.
 type bookingCaller struct {
 	caller
 	request *callerv1.CallRequest
-	// silenceTimeout is how long a gateway may give no answer. A frozen gateway, or a
-	// connection gone silent, would otherwise hold the caller for good.
+	// silenceTimeout is the time limit of one attempt. Without it, a frozen
+	// gateway or a dead connection would hold the caller for ever.
 	silenceTimeout time.Duration
-	// doubt: a call may be running, so ask for its outcome before another.
+	// outcomeUnknown is set while the call may be running or may have run.
 	outcomeUnknown bool
-	// resendIfUnknown callers send a call in doubt again instead of asking, which
-	// has to be as safe.
+	// resendIfUnknown makes the caller send a call of unknown outcome again
+	// instead of querying its outcome. Gateways must handle both equally safely.
 	resendIfUnknown bool
 }
 
@@ -62,13 +63,14 @@
 	}
 }
 
-// callReply is what a gateway said of a call.
+// callReply is a gateway's answer about a call.
 type callReply struct {
 	outcome *callerv1.Outcome
 	payload []byte
 }
 
-// sendOrQuery asks for the outcome of a call in doubt, or sends the call.
+// sendOrQuery sends the call, or queries its outcome if that is unknown and the
+// caller doesn't resend. It sets outcomeUnknown if the attempt fails.
 func (b *bookingCaller) sendOrQuery(ctx context.Context) (callReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, b.silenceTimeout)
 	defer cancel()
@@ -89,8 +91,9 @@
 	return callReply{response.GetOutcome(), response.GetPayload()}, nil
 }
 
-// queryOutcome asks for the outcome. A key that nobody knows may be sent again: its
-// repeat is the gateways' to recognize.
+// queryOutcome asks a gateway for the call's outcome. If the gateway knows nothing
+// of the key, the call may be sent again: recognizing a repeated key is the
+// gateways' task.
 func (b *bookingCaller) queryOutcome(ctx context.Context) (callReply, error) {
 	ctx, gateway := b.prepareAttempt(ctx)
 	response, err := gateway.GetOutcome(ctx, &callerv1.GetOutcomeRequest{
--- a/internal/loadgen/caller.go
+++ b/internal/loadgen/caller.go
@@ -14,29 +14,32 @@
 )
 
 const (
-	// The wait before a caller tries again after a failed connection.
+	// firstBackoff and maxBackoff bound the wait before the next attempt after a
+	// failed connection.
 	firstBackoff = 20 * time.Millisecond
 	maxBackoff   = time.Second
-	// defaultRetryAfter is used where an outcome names no time to return.
+	// defaultRetryAfter is used where an outcome has no retry-after time.
 	defaultRetryAfter = 500 * time.Millisecond
 )
 
-// caller holds the state of one request: which gateway is next, and what it
-// has cost so far.
+// caller is the state of one request over all its attempts. Each attempt goes to
+// one gateway.
 type caller struct {
 	gateways []callerv1connect.CallerServiceClient
-	// nextGateway is the gateway that is asked next.
+	// nextGateway modulo the number of gateways is the index of the gateway for
+	// the next attempt.
 	nextGateway int
 	token       string
-	backoff     time.Duration
-	// tries counts requests to gateways.
+	// backoff is the wait after the last failed connection; 0 after an outcome.
+	backoff time.Duration
+	// tries counts the attempts.
 	tries int
-	// cuts counts connections that broke after the request may have been
-	// taken.
+	// cuts counts connections that broke when the gateway may already have
+	// accepted the request.
 	cuts int
-	// refusals counts outcomes that said not_run.
+	// refusals counts outcomes of the kind not_run.
 	refusals int
-	// lastOutcome is the outcome that was heard last, or nil.
+	// lastOutcome is the last outcome that was received, or nil.
 	lastOutcome *callerv1.Outcome
 }
 
@@ -48,7 +51,8 @@
 	return gateways
 }
 
-// prepareAttempt prepares one request to the next gateway.
+// prepareAttempt counts an attempt and returns its context, which carries the
+// bearer token, and its gateway.
 func (c *caller) prepareAttempt(ctx context.Context) (context.Context, callerv1connect.CallerServiceClient) {
 	c.tries++
 	ctx, call := connect.NewClientContext(ctx)
@@ -56,8 +60,9 @@
 	return ctx, c.gateways[c.nextGateway%len(c.gateways)]
 }
 
-// recordFailure reports whether a request that failed with err may have been taken. It
-// counts a cut, unless the gateway answered with a rejection.
+// recordFailure reports whether the gateway may have accepted the request of an
+// attempt that failed with err. In that case it counts a cut, unless the error is
+// the gateway's rejection.
 func (c *caller) recordFailure(attempt *transport.Attempt, err error) bool {
 	if attempt.NotSent() {
 		return false
@@ -68,39 +73,42 @@
 	return true
 }
 
-// backOff moves to another gateway after a failed connection, with a wait that
-// grows. It returns false when the caller's patience has ended.
+// backOff moves to the next gateway after a failed connection and waits; the wait
+// doubles with each failure in a row. It returns false if ctx ends first.
 func (c *caller) backOff(ctx context.Context) bool {
 	c.nextGateway++
 	c.backoff = min(max(2*c.backoff, firstBackoff), maxBackoff)
 	return pause.For(ctx, c.backoff)
 }
 
-// waitRetryAfter notes an outcome that is not final and waits until the time to return.
+// waitRetryAfter records an outcome that is not final, moves to the next gateway
+// and waits for the outcome's retry-after time. It returns false if ctx ends
+// first.
 func (c *caller) waitRetryAfter(ctx context.Context, outcome *callerv1.Outcome) bool {
 	c.nextGateway++
 	c.backoff = 0
 	c.lastOutcome = outcome
-	after := outcome.GetRetryAfter().AsDuration()
-	if after <= 0 {
-		after = defaultRetryAfter
+	retryAfter := outcome.GetRetryAfter().AsDuration()
+	if retryAfter <= 0 {
+		retryAfter = defaultRetryAfter
 	}
-	return pause.For(ctx, after)
+	return pause.For(ctx, retryAfter)
 }
 
-// assessUnfinished judges a request whose caller's patience has ended.
-func (c *caller) assessUnfinished(problem error) *assessment {
+// assessUnfinished assesses a request that its caller gave up without a final
+// outcome. lastErr is the error of the last attempt, or nil.
+func (c *caller) assessUnfinished(lastErr error) *assessment {
 	switch c.lastOutcome.GetKind() {
 	case callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN:
 		return assessOutcome(Refused, c.lastOutcome)
 	case callerv1.OutcomeKind_OUTCOME_KIND_UNKNOWN, callerv1.OutcomeKind_OUTCOME_KIND_IN_PROGRESS:
 		return assessOutcome(Unknown, c.lastOutcome)
 	}
-	return assessmentf(Lost, "no outcome after %d tries: %v", c.tries, problem)
+	return assessmentf(Lost, "no outcome after %d tries: %v", c.tries, lastErr)
 }
 
-// assessRejection returns what to say of an error that no other gateway would answer
-// differently, or nil.
+// assessRejection returns the assessment of an error with which every gateway would
+// reject the request, or nil for other errors.
 func assessRejection(err error) *assessment {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnauthenticated, connect.CodeInvalidArgument, connect.CodeUnimplemented:
--- a/internal/loadgen/command/command.go
+++ b/internal/loadgen/command/command.go
@@ -27,7 +27,7 @@
 	ExitUsage  = 2
 )
 
-// progressInterval is how often the progress line changes.
+// progressInterval is the time between updates of the progress line.
 const progressInterval = 250 * time.Millisecond
 
 // account is a client account on the command line: NAME=TOKEN or
@@ -92,8 +92,8 @@
 // Version implements go-arg's interface for --version.
 func (arguments) Version() string { return "loadgen (goldcrestspool)" }
 
-// Run carries out a command line and returns the exit status. When ctx ends, no
-// more arrivals are sent.
+// Run executes a command line and returns the exit status. When ctx ends, no more
+// arrivals are sent.
 func Run(ctx context.Context, args []string, stdout io.Writer, stderr *os.File) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "loadgen", Out: stderr}, &parsed)
--- a/internal/loadgen/command/progress.go
+++ b/internal/loadgen/command/progress.go
@@ -9,13 +9,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/loadgen"
 )
 
-// isTerminal reports whether a person sees the file.
+// isTerminal reports whether the file is a terminal.
 func isTerminal(file *os.File) bool {
 	info, err := file.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// showProgress keeps one line up to date until the returned function is
+// showProgress updates a progress line on out until the returned function is
 // called.
 func showProgress(run *loadgen.Run, total int, out io.Writer) (stop func()) {
 	quit := make(chan struct{})
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -24,11 +24,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// errCut cuts the connection in place of an answer.
+// errCut makes the scripted gateway close the connection instead of answering.
 var errCut = errors.New("cut")
 
-// scriptedGateway is a scripted gateway over a plain stand-in. Each script is used
-// once, the last one for ever.
+// scriptedGateway is a gateway in front of a plain stand-in that answers by
+// scripts. Each script is used once, the last one for all requests that follow.
 type scriptedGateway struct {
 	callerv1connect.UnimplementedCallerServiceHandler
 	plain *plain.Service
@@ -39,10 +39,11 @@
 	outcomes []callScript
 }
 
-// streamScript sends the tokens of a prompt from an index on.
+// streamScript sends the tokens of a prompt's answer with the indexes from up to,
+// but not including, to.
 type streamScript func(ctx context.Context, prompt string, from, to int, send func(int, ...string)) (*callerv1.Outcome, error)
 
-// callScript answers a call.
+// callScript answers a call, or the query for its outcome.
 type callScript func(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error)
 
 // nextScript returns the next script of a list.
@@ -137,7 +138,7 @@
 	return nil, errCut
 }
 
-// sendsFrame returns a script that sends one frame and calls the answer whole.
+// sendsFrame returns a script that sends one frame and the outcome completed.
 func sendsFrame(index int, tokens func(prompt string, n int) []string) streamScript {
 	return func(_ context.Context, prompt string, _, to int, send func(int, ...string)) (*callerv1.Outcome, error) {
 		send(index, tokens(prompt, to)...)
@@ -145,7 +146,7 @@
 	}
 }
 
-// execute runs a booking once at the plain stand-in.
+// execute executes a booking once at the plain stand-in.
 func execute(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 	got, err := g.plain.Invoke(ctx, upstream.InvokeRequest{
 		Method:  "bid",
@@ -160,7 +161,8 @@
 	return execute(ctx, g, key)
 }
 
-// executeButAnswer executes a booking and tells something else.
+// executeButAnswer returns a script that executes a booking but answers with
+// another outcome and payload.
 func executeButAnswer(outcome *callerv1.Outcome, err error) callScript {
 	return func(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 		_, _, _ = execute(ctx, g, key)
@@ -168,7 +170,7 @@
 	}
 }
 
-// answerOnly answers without executing anything.
+// answerOnly returns a script that answers without executing anything.
 func answerOnly(outcome *callerv1.Outcome, err error) callScript {
 	return func(_ context.Context, _ *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 		return outcome, answer.Reply("bid", []byte("booking "+key)), err
@@ -176,11 +178,11 @@
 }
 
 const (
-	// testTimeout is more than any answer takes.
+	// testTimeout is longer than any answer takes.
 	testTimeout = time.Minute
-	// shortTimeout ends the cases that have no end of their own.
+	// shortTimeout ends requests that never get a final outcome.
 	shortTimeout = 2 * time.Second
-	// shortSilenceTimeout ends a stream that is silent for good.
+	// shortSilenceTimeout ends a stream that stays silent.
 	shortSilenceTimeout = 100 * time.Millisecond
 )
 
@@ -258,8 +260,8 @@
 	}
 }
 
-// Symptom: a caller waits for ever. Sequence: its stream goes silent, not even
-// heartbeats come. Cause: nothing watches the silence.
+// Guards against a caller that waits for ever because its stream delivers nothing
+// any more, not even heartbeats.
 func TestSilentStreamIsResumed(t *testing.T) {
 	result := runOne(t, &scriptedGateway{streams: []streamScript{silent, whole}}, Short, shortSilenceTimeout, Whole)
 	if result.Resumes == 0 {
@@ -267,8 +269,8 @@
 	}
 }
 
-// Symptom: a caller waits for ever. Sequence: a gateway takes a call, executes
-// it and freezes. Cause: nothing bounds one attempt.
+// Guards against a caller that waits for ever because a gateway executes a call
+// and then freezes without answering.
 func TestSilentCallIsAskedFor(t *testing.T) {
 	frozen := func(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 		_, _, _ = execute(ctx, g, key)
@@ -305,9 +307,9 @@
 	}
 }
 
-// Symptom: loadgen reports cuts where no connection broke. Sequence: a gateway
-// answers that the service has no such method. Cause: every error of a request
-// that was sent counts as a cut.
+// Guards against counting every error of a request that was sent as a cut: here
+// the gateway answers that the service has no such method, and no connection
+// breaks.
 func TestRejectedBookingIsNoCut(t *testing.T) {
 	rejection := connect.NewError(connect.CodeInvalidArgument, errors.New("no such method"))
 	result := runOne(t, &scriptedGateway{calls: []callScript{answerOnly(nil, rejection)}}, Booking, testTimeout, Lost)
@@ -361,8 +363,9 @@
 	cases := []struct {
 		story string
 		count uint32
-		told  Verdict
-		want  Verdict
+		// caller is the verdict before the audit.
+		caller Verdict
+		want   Verdict
 	}{
 		{"executed where nobody answers, it may be", 0, Whole, ""},
 		{"doubled among those that answer", 2, Whole, Doubled},
@@ -371,12 +374,12 @@
 	}
 	for _, c := range cases {
 		e := executions{count: map[string]uint32{key: c.count}, unreachable: 1}
-		found := e.auditBooking(key, c.told)
-		if found == nil {
-			found = &assessment{}
+		audited := e.auditBooking(key, c.caller)
+		if audited == nil {
+			audited = &assessment{}
 		}
-		if found.verdict != c.want {
-			t.Errorf("%s: got %q, want %q", c.story, found.verdict, c.want)
+		if audited.verdict != c.want {
+			t.Errorf("%s: got %q, want %q", c.story, audited.verdict, c.want)
 		}
 	}
 }
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -8,13 +8,17 @@
 
 // Progress is the state of a run so far.
 type Progress struct {
-	Elapsed  time.Duration
-	Started  int
-	Ended    int
+	// Elapsed is 0 before the run starts.
+	Elapsed time.Duration
+	// Started and Ended count requests.
+	Started int
+	Ended   int
+	// Verdicts counts the ended requests by verdict.
 	Verdicts map[Verdict]int
 }
 
-// finishedRequest is one request at its end.
+// finishedRequest is one request that has ended. Its completion counts from the
+// time at which it was due.
 type finishedRequest struct {
 	arrival    Arrival
 	requestID  string
@@ -26,7 +30,7 @@
 	resumes    int
 }
 
-// recorder collects the requests of a run.
+// recorder collects the requests of a run. It is safe for concurrent use.
 type recorder struct {
 	mu       sync.Mutex
 	start    time.Time
--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -16,12 +16,13 @@
 	lowestMicros      = 1
 	highestMicros     = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
-	// maxProblems bounds the problems that a result lists.
+	// maxProblems is the maximum number of problems that a result lists.
 	maxProblems = 20
 )
 
-// Percentiles are in milliseconds.
+// Percentiles summarizes a set of times, in milliseconds.
 type Percentiles struct {
+	// Count is the number of times.
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P95   float64 `json:"p95_ms"`
@@ -29,20 +30,21 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// KindResult is the result of one kind of request. Times count from when a
-// request was due; only whole answers are in them.
+// KindResult is the result of one kind of request. The percentiles cover requests
+// with whole answers only; first tokens and completions count from the time at
+// which a request was due.
 type KindResult struct {
 	Sent     int             `json:"sent"`
 	Verdicts map[Verdict]int `json:"verdicts"`
-	// Reasons counts the gateways' reasons for refused, failed and unknown
-	// ends.
+	// Reasons counts the reasons that gateways gave for refused, failed and
+	// unknown verdicts.
 	Reasons       map[string]int `json:"reasons"`
 	FirstToken    Percentiles    `json:"first_token"`
 	BetweenTokens Percentiles    `json:"between_tokens"`
 	Completion    Percentiles    `json:"completion"`
 }
 
-// Problem is one answer that broke a promise.
+// Problem is one request whose verdict breaks a promise.
 type Problem struct {
 	Kind    Kind    `json:"kind"`
 	Request string  `json:"request"`
@@ -56,26 +58,28 @@
 	Kinds   map[Kind]*KindResult `json:"kinds"`
 	// Accounts counts sent and whole answers by client account.
 	Accounts map[string]*AccountResult `json:"accounts"`
-	// Tries counts requests to gateways, first ones included.
+	// Tries counts the attempts of all requests.
 	Tries int `json:"tries"`
-	// Cuts counts connections that broke, or were given up as silent, after
-	// a request may have been taken.
+	// Cuts counts connections that broke, or were given up as silent, when a
+	// gateway may already have accepted the request.
 	Cuts int `json:"cuts"`
-	// Resumes counts streams that were resumed.
+	// Resumes counts the attempts that resumed a stream.
 	Resumes int `json:"resumes"`
-	// Audit says whether bookings were compared with their executions.
-	Audit    string    `json:"audit"`
+	// Audit describes whether bookings were compared with their executions.
+	Audit string `json:"audit"`
+	// Broken counts the requests whose verdict breaks a promise; Problems lists
+	// the first 20 of them.
 	Broken   int       `json:"broken"`
 	Problems []Problem `json:"problems"`
 }
 
-// AccountResult is the share of one client account.
+// AccountResult counts the requests of one client account.
 type AccountResult struct {
 	Sent  int `json:"sent"`
 	Whole int `json:"whole"`
 }
 
-// histograms are those of one kind.
+// histograms are the latency histograms of one kind of request.
 type histograms struct {
 	firstToken, betweenTokens, completion *hdrhistogram.Histogram
 }
@@ -88,7 +92,8 @@
 	return hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 }
 
-// recordTime adds a time; the range's end stands for longer ones.
+// recordTime adds a time to a histogram; times outside its range count as the
+// nearest end of the range.
 func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
 }
@@ -104,7 +109,7 @@
 	}
 }
 
-// summarize makes the result of all requests.
+// summarize returns the result of a run's requests, without the audit.
 func summarize(all []*finishedRequest, elapsed time.Duration) *Result {
 	result := &Result{
 		Seconds:  elapsed.Seconds(),
@@ -180,7 +185,7 @@
 	})
 }
 
-// Print writes the result for a person.
+// Print writes the result as tables for a reader.
 func (r *Result) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "kind\tsent\t")
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -17,37 +17,41 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// auditTimeout bounds the questions to the plain stand-ins.
+// auditTimeout is the time limit for querying all plain stand-ins.
 const auditTimeout = 10 * time.Second
 
-// Options say where and how a load is sent.
+// Options configure where and how a load is sent.
 type Options struct {
 	// Gateways are host:port addresses for callers.
 	Gateways []string
-	// PlainStandins are host:port addresses of plain stand-ins, for the audit.
+	// PlainStandins are host:port addresses of the plain stand-ins that execute
+	// the bookings, for the audit. Without any, there is no audit.
 	PlainStandins []string
 	// CallerTimeout is how long a caller waits for its final outcome.
 	CallerTimeout time.Duration
-	// SilenceTimeout is how long a stream may give nothing, and a call no answer.
+	// SilenceTimeout is how long a stream may send nothing, and a call go
+	// unanswered, before the caller tries another gateway.
 	SilenceTimeout time.Duration
-	// MaxRefusals is after how many refusals a caller gives up.
+	// MaxRefusals is the number of refusals after which a caller gives up.
 	MaxRefusals int
-	// FreshConnections dials a connection for each request, so that a kept
-	// one that its server is closing counts as no cut.
+	// FreshConnections dials a connection for each request. A kept connection
+	// may be closed by its server just when a request is sent, which would count
+	// as a cut.
 	FreshConnections bool
 }
 
-// Run is one load on its way.
+// Run sends one load.
 type Run struct {
 	options  Options
 	workload *Workload
+	// id makes idempotency keys and prompts unique to the run.
 	id       string
 	client   *http.Client
 	gateways []callerv1connect.CallerServiceClient
 	recorder *recorder
 }
 
-// NewRun prepares a run.
+// NewRun returns a run that Do starts.
 func NewRun(options Options, workload *Workload) *Run {
 	client := transport.NewClient(transport.Options{FreshConnections: options.FreshConnections})
 	return &Run{
@@ -60,8 +64,8 @@
 	}
 }
 
-// Do sends all arrivals, waits for their ends and returns the result. When ctx
-// ends, no more arrivals are sent; those on their way go on to their ends.
+// Do sends all arrivals, waits until their requests have ended and returns the
+// result. When ctx ends, no more arrivals are sent; requests in flight continue.
 func (r *Run) Do(ctx context.Context, arrivals []Arrival) *Result {
 	defer r.client.CloseIdleConnections()
 	start := time.Now()
@@ -77,16 +81,17 @@
 	}
 	group.Wait()
 	elapsed := time.Since(start)
-	state := r.auditBookings()
+	audit := r.auditBookings()
 	result := summarize(r.recorder.finished, elapsed)
-	result.Audit = state
+	result.Audit = audit
 	return result
 }
 
-// Progress returns the state so far. It may be called while Do runs.
+// Progress returns the state so far. It is safe to call while Do runs.
 func (r *Run) Progress() Progress { return r.recorder.progress() }
 
-// runRequest carries one arrival through to its end.
+// runRequest sends one arrival's request, with as many attempts as it takes, until
+// it has ended. It does not stop with Do's context.
 func (r *Run) runRequest(a Arrival, due time.Time) *finishedRequest {
 	ctx, cancel := context.WithTimeout(context.Background(), r.options.CallerTimeout)
 	defer cancel()
@@ -106,11 +111,11 @@
 		IssuedAt:       timestamppb.Now(),
 		Payload:        []byte("booking " + key),
 	}}
-	found := b.run(ctx, r.options.MaxRefusals)
+	assessed := b.run(ctx, r.options.MaxRefusals)
 	return &finishedRequest{
 		arrival:    a,
 		requestID:  key,
-		assessment: found,
+		assessment: assessed,
 		completion: time.Since(due),
 		tries:      b.tries,
 		cuts:       b.cuts,
@@ -133,11 +138,11 @@
 		dueAt:          due,
 		silenceTimeout: r.options.SilenceTimeout,
 	}
-	found := s.run(ctx, r.options.MaxRefusals)
+	assessed := s.run(ctx, r.options.MaxRefusals)
 	return &finishedRequest{
 		arrival:    a,
 		requestID:  s.original.GetRequestId(),
-		assessment: found,
+		assessment: assessed,
 		completion: time.Since(due),
 		times:      s.times,
 		tries:      s.tries,
@@ -146,8 +151,9 @@
 	}
 }
 
-// auditBookings compares all bookings with what the plain stand-ins executed, and
-// says in words whether it could.
+// auditBookings compares all bookings with what the plain stand-ins executed and
+// replaces the assessments of those that differ. It returns a description of how
+// complete the comparison is.
 func (r *Run) auditBookings() string {
 	if len(r.options.PlainStandins) == 0 {
 		return "not run, no plain stand-in given"
@@ -159,13 +165,13 @@
 		if e.arrival.Kind != Booking {
 			continue
 		}
-		scoped := ident.CallKey{
+		callKey := ident.CallKey{
 			Service: r.workload.PlainService,
 			Account: e.arrival.Account.Name,
 			Key:     ident.Key(e.requestID),
 		}
-		if found := executed.auditBooking(scoped.String(), e.assessment.verdict); found != nil {
-			e.assessment = found
+		if assessed := executed.auditBooking(callKey.String(), e.assessment.verdict); assessed != nil {
+			e.assessment = assessed
 		}
 	}
 	return executed.String()
--- a/internal/loadgen/stream.go
+++ b/internal/loadgen/stream.go
@@ -11,32 +11,36 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// errSilent: a stream's connection gave nothing, not even a heartbeat.
+// errSilent cancels a stream that delivered nothing, not even a heartbeat, for the
+// silence timeout.
 var errSilent = errors.New("stream went silent")
 
-// streamTimes are the times of one stream, from when it was due.
+// streamTimes are the latencies of one stream.
 type streamTimes struct {
+	// firstToken counts from the time at which the request was due.
 	firstToken time.Duration
-	// betweenTokens are the times between tokens.
+	// betweenTokens are the times between consecutive frames with tokens.
 	betweenTokens []time.Duration
 }
 
-// streamCaller carries one streamed request through to its end.
+// streamCaller sends one streamed request and resumes its stream until it has
+// ended.
 type streamCaller struct {
 	caller
 	check    tokenCheck
 	original *callerv1.GenerateRequest
 	dueAt    time.Time
-	// silenceTimeout is how long a stream may give nothing.
+	// silenceTimeout is how long a stream may deliver nothing.
 	silenceTimeout time.Duration
-	// begun: some gateway may have taken the request.
+	// maybeAccepted is set when some gateway may have accepted the request, so
+	// that the next attempt has to resume it.
 	maybeAccepted bool
 	resumes       int
 	times         streamTimes
 	lastTokenAt   time.Time
 }
 
-// tokenEvents is what Generate and Resume have in common.
+// tokenEvents is what the streams of Generate and Resume have in common.
 type tokenEvents interface {
 	receive() bool
 	tokens() *callerv1.TokenFrame
@@ -62,13 +66,13 @@
 func (r resumeEvents) outcome() *callerv1.Outcome   { return r.Msg().GetOutcome() }
 func (r resumeEvents) err() error                   { return r.Err() }
 
-// run sends the request until its answer is whole, something is wrong with it,
-// it was refused maxRefusals times, or ctx ends.
+// run makes attempts until the outcome is final, a token is wrong, the request was
+// refused maxRefusals times, or ctx ends.
 func (s *streamCaller) run(ctx context.Context, maxRefusals int) *assessment {
 	for {
-		outcome, verdict, err := s.runOnce(ctx)
-		if verdict != nil {
-			return verdict
+		outcome, wrong, err := s.runOnce(ctx)
+		if wrong != nil {
+			return wrong
 		}
 		if err != nil {
 			if final := assessRejection(err); final != nil {
@@ -86,7 +90,7 @@
 			return assessOutcome(Failed, outcome)
 		case callerv1.OutcomeKind_OUTCOME_KIND_NOT_RUN:
 			s.refusals++
-			// A refusal of a stream that has given nothing leaves
+			// If a refused stream has delivered no token, there is
 			// nothing to resume.
 			s.maybeAccepted = len(s.check.got) > 0
 		}
@@ -97,7 +101,8 @@
 	}
 }
 
-// runOnce reads one stream to its outcome, a finding or the connection's end.
+// runOnce makes one attempt. It returns the outcome that the gateway sent, the
+// assessment of a wrong token, or the error that ended the stream before either.
 func (s *streamCaller) runOnce(parent context.Context) (*callerv1.Outcome, *assessment, error) {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
@@ -129,7 +134,7 @@
 	return nil, nil, err
 }
 
-// open starts the stream, or resumes it once a gateway may have taken it.
+// open starts the stream, or resumes it if a gateway may have accepted the request.
 func (s *streamCaller) open(ctx context.Context) (tokenEvents, error) {
 	ctx, gateway := s.prepareAttempt(ctx)
 	if !s.maybeAccepted {
@@ -148,7 +153,8 @@
 	return resumeEvents{stream}, err
 }
 
-// addFrame checks the tokens of a frame and notes their times.
+// addFrame checks the tokens of a frame and records their times. It returns an
+// assessment if they are wrong, else nil.
 func (s *streamCaller) addFrame(frame *callerv1.TokenFrame) *assessment {
 	now := time.Now()
 	first := len(s.check.got) == 0
--- a/internal/loadgen/verdict.go
+++ b/internal/loadgen/verdict.go
@@ -7,44 +7,46 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/answer"
 )
 
-// Verdict says how a request ended.
+// Verdict is how a request ended.
 type Verdict string
 
 // The verdicts.
 const (
-	// Whole: the caller has exactly its whole answer.
+	// Whole: the caller received the whole answer and nothing else.
 	Whole Verdict = "whole"
-	// Refused: the caller was told that the request was not run.
+	// Refused: the caller gave up after outcomes that the request was not run.
 	Refused Verdict = "refused"
 	// Failed: the application itself answered with an error.
 	Failed Verdict = "failed"
-	// Unknown: the caller was told that the request may have run, until its
-	// patience ended.
+	// Unknown: the caller gave up while the last outcome was that the request
+	// may have run.
 	Unknown Verdict = "unknown"
-	// Wrong: something that is not the request's answer, or a refusal of a
-	// request that was executed.
+	// Wrong: the caller received something that is not the request's answer, or
+	// a refusal of a booking that was executed.
 	Wrong Verdict = "wrong"
-	// Incomplete: an answer that was called whole lacks its end.
+	// Incomplete: an answer lacks its end although its outcome is completed.
 	Incomplete Verdict = "short"
-	// Doubled: a token came twice, or a booking was executed twice.
+	// Doubled: a token was received twice, or a booking was executed twice.
 	Doubled Verdict = "doubled"
-	// Lost: the caller heard nothing final, or a booking that was confirmed
-	// was not executed.
+	// Lost: the caller received no outcome or was rejected, or a booking was
+	// confirmed but not executed.
 	Lost Verdict = "lost"
 )
 
-// Verdicts lists the verdicts in the order of reports.
+// Verdicts lists the verdicts in the order in which results are printed.
 var Verdicts = []Verdict{Whole, Refused, Failed, Unknown, Wrong, Incomplete, Doubled, Lost}
 
-// BreaksPromise reports whether a verdict breaks a promise.
+// BreaksPromise reports whether the verdict shows that the gateways broke a promise
+// that they give to callers.
 func (v Verdict) BreaksPromise() bool {
 	return v == Wrong || v == Incomplete || v == Doubled || v == Lost
 }
 
-// assessment is a verdict with what led to it.
+// assessment is the verdict on a request with the facts behind it.
 type assessment struct {
 	verdict Verdict
-	// reason is the gateway's, for refusals, failures and unknown ends.
+	// reason is the reason in the gateway's outcome; empty if the verdict does
+	// not come from an outcome.
 	reason string
 	detail string
 }
@@ -53,7 +55,8 @@
 	return &assessment{verdict: verdict, detail: fmt.Sprintf(format, args...)}
 }
 
-// assessOutcome returns a finding that a gateway gave its reason for.
+// assessOutcome returns a verdict with the reason and message of a gateway's
+// outcome.
 func assessOutcome(verdict Verdict, outcome *callerv1.Outcome) *assessment {
 	return &assessment{
 		verdict: verdict,
@@ -62,15 +65,16 @@
 	}
 }
 
-// tokenCheck compares a stream with the answer that the prompt must have.
+// tokenCheck compares a stream with the expected answer to its prompt.
 type tokenCheck struct {
 	prompt string
-	want   int
-	got    []string
+	// want is the expected number of tokens.
+	want int
+	got  []string
 }
 
-// add takes consecutive tokens from an index on. It returns what is wrong with
-// them, or nil.
+// add appends consecutive tokens of which the first has the index. It returns an
+// assessment if one is wrong, else nil.
 func (c *tokenCheck) add(index uint32, tokens []string) *assessment {
 	if int(index) < len(c.got) {
 		return assessmentf(Doubled, "token %d came again", index)
@@ -90,7 +94,7 @@
 	return nil
 }
 
-// assessComplete judges an answer that was called whole.
+// assessComplete assesses an answer whose outcome is completed.
 func (c *tokenCheck) assessComplete() *assessment {
 	if len(c.got) < c.want {
 		return assessmentf(Incomplete, "%d tokens, want %d", len(c.got), c.want)
--- a/internal/loadgen/workload.go
+++ b/internal/loadgen/workload.go
@@ -1,8 +1,9 @@
 // Package loadgen sends an open-loop load to gateways, as callers would, and
 // checks every answer against its request.
 //
-// Open loop: arrivals do not wait for answers, and times count from the moment
-// at which a request was due, so that a slow system cannot hide its own queue.
+// Open loop means that requests are sent at the times of their arrivals, whether
+// or not earlier ones were answered. Latencies are measured from the time at
+// which a request was due, so that a slow system cannot hide its own queue.
 package loadgen
 
 import (
@@ -33,14 +34,14 @@
 	Booking Kind = "booking"
 )
 
-// Kinds lists the kinds in the order of reports.
+// Kinds lists the kinds in the order in which results are printed.
 var Kinds = []Kind{Short, Long, Booking}
 
 // Account is a client account that sends requests.
 type Account struct {
 	Name  ident.ClientAccount
 	Token string
-	// Weight is the account's share of the arrivals.
+	// Weight is the account's share of the arrivals, relative to the others.
 	Weight float64
 }
 
@@ -49,27 +50,29 @@
 	Class ident.Class
 	// PromptTokens is the length of the prompt.
 	PromptTokens int
-	// SharedTokens is how much of the prompt all requests of an account and
-	// kind have in common.
+	// SharedTokens is the length of the prefix that the prompts of all requests
+	// of an account and kind have in common.
 	SharedTokens int
-	MaxTokens    int
+	// MaxTokens is the length of the answer.
+	MaxTokens int
 }
 
-// Workload says what is sent.
+// Workload describes the requests that are sent.
 type Workload struct {
-	// ModelService gets short and long requests.
+	// ModelService receives short and long requests.
 	ModelService ident.Service
-	// PlainService gets bookings.
+	// PlainService receives bookings.
 	PlainService  ident.Service
 	BookingMethod ident.Method
 	Accounts      []Account
 	Shapes        map[Kind]Shape
-	// Weights are the kinds' shares of the arrivals.
+	// Weights are the kinds' shares of the arrivals, relative to each other.
 	Weights map[Kind]float64
 }
 
-// Arrival is one request that is due at a time after the start.
+// Arrival is one request and when it is due.
 type Arrival struct {
+	// At is the time from the start of the run.
 	At      time.Duration
 	Kind    Kind
 	Account Account
@@ -77,8 +80,8 @@
 	Number int
 }
 
-// Poisson returns the arrivals of a Poisson process: rate a second on the mean,
-// independent of each other, the same for the same seed.
+// Poisson returns the arrivals of a Poisson process with a mean of rate a second.
+// They are the same for the same seed.
 func (w *Workload) Poisson(rate float64, duration time.Duration, seed uint64) []Arrival {
 	random := rand.New(rand.NewPCG(seed, 0))
 	kinds := make([]float64, len(Kinds))
@@ -105,7 +108,8 @@
 	}
 }
 
-// pickWeighted returns an index with a probability proportional to its weight.
+// pickWeighted returns a random index with a probability proportional to its
+// weight.
 func pickWeighted(random *rand.Rand, weights []float64) int {
 	total := 0.0
 	for _, weight := range weights {
@@ -129,7 +133,8 @@
 }
 
 // ReadTrace reads arrivals from JSON lines with the keys at_ms, kind and
-// account, in the order of their times. All faults are reported together.
+// account. The lines must be in the order of their times. The error names all
+// invalid lines.
 func (w *Workload) ReadTrace(in io.Reader) ([]Arrival, error) {
 	accounts := make(map[ident.ClientAccount]Account)
 	for _, account := range w.Accounts {
@@ -175,8 +180,9 @@
 	return Arrival{At: at, Kind: parsed.Kind, Account: account}, nil
 }
 
-// promptFor returns a prompt of the shape's length that no other arrival of the
-// run has: a part that the account's requests share, then one of its own.
+// promptFor returns an arrival's prompt, of its shape's length: a prefix that the
+// account's requests of this kind share, then a part that is unique within the
+// run.
 func (w *Workload) promptFor(run string, a Arrival) string {
 	shape := w.Shapes[a.Kind]
 	shared := repeatToTokens(fmt.Sprintf("%s %s. ", a.Account.Name, a.Kind), shape.SharedTokens)
@@ -184,8 +190,8 @@
 	return shared + own
 }
 
-// repeatToTokens repeats a text up to a length in tokens, but gives it whole at least
-// once.
+// repeatToTokens repeats a text up to a length in tokens. Unless that length is 0,
+// the result contains the whole text at least once.
 func repeatToTokens(text string, tokens int) string {
 	if tokens <= 0 {
 		return ""
