--- a/internal/standin/admin/plain.go
+++ b/internal/standin/admin/plain.go
@@ -14,8 +14,8 @@
 	Service *plain.Service
 }
 
-// GetEffects returns how often each key was executed, in the order of the
-// keys.
+// GetEffects returns how often each key was executed, sorted by key. If the
+// request names keys, it returns only these.
 func (p *Plain) GetEffects(
 	_ context.Context, req *standinv1.GetEffectsRequest,
 ) (*standinv1.GetEffectsResponse, error) {
--- a/internal/standin/admin/platform.go
+++ b/internal/standin/admin/platform.go
@@ -1,5 +1,5 @@
-// Package admin serves the stand-ins' own API, by which scripts set them up,
-// make them fail and count what they executed.
+// Package admin serves the stand-ins' administrative API, with which scripts set
+// them up, inject faults and count what was executed.
 package admin
 
 import (
@@ -28,7 +28,7 @@
 	Weights   *weights.Store
 }
 
-// Register adds an instance, or a new life of it.
+// Register adds an instance, or a new incarnation of it, to the list.
 func (p *Platform) Register(
 	_ context.Context, req *standinv1.RegisterRequest,
 ) (*standinv1.RegisterResponse, error) {
@@ -54,7 +54,7 @@
 	return &standinv1.SetStateResponse{}, nil
 }
 
-// Announce issues a reclaim notice for the current life of an instance.
+// Announce issues a reclaim notice for the current incarnation of an instance.
 func (p *Platform) Announce(
 	_ context.Context, req *standinv1.AnnounceRequest,
 ) (*standinv1.AnnounceResponse, error) {
@@ -67,7 +67,7 @@
 	return &standinv1.AnnounceResponse{Sequence: notice.Sequence}, nil
 }
 
-// SetFaults replaces the lasting faults of one part.
+// SetFaults sets the outage and the delay of one part.
 func (p *Platform) SetFaults(
 	_ context.Context, req *standinv1.SetFaultsRequest,
 ) (*standinv1.SetFaultsResponse, error) {
@@ -80,7 +80,7 @@
 	return &standinv1.SetFaultsResponse{}, nil
 }
 
-// LoseNext loses the next request with an effect, or its answer.
+// LoseNext makes one part lose the next request that has an effect, or its answer.
 func (p *Platform) LoseNext(
 	_ context.Context, req *standinv1.LoseNextRequest,
 ) (*standinv1.LoseNextResponse, error) {
@@ -93,7 +93,8 @@
 	return &standinv1.LoseNextResponse{}, nil
 }
 
-// SetCapacity says whether instances of a class start in a failure domain.
+// SetCapacity sets whether instances of a class can be started in a failure
+// domain.
 func (p *Platform) SetCapacity(
 	_ context.Context, req *standinv1.SetCapacityRequest,
 ) (*standinv1.SetCapacityResponse, error) {
@@ -102,7 +103,7 @@
 	return &standinv1.SetCapacityResponse{}, nil
 }
 
-// GetStats counts what the platform did.
+// GetStats returns the number of appends that took effect at the log.
 func (p *Platform) GetStats(
 	context.Context, *standinv1.GetStatsRequest,
 ) (*standinv1.GetStatsResponse, error) {
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,5 +1,5 @@
-// Package answer says what the stand-in upstreams answer. An answer depends on
-// nothing but its request, so that any checker knows it in full beforehand.
+// Package answer computes the answers of the stand-in upstreams. An answer depends
+// on nothing but its request, so that a test can check it in full.
 package answer
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Token returns the token with an index, from 0, of the answer to a prompt.
+// Token returns the token at an index, counted from 0, of the answer to a prompt.
 func Token(prompt string, index int) string {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -31,7 +31,7 @@
 	return tokens
 }
 
-// Reply returns a plain service's answer to a method's payload.
+// Reply returns a plain service's answer to a call of a method with a payload.
 func Reply(method ident.Method, payload []byte) []byte {
 	sum := xxhash.Sum64(payload)
 	return []byte(string(method) + " " + strconv.FormatUint(sum, 36))
--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -12,18 +12,19 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/fault"
 )
 
-// Options are a Cloud's rules and its links to other stand-ins.
+// Options configure a Cloud and connect it to other stand-ins.
 type Options struct {
 	// ChecksFencing makes Start and Stop refuse a fencing number below the
 	// highest that the cloud has seen for the service.
 	ChecksFencing bool
-	// ServiceOf tells, if set, what an instance runs that was not started here.
+	// ServiceOf, if set, returns the service of an instance that this cloud did
+	// not start.
 	ServiceOf func(ident.Instance) ident.Service
-	// Started is called, if set, when a new instance starts.
+	// Started, if set, is called when a new instance is started.
 	Started func(ident.Instance, platform.StartRequest)
-	// Stopped is called, if set, when an instance is told to stop.
+	// Stopped, if set, is called when an instance is ordered to stop.
 	Stopped func(ident.Instance)
-	// Announced is called, if set, when a notice is announced.
+	// Announced, if set, is called when a reclaim notice is announced.
 	Announced func(platform.Notice)
 }
 
@@ -34,23 +35,26 @@
 	options Options
 
 	mu sync.Mutex
-	// fences are the highest fencing numbers by service. Numbers of different
-	// services are not compared: their holders change apart.
-	fences            map[ident.Service]ident.Fence
+	// fences are the highest fencing numbers seen, by service. Numbers of
+	// different services are not compared, since their leases change hands
+	// independently.
+	fences map[ident.Service]ident.Fence
+	// instanceByStartID recognizes repeated start requests.
 	instanceByStartID map[string]ident.Instance
-	// serviceByInstance of the instances that were started here.
+	// serviceByInstance holds the instances that were started here.
 	serviceByInstance map[ident.Instance]ident.Service
-	noCapacity        map[capacityKey]bool
-	notices           []notice
+	// noCapacity holds where instances cannot be started.
+	noCapacity map[capacityKey]bool
+	notices    []notice
 }
 
-// capacityKey is where and what the cloud has, or has not, in stock.
+// capacityKey is a machine class in a failure domain.
 type capacityKey struct {
 	domain ident.FailureDomain
 	class  ident.MachineClass
 }
 
-// notice is an announced end at a point in time.
+// notice is a reclaim notice with the time at which its instance ends.
 type notice struct {
 	platform.Notice
 	endsAt time.Time
@@ -58,7 +62,8 @@
 
 var _ platform.Cloud = (*Cloud)(nil)
 
-// New returns a cloud that has every class in every failure domain.
+// New returns a cloud with capacity for every machine class in every failure
+// domain.
 func New(options Options) *Cloud {
 	return &Cloud{
 		options:           options,
@@ -69,14 +74,15 @@
 	}
 }
 
-// SetCapacity says whether instances of a class start in a failure domain.
+// SetCapacity sets whether instances of a class can be started in a failure
+// domain.
 func (c *Cloud) SetCapacity(domain ident.FailureDomain, class ident.MachineClass, available bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.noCapacity[capacityKey{domain, class}] = !available
 }
 
-// Announce issues a notice that one life of an instance ends after endsIn.
+// Announce issues a notice that one incarnation of an instance ends after endsIn.
 func (c *Cloud) Announce(id ident.Instance, incarnation ident.Incarnation, endsIn time.Duration) platform.Notice {
 	c.mu.Lock()
 	n := notice{
@@ -140,17 +146,19 @@
 }
 
 func (c *Cloud) start(req platform.StartRequest) (ident.Instance, error) {
-	id, fresh, err := c.createOnce(req)
+	id, created, err := c.createOnce(req)
 	if err != nil {
 		return "", err
 	}
-	if fresh && c.options.Started != nil {
+	if created && c.options.Started != nil {
 		c.options.Started(id, req)
 	}
 	return id, nil
 }
 
-func (c *Cloud) createOnce(req platform.StartRequest) (id ident.Instance, fresh bool, err error) {
+// createOnce returns the instance of a start request, and whether this call
+// created it.
+func (c *Cloud) createOnce(req platform.StartRequest) (id ident.Instance, created bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := c.checkFence(req.Service, req.Fence); err != nil {
@@ -181,7 +189,7 @@
 	return nil
 }
 
-// serviceOf is called with the lock held.
+// serviceOf returns the service of an instance. The caller holds c.mu.
 func (c *Cloud) serviceOf(id ident.Instance) ident.Service {
 	if service, known := c.serviceByInstance[id]; known || c.options.ServiceOf == nil {
 		return service
@@ -189,14 +197,15 @@
 	return c.options.ServiceOf(id)
 }
 
-// checkFence is called with the lock held.
-func (c *Cloud) checkFence(of ident.Service, fence ident.Fence) error {
+// checkFence refuses a fencing number below the highest that was seen for the
+// service, else remembers it. The caller holds c.mu.
+func (c *Cloud) checkFence(service ident.Service, fence ident.Fence) error {
 	if !c.options.ChecksFencing {
 		return nil
 	}
-	if fence < c.fences[of] {
+	if fence < c.fences[service] {
 		return platform.ErrOldFence
 	}
-	c.fences[of] = fence
+	c.fences[service] = fence
 	return nil
 }
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,4 +1,4 @@
-// Package fault makes a stand-in of a platform service fail on demand.
+// Package fault injects faults into the stand-ins of the platform's services.
 package fault
 
 import (
@@ -11,34 +11,38 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Loss says which part of a request is lost.
+// Loss is what is lost of a request that has an effect.
 type Loss int
 
 // The losses.
 const (
 	// None: the request and its answer arrive.
 	None Loss = 0
-	// BeforeEffect: the requester hears nothing and nothing took effect.
+	// BeforeEffect: the request is lost and has no effect.
 	BeforeEffect Loss = 1
-	// AfterEffect: the request took effect and its answer is lost.
+	// AfterEffect: the request takes effect and its answer is lost.
 	AfterEffect Loss = 2
-	// Late: the answer is lost and the request takes effect some time after
-	// its requester has given up.
+	// Late: the answer is lost and the request takes effect some time later,
+	// when its client may have given up.
 	Late Loss = 3
 )
 
-// Injector holds the faults of one stand-in. Its zero value injects none.
+// Injector holds the faults of one stand-in. Its zero value injects none. It is
+// safe for concurrent use.
 type Injector struct {
-	mu            sync.Mutex
-	outage        bool
-	delay         time.Duration
-	lateBy        time.Duration
-	losses        []Loss
+	mu     sync.Mutex
+	outage bool
+	delay  time.Duration
+	lateBy time.Duration
+	// losses are those of the next requests that have an effect.
+	losses []Loss
+	// outageChanged is closed when an outage begins or ends; nil while nobody
+	// waits for it.
 	outageChanged chan struct{}
 }
 
-// SetOutage makes every request fail with platform.ErrUnavailable, or ends
-// that.
+// SetOutage begins or ends an outage, in which every request fails with
+// platform.ErrUnavailable.
 func (i *Injector) SetOutage(on bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -56,7 +60,7 @@
 	i.delay = d
 }
 
-// SetLateness sets after which time a request lost with Late takes effect.
+// SetLateness sets the time after which a request with the loss Late takes effect.
 func (i *Injector) SetLateness(d time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -70,8 +74,8 @@
 	i.losses = append(i.losses, losses...)
 }
 
-// Begin delays a request. It returns platform.ErrUnavailable in an outage, or
-// when the requester gives up while nothing has taken effect yet.
+// Begin waits for the delay of a request. It returns platform.ErrUnavailable
+// during an outage, or if ctx ends first; the request then has no effect.
 func (i *Injector) Begin(ctx context.Context) error {
 	if err := sleep(ctx, i.currentDelay()); err != nil {
 		return UnavailableError(err)
@@ -99,11 +103,11 @@
 	return i.outageChanged
 }
 
-// Run carries out a request with an effect, with the next queued loss. It
-// returns platform.ErrAnswerLost when the answer is lost, else what effect
-// returned.
+// Run applies the effect of a request with the next queued loss. It returns
+// platform.ErrAnswerLost if the request or its answer is lost, else effect's
+// error.
 func (i *Injector) Run(effect func() error) error {
-	loss, late := i.nextLoss()
+	loss, lateBy := i.nextLoss()
 	switch loss {
 	case BeforeEffect:
 		return platform.ErrAnswerLost
@@ -111,7 +115,7 @@
 		_ = effect()
 		return platform.ErrAnswerLost
 	case Late:
-		time.AfterFunc(late, func() { _ = effect() })
+		time.AfterFunc(lateBy, func() { _ = effect() })
 		return platform.ErrAnswerLost
 	}
 	return effect()
@@ -134,8 +138,8 @@
 	return i.delay
 }
 
-// UnavailableError returns the error of a request whose requester gave up before it took
-// effect; cause is the context's error.
+// UnavailableError returns the error of a request whose context ended before it
+// took effect; cause is the context's error.
 func UnavailableError(cause error) error {
 	return fmt.Errorf("%w: %w", platform.ErrUnavailable, cause)
 }
--- a/internal/standin/inflight/inflight.go
+++ b/internal/standin/inflight/inflight.go
@@ -1,4 +1,5 @@
-// Package inflight counts running work, so that a stop can wait for its end.
+// Package inflight counts requests in flight, so that a planned stop can wait
+// until they have ended.
 package inflight
 
 import (
@@ -6,7 +7,8 @@
 	"sync"
 )
 
-// Counter counts running work. Its zero value counts none.
+// Counter counts requests in flight. Its zero value is ready for use, and it is
+// safe for concurrent use.
 type Counter struct {
 	mu      sync.Mutex
 	running int
@@ -14,14 +16,14 @@
 	idle chan struct{}
 }
 
-// Begin counts one piece of work.
+// Begin counts the start of a request.
 func (c *Counter) Begin() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running++
 }
 
-// End takes back one Begin.
+// End counts the end of a request; it is called once for each Begin.
 func (c *Counter) End() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,14 +34,14 @@
 	}
 }
 
-// Running returns how much work runs.
+// Running returns the number of requests in flight.
 func (c *Counter) Running() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running
 }
 
-// Wait returns nil once nothing runs, or the context's error.
+// Wait returns nil once no request is in flight, or the context's error.
 func (c *Counter) Wait(ctx context.Context) error {
 	select {
 	case <-c.whenIdle():
@@ -49,6 +51,7 @@
 	}
 }
 
+// whenIdle returns a channel that is closed once no request is in flight.
 func (c *Counter) whenIdle() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/instances/instances.go
+++ b/internal/standin/instances/instances.go
@@ -1,5 +1,5 @@
 // Package instances is an in-memory stand-in for the platform's list of
-// instances, which lags.
+// instances, which readers see with a lag.
 package instances
 
 import (
@@ -23,12 +23,12 @@
 
 	mu      sync.Mutex
 	current map[ident.Instance]platform.Instance
-	// history holds the list after each change, oldest first. The first
-	// entry is the one that a reader sees now.
+	// history holds the list after each change, oldest first. List drops the
+	// versions before the one that readers see.
 	history []version
 }
 
-// version is the list as it was from a point in time on.
+// version is the list after one change.
 type version struct {
 	since     time.Time
 	instances []platform.Instance
@@ -41,8 +41,9 @@
 	return &List{lag: lag, current: make(map[ident.Instance]platform.Instance)}
 }
 
-// Register adds an instance, or replaces an earlier life of it. It returns the
-// instance's incarnation: the given one, or the next if that is 0.
+// Register adds an instance, or replaces an earlier incarnation of it. It returns
+// the incarnation: the given one, or the next if that is 0. An instance without a
+// state becomes live.
 func (l *List) Register(instance platform.Instance) ident.Incarnation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,8 +58,9 @@
 	return instance.Incarnation
 }
 
-// SetState changes the state of one life of an instance. Incarnation 0 means
-// the current life. It reports whether there is such an instance.
+// SetState changes the state of one incarnation of an instance; 0 means the
+// current one. It returns false if there is no such instance or its incarnation
+// is another.
 func (l *List) SetState(id ident.Instance, incarnation ident.Incarnation, state platform.InstanceState) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +74,7 @@
 	return true
 }
 
-// Find returns an instance as it is now, without lag.
+// Find returns an instance's current entry, without lag.
 func (l *List) Find(id ident.Instance) (platform.Instance, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,16 +89,17 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	visible := time.Now().Add(-l.lag)
-	for len(l.history) > 1 && !l.history[1].since.After(visible) {
+	newestVisible := time.Now().Add(-l.lag)
+	for len(l.history) > 1 && !l.history[1].since.After(newestVisible) {
 		l.history = l.history[1:]
 	}
-	if len(l.history) == 0 || l.history[0].since.After(visible) {
+	if len(l.history) == 0 || l.history[0].since.After(newestVisible) {
 		return nil, nil
 	}
 	return slices.Clone(l.history[0].instances), nil
 }
 
+// appendVersion adds the current list to the history. The caller holds l.mu.
 func (l *List) appendVersion() {
 	list := slices.SortedFunc(maps.Values(l.current), func(a, b platform.Instance) int {
 		return cmp.Compare(a.ID, b.ID)
--- a/internal/standin/logstore/logstore.go
+++ b/internal/standin/logstore/logstore.go
@@ -16,10 +16,11 @@
 
 // Options are the limits of a Log.
 type Options struct {
-	// MaxRecords is how many records of a stream are kept; 0 keeps all.
+	// MaxRecords is the number of newest records that a stream keeps; 0 keeps
+	// all.
 	MaxRecords int
-	// AppendsPerSecond limits the appends of all streams together; 0 does
-	// not limit them.
+	// AppendsPerSecond limits the appends to all streams together; 0 means no
+	// limit.
 	AppendsPerSecond float64
 }
 
@@ -35,11 +36,12 @@
 	appends int
 }
 
-// stream is one stream's kept records.
+// stream holds the records of one stream that have not expired.
 type stream struct {
+	// first is the offset of the first record.
 	first   ident.Offset
 	records []platform.Record
-	// appended is closed at the next append; nil while nobody waits.
+	// appended is closed at the next append; nil while nobody waits for it.
 	appended chan struct{}
 }
 
@@ -86,17 +88,17 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		outage := l.OutageChanged()
+		outageChanged := l.OutageChanged()
 		if l.OutageOn() {
 			return platform.Batch{}, platform.ErrUnavailable
 		}
-		batch, grown, err := l.read(name, from, limit)
+		batch, appended, err := l.read(name, from, limit)
 		if err != nil || len(batch.Records) > 0 || wait <= 0 {
 			return batch, err
 		}
 		select {
-		case <-grown:
-		case <-outage:
+		case <-appended:
+		case <-outageChanged:
 		case <-timer.C:
 			return batch, nil
 		case <-ctx.Done():
@@ -105,7 +107,7 @@
 	}
 }
 
-// Appends returns how many appends took effect since the start.
+// Appends returns the number of appends that took effect.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,8 +141,8 @@
 	return first
 }
 
-// read returns what is there now, and a channel that is closed at the next
-// append.
+// read returns up to limit records without waiting, and a channel that is closed at
+// the next append.
 func (l *Log) read(name string, from ident.Offset, limit int) (platform.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,6 +161,7 @@
 	return batch, s.appended, nil
 }
 
+// stream returns a stream, which it creates if needed. The caller holds l.mu.
 func (l *Log) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
@@ -168,6 +171,7 @@
 	return s
 }
 
+// head returns the offset of the next record to be appended.
 func (s *stream) head() ident.Offset { return s.first + ident.Offset(len(s.records)) }
 
 func (s *stream) dropBefore(before ident.Offset) {
--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -1,6 +1,6 @@
-// Package metastore is an in-memory stand-in for the users' platform's store: it
-// speaks the store's HTTP calls for keyed topics of one partition, and fails as
-// told.
+// Package metastore is an in-memory stand-in for the store of the users' platform.
+// It serves the store's HTTP API for keyed topics of one partition, and injects
+// faults.
 package metastore
 
 import (
@@ -16,36 +16,39 @@
 	"time"
 )
 
-// Mode is how the store treats calls.
+// Mode is how the store handles calls.
 type Mode int
 
 // The modes.
 const (
-	// Up: calls are answered.
+	// Up: calls are executed and answered.
 	Up Mode = iota
-	// Refusing: calls get 503, and nothing is done.
+	// Refusing: calls are answered with status 503 and not executed.
 	Refusing
-	// Silent: calls hang, and nothing is done.
+	// Silent: calls are neither executed nor answered.
 	Silent
-	// LosingAnswers: writes are done, and their answers never come.
+	// LosingAnswers: appends are executed but not answered; reads are answered.
 	LosingAnswers
 )
 
-// Store is the stand-in. Its zero value is an empty store that is up.
+// Store is the stand-in; New returns one. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
 	mode   Mode
-	// refuseWhere returns whether one machine's calls are refused.
+	// refuseWhere reports whether a call is refused; nil refuses none.
 	refuseWhere func(r *http.Request) bool
-	calls       map[string]int
+	// calls counts calls by path.
+	calls map[string]int
 }
 
 type topic struct {
+	// records holds all records at their offsets, expired ones included.
 	records []record
-	// firstKept is the oldest offset still in the history.
+	// firstKept is the lowest offset that can still be read.
 	firstKept int
-	appended  chan struct{}
+	// appended is closed and replaced at each append.
+	appended chan struct{}
 }
 
 type record struct {
@@ -56,36 +59,37 @@
 // New returns an empty store that is up.
 func New() *Store { return &Store{topics: make(map[string]*topic), calls: make(map[string]int)} }
 
-// SetMode changes how calls are treated.
+// SetMode changes how calls are handled.
 func (s *Store) SetMode(mode Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
 }
 
-// RefuseWhere refuses the calls that match; nil refuses none.
+// RefuseWhere answers the calls that match as in mode Refusing; nil matches none.
 func (s *Store) RefuseWhere(match func(*http.Request) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuseWhere = match
 }
 
-// Calls returns how many calls came to a path.
+// Calls returns the number of calls to a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Write appends a record as the operator or an upstream does. A nil value drops
-// the key. It returns the record's offset.
+// Write appends a record directly, regardless of the mode, as operators and
+// upstreams do. A nil value deletes the key. It returns the record's offset.
 func (s *Store) Write(name, key string, value []byte) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.append(name, []record{{key: key, value: value}})
 }
 
-// Forget drops a topic's history; the newest record of each key stays.
+// Forget expires a topic's history; the newest record of each key can still be read
+// by key.
 func (s *Store) Forget(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +97,7 @@
 	t.firstKept = len(t.records)
 }
 
-// Newest returns a key's newest value, or nil.
+// Newest returns a key's newest value, or nil if there is none or it was deleted.
 func (s *Store) Newest(name, key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,10 +157,10 @@
 	}
 }
 
-// hang says nothing until the caller leaves, which net/http sees only once the
-// body was read.
+// hang blocks until the client closes its connection, which net/http notices only
+// once the body was read.
 func hang(r *http.Request) {
-	// The caller may have left already.
+	// The client may be gone already.
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
@@ -217,7 +221,7 @@
 	for {
 		s.mu.Lock()
 		t := s.topic(query.Get("Topic"))
-		first, end, grown := t.firstKept, len(t.records), t.appended
+		first, end, appended := t.firstKept, len(t.records), t.appended
 		var records []record
 		if from >= first && from < end {
 			records = t.records[from:]
@@ -229,7 +233,7 @@
 		}
 		if len(records) == 0 && wait > 0 {
 			select {
-			case <-grown:
+			case <-appended:
 				continue
 			case <-timer.C:
 				wait = 0
@@ -238,7 +242,7 @@
 			}
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
-		// The reader may be gone; it asks again.
+		// The client may be gone; it reads again later.
 		_, _ = w.Write(encodeRecords(end, first, records))
 		return
 	}
@@ -256,7 +260,7 @@
 	return out
 }
 
-// pageSize is small, so that tests see several pages.
+// pageSize is small, so that tests get several pages.
 const pageSize = 4
 
 func (s *Store) serveNewest(w http.ResponseWriter, r *http.Request) {
@@ -295,6 +299,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone.
+	// The client may be gone.
 	_, _ = w.Write(data)
 }
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is an in-memory stand-in for a plain service. It counts what
-// it executed, so that a test sees a call that ran twice.
+// Package plain is an in-memory stand-in for a plain service. It counts its
+// executions, so that a test notices a call that was executed twice.
 package plain
 
 import (
@@ -15,60 +15,65 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// ErrConnectionLost is what a caller hears of an injected failure; the call
-// may have run.
+// ErrConnectionLost is returned for a call with an injected connection failure; the
+// call may have been executed.
 var ErrConnectionLost = errors.New("connection to plain service lost")
 
-// Options are what a Service is and can be trusted with.
+// Options configure a Service.
 type Options struct {
 	Instance    ident.Instance
 	Incarnation ident.Incarnation
-	// ChecksFencing makes it refuse a call whose fencing number is below one
-	// that it has seen for the same key.
+	// ChecksFencing makes the service refuse a call whose fencing number is
+	// below one that it has seen for the same key.
 	ChecksFencing bool
-	// FindsOutcomes lets Find tell the outcome of a key.
+	// FindsOutcomes makes Find return the outcome of a key; else it refuses.
 	FindsOutcomes bool
 }
 
-// Failure says how a call goes wrong.
+// Failure is an injected failure of a call.
 type Failure int
 
 // The failures.
 const (
 	// NoFailure: the call is executed and answered.
 	NoFailure Failure = 0
-	// LostBeforeEffect: the connection is lost, the call is not executed.
+	// LostBeforeEffect: the connection is lost and the call is not executed.
 	LostBeforeEffect Failure = 1
-	// LostAfterEffect: the call is executed and the answer is lost.
+	// LostAfterEffect: the call is executed and the connection is lost before
+	// the answer.
 	LostAfterEffect Failure = 2
 	// ApplicationError: the call is executed and answers with an error.
 	ApplicationError Failure = 3
 )
 
-// Delays say how long a call takes before and after its effect.
+// Delays are how long a call takes before and after its effect.
 type Delays struct {
 	BeforeEffect time.Duration
 	AfterEffect  time.Duration
 }
 
-// Service is an upstream.Plain in memory. It never recognizes a repeated call
-// by its key: each call that arrives has an effect.
+// Service is an upstream.Plain in memory. It does not recognize a repeated call by
+// its key: each accepted call is executed. It is safe for concurrent use.
 type Service struct {
 	options Options
 	running inflight.Counter
 
-	mu       sync.Mutex
-	leaving  bool
-	delays   Delays
+	mu      sync.Mutex
+	leaving bool
+	delays  Delays
+	// failures are those of the next calls.
 	failures []Failure
 	calls    map[string]*call
-	effects  map[string]int
+	// effects counts executions by key.
+	effects map[string]int
 }
 
-// call is what the service knows of a key.
+// call is the state of a key.
 type call struct {
-	fence  ident.Fence
-	state  upstream.FindState
+	// fence is the highest fencing number seen with the key.
+	fence ident.Fence
+	state upstream.FindState
+	// answer is that of the last execution.
 	answer upstream.Answer
 }
 
@@ -83,7 +88,7 @@
 	}
 }
 
-// SetLeaving makes the service refuse new calls, or ends that.
+// SetLeaving sets whether the service refuses new calls.
 func (s *Service) SetLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,17 +123,17 @@
 	return maps.Clone(s.effects)
 }
 
-// Running returns how many calls run.
+// Running returns the number of calls in flight.
 func (s *Service) Running() int { return s.running.Running() }
 
-// Drain refuses new calls and waits until those that run have ended.
+// Drain refuses new calls and waits until those in flight have ended or ctx ends.
 func (s *Service) Drain(ctx context.Context) error {
 	s.SetLeaving(true)
 	return s.running.Wait(ctx)
 }
 
-// Invoke implements upstream.Plain. A call that was taken in is executed even
-// if its caller gives up.
+// Invoke implements upstream.Plain. A call that was accepted is executed even if
+// ctx ends.
 func (s *Service) Invoke(ctx context.Context, req upstream.InvokeRequest) (upstream.Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return upstream.Answer{}, errors.Join(upstream.ErrNotSent, err)
@@ -185,18 +190,19 @@
 	}, nil
 }
 
-// acceptance is what was decided about a call when it came in.
+// acceptance holds the failure and the delays of an accepted call.
 type acceptance struct {
 	failure Failure
 	delays  Delays
 }
 
-// result is how a call ended.
+// result is an executed call's answer or error.
 type result struct {
 	answer upstream.Answer
 	err    error
 }
 
+// accept refuses a call or counts it as running.
 func (s *Service) accept(req upstream.InvokeRequest) (acceptance, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,7 +250,7 @@
 	return result{answer: reply}
 }
 
-// recordEffect records the one effect of a call.
+// recordEffect counts an execution and stores its answer.
 func (s *Service) recordEffect(key string, reply upstream.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -257,7 +263,7 @@
 	c.answer = reply
 }
 
-// forgetCall drops a call that ended without an effect.
+// forgetCall marks a running call as absent, since it ended without an effect.
 func (s *Service) forgetCall(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,7 +272,8 @@
 	}
 }
 
-// callOf is called with the lock held.
+// callOf returns the state of a key, which it creates if needed. The caller holds
+// s.mu.
 func (s *Service) callOf(key string) *call {
 	c, ok := s.calls[key]
 	if !ok {
--- a/internal/standin/tokens/tokens.go
+++ b/internal/standin/tokens/tokens.go
@@ -1,5 +1,5 @@
-// Package tokens is an engine without delay and a caller that only counts, for
-// measurements of what lies between them.
+// Package tokens provides an engine without delay and a sink that only counts
+// tokens, for benchmarks of the streaming path between them.
 package tokens
 
 import (
@@ -12,10 +12,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Engine answers without delay, up to a token from which it is silent. It implements
-// upstream.Engine as far as streams need it, and streaming.Picker.
+// Engine generates tokens without delay. Of upstream.Engine it implements only what
+// streams need; the other methods panic. It also implements streaming.Picker and
+// picks itself.
 type Engine struct {
 	upstream.Engine
+	// StopAt is the index of the token before which every stream goes silent
+	// until its context ends.
 	StopAt uint32
 }
 
@@ -35,8 +38,8 @@
 	next, stopAt uint32
 }
 
-// Next implements upstream.TokenStream. Each token is a string of its own, as a
-// decoder of messages makes it.
+// Next implements upstream.TokenStream. It allocates a string for each token, as
+// the decoder of a message does.
 func (s *stream) Next() (upstream.Frame, error) {
 	if s.next == s.stopAt {
 		<-s.ctx.Done()
@@ -53,9 +56,10 @@
 // Close implements upstream.TokenStream.
 func (s *stream) Close() error { return nil }
 
-// Sink counts tokens and calls Done once the first Left have come. It implements
-// streaming.Sink.
+// Sink counts tokens. It implements streaming.Sink.
 type Sink struct {
+	// Left is the number of tokens that are still expected. Done is called when
+	// it becomes 0.
 	Left int
 	Done func()
 }
@@ -72,7 +76,7 @@
 // Heartbeat implements streaming.Sink.
 func (s *Sink) Heartbeat() error { return nil }
 
-// NewRegistry returns a registry of streams that come from an engine.
+// NewRegistry returns a registry whose streams all come from one engine.
 func NewRegistry(e Engine) *streaming.Registry {
 	config := streaming.DefaultConfig()
 	config.IdleStreams = 1
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -10,11 +10,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/fault"
 )
 
-// Options are a Store's figures.
+// Options configure a Store.
 type Options struct {
 	// ModelBytes is the size of every model.
 	ModelBytes uint64
-	// BytesPerSecond is shared by all transfers, one after the other.
+	// BytesPerSecond is the rate of the store. Transfers run one after the other.
 	BytesPerSecond float64
 }
 
@@ -24,17 +24,18 @@
 
 	options Options
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// freeAt is when the transfers granted so far end.
 	freeAt time.Time
 }
 
 var _ platform.Weights = (*Store)(nil)
 
-// New returns a store that is idle.
+// New returns a store without transfers.
 func New(options Options) *Store { return &Store{options: options} }
 
-// Reserve implements platform.Weights. The duration of a transfer includes the
-// wait for the transfers granted before.
+// Reserve implements platform.Weights. A transfer's duration includes the wait for
+// the transfers that were granted before it.
 func (s *Store) Reserve(ctx context.Context, _, _ string) (platform.Transfer, error) {
 	if err := s.Begin(ctx); err != nil {
 		return platform.Transfer{}, err
