--- a/internal/standin/command/admin.go
+++ b/internal/standin/command/admin.go
@@ -109,7 +109,8 @@
 
 var switches = map[string]bool{"on": true, "off": false}
 
-// lookup returns the value of a word, or an error that names the argument.
+// lookup returns the value that a word stands for, or a usage error that names the
+// argument.
 func lookup[V any](words map[string]V, word, argument string) (V, error) {
 	value, ok := words[word]
 	if !ok {
@@ -118,7 +119,7 @@
 	return value, nil
 }
 
-// run carries out one administrator's command and prints its answer as JSON.
+// run executes one administrative command and prints its answer as JSON.
 func (a *adminArguments) run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -25,7 +25,7 @@
 	ExitUsage  = 2
 )
 
-// arguments are the whole command line.
+// arguments is the whole command line.
 type arguments struct {
 	Platform *platformArguments `arg:"subcommand:platform" help:"serve log, instance list, cloud and weight store"`
 	Engine   *engineArguments   `arg:"subcommand:engine" help:"serve a model engine"`
@@ -42,8 +42,8 @@
 // Version implements go-arg's interface for --version.
 func (arguments) Version() string { return "standin (goldcrestspool)" }
 
-// platformArguments has the fields of process.PlatformOptions, to which it is
-// converted.
+// platformArguments must have the same fields as process.PlatformOptions, to which
+// it is converted.
 type platformArguments struct {
 	Listen           string        `default:"127.0.0.1:0" help:"address to serve on; port 0 lets the kernel choose"`
 	MaxRecords       int           `arg:"--max-records" help:"records kept of a stream; 0 keeps all"`
@@ -89,7 +89,8 @@
 	After         time.Duration `default:"2ms" help:"time after a call took effect"`
 }
 
-// Run carries out a command line until ctx ends and returns the exit status.
+// Run executes a command line and returns the exit status. Stand-ins serve until ctx
+// ends.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "standin", Out: stderr}, &parsed)
@@ -120,7 +121,7 @@
 	return ExitGood
 }
 
-// usageError is a mistake on the command line that go-arg cannot see.
+// usageError is a mistake on the command line that go-arg cannot detect.
 type usageError struct{ problem string }
 
 func (u *usageError) Error() string { return u.problem }
--- a/internal/standin/command/command_test.go
+++ b/internal/standin/command/command_test.go
@@ -25,12 +25,12 @@
 type program struct {
 	Address string
 	lines   *bufio.Scanner
-	// terminate does what SIGTERM does.
+	// terminate has the effect of SIGTERM.
 	terminate context.CancelFunc
 	exited    chan int
 }
 
-// launch runs a command line and waits until it listens.
+// launch starts a stand-in with a command line and waits until it listens.
 func launch(t *testing.T, args ...string) *program {
 	t.Helper()
 	ctx, terminate := context.WithCancel(context.Background())
@@ -70,7 +70,7 @@
 	return append(args, more...)
 }
 
-// runAdmin runs an administrator's command and returns its exit status.
+// runAdmin runs an administrative command and returns its exit status and output.
 func runAdmin(p *program, line string) (int, string) {
 	var out bytes.Buffer
 	args := append([]string{"admin", "--platform", p.Address}, strings.Fields(line)...)
@@ -90,9 +90,9 @@
 	return got
 }
 
-// Symptom: a planned stop of an upstream cuts off a stream and loses the answer
-// of a call. Sequence: SIGTERM arrives while both run.
-// Cause: a server that closes its connections before the work has ended.
+// Guards against a server that closes its connections before its requests have
+// ended: on SIGTERM it would cut off the stream and lose the answer of the call that
+// are in flight.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	p, client := launchPlatform(t)
 	engineProgram := launch(t, upstreamArgs("engine", p, "--step", "5ms")...)
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -7,25 +7,27 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// eventsPerGap is how many consecutive cache events are lost together.
+// eventsPerGap is the number of consecutive cache events that are lost together.
 const eventsPerGap = 32
 
 // block is a prefix block in memory.
 type block struct {
 	hash uint64
-	// users are the running streams that need the block.
+	// users is the number of running streams that use the block.
 	users int
-	// idleElement is the block's place among the unused ones, or nil.
+	// idleElement is the block's element in cache.idle while nobody uses it,
+	// else nil.
 	idleElement *list.Element
 }
 
-// cache is the engine's KV memory: blocks with a prefix hash, which streams
-// share, and anonymous blocks, which belong to one running stream.
+// cache is the engine's KV memory. It consists of blocks with a prefix hash, which
+// streams share, and of private blocks, each of which belongs to one running
+// stream.
 type cache struct {
 	capacity      int
 	privateBlocks int
 	blocks        map[uint64]*block
-	// idle holds the unused blocks, least recently used at the back.
+	// idle holds the blocks that no stream uses, least recently used at the back.
 	idle   *list.List
 	events eventLog
 }
@@ -39,7 +41,7 @@
 	}
 }
 
-// cachedPrefix returns how many leading blocks are in memory.
+// cachedPrefix returns the number of leading blocks that are in memory.
 func (c *cache) cachedPrefix(blocks []uint64) int {
 	for i, h := range blocks {
 		if c.blocks[h] == nil {
@@ -49,8 +51,8 @@
 	return len(blocks)
 }
 
-// reserve makes room for n anonymous blocks by evicting unused ones. It
-// changes nothing and returns false if that is not enough.
+// reserve allocates n private blocks and evicts unused blocks if it has to. It
+// changes nothing and returns false if there is not enough room.
 func (c *cache) reserve(n int, now time.Time) bool {
 	excess := len(c.blocks) + c.privateBlocks + n - c.capacity
 	if excess > c.idle.Len() {
@@ -63,6 +65,7 @@
 	return true
 }
 
+// evict removes the least recently used of the unused blocks.
 func (c *cache) evict(now time.Time) {
 	e := c.idle.Back()
 	b := c.idle.Remove(e).(*block)
@@ -70,7 +73,7 @@
 	c.events.add(now, false, b.hash)
 }
 
-// acquire marks a block in memory as needed by one more stream.
+// acquire marks a block in memory as used by one more stream.
 func (c *cache) acquire(hash uint64) {
 	b := c.blocks[hash]
 	if b.idleElement != nil {
@@ -80,7 +83,8 @@
 	b.users++
 }
 
-// store turns one anonymous block into a shared one, used by one stream.
+// store turns one private block of a stream into a shared block that the stream
+// uses. If the cache has that block already, the private one becomes free.
 func (c *cache) store(hash uint64, now time.Time) {
 	c.privateBlocks--
 	if c.blocks[hash] == nil {
@@ -90,8 +94,8 @@
 	c.acquire(hash)
 }
 
-// release ends the use of blocks by one stream. The last block becomes the
-// least recently used, since it is worth nothing without those before it.
+// release ends the use of blocks by one stream. Of these, the last one is evicted
+// first, since a block is worth nothing without those before it.
 func (c *cache) release(blocks []uint64) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := c.blocks[blocks[i]]
@@ -102,10 +106,14 @@
 	}
 }
 
-// eventLog holds the cache events, late and with gaps.
+// eventLog holds the cache events, which become readable after a lag and have
+// gaps.
 type eventLog struct {
-	lag          time.Duration
-	gapEvery     uint64
+	lag time.Duration
+	// gapEvery is the mean number of runs of eventsPerGap events of which one is
+	// lost; 0 loses none.
+	gapEvery uint64
+	// maxKept is how many events are kept at least; up to twice as many are.
 	maxKept      int
 	lastSequence uint64
 	events       []event
@@ -128,7 +136,8 @@
 	l.events = append(l.events, event{CacheEvent: e, at: now})
 }
 
-// isLost spreads the gaps evenly but not regularly over the sequence numbers.
+// isLost reports whether an event is in a gap. Gaps are spread over the sequence
+// numbers evenly but not regularly.
 func (l *eventLog) isLost(sequence uint64) bool {
 	if l.gapEvery == 0 {
 		return false
@@ -153,7 +162,7 @@
 	return found
 }
 
-// firstAbove returns the place of the first event above a sequence number.
+// firstAbove returns the index of the first event above a sequence number.
 func (l *eventLog) firstAbove(sequence uint64) int {
 	low, high := 0, len(l.events)
 	for low < high {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -12,28 +12,28 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// ErrEnded: the engine's instance ended; streams that it served are lost.
+// ErrEnded is returned after the engine's instance ended; its streams are lost.
 var ErrEnded = errors.New("engine ended")
 
-// ErrReplaced: a later attempt of the same request took the stream's place.
+// ErrReplaced ends a stream that a later attempt of the same request replaced.
 var ErrReplaced = errors.New("replaced by a later attempt")
 
-// defaultHeartbeat is how often a stream without tokens sends an empty frame.
+// defaultHeartbeat is the default of Config.Heartbeat.
 const defaultHeartbeat = time.Second
 
-// Config sets up an Engine.
+// Config configures an Engine.
 type Config struct {
 	Instance    ident.Instance
 	Incarnation ident.Incarnation
 	Parameters  Parameters
-	// Model and Version that are loaded at the start.
+	// Model and Version are what is loaded at the start.
 	Model, Version string
-	// ChecksFencing: orders with an old fencing number are refused.
+	// ChecksFencing makes the engine refuse orders with an old fencing number.
 	ChecksFencing bool
 	// LoadTime is how long another model or version takes to load.
 	LoadTime time.Duration
-	// Heartbeat is how often a stream without tokens sends an empty frame;
-	// 0 means once a second.
+	// Heartbeat is the time without tokens after which a stream sends a heartbeat
+	// frame; 0 means a second.
 	Heartbeat time.Duration
 }
 
@@ -41,8 +41,10 @@
 // for concurrent use. Its timers are those of package time, so that it works
 // in a testing/synctest bubble.
 type Engine struct {
-	config  Config
-	wake    chan struct{}
+	config Config
+	// wake holds a signal while work may be waiting that run has not seen.
+	wake chan struct{}
+	// closing is closed by Close, and stopped when run has returned.
 	closing chan struct{}
 	stopped chan struct{}
 	once    sync.Once
@@ -50,21 +52,24 @@
 	mu      sync.Mutex
 	model   *Model
 	streams map[ident.Request]*tokenStream
-	fence   ident.Fence
-	loaded  loadedModel
-	target  loadedModel
-	closed  bool
+	// fence is the fencing number of the last order that was applied.
+	fence ident.Fence
+	// loaded is the model in use. target is the last one ordered: the same, or
+	// one that is still loading.
+	loaded loadedModel
+	target loadedModel
+	closed bool
 }
 
 var _ upstream.Engine = (*Engine)(nil)
 
-// loadedModel is a model in memory, usable from a time on.
+// loadedModel is a model and when it has finished loading.
 type loadedModel struct {
 	model, version string
 	usableFrom     time.Time
 }
 
-// New starts an engine. Close it after use.
+// New starts an engine. The caller must close it.
 func New(c Config) *Engine {
 	if c.Heartbeat <= 0 {
 		c.Heartbeat = defaultHeartbeat
@@ -84,8 +89,8 @@
 	return e
 }
 
-// Close ends the engine at once, as when its instance ends: streams fail with
-// ErrEnded and nothing is served any more.
+// Close ends the engine at once, as the end of its instance does: streams and new
+// requests fail with ErrEnded.
 func (e *Engine) Close() {
 	e.once.Do(func() {
 		e.mu.Lock()
@@ -100,22 +105,22 @@
 	<-e.stopped
 }
 
-// Leave makes the engine refuse new work, as after a reclaim notice. Its
-// streams go on until Close.
+// Leave makes the engine refuse new requests, as after a reclaim notice. Its
+// streams continue until Close.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.Leave(time.Now())
 }
 
-// SetSlowdown changes how much slower than reported the steps are.
+// SetSlowdown sets the factor by which steps are slower than reports show.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.SetSlowdown(factor)
 }
 
-// run does step after step until Close.
+// run executes one step after the other until Close, and waits for work in between.
 func (e *Engine) run() {
 	defer close(e.stopped)
 	for {
@@ -145,6 +150,7 @@
 	return e.model.Step(time.Now(), nil)
 }
 
+// deliver sends the tokens of a step to the streams of their attempts.
 func (e *Engine) deliver(tokens []Token) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,8 +166,9 @@
 	}
 }
 
-// Generate queues a request. Errors: upstream.ErrLeaving, ErrRefused;
-// ErrEnded after Close.
+// Generate queues a request and returns its stream. Errors are
+// upstream.ErrNotSent if ctx has ended, upstream.ErrLeaving,
+// upstream.ErrRefused, and ErrEnded after Close.
 func (e *Engine) Generate(ctx context.Context, req upstream.GenerateRequest) (upstream.TokenStream, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, errors.Join(upstream.ErrNotSent, err)
@@ -204,10 +211,10 @@
 	return nil
 }
 
-// cancelEarlierAttempt ends an earlier attempt of the same request. When its connection
-// fell silent, no cancel has arrived and none will: without this, the engine
-// would refuse the attempt that follows on a new connection, and the request
-// would lose the prefix that is cached here.
+// cancelEarlierAttempt ends an earlier attempt of the same request. If that
+// attempt's connection went dead, its cancellation never arrives. The engine would
+// then refuse the attempt that follows on a new connection, and the request would
+// lose the prefix that is cached here. The caller holds e.mu.
 func (e *Engine) cancelEarlierAttempt(req upstream.GenerateRequest) {
 	old := e.streams[req.Request]
 	if old == nil || old.req.Attempt >= req.Attempt || e.model.leaving {
@@ -218,7 +225,7 @@
 	e.model.Cancel(time.Now(), req.Request)
 }
 
-// cancel ends a stream whose reader left.
+// cancel ends a stream that its reader closed or gave up.
 func (e *Engine) cancel(s *tokenStream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -229,7 +236,7 @@
 	e.model.Cancel(time.Now(), s.req.Request)
 }
 
-// Report returns the load as it was some time ago.
+// Report returns the load as it was Parameters.ReportLag ago.
 func (e *Engine) Report(context.Context) (upstream.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -237,7 +244,7 @@
 		return upstream.Report{}, ErrEnded
 	}
 	r := e.model.Report(time.Now())
-	// Leaving is told without lag: an engine knows its own notice.
+	// Leaving is reported without lag, since an engine knows its own notice.
 	r.Leaving = e.model.leaving
 	r.Instance, r.Incarnation = e.config.Instance, e.config.Incarnation
 	e.activateLoaded()
@@ -246,14 +253,15 @@
 	return r, nil
 }
 
-// activateLoaded takes a model into use that has finished loading.
+// activateLoaded makes the target the model in use if it has finished loading. The
+// caller holds e.mu.
 func (e *Engine) activateLoaded() {
 	if !e.target.usableFrom.After(time.Now()) {
 		e.loaded = e.target
 	}
 }
 
-// CacheEvents returns cache events above a sequence number.
+// CacheEvents returns the readable cache events above a sequence number.
 func (e *Engine) CacheEvents(_ context.Context, after uint64) ([]upstream.CacheEvent, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -263,8 +271,9 @@
 	return e.model.CacheEvents(after, time.Now()), nil
 }
 
-// ExportCache returns the KV cache of a stream after the time that its
-// transfer takes.
+// ExportCache returns the KV cache of a stream, after the time that its transfer
+// takes. The error is upstream.ErrRefused if there is no such stream or nothing
+// was computed for it.
 func (e *Engine) ExportCache(ctx context.Context, id ident.Request) ([]byte, error) {
 	e.mu.Lock()
 	exported, ok := e.model.Export(id)
@@ -282,7 +291,8 @@
 	return json.Marshal(exported)
 }
 
-// ImportCache takes a KV cache for a request that follows.
+// ImportCache stores a KV cache for a request that is sent next, after the time
+// that its transfer takes. It returns how many context tokens the cache covers.
 func (e *Engine) ImportCache(ctx context.Context, id ident.Request, cache []byte) (int, error) {
 	var exported Exported
 	if err := json.Unmarshal(cache, &exported); err != nil {
@@ -300,12 +310,13 @@
 	return exported.Tokens, nil
 }
 
-// transfer waits as long as moving so many tokens takes.
+// transfer waits for as long as the transfer of the KV cache of so many tokens
+// takes.
 func (e *Engine) transfer(ctx context.Context, tokens int) error {
 	e.mu.Lock()
-	took := e.model.Transfer(time.Now(), tokens)
+	duration := e.model.Transfer(time.Now(), tokens)
 	e.mu.Unlock()
-	timer := time.NewTimer(took)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -317,7 +328,9 @@
 	}
 }
 
-// Apply takes an order. Errors: upstream.ErrOldFence where it checks them.
+// Apply applies an order and begins to load its model if that is another one. The
+// error is upstream.ErrOldFence if the engine checks fencing numbers and the
+// order's is old.
 func (e *Engine) Apply(_ context.Context, o upstream.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -23,7 +23,8 @@
 	return upstream.GenerateRequest{Request: ident.Request(id), Attempt: 1, Prompt: text + id, MaxTokens: tokens}
 }
 
-// collect reads a stream to its end and checks order and content.
+// collect reads a stream to its end and checks the order and content of its tokens.
+// It returns the number of prefilled tokens and the time that it took.
 func collect(t *testing.T, s upstream.TokenStream, req upstream.GenerateRequest) (prefilled uint32, took time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -115,7 +116,7 @@
 	}
 }
 
-// tokenTime returns the step time with n streams that all decode.
+// tokenTime returns the duration of a step in which n streams decode.
 func tokenTime(p Parameters, n int) time.Duration {
 	m := NewModel(p)
 	now := time.Unix(0, 0)
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -16,7 +16,8 @@
 
 func init() { testkit.FixSeed() }
 
-// smallParameters parameters reach every limit within a few requests.
+// smallParameters returns parameters whose limits are all reached with a few
+// requests.
 func smallParameters() Parameters {
 	p := DefaultParameters()
 	p.StepTokens, p.MaxRunning, p.MemoryBlocks = 96, 4, 12
@@ -24,7 +25,8 @@
 	return p
 }
 
-// prompts share prefixes of different lengths.
+// sharedBlocks returns the blocks of a prompt. The first two blocks are the same in
+// all families, the others in one family only.
 func sharedBlocks(family, count int) []uint64 {
 	blocks := make([]uint64, count)
 	for i := range blocks {
@@ -37,9 +39,9 @@
 	return blocks
 }
 
-// The model against what any engine must keep: every request that is not
-// cancelled gets all its tokens once and in order, memory is never exceeded and
-// is free in the end, and the cache events tell exactly what is cached.
+// Checks the invariants of any engine: every request that is not cancelled gets all
+// its tokens once and in order, memory is never exceeded and is free in the end, and
+// the cache events describe exactly what is cached.
 func TestModelKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewModel(smallParameters())
@@ -112,15 +114,15 @@
 	}
 }
 
-func checkEvents(t *rapid.T, m *Model, told map[uint64]bool) {
-	for block, present := range told {
+func checkEvents(t *rapid.T, m *Model, reported map[uint64]bool) {
+	for block, present := range reported {
 		if present != (m.cache.blocks[block] != nil) {
-			t.Fatalf("events say cached=%v of block %x", present, block)
+			t.Fatalf("events report cached=%v for block %x", present, block)
 		}
 	}
 }
 
-// Reports and events come late, and events with gaps, as real ones do.
+// Reports and events must lag, and events must have gaps, as those of real engines do.
 func TestReportsAndEventsAreLateAndGappy(t *testing.T) {
 	p := DefaultParameters()
 	p.EventGapEvery = 3
@@ -152,7 +154,8 @@
 	}
 }
 
-// A slow engine does not show in its reports; a failing start fails.
+// Reports must not show that an engine is slow, and as many starts must fail as the
+// parameters ask for.
 func TestFaultsOfAnEngine(t *testing.T) {
 	honest, slow := DefaultParameters(), DefaultParameters()
 	slow.Slowdown = 4
@@ -177,9 +180,9 @@
 	}
 }
 
-// Symptom: short replies come late behind long prompts. Sequence: long prompts
-// are queued or half prefilled; an urgent request comes. Cause: priorities are
-// not honoured, in the queue or among the prefills of a step.
+// Guards against short replies that wait behind long prompts because priorities are
+// ignored in the queue or among the prefills of a step: urgent requests arrive while
+// long prompts are queued or half prefilled.
 func TestModelServesUrgentRequestsFirst(t *testing.T) {
 	m := NewModel(smallParameters())
 	now := time.Unix(0, 0)
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -6,22 +6,24 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// reportLog keeps the load of the last moments, so that a report can tell
-// figures of some time ago.
+// reportLog keeps the recent load, so that a report can show the load of some time
+// ago.
 type reportLog struct {
 	lag     time.Duration
 	entries []reportEntry
 }
 
+// reportEntry is the load from a time until that of the next entry.
+
 type reportEntry struct {
 	since  time.Time
 	report upstream.Report
 }
 
 func (l *reportLog) add(now time.Time, r upstream.Report) {
-	old := now.Add(-l.lag)
+	oldest := now.Add(-l.lag)
 	first := 0
-	for first+1 < len(l.entries) && !l.entries[first+1].since.After(old) {
+	for first+1 < len(l.entries) && !l.entries[first+1].since.After(oldest) {
 		first++
 	}
 	if first > len(l.entries)/2 {
@@ -30,18 +32,19 @@
 	l.entries = append(l.entries, reportEntry{since: now, report: r})
 }
 
-// laggedReport returns the figures that were true lag before now.
+// laggedReport returns the load as it was lag before now, or no load if nothing was
+// recorded by then.
 func (l *reportLog) laggedReport(now time.Time) upstream.Report {
-	old := now.Add(-l.lag)
+	at := now.Add(-l.lag)
 	for i := len(l.entries) - 1; i >= 0; i-- {
-		if !l.entries[i].since.After(old) {
+		if !l.entries[i].since.After(at) {
 			return l.entries[i].report
 		}
 	}
 	return upstream.Report{}
 }
 
-// recordLoad notes the load for later reports.
+// recordLoad records the load for later reports.
 func (m *Model) recordLoad(now time.Time) {
 	m.reports.add(now, upstream.Report{
 		Leaving:             m.leaving,
@@ -53,7 +56,8 @@
 	})
 }
 
-// uncomputedTokens counts the context tokens still to compute, waiting work included.
+// uncomputedTokens returns the number of context tokens still to be computed for
+// running and waiting streams.
 func (m *Model) uncomputedTokens() int {
 	n := m.waitingTokens
 	for _, s := range m.running {
@@ -62,6 +66,7 @@
 	return n
 }
 
+// batchTokens returns the number of tokens that the running streams have in memory.
 func (m *Model) batchTokens() int {
 	n := 0
 	for _, s := range m.running {
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -15,7 +15,7 @@
 	ctx    context.Context
 	engine *Engine
 	req    upstream.GenerateRequest
-	// ready holds one signal while frames or err may be there to read.
+	// ready holds a signal when frames or err may have changed.
 	ready chan struct{}
 
 	mu     sync.Mutex
@@ -27,7 +27,8 @@
 	return &tokenStream{ctx: ctx, engine: e, req: req, ready: make(chan struct{}, 1)}
 }
 
-// push adds a token; the engine's loop never waits for a slow reader.
+// push adds a token without blocking, so that a slow reader never holds up the
+// engine.
 func (s *tokenStream) push(t Token) {
 	index := len(s.req.Delivered) + t.Index
 	f := upstream.Frame{Attempt: s.req.Attempt, Index: uint32(index), Done: t.Done}
@@ -46,7 +47,8 @@
 	s.signal()
 }
 
-// fail ends the stream with an error after the frames that are there.
+// fail ends the stream with an error, which the reader gets after the frames that
+// were pushed before.
 func (s *tokenStream) fail(err error) {
 	s.mu.Lock()
 	if s.err == nil {
@@ -63,7 +65,8 @@
 	}
 }
 
-// Next returns the next frame; a heartbeat if none comes for a while.
+// Next returns the next frame, or a heartbeat if there is none for
+// Config.Heartbeat. If the stream's context ends first, it cancels the attempt.
 func (s *tokenStream) Next() (upstream.Frame, error) {
 	timer := time.NewTimer(s.engine.config.Heartbeat)
 	defer timer.Stop()
@@ -82,6 +85,8 @@
 	}
 }
 
+// takeFrame removes and returns the first frame, or returns the stream's error if
+// there is none.
 func (s *tokenStream) takeFrame() (upstream.Frame, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/process/engine.go
+++ b/internal/standin/process/engine.go
@@ -18,7 +18,7 @@
 // EngineOptions are the settings of an engine stand-in.
 type EngineOptions struct {
 	UpstreamOptions
-	// Config is the engine's; instance and incarnation are filled in.
+	// Config configures the engine; RunEngine fills in instance and incarnation.
 	Config engine.Config
 }
 
@@ -62,7 +62,7 @@
 // Wait returns nil once no stream is open, or the context's error.
 func (c *countedEngine) Wait(ctx context.Context) error { return c.streams.Wait(ctx) }
 
-// countedStream is an open stream; its one reader closes it once.
+// countedStream is an open stream. It must be closed exactly once.
 type countedStream struct {
 	upstream.TokenStream
 	streams *inflight.Counter
--- a/internal/standin/process/plain.go
+++ b/internal/standin/process/plain.go
@@ -41,7 +41,7 @@
 	return runUpstream(ctx, "plain", options.UpstreamOptions, build, logger, out)
 }
 
-// drainablePlain is a plain service at its stop.
+// drainablePlain makes a plain service drainable.
 type drainablePlain struct{ service *plain.Service }
 
 func (p drainablePlain) Leave() { p.service.SetLeaving(true) }
--- a/internal/standin/process/platform.go
+++ b/internal/standin/process/platform.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// stopPlatform gives running requests a short while. Long-poll reads are cut:
-// their readers read again.
+// stopPlatform waits for requests in flight up to shutdownTimeout and then closes
+// their connections. That cuts off long-poll reads, whose readers read again.
 func stopPlatform(server *server) error {
 	if err := server.shutdown(); err != nil {
 		return server.closeNow()
@@ -87,7 +87,8 @@
 	return mux
 }
 
-// applyNotice takes an instance through the states that follow a notice.
+// applyNotice changes the listed state of a notice's instance: to leaving now, and
+// to ended when the notice has run out.
 func applyNotice(list *instances.List, n platform.Notice) {
 	list.SetState(n.Instance, n.Incarnation, platform.Leaving)
 	time.AfterFunc(n.EndsIn, func() {
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -15,10 +15,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// shutdownTimeout bounds the wait for connections once the work has ended.
+// shutdownTimeout is the time limit for the wait until connections are idle.
 const shutdownTimeout = 5 * time.Second
 
-// event is one line on stdout, for the script that started the process.
+// event is a JSON line on stdout for the script that started the process.
 type event struct {
 	Event       string            `json:"event"`
 	Role        string            `json:"role"`
@@ -36,7 +36,8 @@
 	serveErr chan error
 }
 
-// serve listens on an address and serves until stopped.
+// serve listens on an address and serves in the background until the server is
+// shut down or closed.
 func serve(listen string, handler http.Handler) (*server, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -55,12 +56,12 @@
 	return s, nil
 }
 
-// shutdown ends the server once its connections are idle.
+// shutdown stops the server once its connections are idle.
 func (s *server) shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	return s.http.Shutdown(ctx)
 }
 
-// closeNow ends the server and all its connections at once.
+// closeNow stops the server and closes all its connections at once.
 func (s *server) closeNow() error { return s.http.Close() }
--- a/internal/standin/process/upstream.go
+++ b/internal/standin/process/upstream.go
@@ -19,28 +19,30 @@
 )
 
 const (
-	// noticePollInterval is how often an upstream asks for its reclaim notice.
+	// noticePollInterval is the time between two polls for reclaim notices.
 	noticePollInterval = 200 * time.Millisecond
-	// adminTimeout bounds one request to the platform stand-in.
+	// adminTimeout is the time limit for the registration with the platform
+	// stand-in.
 	adminTimeout = 5 * time.Second
 )
 
-// UpstreamOptions are what all upstream stand-ins have in common.
+// UpstreamOptions are the settings that all upstream stand-ins have in common.
 type UpstreamOptions struct {
 	Listen string
 	// PlatformURL is the base URL of the platform stand-in.
 	PlatformURL string
-	// Instance is what to register; address and incarnation are filled in.
+	// Instance is the instance to register; role, address and incarnation are
+	// filled in.
 	Instance platform.Instance
-	// DrainLimit bounds the wait for running work at a planned stop.
+	// DrainLimit is the longest wait for requests in flight at a planned stop.
 	DrainLimit time.Duration
 }
 
-// drainable is the part of an upstream that a stop concerns.
+// drainable is an upstream that can be stopped without cutting off requests.
 type drainable interface {
-	// Leave makes the upstream refuse new work.
+	// Leave makes the upstream refuse new requests.
 	Leave()
-	// Wait returns nil once no work runs, or the context's error.
+	// Wait returns nil once no request is in flight, or the context's error.
 	Wait(context.Context) error
 }
 
@@ -57,7 +59,8 @@
 	out      io.Writer
 }
 
-// buildFunc makes an upstream once its incarnation is known.
+// buildFunc creates an upstream, once its incarnation is known, and mounts its
+// handlers on mux.
 type buildFunc func(mux *http.ServeMux, incarnation ident.Incarnation) drainable
 
 // runUpstream registers and serves an upstream until ctx ends or its instance
@@ -91,8 +94,9 @@
 	return u.serveUntilStopped(ctx)
 }
 
-// register learns the incarnation with a first entry that is not live, makes
-// the upstream and enters it as live, so that nobody is sent to a server that
+// register adds the instance to the platform's list. It first registers the
+// instance as ended, which assigns its incarnation, then builds the upstream, and
+// only then sets its state to live, so that no request is sent to a server that
 // cannot answer yet.
 func (u *upstreamServer) register(ctx context.Context, build func(ident.Incarnation)) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
@@ -110,12 +114,13 @@
 	return u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_LIVE)
 }
 
-// serveUntilStopped returns once the upstream has stopped.
+// serveUntilStopped returns once ctx has ended and the upstream has stopped, the
+// instance was reclaimed, or the server failed.
 func (u *upstreamServer) serveUntilStopped(ctx context.Context) error {
-	watching, cancel := context.WithCancel(ctx)
+	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	notices := make(chan platform.Notice, 1)
-	go u.watchNotices(watching, notices)
+	go u.watchNotices(watchCtx, notices)
 	var reclaimed <-chan time.Time
 	for {
 		select {
@@ -136,7 +141,8 @@
 	}
 }
 
-// watchNotices sends the first notice that concerns this life of the instance.
+// watchNotices polls for notices and sends the first one for this incarnation of
+// the instance to notices.
 func (u *upstreamServer) watchNotices(ctx context.Context, notices chan<- platform.Notice) {
 	ticker := time.NewTicker(noticePollInterval)
 	defer ticker.Stop()
@@ -161,7 +167,8 @@
 	}
 }
 
-// stop ends the upstream without cutting off running work.
+// stop stops the upstream without cutting off requests in flight, for which it
+// waits up to DrainLimit.
 func (u *upstreamServer) stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), u.options.DrainLimit)
 	defer cancel()
--- a/internal/standin/worker/limits.go
+++ b/internal/standin/worker/limits.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// What an upstream that names a limit may get, by the users' rule.
+// How many requests an upstream that announces a rate limit may receive, by the users' rule.
 const (
-	// LimitContact is the time within which gateways in touch know what it names.
+	// LimitContact is the time within which all gateways that reach each other know the limit.
 	LimitContact = 3 * time.Second
-	// LimitWindow is the time in which requests are counted: so many times what the limit
-	// allows in it, and some beside it, may come.
+	// LimitWindow is the length of the window in which requests are counted. limitOverage
+	// times what the limit allows in a window, plus limitSlack requests, may arrive in it.
 	LimitWindow  = 4 * time.Second
 	limitOverage = 1.5
 	limitSlack   = 5
 )
 
-// Allowed is how many requests may come in a window at a rate.
+// Allowed returns how many requests may arrive in a window at a limit.
 func Allowed(perSecond float64) int {
 	return int(limitOverage*perSecond*LimitWindow.Seconds()) + limitSlack
 }
 
-// Arrival is a request that came to a worker which had named a limit.
+// Arrival is a request that a worker received after it had announced a limit.
 type Arrival struct {
 	ID string
 	At time.Time
 }
 
-// Limit has all answers name a rate, whatever the text, or none where it is empty.
+// Limit sets the text that all answers announce as the rate limit, valid or not; empty
+// announces none.
 func (w *Worker) Limit(text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limit = text
 }
 
-// Arrivals returns the requests that came since an answer first named a limit, and when
-// that was.
+// Arrivals returns when an answer first announced a limit, and the requests received since.
 func (w *Worker) Arrivals() (namedAt time.Time, arrivals []Arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.limitNamedAt, append([]Arrival(nil), w.arrivals...)
 }
 
-// limitHeader is the header line that names the limit, if there is one.
+// limitHeader returns the header line that announces the limit, or "" if there is none.
 func (w *Worker) limitHeader() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -52,15 +52,15 @@
 	return "Server-Limit: " + w.limit + "\r\n"
 }
 
-// MostInWindow returns the most requests that came in a window which begins after the contact
-// time.
+// MostInWindow returns the largest number of requests received in any LimitWindow that
+// begins at least LimitContact after the first announcement of a limit.
 func (w *Worker) MostInWindow() int {
-	named, arrivals := w.Arrivals()
+	namedAt, arrivals := w.Arrivals()
 	most := 0
 	for i, last := range arrivals {
 		n := 0
 		for _, a := range arrivals[:i+1] {
-			if a.At.Sub(named) >= LimitContact && last.At.Sub(a.At) <= LimitWindow {
+			if a.At.Sub(namedAt) >= LimitContact && last.At.Sub(a.At) <= LimitWindow {
 				n++
 			}
 		}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker is a stand-in for an upstream of the users' platform: it speaks
-// the upstreams' headers over raw connections, counts what it ran, and misbehaves
-// as told.
+// Package worker is a stand-in for an upstream of the users' platform. It serves
+// HTTP/1.1 with the platform's headers over raw connections, counts the requests
+// that it ran, and injects faults.
 package worker
 
 import (
@@ -17,14 +17,14 @@
 	"time"
 )
 
-// RequestID is the header that names a request, for tests that speak to a worker
-// without the adapter.
+// RequestID is the header with a request's ID, for tests that send requests to a
+// worker directly instead of through package platform.
 const RequestID = "X-Request-Id"
 
-// Act is how the stand-in treats one request.
+// Act answers one request, or fails to.
 type Act func(w *Writer, r *http.Request)
 
-// Worker is the stand-in.
+// Worker is the stand-in. It is safe for concurrent use.
 type Worker struct {
 	ID       string
 	listener net.Listener
@@ -35,16 +35,17 @@
 	runs       map[string]int
 	requests   []*http.Request
 	conns      map[net.Conn]bool
-	// bodies are those of the requests seen.
+	// bodies are those of requests.
 	bodies []string
-	// limit is what all answers name as the rate that is taken; empty for none.
+	// limit is the rate limit that all answers announce; empty for none.
 	limit string
-	// limitNamedAt is when an answer first named a limit, and arrivals the requests since.
+	// limitNamedAt is when an answer first announced a limit, and arrivals are the
+	// requests received since.
 	limitNamedAt time.Time
 	arrivals     []Arrival
 }
 
-// New starts a worker; it ends with the test.
+// New starts a worker that is stopped at the end of the test.
 func New(t testing.TB, id string) *Worker {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,55 +62,57 @@
 	return w
 }
 
-// Address is where it listens.
+// Address returns the host:port on which the worker listens.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Stop ends it as a crash does.
+// Stop stops the worker like a crash: it closes the listener and all connections.
 func (w *Worker) Stop() {
 	_ = w.listener.Close() // a second stop finds it closed
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.conns {
-		_ = c.Close() // cut off whatever is in progress
+		_ = c.Close() // cuts off requests in progress
 	}
 }
 
-// Next says how the next requests are treated, one each; later ones are answered.
+// Next queues acts for the next requests, one for each; later requests get the default
+// act.
 func (w *Worker) Next(acts ...Act) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queuedActs = append(w.queuedActs, acts...)
 }
 
-// Default says how requests are treated for which nothing else was said.
+// Default sets the act for requests for which none is queued. Without it, they are
+// answered with status 200.
 func (w *Worker) Default(act Act) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.defaultAct = act
 }
 
-// Reset forgets how the next requests are to be treated.
+// Reset clears the queued acts.
 func (w *Worker) Reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queuedActs = nil
 }
 
-// Ran returns how often a request ran.
+// Ran returns how often the request with an ID ran.
 func (w *Worker) Ran(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[id]
 }
 
-// Seen returns the requests that came, and their bodies.
+// Seen returns the requests received so far, and their bodies.
 func (w *Worker) Seen() ([]*http.Request, []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*http.Request(nil), w.requests...), append([]string(nil), w.bodies...)
 }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (w *Worker) Connections() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,7 +137,7 @@
 		w.mu.Lock()
 		delete(w.conns, c)
 		w.mu.Unlock()
-		_ = c.Close() // the exchange is over, one way or another
+		_ = c.Close() // the act may have closed it already
 	}()
 	reader := bufio.NewReader(c)
 	for {
@@ -155,6 +158,7 @@
 	}
 }
 
+// recordRequest records a request and returns its act.
 func (w *Worker) recordRequest(r *http.Request, body string) Act {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -171,7 +175,7 @@
 	return act
 }
 
-// Writer is what an Act answers with.
+// Writer writes an Act's answer to the connection.
 type Writer struct {
 	worker  *Worker
 	conn    net.Conn
@@ -179,36 +183,37 @@
 	closed  bool
 }
 
-// Run notes that the request began to run.
+// Run records that the request began to run.
 func (w *Writer) Run() {
 	w.worker.mu.Lock()
 	defer w.worker.mu.Unlock()
 	w.worker.runs[w.request.Header.Get(RequestID)]++
 }
 
-// Raw writes bytes as they are.
+// Raw writes text to the connection unchanged.
 func (w *Writer) Raw(text string) {
-	// The other side may be gone, which is what some tests want.
+	// The client may be gone, which some tests intend.
 	_, _ = io.WriteString(w.conn, text)
 }
 
-// Head writes a status line and the headers of a genuine answer.
-func (w *Writer) Head(status int, more string) {
+// Head writes a status line, the headers that sign an answer as the worker's own, and
+// further header lines, each of which ends with CRLF.
+func (w *Writer) Head(status int, headerLines string) {
 	w.Raw(fmt.Sprintf("HTTP/1.1 %d X\r\nX-Request-Id: %s\r\nX-Response-Signature: sig-%s\r\nX-Instance-Id: %s\r\n%s%s\r\n",
-		status, w.request.Header.Get(RequestID), w.worker.ID, w.worker.ID, w.worker.limitHeader(), more))
+		status, w.request.Header.Get(RequestID), w.worker.ID, w.worker.ID, w.worker.limitHeader(), headerLines))
 }
 
-// Close ends the connection; with reset it is reset.
+// Close closes the connection, with a TCP reset if reset is set.
 func (w *Writer) Close(reset bool) {
 	w.closed = true
 	if c, ok := w.conn.(*net.TCPConn); ok && reset {
-		_ = c.SetLinger(0) // only a reset is wanted; a closed connection has none
+		_ = c.SetLinger(0) // fails only if the connection is closed already
 	}
-	_ = w.conn.Close() // seen by the other side, which is the point
+	_ = w.conn.Close() // may be closed already
 }
 
-// Gone waits until the other side has closed the connection, or for a time, and
-// reports which.
+// Gone waits until the client has closed the connection, for at most within, and
+// reports whether it has.
 func (w *Writer) Gone(within time.Duration) bool {
 	if err := w.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return true
@@ -218,7 +223,7 @@
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Answer runs the request and answers.
+// Answer returns an act that runs the request and answers it.
 func Answer(status int, body string) Act {
 	return func(w *Writer, _ *http.Request) {
 		w.Run()
@@ -227,18 +232,19 @@
 	}
 }
 
-// Reject says that the request was not run.
+// Reject returns an act that answers that the request was not run.
 func Reject(status int) Act {
 	return func(w *Writer, _ *http.Request) {
 		w.Head(status, "X-Not-Executed: 1\r\nContent-Length: 0\r\n")
 	}
 }
 
-// Event is one event of a stream.
+// Event returns the text of one event of a stream.
 func Event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// Stream runs the request and sends events from after the one that the request
-// names, up to last; then end is called, or the stream ends as complete.
+// Stream returns an act that runs the request and sends the events that follow the
+// request's Last-Event-ID, up to last. Then it calls end, or completes the answer if
+// end is nil.
 func Stream(last int, end Act) Act {
 	return func(w *Writer, r *http.Request) {
 		w.Run()
@@ -258,27 +264,29 @@
 	}
 }
 
-// Chunk writes one chunk.
+// Chunk writes one chunk of a chunked body.
 func (w *Writer) Chunk(text string) { w.Raw(fmt.Sprintf("%x\r\n%s\r\n", len(text), text)) }
 
-// Crash ends the connection without a word.
+// Crash is an act that resets the connection without an answer.
 func Crash(w *Writer, _ *http.Request) { w.Close(true) }
 
-// RunAndCrash runs the request and loses the answer.
+// RunAndCrash is an act that runs the request and resets the connection without an
+// answer.
 func RunAndCrash(w *Writer, r *http.Request) {
 	w.Run()
 	Crash(w, r)
 }
 
-// Hang runs the request and says nothing until the other side leaves.
+// Hang is an act that runs the request and sends nothing until the client closes the
+// connection, for at most a minute.
 func Hang(w *Writer, _ *http.Request) {
 	w.Run()
 	w.Gone(time.Minute)
 	w.closed = true
 }
 
-// RunAndEnd runs the request and ends the whole worker: its listener and all that is in
-// progress.
+// RunAndEnd is an act that runs the request and stops the whole worker, which cuts off
+// all requests in progress.
 func RunAndEnd(w *Writer, _ *http.Request) {
 	w.Run()
 	w.closed = true
