--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -22,10 +22,11 @@
 )
 
 const (
-	// controlDuration is that of the load while control changes hands.
+	// controlDuration and controlRate are those of the load while leases change
+	// hands.
 	controlDuration = 15 * time.Second
 	controlRate     = 20
-	// shortLeases lets control change hands within a test.
+	// shortLeases are settings with leases that change hands within a test.
 	shortLeases = `
 [control]
 lease = "3s"
@@ -34,15 +35,16 @@
 `
 )
 
-// engineLeases are those under which the engines of controlled get orders.
+// engineLeases are the leases under which the engines of newControlledSystem receive
+// orders.
 var engineLeases = []lease.Name{
 	{Service: "spool-llm", FailureDomain: ident.FailureDomain(failureDomain(0))},
 	{Service: "spool-llm", FailureDomain: ident.FailureDomain(failureDomain(1))},
 }
 
-// newControlledSystem is a system whose engines check fencing numbers or ignore them,
-// one of each in each failure domain, with the first controller holding all
-// leases and a second one beside it. It returns the document's revision.
+// newControlledSystem starts a system with two controllers, of which the first holds
+// all leases. In each failure domain, one engine checks fencing numbers and one
+// ignores them. base is the revision of the model service's document.
 func newControlledSystem(t *testing.T) (s *system, holder, other *process, base int) {
 	t.Helper()
 	s = newSystem(t)
@@ -68,14 +70,14 @@
 	return s, holder, other, base
 }
 
-// controller starts the controller beside a gateway.
+// controller starts a controller with the instance ID of a gateway.
 func (s *system) controller(gateway, domain string) *process {
 	s.t.Helper()
 	return launch(s.t, gateway+"/controller", "controller", "--settings", s.settings(gateway, domain, shortLeases))
 }
 
-// publishModel publishes the model service's document with another version of
-// the model, in the place of the revision base, and returns the new revision.
+// publishModel publishes the model service's document with a version of the model,
+// replacing the revision base, and returns the new revision.
 func (s *system) publishModel(version string, base int) int {
 	s.t.Helper()
 	text, err := os.ReadFile(filepath.Join(rootDir, "examples", "spool-llm.toml"))
@@ -92,12 +94,13 @@
 	return published.Revision
 }
 
-// await waits until done; what names it if that never comes.
-func (s *system) await(what string, done func() bool) {
+// await waits until done returns true. If it does not within waitLimit, the test
+// fails with the condition's description.
+func (s *system) await(condition string, done func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(waitLimit); !done(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("never: %s", what)
+			s.t.Fatalf("not within %v: %s", waitLimit, condition)
 		}
 	}
 }
@@ -143,8 +146,8 @@
 	return fences
 }
 
-// awaitVersion waits until every engine reports a version, and the fencing
-// number of its failure domain's holder.
+// awaitVersion waits until every engine reports the version and the fencing number
+// of the lease over its failure domain.
 func (s *system) awaitVersion(version string, fences map[lease.Name]ident.Fence) {
 	s.t.Helper()
 	dialer := connectupstream.NewDialer(nil)
@@ -157,10 +160,10 @@
 	}
 }
 
-// Symptom: a new model version never reaches engines after a machine died.
-// Sequence: the controller that holds all leases is killed under load; then a
-// version is published. Cause: a lease that outlives its holder, or a successor
-// that orders nothing.
+// Guards against leases that never pass on when their holder dies, and against a
+// successor that sends no orders: a new model version would never reach engines.
+// The controller that holds all leases is killed under load, and then a version is
+// published.
 func TestKilledHolderIsSucceeded(t *testing.T) {
 	s, holder, other, base := newControlledSystem(t)
 	result := s.load(controlRate, controlDuration, func() {
@@ -173,23 +176,23 @@
 	other.stop()
 }
 
-// Symptom: engines go back to an old version for good. Sequence: the holder is
-// frozen with a version half applied, its leases run out, another holder
-// applies a newer version, the frozen one wakes; then orders of its time
-// arrive, as from a slow connection. Cause: a holder that goes on by what it
-// knew, or one that orders each engine only once.
+// Guards against engines that return to an old version for good, because a former
+// holder continues with stale state or the current one orders each engine only
+// once. The holder is frozen with a version half applied, its leases expire, another
+// controller applies a newer version, and the frozen one wakes. Then orders with the
+// old fencing numbers arrive, as from a slow connection.
 func TestFrozenHolderRevertsNothing(t *testing.T) {
 	s, holder, other, base := newControlledSystem(t)
 	result := s.load(controlRate, controlDuration, func() {
 		time.Sleep(warmUp)
-		old := s.awaitHeld(holder)
+		oldFences := s.awaitHeld(holder)
 		base = s.publishModel("2026-12", base)
 		holder.signal(syscall.SIGSTOP)
 		fences := s.awaitHeld(other)
 		s.publishModel("2027-01", base)
 		s.awaitVersion("2027-01", fences)
 		holder.signal(syscall.SIGCONT)
-		s.sendStaleOrders("2026-12", old)
+		s.sendStaleOrders("2026-12", oldFences)
 		s.awaitVersion("2027-01", fences)
 		s.awaitReady(holder)
 		if still := heldFences(holder); len(still) > 0 {
@@ -203,14 +206,15 @@
 }
 
 // sendStaleOrders sends every engine an order with an old fencing number. The engines
-// that check it must refuse; the others are the holder's to repair.
+// that check fencing numbers must refuse it; the others apply it, and the holder has
+// to order them again.
 func (s *system) sendStaleOrders(version string, fences map[lease.Name]ident.Fence) {
 	s.t.Helper()
 	dialer := connectupstream.NewDialer(nil)
 	defer dialer.Close()
 	for i, p := range s.engines {
-		late := upstream.Order{Fence: fences[engineLeases[i%len(engineLeases)]], Model: "spool-llm", Version: version}
-		err := dialer.Engine(p.addresses.Address).Apply(s.t.Context(), late)
+		stale := upstream.Order{Fence: fences[engineLeases[i%len(engineLeases)]], Model: "spool-llm", Version: version}
+		err := dialer.Engine(p.addresses.Address).Apply(s.t.Context(), stale)
 		checks := i < len(engineLeases)
 		if refused := errors.Is(err, upstream.ErrOldFence); refused != checks {
 			s.t.Errorf("%s: an order with an old fencing number: %v, want refused: %v", p.name, err, checks)
@@ -218,10 +222,10 @@
 	}
 }
 
-// Symptom: callers are cut off, or nobody orders, while controllers are
-// updated. Sequence: under load the holder gets SIGTERM, its successor gets
-// leases and a new version, and then SIGTERM too. Cause: a stop that fails, or
-// a data path that needs a controller.
+// Guards against a controller whose planned stop fails, and against requests that
+// need a controller: while controllers are updated, callers would be cut off or
+// engines get no orders. Under load, the holder gets SIGTERM; its successor acquires
+// the leases, applies a new version and gets SIGTERM too.
 func TestPlannedStopOfHoldersCutsNothingOff(t *testing.T) {
 	s, holder, other, base := newControlledSystem(t)
 	result := s.load(controlRate, controlDuration, func() {
@@ -235,9 +239,9 @@
 	expectUndisturbed(t, result)
 }
 
-// Symptom: a controller cannot be stopped during an outage. Sequence: the
-// platform is frozen, so that requests hang; the holder gets SIGTERM. Cause: a
-// round, or a release, that waits for an answer.
+// Guards against a controller that cannot be stopped during an outage because a
+// round, or the release of a lease, waits for an answer. The platform is frozen, so
+// that requests hang, and the holder gets SIGTERM.
 func TestHolderStopsWhileThePlatformHangs(t *testing.T) {
 	s, holder, _, _ := newControlledSystem(t)
 	s.platform.signal(syscall.SIGSTOP)
@@ -252,7 +256,8 @@
 	}
 }
 
-// expectUndisturbed fails the test if a caller noticed anything.
+// expectUndisturbed fails the test if a request did not get its whole answer without
+// cuts.
 func expectUndisturbed(t *testing.T, r *loadgen.Result) {
 	t.Helper()
 	expectWhole(t, r)
--- a/internal/e2e/promises_test.go
+++ b/internal/e2e/promises_test.go
@@ -17,11 +17,12 @@
 const (
 	loadRate     = 40
 	loadDuration = 5 * time.Second
-	// warmUp is how long the load runs before something happens to it.
+	// warmUp is how long the load runs before the first fault or stop.
 	warmUp = time.Second
 )
 
-// newSmallSystem is a system of two failure domains with gateways in both.
+// newSmallSystem starts a system of two failure domains, each with two engines, a
+// plain service and half of the gateways.
 func newSmallSystem(t *testing.T, gateways int) *system {
 	s := newSystem(t)
 	for i, id := range []string{"engine-1", "engine-2", "engine-3", "engine-4"} {
@@ -38,10 +39,9 @@
 
 func failureDomain(i int) string { return []string{"hall-a", "hall-b"}[i%2] }
 
-// Symptom: callers are cut off while the programs are updated. Sequence: under
-// load, one gateway after another gets SIGTERM, with streams and calls open,
-// while newer ones serve. Cause: a stop that does not finish or hand over what
-// is in progress.
+// Guards against a stop that neither finishes nor hands over requests in progress,
+// so that callers are cut off while the programs are updated. Under load, one
+// gateway after another gets SIGTERM while others serve.
 func TestRollingReplacementCutsNothingOff(t *testing.T) {
 	s := newSmallSystem(t, 6)
 	result := s.load(loadRate, loadDuration, func() {
@@ -54,9 +54,10 @@
 	expectNoCuts(t, result)
 }
 
-// Symptom: a bid is executed twice, or its trader hears something false, after
-// a crash. Sequence: a gateway is killed with calls claimed and dispatched;
-// callers ask again at others. Cause: a claim taken over because time passed.
+// Guards against a claim that is taken over only because time has passed: after a
+// crash, a bid would be executed twice or its caller get a false outcome. Gateways
+// are killed with calls claimed and dispatched, and the callers send them again to
+// others.
 func TestKilledGatewayDoublesNothing(t *testing.T) {
 	s := newSmallSystem(t, 4)
 	result := s.load(loadRate, loadDuration, func() {
@@ -68,10 +69,10 @@
 	expectNoBrokenPromise(t, result)
 }
 
-// Symptom: a bid is executed a second time long after. Sequence: a gateway is
-// frozen between claim and dispatch, others settle its calls, it wakes and goes
-// on as if nothing had happened. Cause: a check before the freeze, the act
-// after it.
+// Guards against a gateway that checks its right to a call before a freeze and
+// dispatches the call after it. A gateway is frozen between claim and dispatch,
+// others settle its calls, and it wakes and continues: a bid would be executed a
+// second time long after the first.
 func TestFrozenGatewayDoublesNothing(t *testing.T) {
 	s := newSmallSystem(t, 4)
 	result := s.load(loadRate, loadDuration, func() {
@@ -84,9 +85,9 @@
 	s.gateways[0].stop()
 }
 
-// Symptom: answers break off when an instance is reclaimed. Sequence: an engine
-// and a gateway get notices of a few seconds and are ended when these are over.
-// Cause: streams that stay until the end of the notice.
+// Guards against streams that stay at a reclaimed instance until the end of its
+// notice, so that their answers break off. An engine and a gateway get notices of
+// 4 s and end after them.
 func TestReclaimedInstancesLoseNothing(t *testing.T) {
 	s := newSmallSystem(t, 4)
 	result := s.load(loadRate, loadDuration, func() {
@@ -101,10 +102,10 @@
 	expectWhole(t, result)
 }
 
-// Symptom: answers are lost when a failure domain is reclaimed at once.
-// Sequence: everything in hall-a, gateways, engines and the plain service, gets
-// a notice of 4 s; each gateway hands over while its neighbours leave too.
-// Cause: a hand-over to a peer that is itself leaving.
+// Guards against a hand-over to a peer that is itself leaving, so that answers are
+// lost when a whole failure domain is reclaimed. All gateways, engines and plain
+// services of hall-a get a notice of 4 s, and each gateway hands over while the
+// others in its failure domain leave too.
 func TestReclaimedFailureDomainLosesNothing(t *testing.T) {
 	s := newSmallSystem(t, 4)
 	result := s.load(loadRate, loadDuration, func() {
@@ -118,9 +119,9 @@
 	expectWhole(t, result)
 }
 
-// Symptom: bids hang while the platform's log is down, or run unrecorded.
-// Sequence: the log goes down under load and comes back. Cause: a data path
-// that waits for the platform, or a call dispatched without its claim.
+// Guards against requests that wait for the platform, and against calls that are
+// dispatched without a claim in the log: bids would hang or run unrecorded. The log
+// has an outage under load.
 func TestLogOutageIsToldAtOnce(t *testing.T) {
 	s := newSmallSystem(t, 2)
 	result := s.load(loadRate, loadDuration, func() {
@@ -137,8 +138,8 @@
 	}
 }
 
-// Symptom: a stuck stop cannot be ended. Sequence: SIGTERM with a long stream
-// open, then a second SIGTERM. Cause: signals that are only heard once.
+// Guards against a gateway that handles only the first signal, so that a stop that
+// hangs cannot be ended. It gets SIGTERM with streams open, and then again.
 func TestSecondSignalEndsAtOnce(t *testing.T) {
 	s := newSmallSystem(t, 2)
 	s.load(loadRate, loadDuration, func() {
@@ -146,7 +147,7 @@
 		g := s.gateways[0]
 		g.signal(syscall.SIGTERM)
 		g.signal(syscall.SIGTERM)
-		// Two equal signals can merge into one before the process looks.
+		// Two equal signals can be delivered as one.
 		for {
 			select {
 			case <-g.exited:
--- a/internal/e2e/race_test.go
+++ b/internal/e2e/race_test.go
@@ -2,5 +2,5 @@
 
 package e2e
 
-// raceFlag builds the programs with the race detector where the tests have it.
+// raceFlag builds the programs with the race detector if the tests are built with it.
 const raceFlag = "-race"
--- a/internal/e2e/system_test.go
+++ b/internal/e2e/system_test.go
@@ -23,14 +23,15 @@
 
 const (
 	rootDir = "../.."
-	// waitLimit bounds every wait of the tests; nothing is asserted by it.
+	// waitLimit is the time limit of every wait of the tests. It is far longer
+	// than needed, so that the tests check no durations.
 	waitLimit = 60 * time.Second
 	token     = "test-token"
 	account   = "registrar"
 	services  = "spool-llm auktion-app"
 )
 
-// binDir is where TestMain puts the programs.
+// binDir is the directory into which TestMain builds the programs.
 var binDir string
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
@@ -52,8 +53,8 @@
 	return m.Run()
 }
 
-// addresses are those that a process prints when it listens; stand-ins have
-// the first, gateways the others.
+// addresses are those that a process prints when it listens. Stand-ins have
+// Address, controllers Operators, and gateways all but Address.
 type addresses struct{ Address, Callers, Peers, Operators string }
 
 // process is a program that a test started.
@@ -67,8 +68,8 @@
 	err       error
 }
 
-// launch starts a program and waits until it says where it listens. It is
-// killed at the end of the test unless it has ended by then.
+// launch starts a program and waits until it prints where it listens. If the
+// program still runs at the end of the test, it is killed.
 func launch(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binDir, program), args...), exited: make(chan struct{})}
@@ -96,7 +97,7 @@
 	return p
 }
 
-// kill ends the process without notice.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
@@ -106,12 +107,12 @@
 	select {
 	case <-p.exited:
 	default:
-		// It may end between the two lines; then there is nobody to tell.
+		// The process may have ended meanwhile, and then the signal fails.
 		_ = p.cmd.Process.Signal(s)
 	}
 }
 
-// stop asks the process to end gracefully and expects exit status 0.
+// stop sends SIGTERM, waits until the process has ended and expects exit status 0.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -121,7 +122,7 @@
 	}
 }
 
-// system is a platform stand-in with what was started around it.
+// system is a platform stand-in with the processes that use it.
 type system struct {
 	t        *testing.T
 	platform *process
@@ -137,7 +138,7 @@
 
 func (s *system) address() string { return s.platform.addresses.Address }
 
-// run runs a program to its end and returns what it printed.
+// run runs a program to its end, expects exit status 0 and returns what it printed.
 func (s *system) run(program string, args ...string) string {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(s.t.Context(), waitLimit)
@@ -154,12 +155,12 @@
 	s.run("standin", append([]string{"admin", "--platform", s.address()}, args...)...)
 }
 
-// engine starts a model engine; more are further options of it.
-func (s *system) engine(id, domain string, more ...string) *process {
+// engine starts a model engine with further options.
+func (s *system) engine(id, domain string, options ...string) *process {
 	s.t.Helper()
 	args := []string{"engine", "--platform", s.address(), "--id", id, "--service", "spool-llm",
 		"--failure-domain", domain, "--class", "gpu-small", "--model", "spool-llm", "--model-version", "2026-11"}
-	p := launch(s.t, id, "standin", append(args, more...)...)
+	p := launch(s.t, id, "standin", append(args, options...)...)
 	s.engines = append(s.engines, p)
 	return p
 }
@@ -168,14 +169,16 @@
 	s.t.Helper()
 	p := launch(s.t, id, "standin", "plain", "--platform", s.address(), "--id", id, "--service", "auktion-app",
 		"--failure-domain", domain, "--class", "cpu-small", "--checks-fencing", "--finds-outcomes",
-		// Long enough that a killed gateway leaves calls that ran, without an answer.
+		// Long enough that a killed gateway leaves calls that were executed but
+		// not answered.
 		"--before", "50ms", "--after", "400ms")
 	s.plains = append(s.plains, p)
 	return p
 }
 
-// settings writes a file with the settings that all programs have, and more.
-func (s *system) settings(id, domain, more string) string {
+// settings writes a settings file with the sections that all programs have and
+// further ones, and returns its path.
+func (s *system) settings(id, domain, sections string) string {
 	s.t.Helper()
 	common := fmt.Sprintf(`
 [instance]
@@ -186,7 +189,7 @@
 [platform]
 address = "http://%s"
 `, id, domain, s.address())
-	return s.file(id+".toml", common+more)
+	return s.file(id+".toml", common+sections)
 }
 
 // file writes a file that is removed after the test and returns its path.
@@ -243,7 +246,8 @@
 	}
 }
 
-// load sends a load to all gateways and calls during while it runs.
+// load sends a load to all gateways, calls during meanwhile, and returns the
+// result of the load.
 func (s *system) load(rate float64, duration time.Duration, during func()) *loadgen.Result {
 	s.t.Helper()
 	workload := &loadgen.Workload{
@@ -275,7 +279,8 @@
 	return result
 }
 
-// expectNoBrokenPromise fails the test if a promise was broken.
+// expectNoBrokenPromise fails the test if an answer broke a promise: if it was wrong,
+// incomplete, doubled or lost.
 func expectNoBrokenPromise(t *testing.T, r *loadgen.Result) {
 	t.Helper()
 	if r.Broken > 0 {
@@ -283,8 +288,8 @@
 	}
 }
 
-// expectNoCuts fails the test if a connection broke with a request on it, or a
-// stream had to be resumed.
+// expectNoCuts fails the test if a connection broke during a request, or a stream
+// had to be resumed.
 func expectNoCuts(t *testing.T, r *loadgen.Result) {
 	t.Helper()
 	if r.Cuts > 0 || r.Resumes > 0 {
@@ -292,8 +297,7 @@
 	}
 }
 
-// expectWhole fails the test if any request had another end than a whole
-// answer.
+// expectWhole fails the test if any request did not get its whole answer.
 func expectWhole(t *testing.T, r *loadgen.Result) {
 	t.Helper()
 	expectNoBrokenPromise(t, r)
