--- a/internal/loadgen/result.go
+++ b/internal/loadgen/result.go
@@ -68,7 +68,7 @@
 	// Audit describes whether bookings were compared with their executions.
 	Audit string `json:"audit"`
 	// Broken counts the requests whose verdict breaks a promise; Problems lists
-	// the first 20 of them.
+	// the first maxProblems of them.
 	Broken   int       `json:"broken"`
 	Problems []Problem `json:"problems"`
 }
--- a/internal/standin/engine/parameters.go
+++ b/internal/standin/engine/parameters.go
@@ -33,7 +33,7 @@
 	ReportLag time.Duration
 	// EventLag is the time after which cache events become readable.
 	EventLag time.Duration
-	// EventGapEvery is the mean number of runs of 32 consecutive cache events of
+	// EventGapEvery is the mean number of runs of eventsPerGap cache events of
 	// which one is lost; 0 loses none.
 	EventGapEvery uint64
 	// MaxKeptEvents is the number of newest cache events that are kept at least.
