--- a/internal/e2e/control_test.go
+++ b/internal/e2e/control_test.go
@@ -100,7 +100,7 @@
 	s.t.Helper()
 	for deadline := time.Now().Add(waitLimit); !done(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			s.t.Fatalf("not within %v: %s", waitLimit, condition)
+			s.t.Fatalf("timed out waiting until %s", condition)
 		}
 	}
 }
--- a/internal/spoolctl/publish.go
+++ b/internal/spoolctl/publish.go
@@ -47,8 +47,8 @@
 }
 
 func (c *command) publish(ctx context.Context, a *publishArguments) error {
-	doc, data, found := readDocument(a.File)
-	if err := found.Err(); err != nil {
+	doc, data, findings := readDocument(a.File)
+	if err := findings.Err(); err != nil {
 		return err
 	}
 	s, err := a.openStream()
@@ -93,8 +93,8 @@
 	if err != nil {
 		return nil, nil, finding.List{{File: file, Problem: err.Error(), Want: "a readable file"}}
 	}
-	doc, found := document.Parse(file, data)
-	return doc, data, found
+	doc, findings := document.Parse(file, data)
+	return doc, data, findings
 }
 
 // publish appends a publication at most once and then reads the stream until the
@@ -199,9 +199,9 @@
 	var all finding.List
 	services := map[ident.Service]string{}
 	for _, file := range a.Files {
-		doc, _, found := readDocument(file)
-		all = append(all, found...)
-		if len(found) > 0 {
+		doc, _, findings := readDocument(file)
+		all = append(all, findings...)
+		if len(findings) > 0 {
 			continue
 		}
 		if earlier, ok := services[doc.Service]; ok {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -330,7 +330,7 @@
 
 // Apply applies an order and begins to load its model if that is another one. The
 // error is upstream.ErrOldFence if the engine checks fencing numbers and the
-// order's is old.
+// order's is old, and ErrEnded after Close.
 func (e *Engine) Apply(_ context.Context, o upstream.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
