--- a/internal/e2e/system_test.go
+++ b/internal/e2e/system_test.go
@@ -22,16 +22,17 @@
 )
 
 const (
-	root = "../.."
-	// patience bounds every wait of the tests; nothing is asserted by it.
-	patience = 60 * time.Second
-	token    = "test-token"
-	account  = "registrar"
-	services = "spool-llm auktion-app"
+	rootDir = "../.."
+	// waitLimit is the time limit of every wait of the tests. It is far longer
+	// than needed, so that the tests check no durations.
+	waitLimit = 60 * time.Second
+	token     = "test-token"
+	account   = "registrar"
+	services  = "spool-llm auktion-app"
 )
 
-// bin is where TestMain puts the programs.
-var bin string
+// binDir is the directory into which TestMain builds the programs.
+var binDir string
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
@@ -42,9 +43,9 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	bin = dir
+	binDir = dir
 	build := exec.Command("go", "build", raceFlag, "-o", dir+"/", "./cmd/gateway", "./cmd/controller", "./cmd/standin", "./cmd/spoolctl")
-	build.Dir = root
+	build.Dir = rootDir
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
@@ -52,26 +53,26 @@
 	return m.Run()
 }
 
-// addresses are those that a process prints when it listens; stand-ins have
-// the first, gateways the others.
+// addresses are those that a process prints when it listens. Stand-ins have
+// Address, controllers Operators, and gateways all but Address.
 type addresses struct{ Address, Callers, Peers, Operators string }
 
 // process is a program that a test started.
 type process struct {
-	t      *testing.T
-	name   string
-	cmd    *exec.Cmd
-	stderr bytes.Buffer
-	at     addresses
-	exited chan struct{}
-	err    error
+	t         *testing.T
+	name      string
+	cmd       *exec.Cmd
+	stderr    bytes.Buffer
+	addresses addresses
+	exited    chan struct{}
+	err       error
 }
 
-// launch starts a program and waits until it says where it listens. It is
-// killed at the end of the test unless it has ended by then.
+// launch starts a program and waits until it prints where it listens. If the
+// program still runs at the end of the test, it is killed.
 func launch(t *testing.T, name, program string, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(bin, program), args...), exited: make(chan struct{})}
+	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binDir, program), args...), exited: make(chan struct{})}
 	p.cmd.Stderr = &p.stderr
 	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -87,7 +88,7 @@
 	}()
 	t.Cleanup(p.kill)
 	if err == nil {
-		err = json.Unmarshal(line, &p.at)
+		err = json.Unmarshal(line, &p.addresses)
 	}
 	if err != nil {
 		p.kill()
@@ -96,7 +97,7 @@
 	return p
 }
 
-// kill ends the process without notice.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
@@ -106,12 +107,12 @@
 	select {
 	case <-p.exited:
 	default:
-		// It may end between the two lines; then there is nobody to tell.
+		// The process may have ended meanwhile, and then the signal fails.
 		_ = p.cmd.Process.Signal(s)
 	}
 }
 
-// stop asks the process to end gracefully and expects exit status 0.
+// stop sends SIGTERM, waits until the process has ended and expects exit status 0.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -121,7 +122,7 @@
 	}
 }
 
-// system is a platform stand-in with what was started around it.
+// system is a platform stand-in with the processes that use it.
 type system struct {
 	t        *testing.T
 	platform *process
@@ -135,14 +136,14 @@
 	return &system{t: t, platform: launch(t, "platform", "standin", "platform")}
 }
 
-func (s *system) address() string { return s.platform.at.Address }
+func (s *system) address() string { return s.platform.addresses.Address }
 
-// run runs a program to its end and returns what it printed.
+// run runs a program to its end, expects exit status 0 and returns what it printed.
 func (s *system) run(program string, args ...string) string {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(s.t.Context(), patience)
+	ctx, cancel := context.WithTimeout(s.t.Context(), waitLimit)
 	defer cancel()
-	out, err := exec.CommandContext(ctx, filepath.Join(bin, program), args...).CombinedOutput()
+	out, err := exec.CommandContext(ctx, filepath.Join(binDir, program), args...).CombinedOutput()
 	if err != nil {
 		s.t.Fatalf("%s %s: %v\n%s", program, strings.Join(args, " "), err, out)
 	}
@@ -154,12 +155,12 @@
 	s.run("standin", append([]string{"admin", "--platform", s.address()}, args...)...)
 }
 
-// engine starts a model engine; more are further options of it.
-func (s *system) engine(id, domain string, more ...string) *process {
+// engine starts a model engine with further options.
+func (s *system) engine(id, domain string, options ...string) *process {
 	s.t.Helper()
 	args := []string{"engine", "--platform", s.address(), "--id", id, "--service", "spool-llm",
 		"--failure-domain", domain, "--class", "gpu-small", "--model", "spool-llm", "--model-version", "2026-11"}
-	p := launch(s.t, id, "standin", append(args, more...)...)
+	p := launch(s.t, id, "standin", append(args, options...)...)
 	s.engines = append(s.engines, p)
 	return p
 }
@@ -168,14 +169,16 @@
 	s.t.Helper()
 	p := launch(s.t, id, "standin", "plain", "--platform", s.address(), "--id", id, "--service", "auktion-app",
 		"--failure-domain", domain, "--class", "cpu-small", "--checks-fencing", "--finds-outcomes",
-		// Long enough that a killed gateway leaves calls that ran, without an answer.
+		// Long enough that a killed gateway leaves calls that were executed but
+		// not answered.
 		"--before", "50ms", "--after", "400ms")
 	s.plains = append(s.plains, p)
 	return p
 }
 
-// settings writes a file with the settings that all programs have, and more.
-func (s *system) settings(id, domain, more string) string {
+// settings writes a settings file with the sections that all programs have and
+// further ones, and returns its path.
+func (s *system) settings(id, domain, sections string) string {
 	s.t.Helper()
 	common := fmt.Sprintf(`
 [instance]
@@ -186,7 +189,7 @@
 [platform]
 address = "http://%s"
 `, id, domain, s.address())
-	return s.file(id+".toml", common+more)
+	return s.file(id+".toml", common+sections)
 }
 
 // file writes a file that is removed after the test and returns its path.
@@ -208,7 +211,7 @@
 `, account, sha256.Sum256([]byte(token))))
 	p := launch(s.t, id, "gateway", "--settings", file)
 	s.admin("register", "--id", id, "--incarnation", "1", "--failure-domain", domain,
-		"--address", p.at.Callers, "--peer-address", p.at.Peers)
+		"--address", p.addresses.Callers, "--peer-address", p.addresses.Peers)
 	s.gateways = append(s.gateways, p)
 	return p
 }
@@ -218,7 +221,7 @@
 func (s *system) publish() {
 	s.t.Helper()
 	for _, service := range strings.Fields(services) {
-		s.run("spoolctl", "publish", filepath.Join(root, "examples", service+".toml"), "--platform", s.address())
+		s.run("spoolctl", "publish", filepath.Join(rootDir, "examples", service+".toml"), "--platform", s.address())
 	}
 	for _, g := range s.gateways {
 		s.awaitReady(g)
@@ -227,9 +230,9 @@
 
 func (s *system) awaitReady(p *process) {
 	s.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitLimit)
 	for {
-		resp, err := http.Get("http://" + p.at.Operators + "/readyz")
+		resp, err := http.Get("http://" + p.addresses.Operators + "/readyz")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -243,7 +246,8 @@
 	}
 }
 
-// load sends a load to all gateways and calls during while it runs.
+// load sends a load to all gateways, calls during meanwhile, and returns the
+// result of the load.
 func (s *system) load(rate float64, duration time.Duration, during func()) *loadgen.Result {
 	s.t.Helper()
 	workload := &loadgen.Workload{
@@ -257,12 +261,12 @@
 		},
 		Weights: map[loadgen.Kind]float64{loadgen.Short: 0.4, loadgen.Long: 0.1, loadgen.Booking: 0.5},
 	}
-	options := loadgen.Options{Patience: patience, Silence: 5 * time.Second, MaxRefusals: 20, FreshConnections: true}
+	options := loadgen.Options{CallerTimeout: waitLimit, SilenceTimeout: 5 * time.Second, MaxRefusals: 20, FreshConnections: true}
 	for _, g := range s.gateways {
-		options.Gateways = append(options.Gateways, g.at.Callers)
+		options.Gateways = append(options.Gateways, g.addresses.Callers)
 	}
 	for _, p := range s.plains {
-		options.Plains = append(options.Plains, p.at.Address)
+		options.PlainStandins = append(options.PlainStandins, p.addresses.Address)
 	}
 	run := loadgen.NewRun(options, workload)
 	done := make(chan *loadgen.Result, 1)
@@ -275,16 +279,17 @@
 	return result
 }
 
-// expectKept fails the test if a promise was broken.
-func expectKept(t *testing.T, r *loadgen.Result) {
+// expectNoBrokenPromise fails the test if an answer broke a promise: if it was wrong,
+// incomplete, doubled or lost.
+func expectNoBrokenPromise(t *testing.T, r *loadgen.Result) {
 	t.Helper()
 	if r.Broken > 0 {
 		t.Errorf("%d answers broke a promise: %+v", r.Broken, r.Problems)
 	}
 }
 
-// expectNoCuts fails the test if a connection broke with a request on it, or a
-// stream had to be resumed.
+// expectNoCuts fails the test if a connection broke during a request, or a stream
+// had to be resumed.
 func expectNoCuts(t *testing.T, r *loadgen.Result) {
 	t.Helper()
 	if r.Cuts > 0 || r.Resumes > 0 {
@@ -292,11 +297,10 @@
 	}
 }
 
-// expectWhole fails the test if any request had another end than a whole
-// answer.
+// expectWhole fails the test if any request did not get its whole answer.
 func expectWhole(t *testing.T, r *loadgen.Result) {
 	t.Helper()
-	expectKept(t, r)
+	expectNoBrokenPromise(t, r)
 	for kind, result := range r.Kinds {
 		if whole := result.Verdicts[loadgen.Whole]; whole != result.Sent {
 			t.Errorf("%s: %d of %d whole: %v %v", kind, whole, result.Sent, result.Verdicts, result.Reasons)
--- a/internal/loadgen/command/command.go
+++ b/internal/loadgen/command/command.go
@@ -27,8 +27,8 @@
 	ExitUsage  = 2
 )
 
-// progressEvery is how often the progress line changes.
-const progressEvery = 250 * time.Millisecond
+// progressInterval is the time between updates of the progress line.
+const progressInterval = 250 * time.Millisecond
 
 // account is a client account on the command line: NAME=TOKEN or
 // NAME=TOKEN=WEIGHT.
@@ -92,8 +92,8 @@
 // Version implements go-arg's interface for --version.
 func (arguments) Version() string { return "loadgen (goldcrestspool)" }
 
-// Run carries out a command line and returns the exit status. When ctx ends, no
-// more arrivals are sent.
+// Run executes a command line and returns the exit status. When ctx ends, no more
+// arrivals are sent.
 func Run(ctx context.Context, args []string, stdout io.Writer, stderr *os.File) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "loadgen", Out: stderr}, &parsed)
@@ -177,11 +177,11 @@
 
 func (a *arguments) send(ctx context.Context, arrivals []loadgen.Arrival, stderr *os.File) *loadgen.Result {
 	run := loadgen.NewRun(loadgen.Options{
-		Gateways:    a.Gateways,
-		Plains:      a.Plains,
-		Patience:    a.Patience,
-		Silence:     a.Silence,
-		MaxRefusals: a.MaxRefusals,
+		Gateways:       a.Gateways,
+		PlainStandins:  a.Plains,
+		CallerTimeout:  a.Patience,
+		SilenceTimeout: a.Silence,
+		MaxRefusals:    a.MaxRefusals,
 	}, a.workload())
 	if isTerminal(stderr) {
 		stop := showProgress(run, len(arrivals), stderr)
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -8,17 +8,21 @@
 
 // Progress is the state of a run so far.
 type Progress struct {
-	Elapsed  time.Duration
-	Started  int
-	Ended    int
+	// Elapsed is 0 before the run starts.
+	Elapsed time.Duration
+	// Started and Ended count requests.
+	Started int
+	Ended   int
+	// Verdicts counts the ended requests by verdict.
 	Verdicts map[Verdict]int
 }
 
-// ended is one request at its end.
-type ended struct {
+// finishedRequest is one request that has ended. Its completion counts from the
+// time at which it was due.
+type finishedRequest struct {
 	arrival    Arrival
-	request    string
-	finding    *finding
+	requestID  string
+	assessment *assessment
 	completion time.Duration
 	times      streamTimes
 	tries      int
@@ -26,12 +30,12 @@
 	resumes    int
 }
 
-// recorder collects the requests of a run.
+// recorder collects the requests of a run. It is safe for concurrent use.
 type recorder struct {
 	mu       sync.Mutex
 	start    time.Time
 	started  int
-	ended    []*ended
+	finished []*finishedRequest
 	verdicts map[Verdict]int
 }
 
@@ -43,17 +47,17 @@
 	r.start = start
 }
 
-func (r *recorder) begin() {
+func (r *recorder) recordStart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.started++
 }
 
-func (r *recorder) end(e *ended) {
+func (r *recorder) recordEnd(e *finishedRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ended = append(r.ended, e)
-	r.verdicts[e.finding.verdict]++
+	r.finished = append(r.finished, e)
+	r.verdicts[e.assessment.verdict]++
 }
 
 func (r *recorder) progress() Progress {
@@ -61,7 +65,7 @@
 	defer r.mu.Unlock()
 	progress := Progress{
 		Started:  r.started,
-		Ended:    len(r.ended),
+		Ended:    len(r.finished),
 		Verdicts: maps.Clone(r.verdicts),
 	}
 	if !r.start.IsZero() {
--- a/internal/loadgen/verdict.go
+++ b/internal/loadgen/verdict.go
@@ -7,93 +7,97 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/answer"
 )
 
-// Verdict says how a request ended.
+// Verdict is how a request ended.
 type Verdict string
 
 // The verdicts.
 const (
-	// Whole: the caller has exactly its whole answer.
+	// Whole: the caller received the whole answer and nothing else.
 	Whole Verdict = "whole"
-	// Refused: the caller was told that the request was not run.
+	// Refused: the caller gave up after outcomes that the request was not run.
 	Refused Verdict = "refused"
 	// Failed: the application itself answered with an error.
 	Failed Verdict = "failed"
-	// Unknown: the caller was told that the request may have run, until its
-	// patience ended.
+	// Unknown: the caller gave up while the last outcome was that the request
+	// may have run.
 	Unknown Verdict = "unknown"
-	// Wrong: something that is not the request's answer, or a refusal of a
-	// request that was executed.
+	// Wrong: the caller received something that is not the request's answer, or
+	// a refusal of a booking that was executed.
 	Wrong Verdict = "wrong"
-	// Incomplete: an answer that was called whole lacks its end.
+	// Incomplete: an answer lacks its end although its outcome is completed.
 	Incomplete Verdict = "short"
-	// Doubled: a token came twice, or a booking was executed twice.
+	// Doubled: a token was received twice, or a booking was executed twice.
 	Doubled Verdict = "doubled"
-	// Lost: the caller heard nothing final, or a booking that was confirmed
-	// was not executed.
+	// Lost: the caller received no outcome or was rejected, or a booking was
+	// confirmed but not executed.
 	Lost Verdict = "lost"
 )
 
-// Verdicts lists the verdicts in the order of reports.
+// Verdicts lists the verdicts in the order in which results are printed.
 var Verdicts = []Verdict{Whole, Refused, Failed, Unknown, Wrong, Incomplete, Doubled, Lost}
 
-// Broken reports whether a verdict breaks a promise.
-func (v Verdict) Broken() bool {
+// BreaksPromise reports whether the verdict shows that the gateways broke a promise
+// that they give to callers.
+func (v Verdict) BreaksPromise() bool {
 	return v == Wrong || v == Incomplete || v == Doubled || v == Lost
 }
 
-// finding is a verdict with what led to it.
-type finding struct {
+// assessment is the verdict on a request with the facts behind it.
+type assessment struct {
 	verdict Verdict
-	// reason is the gateway's, for refusals, failures and unknown ends.
+	// reason is the reason in the gateway's outcome; empty if the verdict does
+	// not come from an outcome.
 	reason string
 	detail string
 }
 
-func findingf(verdict Verdict, format string, args ...any) *finding {
-	return &finding{verdict: verdict, detail: fmt.Sprintf(format, args...)}
+func assessmentf(verdict Verdict, format string, args ...any) *assessment {
+	return &assessment{verdict: verdict, detail: fmt.Sprintf(format, args...)}
 }
 
-// fromOutcome returns a finding that a gateway gave its reason for.
-func fromOutcome(verdict Verdict, outcome *callerv1.Outcome) *finding {
-	return &finding{
+// assessOutcome returns a verdict with the reason and message of a gateway's
+// outcome.
+func assessOutcome(verdict Verdict, outcome *callerv1.Outcome) *assessment {
+	return &assessment{
 		verdict: verdict,
 		reason:  outcome.GetReason(),
 		detail:  outcome.GetReason() + ": " + outcome.GetMessage(),
 	}
 }
 
-// tokenCheck compares a stream with the answer that the prompt must have.
+// tokenCheck compares a stream with the expected answer to its prompt.
 type tokenCheck struct {
 	prompt string
-	want   int
-	got    []string
+	// want is the expected number of tokens.
+	want int
+	got  []string
 }
 
-// add takes consecutive tokens from an index on. It returns what is wrong with
-// them, or nil.
-func (c *tokenCheck) add(index uint32, tokens []string) *finding {
+// add appends consecutive tokens of which the first has the index. It returns an
+// assessment if one is wrong, else nil.
+func (c *tokenCheck) add(index uint32, tokens []string) *assessment {
 	if int(index) < len(c.got) {
-		return findingf(Doubled, "token %d came again", index)
+		return assessmentf(Doubled, "token %d came again", index)
 	}
 	if int(index) > len(c.got) {
-		return findingf(Wrong, "token %d came after %d tokens", index, len(c.got))
+		return assessmentf(Wrong, "token %d came after %d tokens", index, len(c.got))
 	}
 	for _, token := range tokens {
 		if want := answer.Token(c.prompt, len(c.got)); token != want {
-			return findingf(Wrong, "token %d is %q, want %q", len(c.got), token, want)
+			return assessmentf(Wrong, "token %d is %q, want %q", len(c.got), token, want)
 		}
 		c.got = append(c.got, token)
 	}
 	if len(c.got) > c.want {
-		return findingf(Wrong, "%d tokens, want %d", len(c.got), c.want)
+		return assessmentf(Wrong, "%d tokens, want %d", len(c.got), c.want)
 	}
 	return nil
 }
 
-// complete judges an answer that was called whole.
-func (c *tokenCheck) complete() *finding {
+// assessComplete assesses an answer whose outcome is completed.
+func (c *tokenCheck) assessComplete() *assessment {
 	if len(c.got) < c.want {
-		return findingf(Incomplete, "%d tokens, want %d", len(c.got), c.want)
+		return assessmentf(Incomplete, "%d tokens, want %d", len(c.got), c.want)
 	}
-	return findingf(Whole, "")
+	return assessmentf(Whole, "")
 }
--- a/internal/spoolctl/history.go
+++ b/internal/spoolctl/history.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// version is one line of a service's history.
+// version is one publication in a service's history, accepted or refused.
 type version struct {
 	// Revision is 0 for a publication that was refused.
 	Revision  ident.Revision `json:"revision,omitempty"`
@@ -21,22 +21,23 @@
 	Schema    int            `json:"schema"`
 	Bytes     int            `json:"bytes"`
 	Verdict   verdict        `json:"verdict"`
-	// LostTo is the revision that came first, for a refused publication.
+	// LostTo is the revision that was in force instead, for a refused publication.
 	LostTo ident.Revision `json:"lost_to,omitempty"`
-	// At is the log's time; nil if the record itself expired.
+	// At is when the log appended the record; nil if the record has expired.
 	At      *time.Time `json:"at,omitempty"`
 	InForce bool       `json:"in_force,omitempty"`
 
 	document []byte
 }
 
-// versions lists what the log still tells of a service, oldest first.
-func (s *stream) versions(service ident.Service) []version {
+// versions lists the publications of a service that the log still holds, as
+// records or in a snapshot, oldest first.
+func (s *configStream) versions(service ident.Service) []version {
 	current, _ := s.reader.State().Current(service)
-	list := s.fromSnapshot(service)
+	list := s.snapshotVersions(service)
 	for _, d := range s.decisions {
 		if d.Publication.Service == service {
-			list = append(list, s.version(d))
+			list = append(list, s.versionOf(d))
 		}
 	}
 	for i := range list {
@@ -45,28 +46,29 @@
 	return list
 }
 
-// fromSnapshot lists the versions that the reader took from a snapshot instead
-// of folding their records.
-func (s *stream) fromSnapshot(service ident.Service) []version {
-	folded := map[ident.Revision]bool{}
+// snapshotVersions lists the accepted versions that the reader knows from a
+// snapshot only, since it did not apply their records.
+func (s *configStream) snapshotVersions(service ident.Service) []version {
+	applied := map[ident.Revision]bool{}
 	for _, d := range s.decisions {
 		if d.Kind == document.AcceptedRecord {
-			folded[d.Current] = true
+			applied[d.Current] = true
 		}
 	}
 	var list []version
 	for _, a := range s.reader.State().Versions(service) {
-		if !folded[a.Revision] {
+		if !applied[a.Revision] {
 			v := newVersion(a.Publication, accepted, a.Revision)
-			v.At = s.at(ident.Offset(a.Revision - 1))
+			v.At = s.appendTime(ident.Offset(a.Revision - 1))
 			list = append(list, v)
 		}
 	}
 	return list
 }
 
-// at returns when a record was appended, or nil if it expired.
-func (s *stream) at(offset ident.Offset) *time.Time {
+// appendTime returns when a record was appended, or nil if the record expired
+// before it was read.
+func (s *configStream) appendTime(offset ident.Offset) *time.Time {
 	at, read := s.appendedAt[offset]
 	if !read {
 		return nil
@@ -74,7 +76,7 @@
 	return &at
 }
 
-func (s *stream) version(d document.Decision) version {
+func (s *configStream) versionOf(d document.Decision) version {
 	var v version
 	if d.Kind == document.AcceptedRecord {
 		v = newVersion(d.Publication, accepted, d.Current)
@@ -82,23 +84,23 @@
 		v = newVersion(d.Publication, lost, 0)
 		v.LostTo = d.Current
 	}
-	v.At = s.at(d.Offset)
+	v.At = s.appendTime(d.Offset)
 	return v
 }
 
-func newVersion(p document.Publication, what verdict, revision ident.Revision) version {
+func newVersion(p document.Publication, outcome verdict, revision ident.Revision) version {
 	return version{
 		Revision: revision, Base: p.Base, PublishID: p.PublishID, Schema: p.Schema,
-		Bytes: len(p.Document), Verdict: what, document: p.Document,
+		Bytes: len(p.Document), Verdict: outcome, document: p.Document,
 	}
 }
 
 func (c *command) history(ctx context.Context, a *historyArguments) error {
-	s, err := a.stream()
+	s, err := a.openStream()
 	if err != nil {
 		return err
 	}
-	if err := s.toHead(ctx); err != nil {
+	if err := s.readToHead(ctx); err != nil {
 		return err
 	}
 	list := s.versions(ident.Service(a.Service))
@@ -122,7 +124,7 @@
 			at = v.At.UTC().Format(time.RFC3339)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\n", dashForNone(v.Revision), revisionOrNone(v.Base),
-			at, v.Schema, v.Bytes, v.PublishID, v.remark())
+			at, v.Schema, v.Bytes, v.PublishID, v.verdictText())
 	}
 	_ = w.Flush()
 	return strings.TrimSuffix(b.String(), "\n")
@@ -135,7 +137,7 @@
 	return fmt.Sprint(r)
 }
 
-func (v version) remark() string {
+func (v version) verdictText() string {
 	switch {
 	case v.Verdict == lost:
 		return "lost to " + revisionOrNone(v.LostTo)
@@ -146,11 +148,11 @@
 }
 
 func (c *command) show(ctx context.Context, a *showArguments) error {
-	s, err := a.stream()
+	s, err := a.openStream()
 	if err != nil {
 		return err
 	}
-	if err := s.toHead(ctx); err != nil {
+	if err := s.readToHead(ctx); err != nil {
 		return err
 	}
 	service, wanted := ident.Service(a.Service), ident.Revision(a.Revision)
@@ -168,5 +170,5 @@
 	if wanted == 0 {
 		return errcode.Errorf(errcode.NotFound, "no document of service %q was published", a.Service)
 	}
-	return notKept(service, wanted)
+	return revisionNotFound(service, wanted)
 }
--- a/internal/spoolctl/publish.go
+++ b/internal/spoolctl/publish.go
@@ -15,19 +15,21 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// verdict says what became of a publication.
+// verdict is the outcome of a publication.
 type verdict string
 
 // The verdicts.
 const (
-	// accepted: in force from the revision on.
+	// accepted: the document came into force with the revision.
 	accepted verdict = "accepted"
-	// lost: another operator's publication came first. Nothing changed.
+	// lost: another operator's publication came first and this one changed
+	// nothing.
 	lost verdict = "lost"
-	// notPublished: the log did not take it and never will.
+	// notPublished: the log was unavailable and did not append the record, nor
+	// will it do so later.
 	notPublished verdict = "not_published"
-	// undecided: the log's answer was lost and the record has not shown up.
-	// It may still be accepted.
+	// undecided: the log's answer was lost, or the log cannot be read back. The
+	// publication may still be accepted.
 	undecided verdict = "undecided"
 )
 
@@ -36,19 +38,20 @@
 	Service   ident.Service `json:"service"`
 	PublishID string        `json:"publish_id"`
 	Verdict   verdict       `json:"verdict"`
-	// Base is the revision that was to be replaced.
+	// Base is the revision that this publication replaces if it is accepted.
 	Base ident.Revision `json:"base_revision"`
-	// Revision is the own one if accepted, else the one in force.
+	// Revision is that of this publication if it was accepted, else the one in
+	// force.
 	Revision ident.Revision `json:"revision"`
 	Detail   string         `json:"detail,omitempty"`
 }
 
 func (c *command) publish(ctx context.Context, a *publishArguments) error {
-	doc, data, found := readDocument(a.File)
-	if err := found.Err(); err != nil {
+	doc, data, findings := readDocument(a.File)
+	if err := findings.Err(); err != nil {
 		return err
 	}
-	s, err := a.stream()
+	s, err := a.openStream()
 	if err != nil {
 		return err
 	}
@@ -64,12 +67,12 @@
 	}
 	c.print(result, result.String())
 	if result.Verdict != accepted {
-		return errTold
+		return errResultPrinted
 	}
 	return nil
 }
 
-// String tells the verdict in a sentence.
+// String describes the verdict in a sentence.
 func (p publication) String() string {
 	switch p.Verdict {
 	case accepted:
@@ -90,20 +93,22 @@
 	if err != nil {
 		return nil, nil, finding.List{{File: file, Problem: err.Error(), Want: "a readable file"}}
 	}
-	doc, found := document.Parse(file, data)
-	return doc, data, found
+	doc, findings := document.Parse(file, data)
+	return doc, data, findings
 }
 
-// publish appends a publication at most once and reads back until its own
-// record is decided. An answer of the log that was lost is resolved by the
-// publish ID, never by a second append: the first may have taken effect.
-func publish(ctx context.Context, s *stream, p document.Publication, base *uint64) (publication, error) {
-	if err := s.toHead(ctx); err != nil {
+// publish appends a publication at most once and then reads the stream until the
+// publication's record is accepted or refused. If the log's answer is lost, the
+// record is looked for by its publish ID and never appended again, since the
+// first append may have taken effect. A publication that already has a publish
+// ID is looked for before it is appended.
+func publish(ctx context.Context, s *configStream, p document.Publication, base *uint64) (publication, error) {
+	if err := s.readToHead(ctx); err != nil {
 		return publication{}, err
 	}
 	if p.PublishID == "" {
 		p.PublishID = uuid.NewString()
-	} else if result, ok := s.settled(p); ok {
+	} else if result, ok := s.findDecision(p); ok {
 		return result, nil
 	}
 	current, _ := s.reader.State().Current(p.Service)
@@ -116,17 +121,17 @@
 		result.Verdict, result.Revision = lost, current.Revision
 		return result, nil
 	}
-	return s.append(ctx, p, result)
+	return s.appendPublication(ctx, p, result)
 }
 
-func (s *stream) append(ctx context.Context, p document.Publication, result publication) (publication, error) {
+func (s *configStream) appendPublication(ctx context.Context, p document.Publication, result publication) (publication, error) {
 	record, err := document.EncodePublication(p)
 	if err != nil {
 		return result, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.patience)
+	ctx, cancel := context.WithTimeout(ctx, s.timeout)
 	defer cancel()
-	s.skipped = false
+	s.recordsExpired = false
 	appendCtx, cancelAppend := context.WithTimeout(ctx, readTimeout)
 	defer cancelAppend()
 	_, err = s.log.Append(appendCtx, document.StreamName, [][]byte{record})
@@ -134,38 +139,40 @@
 		result.Verdict, result.Detail, result.Revision = notPublished, err.Error(), p.Base
 		return result, nil
 	}
-	return s.await(ctx, p, result, err)
+	return s.awaitDecision(ctx, p, result, err)
 }
 
-// await reads until the publication is decided. lostAnswer is the append's
-// error, or nil.
-func (s *stream) await(ctx context.Context, p document.Publication, result publication, lostAnswer error) (publication, error) {
+// awaitDecision reads the stream until the publication is accepted or refused, or
+// ctx ends. appendErr is the append's error, or nil.
+func (s *configStream) awaitDecision(ctx context.Context, p document.Publication, result publication, appendErr error) (publication, error) {
 	for {
-		if decided, ok := s.settled(p); ok {
+		if decided, ok := s.findDecision(p); ok {
 			return decided, nil
 		}
-		if current, _ := s.reader.State().Current(p.Service); current.Revision != p.Base && !s.skipped {
-			// All records to this revision were read and the own one is not
-			// among them; after it the fold can only refuse it.
+		if current, _ := s.reader.State().Current(p.Service); current.Revision != p.Base && !s.recordsExpired {
+			// All records up to this revision were read and this publication's
+			// record is not among them. A record that comes later has a base
+			// that is no longer in force and is refused.
 			result.Verdict, result.Revision = lost, current.Revision
 			return result, nil
 		}
 		if ctx.Err() != nil {
 			result.Verdict, result.Revision = undecided, p.Base
 			result.Detail = "the log's answer was lost and the record is not in the log yet"
-			if lostAnswer == nil {
+			if appendErr == nil {
 				result.Detail = "the log took the record but could not be read back"
 			}
 			return result, nil
 		}
-		if err := s.read(ctx, readWait); err != nil {
+		if err := s.readBatch(ctx, readWait); err != nil {
 			pause(ctx, retryPause)
 		}
 	}
 }
 
-// settled finds what became of the publication with p's ID.
-func (s *stream) settled(p document.Publication) (publication, bool) {
+// findDecision returns the verdict on the publication with p's service and
+// publish ID, or false if there is none yet.
+func (s *configStream) findDecision(p document.Publication) (publication, bool) {
 	result := publication{Service: p.Service, PublishID: p.PublishID, Base: p.Base}
 	for _, d := range s.decisions {
 		if d.Publication.PublishID != p.PublishID || d.Publication.Service != p.Service {
@@ -178,7 +185,8 @@
 		}
 		return result, true
 	}
-	// The record itself may have expired; a snapshot then tells.
+	// The record itself may have expired; then a snapshot contains its document
+	// if it is in force.
 	current, _ := s.reader.State().Current(p.Service)
 	if current.PublishID == p.PublishID {
 		result.Base, result.Revision, result.Verdict = current.Base, current.Revision, accepted
@@ -191,9 +199,9 @@
 	var all finding.List
 	services := map[ident.Service]string{}
 	for _, file := range a.Files {
-		doc, _, found := readDocument(file)
-		all = append(all, found...)
-		if len(found) > 0 {
+		doc, _, findings := readDocument(file)
+		all = append(all, findings...)
+		if len(findings) > 0 {
 			continue
 		}
 		if earlier, ok := services[doc.Service]; ok {
@@ -214,8 +222,9 @@
 	return nil
 }
 
-// notKept is the error for a revision that the log no longer has.
-func notKept(service ident.Service, revision ident.Revision) error {
+// revisionNotFound returns the error for a revision that does not exist or has
+// expired.
+func revisionNotFound(service ident.Service, revision ident.Revision) error {
 	return errcode.Errorf(errcode.NotFound,
 		"%s has no revision %d, or the log no longer keeps it", service, revision)
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -12,28 +12,28 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// ErrEnded: the engine's instance ended; streams that it served are lost.
+// ErrEnded is returned after the engine's instance ended; its streams are lost.
 var ErrEnded = errors.New("engine ended")
 
-// ErrReplaced: a later attempt of the same request took the stream's place.
+// ErrReplaced ends a stream that a later attempt of the same request replaced.
 var ErrReplaced = errors.New("replaced by a later attempt")
 
-// defaultHeartbeat is how often a stream without tokens sends an empty frame.
+// defaultHeartbeat is the default of Config.Heartbeat.
 const defaultHeartbeat = time.Second
 
-// Config sets up an Engine.
+// Config configures an Engine.
 type Config struct {
 	Instance    ident.Instance
 	Incarnation ident.Incarnation
 	Parameters  Parameters
-	// Model and Version that are loaded at the start.
+	// Model and Version are what is loaded at the start.
 	Model, Version string
-	// ChecksFencing: orders with an old fencing number are refused.
+	// ChecksFencing makes the engine refuse orders with an old fencing number.
 	ChecksFencing bool
 	// LoadTime is how long another model or version takes to load.
 	LoadTime time.Duration
-	// Heartbeat is how often a stream without tokens sends an empty frame;
-	// 0 means once a second.
+	// Heartbeat is the time without tokens after which a stream sends a heartbeat
+	// frame; 0 means a second.
 	Heartbeat time.Duration
 }
 
@@ -42,29 +42,34 @@
 // in a testing/synctest bubble.
 type Engine struct {
 	config Config
-	wake   chan struct{}
-	done   chan struct{}
-	ended  chan struct{}
-	once   sync.Once
+	// wake holds a signal while work may be waiting that run has not seen.
+	wake chan struct{}
+	// closing is closed by Close, and stopped when run has returned.
+	closing chan struct{}
+	stopped chan struct{}
+	once    sync.Once
 
 	mu      sync.Mutex
 	model   *Model
 	streams map[ident.Request]*tokenStream
-	fence   ident.Fence
-	loaded  loadedModel
-	next    loadedModel
-	gone    bool
+	// fence is the fencing number of the last order that was applied.
+	fence ident.Fence
+	// loaded is the model in use. target is the last one ordered: the same, or
+	// one that is still loading.
+	loaded loadedModel
+	target loadedModel
+	closed bool
 }
 
 var _ upstream.Engine = (*Engine)(nil)
 
-// loadedModel is a model in memory, usable from a time on.
+// loadedModel is a model and when it has finished loading.
 type loadedModel struct {
 	model, version string
-	from           time.Time
+	usableFrom     time.Time
 }
 
-// New starts an engine. Close it after use.
+// New starts an engine. The caller must close it.
 func New(c Config) *Engine {
 	if c.Heartbeat <= 0 {
 		c.Heartbeat = defaultHeartbeat
@@ -73,58 +78,58 @@
 	e := &Engine{
 		config:  c,
 		wake:    make(chan struct{}, 1),
-		done:    make(chan struct{}),
-		ended:   make(chan struct{}),
+		closing: make(chan struct{}),
+		stopped: make(chan struct{}),
 		model:   NewModel(c.Parameters),
 		streams: make(map[ident.Request]*tokenStream),
 		loaded:  first,
-		next:    first,
+		target:  first,
 	}
 	go e.run()
 	return e
 }
 
-// Close ends the engine at once, as when its instance ends: streams fail with
-// ErrEnded and nothing is served any more.
+// Close ends the engine at once, as the end of its instance does: streams and new
+// requests fail with ErrEnded.
 func (e *Engine) Close() {
 	e.once.Do(func() {
 		e.mu.Lock()
-		e.gone = true
+		e.closed = true
 		for _, s := range e.streams {
 			s.fail(ErrEnded)
 		}
 		clear(e.streams)
 		e.mu.Unlock()
-		close(e.done)
+		close(e.closing)
 	})
-	<-e.ended
+	<-e.stopped
 }
 
-// Leave makes the engine refuse new work, as after a reclaim notice. Its
-// streams go on until Close.
+// Leave makes the engine refuse new requests, as after a reclaim notice. Its
+// streams continue until Close.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.Leave(time.Now())
 }
 
-// SetSlowdown changes how much slower than reported the steps are.
+// SetSlowdown sets the factor by which steps are slower than reports show.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.SetSlowdown(factor)
 }
 
-// run does step after step until Close.
+// run executes one step after the other until Close, and waits for work in between.
 func (e *Engine) run() {
-	defer close(e.ended)
+	defer close(e.stopped)
 	for {
 		tokens, d := e.step()
 		if d == 0 {
 			select {
 			case <-e.wake:
 				continue
-			case <-e.done:
+			case <-e.closing:
 				return
 			}
 		}
@@ -132,7 +137,7 @@
 		select {
 		case <-timer.C:
 			e.deliver(tokens)
-		case <-e.done:
+		case <-e.closing:
 			timer.Stop()
 			return
 		}
@@ -145,6 +150,7 @@
 	return e.model.Step(time.Now(), nil)
 }
 
+// deliver sends the tokens of a step to the streams of their attempts.
 func (e *Engine) deliver(tokens []Token) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,8 +166,9 @@
 	}
 }
 
-// Generate queues a request. Errors: upstream.ErrLeaving, ErrRefused;
-// ErrEnded after Close.
+// Generate queues a request and returns its stream. Errors are
+// upstream.ErrNotSent if ctx has ended, upstream.ErrLeaving,
+// upstream.ErrRefused, and ErrEnded after Close.
 func (e *Engine) Generate(ctx context.Context, req upstream.GenerateRequest) (upstream.TokenStream, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, errors.Join(upstream.ErrNotSent, err)
@@ -193,10 +200,10 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return ErrEnded
 	}
-	e.replace(req)
+	e.cancelEarlierAttempt(req)
 	if err := e.model.Submit(time.Now(), w); err != nil {
 		return err
 	}
@@ -204,11 +211,11 @@
 	return nil
 }
 
-// replace ends an earlier attempt of the same request. When its connection
-// fell silent, no cancel has arrived and none will: without this, the engine
-// would refuse the attempt that follows on a new connection, and the request
-// would lose the prefix that is cached here.
-func (e *Engine) replace(req upstream.GenerateRequest) {
+// cancelEarlierAttempt ends an earlier attempt of the same request. If that
+// attempt's connection went dead, its cancellation never arrives. The engine would
+// then refuse the attempt that follows on a new connection, and the request would
+// lose the prefix that is cached here. The caller holds e.mu.
+func (e *Engine) cancelEarlierAttempt(req upstream.GenerateRequest) {
 	old := e.streams[req.Request]
 	if old == nil || old.req.Attempt >= req.Attempt || e.model.leaving {
 		return
@@ -218,7 +225,7 @@
 	e.model.Cancel(time.Now(), req.Request)
 }
 
-// cancel ends a stream whose reader left.
+// cancel ends a stream that its reader closed or gave up.
 func (e *Engine) cancel(s *tokenStream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -229,46 +236,48 @@
 	e.model.Cancel(time.Now(), s.req.Request)
 }
 
-// Report returns the load as it was some time ago.
+// Report returns the load as it was Parameters.ReportLag ago.
 func (e *Engine) Report(context.Context) (upstream.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return upstream.Report{}, ErrEnded
 	}
 	r := e.model.Report(time.Now())
-	// Leaving is told without lag: an engine knows its own notice.
+	// Leaving is reported without lag, since an engine knows its own notice.
 	r.Leaving = e.model.leaving
 	r.Instance, r.Incarnation = e.config.Instance, e.config.Incarnation
-	e.settle()
+	e.activateLoaded()
 	r.Model, r.Version = e.loaded.model, e.loaded.version
 	r.AppliedFence = e.fence
 	return r, nil
 }
 
-// settle takes a model into use that has finished loading.
-func (e *Engine) settle() {
-	if !e.next.from.After(time.Now()) {
-		e.loaded = e.next
+// activateLoaded makes the target the model in use if it has finished loading. The
+// caller holds e.mu.
+func (e *Engine) activateLoaded() {
+	if !e.target.usableFrom.After(time.Now()) {
+		e.loaded = e.target
 	}
 }
 
-// CacheEvents returns cache events above a sequence number.
+// CacheEvents returns the readable cache events above a sequence number.
 func (e *Engine) CacheEvents(_ context.Context, after uint64) ([]upstream.CacheEvent, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return nil, ErrEnded
 	}
 	return e.model.CacheEvents(after, time.Now()), nil
 }
 
-// ExportCache returns the KV cache of a stream after the time that its
-// transfer takes.
+// ExportCache returns the KV cache of a stream, after the time that its transfer
+// takes. The error is upstream.ErrRefused if there is no such stream or nothing
+// was computed for it.
 func (e *Engine) ExportCache(ctx context.Context, id ident.Request) ([]byte, error) {
 	e.mu.Lock()
 	exported, ok := e.model.Export(id)
-	gone := e.gone
+	gone := e.closed
 	e.mu.Unlock()
 	if gone {
 		return nil, ErrEnded
@@ -282,7 +291,8 @@
 	return json.Marshal(exported)
 }
 
-// ImportCache takes a KV cache for a request that follows.
+// ImportCache stores a KV cache for a request that is sent next, after the time
+// that its transfer takes. It returns how many context tokens the cache covers.
 func (e *Engine) ImportCache(ctx context.Context, id ident.Request, cache []byte) (int, error) {
 	var exported Exported
 	if err := json.Unmarshal(cache, &exported); err != nil {
@@ -300,38 +310,41 @@
 	return exported.Tokens, nil
 }
 
-// transfer waits as long as moving so many tokens takes.
+// transfer waits for as long as the transfer of the KV cache of so many tokens
+// takes.
 func (e *Engine) transfer(ctx context.Context, tokens int) error {
 	e.mu.Lock()
-	took := e.model.Transfer(time.Now(), tokens)
+	duration := e.model.Transfer(time.Now(), tokens)
 	e.mu.Unlock()
-	timer := time.NewTimer(took)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-e.done:
+	case <-e.closing:
 		return ErrEnded
 	}
 }
 
-// Apply takes an order. Errors: upstream.ErrOldFence where it checks them.
+// Apply applies an order and begins to load its model if that is another one. The
+// error is upstream.ErrOldFence if the engine checks fencing numbers and the
+// order's is old, and ErrEnded after Close.
 func (e *Engine) Apply(_ context.Context, o upstream.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.gone {
+	if e.closed {
 		return ErrEnded
 	}
 	if e.config.ChecksFencing && o.Fence < e.fence {
 		return upstream.ErrOldFence
 	}
 	e.fence = o.Fence
-	e.settle()
-	if o.Model == e.next.model && o.Version == e.next.version {
+	e.activateLoaded()
+	if o.Model == e.target.model && o.Version == e.target.version {
 		return nil
 	}
-	e.next = loadedModel{model: o.Model, version: o.Version, from: time.Now().Add(e.config.LoadTime)}
+	e.target = loadedModel{model: o.Model, version: o.Version, usableFrom: time.Now().Add(e.config.LoadTime)}
 	return nil
 }
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -14,21 +14,25 @@
 // state depends only on the calls made and the times passed in; times must
 // not go back. It is not safe for concurrent use.
 type Model struct {
-	params  Parameters
-	cache   cache
+	params Parameters
+	cache  cache
+	// waiting holds the streams that are not in the batch yet, in the order in
+	// which they join it.
 	waiting []*stream
+	// running is the batch.
 	running []*stream
-	// pending is scratch space of prefill.
-	pending []*stream
-	byID    map[ident.Request]*stream
-	// imported maps a request to the context tokens that came with a KV
-	// import before the request itself.
+	// prefilling is a buffer that prefill reuses.
+	prefilling []*stream
+	byID       map[ident.Request]*stream
+	// imported holds, for requests whose KV cache was imported before they were
+	// submitted, how many context tokens it covers.
 	imported map[ident.Request]int
 	leaving  bool
-	lastStep time.Duration
-	// transferFree is when the bandwidth of KV transfer is free again.
-	transferFree time.Time
-	// waitingTokens is the sum of estimate over the waiting streams.
+	// lastStepTime is the duration of the last step as reports show it.
+	lastStepTime time.Duration
+	// transferFreeAt is when the KV transfers reserved so far end.
+	transferFreeAt time.Time
+	// waitingTokens is the sum of estimatedPrefill over the waiting streams.
 	waitingTokens int
 	reports       reportLog
 }
@@ -36,33 +40,37 @@
 // stream is one attempt in the engine.
 type stream struct {
 	Work
-	// shared is how many of Blocks this stream uses in the cache.
-	shared int
-	// anonymous is how many blocks it holds besides.
-	anonymous int
-	// computed counts the context tokens in memory.
+	// sharedBlocks is how many leading Blocks this stream uses in the cache.
+	sharedBlocks int
+	// privateBlocks is how many other blocks it holds.
+	privateBlocks int
+	// computed counts the context tokens in memory, whether computed for this
+	// stream, cached or imported.
 	computed int
-	// prefilled counts the context tokens that were computed here.
+	// prefilled counts the context tokens that were computed for this stream.
 	prefilled int
+	// generated counts the tokens that were generated.
 	generated int
-	// estimate is the context tokens to compute, as seen on arrival.
-	estimate int
+	// estimatedPrefill is the number of context tokens to compute, estimated at
+	// submission.
+	estimatedPrefill int
 }
 
 // NewModel returns an idle engine.
 func NewModel(p Parameters) *Model {
 	return &Model{
-		params:   p,
-		cache:    newCache(p),
-		byID:     make(map[ident.Request]*stream),
-		imported: make(map[ident.Request]int),
-		lastStep: p.StepBase,
-		reports:  reportLog{lag: p.ReportLag},
+		params:       p,
+		cache:        newCache(p),
+		byID:         make(map[ident.Request]*stream),
+		imported:     make(map[ident.Request]int),
+		lastStepTime: p.StepBase,
+		reports:      reportLog{lag: p.ReportLag},
 	}
 }
 
-// Submit queues work. Errors: upstream.ErrLeaving; upstream.ErrRefused for
-// work that can never fit into memory or is here already.
+// Submit queues an attempt. Errors are upstream.ErrLeaving, and
+// upstream.ErrRefused if the attempt can never fit into memory or the engine has
+// the request already.
 func (m *Model) Submit(now time.Time, w Work) error {
 	if m.leaving {
 		return upstream.ErrLeaving
@@ -72,16 +80,17 @@
 	}
 	s := &stream{Work: w}
 	s.computed = m.imported[w.ID]
-	s.estimate = w.Context - max(s.computed, m.cache.hits(w.Blocks)*prompt.BlockTokens)
-	m.waitingTokens += s.estimate
+	s.estimatedPrefill = w.Context - max(s.computed, m.cache.cachedPrefix(w.Blocks)*prompt.BlockTokens)
+	m.waitingTokens += s.estimatedPrefill
 	m.byID[w.ID] = s
-	m.waiting = slices.Insert(m.waiting, m.place(w.Priority), s)
-	m.record(now)
+	m.waiting = slices.Insert(m.waiting, m.queueIndex(w.Priority), s)
+	m.recordLoad(now)
 	return nil
 }
 
-// place returns where work of a priority joins the queue.
-func (m *Model) place(priority int32) int {
+// queueIndex returns the index in waiting at which a stream of a priority is
+// inserted: after all streams of the same or a higher priority.
+func (m *Model) queueIndex(priority int32) int {
 	i := len(m.waiting)
 	for i > 0 && m.waiting[i-1].Priority < priority {
 		i--
@@ -89,7 +98,7 @@
 	return i
 }
 
-// Cancel ends a stream. Unknown IDs are ignored.
+// Cancel ends a request's stream. Unknown IDs are ignored.
 func (m *Model) Cancel(now time.Time, id ident.Request) {
 	s := m.byID[id]
 	if s == nil {
@@ -97,22 +106,22 @@
 	}
 	m.waiting = slices.DeleteFunc(m.waiting, func(o *stream) bool {
 		if o == s {
-			m.waitingTokens -= s.estimate
+			m.waitingTokens -= s.estimatedPrefill
 		}
 		return o == s
 	})
 	m.running = slices.DeleteFunc(m.running, func(o *stream) bool { return o == s })
-	m.finish(s)
-	m.record(now)
+	m.free(s)
+	m.recordLoad(now)
 }
 
-// Step runs one step that begins now. It returns the tokens that come out at
-// its end and its duration, or a duration of 0 if there is nothing to do.
-// The tokens are appended to out.
+// Step executes one step that begins now. It appends to out the tokens that are
+// generated by the end of the step, and returns the step's duration, or 0 if there
+// is nothing to do.
 func (m *Model) Step(now time.Time, out []Token) ([]Token, time.Duration) {
 	m.admit(now)
 	if len(m.running) == 0 {
-		m.record(now)
+		m.recordLoad(now)
 		return out, 0
 	}
 	budget := m.params.StepTokens
@@ -124,34 +133,35 @@
 	}
 	out = m.decode(out)
 	prefill, out := m.prefill(now, budget-decoding, out)
-	m.lastStep = m.params.stepTime(decoding, prefill)
-	m.drop()
-	d := time.Duration(float64(m.lastStep) * m.params.slowdown())
-	m.record(now.Add(d))
+	m.lastStepTime = m.params.stepTime(decoding, prefill)
+	m.removeDone()
+	d := time.Duration(float64(m.lastStepTime) * m.params.slowdown())
+	m.recordLoad(now.Add(d))
 	return out, d
 }
 
-// admit moves waiting work into the batch while there is room.
+// admit moves waiting streams into the batch while there is room.
 func (m *Model) admit(now time.Time) {
 	n := 0
 	for n < len(m.waiting) && len(m.running) < m.params.MaxRunning {
-		if !m.load(now, m.waiting[n]) {
+		if !m.allocate(now, m.waiting[n]) {
 			break
 		}
 		m.running = append(m.running, m.waiting[n])
-		m.waitingTokens -= m.waiting[n].estimate
+		m.waitingTokens -= m.waiting[n].estimatedPrefill
 		n++
 	}
 	m.waiting = slices.Delete(m.waiting, 0, n)
 }
 
-// load reserves memory for a stream and takes over what is cached.
-func (m *Model) load(now time.Time, s *stream) bool {
-	hits := m.cache.hits(s.Blocks)
-	// The hits are taken into use first, or room would be made by evicting
-	// just them.
+// allocate reserves memory for a stream, cached blocks included. It changes nothing
+// and returns false if there is not enough memory.
+func (m *Model) allocate(now time.Time, s *stream) bool {
+	hits := m.cache.cachedPrefix(s.Blocks)
+	// The cached blocks are acquired before the others are reserved, which could
+	// evict them otherwise.
 	for _, h := range s.Blocks[:hits] {
-		m.cache.use(h)
+		m.cache.acquire(h)
 	}
 	need := blocksFor(s.Context+s.Output) - hits
 	if !m.cache.reserve(need, now) {
@@ -159,35 +169,37 @@
 		return false
 	}
 	delete(m.imported, s.ID)
-	s.shared, s.anonymous = hits, need
+	s.sharedBlocks, s.privateBlocks = hits, need
 	s.computed = max(s.computed, hits*prompt.BlockTokens)
 	// The last token is always computed, since its output is needed.
 	s.computed = min(s.computed, s.Context-1)
-	m.share(now, s)
+	m.shareBlocks(now, s)
 	return true
 }
 
-// decode gives each stream whose context is complete its next token.
+// decode generates the next token of each stream whose context is complete.
 func (m *Model) decode(out []Token) []Token {
 	for _, s := range m.running {
 		if s.computed >= s.Context {
-			out = append(out, s.next())
+			out = append(out, s.nextToken())
 		}
 	}
 	return out
 }
 
-// prefill spends the rest of the budget in order of priority and arrival.
+// prefill computes context tokens of running streams, in order of priority and
+// arrival, up to a budget. It returns how many it computed, and out with the first
+// tokens of streams whose context became complete.
 func (m *Model) prefill(now time.Time, budget int, out []Token) (int, []Token) {
-	m.pending = m.pending[:0]
+	m.prefilling = m.prefilling[:0]
 	for _, s := range m.running {
 		if s.computed < s.Context {
-			m.pending = append(m.pending, s)
+			m.prefilling = append(m.prefilling, s)
 		}
 	}
-	slices.SortStableFunc(m.pending, func(a, b *stream) int { return cmp.Compare(b.Priority, a.Priority) })
+	slices.SortStableFunc(m.prefilling, func(a, b *stream) int { return cmp.Compare(b.Priority, a.Priority) })
 	spent := 0
-	for _, s := range m.pending {
+	for _, s := range m.prefilling {
 		chunk := min(s.Context-s.computed, budget-spent)
 		if chunk <= 0 {
 			break
@@ -195,26 +207,27 @@
 		spent += chunk
 		s.computed += chunk
 		s.prefilled += chunk
-		m.share(now, s)
+		m.shareBlocks(now, s)
 		if s.computed >= s.Context {
-			out = append(out, s.next())
+			out = append(out, s.nextToken())
 		}
 	}
 	return spent, out
 }
 
-// share makes the whole blocks that were computed available to others.
-func (m *Model) share(now time.Time, s *stream) {
+// shareBlocks makes the stream's completely computed blocks available to other
+// streams.
+func (m *Model) shareBlocks(now time.Time, s *stream) {
 	whole := min(s.computed/prompt.BlockTokens, len(s.Blocks))
-	for s.shared < whole {
-		m.cache.store(s.Blocks[s.shared], now)
-		s.anonymous--
-		s.shared++
+	for s.sharedBlocks < whole {
+		m.cache.store(s.Blocks[s.sharedBlocks], now)
+		s.privateBlocks--
+		s.sharedBlocks++
 	}
 }
 
-// next generates one token.
-func (s *stream) next() Token {
+// nextToken generates the stream's next token.
+func (s *stream) nextToken() Token {
 	t := Token{ID: s.ID, Tag: s.Tag, Index: s.generated}
 	if s.generated == 0 {
 		t.Prefilled = s.prefilled
@@ -224,63 +237,65 @@
 	return t
 }
 
-// drop removes the streams that are done.
-func (m *Model) drop() {
+// removeDone removes the streams that have all their tokens from the batch.
+func (m *Model) removeDone() {
 	kept := m.running[:0]
 	for _, s := range m.running {
 		if s.generated < s.Output {
 			kept = append(kept, s)
 			continue
 		}
-		m.finish(s)
+		m.free(s)
 	}
 	clear(m.running[len(kept):])
 	m.running = kept
 }
 
-// finish gives a stream's memory back.
-func (m *Model) finish(s *stream) {
-	m.cache.release(s.Blocks[:s.shared])
-	m.cache.anonymous -= s.anonymous
-	s.shared, s.anonymous = 0, 0
+// free releases a stream's memory and removes the stream.
+func (m *Model) free(s *stream) {
+	m.cache.release(s.Blocks[:s.sharedBlocks])
+	m.cache.privateBlocks -= s.privateBlocks
+	s.sharedBlocks, s.privateBlocks = 0, 0
 	delete(m.byID, s.ID)
 }
 
-// Leave makes the engine refuse new work from now on.
+// Leave makes the engine refuse new attempts from now on.
 func (m *Model) Leave(now time.Time) {
 	m.leaving = true
-	m.record(now)
+	m.recordLoad(now)
 }
 
-// Export returns the KV cache of a stream; false if nothing was computed.
+// Export returns the KV cache of a request's stream; false if there is no stream or
+// nothing was computed for it.
 func (m *Model) Export(id ident.Request) (Exported, bool) {
 	s := m.byID[id]
 	if s == nil || s.computed == 0 {
 		return Exported{}, false
 	}
-	e := Exported{Blocks: slices.Clone(s.Blocks[:s.shared]), Tokens: s.computed + s.generated}
+	e := Exported{Blocks: slices.Clone(s.Blocks[:s.sharedBlocks]), Tokens: s.computed + s.generated}
 	return e, true
 }
 
-// Import takes a KV cache for a request that will be submitted next.
+// Import stores a KV cache for a request that will be submitted next.
 func (m *Model) Import(id ident.Request, e Exported) {
 	m.imported[id] = e.Tokens
 }
 
-// Transfer books the engine's bandwidth for so many tokens of KV cache, after
-// what is booked already, and returns when from now the transfer is over.
+// Transfer reserves the engine's bandwidth for transferring the KV cache of so many
+// tokens, after the transfers that are reserved already. It returns the time from
+// now until this transfer has ended.
 func (m *Model) Transfer(now time.Time, tokens int) time.Duration {
 	begin := now
-	if m.transferFree.After(begin) {
-		begin = m.transferFree
+	if m.transferFreeAt.After(begin) {
+		begin = m.transferFreeAt
 	}
-	m.transferFree = begin.Add(m.params.TransferTime(tokens))
-	return m.transferFree.Sub(now)
+	m.transferFreeAt = begin.Add(m.params.TransferTime(tokens))
+	return m.transferFreeAt.Sub(now)
 }
 
 // Report returns the load as it was ReportLag ago.
 func (m *Model) Report(now time.Time) upstream.Report {
-	r := m.reports.at(now)
+	r := m.reports.laggedReport(now)
 	r.Age = m.params.ReportLag
 	r.PrefillRate = m.params.PrefillRate
 	if r.Step == 0 {
@@ -291,15 +306,16 @@
 
 // CacheEvents returns the readable cache events above a sequence number.
 func (m *Model) CacheEvents(after uint64, now time.Time) []upstream.CacheEvent {
-	return m.cache.events.after(after, now)
+	return m.cache.events.readableAfter(after, now)
 }
 
-// Waiting returns how many requests are not in the batch yet.
+// Waiting returns the number of requests that are not in the batch yet.
 func (m *Model) Waiting() int { return len(m.waiting) }
 
-// SetSlowdown changes how much slower than reported the steps are.
+// SetSlowdown sets the factor by which steps are slower than reports show.
 func (m *Model) SetSlowdown(factor float64) { m.params.Slowdown = factor }
 
+// blocksFor returns the number of blocks that so many tokens take.
 func blocksFor(tokens int) int {
 	return (tokens + prompt.BlockTokens - 1) / prompt.BlockTokens
 }
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -16,15 +16,17 @@
 
 func init() { testkit.FixSeed() }
 
-// small parameters reach every limit within a few requests.
-func small() Parameters {
+// smallParameters returns parameters whose limits are all reached with a few
+// requests.
+func smallParameters() Parameters {
 	p := DefaultParameters()
 	p.StepTokens, p.MaxRunning, p.MemoryBlocks = 96, 4, 12
 	p.ReportLag, p.EventLag = 0, 0
 	return p
 }
 
-// prompts share prefixes of different lengths.
+// sharedBlocks returns the blocks of a prompt. The first two blocks are the same in
+// all families, the others in one family only.
 func sharedBlocks(family, count int) []uint64 {
 	blocks := make([]uint64, count)
 	for i := range blocks {
@@ -37,12 +39,12 @@
 	return blocks
 }
 
-// The model against what any engine must keep: every request that is not
-// cancelled gets all its tokens once and in order, memory is never exceeded and
-// is free in the end, and the cache events tell exactly what is cached.
+// Checks the invariants of any engine: every request that is not cancelled gets all
+// its tokens once and in order, memory is never exceeded and is free in the end, and
+// the cache events describe exactly what is cached.
 func TestModelKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewModel(small())
+		m := NewModel(smallParameters())
 		now := time.Unix(0, 0)
 		got, want := make(map[int]int), make(map[int]int)
 		cached := make(map[uint64]bool)
@@ -97,30 +99,30 @@
 				t.Fatalf("request %d got %d of %d tokens", i, got[i], n)
 			}
 		}
-		if m.cache.anonymous != 0 || m.cache.idle.Len() != len(m.cache.blocks) || m.missing() != 0 {
-			t.Fatalf("idle, but %d private blocks and %d tokens to compute are left", m.cache.anonymous, m.missing())
+		if m.cache.privateBlocks != 0 || m.cache.idle.Len() != len(m.cache.blocks) || m.uncomputedTokens() != 0 {
+			t.Fatalf("idle, but %d private blocks and %d tokens to compute are left", m.cache.privateBlocks, m.uncomputedTokens())
 		}
 	})
 }
 
 func checkMemory(t *rapid.T, m *Model) {
-	if used := len(m.cache.blocks) + m.cache.anonymous; used > m.params.MemoryBlocks || m.cache.anonymous < 0 {
-		t.Fatalf("%d of %d blocks in use, %d private", used, m.params.MemoryBlocks, m.cache.anonymous)
+	if used := len(m.cache.blocks) + m.cache.privateBlocks; used > m.params.MemoryBlocks || m.cache.privateBlocks < 0 {
+		t.Fatalf("%d of %d blocks in use, %d private", used, m.params.MemoryBlocks, m.cache.privateBlocks)
 	}
 	if len(m.running) > m.params.MaxRunning {
 		t.Fatalf("%d requests in the batch", len(m.running))
 	}
 }
 
-func checkEvents(t *rapid.T, m *Model, told map[uint64]bool) {
-	for block, present := range told {
+func checkEvents(t *rapid.T, m *Model, reported map[uint64]bool) {
+	for block, present := range reported {
 		if present != (m.cache.blocks[block] != nil) {
-			t.Fatalf("events say cached=%v of block %x", present, block)
+			t.Fatalf("events report cached=%v for block %x", present, block)
 		}
 	}
 }
 
-// Reports and events come late, and events with gaps, as real ones do.
+// Reports and events must lag, and events must have gaps, as those of real engines do.
 func TestReportsAndEventsAreLateAndGappy(t *testing.T) {
 	p := DefaultParameters()
 	p.EventGapEvery = 3
@@ -152,7 +154,8 @@
 	}
 }
 
-// A slow engine does not show in its reports; a failing start fails.
+// Reports must not show that an engine is slow, and as many starts must fail as the
+// parameters ask for.
 func TestFaultsOfAnEngine(t *testing.T) {
 	honest, slow := DefaultParameters(), DefaultParameters()
 	slow.Slowdown = 4
@@ -177,11 +180,11 @@
 	}
 }
 
-// Symptom: short replies come late behind long prompts. Sequence: long prompts
-// are queued or half prefilled; an urgent request comes. Cause: priorities are
-// not honoured, in the queue or among the prefills of a step.
+// Guards against short replies that wait behind long prompts because priorities are
+// ignored in the queue or among the prefills of a step: urgent requests arrive while
+// long prompts are queued or half prefilled.
 func TestModelServesUrgentRequestsFirst(t *testing.T) {
-	m := NewModel(small())
+	m := NewModel(smallParameters())
 	now := time.Unix(0, 0)
 	submit := func(tag, context int, priority int32) {
 		w := Work{ID: ident.Request(strconv.Itoa(tag)), Tag: tag, Priority: priority, Context: context, Output: 1}
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -6,55 +6,59 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// reportLog keeps the load of the last moments, so that a report can tell
-// figures of some time ago.
+// reportLog keeps the recent load, so that a report can show the load of some time
+// ago.
 type reportLog struct {
 	lag     time.Duration
 	entries []reportEntry
 }
 
+// reportEntry is the load from a time until that of the next entry.
+
 type reportEntry struct {
-	from   time.Time
+	since  time.Time
 	report upstream.Report
 }
 
 func (l *reportLog) add(now time.Time, r upstream.Report) {
-	old := now.Add(-l.lag)
+	oldest := now.Add(-l.lag)
 	first := 0
-	for first+1 < len(l.entries) && !l.entries[first+1].from.After(old) {
+	for first+1 < len(l.entries) && !l.entries[first+1].since.After(oldest) {
 		first++
 	}
 	if first > len(l.entries)/2 {
 		l.entries = append(l.entries[:0], l.entries[first:]...)
 	}
-	l.entries = append(l.entries, reportEntry{from: now, report: r})
+	l.entries = append(l.entries, reportEntry{since: now, report: r})
 }
 
-// at returns the figures that were true lag before now.
-func (l *reportLog) at(now time.Time) upstream.Report {
-	old := now.Add(-l.lag)
+// laggedReport returns the load as it was lag before now, or no load if nothing was
+// recorded by then.
+func (l *reportLog) laggedReport(now time.Time) upstream.Report {
+	at := now.Add(-l.lag)
 	for i := len(l.entries) - 1; i >= 0; i-- {
-		if !l.entries[i].from.After(old) {
+		if !l.entries[i].since.After(at) {
 			return l.entries[i].report
 		}
 	}
 	return upstream.Report{}
 }
 
-// record notes the load for later reports.
-func (m *Model) record(now time.Time) {
+// recordLoad records the load for later reports.
+func (m *Model) recordLoad(now time.Time) {
 	m.reports.add(now, upstream.Report{
 		Leaving:             m.leaving,
 		Running:             len(m.running),
 		Queued:              len(m.waiting),
-		QueuedPrefillTokens: m.missing(),
+		QueuedPrefillTokens: m.uncomputedTokens(),
 		BatchTokens:         m.batchTokens(),
-		Step:                m.lastStep,
+		Step:                m.lastStepTime,
 	})
 }
 
-// missing counts the context tokens still to compute, waiting work included.
-func (m *Model) missing() int {
+// uncomputedTokens returns the number of context tokens still to be computed for
+// running and waiting streams.
+func (m *Model) uncomputedTokens() int {
 	n := m.waitingTokens
 	for _, s := range m.running {
 		n += s.Context - s.computed
@@ -62,6 +66,7 @@
 	return n
 }
 
+// batchTokens returns the number of tokens that the running streams have in memory.
 func (m *Model) batchTokens() int {
 	n := 0
 	for _, s := range m.running {
--- a/internal/standin/logstore/logstore.go
+++ b/internal/standin/logstore/logstore.go
@@ -16,10 +16,11 @@
 
 // Options are the limits of a Log.
 type Options struct {
-	// MaxRecords is how many records of a stream are kept; 0 keeps all.
+	// MaxRecords is the number of newest records that a stream keeps; 0 keeps
+	// all.
 	MaxRecords int
-	// AppendsPerSecond limits the appends of all streams together; 0 does
-	// not limit them.
+	// AppendsPerSecond limits the appends to all streams together; 0 means no
+	// limit.
 	AppendsPerSecond float64
 }
 
@@ -35,12 +36,13 @@
 	appends int
 }
 
-// stream is one stream's kept records.
+// stream holds the records of one stream that have not expired.
 type stream struct {
+	// first is the offset of the first record.
 	first   ident.Offset
 	records []platform.Record
-	// grown is closed at the next append; nil while nobody waits.
-	grown chan struct{}
+	// appended is closed at the next append; nil while nobody waits for it.
+	appended chan struct{}
 }
 
 var _ platform.Log = (*Log)(nil)
@@ -61,13 +63,13 @@
 	}
 	if l.limiter != nil {
 		if err := l.limiter.Wait(ctx); err != nil {
-			return 0, fault.GaveUp(err)
+			return 0, fault.UnavailableError(err)
 		}
 	}
-	copies := clone(records)
+	copies := cloneRecords(records)
 	var first ident.Offset
 	err := l.Run(func() error {
-		first = l.add(name, copies)
+		first = l.appendRecords(name, copies)
 		return nil
 	})
 	if err != nil {
@@ -86,26 +88,26 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		outage := l.Changed()
-		if l.Down() {
+		outageChanged := l.OutageChanged()
+		if l.OutageOn() {
 			return platform.Batch{}, platform.ErrUnavailable
 		}
-		batch, grown, err := l.read(name, from, limit)
+		batch, appended, err := l.read(name, from, limit)
 		if err != nil || len(batch.Records) > 0 || wait <= 0 {
 			return batch, err
 		}
 		select {
-		case <-grown:
-		case <-outage:
+		case <-appended:
+		case <-outageChanged:
 		case <-timer.C:
 			return batch, nil
 		case <-ctx.Done():
-			return platform.Batch{}, fault.GaveUp(ctx.Err())
+			return platform.Batch{}, fault.UnavailableError(ctx.Err())
 		}
 	}
 }
 
-// Appends returns how many appends took effect since the start.
+// Appends returns the number of appends that took effect.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,10 +118,10 @@
 func (l *Log) Expire(name string, before ident.Offset) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stream(name).drop(before)
+	l.stream(name).dropBefore(before)
 }
 
-func (l *Log) add(name string, records [][]byte) ident.Offset {
+func (l *Log) appendRecords(name string, records [][]byte) ident.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
@@ -130,17 +132,17 @@
 	}
 	l.appends++
 	if kept := ident.Offset(l.options.MaxRecords); kept > 0 && s.head() > kept {
-		s.drop(s.head() - kept)
+		s.dropBefore(s.head() - kept)
 	}
-	if s.grown != nil {
-		close(s.grown)
-		s.grown = nil
+	if s.appended != nil {
+		close(s.appended)
+		s.appended = nil
 	}
 	return first
 }
 
-// read returns what is there now, and a channel that is closed at the next
-// append.
+// read returns up to limit records without waiting, and a channel that is closed at
+// the next append.
 func (l *Log) read(name string, from ident.Offset, limit int) (platform.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,12 +155,13 @@
 		rest := s.records[from-s.first:]
 		batch.Records = slices.Clone(rest[:min(limit, len(rest))])
 	}
-	if s.grown == nil {
-		s.grown = make(chan struct{})
+	if s.appended == nil {
+		s.appended = make(chan struct{})
 	}
-	return batch, s.grown, nil
+	return batch, s.appended, nil
 }
 
+// stream returns a stream, which it creates if needed. The caller holds l.mu.
 func (l *Log) stream(name string) *stream {
 	s, ok := l.streams[name]
 	if !ok {
@@ -168,9 +171,10 @@
 	return s
 }
 
+// head returns the offset of the next record to be appended.
 func (s *stream) head() ident.Offset { return s.first + ident.Offset(len(s.records)) }
 
-func (s *stream) drop(before ident.Offset) {
+func (s *stream) dropBefore(before ident.Offset) {
 	if before <= s.first {
 		return
 	}
@@ -179,7 +183,7 @@
 	s.first = before
 }
 
-func clone(records [][]byte) [][]byte {
+func cloneRecords(records [][]byte) [][]byte {
 	copies := make([][]byte, len(records))
 	for i, data := range records {
 		copies[i] = slices.Clone(data)
--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -1,6 +1,6 @@
-// Package metastore is an in-memory stand-in for the users' platform's store: it
-// speaks the store's HTTP calls for keyed topics of one partition, and fails as
-// told.
+// Package metastore is an in-memory stand-in for the store of the users' platform.
+// It serves the store's HTTP API for keyed topics of one partition, and injects
+// faults.
 package metastore
 
 import (
@@ -16,36 +16,39 @@
 	"time"
 )
 
-// Mode is how the store treats calls.
+// Mode is how the store handles calls.
 type Mode int
 
 // The modes.
 const (
-	// Up: calls are answered.
+	// Up: calls are executed and answered.
 	Up Mode = iota
-	// Refusing: calls get 503, and nothing is done.
+	// Refusing: calls are answered with status 503 and not executed.
 	Refusing
-	// Silent: calls hang, and nothing is done.
+	// Silent: calls are neither executed nor answered.
 	Silent
-	// LosingAnswers: writes are done, and their answers never come.
+	// LosingAnswers: appends are executed but not answered; reads are answered.
 	LosingAnswers
 )
 
-// Store is the stand-in. Its zero value is an empty store that is up.
+// Store is the stand-in; New returns one. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
 	mode   Mode
-	// refuse returns whether one machine's calls are refused.
-	refuse func(r *http.Request) bool
-	calls  map[string]int
+	// refuseWhere reports whether a call is refused; nil refuses none.
+	refuseWhere func(r *http.Request) bool
+	// calls counts calls by path.
+	calls map[string]int
 }
 
 type topic struct {
+	// records holds all records at their offsets, expired ones included.
 	records []record
-	// first is the oldest offset still in the history.
-	first int
-	grown chan struct{}
+	// firstKept is the lowest offset that can still be read.
+	firstKept int
+	// appended is closed and replaced at each append.
+	appended chan struct{}
 }
 
 type record struct {
@@ -56,44 +59,45 @@
 // New returns an empty store that is up.
 func New() *Store { return &Store{topics: make(map[string]*topic), calls: make(map[string]int)} }
 
-// SetMode changes how calls are treated.
+// SetMode changes how calls are handled.
 func (s *Store) SetMode(mode Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
 }
 
-// RefuseWhere refuses the calls that match; nil refuses none.
+// RefuseWhere answers the calls that match as in mode Refusing; nil matches none.
 func (s *Store) RefuseWhere(match func(*http.Request) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refuse = match
+	s.refuseWhere = match
 }
 
-// Calls returns how many calls came to a path.
+// Calls returns the number of calls to a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Write appends a record as the operator or an upstream does. A nil value drops
-// the key. It returns the record's offset.
+// Write appends a record directly, regardless of the mode, as operators and
+// upstreams do. A nil value deletes the key. It returns the record's offset.
 func (s *Store) Write(name, key string, value []byte) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.append(name, []record{{key: key, value: value}})
 }
 
-// Forget drops a topic's history; the newest record of each key stays.
+// Forget expires a topic's history; the newest record of each key can still be read
+// by key.
 func (s *Store) Forget(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
-	t.first = len(t.records)
+	t.firstKept = len(t.records)
 }
 
-// Newest returns a key's newest value, or nil.
+// Newest returns a key's newest value, or nil if there is none or it was deleted.
 func (s *Store) Newest(name, key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +113,7 @@
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
-		t = &topic{grown: make(chan struct{})}
+		t = &topic{appended: make(chan struct{})}
 		s.topics[name] = t
 	}
 	return t
@@ -119,8 +123,8 @@
 	t := s.topic(name)
 	first := len(t.records)
 	t.records = append(t.records, records...)
-	close(t.grown)
-	t.grown = make(chan struct{})
+	close(t.appended)
+	t.appended = make(chan struct{})
 	return first
 }
 
@@ -129,7 +133,7 @@
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
 	mode := s.mode
-	if s.refuse != nil && s.refuse(r) {
+	if s.refuseWhere != nil && s.refuseWhere(r) {
 		mode = Refusing
 	}
 	s.mu.Unlock()
@@ -153,17 +157,17 @@
 	}
 }
 
-// hang says nothing until the caller leaves, which net/http sees only once the
-// body was read.
+// hang blocks until the client closes its connection, which net/http notices only
+// once the body was read.
 func hang(r *http.Request) {
-	// The caller may have left already.
+	// The client may be gone already.
 	_, _ = io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
 
 func (s *Store) serveAppend(w http.ResponseWriter, r *http.Request, mode Mode) {
 	body, err := io.ReadAll(r.Body)
-	records, ok := decode(body)
+	records, ok := decodeRecords(body)
 	if err != nil || !ok {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -173,7 +177,7 @@
 	end := len(s.topic(name).records)
 	if at := r.URL.Query().Get("At"); at != "" && at != strconv.Itoa(end) {
 		s.mu.Unlock()
-		answer(w, http.StatusPreconditionFailed, map[string]int{"End": end})
+		writeJSON(w, http.StatusPreconditionFailed, map[string]int{"End": end})
 		return
 	}
 	offset := s.append(name, records)
@@ -182,10 +186,10 @@
 		hang(r)
 		return
 	}
-	answer(w, http.StatusOK, map[string]int{"Offset": offset, "End": offset + len(records)})
+	writeJSON(w, http.StatusOK, map[string]int{"Offset": offset, "End": offset + len(records)})
 }
 
-func decode(body []byte) ([]record, bool) {
+func decodeRecords(body []byte) ([]record, bool) {
 	var out []record
 	for len(body) >= 4 {
 		length := int(binary.BigEndian.Uint32(body))
@@ -217,19 +221,19 @@
 	for {
 		s.mu.Lock()
 		t := s.topic(query.Get("Topic"))
-		first, end, grown := t.first, len(t.records), t.grown
+		first, end, appended := t.firstKept, len(t.records), t.appended
 		var records []record
 		if from >= first && from < end {
 			records = t.records[from:]
 		}
 		s.mu.Unlock()
 		if from < first {
-			answer(w, http.StatusGone, map[string]int{"First": first})
+			writeJSON(w, http.StatusGone, map[string]int{"First": first})
 			return
 		}
 		if len(records) == 0 && wait > 0 {
 			select {
-			case <-grown:
+			case <-appended:
 				continue
 			case <-timer.C:
 				wait = 0
@@ -238,13 +242,13 @@
 			}
 		}
 		w.Header().Set("Content-Type", "application/octet-stream")
-		// The reader may be gone; it asks again.
-		_, _ = w.Write(encode(end, first, records))
+		// The client may be gone; it reads again later.
+		_, _ = w.Write(encodeRecords(end, first, records))
 		return
 	}
 }
 
-func encode(end, first int, records []record) []byte {
+func encodeRecords(end, first int, records []record) []byte {
 	out := binary.BigEndian.AppendUint64(nil, uint64(end))
 	out = binary.BigEndian.AppendUint64(out, uint64(first))
 	for _, rec := range records {
@@ -256,7 +260,7 @@
 	return out
 }
 
-// pageSize is small, so that tests see several pages.
+// pageSize is small, so that tests get several pages.
 const pageSize = 4
 
 func (s *Store) serveNewest(w http.ResponseWriter, r *http.Request) {
@@ -284,10 +288,10 @@
 	if more {
 		items = items[:pageSize]
 	}
-	answer(w, http.StatusOK, map[string]any{"Items": items, "HasMore": more, "End": len(t.records)})
+	writeJSON(w, http.StatusOK, map[string]any{"Items": items, "HasMore": more, "End": len(t.records)})
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -295,6 +299,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone.
+	// The client may be gone.
 	_, _ = w.Write(data)
 }
--- a/internal/standin/process/platform.go
+++ b/internal/standin/process/platform.go
@@ -40,16 +40,16 @@
 	select {
 	case <-ctx.Done():
 		return stopPlatform(server)
-	case err := <-server.failed:
+	case err := <-server.serveErr:
 		return err
 	}
 }
 
-// stopPlatform gives running requests a short while. Long-poll reads are cut:
-// their readers read again.
+// stopPlatform waits for requests in flight up to shutdownTimeout and then closes
+// their connections. That cuts off long-poll reads, whose readers read again.
 func stopPlatform(server *server) error {
 	if err := server.shutdown(); err != nil {
-		return server.cut()
+		return server.closeNow()
 	}
 	return nil
 }
@@ -69,7 +69,7 @@
 				return instance.Service
 			},
 			Stopped:   func(id ident.Instance) { list.SetState(id, 0, platform.Leaving) },
-			Announced: func(n platform.Notice) { reclaim(list, n) },
+			Announced: func(n platform.Notice) { applyNotice(list, n) },
 		}),
 		Weights: weights.New(weights.Options{
 			ModelBytes:     options.ModelBytes,
@@ -87,8 +87,9 @@
 	return mux
 }
 
-// reclaim takes an instance through the states that follow a notice.
-func reclaim(list *instances.List, n platform.Notice) {
+// applyNotice changes the listed state of a notice's instance: to leaving now, and
+// to ended when the notice has run out.
+func applyNotice(list *instances.List, n platform.Notice) {
 	list.SetState(n.Instance, n.Incarnation, platform.Leaving)
 	time.AfterFunc(n.EndsIn, func() {
 		list.SetState(n.Instance, n.Incarnation, platform.Ended)
--- a/internal/standin/process/process.go
+++ b/internal/standin/process/process.go
@@ -15,10 +15,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
-// shutdownLimit bounds the wait for connections once the work has ended.
-const shutdownLimit = 5 * time.Second
+// shutdownTimeout is the time limit for the wait until connections are idle.
+const shutdownTimeout = 5 * time.Second
 
-// event is one line on stdout, for the script that started the process.
+// event is a JSON line on stdout for the script that started the process.
 type event struct {
 	Event       string            `json:"event"`
 	Role        string            `json:"role"`
@@ -31,36 +31,37 @@
 
 // server is a listening HTTP server.
 type server struct {
-	http    *http.Server
-	address string
-	failed  chan error
+	http     *http.Server
+	address  string
+	serveErr chan error
 }
 
-// serve listens on an address and serves until stopped.
+// serve listens on an address and serves in the background until the server is
+// shut down or closed.
 func serve(listen string, handler http.Handler) (*server, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, errors.WithMessage(err, "listen on "+listen)
 	}
 	s := &server{
-		http:    transport.NewServer(handler),
-		address: listener.Addr().String(),
-		failed:  make(chan error, 1),
+		http:     transport.NewServer(handler),
+		address:  listener.Addr().String(),
+		serveErr: make(chan error, 1),
 	}
 	go func() {
 		if err := s.http.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			s.failed <- err
+			s.serveErr <- err
 		}
 	}()
 	return s, nil
 }
 
-// shutdown ends the server once its connections are idle.
+// shutdown stops the server once its connections are idle.
 func (s *server) shutdown() error {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	return s.http.Shutdown(ctx)
 }
 
-// cut ends the server and all its connections at once.
-func (s *server) cut() error { return s.http.Close() }
+// closeNow stops the server and closes all its connections at once.
+func (s *server) closeNow() error { return s.http.Close() }
--- a/internal/standin/process/upstream.go
+++ b/internal/standin/process/upstream.go
@@ -19,28 +19,30 @@
 )
 
 const (
-	// noticeEvery is how often an upstream asks for its reclaim notice.
-	noticeEvery = 200 * time.Millisecond
-	// adminTimeout bounds one request to the platform stand-in.
+	// noticePollInterval is the time between two polls for reclaim notices.
+	noticePollInterval = 200 * time.Millisecond
+	// adminTimeout is the time limit for the registration with the platform
+	// stand-in.
 	adminTimeout = 5 * time.Second
 )
 
-// UpstreamOptions are what all upstream stand-ins have in common.
+// UpstreamOptions are the settings that all upstream stand-ins have in common.
 type UpstreamOptions struct {
 	Listen string
 	// PlatformURL is the base URL of the platform stand-in.
 	PlatformURL string
-	// Instance is what to register; address and incarnation are filled in.
+	// Instance is the instance to register; role, address and incarnation are
+	// filled in.
 	Instance platform.Instance
-	// DrainLimit bounds the wait for running work at a planned stop.
+	// DrainLimit is the longest wait for requests in flight at a planned stop.
 	DrainLimit time.Duration
 }
 
-// work is the part of an upstream that a stop concerns.
-type work interface {
-	// Leave makes the upstream refuse new work.
+// drainable is an upstream that can be stopped without cutting off requests.
+type drainable interface {
+	// Leave makes the upstream refuse new requests.
 	Leave()
-	// Wait returns nil once no work runs, or the context's error.
+	// Wait returns nil once no request is in flight, or the context's error.
 	Wait(context.Context) error
 }
 
@@ -50,15 +52,16 @@
 	role     string
 	instance platform.Instance
 	server   *server
-	work     work
+	upstream drainable
 	admin    standinv1connect.PlatformAdminServiceClient
 	cloud    platform.Cloud
 	logger   hclog.Logger
 	out      io.Writer
 }
 
-// buildFunc makes an upstream once its incarnation is known.
-type buildFunc func(mux *http.ServeMux, incarnation ident.Incarnation) work
+// buildFunc creates an upstream, once its incarnation is known, and mounts its
+// handlers on mux.
+type buildFunc func(mux *http.ServeMux, incarnation ident.Incarnation) drainable
 
 // runUpstream registers and serves an upstream until ctx ends or its instance
 // is reclaimed.
@@ -82,17 +85,18 @@
 		logger:   logger,
 		out:      out,
 	}
-	if err := u.register(ctx, func(incarnation ident.Incarnation) { u.work = build(mux, incarnation) }); err != nil {
+	if err := u.register(ctx, func(incarnation ident.Incarnation) { u.upstream = build(mux, incarnation) }); err != nil {
 		return errors.WithMessage(errors.WithStack(err), "register with the platform")
 	}
-	if err := u.event("listening").print(out); err != nil {
+	if err := u.newEvent("listening").print(out); err != nil {
 		return err
 	}
-	return u.wait(ctx)
+	return u.serveUntilStopped(ctx)
 }
 
-// register learns the incarnation with a first entry that is not live, makes
-// the upstream and enters it as live, so that nobody is sent to a server that
+// register adds the instance to the platform's list. It first registers the
+// instance as ended, which assigns its incarnation, then builds the upstream, and
+// only then sets its state to live, so that no request is sent to a server that
 // cannot answer yet.
 func (u *upstreamServer) register(ctx context.Context, build func(ident.Incarnation)) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
@@ -110,35 +114,37 @@
 	return u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_LIVE)
 }
 
-// wait returns once the upstream has stopped.
-func (u *upstreamServer) wait(ctx context.Context) error {
-	watching, cancel := context.WithCancel(ctx)
+// serveUntilStopped returns once ctx has ended and the upstream has stopped, the
+// instance was reclaimed, or the server failed.
+func (u *upstreamServer) serveUntilStopped(ctx context.Context) error {
+	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	notices := make(chan platform.Notice, 1)
-	go u.watchNotices(watching, notices)
+	go u.watchNotices(watchCtx, notices)
 	var reclaimed <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return u.stop()
-		case err := <-u.server.failed:
+		case err := <-u.server.serveErr:
 			return err
 		case notice := <-notices:
-			u.work.Leave()
+			u.upstream.Leave()
 			u.logger.Info("reclaim announced", "instance", u.instance.ID, "ends_in", notice.EndsIn)
 			reclaimed = time.After(notice.EndsIn)
 		case <-reclaimed:
-			if err := u.event("reclaimed").print(u.out); err != nil {
+			if err := u.newEvent("reclaimed").print(u.out); err != nil {
 				return err
 			}
-			return u.server.cut()
+			return u.server.closeNow()
 		}
 	}
 }
 
-// watchNotices sends the first notice that concerns this life of the instance.
+// watchNotices polls for notices and sends the first one for this incarnation of
+// the instance to notices.
 func (u *upstreamServer) watchNotices(ctx context.Context, notices chan<- platform.Notice) {
-	ticker := time.NewTicker(noticeEvery)
+	ticker := time.NewTicker(noticePollInterval)
 	defer ticker.Stop()
 	after := uint64(0)
 	for {
@@ -161,15 +167,16 @@
 	}
 }
 
-// stop ends the upstream without cutting off running work.
+// stop stops the upstream without cutting off requests in flight, for which it
+// waits up to DrainLimit.
 func (u *upstreamServer) stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), u.options.DrainLimit)
 	defer cancel()
-	u.work.Leave()
+	u.upstream.Leave()
 	if err := u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_LEAVING); err != nil {
 		u.logger.Warn("cannot tell the platform of leaving", "error", err)
 	}
-	if err := u.work.Wait(ctx); err != nil {
+	if err := u.upstream.Wait(ctx); err != nil {
 		u.logger.Error("work cut off at the drain limit", "limit", u.options.DrainLimit)
 		return errors.WithStack(err)
 	}
@@ -179,7 +186,7 @@
 	if err := u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_ENDED); err != nil {
 		u.logger.Warn("cannot tell the platform of the end", "error", err)
 	}
-	return u.event("stopped").print(u.out)
+	return u.newEvent("stopped").print(u.out)
 }
 
 func (u *upstreamServer) setState(ctx context.Context, state platformv1.InstanceState) error {
@@ -191,7 +198,7 @@
 	return err
 }
 
-func (u *upstreamServer) event(name string) event {
+func (u *upstreamServer) newEvent(name string) event {
 	return event{
 		Event:       name,
 		Role:        u.role,
