--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	os.Exit(program.Daemon[settings.Controller]{
+	os.Exit(program.Program[settings.Controller]{
 		Name:        "controller",
 		Description: "controller takes the leased decisions: which upstreams to start and to stop, and what model engines run.",
 		Load:        settings.LoadController,
--- a/cmd/entry/main.go
+++ b/cmd/entry/main.go
@@ -19,7 +19,7 @@
 
 func main() {
 	signal.Notify(reload, syscall.SIGHUP)
-	os.Exit(program.Daemon[settings.Entry]{
+	os.Exit(program.Program[settings.Entry]{
 		Name:            "entry",
 		Description:     "entry takes callers' requests to upstreams by the operators' configuration, and runs the controllers that one entry process at a time runs under a lease.",
 		DefaultSettings: platform.SettingsPath(),
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -36,7 +36,7 @@
 	if args.Policy != "" {
 		// This policy runs only if it is named. It shows what happens without
 		// admission control.
-		policies = append(policies, experiment.LetAllIn())
+		policies = append(policies, experiment.WithoutAdmission())
 	}
 	policies = filterByName(policies, args.Policy, func(p experiment.Contender) string { return p.Name })
 	if len(workloads)*len(cases)*len(policies) == 0 {
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -37,7 +37,7 @@
 	var cells []fleetsim.Cell
 	for _, c := range fleetsim.Cases(args.Work) {
 		if strings.Contains(c.Engine.Name, args.Engines) && strings.Contains(c.Load.Name, args.Load) && (args.Gateways == 0 || c.Fleet.Gateways == args.Gateways) {
-			c.Told, c.Fixed = args.Told, args.Fixed
+			c.LoadsKnownAtOnce, c.FixedEngines = args.Told, args.Fixed
 			cells = append(cells, fleetsim.Cell{Case: c})
 		}
 	}
@@ -45,7 +45,7 @@
 		fmt.Fprintln(os.Stderr, "no such engines, load or fleet")
 		os.Exit(2)
 	}
-	fleetsim.PlayAll(cells, args.Seeds)
+	fleetsim.RunAll(cells, args.Seeds)
 	var table bytes.Buffer
 	fleetsim.PrintAll(&table, cells)
 	fmt.Print(table.String())
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	os.Exit(program.Daemon[settings.Gateway]{
+	os.Exit(program.Program[settings.Gateway]{
 		Name:        "gateway",
 		Description: "gateway serves callers: it admits, routes and retries requests, streams answers, and hands over what is in progress when it leaves.",
 		Load:        settings.LoadGateway,
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -45,13 +45,13 @@
 	// states it. Admit divides it by the number of live gateways.
 	Limit document.AccountLimit
 	Class document.Class
-	// Predicted and the next two fields are routing's predictions: the time
+	// PredictedFirstToken and the next two fields are routing's predictions: the time
 	// to the first token now, the same on an idle upstream, and the time from
 	// the first token to the last.
-	Predicted, Unloaded, Remaining time.Duration
-	// PredictedBy is the 80th percentile of the predicted time to the first
-	// token; 0 means Request.Predicted.
-	PredictedBy time.Duration
+	PredictedFirstToken, UnloadedFirstToken, PredictedAfterFirstToken time.Duration
+	// PredictedFirstTokenP80 is the 80th percentile of the predicted time to the first
+	// token; 0 means Request.PredictedFirstToken.
+	PredictedFirstTokenP80 time.Duration
 	// Deadline is the caller's deadline; zero means none. The context's
 	// deadline counts too, whichever is earlier.
 	Deadline time.Time
@@ -116,24 +116,24 @@
 // no slots in either case.
 func (c *Controller) SetSlots(name ident.Service, slots int) { c.service(name).setSlots(slots) }
 
-// Ejected returns the upstreams that must not receive a request now: ejected
+// Excluded returns the upstreams that must not receive a request now: ejected
 // ones and those with a probe under way. The slice is shared and must not be
 // changed.
-func (c *Controller) Ejected(name ident.Service) []ident.Instance {
+func (c *Controller) Excluded(name ident.Service) []ident.Instance {
 	return c.service(name).excluded(time.Now())
 }
 
-// Sending reports that a granted request is about to be sent to an upstream. If
+// RecordAttemptStart reports that a granted request is about to be sent to an upstream. If
 // the upstream's ejection is over, the request counts as its probe.
-func (c *Controller) Sending(name ident.Service, id ident.Instance) {
+func (c *Controller) RecordAttemptStart(name ident.Service, id ident.Instance) {
 	c.service(name).recordAttemptStart(time.Now(), id)
 }
 
-// Observe records the result of one attempt, for requests that may take several
+// RecordAttemptEnd records the result of one attempt, for requests that may take several
 // attempts. Unloaded is the time to the first token on an idle upstream; 0
 // means unknown. The Result passed to the ticket's Done then names no
 // upstream, so that the attempt isn't recorded twice.
-func (c *Controller) Observe(name ident.Service, r Result, unloaded time.Duration) {
+func (c *Controller) RecordAttemptEnd(name ident.Service, r Result, unloaded time.Duration) {
 	c.service(name).recordAttemptEnd(r, unloaded)
 }
 
@@ -143,19 +143,19 @@
 	if deadline, ok := ctx.Deadline(); ok && (r.Deadline.IsZero() || deadline.Before(r.Deadline)) {
 		r.Deadline = deadline
 	}
-	t := &Ticket{service: c.service(r.Service), unloaded: r.Unloaded}
+	t := &Ticket{service: c.service(r.Service), unloaded: r.UnloadedFirstToken}
 	t.entry.Request = gate.Request{
-		ID:          r.ID,
-		Account:     r.Account,
-		Limit:       quota.Divide(r.Limit, int(c.gateways.Load())),
-		Class:       r.Class,
-		Predicted:   r.Predicted,
-		PredictedBy: r.PredictedBy,
-		Unloaded:    r.Unloaded,
-		Remaining:   r.Remaining,
-		Deadline:    r.Deadline,
-		Cost:        r.Cost,
-		Attempt:     r.Attempt,
+		ID:                       r.ID,
+		Account:                  r.Account,
+		Limit:                    quota.Divide(r.Limit, int(c.gateways.Load())),
+		Class:                    r.Class,
+		PredictedFirstToken:      r.PredictedFirstToken,
+		PredictedFirstTokenP80:   r.PredictedFirstTokenP80,
+		UnloadedFirstToken:       r.UnloadedFirstToken,
+		PredictedAfterFirstToken: r.PredictedAfterFirstToken,
+		Deadline:                 r.Deadline,
+		Cost:                     r.Cost,
+		Attempt:                  r.Attempt,
 	}
 	refusal := t.service.admit(ctx, t)
 	c.metrics.countDecision(refusal)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -24,7 +24,7 @@
 var shortClass = document.Class{Name: "short", FirstToken: time.Second, Priority: 10}
 
 func oneSlot() *Controller {
-	return New(Config{Gate: gate.Config{Slots: 1, Hold: 100 * time.Millisecond}})
+	return New(Config{Gate: gate.Config{Slots: 1, InitialHoldTime: 100 * time.Millisecond}})
 }
 
 func request(id ident.Request) Request {
@@ -112,17 +112,17 @@
 			ticket.Done(Result{Upstream: "u1", Failed: true, Sent: time.Now()})
 		}
 		for range ejection.DefaultConsecutiveFailures {
-			ctl.Observe("s", Result{Upstream: "u1", Failed: true, Sent: time.Now()}, 0)
+			ctl.RecordAttemptEnd("s", Result{Upstream: "u1", Failed: true, Sent: time.Now()}, 0)
 		}
-		if excluded := ctl.Ejected("s"); len(excluded) != 1 || excluded[0] != "u1" {
+		if excluded := ctl.Excluded("s"); len(excluded) != 1 || excluded[0] != "u1" {
 			t.Fatalf("excluded %v, want u1", excluded)
 		}
 		time.Sleep(ejection.DefaultBaseEjectionTime)
-		if excluded := ctl.Ejected("s"); len(excluded) != 0 {
+		if excluded := ctl.Excluded("s"); len(excluded) != 0 {
 			t.Fatalf("excluded %v after the ejection, want none", excluded)
 		}
-		ctl.Sending("s", "u1")
-		if excluded := ctl.Ejected("s"); len(excluded) != 1 {
+		ctl.RecordAttemptStart("s", "u1")
+		if excluded := ctl.Excluded("s"); len(excluded) != 1 {
 			t.Fatalf("excluded %v during a probe, want u1", excluded)
 		}
 	})
@@ -137,7 +137,7 @@
 	if n := ctl.service("s").gate.Slots(); n != 3 {
 		t.Errorf("%d slots after SetSlots, want 3", n)
 	}
-	ctl.Observe("s", Result{Upstream: "u1", Failed: true}, 0)
+	ctl.RecordAttemptEnd("s", Result{Upstream: "u1", Failed: true}, 0)
 	ctl.SetUpstreams("s", []ident.Instance{"u1", "u2"})
 	if n := ctl.service("s").gate.Slots(); n != 3 {
 		t.Errorf("%d slots after a change of upstreams, want 3", n)
--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -73,7 +73,7 @@
 			i := 0
 			for b.Loop() {
 				i++
-				ctl.Observe("s", Result{Upstream: ids[i%upstreams], FirstToken: time.Second, InFlight: 8}, time.Second)
+				ctl.RecordAttemptEnd("s", Result{Upstream: ids[i%upstreams], FirstToken: time.Second, InFlight: 8}, time.Second)
 			}
 		})
 	}
--- a/internal/admission/ejection/ejection.go
+++ b/internal/admission/ejection/ejection.go
@@ -42,31 +42,31 @@
 // Config sets when an upstream is ejected and for how long. Zero fields take
 // the defaults.
 type Config struct {
-	// Failures is the number of consecutive failures that eject an upstream.
-	Failures int
+	// ConsecutiveFailures is the number of consecutive failures that eject an upstream.
+	ConsecutiveFailures int
 	// SlowFactor ejects an upstream whose average latency exceeds this many
 	// times the median of the others, once SlowSamples latencies of it were
 	// recorded. 1 or less takes the default.
 	SlowFactor  float64
 	SlowSamples int
-	// Base is the length of the first ejection. Each further one is twice as
-	// long, up to Config.Longest.
-	Base, Longest time.Duration
+	// BaseEjectionTime is the length of the first ejection. Each further one is twice as
+	// long, up to Config.MaxEjectionTime.
+	BaseEjectionTime, MaxEjectionTime time.Duration
 	// Probes is how many consecutive probes must succeed before an upstream is
 	// healthy again.
 	Probes int
-	// ProbeLimit is the time after which a probe without a reported result is
+	// ProbeTimeout is the time after which a probe without a reported result is
 	// given up and another one may be sent.
-	ProbeLimit time.Duration
+	ProbeTimeout time.Duration
 }
 
 func (c Config) withDefaults() Config {
-	c.Failures = positiveOr(c.Failures, DefaultConsecutiveFailures)
+	c.ConsecutiveFailures = positiveOr(c.ConsecutiveFailures, DefaultConsecutiveFailures)
 	c.SlowSamples = positiveOr(c.SlowSamples, DefaultSlowSamples)
 	c.Probes = positiveOr(c.Probes, DefaultProbes)
-	c.Base = positiveOr(c.Base, DefaultBaseEjectionTime)
-	c.Longest = positiveOr(c.Longest, DefaultMaxEjectionTime)
-	c.ProbeLimit = positiveOr(c.ProbeLimit, DefaultProbeTimeout)
+	c.BaseEjectionTime = positiveOr(c.BaseEjectionTime, DefaultBaseEjectionTime)
+	c.MaxEjectionTime = positiveOr(c.MaxEjectionTime, DefaultMaxEjectionTime)
+	c.ProbeTimeout = positiveOr(c.ProbeTimeout, DefaultProbeTimeout)
 	if c.SlowFactor <= 1 {
 		c.SlowFactor = DefaultSlowFactor
 	}
@@ -120,7 +120,7 @@
 	latencyAverage float64
 	samples        int
 	// ejections counts ejections that followed each other with less than
-	// Config.Longest of health in between.
+	// Config.MaxEjectionTime of health in between.
 	ejections int
 	// until is when the ejection ends, or, for a healthy upstream, when it
 	// became healthy again.
@@ -215,7 +215,7 @@
 	case Ejected:
 		return !now.Before(u.until)
 	case Probing:
-		return u.probeStarted.IsZero() || now.Sub(u.probeStarted) >= s.config.ProbeLimit
+		return u.probeStarted.IsZero() || now.Sub(u.probeStarted) >= s.config.ProbeTimeout
 	}
 	return true
 }
@@ -227,7 +227,7 @@
 	for _, u := range s.upstreams {
 		at := u.until
 		if u.state == Probing && !u.probeStarted.IsZero() {
-			at = u.probeStarted.Add(s.config.ProbeLimit)
+			at = u.probeStarted.Add(s.config.ProbeTimeout)
 		}
 		if u.state != Healthy && at.After(now) && (next.IsZero() || at.Before(next)) {
 			next = at
@@ -236,9 +236,9 @@
 	return next
 }
 
-// Started reports that a request is sent to an upstream. If the upstream's
+// RecordAttemptStart reports that a request is sent to an upstream. If the upstream's
 // ejection is over and no probe is under way, the request is a probe.
-func (s *Set) Started(now time.Time, id ident.Instance) {
+func (s *Set) RecordAttemptStart(now time.Time, id ident.Instance) {
 	u := s.upstreams[id]
 	if u == nil || u.state == Healthy || !s.allows(u, now) {
 		return
@@ -247,9 +247,9 @@
 	u.probeStarted = now
 }
 
-// Ended records the result of a request. It may eject the upstream or, after a
+// RecordAttemptEnd records the result of a request. It may eject the upstream or, after a
 // probe, make it healthy again.
-func (s *Set) Ended(now time.Time, id ident.Instance, sample Sample) {
+func (s *Set) RecordAttemptEnd(now time.Time, id ident.Instance, sample Sample) {
 	u := s.upstreams[id]
 	if u == nil {
 		return
@@ -259,7 +259,7 @@
 	case Probing:
 		s.recordProbe(now, u, sample)
 	case Healthy:
-		if u.failures >= s.config.Failures || s.slow(u) {
+		if u.failures >= s.config.ConsecutiveFailures || s.slow(u) {
 			s.ejectWithinLimit(now, u)
 		}
 	}
@@ -317,15 +317,15 @@
 }
 
 // startEjection ejects an upstream for twice as long as the last time, at most
-// Config.Longest, or for Config.Base if it has been healthy for Config.Longest
+// Config.MaxEjectionTime, or for Config.BaseEjectionTime if it has been healthy for Config.MaxEjectionTime
 // since.
 func (s *Set) startEjection(now time.Time, u *upstream) {
-	if u.state == Healthy && now.Sub(u.until) >= s.config.Longest {
+	if u.state == Healthy && now.Sub(u.until) >= s.config.MaxEjectionTime {
 		u.ejections = 0
 	}
-	length := s.config.Base << min(u.ejections, 20)
-	if length <= 0 || length > s.config.Longest {
-		length = s.config.Longest
+	length := s.config.BaseEjectionTime << min(u.ejections, 20)
+	if length <= 0 || length > s.config.MaxEjectionTime {
+		length = s.config.MaxEjectionTime
 	}
 	*u = upstream{state: Ejected, ejections: u.ejections + 1, until: now.Add(length)}
 }
--- a/internal/admission/ejection/ejection_test.go
+++ b/internal/admission/ejection/ejection_test.go
@@ -22,16 +22,16 @@
 	return ids
 }
 
-// TestFloor checks that never more than a third of the upstreams is excluded,
+// TestEjectionLimit checks that never more than a third of the upstreams is excluded,
 // whatever fails, and that an excluded upstream is tried again in bounded time.
 //
 // It guards against a slow minute that leaves no upstream, and against
 // upstreams that recovered and stay excluded. That happens if each upstream is
 // ejected regardless of the others while many fail at once, upstreams leave
 // while others are ejected, or a probe's answer never comes.
-func TestFloor(t *testing.T) { rapid.Check(t, checkFloor) }
+func TestEjectionLimit(t *testing.T) { rapid.Check(t, checkEjectionLimit) }
 
-func checkFloor(t *rapid.T) {
+func checkEjectionLimit(t *rapid.T) {
 	s := New(Config{})
 	now := time.Unix(1000, 0)
 	ids := instances(rapid.IntRange(1, 12).Draw(t, "upstreams"))
@@ -47,12 +47,12 @@
 				s.SetUpstreams(ids)
 			}
 		case 2:
-			s.Started(now, id)
+			s.RecordAttemptStart(now, id)
 		case 3:
-			s.Ended(now, id, Sample{Latency: rapid.Float64Range(0.1, 10).Draw(t, "latency")})
+			s.RecordAttemptEnd(now, id, Sample{Latency: rapid.Float64Range(0.1, 10).Draw(t, "latency")})
 		default:
 			for range DefaultConsecutiveFailures {
-				s.Ended(now, id, Sample{Failed: true})
+				s.RecordAttemptEnd(now, id, Sample{Failed: true})
 			}
 		}
 		if excluded := s.Excluded(now); len(excluded)*upstreamsPerEjected > len(ids) {
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestStory follows an upstream from the cause of its ejection until it is
+// TestEjectionToRecovery follows an upstream from the cause of its ejection until it is
 // healthy again.
-func TestStory(t *testing.T) {
+func TestEjectionToRecovery(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		story string
@@ -88,14 +88,14 @@
 	}{
 		{"failures in a row", func(s *Set) {
 			for range DefaultConsecutiveFailures {
-				s.Ended(now, "u0", Sample{Failed: true})
+				s.RecordAttemptEnd(now, "u0", Sample{Failed: true})
 			}
 		}},
 		{"far slower than its peers though it answers", func(s *Set) {
 			for range DefaultSlowSamples {
-				s.Ended(now, "u0", Sample{Latency: 5})
-				s.Ended(now, "u1", Sample{Latency: 1})
-				s.Ended(now, "u2", Sample{Latency: 1.2})
+				s.RecordAttemptEnd(now, "u0", Sample{Latency: 5})
+				s.RecordAttemptEnd(now, "u1", Sample{Latency: 1})
+				s.RecordAttemptEnd(now, "u2", Sample{Latency: 1.2})
 			}
 		}},
 	}
@@ -111,22 +111,22 @@
 			if len(s.Excluded(now)) != 0 {
 				t.Fatal("u0 is still excluded when its ejection is over")
 			}
-			s.Started(now, "u0")
+			s.RecordAttemptStart(now, "u0")
 			if len(s.Excluded(now)) != 1 {
 				t.Fatal("u0 would get a second request during its probe")
 			}
-			s.Ended(now, "u0", Sample{Failed: true, Started: now.Add(-time.Minute)})
+			s.RecordAttemptEnd(now, "u0", Sample{Failed: true, Started: now.Add(-time.Minute)})
 			if s.State("u0") != Probing {
 				t.Fatal("the result of an earlier request counts as the probe's")
 			}
-			s.Ended(now, "u0", Sample{Failed: true, Started: now})
+			s.RecordAttemptEnd(now, "u0", Sample{Failed: true, Started: now})
 			if len(s.Excluded(now.Add(2*DefaultBaseEjectionTime-1))) != 1 {
 				t.Fatal("a failed probe did not double the ejection time")
 			}
 			now = now.Add(2 * DefaultBaseEjectionTime)
 			for range DefaultProbes {
-				s.Started(now, "u0")
-				s.Ended(now, "u0", Sample{Latency: 1, Started: now})
+				s.RecordAttemptStart(now, "u0")
+				s.RecordAttemptEnd(now, "u0", Sample{Latency: 1, Started: now})
 			}
 			if s.State("u0") != Healthy {
 				t.Fatal("u0 is not healthy after good probes")
--- a/internal/admission/fairshare/queue_test.go
+++ b/internal/admission/fairshare/queue_test.go
@@ -148,9 +148,9 @@
 	o.waiting = slices.Delete(o.waiting, i, i+1)
 }
 
-// TestVictim checks that the item to evict is of the account with the most
+// TestEvictionCandidate checks that the item to evict is of the account with the most
 // waiting cost for its weight.
-func TestVictim(t *testing.T) {
+func TestEvictionCandidate(t *testing.T) {
 	q := New(Config{})
 	for range 3 {
 		q.Push(&Item{Account: "heavy", Weight: 10})
--- a/internal/admission/fuzz_test.go
+++ b/internal/admission/fuzz_test.go
@@ -60,7 +60,7 @@
 
 func checkConcurrentUse(t *rapid.T) {
 	slots := rapid.IntRange(1, 4).Draw(t, "slots")
-	ctl := New(Config{Gate: gate.Config{Slots: slots, MaxQueue: 5, Hold: 50 * time.Millisecond}})
+	ctl := New(Config{Gate: gate.Config{Slots: slots, MaxQueue: 5, InitialHoldTime: 50 * time.Millisecond}})
 	ctl.SetUpstreams("s", []ident.Instance{"u"})
 	ctl.SetSlots("s", slots)
 	var callers []*caller
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -38,9 +38,9 @@
 	MaxQueue int
 	// MaxWait bounds the wait of a request whose class sets no target.
 	MaxWait time.Duration
-	// Hold is the assumed time for which a unit of cost holds a slot, used
+	// InitialHoldTime is the assumed time for which a unit of cost holds a slot, used
 	// until the first request has ended.
-	Hold time.Duration
+	InitialHoldTime time.Duration
 	// FairShare configures how waiting requests share the slots.
 	FairShare fairshare.Config
 }
@@ -52,8 +52,8 @@
 	if c.MaxWait <= 0 {
 		c.MaxWait = DefaultMaxWait
 	}
-	if c.Hold <= 0 {
-		c.Hold = DefaultInitialHoldTime
+	if c.InitialHoldTime <= 0 {
+		c.InitialHoldTime = DefaultInitialHoldTime
 	}
 	return c
 }
@@ -67,16 +67,16 @@
 	Limit document.AccountLimit
 	// Class is the zero value for plain services.
 	Class document.Class
-	// Predicted is the predicted time from the grant to the first token at
-	// the present load. Request.Unloaded is the same on an idle upstream.
-	Predicted, Unloaded time.Duration
-	// PredictedBy is the 80th percentile of the predicted time to the first
-	// token; 0 means Request.Predicted. It may replace Request.Predicted for
+	// PredictedFirstToken is the predicted time from the grant to the first token at
+	// the present load. Request.UnloadedFirstToken is the same on an idle upstream.
+	PredictedFirstToken, UnloadedFirstToken time.Duration
+	// PredictedFirstTokenP80 is the 80th percentile of the predicted time to the first
+	// token; 0 means Request.PredictedFirstToken. It may replace Request.PredictedFirstToken for
 	// all priorities but the most urgent: engines serve that one first, so its
 	// times vary little, and a wrong refusal costs most there.
-	PredictedBy time.Duration
-	// Remaining is the predicted time from the first token to the last.
-	Remaining time.Duration
+	PredictedFirstTokenP80 time.Duration
+	// PredictedAfterFirstToken is the predicted time from the first token to the last.
+	PredictedAfterFirstToken time.Duration
 	// Deadline is the caller's deadline; zero means none.
 	Deadline time.Time
 	// Cost is the estimated cost of the request, in any unit that is the same
@@ -182,7 +182,7 @@
 		clients:              map[ident.ClientAccount]*client{},
 		waitingEntries:       map[*fairshare.Item]*Entry{},
 		slots:                config.Slots,
-		holdTimes:            holdTimeMeter{initial: config.Hold},
+		holdTimes:            holdTimeMeter{initial: config.InitialHoldTime},
 		slotsPerWeight:       math.Inf(1),
 		timelySlotsPerWeight: math.Inf(1),
 	}
--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -9,8 +9,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// TestAtTheDoor checks the decision on arrival for different predictions.
-func TestAtTheDoor(t *testing.T) {
+// TestDecisionOnArrival checks the decision on arrival for different predictions.
+func TestDecisionOnArrival(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cases := []struct {
 		story   string
@@ -19,12 +19,12 @@
 		// want is the reason of the refusal; empty means granted.
 		want outcome.Reason
 	}{
-		{"in time", 1, Request{Predicted: 900 * time.Millisecond}, ""},
-		{"the first token would be late", 1, Request{Predicted: 1100 * time.Millisecond}, outcome.ReasonOverloaded},
-		{"late, but it was told to return", 1, Request{Predicted: 1100 * time.Millisecond, Attempt: 2}, ""},
-		{"far too late, though told to return", 1, Request{Predicted: 3 * time.Second, Attempt: 2}, outcome.ReasonOverloaded},
-		{"late because it is long itself", 1, Request{Predicted: 1500 * time.Millisecond, Unloaded: time.Second}, ""},
-		{"the deadline passes before the first token", 1, Request{Predicted: time.Second / 2, Deadline: now.Add(time.Second / 4)}, outcome.ReasonDeadline},
+		{"in time", 1, Request{PredictedFirstToken: 900 * time.Millisecond}, ""},
+		{"the first token would be late", 1, Request{PredictedFirstToken: 1100 * time.Millisecond}, outcome.ReasonOverloaded},
+		{"late, but it was told to return", 1, Request{PredictedFirstToken: 1100 * time.Millisecond, Attempt: 2}, ""},
+		{"far too late, though told to return", 1, Request{PredictedFirstToken: 3 * time.Second, Attempt: 2}, outcome.ReasonOverloaded},
+		{"late because it is long itself", 1, Request{PredictedFirstToken: 1500 * time.Millisecond, UnloadedFirstToken: time.Second}, ""},
+		{"the deadline passes before the first token", 1, Request{PredictedFirstToken: time.Second / 2, Deadline: now.Add(time.Second / 4)}, outcome.ReasonDeadline},
 		{"no upstream", 0, Request{}, outcome.ReasonNoUpstream},
 	}
 	for _, c := range cases {
@@ -52,7 +52,7 @@
 // has filled the queue with its waiting requests.
 func TestFullQueue(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := New(Config{Slots: 1, MaxQueue: 3, Hold: time.Millisecond})
+	g := New(Config{Slots: 1, MaxQueue: 3, InitialHoldTime: time.Millisecond})
 	patient := document.Class{Completion: time.Hour}
 	fill := func(n int) (entries []*Entry) {
 		for range n {
@@ -97,7 +97,7 @@
 	offered := map[ident.ClientAccount]int{}
 	var running []*Entry
 	offer := func(account ident.ClientAccount, predicted time.Duration) {
-		e := &Entry{Request: Request{Account: account, Class: shortClass, Predicted: predicted}}
+		e := &Entry{Request: Request{Account: account, Class: shortClass, PredictedFirstToken: predicted}}
 		offered[account]++
 		if g.Offer(now, e).Granted {
 			granted[account]++
@@ -123,7 +123,7 @@
 	}
 }
 
-// TestLateBound checks that the late bound of a prediction, Request.PredictedBy,
+// TestLateBound checks that the late bound of a prediction, Request.PredictedFirstTokenP80,
 // makes the gate refuse a less urgent request unless answers of its priority come
 // in time anyway, and that it never makes the gate refuse the most urgent class.
 func TestLateBound(t *testing.T) {
@@ -131,7 +131,7 @@
 	g := New(Config{Slots: 100})
 	now := time.Unix(1000, 0)
 	offer := func(class document.Class, predictedBy time.Duration) *Entry {
-		e := &Entry{Request: Request{Account: "a", Class: class, PredictedBy: predictedBy}}
+		e := &Entry{Request: Request{Account: "a", Class: class, PredictedFirstTokenP80: predictedBy}}
 		g.Offer(now, e)
 		return e
 	}
--- a/internal/admission/gate/plan.go
+++ b/internal/admission/gate/plan.go
@@ -77,7 +77,7 @@
 	if r.Class.FirstToken <= 0 {
 		return 0
 	}
-	t := max(r.Class.FirstToken, 2*r.Unloaded)
+	t := max(r.Class.FirstToken, 2*r.UnloadedFirstToken)
 	if r.isRetry() {
 		t *= retryTargetFactor
 	}
@@ -86,15 +86,15 @@
 
 // predictedFirstToken returns the time from the grant to the first token to
 // plan with. For all priorities but the most urgent, it is the late bound,
-// Request.PredictedBy, if answers of the priority have come late recently, if
+// Request.PredictedFirstTokenP80, if answers of the priority have come late recently, if
 // none was reported yet, or if the account is beyond its fair share. Otherwise
-// it is Request.Predicted.
+// it is Request.PredictedFirstToken.
 func (g *Gate) predictedFirstToken(r *Request) time.Duration {
 	own := g.bands.forPriority(r.Class.Priority)
 	if own == g.bands.byPriority[0] || own.mostlyInTime() && !g.exceedsTimelyShare(g.clients[r.Account]) {
-		return r.Predicted
+		return r.PredictedFirstToken
 	}
-	return max(r.Predicted, r.PredictedBy)
+	return max(r.PredictedFirstToken, r.PredictedFirstTokenP80)
 }
 
 // latestStart returns the latest time at which a grant still meets the class's
@@ -107,13 +107,13 @@
 		wait, bounded = t-predicted, true
 	}
 	if r.Class.Completion > 0 {
-		left := r.Class.Completion - predicted - r.Remaining
+		left := r.Class.Completion - predicted - r.PredictedAfterFirstToken
 		if !bounded || left < wait {
 			wait = left
 		}
 	}
 	latest := now.Add(wait)
-	if byDeadline := r.Deadline.Add(-predicted - r.Remaining); !r.Deadline.IsZero() && byDeadline.Before(latest) {
+	if byDeadline := r.Deadline.Add(-predicted - r.PredictedAfterFirstToken); !r.Deadline.IsZero() && byDeadline.Before(latest) {
 		latest = byDeadline
 	}
 	return latest
@@ -137,7 +137,7 @@
 // checkTime refuses a request that can't start in time.
 func (g *Gate) checkTime(now time.Time, c *client, u *priorityUsage, e *Entry) (outcome.Outcome, bool) {
 	r := &e.Request
-	if !r.Deadline.IsZero() && !now.Add(r.Predicted).Before(r.Deadline) {
+	if !r.Deadline.IsZero() && !now.Add(r.PredictedFirstToken).Before(r.Deadline) {
 		return g.deadlineRefusal(now, u, e), true
 	}
 	if g.slots == 0 {
@@ -223,7 +223,7 @@
 // slot in time.
 func (g *Gate) lateRefusal(now time.Time, e *Entry) outcome.Outcome {
 	u := g.clients[e.Item.Account].usageOf(e.Item.Priority)
-	if d := e.Request.Deadline; !d.IsZero() && !now.Add(e.Request.Predicted+e.Request.Remaining).Before(d) {
+	if d := e.Request.Deadline; !d.IsZero() && !now.Add(e.Request.PredictedFirstToken+e.Request.PredictedAfterFirstToken).Before(d) {
 		return g.deadlineRefusal(now, u, e)
 	}
 	return g.overloadRefusal(now, u, e, 0)
--- a/internal/admission/gate/sim_test.go
+++ b/internal/admission/gate/sim_test.go
@@ -151,7 +151,7 @@
 	g := s.gates[s.random.IntN(len(s.gates))]
 	e := &Entry{Request: Request{
 		ID: id, Account: l.account, Limit: l.limit, Class: l.class,
-		Remaining: hold, Cost: hold.Seconds(), Attempt: attempt,
+		PredictedAfterFirstToken: hold, Cost: hold.Seconds(), Attempt: attempt,
 	}}
 	s.loadOf[e], s.offeredAt[e] = i, s.now
 	if attempt > 1 && s.endObservable(e) {
@@ -192,7 +192,7 @@
 	if int(r.Attempt) > s.maxRetries {
 		return
 	}
-	s.schedule(refusal.RetryAfter, func() { s.offer(i, s.loads[i], r.ID, r.Remaining, r.Attempt+1) })
+	s.schedule(refusal.RetryAfter, func() { s.offer(i, s.loads[i], r.ID, r.PredictedAfterFirstToken, r.Attempt+1) })
 }
 
 // waitingCost returns the cost of an account's requests that wait at the gates.
@@ -213,7 +213,7 @@
 	if e.Request.Attempt > 1 && s.endObservable(e) {
 		t.admitted++
 	}
-	s.schedule(e.Request.Remaining, func() {
+	s.schedule(e.Request.PredictedAfterFirstToken, func() {
 		g.Done(s.now, e, 0)
 		s.grantNext(g)
 	})
--- a/internal/admission/service.go
+++ b/internal/admission/service.go
@@ -176,7 +176,7 @@
 		sample.Latency /= unloaded.Seconds()
 	}
 	before := s.ejection.State(r.Upstream)
-	s.ejection.Ended(now, r.Upstream, sample)
+	s.ejection.RecordAttemptEnd(now, r.Upstream, sample)
 	if after := s.ejection.State(r.Upstream); after != before || after == ejection.Probing {
 		s.refreshUpstreams(now)
 	}
@@ -250,7 +250,7 @@
 	if s.ejection.State(id) == ejection.Healthy {
 		return
 	}
-	s.ejection.Started(now, id)
+	s.ejection.RecordAttemptStart(now, id)
 	s.refreshUpstreams(now)
 }
 
--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Agenda holds pending actions and the virtual time. The zero value is empty and at
+// Queue holds pending actions and the virtual time. The zero value is empty and at
 // time 0. It is not safe for concurrent use.
-type Agenda struct {
+type Queue struct {
 	now     time.Duration
 	seq     int
 	pending actions
@@ -26,20 +26,20 @@
 type actions []action
 
 // Now returns the virtual time: that of the action that runs or ran last.
-func (a *Agenda) Now() time.Duration { return a.now }
+func (a *Queue) Now() time.Duration { return a.now }
 
 // Clock returns the virtual time as a time.Time, for code that takes a clock.
-func (a *Agenda) Clock() time.Time { return time.Unix(0, int64(a.now)) }
+func (a *Queue) Clock() time.Time { return time.Unix(0, int64(a.now)) }
 
 // At adds an action that runs at virtual time t.
-func (a *Agenda) At(t time.Duration, run func()) {
+func (a *Queue) At(t time.Duration, run func()) {
 	a.seq++
 	heap.Push(&a.pending, action{at: t, seq: a.seq, run: run})
 }
 
 // Step advances the virtual time to that of the next action and runs it. It returns
 // false if there is none.
-func (a *Agenda) Step() bool {
+func (a *Queue) Step() bool {
 	if len(a.pending) == 0 {
 		return false
 	}
--- a/internal/cacheview/cacheview.go
+++ b/internal/cacheview/cacheview.go
@@ -77,9 +77,9 @@
 	return &View{params: p, createdAt: now, sets: sets, words: make([]atomic.Uint64, sets*ways)}
 }
 
-// After returns the sequence number of the newest event that was applied. Only
+// LastSequence returns the sequence number of the newest event that was applied. Only
 // events with higher numbers are needed.
-func (v *View) After() uint64 { return v.lastSequence.Load() }
+func (v *View) LastSequence() uint64 { return v.lastSequence.Load() }
 
 // Apply applies events, which must be in order. A gap in their sequence numbers
 // means that evictions may have been missed, so the confidence in all older entries
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -48,7 +48,7 @@
 	// false when there is none.
 	Pick(ctx context.Context, call Call, exclude []ident.Instance) (target journal.Target, ok bool)
 	// Invoke sends the call to the target once and never retries it.
-	// upstream.Ran reports whether the call may have run in spite of the
+	// upstream.MayHaveRun reports whether the call may have run in spite of the
 	// error. When another incarnation serves the target's address, Invoke
 	// must not send the call there: a new incarnation no longer knows which
 	// fencing numbers are too old.
--- a/internal/calls/dispatch.go
+++ b/internal/calls/dispatch.go
@@ -66,7 +66,7 @@
 	switch {
 	case err == nil:
 		cl.result.outcome = p.recordOutcome(cl.record.Head, answer)
-	case !upstream.Ran(err):
+	case !upstream.MayHaveRun(err):
 		p.writer.enqueue(notRunEvent(cl, outcome.ReasonUpstreamRefused))
 		// Callers are not told the error's text: it may contain addresses
 		// and parts of the call.
--- a/internal/calls/handover.go
+++ b/internal/calls/handover.go
@@ -224,10 +224,10 @@
 	}
 }
 
-// TakeOver accepts a hand-over of a leaving peer. It stores the outcomes, starts
+// AcceptHandOver accepts a hand-over of a leaving peer. It stores the outcomes, starts
 // to run the calls that can be claimed here, and returns the peer's claims of
 // those calls. It does not wait for the calls.
-func (c *Coordinator) TakeOver(h HandOver) []journal.ClaimID {
+func (c *Coordinator) AcceptHandOver(h HandOver) []journal.ClaimID {
 	c.PutOutcomes(h.Outcomes)
 	var accepted []journal.ClaimID
 	for _, handed := range h.Calls {
--- a/internal/calls/journal/codec_test.go
+++ b/internal/calls/journal/codec_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestRecordsSurviveTheLog(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	for _, want := range examples() {
 		data, err := Encode(want)
 		if err != nil {
--- a/internal/calls/network_test.go
+++ b/internal/calls/network_test.go
@@ -114,7 +114,7 @@
 	}
 	send := func(ctx context.Context) (upstream.Answer, error) {
 		answer, err := w.serviceAt(target).Invoke(ctx, req)
-		if upstream.Ran(err) {
+		if upstream.MayHaveRun(err) {
 			w.locked(func() { w.possiblyRun[call.Key]++ })
 		}
 		return answer, err
@@ -217,7 +217,7 @@
 	answer := make(chan []journal.ClaimID, 1)
 	go func() {
 		if p.to.checkpoint() == nil {
-			answer <- p.to.calls.TakeOver(h)
+			answer <- p.to.calls.AcceptHandOver(h)
 		}
 	}()
 	select {
--- a/internal/capacity/configuration.go
+++ b/internal/capacity/configuration.go
@@ -51,7 +51,7 @@
 // publication returns the record that publishes a service's document.
 func publication(name ident.Service, base ident.Revision) ([]byte, error) {
 	return document.EncodePublication(document.Publication{
-		Service: name, Base: base, PublishID: uuid.NewString(), Schema: document.CurrentSchema, Document: documentText(name),
+		Service: name, BaseRevision: base, PublishID: uuid.NewString(), Schema: document.CurrentSchema, Document: documentText(name),
 	})
 }
 
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -36,7 +36,7 @@
 	for i := range leases {
 		wanted = append(wanted, lease.Wanted{Name: lease.Name{Service: serviceAt(i), FailureDomain: domainOf(0, 10)}})
 	}
-	manager.Want(wanted)
+	manager.SetWanted(wanted)
 	loops := newBackgroundLoops()
 	loops.run(manager.Run)
 	defer loops.stop()
@@ -54,7 +54,7 @@
 
 // planCost returns the cost of one plan for a fleet in a steady state.
 func planCost(runners int) (float64, error) {
-	actual := planner.Actual{Service: modelService, Holder: 7, Demand: 0.7 * float64(runners)}
+	actual := planner.Actual{Service: modelService, Fence: 7, Demand: 0.7 * float64(runners)}
 	placement := document.Placement{Min: 2, Max: 2 * runners, OnDemandShare: 0.32}
 	for i := range 10 {
 		for _, reclaimable := range []bool{false, true} {
--- a/internal/capacity/cost.go
+++ b/internal/capacity/cost.go
@@ -18,7 +18,7 @@
 
 // processorTime returns the processor time that this process has used so far.
 func processorTime() time.Duration {
-	used, err := procstat.Processor()
+	used, err := procstat.ProcessorTime()
 	if err != nil {
 		panic(err)
 	}
--- a/internal/capacity/membership.go
+++ b/internal/capacity/membership.go
@@ -218,7 +218,7 @@
 func figuresOf(runners []platform.Instance) *peerv1.Figures {
 	figures := &peerv1.Figures{}
 	for i, u := range runners {
-		figures.Key = append(figures.Key, membership.Key(membership.Entry{ID: u.ID, Incarnation: u.Incarnation}))
+		figures.Key = append(figures.Key, membership.IncarnationKey(membership.Entry{ID: u.ID, Incarnation: u.Incarnation}))
 		figures.Running = append(figures.Running, uint32(i%20))
 		figures.Queued = append(figures.Queued, uint32(i%3))
 		figures.QueuedPrefillTokens = append(figures.QueuedPrefillTokens, uint32(i%7)*400)
--- a/internal/capacity/routing.go
+++ b/internal/capacity/routing.go
@@ -136,7 +136,7 @@
 		requests[i] = admission.Request{
 			Service: modelService, Account: name,
 			Limit: document.AccountLimit{Account: name, RequestsPerSecond: 1e9, Burst: 1 << 30, MaxInFlight: 1 << 20, Share: 1},
-			Class: document.Class{Name: "short", FirstToken: time.Second}, Cost: 400, Remaining: time.Second,
+			Class: document.Class{Name: "short", FirstToken: time.Second}, Cost: 400, PredictedAfterFirstToken: time.Second,
 		}
 	}
 	return requests
--- a/internal/capacity/streams.go
+++ b/internal/capacity/streams.go
@@ -16,8 +16,8 @@
 
 func streamRequest(i int, maxTokens uint32) streaming.Request {
 	return streaming.Request{
-		Key: streaming.Key{Account: "registrar", Request: ident.Request(strconv.Itoa(i))},
-		Ask: streaming.Ask{Service: modelService, Prompt: "dossier", MaxTokens: maxTokens},
+		Key:    streaming.Key{Account: "registrar", Request: ident.Request(strconv.Itoa(i))},
+		Params: streaming.Params{Service: modelService, Prompt: "dossier", MaxTokens: maxTokens},
 	}
 }
 
@@ -32,7 +32,7 @@
 		var all sync.WaitGroup
 		for i := range streams {
 			all.Go(func() {
-				_, _ = registry.Generate(context.Background(), streamRequest(round*streams+i, uint32(count)), &tokens.Sink{Left: count, Done: func() {}})
+				_, _ = registry.Generate(context.Background(), streamRequest(round*streams+i, uint32(count)), &tokens.Sink{TokensLeft: count, OnDone: func() {}})
 			})
 		}
 		all.Wait()
@@ -54,7 +54,7 @@
 		for i := range streams {
 			halfDone.Add(1)
 			callers.Go(func() {
-				_, _ = registry.Generate(ctx, streamRequest(i, half+1), &tokens.Sink{Left: half, Done: halfDone.Done})
+				_, _ = registry.Generate(ctx, streamRequest(i, half+1), &tokens.Sink{TokensLeft: half, OnDone: halfDone.Done})
 			})
 		}
 		halfDone.Wait()
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -33,8 +33,8 @@
 	ServerName string
 }
 
-// Set reports whether any file is named, and so TLS is on.
-func (f Files) Set() bool { return f != Files{} }
+// IsSet reports whether any file is named, and so TLS is on.
+func (f Files) IsSet() bool { return f != Files{} }
 
 // keyMaterial is the content of the files.
 type keyMaterial struct {
@@ -140,10 +140,10 @@
 	return r.current
 }
 
-// Server returns the configuration of a listener, which uses the current files for each
+// ServerConfig returns the configuration of a listener, which uses the current files for each
 // new connection. If there is an authority, clients need a certificate of it. protocols
 // are those offered by ALPN; they are also set in the configuration of each connection.
-func (r *Reloader) Server(protocols ...string) *tls.Config {
+func (r *Reloader) ServerConfig(protocols ...string) *tls.Config {
 	config := r.serverConfig(protocols)
 	config.GetConfigForClient = func(*tls.ClientHelloInfo) (*tls.Config, error) { return r.serverConfig(protocols), nil }
 	return config
@@ -167,9 +167,9 @@
 	return config
 }
 
-// Client returns the configuration for one new connection to a server with a
+// ClientConfig returns the configuration for one new connection to a server with a
 // certificate of the same authority. It is made from the current files.
-func (r *Reloader) Client() *tls.Config {
+func (r *Reloader) ClientConfig() *tls.Config {
 	m := r.currentMaterial()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
--- a/internal/controller/gateways_test.go
+++ b/internal/controller/gateways_test.go
@@ -48,7 +48,7 @@
 // announces an upstream as leaving to the gateways, and another controller
 // reads from them that it is. Otherwise an upstream that is to be stopped would
 // go on getting work, or a new holder would not know that it is draining.
-func TestGatewaysHearAndTellWhatDrains(t *testing.T) {
+func TestGatewaysReceiveAndReportLeavingUpstreams(t *testing.T) {
 	upstream := platform.Instance{
 		ID: "app-1", Incarnation: 3, Role: platform.RolePlain, Service: "auktion-app", FailureDomain: "hall-a", State: platform.Live,
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAnnouncementThatNobodyHearsFails(t *testing.T) {
+func TestUnacknowledgedAnnouncementFails(t *testing.T) {
 	pool, err := peer.NewPool(peer.TLSFiles{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -35,7 +35,7 @@
 		// is over.
 		documents := p.documents.Load()
 		wanted := p.wantedLeases(documents.Value)
-		p.leases.Want(wanted)
+		p.leases.SetWanted(wanted)
 		select {
 		case <-time.After(p.listInterval(wanted)):
 		case <-documents.Changed():
--- a/internal/controllers/configuration/capacity_test.go
+++ b/internal/controllers/configuration/capacity_test.go
@@ -108,6 +108,6 @@
 		b.ReportMetric(float64(read(1)), "empty-read-B")
 		b.ReportMetric(float64(read(0)), "change-read-B")
 	}
-	answer := toProto(document.Delta{Through: 1, Records: []document.DeltaRecord{{Revision: 1, Record: record}}})
+	answer := toProto(document.Delta{CompleteThrough: 1, Records: []document.DeltaRecord{{Revision: 1, Record: record}}})
 	b.ReportMetric(float64(proto.Size(answer)), "peer-answer-B")
 }
--- a/internal/controllers/configuration/controller.go
+++ b/internal/controllers/configuration/controller.go
@@ -124,7 +124,7 @@
 // process knows all records. It is not the revision in force, because records
 // without effect don't raise that one, and so a peer that lacks expired records
 // could not see which process has them. It may be called by any goroutine.
-func (c *Controller) Revision() ident.Revision { return c.State().Through() }
+func (c *Controller) Revision() ident.Revision { return c.State().CompleteThrough() }
 
 // Delta returns what a process lacks that knows all records up to the revision
 // above. It may be called by any goroutine.
@@ -145,7 +145,7 @@
 
 	results := make(chan readResult, 1)
 	read := func() {
-		from, wait := c.reader.From(), c.headWait()
+		from, wait := c.reader.NextOffset(), c.headWait()
 		readers.Go(func() { results <- c.read(ctx, from, wait) })
 	}
 	peers := time.NewTicker(peerInterval)
--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -16,7 +16,7 @@
 func (c *Controller) applyRead(result readResult) time.Duration {
 	if errors.Is(result.err, platform.ErrExpired) {
 		c.markReachable()
-		c.reader.Expired(result.batch.First)
+		c.reader.HandleExpired(result.batch.First)
 		c.logger.Warn("configuration records expired in the log before they were read", "first_kept", result.batch.First)
 		return c.nextBackoff()
 	}
@@ -26,14 +26,14 @@
 	}
 	c.markReachable()
 	c.firstKept = result.batch.First
-	before := c.reader.From()
-	c.recordDecisions(c.reader.Take(result.batch))
+	before := c.reader.NextOffset()
+	c.recordDecisions(c.reader.ApplyBatch(result.batch))
 	if c.reader.AtHead() {
 		c.ready = true
 		c.backoff = 0
 		return minPause
 	}
-	if c.reader.From() == before {
+	if c.reader.NextOffset() == before {
 		return c.nextBackoff()
 	}
 	c.backoff = 0
@@ -71,7 +71,7 @@
 		case document.AcceptedRecord:
 			metrics.accepted.Add(1)
 			c.logger.Info("document accepted", "service", d.Publication.Service,
-				"revision", d.Current, "publish_id", d.Publication.PublishID)
+				"revision", d.CurrentRevision, "publish_id", d.Publication.PublishID)
 		case document.RefusedRecord:
 			metrics.refused.Add(1)
 		case document.SnapshotRecord:
@@ -96,12 +96,12 @@
 	if !ok {
 		return
 	}
-	if peer.Revision <= c.reader.State().Through() {
+	if peer.Revision <= c.reader.State().CompleteThrough() {
 		c.peerAheadSince = time.Time{}
 	} else if c.shouldAskPeer() {
 		c.merge(ctx, peer)
 	}
-	if peer.Revision <= c.reader.State().Through() {
+	if peer.Revision <= c.reader.State().CompleteThrough() {
 		c.readyFromPeers()
 	}
 }
@@ -118,7 +118,7 @@
 func (c *Controller) merge(ctx context.Context, peer Peer) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	delta, err := c.options.Peers.GetDocuments(ctx, peer, c.reader.State().Through())
+	delta, err := c.options.Peers.GetDocuments(ctx, peer, c.reader.State().CompleteThrough())
 	if err == nil {
 		err = c.reader.Merge(delta)
 	}
--- a/internal/controllers/configuration/peers.go
+++ b/internal/controllers/configuration/peers.go
@@ -65,7 +65,7 @@
 }
 
 func toProto(d document.Delta) *peerv1.GetDocumentsResponse {
-	out := &peerv1.GetDocumentsResponse{Revision: uint64(d.Through)}
+	out := &peerv1.GetDocumentsResponse{Revision: uint64(d.CompleteThrough)}
 	for _, r := range d.Records {
 		out.Records = append(out.Records, &peerv1.DocumentRecord{
 			Revision: uint64(r.Revision),
@@ -76,7 +76,7 @@
 }
 
 func fromProto(in *peerv1.GetDocumentsResponse) document.Delta {
-	d := document.Delta{Through: ident.Revision(in.GetRevision())}
+	d := document.Delta{CompleteThrough: ident.Revision(in.GetRevision())}
 	for _, r := range in.GetRecords() {
 		d.Records = append(d.Records, document.DeltaRecord{
 			Revision: ident.Revision(r.GetRevision()),
--- a/internal/controllers/configuration/promise_test.go
+++ b/internal/controllers/configuration/promise_test.go
@@ -139,7 +139,7 @@
 	m.published++
 	id := fmt.Sprintf("p%d", m.published)
 	data, err := document.EncodePublication(document.Publication{
-		Service: service, Base: base, PublishID: id,
+		Service: service, BaseRevision: base, PublishID: id,
 		Schema:   rapid.IntRange(1, newSchema).Draw(t, "schema"),
 		Document: documentText(service, id),
 	})
--- a/internal/controllers/configuration/ready_test.go
+++ b/internal/controllers/configuration/ready_test.go
@@ -18,7 +18,7 @@
 func (w *world) publishNext(t *testing.T, id string, schema int, text []byte) {
 	t.Helper()
 	data, err := document.EncodePublication(document.Publication{
-		Service: service, Base: newOracle(w.log.records()).currentRevision(service),
+		Service: service, BaseRevision: newOracle(w.log.records()).currentRevision(service),
 		PublishID: id, Schema: schema, Document: text,
 	})
 	if err != nil {
@@ -48,7 +48,7 @@
 // reached. Otherwise a new instance uses the stream's first records while the
 // others use the last, and callers of a service are served with an older
 // document than before.
-func TestNothingIsServedByBeforeTheHead(t *testing.T) {
+func TestNothingIsPublishedBeforeTheHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{log: newMemoryLog()}
 		for _, id := range []string{"a", "b", "c"} {
@@ -178,7 +178,7 @@
 // one that it understood, or the service would vanish from the instances of an
 // older program when a newer program publishes a newer schema, and from all
 // instances when a faulty program publishes something that is no document.
-func TestServesByTheLastDocumentUnderstood(t *testing.T) {
+func TestLastUnderstoodDocumentStaysInUse(t *testing.T) {
 	cases := []struct {
 		name    string
 		schema  int
--- a/internal/controllers/fleet/actual.go
+++ b/internal/controllers/fleet/actual.go
@@ -106,7 +106,7 @@
 // have succeeded or failed.
 func (h *holderState) plannerInput(service ident.Service, o observation, now time.Time) planner.Actual {
 	h.resolvePending(o, now)
-	actual := planner.Actual{Service: service, Failures: h.failures, Holder: h.fence, Starts: h.startsRequested}
+	actual := planner.Actual{Service: service, Failures: h.failures, Fence: h.fence, StartsRequested: h.startsRequested}
 	work := 0
 	for _, instance := range o.instances {
 		counted := h.countInstance(instance, o, now)
--- a/internal/controllers/fleet/estimate.go
+++ b/internal/controllers/fleet/estimate.go
@@ -86,10 +86,10 @@
 
 // estimate returns the rates by offering, which combine what was seen with what
 // is assumed.
-func (r *reclaimRates) estimate() planner.Reclaims {
+func (r *reclaimRates) estimate() planner.ReclaimCosts {
 	perHour := make(map[planner.Offering]float64)
 	for offering, hours := range r.exposedHours {
 		perHour[offering] = (assumedReclaimsPerHour*assumedWeightHours + r.reclaims[offering]) / (assumedWeightHours + hours)
 	}
-	return planner.Reclaims{PerHour: perHour, Default: assumedReclaimsPerHour, Lost: workLostByReclaim}
+	return planner.ReclaimCosts{PerHour: perHour, DefaultPerHour: assumedReclaimsPerHour, LostWork: workLostByReclaim}
 }
--- a/internal/controllers/fleet/world_test.go
+++ b/internal/controllers/fleet/world_test.go
@@ -100,7 +100,7 @@
 
 func newWorld() *world {
 	w := &world{list: instances.New(listLag), log: logstore.New(logstore.Options{}), apps: make(map[ident.Instance]*app)}
-	w.cloud = cloud.New(cloud.Options{ChecksFencing: true, Started: w.started, Stopped: w.stopped})
+	w.cloud = cloud.New(cloud.Options{ChecksFencing: true, OnStarted: w.started, OnStopped: w.stopped})
 	return w
 }
 
@@ -281,7 +281,7 @@
 	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{service: {Document: doc}}})
 	listed := blackboard.NewSection(blackboard.Listing{})
 	p.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: requestTimeout}, w.log)
-	p.leases.Want([]lease.Wanted{{Name: lease.Name{Service: service}, Rank: rank}})
+	p.leases.SetWanted([]lease.Wanted{{Name: lease.Name{Service: service}, Rank: rank}})
 	controller := fleet.New(
 		fleet.Config{Interval: time.Second, LoadInterval: fleet.DefaultLoadInterval, RequestTimeout: requestTimeout, MaxParallel: 4, SlotsPerEngine: slots, SlotsPerPlain: slots},
 		fleet.Deps{
--- a/internal/controllers/instances/instances_test.go
+++ b/internal/controllers/instances/instances_test.go
@@ -67,7 +67,7 @@
 // late, or for a notice that was not its own. The platform is down at the
 // start; then notices arrive for another instance, for an earlier incarnation
 // of this one, and for this one.
-func TestNoticesReachTheRightOne(t *testing.T) {
+func TestNoticesAreAttributedToTheirInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePlatform{down: true}
 		members := &recorder{}
--- a/internal/controllers/membership/codec.go
+++ b/internal/controllers/membership/codec.go
@@ -31,7 +31,7 @@
 		LoadAgeMs:           encodeAge(e.Load.At, now),
 		FailureDomain:       string(e.FailureDomain),
 		PeerAddress:         e.PeerAddress,
-		AgeMs:               encodeAge(e.Seen, now),
+		AgeMs:               encodeAge(e.LastSeen, now),
 	}
 	if e.State == blackboard.Gone {
 		line.AgeMs = encodeAge(e.GoneAt, now)
@@ -49,12 +49,12 @@
 	}
 	out := &peerv1.Figures{}
 	for _, e := range figures {
-		out.Key = append(out.Key, membership.Key(e))
+		out.Key = append(out.Key, membership.IncarnationKey(e))
 		out.Running = append(out.Running, e.Load.Running)
 		out.Queued = append(out.Queued, e.Load.Queued)
 		out.QueuedPrefillTokens = append(out.QueuedPrefillTokens, e.Load.QueuedPrefillTokens)
 		out.LoadAgeMs = append(out.LoadAgeMs, encodeAge(e.Load.At, now))
-		out.AgeMs = append(out.AgeMs, encodeAge(e.Seen, now))
+		out.AgeMs = append(out.AgeMs, encodeAge(e.LastSeen, now))
 	}
 	return out
 }
@@ -78,7 +78,7 @@
 		Incarnation:   known.Incarnation,
 		State:         blackboard.Alive,
 		FailureDomain: known.FailureDomain,
-		Seen:          decodeAge(f.GetAgeMs()[i], now),
+		LastSeen:      decodeAge(f.GetAgeMs()[i], now),
 		Load: membership.Load{
 			Running:             f.GetRunning()[i],
 			Queued:              f.GetQueued()[i],
@@ -124,7 +124,7 @@
 	if e.State == blackboard.Gone {
 		e.GoneAt = decodeAge(line.GetAgeMs(), now)
 	} else {
-		e.Seen = decodeAge(line.GetAgeMs(), now)
+		e.LastSeen = decodeAge(line.GetAgeMs(), now)
 	}
 	e.Description = decodeDescription(line, e)
 	return e
--- a/internal/controllers/membership/config.go
+++ b/internal/controllers/membership/config.go
@@ -32,10 +32,10 @@
 	Interval time.Duration
 	// Timeout is how long an exchange may take.
 	Timeout time.Duration
-	// LocalAll is the largest number of peers in the own failure domain that
+	// LocalMeshLimit is the largest number of peers in the own failure domain that
 	// all get each heartbeat. If there are more, three of them get it; see
 	// chooseTargets.
-	LocalAll int
+	LocalMeshLimit int
 	// RemotePerDomain is how many peers of each other failure domain get each
 	// heartbeat, as long as these are not more than RemoteTargetLimit in total.
 	// If they were more, two peers of all the other domains get it.
@@ -53,7 +53,7 @@
 	// to one receiver before it is left to the next heartbeats.
 	PushAttempts int
 	Limits       membership.Limits
-	Suspicion    membership.Suspicion
+	Suspicion    membership.SuspicionTimeouts
 	// PeerFailures is how many exchanges in a row with a peer must fail
 	// before this process suspects it.
 	PeerFailures int
@@ -70,7 +70,7 @@
 		Self:               self,
 		Interval:           time.Second,
 		Timeout:            450 * time.Millisecond,
-		LocalAll:           8,
+		LocalMeshLimit:     8,
 		RemotePerDomain:    2,
 		RemoteTargetLimit:  6,
 		IntroductionFanout: 16,
@@ -78,7 +78,7 @@
 		FullInterval:       30 * time.Second,
 		PushAttempts:       4,
 		Limits:             membership.DefaultLimits(),
-		Suspicion:          membership.Suspicion{Local: 12 * time.Second, Remote: 120 * time.Second},
+		Suspicion:          membership.SuspicionTimeouts{Local: 12 * time.Second, Remote: 120 * time.Second},
 		PeerFailures:       3,
 	}
 }
@@ -90,7 +90,7 @@
 }
 
 // Configuration tells which configuration this process has, which heartbeats
-// announce to the peers. Controller.Highest returns what the peers announced.
+// announce to the peers. Controller.HighestPeer returns what the peers announced.
 type Configuration interface {
 	// Revision returns the highest revision that this process knows.
 	Revision() ident.Revision
--- a/internal/controllers/membership/controller.go
+++ b/internal/controllers/membership/controller.go
@@ -92,7 +92,7 @@
 		State:         blackboard.Alive,
 		FailureDomain: config.Self.FailureDomain,
 		PeerAddress:   config.Self.PeerAddress,
-		Seen:          now,
+		LastSeen:      now,
 		Description:   &description,
 	}, now)
 	c.publish(now)
@@ -188,7 +188,7 @@
 		ID:          o.Instance,
 		Incarnation: o.Incarnation,
 		State:       blackboard.Alive,
-		Seen:        now,
+		LastSeen:    now,
 		Load:        o.Load,
 	}
 	if known, ok := c.table.Find(o.Instance); ok {
@@ -239,7 +239,7 @@
 // publishFacts publishes unless only figures have changed since the last time.
 // A suspicion that new figures clear is published with the next heartbeat.
 func (c *Controller) publishFacts(now time.Time) {
-	if c.table.LastFact() != c.lastPublishedFact {
+	if c.table.LastFactSequence() != c.lastPublishedFact {
 		c.publish(now)
 	}
 }
@@ -249,7 +249,7 @@
 // caller holds mu, so there is one writer.
 func (c *Controller) publish(now time.Time) {
 	c.table.Forget(now)
-	c.lastPublishedFact = c.table.LastFact()
+	c.lastPublishedFact = c.table.LastFactSequence()
 	if !c.membersChanged(now) {
 		return
 	}
@@ -287,7 +287,7 @@
 // alive but was not seen for too long or failed PeerFailures exchanges in a
 // row.
 func (c *Controller) effectiveState(e membership.Entry, now time.Time) blackboard.MemberState {
-	state := c.table.Effective(e, c.config.Suspicion, now)
+	state := c.table.EffectiveState(e, c.config.Suspicion, now)
 	s, ok := c.sessions[e.ID]
 	if ok && state == blackboard.Alive && s.failures >= c.config.PeerFailures {
 		return blackboard.Suspect
--- a/internal/controllers/membership/departure_test.go
+++ b/internal/controllers/membership/departure_test.go
@@ -55,7 +55,7 @@
 // sparseHeartbeats makes heartbeats reach as small a share of the fleet as if
 // it had hundreds of processes.
 func sparseHeartbeats(c *Config) {
-	c.LocalAll = 1
+	c.LocalMeshLimit = 1
 	c.RemoteTargetLimit = 1
 	c.IntroductionFanout = 0
 }
@@ -294,7 +294,7 @@
 // first send only recent changes and its list does not show the departure yet.
 // Comparing the checksums has to reveal the difference, or the process sends
 // work to the upstream.
-func TestOldNewsReachesANewProcess(t *testing.T) {
+func TestOldDepartureReachesANewProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(2, 1, 1, nil)
 		f.add(2, "hall-a", nil)
@@ -327,7 +327,7 @@
 // mean that the peer knows of all ends. One process sees the end of an instance
 // that the other does not know; the checksums are equal; then the other reads a
 // stale list in which the instance is live and must not believe it.
-func TestEndsAreToldThoughChecksumsAreEqual(t *testing.T) {
+func TestEndsAreSentThoughChecksumsAreEqual(t *testing.T) {
 	for tenths := range 10 {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(2, 0, 2, nil)
--- a/internal/controllers/membership/exchange.go
+++ b/internal/controllers/membership/exchange.go
@@ -168,7 +168,7 @@
 	if c.table.Checksum() != position.GetChecksum() {
 		return false
 	}
-	if s.acknowledged.Facts < c.table.LastFact() {
+	if s.acknowledged.Facts < c.table.LastFactSequence() {
 		s.acknowledged.Facts = c.table.EqualThrough(s.acknowledged.Facts)
 	}
 	return true
@@ -301,7 +301,7 @@
 		return
 	}
 	for i, key := range figures.GetKey() {
-		known, ok := c.table.FindKey(key)
+		known, ok := c.table.FindByKey(key)
 		if ok {
 			c.table.MergePeer(from, decodeFigures(figures, i, known, now), now)
 		}
@@ -315,7 +315,7 @@
 		return
 	}
 	e.State = blackboard.Alive
-	e.Seen = now
+	e.LastSeen = now
 	c.table.Observe(e, now)
 }
 
@@ -335,11 +335,11 @@
 	s.failures++
 }
 
-// Highest returns the reachable peer with the highest configuration revision.
+// HighestPeer returns the reachable peer with the highest configuration revision.
 // It returns false while no peer is reachable, and until an exchange with every
 // known peer has succeeded or failed once: a peer not asked yet may have a
 // higher revision.
-func (c *Controller) Highest() (ident.Instance, ident.Revision, bool) {
+func (c *Controller) HighestPeer() (ident.Instance, ident.Revision, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var best ident.Instance
--- a/internal/controllers/membership/fleet_test.go
+++ b/internal/controllers/membership/fleet_test.go
@@ -243,7 +243,7 @@
 				t.Errorf("newcomer knows %+v, want %+v", m.Instance, want)
 			}
 		}
-		if _, _, ok := newcomer.Highest(); !ok {
+		if _, _, ok := newcomer.HighestPeer(); !ok {
 			t.Errorf("newcomer has had no exchange with some peers")
 		}
 		for _, n := range f.nodes {
@@ -258,7 +258,7 @@
 // address. When a controller process sends one under a name of its own,
 // operators would see suspect members without a role, and later departures of
 // instances that never existed.
-func TestProcessThatOnlyAsksIsNoMember(t *testing.T) {
+func TestSenderWithoutPeerAddressIsNoMember(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(1, 1, 1, nil)
 		asked := f.nodes[0]
--- a/internal/controllers/membership/fuzz_test.go
+++ b/internal/controllers/membership/fuzz_test.go
@@ -21,7 +21,7 @@
 	uneven := &peerv1.ExchangeRequest{
 		From:     "p",
 		Position: &peerv1.DigestPosition{Epoch: 1},
-		Figures:  &peerv1.Figures{Key: []uint64{1, membership.Key(known)}, Running: []uint32{1}},
+		Figures:  &peerv1.Figures{Key: []uint64{1, membership.IncarnationKey(known)}, Running: []uint32{1}},
 	}
 	for _, request := range []*peerv1.ExchangeRequest{strange, uneven} {
 		data, err := proto.Marshal(request)
--- a/internal/controllers/membership/targets.go
+++ b/internal/controllers/membership/targets.go
@@ -61,7 +61,7 @@
 }
 
 func chooseLocal(local []target, config Config, r rotation) []target {
-	if len(local) <= config.LocalAll {
+	if len(local) <= config.LocalMeshLimit {
 		return withFigures(takeRotated(local, 0, len(local)))
 	}
 	// The ring is the order of IDs, starting after the own one.
--- a/internal/controllers/orders/late_order_test.go
+++ b/internal/controllers/orders/late_order_test.go
@@ -186,7 +186,7 @@
 	}}})
 }
 
-func (h *holder) wantLease() { h.leases.Want([]lease.Wanted{{Name: leaseName}}) }
+func (h *holder) wantLease() { h.leases.SetWanted([]lease.Wanted{{Name: leaseName}}) }
 
 func documentOf(version string) *document.Set {
 	doc := &document.Document{Service: leaseName.Service, Kind: document.Model, Model: document.ModelSpec{Name: "m", Version: version}}
--- a/internal/controllers/probing/probing_test.go
+++ b/internal/controllers/probing/probing_test.go
@@ -143,7 +143,7 @@
 
 // An upstream is used once it answers, avoided while it doesn't, and used once
 // it answers again.
-func TestAnswersDecide(t *testing.T) {
+func TestUpstreamStateFollowsAnswers(t *testing.T) {
 	runWithFixture(t, func(f *fixture) {
 		f.members.ApplyList([]platform.Instance{engineInstance("u", 1, "a:1")})
 		f.expect("u", blackboard.Suspect)
@@ -165,7 +165,7 @@
 // An upstream that reports that it is leaving, or refuses a request for that
 // reason, must get no more work at once, not only after the next list or probe,
 // and although the list still shows it as live.
-func TestOwnWordCountsAtOnce(t *testing.T) {
+func TestLeavingReportedByTheUpstreamCountsAtOnce(t *testing.T) {
 	runWithFixture(t, func(f *fixture) {
 		list := []platform.Instance{engineInstance("u", 1, "a:1"), engineInstance("v", 1, "a:2")}
 		f.engines.set("a:1", upstream.Report{Instance: "u", Incarnation: 1})
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -54,11 +54,11 @@
 	WarmAt  time.Time
 }
 
-// LifeID returns the ID of the incarnation that started at born. If incarnations shared an
+// IncarnationID returns the ID of the incarnation that started at born. If incarnations shared an
 // ID, an upstream that was leaving, crashed and came back under its name would never get
 // work again, or the new incarnation would be given the failures, the load and the assumed
 // cache content of the one before.
-func LifeID(name ident.Instance, born int64) ident.Instance {
+func IncarnationID(name ident.Instance, born int64) ident.Instance {
 	if born == 0 {
 		return name
 	}
@@ -151,10 +151,10 @@
 	return d.apply(name, offset, u, d.graceEnd(now), now)
 }
 
-// Unreadable applies a record that cannot be decoded, and reports whether it changed
+// ApplyUnreadable applies a record that cannot be decoded, and reports whether it changed
 // something. Whoever wrote it, the upstream gets no work until a readable record follows,
 // because a gateway that lists the store now sees no other record of it.
-func (d *Directory) Unreadable(name ident.Instance, offset ident.Offset, now time.Time) bool {
+func (d *Directory) ApplyUnreadable(name ident.Instance, offset ident.Offset, now time.Time) bool {
 	if _, known := d.entries[name]; !known {
 		return false
 	}
@@ -257,13 +257,13 @@
 	return d.outageEnded.Add(graceAfterOutage)
 }
 
-// Reached records that all records before an offset were applied.
-func (d *Directory) Reached(next ident.Offset) { d.next = max(d.next, next) }
+// AdvanceTo records that all records before an offset were applied.
+func (d *Directory) AdvanceTo(next ident.Offset) { d.next = max(d.next, next) }
 
-// Listed applies a complete listing of the store's newest records before the offset end,
+// ApplyListing applies a complete listing of the store's newest records before the offset end,
 // and reports whether something changed. Entries that are not in it and were not written
 // since are dropped.
-func (d *Directory) Listed(present map[ident.Instance]bool, end ident.Offset, now time.Time) bool {
+func (d *Directory) ApplyListing(present map[ident.Instance]bool, end ident.Offset, now time.Time) bool {
 	changed := false
 	for id, entry := range d.entries {
 		if entry.Present && !present[id] && entry.Offset < end {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -37,7 +37,7 @@
 // Guards against a departed upstream that gets work again, and gateways whose views differ
 // forever, when the same records arrive from the store and other gateways in any order and
 // more than once: the record that arrived last would win.
-func TestRecordsJoinInAnyOrder(t *testing.T) {
+func TestRecordsMergeInAnyOrder(t *testing.T) {
 	type step struct {
 		id       string
 		offset   ident.Offset
@@ -62,8 +62,8 @@
 				d.Apply(ident.Instance(s.id), s.offset, s.upstream, start)
 			}
 			got := make(map[ident.Instance]bool)
-			for _, r := range d.News(0, start).Records {
-				got[r.ID] = r.Upstream != nil
+			for _, r := range d.UpdateSince(0, start).Records {
+				got[r.Name] = r.Upstream != nil
 			}
 			return got
 		}
@@ -120,7 +120,7 @@
 		{"leaves while this gateway alone is away from the store", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
-			d.Take(News{Records: []Record{{ID: "u", Offset: 2}}, UpTo: 3}, at(2*time.Second))
+			d.ApplyUpdate(Update{Records: []Record{{Name: "u", Offset: 2}}, UpTo: 3}, at(2*time.Second))
 		}, 2100 * time.Millisecond, false},
 		// As above, but the gateway learns late that the store answered the others, and
 		// then reads the departure itself.
@@ -136,22 +136,22 @@
 		{"lapsed while the store was away for all", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
-			d.Take(News{Records: []Record{{ID: "u", Offset: 2, Usable: 1500 * time.Millisecond}}, UpTo: 3}, at(5*time.Second))
+			d.ApplyUpdate(Update{Records: []Record{{Name: "u", Offset: 2, UsableFor: 1500 * time.Millisecond}}, UpTo: 3}, at(5*time.Second))
 			d.StoreBack(at(5100 * time.Millisecond))
 		}, 6 * time.Second, true},
 		{"lapsed for all, and its grace has ended", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
-			d.Take(News{Records: []Record{{ID: "u", Offset: 2, Usable: 1500 * time.Millisecond}}, UpTo: 3}, at(5*time.Second))
+			d.ApplyUpdate(Update{Records: []Record{{Name: "u", Offset: 2, UsableFor: 1500 * time.Millisecond}}, UpTo: 3}, at(5*time.Second))
 			d.StoreBack(at(5100 * time.Millisecond))
 		}, 6600 * time.Millisecond, false},
 		{"is not in a complete listing", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
-			d.Listed(map[ident.Instance]bool{}, 5, at(time.Second))
+			d.ApplyListing(map[ident.Instance]bool{}, 5, at(time.Second))
 		}, time.Second, false},
 		{"is newer than a listing", func(d *Directory) {
 			d.Apply("u", 7, ready("u"), at(0))
-			d.Listed(map[ident.Instance]bool{}, 5, at(time.Second))
+			d.ApplyListing(map[ident.Instance]bool{}, 5, at(time.Second))
 		}, time.Second, true},
 		{"an older record comes late", func(d *Directory) {
 			d.Apply("u", 3, leavingOf("u"), at(0))
@@ -179,10 +179,10 @@
 		d.Apply("stays", 2, ready("stays"), at(0))
 	}
 	here.Apply("u", 1, ready("u"), at(0))
-	here.Reached(3)
+	here.AdvanceTo(3)
 	started.Apply("new", 4, ready("new"), at(time.Second))
-	started.Listed(map[ident.Instance]bool{"stays": true, "new": true}, 5, at(time.Second))
-	here.Take(started.News(here.Next(), at(time.Second)), at(time.Second))
+	started.ApplyListing(map[ident.Instance]bool{"stays": true, "new": true}, 5, at(time.Second))
+	here.ApplyUpdate(started.UpdateSince(here.Next(), at(time.Second)), at(time.Second))
 	for id, want := range map[string]bool{"u": false, "stays": true, "new": true} {
 		if got := usable(here, id, at(1100*time.Millisecond)); got != want {
 			t.Errorf("%s is usable: %v, want %v", id, got, want)
@@ -196,26 +196,26 @@
 // Guards against updates with all renewals of entries: the last of 99 gateways with 1,000
 // upstreams received a departure only after 1.3 s. A change must still be sent, even if the
 // entry was renewed since.
-func TestRenewalsAreNoNews(t *testing.T) {
+func TestUpdatesLeaveOutRenewals(t *testing.T) {
 	here, there := New(), New()
 	for _, d := range []*Directory{here, there} {
 		d.Apply("u", 1, ready("u"), at(0))
-		d.Reached(2)
+		d.AdvanceTo(2)
 	}
 	there.Apply("u", 2, ready("u"), at(time.Second))
 	there.Apply("v", 3, ready("v"), at(time.Second))
 	there.Apply("v", 4, ready("v"), at(time.Second))
-	there.Reached(5)
-	news := there.News(here.Next(), at(time.Second))
-	if len(news.Records) != 1 || news.Records[0].ID != "v" || news.UpTo != 5 || news.Complete {
+	there.AdvanceTo(5)
+	news := there.UpdateSince(here.Next(), at(time.Second))
+	if len(news.Records) != 1 || news.Records[0].Name != "v" || news.UpTo != 5 || news.Complete {
 		t.Fatalf("want one record, of v, up to offset 5: %+v", news)
 	}
-	here.Take(news, at(time.Second))
+	here.ApplyUpdate(news, at(time.Second))
 	there.Apply("u", 5, leavingOf("u"), at(2*time.Second))
 	there.Apply("u", 6, leavingOf("u"), at(2*time.Second))
 	there.Apply("v", 7, nil, at(2*time.Second))
-	there.Reached(8)
-	here.Take(there.News(here.Next(), at(2*time.Second)), at(2*time.Second))
+	there.AdvanceTo(8)
+	here.ApplyUpdate(there.UpdateSince(here.Next(), at(2*time.Second)), at(2*time.Second))
 	if usable(here, "u", at(3*time.Second)) || usable(here, "v", at(3*time.Second)) {
 		t.Error("u or v is usable after it left")
 	}
@@ -227,12 +227,12 @@
 	here, there := New(), New()
 	for _, d := range []*Directory{here, there} {
 		d.Apply("u", 1, ready("u"), at(0))
-		d.Reached(2)
+		d.AdvanceTo(2)
 	}
 	there.Apply("u", 2, nil, at(time.Second))
-	there.Reached(3)
+	there.AdvanceTo(3)
 	there.Expire(at(2*time.Second + dropRetention))
-	here.Take(there.News(here.Next(), at(2*time.Second+dropRetention)), at(2*time.Second+dropRetention))
+	here.ApplyUpdate(there.UpdateSince(here.Next(), at(2*time.Second+dropRetention)), at(2*time.Second+dropRetention))
 	if usable(here, "u", at(3*time.Second+dropRetention)) {
 		t.Error("u is usable after it was dropped")
 	}
--- a/internal/directory/incarnations_test.go
+++ b/internal/directory/incarnations_test.go
@@ -14,7 +14,7 @@
 // incarnation returns an entry of the incarnation of upstream "u" that started at born.
 func incarnation(born int64, state State) *Upstream {
 	u := ready("u")
-	u.Name, u.Born, u.ID, u.State = "u", born, LifeID("u", born), state
+	u.Name, u.Born, u.ID, u.State = "u", born, IncarnationID("u", born), state
 	return u
 }
 
@@ -52,11 +52,11 @@
 		}, 0},
 		{"its earlier life is told late by another gateway", func(d *Directory) {
 			d.Apply("u", 5, incarnation(200, Ready), at(0))
-			d.Take(News{Records: []Record{{ID: "u", Offset: 4, Upstream: incarnation(100, Leaving)}}, UpTo: 5}, at(time.Second))
+			d.ApplyUpdate(Update{Records: []Record{{Name: "u", Offset: 4, Upstream: incarnation(100, Leaving)}}, UpTo: 5}, at(time.Second))
 		}, 200},
 		{"its new life is told after a late record of the earlier one", func(d *Directory) {
 			d.Apply("u", 5, incarnation(100, Ready), at(0))
-			d.Take(News{Records: []Record{{ID: "u", Offset: 4, Upstream: incarnation(200, Ready)}}, UpTo: 5}, at(time.Second))
+			d.ApplyUpdate(Update{Records: []Record{{Name: "u", Offset: 4, Upstream: incarnation(200, Ready)}}, UpTo: 5}, at(time.Second))
 		}, 200},
 		{"the same life left and was removed: it does not come back", func(d *Directory) {
 			d.Apply("u", 1, incarnation(100, Leaving), at(0))
@@ -86,7 +86,7 @@
 			if got != c.want {
 				t.Errorf("incarnation %d gets work, want %d", got, c.want)
 			}
-			if _, known := view.Upstream(LifeID("u", 100)); known && c.want == 200 {
+			if _, known := view.Upstream(IncarnationID("u", 100)); known && c.want == 200 {
 				t.Error("the earlier incarnation is still in the view")
 			}
 		})
@@ -95,7 +95,7 @@
 
 // As above, for any records of several incarnations that arrive in any order and more than
 // once.
-func TestLivesJoinInAnyOrder(t *testing.T) {
+func TestIncarnationsMergeInAnyOrder(t *testing.T) {
 	type step struct {
 		offset   ident.Offset
 		upstream *Upstream
@@ -140,7 +140,7 @@
 	d := New()
 	d.Apply("u", 1, incarnation(100, Ready), at(0))
 	d.Apply("v", 2, ready("v"), at(0))
-	if !d.Unreadable("u", 3, at(time.Second)) || d.Unreadable("w", 4, at(time.Second)) {
+	if !d.ApplyUnreadable("u", 3, at(time.Second)) || d.ApplyUnreadable("w", 4, at(time.Second)) {
 		t.Error("Unreadable must report a change for the known name u, and none for the unknown w")
 	}
 	if usable(d, "u/2s", at(time.Second)) || !usable(d, "v", at(time.Second)) {
--- a/internal/directory/updates.go
+++ b/internal/directory/updates.go
@@ -10,18 +10,18 @@
 
 // Record is an upstream's entry as gateways send it to each other.
 type Record struct {
-	// ID is the upstream's name, not the ID of its incarnation.
-	ID     ident.Instance `json:"id"`
+	// Name is the upstream's name, not the ID of its incarnation.
+	Name   ident.Instance `json:"id"`
 	Offset ident.Offset   `json:"off"`
 	// Upstream is nil for a dropped entry.
 	Upstream *Upstream `json:"up,omitempty"`
-	// Usable is how long a dropped entry stays usable, in case it expired only
+	// UsableFor is how long a dropped entry stays usable, in case it expired only
 	// because the store was unavailable.
-	Usable time.Duration `json:"usable,omitempty"`
+	UsableFor time.Duration `json:"usable,omitempty"`
 }
 
-// News is an update from one gateway's directory to another's.
-type News struct {
+// Update is an update from one gateway's directory to another's.
+type Update struct {
 	Records []Record `json:"records,omitempty"`
 	// UpTo is the offset before which the receiver knows all records once it has applied
 	// these.
@@ -31,14 +31,14 @@
 	Complete bool `json:"complete,omitempty"`
 }
 
-// News returns the update for a directory that knows all records before an offset: the
+// UpdateSince returns the update for a directory that knows all records before an offset: the
 // newer changes, or all entries if those do not suffice (see Covers). A gateway that has
 // just started lists the store's entries and does not know which were dropped before. If it
 // sent only newer changes, a receiver that adopts its offset would keep such an upstream
 // forever, and send it requests after it has left. Renewals are left out: with those of
 // hundreds of upstreams, the few changes that matter would be delayed.
-func (d *Directory) News(from ident.Offset, now time.Time) News {
-	update := News{UpTo: d.next, Complete: !d.Covers(from)}
+func (d *Directory) UpdateSince(from ident.Offset, now time.Time) Update {
+	update := Update{UpTo: d.next, Complete: !d.HasChangesSince(from)}
 	if update.Complete {
 		for name, entry := range d.entries {
 			update.Records = append(update.Records, recordOf(name, entry, now))
@@ -55,13 +55,13 @@
 }
 
 func recordOf(name ident.Instance, entry *Entry, now time.Time) Record {
-	record := Record{ID: name, Offset: entry.Offset}
+	record := Record{Name: name, Offset: entry.Offset}
 	switch {
 	case entry.Present:
 		upstream := entry.Upstream
 		record.Upstream = &upstream
 	case now.Before(entry.UsableUntil):
-		record.Usable = entry.UsableUntil.Sub(now)
+		record.UsableFor = entry.UsableUntil.Sub(now)
 	}
 	return record
 }
@@ -116,26 +116,26 @@
 	return l.entries[i:]
 }
 
-// Covers reports whether this directory can update one that knows all records before an
+// HasChangesSince reports whether this directory can update one that knows all records before an
 // offset with newer changes alone, rather than with all entries.
-func (d *Directory) Covers(from ident.Offset) bool { return from >= d.dropsKnownFrom }
+func (d *Directory) HasChangesSince(from ident.Offset) bool { return from >= d.dropsKnownFrom }
 
-// Take applies another gateway's update. It returns the records that changed something, and
+// ApplyUpdate applies another gateway's update. It returns the records that changed something, and
 // whether anything changed, which a complete update may also do by what it lacks. A dropped
 // entry stays usable for as long as the sender says: this gateway alone may have been cut
 // off from the store, or may receive the drop long after it, and would otherwise give a
 // departure the grace of an outage.
-func (d *Directory) Take(update News, now time.Time) (changes []Record, changed bool) {
+func (d *Directory) ApplyUpdate(update Update, now time.Time) (changes []Record, changed bool) {
 	present := make(map[ident.Instance]bool)
 	for _, r := range update.Records {
-		present[r.ID] = r.Upstream != nil
-		if d.apply(r.ID, r.Offset, r.Upstream, now.Add(r.Usable), now) {
+		present[r.Name] = r.Upstream != nil
+		if d.apply(r.Name, r.Offset, r.Upstream, now.Add(r.UsableFor), now) {
 			changes = append(changes, r)
 		}
 	}
 	changed = len(changes) > 0
 	if update.Complete {
-		changed = d.Listed(present, update.UpTo, now) || changed
+		changed = d.ApplyListing(present, update.UpTo, now) || changed
 	}
 	d.next = max(d.next, update.UpTo)
 	return changes, changed
--- a/internal/directory/updates_test.go
+++ b/internal/directory/updates_test.go
@@ -52,15 +52,15 @@
 				}
 				for offset := d.Next(); int(offset) < len(log); offset++ {
 					d.Apply(log[offset].id, offset, log[offset].upstream, now)
-					d.Reached(offset + 1)
+					d.AdvanceTo(offset + 1)
 				}
 			case "list":
 				list(d, log, now)
 				listed[i] = true
 			case "tell":
 				from := dirs[(i+1)%len(dirs)]
-				if from.Next() > d.Next() && (from.Covers(d.Next()) || rapid.Bool().Draw(t, "all are asked for")) {
-					d.Take(from.News(d.Next(), now), now)
+				if from.Next() > d.Next() && (from.HasChangesSince(d.Next()) || rapid.Bool().Draw(t, "all are asked for")) {
+					d.ApplyUpdate(from.UpdateSince(d.Next(), now), now)
 				}
 			case "forget":
 				now = now.Add(dropRetention + time.Second)
@@ -112,7 +112,7 @@
 			d.Apply(id, ident.Offset(offset), log[offset].upstream, now)
 		}
 	}
-	d.Listed(present, end, now)
+	d.ApplyListing(present, end, now)
 }
 
 // check checks the directory against the log, as of the offset that it claims to know.
@@ -133,14 +133,14 @@
 
 // Guards against a collector that examines all upstreams for each gateway that lacks a few
 // changes, and against a change log that grows without bound.
-func TestNewsLookAtWhatChanged(t *testing.T) {
+func TestUpdatesExamineOnlyChanges(t *testing.T) {
 	d := New()
 	const upstreams = 3000
 	offset := ident.Offset(0)
 	write := func(i int, u *Upstream) {
 		offset++
 		d.Apply(ident.Instance(fmt.Sprint("u", i)), offset, u, start)
-		d.Reached(offset + 1)
+		d.AdvanceTo(offset + 1)
 	}
 	for i := range upstreams {
 		write(i, ready(fmt.Sprint("u", i)))
@@ -157,7 +157,7 @@
 	if n := len(d.changes.entries); n > 3*upstreams {
 		t.Errorf("%d changes are kept for %d upstreams", n, upstreams)
 	}
-	if n := len(d.News(from, start).Records); n != 7 {
+	if n := len(d.UpdateSince(from, start).Records); n != 7 {
 		t.Errorf("%d entries are sent, 7 have changed", n)
 	}
 	from = d.Next()
@@ -169,17 +169,17 @@
 
 // Guards against a gateway that passes on only a part of the changes when it received them in
 // another order than they were written in.
-func TestNewsAreWholeAfterChangesInAnyOrder(t *testing.T) {
+func TestUpdatesAreCompleteAfterChangesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New()
 		offsets := rapid.Permutation([]ident.Offset{1, 2, 3, 4, 5, 6, 7, 8}).Draw(t, "order")
 		for _, offset := range offsets {
 			d.Apply(ident.Instance(fmt.Sprint("u", offset)), offset, ready(fmt.Sprint("u", offset)), start)
 		}
-		d.Reached(9)
+		d.AdvanceTo(9)
 		from := ident.Offset(rapid.IntRange(1, 9).Draw(t, "from"))
 		got := make(map[ident.Offset]bool)
-		for _, r := range d.News(from, start).Records {
+		for _, r := range d.UpdateSince(from, start).Records {
 			got[r.Offset] = true
 		}
 		for offset := from; offset < 9; offset++ {
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -67,8 +67,8 @@
 	return ids
 }
 
-// Gone returns the IDs of the upstreams in this view that a later view does not have.
-func (v *View) Gone(later *View) []ident.Instance {
+// MissingFrom returns the IDs of the upstreams in this view that a later view does not have.
+func (v *View) MissingFrom(later *View) []ident.Instance {
 	var gone []ident.Instance
 	for service, list := range v.services {
 		next := later.services[service]
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -34,7 +34,7 @@
 
 // Guards against a view that is built from the one before and lacks a change, or that modifies
 // an earlier view which others still use.
-func TestAViewMadeFromTheOneBeforeIsThatOfAllEntries(t *testing.T) {
+func TestIncrementalViewEqualsRebuiltView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, now := New(), start
 		offset := ident.Offset(0)
@@ -51,7 +51,7 @@
 			case "later life":
 				u := ready(name)
 				u.Born = int64(offset)
-				u.ID = LifeID(u.Name, u.Born) + ident.Instance(name)
+				u.ID = IncarnationID(u.Name, u.Born) + ident.Instance(name)
 				d.Apply(ident.Instance(name), offset, u, now)
 			case "other service":
 				u := ready(name)
@@ -69,7 +69,7 @@
 					d.Expire(now)
 				}
 			case "list":
-				d.Listed(map[ident.Instance]bool{"u0": true, "u1": true}, offset, now)
+				d.ApplyListing(map[ident.Instance]bool{"u0": true, "u1": true}, offset, now)
 			case "view":
 				view := d.Snapshot(now)
 				if diff := cmp.Diff(listOf(rebuiltView(d, now)), listOf(view)); diff != "" {
@@ -98,7 +98,7 @@
 			want = append(want, u.ID)
 		}
 	})
-	got := before.Gone(view)
+	got := before.MissingFrom(view)
 	slices.Sort(got)
 	slices.Sort(want)
 	if !slices.Equal(got, want) {
--- a/internal/document/fold.go
+++ b/internal/document/fold.go
@@ -28,8 +28,8 @@
 // Next returns the first offset that is not part of the state.
 func (s State) Next() ident.Offset { return s.nextOffset }
 
-// Through returns the revision up to which the state is complete.
-func (s State) Through() ident.Revision { return ident.Revision(s.nextOffset) }
+// CompleteThrough returns the revision up to which the state is complete.
+func (s State) CompleteThrough() ident.Revision { return ident.Revision(s.nextOffset) }
 
 // Revision returns the revision of the newest accepted publication.
 func (s State) Revision() ident.Revision { return s.revision }
@@ -76,8 +76,8 @@
 	Kind   DecisionKind
 	// Publication is set for accepted and refused records.
 	Publication Publication
-	// Current is the service's revision after an accepted or refused record.
-	Current ident.Revision
+	// CurrentRevision is the service's revision after an accepted or refused record.
+	CurrentRevision ident.Revision
 	// Covers is set for snapshots: the first offset that is not part of it.
 	Covers ident.Offset
 	// Problem is set for unreadable records and for snapshots that differ from
@@ -123,13 +123,13 @@
 
 func (f *stateBuilder) applyPublication(r platform.Record, p Publication) {
 	current, _ := f.state.Current(p.Service)
-	if p.Base != current.Revision {
-		f.addDecision(Decision{Offset: r.Offset, Kind: RefusedRecord, Publication: p, Current: current.Revision})
+	if p.BaseRevision != current.Revision {
+		f.addDecision(Decision{Offset: r.Offset, Kind: RefusedRecord, Publication: p, CurrentRevision: current.Revision})
 		return
 	}
 	revision := ident.Revision(r.Offset + 1)
 	f.accept(AcceptedPublication{Revision: revision, Publication: p, record: r.Data})
-	f.addDecision(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, Current: revision})
+	f.addDecision(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, CurrentRevision: revision})
 }
 
 // accept puts a publication in force. Earlier ones of the service are kept only if
--- a/internal/document/reader.go
+++ b/internal/document/reader.go
@@ -9,8 +9,8 @@
 )
 
 // Reader keeps a process's State while it reads the configuration stream. It does
-// no I/O: its owner reads the log from the offset Reader.From and passes the results
-// to Reader.Take or Reader.Expired.
+// no I/O: its owner reads the log from the offset Reader.NextOffset and passes the results
+// to Reader.ApplyBatch or Reader.HandleExpired.
 //
 // If the next records have expired from the log, the reader looks for a snapshot
 // that covers all expired records and continues from the offset that the snapshot
@@ -22,7 +22,7 @@
 	// expired unread and that the reader looks for a snapshot.
 	searching bool
 	// firstKept is the offset of the first record that the log keeps, as of the
-	// last call of Reader.Expired.
+	// last call of Reader.HandleExpired.
 	firstKept ident.Offset
 	// searchOffset is the next offset at which to look for a snapshot.
 	searchOffset ident.Offset
@@ -41,8 +41,8 @@
 // State returns the state after all records read so far.
 func (r *Reader) State() State { return r.state }
 
-// From returns the offset to read from next.
-func (r *Reader) From() ident.Offset {
+// NextOffset returns the offset to read from next.
+func (r *Reader) NextOffset() ident.Offset {
 	if r.searching {
 		return r.searchOffset
 	}
@@ -72,10 +72,10 @@
 	return ""
 }
 
-// Take applies a batch that was read from the offset Reader.From, possibly before
+// ApplyBatch applies a batch that was read from the offset Reader.NextOffset, possibly before
 // the last call of Reader.Merge. It returns a decision for each applied record, and
 // none while the reader looks for a snapshot.
-func (r *Reader) Take(batch platform.Batch) []Decision {
+func (r *Reader) ApplyBatch(batch platform.Batch) []Decision {
 	r.head = batch.Head
 	if r.searching {
 		r.findSnapshot(batch.Records)
@@ -102,8 +102,8 @@
 	return len(records) > 0 && records[0].Offset > r.state.nextOffset
 }
 
-// Expired must be called when the log reports that it keeps no records below first.
-func (r *Reader) Expired(first ident.Offset) {
+// HandleExpired must be called when the log reports that it keeps no records below first.
+func (r *Reader) HandleExpired(first ident.Offset) {
 	if first <= r.state.nextOffset {
 		return
 	}
--- a/internal/document/reader_test.go
+++ b/internal/document/reader_test.go
@@ -67,7 +67,7 @@
 		base = ident.Revision(rapid.IntRange(0, len(m.log)).Draw(t, "base"))
 	}
 	data, err := EncodePublication(Publication{
-		Service: service, Base: base, PublishID: fmt.Sprint(len(m.log)),
+		Service: service, BaseRevision: base, PublishID: fmt.Sprint(len(m.log)),
 		Schema: rapid.IntRange(1, schemaCount).Draw(t, "schema"),
 	})
 	if err != nil {
@@ -112,7 +112,7 @@
 }
 
 func (m *readerMachine) read(t *rapid.T) {
-	from := m.reader.From()
+	from := m.reader.NextOffset()
 	batch := platform.Batch{Head: ident.Offset(len(m.log)), First: m.first}
 	if from < m.first {
 		m.pendingAnswers = append(m.pendingAnswers, logAnswer{batch: batch, expired: true})
@@ -132,15 +132,15 @@
 	next := m.pendingAnswers[0]
 	m.pendingAnswers = m.pendingAnswers[1:]
 	if next.expired {
-		m.reader.Expired(next.batch.First)
+		m.reader.HandleExpired(next.batch.First)
 		return
 	}
-	m.reader.Take(next.batch)
+	m.reader.ApplyBatch(next.batch)
 }
 
 // askPeer requests a delta from a peer that has read some part of the log.
 func (m *readerMachine) askPeer(t *rapid.T) {
-	m.deltas = append(m.deltas, m.drawPrefix(t).Delta(m.reader.State().Through()))
+	m.deltas = append(m.deltas, m.drawPrefix(t).Delta(m.reader.State().CompleteThrough()))
 }
 
 func (m *readerMachine) mergePeer(t *rapid.T) {
@@ -213,9 +213,9 @@
 		t.Fatal(err)
 	}
 	var r Reader
-	r.Take(platform.Batch{Records: []platform.Record{{Data: publication}}, Head: 1})
-	r.Expired(5)
-	r.Take(platform.Batch{Records: []platform.Record{{Offset: 5, Data: empty}}, Head: 6, First: 5})
+	r.ApplyBatch(platform.Batch{Records: []platform.Record{{Data: publication}}, Head: 1})
+	r.HandleExpired(5)
+	r.ApplyBatch(platform.Batch{Records: []platform.Record{{Offset: 5, Data: empty}}, Head: 6, First: 5})
 	if _, kept := r.State().Current("spool-llm"); !kept || !r.Searching() {
 		t.Errorf("state %v, searching %v", r.State(), r.Searching())
 	}
--- a/internal/document/record.go
+++ b/internal/document/record.go
@@ -18,9 +18,9 @@
 // Publication is an operator's new version of one document.
 type Publication struct {
 	Service ident.Service
-	// Base is the service's revision that this publication replaces; 0 if it is
+	// BaseRevision is the service's revision that this publication replaces; 0 if it is
 	// the first.
-	Base ident.Revision
+	BaseRevision ident.Revision
 	// PublishID is unique for each publication. By it an operator's program
 	// finds its own record if the answer to the append was lost.
 	PublishID string
@@ -43,7 +43,7 @@
 	return encode(&configv1.Record{Kind: &configv1.Record_Publication{
 		Publication: &configv1.Publication{
 			Service:      string(p.Service),
-			BaseRevision: uint64(p.Base),
+			BaseRevision: uint64(p.BaseRevision),
 			PublishId:    p.PublishID,
 			Schema:       uint32(p.Schema),
 			Document:     p.Document,
@@ -83,11 +83,11 @@
 		return nil, errcode.New(errcode.InvalidArgument, "publication without service or publish ID")
 	}
 	return &Publication{
-		Service:   ident.Service(p.GetService()),
-		Base:      ident.Revision(p.GetBaseRevision()),
-		PublishID: p.GetPublishId(),
-		Schema:    int(p.GetSchema()),
-		Document:  p.GetDocument(),
+		Service:      ident.Service(p.GetService()),
+		BaseRevision: ident.Revision(p.GetBaseRevision()),
+		PublishID:    p.GetPublishId(),
+		Schema:       int(p.GetSchema()),
+		Document:     p.GetDocument(),
 	}, nil
 }
 
--- a/internal/document/record_test.go
+++ b/internal/document/record_test.go
@@ -50,8 +50,8 @@
 // not cover the expired records, or that claims to cover records after itself.
 func checkSearch(t *testing.T, data []byte) {
 	var r Reader
-	r.Expired(5)
-	r.Take(platform.Batch{Records: []platform.Record{{Offset: 6, Data: data}}, Head: 7, First: 5})
+	r.HandleExpired(5)
+	r.ApplyBatch(platform.Batch{Records: []platform.Record{{Offset: 6, Data: data}}, Head: 7, First: 5})
 	if !r.Searching() && (r.State().Next() < 5 || r.State().Next() > 6) {
 		t.Fatalf("took a snapshot that covers %d", r.State().Next())
 	}
--- a/internal/document/snapshot.go
+++ b/internal/document/snapshot.go
@@ -65,8 +65,8 @@
 	// Records are the publications above that revision that State.Versions of
 	// some service returns, ascending by revision.
 	Records []DeltaRecord
-	// Through is the revision up to which Records are complete.
-	Through ident.Revision
+	// CompleteThrough is the revision up to which Records are complete.
+	CompleteThrough ident.Revision
 }
 
 // DeltaRecord is an accepted publication.
@@ -78,7 +78,7 @@
 
 // Delta returns what a process needs whose state is complete up to revision above.
 func (s State) Delta(above ident.Revision) Delta {
-	d := Delta{Through: s.Through()}
+	d := Delta{CompleteThrough: s.CompleteThrough()}
 	for _, a := range s.recordsAbove(above) {
 		d.Records = append(d.Records, DeltaRecord{Revision: a.Revision, Record: a.record})
 	}
@@ -91,26 +91,26 @@
 // Errors: errcode.FailedPrecondition for such a delta, errcode.InvalidArgument for
 // an invalid one.
 func (s State) Merge(d Delta) (State, error) {
-	if d.Through <= s.Through() {
+	if d.CompleteThrough <= s.CompleteThrough() {
 		return s, errcode.Errorf(errcode.FailedPrecondition,
-			"delta through revision %d is not newer than %d", d.Through, s.Through())
+			"delta through revision %d is not newer than %d", d.CompleteThrough, s.CompleteThrough())
 	}
 	f := stateBuilder{state: s}
-	last := s.Through()
+	last := s.CompleteThrough()
 	for _, r := range d.Records {
-		if r.Revision <= s.Through() {
+		if r.Revision <= s.CompleteThrough() {
 			continue
 		}
 		a, err := decodeAccepted(r.Revision, r.Record)
 		if err != nil {
 			return s, err
 		}
-		if a.Revision <= last || a.Revision > d.Through {
+		if a.Revision <= last || a.Revision > d.CompleteThrough {
 			return s, errcode.New(errcode.InvalidArgument, "delta with revisions out of order")
 		}
 		last = a.Revision
 		f.accept(a)
 	}
-	f.state.nextOffset = ident.Offset(d.Through)
+	f.state.nextOffset = ident.Offset(d.CompleteThrough)
 	return f.state, nil
 }
--- a/internal/duty/lease.go
+++ b/internal/duty/lease.go
@@ -39,8 +39,8 @@
 
 // Kept is state that the record passes on to gateways that start.
 type Kept struct {
-	// Requests are the poison requests.
-	Requests json.RawMessage `json:"kept,omitempty"`
+	// PoisonRequests are the poison requests.
+	PoisonRequests json.RawMessage `json:"kept,omitempty"`
 	// Limits are the rate limits that upstreams announced.
 	Limits json.RawMessage `json:"kept_limits,omitempty"`
 }
--- a/internal/duty/lease_test.go
+++ b/internal/duty/lease_test.go
@@ -57,10 +57,10 @@
 
 func (w *world) add(self ident.Instance, rank int) *Manager {
 	m := NewManager(Config{
-		Self: self, Life: ident.Incarnation(len(w.managers) + 1), Timing: testTiming, Store: w, Log: hclog.NewNullLogger(),
+		Self: self, Incarnation: ident.Incarnation(len(w.managers) + 1), Timing: testTiming, Store: w, Log: hclog.NewNullLogger(),
 		Now:  func() time.Time { return w.now },
-		Rank: func() (int, bool) { return rank, false }, Gateways: func() int { return 5 },
-		GivenUp: func() ident.Fence { return w.givenUp(self) }, Lost: func() {},
+		Rank: func() (int, bool) { return rank, false }, GatewayCount: func() int { return 5 },
+		GivenUpFence: func() ident.Fence { return w.givenUp(self) }, OnGivenUp: func() {},
 	})
 	w.managers = append(w.managers, m)
 	return m
@@ -71,7 +71,7 @@
 	highest := ident.Fence(0)
 	for _, m := range w.managers {
 		if m.cfg.Self != self && !w.expiryNotAnnounced {
-			highest = max(highest, m.GivenUp())
+			highest = max(highest, m.GivenUpFence())
 		}
 	}
 	return highest
@@ -250,8 +250,8 @@
 			all[1].tick(t.Context())
 		}
 		grant, holds := all[1].Grant()
-		if !holds || grant.Fence <= holder.GivenUp() || holder.GivenUp() == 0 {
-			t.Errorf("held: %v, fence %d after %d", holds, grant.Fence, holder.GivenUp())
+		if !holds || grant.Fence <= holder.GivenUpFence() || holder.GivenUpFence() == 0 {
+			t.Errorf("held: %v, fence %d after %d", holds, grant.Fence, holder.GivenUpFence())
 		}
 	})
 	// Guards against a call under an older fencing number that reaches the platform after
@@ -270,13 +270,13 @@
 		w.fault = func() fault { return unavailable }
 		w.managers = w.managers[:1]
 		w.run(testTiming.Length)
-		if _, err := grant.Begin(); !errors.Is(err, ErrNotHeld) || holder.GivenUp() != 0 {
-			t.Errorf("Begin returns %v, want ErrNotHeld; reports that %d expired while a call is in flight", err, holder.GivenUp())
+		if _, err := grant.Begin(); !errors.Is(err, ErrNotHeld) || holder.GivenUpFence() != 0 {
+			t.Errorf("Begin returns %v, want ErrNotHeld; reports that %d expired while a call is in flight", err, holder.GivenUpFence())
 		}
 		ended()
 		w.run(tickInterval)
-		if holder.GivenUp() != grant.Fence {
-			t.Errorf("reports that %d expired, want %d", holder.GivenUp(), grant.Fence)
+		if holder.GivenUpFence() != grant.Fence {
+			t.Errorf("reports that %d expired, want %d", holder.GivenUpFence(), grant.Fence)
 		}
 	})
 	// Guards against a duty that goes from one gateway to another and back within the
@@ -305,7 +305,7 @@
 		w := newWorld(1)
 		w.run(time.Second)
 		grant, _ := w.managers[0].Grant()
-		w.managers[0].Refused(grant.Fence)
+		w.managers[0].FenceRejected(grant.Fence)
 		if _, holds := w.managers[0].Grant(); holds {
 			t.Fatal("still held")
 		}
@@ -334,10 +334,10 @@
 	w := newWorld(0)
 	keepState := func(m *Manager, initial string) *string {
 		learned := initial
-		m.cfg.Keep = func() Kept { return Kept{Requests: json.RawMessage(learned), Limits: json.RawMessage(learned)} }
-		m.cfg.Learn = func(kept Kept) {
-			if string(kept.Requests) != string(kept.Limits) {
-				t.Errorf("learned %s and %s", kept.Requests, kept.Limits)
+		m.cfg.KeptState = func() Kept { return Kept{PoisonRequests: json.RawMessage(learned), Limits: json.RawMessage(learned)} }
+		m.cfg.MergeKept = func(kept Kept) {
+			if string(kept.PoisonRequests) != string(kept.Limits) {
+				t.Errorf("learned %s and %s", kept.PoisonRequests, kept.Limits)
 			}
 			learned = string(kept.Limits)
 		}
@@ -364,7 +364,7 @@
 	}
 	third := w.add("c", 0)
 	read := keepState(third, `null`)
-	if _, err := third.ReadGateways(context.Background()); err != nil || *read != `[1]` {
+	if _, err := third.ReadGatewayCount(context.Background()); err != nil || *read != `[1]` {
 		t.Errorf("a gateway that starts learned %s, %v", *read, err)
 	}
 }
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -39,30 +39,30 @@
 
 // Config configures a Manager.
 type Config struct {
-	Self   ident.Instance
-	Life   ident.Incarnation
-	Timing Timing
-	Store  platform.KeyedLog
-	Now    boottime.Clock
-	Log    hclog.Logger
+	Self        ident.Instance
+	Incarnation ident.Incarnation
+	Timing      Timing
+	Store       platform.KeyedLog
+	Now         boottime.Clock
+	Log         hclog.Logger
 	// Rank returns this gateway's rank among the candidates, from 0, and whether
 	// another gateway reports that it holds the lease.
 	Rank func() (rank int, held bool)
-	// Gateways returns how many gateways are known.
-	Gateways func() int
-	// Keep returns the state that the record passes on to gateways that start. Learn
+	// GatewayCount returns how many gateways are known.
+	GatewayCount func() int
+	// KeptState returns the state that the record passes on to gateways that start. Learn
 	// merges the state of a record that was read; it is called before this gateway can
 	// write a record itself. Both may be nil.
-	Keep  func() Kept
-	Learn func(kept Kept)
-	// GivenUp returns the highest fencing number whose holder reports that it no longer
+	KeptState func() Kept
+	MergeKept func(kept Kept)
+	// GivenUpFence returns the highest fencing number whose holder reports that it no longer
 	// acts under it; 0 if none. Without that report, a holder that alone cannot reach the
 	// store is replaced only after its record has not changed for the lease's length
 	// (some 4 s).
-	GivenUp func() ident.Fence
-	// Lost is called when this gateway's lease has expired and no call under it is in
+	GivenUpFence func() ident.Fence
+	// OnGivenUp is called when this gateway's lease has expired and no call under it is in
 	// flight, to tell the other gateways.
-	Lost func()
+	OnGivenUp func()
 }
 
 // Manager claims, renews and releases the lease. It is safe for concurrent use.
@@ -87,7 +87,7 @@
 
 // NewManager returns a manager that does not hold the lease.
 func NewManager(cfg Config) *Manager {
-	return &Manager{cfg: cfg, state: NewState(cfg.Self, cfg.Life)}
+	return &Manager{cfg: cfg, state: NewState(cfg.Self, cfg.Incarnation)}
 }
 
 // Grant is the right to make calls under the lease. Its deadline leaves time for calls
@@ -133,9 +133,9 @@
 	}, nil
 }
 
-// Refused gives the lease up after a call under its fencing number was rejected because
+// FenceRejected gives the lease up after a call under its fencing number was rejected because
 // a later holder has made a call. A number other than the current one is ignored.
-func (m *Manager) Refused(fence ident.Fence) {
+func (m *Manager) FenceRejected(fence ident.Fence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state.fence == fence {
@@ -144,9 +144,9 @@
 	}
 }
 
-// GivenUp returns the fencing number of this gateway's newest lease that expired and has
+// GivenUpFence returns the fencing number of this gateway's newest lease that expired and has
 // no call in flight; 0 if there is none. The gateway never acts under that number again.
-func (m *Manager) GivenUp() ident.Fence {
+func (m *Manager) GivenUpFence() ident.Fence {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.givenUpFence
@@ -167,13 +167,13 @@
 	}
 	m.mu.Unlock()
 	if tell {
-		m.cfg.Lost()
+		m.cfg.OnGivenUp()
 	}
 }
 
-// ReadGateways reads from the store how many gateways the newest holder knew; 0 if there
+// ReadGatewayCount reads from the store how many gateways the newest holder knew; 0 if there
 // is no record.
-func (m *Manager) ReadGateways(ctx context.Context) (int, error) {
+func (m *Manager) ReadGatewayCount(ctx context.Context) (int, error) {
 	if err := m.read(ctx); err != nil {
 		return 0, err
 	}
@@ -230,7 +230,7 @@
 		}
 	}
 	m.mu.Lock()
-	action := m.state.NextAction(m.cfg.Timing, rank, m.cfg.GivenUp(), m.cfg.Now())
+	action := m.state.NextAction(m.cfg.Timing, rank, m.cfg.GivenUpFence(), m.cfg.Now())
 	m.mu.Unlock()
 	if action == Wait {
 		return true
@@ -259,8 +259,8 @@
 		}
 		newest, offset = &record, r.Offset
 	}
-	if newest != nil && m.cfg.Learn != nil {
-		m.cfg.Learn(newest.Kept)
+	if newest != nil && m.cfg.MergeKept != nil {
+		m.cfg.MergeKept(newest.Kept)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -291,9 +291,9 @@
 	}
 	record, condition := m.state.NextRecord(action, uuid.NewString(), decided, m.cfg.Now())
 	m.mu.Unlock()
-	record.GatewayCount = m.cfg.Gateways()
-	if m.cfg.Keep != nil {
-		record.Kept = m.cfg.Keep()
+	record.GatewayCount = m.cfg.GatewayCount()
+	if m.cfg.KeptState != nil {
+		record.Kept = m.cfg.KeptState()
 	}
 	offset, err := m.put(ctx, record, condition)
 	m.mu.Lock()
--- a/internal/e2e/promises_test.go
+++ b/internal/e2e/promises_test.go
@@ -122,7 +122,7 @@
 // Guards against requests that wait for the platform, and against calls that are
 // dispatched without a claim in the log: bids would hang or run unrecorded. The log
 // has an outage under load.
-func TestLogOutageIsToldAtOnce(t *testing.T) {
+func TestLogOutageIsReportedAtOnce(t *testing.T) {
 	s := newSmallSystem(t, 2)
 	result := s.load(loadRate, loadDuration, func() {
 		time.Sleep(warmUp)
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestBadSettingsAreAllToldAndExitWith2(t *testing.T) {
+func TestAllBadSettingsAreReportedWithExitStatus2(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "bad.toml")
 	bad := "[instance]\nid = \"\"\n[limits]\nstop_timeout = \"soon\"\nunknown = 1\n"
 	if err := os.WriteFile(file, []byte(bad), 0o600); err != nil {
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -80,15 +80,15 @@
 type Sample struct {
 	// How many prompt tokens the engine was believed to have to read: for the request itself,
 	// and for the requests that were there before and had no first event.
-	Own, Ahead float64
+	OwnTokens, TokensAhead float64
 	// Running is how many requests were in progress there before.
 	Running float64
-	// First is the time from sending to the first event.
-	First time.Duration
+	// FirstEvent is the time from sending to the first event.
+	FirstEvent time.Duration
 }
 
 // row returns the factors of the coefficients for the sample.
-func (s Sample) row() vector { return vector{1, s.Own / kilo, s.Ahead / kilo, s.Running} }
+func (s Sample) row() vector { return vector{1, s.OwnTokens / kilo, s.TokensAhead / kilo, s.Running} }
 
 // Sums are the weighted sums over samples that Fit needs. The zero value contains no
 // samples.
@@ -163,12 +163,12 @@
 	}
 }
 
-// Learn adds a sample and lets the earlier ones decay. estimate is the current fit to the
+// AddSample adds a sample and lets the earlier ones decay. estimate is the current fit to the
 // samples of all gateways, from which the weight of the sample follows.
-func (s *Sums) Learn(sample Sample, estimate Figures) {
+func (s *Sums) AddSample(sample Sample, estimate Estimate) {
 	s.scale(1 - 1.0/memorySamples)
-	row, first := sample.row(), sample.First.Seconds()
-	expected := estimate.FirstSeconds(sample.Own, sample.Ahead, sample.Running)
+	row, first := sample.row(), sample.FirstEvent.Seconds()
+	expected := estimate.FirstEventSeconds(sample.OwnTokens, sample.TokensAhead, sample.Running)
 	allowed := max(minTolerance, tolerance*expected)
 	weight := allowed / max(allowed, math.Abs(first-expected))
 	s.Weight += weight
@@ -193,39 +193,39 @@
 	}
 }
 
-// Figures are the fitted coefficients of the model of a service's engines.
-type Figures struct {
+// Estimate are the fitted coefficients of the model of a service's engines.
+type Estimate struct {
 	// Base is the time to the first event at an idle engine without reading the prompt.
 	Base time.Duration
 	// The time to read one prompt token, in seconds, and how much later a first event arrives
 	// for each token of other requests that was to be read before, also in seconds. The latter
 	// is less than the former if the view of the other gateways' work is old.
-	Token, Ahead float64
-	// Running is how much later a first event arrives for each request in progress, in
+	SecondsPerToken, SecondsPerTokenAhead float64
+	// SecondsPerRunning is how much later a first event arrives for each request in progress, in
 	// seconds.
-	Running float64
+	SecondsPerRunning float64
 	// Samples is the sum of the weights of the samples, without the prior.
 	Samples float64
 }
 
 // Rate returns how many prompt tokens an engine reads per second.
-func (f Figures) Rate() float64 { return 1 / f.Token }
+func (f Estimate) Rate() float64 { return 1 / f.SecondsPerToken }
 
-// First returns the predicted time to a first event; see Sample for the arguments.
-func (f *Figures) First(own, ahead, running float64) time.Duration {
-	return seconds(f.FirstSeconds(own, ahead, running))
+// FirstEvent returns the predicted time to a first event; see Sample for the arguments.
+func (f *Estimate) FirstEvent(own, ahead, running float64) time.Duration {
+	return seconds(f.FirstEventSeconds(own, ahead, running))
 }
 
-// FirstSeconds returns the predicted time to a first event in seconds, for callers that
+// FirstEventSeconds returns the predicted time to a first event in seconds, for callers that
 // compare many.
-func (f *Figures) FirstSeconds(own, ahead, running float64) float64 {
-	return f.Base.Seconds() + own*f.Token + ahead*f.Ahead + running*f.Running
+func (f *Estimate) FirstEventSeconds(own, ahead, running float64) float64 {
+	return f.Base.Seconds() + own*f.SecondsPerToken + ahead*f.SecondsPerTokenAhead + running*f.SecondsPerRunning
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Fit returns the coefficients that fit the sums and the prior best, within bounds.
-func (s Sums) Fit() Figures {
+func (s Sums) Fit() Estimate {
 	var a [coefficientCount][coefficientCount + 1]float64
 	k := 0
 	for i := range coefficientCount {
@@ -246,7 +246,7 @@
 		x[i] = min(max(x[i], minCoefficients[i]), maxCoefficients[i])
 	}
 	ahead := min(max(x[2], minAheadRatio*x[1]), x[1])
-	return Figures{Base: seconds(x[0]), Token: x[1] / kilo, Ahead: ahead / kilo, Running: x[3], Samples: s.Weight}
+	return Estimate{Base: seconds(x[0]), SecondsPerToken: x[1] / kilo, SecondsPerTokenAhead: ahead / kilo, SecondsPerRunning: x[3], Samples: s.Weight}
 }
 
 // solve solves a system of linear equations with the right-hand side in the last column. The
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -31,23 +31,23 @@
 }
 
 func (f *fleet) sample() Sample {
-	s := Sample{Own: 100 + f.random.ExpFloat64()*1500, Running: float64(f.random.IntN(8))}
+	s := Sample{OwnTokens: 100 + f.random.ExpFloat64()*1500, Running: float64(f.random.IntN(8))}
 	if f.random.IntN(3) == 0 {
-		s.Ahead = f.random.ExpFloat64() * 1500
+		s.TokensAhead = f.random.ExpFloat64() * 1500
 	}
-	first := f.first(s.Own, s.Ahead, s.Running) * (0.9 + 0.2*f.random.Float64())
+	first := f.first(s.OwnTokens, s.TokensAhead, s.Running) * (0.9 + 0.2*f.random.Float64())
 	if f.spoil != nil {
 		first = f.spoil(f.random, s, first)
 	}
-	s.First = seconds(first)
+	s.FirstEvent = seconds(first)
 	return s
 }
 
 // addSamples gives each gateway a number of samples. The gateways exchange their sums at once.
-func (f *fleet) addSamples(gateways []Sums, samples int) Figures {
+func (f *fleet) addSamples(gateways []Sums, samples int) Estimate {
 	for range samples {
 		for g := range gateways {
-			gateways[g].Learn(f.sample(), total(gateways).Fit())
+			gateways[g].AddSample(f.sample(), total(gateways).Fit())
 		}
 	}
 	return total(gateways).Fit()
@@ -62,7 +62,7 @@
 }
 
 // relativeError returns the relative error of the estimated rate.
-func relativeError(f Figures, rate float64) float64 { return math.Abs(f.Rate()/rate - 1) }
+func relativeError(f Estimate, rate float64) float64 { return math.Abs(f.Rate()/rate - 1) }
 
 // Guards against work going to the wrong engines, and too few engines being kept, on machines
 // of an unknown kind, when a system has just started: a constant suits only some machines. An
@@ -121,7 +121,7 @@
 		}},
 		{"one in five holds half of what it was believed to read", func(r *rand.Rand, s Sample, first float64) float64 {
 			if r.IntN(5) == 0 {
-				return first - s.Own/2/30_900
+				return first - s.OwnTokens/2/30_900
 			}
 			return first
 		}},
@@ -164,10 +164,10 @@
 		}
 		var s Sums
 		for range 3 {
-			s.Learn(Sample{Own: own, Ahead: ahead, Running: running, First: time.Duration(first % int64(time.Hour))}, s.Fit())
+			s.AddSample(Sample{OwnTokens: own, TokensAhead: ahead, Running: running, FirstEvent: time.Duration(first % int64(time.Hour))}, s.Fit())
 		}
 		got := s.Fit()
-		if !(got.Rate() >= 4_999 && got.Rate() <= 1_000_001) || got.Base <= 0 || !(got.Running > 0) {
+		if !(got.Rate() >= 4_999 && got.Rate() <= 1_000_001) || got.Base <= 0 || !(got.SecondsPerRunning > 0) {
 			t.Fatalf("meaningless coefficients: %+v", got)
 		}
 	})
@@ -179,6 +179,6 @@
 	sample := f.sample()
 	b.ReportAllocs()
 	for b.Loop() {
-		s.Learn(sample, s.Fit())
+		s.AddSample(sample, s.Fit())
 	}
 }
--- a/internal/entry/barred.go
+++ b/internal/entry/barred.go
@@ -23,13 +23,13 @@
 // listBarred prints a line for each barred request.
 func (p *Process) listBarred(w http.ResponseWriter, _ *http.Request) {
 	for _, b := range p.poison.List() {
-		fmt.Fprintf(w, "%s found_s=%.0f idle_s=%.0f ends=%d\n", b.Content, b.Age.Seconds(), b.Idle.Seconds(), b.Ends)
+		fmt.Fprintf(w, "%s found_s=%.0f idle_s=%.0f ends=%d\n", b.Content, b.Age.Seconds(), b.Idle.Seconds(), b.Crashes)
 	}
 }
 
 // clearBarred allows one barred request to run again, at all gateways.
 func (p *Process) clearBarred(w http.ResponseWriter, r *http.Request) {
-	content, err := ident.ParseContent(r.PathValue("name"))
+	content, err := ident.ParseContentHash(r.PathValue("name"))
 	switch {
 	case err != nil:
 		http.Error(w, "not a content as "+barredPath+" prints it", http.StatusBadRequest)
@@ -44,5 +44,5 @@
 func (p *Process) writePoisonMetrics(w io.Writer) {
 	c := p.poison.Counters()
 	fmt.Fprintf(w, "upstreams_ended_total %d\nrequests_barred_found_total %d\nrequests_barred_total %d\nrequests_barred_now %d\nrequests_suspected_now %d\n",
-		c.Crashes, c.Found, c.Refused, len(p.poison.List()), p.poison.Suspected())
+		c.Crashes, c.Convicted, c.Barred, len(p.poison.List()), p.poison.Suspected())
 }
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -173,10 +173,10 @@
 	}
 	if err := findings.Err(); err != nil {
 		c.log.Error("rollout not usable, no other version gets work", "service", order.Service, "offset", record.Offset, "findings", err)
-		c.rollouts.Unreadable(order.Service)
+		c.rollouts.ApplyUnreadableOrder(order.Service)
 		return
 	}
-	c.rollouts.Order(order, 0, "store")
+	c.rollouts.ApplyOrder(order, 0, "store")
 }
 
 // confirmedAt returns the last time at which all of the operators' records then written were
--- a/internal/entry/configuration_test.go
+++ b/internal/entry/configuration_test.go
@@ -102,7 +102,7 @@
 // Guards against a change that comes into force too late because a gateway waits for the
 // others' confirmations, while the first gateways have lost the store or this one has lost
 // the others.
-func TestAGatewayWithoutOthersWordAsksTheStore(t *testing.T) {
+func TestAGatewayWithoutConfirmationsAsksTheStore(t *testing.T) {
 	s := newConfigFixture(t, waitingReaders)
 	from := s.now
 	s.follow(t, changeDue, 0, 0)
@@ -119,7 +119,7 @@
 
 // Guards against a gateway that keeps an old configuration and takes it for the newest
 // because another gateway confirmed a newer revision.
-func TestAnothersWordForANewerRevisionConfirmsNothing(t *testing.T) {
+func TestAReportOfANewerRevisionConfirmsNothing(t *testing.T) {
 	s := newConfigFixture(t, waitingReaders)
 	s.now = s.now.Add(time.Second)
 	s.confirmFromPeer(8, s.now)
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -60,7 +60,7 @@
 // started. It retries for as long as that number counts.
 func (p *Process) readGatewayCount(ctx context.Context) {
 	for failures := 0; p.now().Sub(p.started) < gatewaysBeforeStartPeriod; failures++ {
-		n, err := p.lease.ReadGateways(ctx)
+		n, err := p.lease.ReadGatewayCount(ctx)
 		if err == nil {
 			p.gatewaysBeforeStart.Store(int64(n))
 			p.log.Info("gateways before the start", "count", n)
@@ -74,28 +74,28 @@
 
 func (p *Process) newLease() *duty.Manager {
 	return duty.NewManager(duty.Config{
-		Self: p.settings.Instance.ID, Life: p.incarnation, Timing: duty.NewTiming(p.settings.Lease.Length, platform.DutyTimeout),
-		Store: p.ports.Store, Now: p.now, Log: p.log.Named("lease"), Rank: p.leaseRank, Gateways: p.gatewayCount,
-		GivenUp: p.givenUpFence, Keep: p.recordsToKeep, Learn: p.restoreKept,
-		Lost: func() { go p.gossip.Say(context.Background()) },
+		Self: p.settings.Instance.ID, Incarnation: p.incarnation, Timing: duty.NewTiming(p.settings.Lease.Length, platform.DutyTimeout),
+		Store: p.ports.Store, Now: p.now, Log: p.log.Named("lease"), Rank: p.leaseRank, GatewayCount: p.gatewayCount,
+		GivenUpFence: p.givenUpFence, KeptState: p.recordsToKeep, MergeKept: p.restoreKept,
+		OnGivenUp: func() { go p.gossip.Announce(context.Background()) },
 	})
 }
 
 // recordsToKeep returns what must survive when all gateways end at once.
 func (p *Process) recordsToKeep() duty.Kept {
-	return duty.Kept{Requests: p.poison.Keep(), Limits: p.limits.Keep()}
+	return duty.Kept{PoisonRequests: p.poison.Snapshot(), Limits: p.limits.Snapshot()}
 }
 
 // restoreKept restores what recordsToKeep returned at an earlier holder of the lease.
 func (p *Process) restoreKept(kept duty.Kept) {
-	p.poison.Learn(kept.Requests)
+	p.poison.Restore(kept.PoisonRequests)
 	p.limits.Restore(kept.Limits)
 }
 
 // givenUpFence returns the highest fencing number of a lease whose holder reports that the
 // lease has ended.
 func (p *Process) givenUpFence() ident.Fence {
-	return p.view.Load().GivenUp
+	return p.view.Load().GivenUpFence
 }
 
 // leaseRank returns this gateway's rank among those that may claim the lease, 0 first, and
@@ -105,12 +105,12 @@
 		return notCandidateRank, true
 	}
 	v := p.view.Load()
-	return v.Place, v.Holds
+	return v.Rank, v.LeaseHeld
 }
 
 func (p *Process) newReporter() *metering.Reporter {
 	return &metering.Reporter{
-		Length: p.settings.Usage.Window, DueAfter: p.settings.Usage.DueAfter, Gather: p.gossip.Gather, TrueTime: p.trueTime, Now: p.now, Ledger: p.ledger, Leases: p.lease,
+		WindowLength: p.settings.Usage.Window, DueAfter: p.settings.Usage.DueAfter, Gather: p.gossip.RequestCounts, TrueTime: p.trueTime, Now: p.now, Ledger: p.ledger, Leases: p.lease,
 		Duties: p.ports.Duties, Log: p.log.Named("metering"),
 	}
 }
@@ -118,15 +118,15 @@
 func (p *Process) newScaling() *scaling.Controller {
 	return &scaling.Controller{
 		Now: p.now, Table: p.table, View: p.board.upstreams.Value, Need: p.neededUpstreams, Leases: p.lease,
-		Duties: p.ports.Duties, Log: p.log.Named("scaling"), Serves: p.rollouts.Serves, Changing: p.rollouts.Running,
-		Lacking: p.limits.Lacking,
+		Duties: p.ports.Duties, Log: p.log.Named("scaling"), Serves: p.rollouts.Serves, RolloutRunning: p.rollouts.InProgress,
+		UnservedShare: p.limits.UnservedShare,
 	}
 }
 
 func (p *Process) newRollouts() *rollout.Controller {
 	return rollout.NewController(rollout.ControllerConfig{
-		Tracker: p.rollouts, Leases: p.lease, Store: p.ports.Store, Reports: p.ports.RolloutReports, TrueTime: p.trueTime,
-		Gateways: p.gatewayCount, Drain: p.chooser.Drain, Running: p.runningRequests, Log: p.log.Named("rollout"),
+		Tracker: p.rollouts, Leases: p.lease, Store: p.ports.Store, StatusTopic: p.ports.RolloutReports, TrueTime: p.trueTime,
+		Gateways: p.gatewayCount, DrainTime: p.chooser.DrainTime, InFlight: p.runningRequests, Log: p.log.Named("rollout"),
 		Settled: func(service ident.Service) bool { return p.rollouts.Settled(service, p.hasNoRequests) },
 	})
 }
@@ -135,7 +135,7 @@
 // a service that match, nor at any upstream that is not listed any more.
 func (p *Process) hasNoRequests(service ident.Service, match func(*directory.Upstream) bool) bool {
 	view := p.board.upstreams.Value()
-	for id := range p.chooser.Own() {
+	for id := range p.chooser.OwnLoads() {
 		if u, listed := view.Upstream(id); !listed || u.Service == service && match(&u) {
 			return false
 		}
@@ -146,7 +146,7 @@
 // runningRequests returns how many requests all gateways have in flight at a service.
 func (p *Process) runningRequests(service ident.Service) int {
 	sum := 0
-	own, others := p.chooser.Own(), p.view.Load()
+	own, others := p.chooser.OwnLoads(), p.view.Load()
 	for _, u := range p.board.upstreams.Value().Of(service) {
 		sum += own[u.ID].Running + others.loadOf(u.ID).Running
 	}
@@ -162,9 +162,9 @@
 	d := p.chooser.Demand(s.Name, p.now())
 	v := p.view.Load()
 	for i := range v.Groups {
-		d = d.Plus(v.Groups[i].Work[s.Name])
+		d = d.Plus(v.Groups[i].Demand[s.Name])
 	}
-	return scaling.Need(d, p.chooser.EngineFigures(s.Name, p.now()), s.Engine.Slots)
+	return scaling.Need(d, p.chooser.EngineEstimate(s.Name, p.now()), s.Engine.Slots)
 }
 
 // demand returns this gateway's demand for each service that can be scaled, for its report.
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -84,7 +84,7 @@
 	p.metrics.Write(w)
 	c := p.pool.Counters()
 	fmt.Fprintf(w, "connections_dialled_total %d\nconnections_failed_total %d\nconnections_reused_total %d\nconnections_closed_total %d\nanswers_stray_total %d\n",
-		c.Dials, c.DialFailures, c.Reuses, c.Discards, c.Strays)
+		c.Dials, c.DialFailures, c.Reuses, c.Discards, c.ClosedUnmatched)
 	made, failed := p.ports.StoreCalls()
 	fmt.Fprintf(w, "store_calls_total %d\nstore_calls_failed_total %d\n", made, failed)
 	lines, dropped := p.ring.Counts()
@@ -105,9 +105,9 @@
 	v := p.view.Load()
 	fmt.Fprintf(w, "gateways_heard %d\ngateways_known %d\nclock_correction_seconds %.3f\n", v.Heard, v.Known, v.WallCorrection.Seconds())
 	fmt.Fprintf(w, "gateways_reports_age_seconds %.3f\n", v.age(p.now()).Seconds())
-	work := p.gossip.Work()
+	work := p.gossip.CollectorStats()
 	fmt.Fprintf(w, "collector_reports_total %d\ncollector_sums_total %d\ncollector_sum_parts_total %d\ncollector_answers_refused_total %d\n",
-		work.Reports, work.Sums, work.Parts, work.Refused)
+		work.Reports, work.Sums, work.Parts, work.RejectedAnswers)
 	fmt.Fprintf(w, "requests_active %d\ngossip_bytes_total %d\n", p.callers.Active(), p.gossip.Bytes())
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -120,9 +120,9 @@
 		if s.Engine == nil {
 			continue
 		}
-		f := p.chooser.EngineFigures(s.Name, p.now())
+		f := p.chooser.EngineEstimate(s.Name, p.now())
 		fmt.Fprintf(w, "engine_tokens_per_second{service=%q} %.0f\nengine_base_seconds{service=%q} %.4f\nengine_running_seconds{service=%q} %.5f\nengine_samples{service=%q} %.0f\n",
-			s.Name, f.Rate(), s.Name, f.Base.Seconds(), s.Name, f.Running, s.Name, f.Samples)
+			s.Name, f.Rate(), s.Name, f.Base.Seconds(), s.Name, f.SecondsPerRunning, s.Name, f.Samples)
 	}
 }
 
@@ -136,7 +136,7 @@
 	end := start.Add(p.settings.Stop.Grace - stopMargin)
 	p.callers.Leave(start.Add(acceptStreamsFor), end)
 	p.log.Info("leaving", "active", p.callers.Active(), "grace_ms", p.settings.Stop.Grace.Milliseconds())
-	go p.gossip.Say(ctx)
+	go p.gossip.Announce(ctx)
 	for now := p.now(); now.Before(end); now = p.now() {
 		left := 1
 		if now.Sub(start) >= closeIdleAfter {
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -37,7 +37,7 @@
 		uses.Add(v.Groups[i].LimitUses)
 	}
 	p.limits.Refresh(uses, upstreamlimit.Fleet{Heard: v.Heard + 1, Known: p.gatewayCount()})
-	p.limits.Listed(func(note func(ident.Instance)) {
+	p.limits.UpdateListed(func(note func(ident.Instance)) {
 		p.board.upstreams.Value().Each(func(u *directory.Upstream) { note(u.ID) })
 	})
 }
@@ -45,9 +45,9 @@
 // applyLimits merges the rate limits of upstreams that another gateway reported as of the
 // given time. A zero time means that it is unknown, and counts as now: the report was on its
 // way for less time than gateways need to learn of each other.
-func (p *Process) applyLimits(said []upstreamlimit.Said, asOf time.Time) {
+func (p *Process) applyLimits(said []upstreamlimit.Announcement, asOf time.Time) {
 	if asOf.IsZero() {
 		asOf = p.now()
 	}
-	p.limits.Learn(said, asOf)
+	p.limits.MergeAnnouncements(said, asOf)
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -36,30 +36,30 @@
 	now := p.now()
 	v := &peerView{View: p.gossip.View(now)}
 	v.loads = totalLoads(v.Groups)
-	p.ledger.Hear(p.incarnationID, p.counter.Windows())
+	p.ledger.MergeCounts(p.incarnationID, p.counter.Windows())
 	p.view.Store(v)
 	p.rollouts.Refresh(mergeRolloutStates(v.Groups))
 	p.poison.Refresh(mergePoisonReports(v.Groups))
 	p.refreshLimits(v)
 	if table := p.table(); table != nil {
-		p.quotas.Tick(table.Accounts(), now)
+		p.quotas.ApplyReports(table.Accounts(), now)
 	}
 }
 
 // mergeRolloutStates merges what the groups report about rollouts.
-func mergeRolloutStates(groups []gossip.Group) rollout.Words {
-	var merged rollout.Words
+func mergeRolloutStates(groups []gossip.Group) rollout.OrderStates {
+	var merged rollout.OrderStates
 	for i := range groups {
-		merged = merged.Plus(groups[i].Rollouts)
+		merged = merged.Merge(groups[i].Rollouts)
 	}
 	return merged
 }
 
 // mergePoisonReports merges what the groups report about poison requests.
-func mergePoisonReports(groups []gossip.Group) poison.Words {
-	var merged poison.Words
+func mergePoisonReports(groups []gossip.Group) poison.Report {
+	var merged poison.Report
 	for i := range groups {
-		merged = merged.Plus(groups[i].Poison)
+		merged = merged.Merge(groups[i].Poison)
 	}
 	return merged
 }
@@ -89,11 +89,11 @@
 }
 
 // loadOf returns the total load that the other gateways have at an upstream.
-func (v *peerView) loadOf(id ident.Instance) placement.Load { return v.loads[gossip.KeyOf(id)] }
+func (v *peerView) loadOf(id ident.Instance) placement.Load { return v.loads[gossip.UpstreamKeyOf(id)] }
 
 // storeRank returns this gateway's rank among the gateways whose reports it receives; 0 is
 // the first to ask the store.
-func (p *Process) storeRank() int { return p.view.Load().Place }
+func (p *Process) storeRank() int { return p.view.Load().Rank }
 
 // gatewaysBeforeStartPeriod is how long after its start a process assumes that there are at
 // least as many gateways as before. Without it, when many gateways start at once, each knows
@@ -118,9 +118,9 @@
 
 // quotaReports returns what the other gateways report about an account. It reads no clock
 // because it is called for each of hundreds of accounts, eight times a second.
-func (p *Process) quotaReports(account ident.ClientAccount, now time.Time) quota.Others {
+func (p *Process) quotaReports(account ident.ClientAccount, now time.Time) quota.OtherGateways {
 	v := p.view.Load()
-	o := quota.Others{Known: p.gatewayCountAt(now) - 1, Reports: make([]quota.Report, len(v.Groups))}
+	o := quota.OtherGateways{Known: p.gatewayCountAt(now) - 1, Reports: make([]quota.Report, len(v.Groups))}
 	for i := range v.Groups {
 		g := &v.Groups[i]
 		spending := g.Accounts[account]
@@ -145,39 +145,39 @@
 // other gateways, and how it applies their reports.
 type knowledge struct{ p *Process }
 
-// Brief implements gossip.Knowledge.
-func (k knowledge) Brief(time.Time) gossip.Report {
+// BriefReport implements gossip.Knowledge.
+func (k knowledge) BriefReport(time.Time) gossip.Report {
 	p := k.p
 	r := gossip.Report{
 		Contact: p.contact(), Incarnation: p.incarnation, Seq: p.seq.Add(1), WallMillis: time.Now().UnixMilli(), Leaving: p.leaving.Load(),
-		GivenUp: p.lease.GivenUp(),
+		GivenUpFence: p.lease.GivenUpFence(),
 	}
 	r.Revision, r.RevisionAge = p.configuration.state()
-	r.Upstreams, r.UpstreamsAge = p.upstreams.state()
-	_, r.Holds = p.lease.Grant()
-	r.Rollouts = p.rollouts.Words(p.hasNoRequests)
-	r.Poison = p.poison.Words()
-	r.Limits = p.limits.Say()
-	r.LimitSet = p.limits.Order().Set
+	r.UpstreamsOffset, r.UpstreamsAge = p.upstreams.state()
+	_, r.HoldsLease = p.lease.Grant()
+	r.Rollouts = p.rollouts.OrderStates(p.hasNoRequests)
+	r.Poison = p.poison.Report()
+	r.Limits = p.limits.Announcements()
+	r.LimitSet = p.limits.LimitedSet().Hash
 	return r
 }
 
 // Report implements gossip.Knowledge.
 func (k knowledge) Report(now time.Time) gossip.Report {
 	p := k.p
-	r := k.Brief(now)
-	r.Began = p.counter.Windows()
+	r := k.BriefReport(now)
+	r.StartedRequests = p.counter.Windows()
 	r.Loads = make(map[gossip.UpstreamKey]placement.Load)
-	for id, load := range p.chooser.Own() {
-		r.Loads[gossip.KeyOf(id)] = load
+	for id, load := range p.chooser.OwnLoads() {
+		r.Loads[gossip.UpstreamKeyOf(id)] = load
 	}
 	r.Accounts = make(map[ident.ClientAccount]gossip.Spending)
 	for account, total := range p.quotas.Totals() {
 		r.Accounts[account] = gossip.Spending{Spent: total.Spent, Refused: total.Refused}
 	}
 	r.LimitUses = p.limits.Uses()
-	r.Work = p.demand(now)
-	r.Engines = p.chooser.Engines()
+	r.Demand = p.demand(now)
+	r.Engines = p.chooser.EngineSums()
 	return r
 }
 
@@ -188,21 +188,23 @@
 	}
 }
 
-// Config implements gossip.Knowledge.
-func (k knowledge) Config(revision ident.Revision) *gossip.ConfigRecord {
+// ConfigSince implements gossip.Knowledge.
+func (k knowledge) ConfigSince(revision ident.Revision) *gossip.ConfigRecord {
 	return k.p.configuration.newerThan(revision)
 }
 
-// Upstreams implements gossip.Knowledge.
-func (k knowledge) Upstreams(from ident.Offset, all bool) *directory.News {
+// UpstreamsSince implements gossip.Knowledge.
+func (k knowledge) UpstreamsSince(from ident.Offset, all bool) *directory.Update {
 	return k.p.upstreams.updateSince(from, all)
 }
 
-// Lacks implements gossip.Knowledge.
-func (k knowledge) Lacks() bool { return k.p.configuration.needsFetch() || k.p.upstreams.needsFetch() }
+// NeedsFetch implements gossip.Knowledge.
+func (k knowledge) NeedsFetch() bool {
+	return k.p.configuration.needsFetch() || k.p.upstreams.needsFetch()
+}
 
-// Learn implements gossip.Knowledge.
-func (k knowledge) Learn(config *gossip.ConfigRecord, upstreams *directory.News) {
+// ApplyUpdates implements gossip.Knowledge.
+func (k knowledge) ApplyUpdates(config *gossip.ConfigRecord, upstreams *directory.Update) {
 	if config != nil {
 		k.p.configuration.apply(config.Offset, config.Data, "gateway")
 	}
@@ -211,24 +213,24 @@
 	}
 }
 
-// Heard implements gossip.Knowledge.
-func (k knowledge) Heard(r *gossip.Report, asOf time.Time) {
+// ApplyReport implements gossip.Knowledge.
+func (k knowledge) ApplyReport(r *gossip.Report, asOf time.Time) {
 	// The orders in the report are applied before what it confirms, so that this gateway
 	// doesn't count its knowledge of the operators' records as complete without them.
-	k.p.rollouts.Learn(r.Rollouts)
+	k.p.rollouts.Merge(r.Rollouts)
 	k.p.applyLimits(r.Limits, asOf)
 	// An old report confirms nothing, but it may still announce a newer revision.
 	k.p.configuration.confirmFromPeer(r.Revision, asOf.Add(-r.RevisionAge))
-	k.p.upstreams.confirmFromPeer(r.Upstreams, asOf.Add(-r.UpstreamsAge))
-	k.p.ledger.Hear(gossip.LifeOf(r.Node, r.Incarnation), r.Began)
+	k.p.upstreams.confirmFromPeer(r.UpstreamsOffset, asOf.Add(-r.UpstreamsAge))
+	k.p.ledger.MergeCounts(gossip.IncarnationID(r.Node, r.Incarnation), r.StartedRequests)
 }
 
 // LimitOrder implements gossip.Knowledge.
-func (k knowledge) LimitOrder() upstreamlimit.Order { return k.p.limits.Order() }
+func (k knowledge) LimitOrder() upstreamlimit.LimitedSet { return k.p.limits.LimitedSet() }
 
-// Count implements gossip.Knowledge.
-func (k knowledge) Count(counts []gossip.LifeCounts) {
+// ApplyCounts implements gossip.Knowledge.
+func (k knowledge) ApplyCounts(counts []gossip.IncarnationCounts) {
 	for _, c := range counts {
-		k.p.ledger.Hear(c.Life, c.Began)
+		k.p.ledger.MergeCounts(c.IncarnationID, c.StartedRequests)
 	}
 }
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -13,7 +13,7 @@
 
 // Guards against reading the clock for each account whenever the other gateways' reports are
 // applied: that was most of what an idle gateway did.
-func TestALookAtTheOthersReadsTheClockAFewTimes(t *testing.T) {
+func TestApplyingReportsReadsTheClockAFewTimes(t *testing.T) {
 	reads := 0
 	p := &Process{now: func() time.Time { reads++; return time.Unix(1000, 0) }}
 	p.view.Store(&peerView{View: gossip.View{Known: 983, Groups: []gossip.Group{{Name: "all", Source: "c", Gateways: 983}}}})
@@ -22,9 +22,9 @@
 		accounts = append(accounts, routetable.Account{Name: ident.ClientAccount(fmt.Sprint("acct", i)), Rate: 36_000, Burst: 36_000})
 	}
 	now := p.now()
-	keeper := quota.NewKeeper(quota.Tolerance{Window: 8 * time.Second}, p.quotaReports, now)
+	keeper := quota.NewLimiter(quota.Tolerance{Window: 8 * time.Second}, p.quotaReports, now)
 	for range 8 {
-		keeper.Tick(accounts, now)
+		keeper.ApplyReports(accounts, now)
 	}
 	if reads > 8 {
 		t.Errorf("the clock was read %d times by applying the reports on %d accounts 8 times", reads, len(accounts))
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -42,7 +42,7 @@
 	// service is valid. It may be nil.
 	DecodeRollout func(topic, key string, data []byte, offset ident.Offset) (rollout.Order, bool, finding.List)
 	// RolloutReports is where the operators read the progress of their orders.
-	RolloutReports rollout.Reports
+	RolloutReports rollout.StatusTopic
 	// StoreCalls returns how many calls of the store were made and how many of them failed.
 	StoreCalls func() (made, failed int64)
 }
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -57,13 +57,13 @@
 	settings *settings.Entry
 	ports    Ports
 	log      hclog.Logger
-	ring     *telemetry.Ring
+	ring     *telemetry.AsyncWriter
 	tracing  *telemetry.Telemetry
 	now      boottime.Clock
 	started  time.Time
 	// incarnation tells this process from earlier ones of the same instance.
 	incarnation ident.Incarnation
-	// incarnationID is the result of gossip.LifeOf for this process.
+	// incarnationID is the result of gossip.IncarnationID for this process.
 	incarnationID string
 	// seq is the sequence number of the last report.
 	seq     atomic.Uint64
@@ -81,9 +81,9 @@
 	chooser       *placement.Chooser
 	rollouts      *rollout.Tracker
 	poison        *poison.Tracker
-	limits        *upstreamlimit.Keeper
+	limits        *upstreamlimit.Limiter
 	lease         *duty.Manager
-	quotas        *quota.Keeper
+	quotas        *quota.Limiter
 	counter       *metering.Counter
 	ledger        *metering.Ledger
 	metrics       *ingress.Metrics
@@ -95,7 +95,7 @@
 // New creates a process. makePorts gets the pool from which all outgoing connections of the
 // process come.
 func New(s *settings.Entry, makePorts func(*httpconn.Pool) Ports, output io.Writer) (*Process, error) {
-	ring := telemetry.NewRing(output)
+	ring := telemetry.NewAsyncWriter(output)
 	tracing, err := telemetry.Setup(telemetry.Config{
 		Program: "entry", Instance: s.Instance.ID, FailureDomain: s.Instance.FailureDomain, Region: s.Instance.Region,
 		LogLevel: s.Log.Level, LogFormat: string(s.Log.Format), LogOutput: ring,
@@ -109,9 +109,9 @@
 		incarnation: ident.Incarnation(time.Now().UnixNano()), board: newBoard(), pool: httpconn.NewPool(boottime.Now),
 		ledger: metering.NewLedger(), metrics: ingress.NewMetrics(),
 	}
-	p.incarnationID = gossip.LifeOf(s.Instance.ID, p.incarnation)
+	p.incarnationID = gossip.IncarnationID(s.Instance.ID, p.incarnation)
 	p.ports = makePorts(p.pool)
-	p.view.Store(&peerView{View: gossip.NoView()})
+	p.view.Store(&peerView{View: gossip.InitialView()})
 	p.wire()
 	return p, nil
 }
@@ -124,32 +124,32 @@
 		Limits: rollout.Limits{Share: s.Rollout.Share, Slack: s.Rollout.Slack, StopDue: s.Rollout.StopDue}, Now: p.now, Log: p.log.Named("rollout"),
 		Life: p.incarnationID, Gateways: p.gatewayCount, OrdersKnown: func() time.Time { return p.configuration.confirmedAt() },
 	})
-	key := func(id ident.Instance) uint32 { return uint32(gossip.KeyOf(id)) }
+	key := func(id ident.Instance) uint32 { return uint32(gossip.UpstreamKeyOf(id)) }
 	p.poison = poison.New(poison.Config{Now: p.now, Log: p.log.Named("poison"), Key: key})
-	p.limits = upstreamlimit.NewKeeper(upstreamlimit.Config{
+	p.limits = upstreamlimit.NewLimiter(upstreamlimit.Config{
 		Now: p.now, Log: p.log.Named("limits"), Key: key, Round: gossip.Interval, Seed: uint64(p.incarnation),
 	})
 	p.configuration = newConfigFollower(p.ports, p.board, p.rollouts, p.now, p.storeRank, s.Configuration.ChangeDue, p.log.Named("configuration"))
 	p.upstreams = newUpstreamsFollower(p.ports, p.board, p.rollouts, p.pool, p.now, p.storeRank, s.Upstreams.DepartureDue, p.log.Named("upstreams"))
 	p.gossip = gossip.New(gossip.Config{
 		Self: p.contact(), Incarnation: p.incarnation, Table: p.peers, Knowledge: knowledge{p},
-		Network: gossip.OverHTTP{Pool: p.pool}, Now: p.now, Log: p.log.Named("gossip"),
+		Network: gossip.HTTPNetwork{Pool: p.pool}, Now: p.now, Log: p.log.Named("gossip"),
 	})
 	p.counter = metering.NewCounter(s.Usage.Window, p.trueTime)
-	p.quotas = quota.NewKeeper(quota.Tolerance{Window: s.Quota.Window, Overage: s.Quota.Overage, Slack: s.Quota.Slack}, p.quotaReports, p.now())
+	p.quotas = quota.NewLimiter(quota.Tolerance{Window: s.Quota.Window, Overage: s.Quota.Overage, Slack: s.Quota.Slack}, p.quotaReports, p.now())
 	p.chooser = placement.New(placement.Config{
 		Params: placement.DefaultParams(), Self: s.Instance.ID, Domain: s.Instance.FailureDomain, Log: p.log.Named("placement"),
-		View:     func() *directory.View { return p.board.upstreams.Value() },
-		Others:   func(id ident.Instance) placement.Load { return p.view.Load().loadOf(id) },
-		Silent:   func(d ident.FailureDomain) bool { return p.view.Load().Silent[d] },
-		Gateways: p.gatewayCount,
-		Engines:  p.engineSums,
-		Limits:   p.limits,
-		Split:    p.rollouts.Of,
+		View:            func() *directory.View { return p.board.upstreams.Value() },
+		OtherLoad:       func(id ident.Instance) placement.Load { return p.view.Load().loadOf(id) },
+		Silent:          func(d ident.FailureDomain) bool { return p.view.Load().SilentDomains[d] },
+		Gateways:        p.gatewayCount,
+		OtherEngineSums: p.engineSums,
+		Limits:          p.limits,
+		Split:           p.rollouts.SplitOf,
 	})
 	forwarder := forward.New(forward.Config{
 		Now: p.now, Pool: p.pool, Dialect: p.ports.Protocol, Placement: p.chooser,
-		Budget: retry.NewShared(retry.SharedConfig{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: s.Retries.Window}, p.gatewayCount),
+		Budget: retry.NewFleetBudget(retry.FleetBudgetConfig{Ratio: s.Retries.Ratio, Slack: s.Retries.Slack, Window: s.Retries.Window}, p.gatewayCount),
 		Guard:  p.poison, Limits: p.limits, Meter: p.counter, Log: p.log.Named("forward"), Tracer: p.tracing.Tracer, RetryAfter: p.retryAfter,
 	})
 	p.lease = p.newLease()
@@ -168,7 +168,7 @@
 // probably have read the prompts that are queued there, spread so that callers that were
 // refused together do not return together.
 func (p *Process) retryAfter(call *forward.Call) time.Duration {
-	capacityIn := p.chooser.RoomIn(call, p.now())
+	capacityIn := p.chooser.RetryAfter(call, p.now())
 	return returntime.Spread(max(call.Route.Objective/2, capacityIn, minRetryAfter), call.ID)
 }
 
--- a/internal/entry/start_test.go
+++ b/internal/entry/start_test.go
@@ -10,7 +10,7 @@
 
 // Guards against many claims at once: gateways that start together would each claim the lease
 // before they have received reports from one another.
-func TestAGatewayThatHasHeardNobodyIsNoCandidate(t *testing.T) {
+func TestAGatewayWithoutReportsIsNoCandidate(t *testing.T) {
 	s, findings := settings.ParseEntry("test.toml", []byte(`
 [instance]
 id = "gw1"
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -145,10 +145,10 @@
 	u.dir.StoreBack(u.now())
 	changes, changed := u.applyAll(batch.Records)
 	for _, r := range changes {
-		u.logEntry(r.ID, r.Offset, r.Upstream, "store")
+		u.logEntry(r.Name, r.Offset, r.Upstream, "store")
 	}
 	if n := len(batch.Records); n > 0 {
-		u.dir.Reached(batch.Records[n-1].Offset + 1)
+		u.dir.AdvanceTo(batch.Records[n-1].Offset + 1)
 	}
 	if batch.End <= u.dir.Next() {
 		u.confirmed = asOf
@@ -171,7 +171,7 @@
 	for _, record := range batch.Records {
 		present[ident.Instance(record.Key)] = true
 	}
-	changed := u.dir.Listed(present, batch.End, u.now())
+	changed := u.dir.ApplyListing(present, batch.End, u.now())
 	u.confirmed = asOf
 	u.log.Info("upstreams listed", "count", len(batch.Records), "end", batch.End)
 	u.publish(changed)
@@ -196,7 +196,7 @@
 	for _, record := range records {
 		change, different := u.applyOne(record)
 		changed = changed || different
-		if different && change.ID != "" {
+		if different && change.Name != "" {
 			changes = append(changes, change)
 		}
 	}
@@ -210,7 +210,7 @@
 	if record.Unreadable == nil && record.Value == nil {
 		u.loggedUnusable.reset(record.Key)
 		changed := u.dir.Apply(name, record.Offset, nil, u.now())
-		return directory.Record{ID: name, Offset: record.Offset}, changed
+		return directory.Record{Name: name, Offset: record.Offset}, changed
 	}
 	var entry directory.Upstream
 	err := record.Unreadable
@@ -223,12 +223,12 @@
 		if u.loggedUnusable.firstTime(record.Key) {
 			u.log.Error("upstream's entry not usable", "upstream", name, "offset", record.Offset, "findings", err)
 		}
-		return directory.Record{}, u.dir.Unreadable(name, record.Offset, u.now())
+		return directory.Record{}, u.dir.ApplyUnreadable(name, record.Offset, u.now())
 	}
 	u.loggedUnusable.reset(record.Key)
 	u.logUnknownService(record.Key, &entry)
 	changed := u.dir.Apply(name, record.Offset, &entry, u.now())
-	return directory.Record{ID: entry.ID, Offset: record.Offset, Upstream: &entry}, changed
+	return directory.Record{Name: entry.ID, Offset: record.Offset, Upstream: &entry}, changed
 }
 
 // logUnknownService logs an upstream that no route can reach, because its service is not
@@ -256,7 +256,7 @@
 func (u *upstreamsFollower) logBatch(changes []directory.Record, from string) {
 	if len(changes) <= maxLinesPerBatch {
 		for _, r := range changes {
-			u.logEntry(r.ID, r.Offset, r.Upstream, from)
+			u.logEntry(r.Name, r.Offset, r.Upstream, from)
 		}
 		return
 	}
@@ -266,9 +266,9 @@
 		first, last = min(first, r.Offset), max(last, r.Offset)
 		switch {
 		case r.Upstream == nil:
-			dropped = append(dropped, r.ID)
+			dropped = append(dropped, r.Name)
 		case r.Upstream.State == directory.Leaving:
-			leaving = append(leaving, r.ID)
+			leaving = append(leaving, r.Name)
 		}
 	}
 	u.log.Info("upstream entries changed", "changes", len(changes), "first_offset", first, "last_offset", last, "leaving", len(leaving), "dropped", len(dropped),
@@ -306,20 +306,20 @@
 	view := u.dir.Snapshot(u.now())
 	u.rollouts.Observe(view)
 	u.board.upstreams.Publish(view)
-	for _, id := range old.Gone(view) {
+	for _, id := range old.MissingFrom(view) {
 		u.pool.Forget(id)
 	}
 }
 
 // updateSince returns the records that another gateway lacks if it knows all records before
 // the offset. If all records would have to be sent, it returns nil unless all is set.
-func (u *upstreamsFollower) updateSince(from ident.Offset, all bool) *directory.News {
+func (u *upstreamsFollower) updateSince(from ident.Offset, all bool) *directory.Update {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !all && !u.dir.Covers(from) {
+	if !all && !u.dir.HasChangesSince(from) {
 		return nil
 	}
-	news := u.dir.News(from, u.now())
+	news := u.dir.UpdateSince(from, u.now())
 	return &news
 }
 
@@ -331,10 +331,10 @@
 
 // applyUpdate applies the entries that another gateway sent, and publishes the view if they
 // change it.
-func (u *upstreamsFollower) applyUpdate(news directory.News) {
+func (u *upstreamsFollower) applyUpdate(news directory.Update) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	changes, changed := u.dir.Take(news, u.now())
+	changes, changed := u.dir.ApplyUpdate(news, u.now())
 	u.logBatch(changes, "gateway")
 	if news.Complete {
 		u.log.Info("upstreams listed by another gateway", "count", len(news.Records), "end", news.UpTo, "changes", len(changes))
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -62,20 +62,20 @@
 	var log bytes.Buffer
 	tracker := rollout.New(rollout.Config{Now: clock, Log: hclog.NewNullLogger(), OrdersKnown: clock, Gateways: func() int { return 1 }})
 	u := newUpstreamsFollower(Ports{}, newBoard(), tracker, httpconn.NewPool(clock), clock, func() int { return 0 }, 3*time.Second, hclog.New(&hclog.LoggerOptions{Output: &log}))
-	news := directory.News{UpTo: 4000}
+	news := directory.Update{UpTo: 4000}
 	for i := range 3000 {
 		up := directory.Upstream{ID: ident.Instance(fmt.Sprint("u", i)), Service: "svc", State: directory.Ready}
 		if i == 7 {
 			up.State = directory.Leaving
 		}
-		news.Records = append(news.Records, directory.Record{ID: up.ID, Offset: ident.Offset(i), Upstream: &up})
+		news.Records = append(news.Records, directory.Record{Name: up.ID, Offset: ident.Offset(i), Upstream: &up})
 	}
 	u.applyUpdate(news)
 	if lines := strings.Count(log.String(), "\n"); lines != 1 || !strings.Contains(log.String(), "some_leaving=[\"u7\"]") {
 		t.Errorf("%d lines: %.300s", lines, log.String())
 	}
 	log.Reset()
-	u.applyUpdate(directory.News{UpTo: 4001, Records: []directory.Record{{ID: "u9", Offset: 4000}}})
+	u.applyUpdate(directory.Update{UpTo: 4001, Records: []directory.Record{{Name: "u9", Offset: 4000}}})
 	if !strings.Contains(log.String(), "upstream entry removed: upstream=u9") {
 		t.Errorf("a single change has no line of its own: %s", log.String())
 	}
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -52,8 +52,8 @@
 	account := ident.ClientAccount(strconv.Itoa(k.account))
 	k.entry = &gate.Entry{Request: gate.Request{
 		ID: k.id(), Account: account, Limit: document.AccountLimit{Account: account, Share: 1}, Class: k.kind.Class,
-		Predicted: d.FirstToken, PredictedBy: d.FirstTokenBy, Unloaded: d.Unloaded, Remaining: time.Duration(k.outputTokens) * d.BetweenTokens,
-		Cost: d.Work, Attempt: uint32(k.refusals + 1),
+		PredictedFirstToken: d.FirstToken, PredictedFirstTokenP80: d.FirstTokenBy, UnloadedFirstToken: d.Unloaded, PredictedAfterFirstToken: time.Duration(k.outputTokens) * d.BetweenTokens,
+		Cost: d.EngineSeconds, Attempt: uint32(k.refusals + 1),
 	}}
 	a.entries[k.entry] = k
 	return a.gate.Offer(now, k.entry)
@@ -166,5 +166,5 @@
 		gap := (r.agenda.Now() - k.sentAt - k.attemptFirstToken) / time.Duration(n-1)
 		sample.Latency = gap.Seconds() / k.decision.BetweenTokens.Seconds()
 	}
-	a.ejection.Ended(r.agenda.Clock(), u.ID, sample)
+	a.ejection.RecordAttemptEnd(r.agenda.Clock(), u.ID, sample)
 }
--- a/internal/experiment/brownout.go
+++ b/internal/experiment/brownout.go
@@ -27,7 +27,7 @@
 		return true
 	}
 	if k.attempts == 0 {
-		a.budget.FirstTry()
+		a.budget.RecordFirstAttempt()
 	}
 	return !refused || a.budget.Spend(r.agenda.Clock())
 }
@@ -35,8 +35,8 @@
 // recordUpstreamRefusal reports an attempt that an upstream refused to the outlier ejection.
 func (r *run) recordUpstreamRefusal(k *call, id ident.Instance) {
 	if a := r.admission(k); a != nil {
-		a.ejection.Started(r.agenda.Clock(), id)
-		a.ejection.Ended(r.agenda.Clock(), id, ejection.Sample{Failed: true, Started: r.agenda.Clock()})
+		a.ejection.RecordAttemptStart(r.agenda.Clock(), id)
+		a.ejection.RecordAttemptEnd(r.agenda.Clock(), id, ejection.Sample{Failed: true, Started: r.agenda.Clock()})
 	}
 }
 
--- a/internal/experiment/calls.go
+++ b/internal/experiment/calls.go
@@ -96,9 +96,9 @@
 	if u.ended || r.upstreamRefuses() {
 		return false
 	}
-	w := engine.Work{
+	w := engine.Attempt{
 		ID: k.id(), Tag: k.index<<attemptBits | k.attempts, Priority: int32(k.kind.Class.Priority),
-		Blocks: k.blocks, Context: k.promptTokens + k.delivered, Output: k.outputTokens - k.delivered,
+		Blocks: k.blocks, ContextTokens: k.promptTokens + k.delivered, OutputTokens: k.outputTokens - k.delivered,
 	}
 	if u.model.Submit(r.agenda.Clock(), w) != nil {
 		return false
@@ -106,7 +106,7 @@
 	k.runner, k.decision, k.sentAt, k.attemptFirstToken = u, d, r.agenda.Now(), 0
 	k.deliveredBefore = k.delivered
 	if a := r.admission(k); a != nil {
-		a.ejection.Started(r.agenda.Clock(), u.ID)
+		a.ejection.RecordAttemptStart(r.agenda.Clock(), u.ID)
 	}
 	u.active[k.index] = k
 	r.startStep(u)
--- a/internal/experiment/driver.go
+++ b/internal/experiment/driver.go
@@ -99,7 +99,7 @@
 	workload *Workload
 	fault    Case
 	rng      *rand.Rand
-	agenda   agenda.Agenda
+	agenda   agenda.Queue
 	runners  []*runner
 	gateways []*gateway
 	calls    []*call
@@ -212,7 +212,7 @@
 		cache = cacheview.New(cacheview.DefaultParams(), r.agenda.Clock())
 		d.caches[u.ID] = cache
 	}
-	cache.Apply(u.model.CacheEvents(cache.After(), r.agenda.Clock()), r.agenda.Clock())
+	cache.Apply(u.model.CacheEvents(cache.LastSequence(), r.agenda.Clock()), r.agenda.Clock())
 	return cache
 }
 
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// LetAllIn returns our policy without admission, for trials.
-func LetAllIn() Contender { return Contender{Name: Ours + ", all let in", New: ourPolicy} }
+// WithoutAdmission returns our policy without admission, for trials.
+func WithoutAdmission() Contender { return Contender{Name: Ours + ", all let in", New: ourPolicy} }
 
 func ourPolicy(random func() uint64, now time.Time) Policy {
 	p := ourParams()
--- a/internal/experiment/reclaim.go
+++ b/internal/experiment/reclaim.go
@@ -66,7 +66,7 @@
 }
 
 // importTo moves a stream with its exported KV cache to the runner that routing chooses.
-func (r *run) importTo(k *call, u *runner, exported engine.Exported) {
+func (r *run) importTo(k *call, u *runner, exported engine.ExportedCache) {
 	doc := r.document(false)
 	d := r.policy(k).Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.agenda.Clock())
 	if !d.Found() {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -24,11 +24,11 @@
 	// Cause is "first", or why the attempt before did not answer the request.
 	Cause   string           `json:"cause"`
 	Reasons []routing.Reason `json:"reasons,omitempty"`
-	// Predicted and FirstToken are times to the first token, or to the answer of a
+	// PredictedFirstToken and FirstToken are times to the first token, or to the answer of a
 	// plain service. FirstToken is 0 if none came.
-	Predicted  time.Duration `json:"predicted_first_token_ns"`
-	FirstToken time.Duration `json:"first_token_ns,omitempty"`
-	Error      string        `json:"error,omitempty"`
+	PredictedFirstToken time.Duration `json:"predicted_first_token_ns"`
+	FirstToken          time.Duration `json:"first_token_ns,omitempty"`
+	Error               string        `json:"error,omitempty"`
 }
 
 // Ending is the outcome that the caller got.
--- a/internal/fleetsim/cloud.go
+++ b/internal/fleetsim/cloud.go
@@ -44,10 +44,10 @@
 	c := &cloud{w: w, wanted: make(map[scaling.Slot]int)}
 	c.controller = &scaling.Controller{
 		Now: w.Clock, Table: w.table, View: func() *directory.View { return w.view }, Leases: c, Duties: c, Log: hclog.NewNullLogger(),
-		Serves: func(*directory.Upstream) bool { return true }, Changing: func(ident.Service) bool { return false },
-		Lacking: func(ident.Instance) float64 { return 0 },
+		Serves: func(*directory.Upstream) bool { return true }, RolloutRunning: func(ident.Service) bool { return false },
+		UnservedShare: func(ident.Instance) float64 { return 0 },
 		Need: func(s *routetable.Service) float64 {
-			return scaling.Need(w.demand(), w.gateways[0].chooser.EngineFigures(service, w.Clock()), s.Engine.Slots)
+			return scaling.Need(w.demand(), w.gateways[0].chooser.EngineEstimate(service, w.Clock()), s.Engine.Slots)
 		},
 	}
 	return c
@@ -59,10 +59,10 @@
 }
 
 // startFleet starts the engines of the beginning: one and a half times as many as the traffic
-// keeps busy, but at least one in each failure domain. With Case.Fixed it starts so many
+// keeps busy, but at least one in each failure domain. With Case.FixedEngines it starts so many
 // on-demand engines, and nothing changes them later.
 func (c *cloud) startFleet() {
-	n := c.w.c.Fixed
+	n := c.w.c.FixedEngines
 	if n == 0 {
 		n = max(c.w.c.Fleet.Domains, int(1.5*c.w.c.BusyEngines+0.5))
 		for _, at := range c.w.c.Load.Reclaims {
@@ -71,7 +71,7 @@
 		c.w.every(dutyEvery, func() { c.controller.Step(context.Background()) })
 	}
 	for i := range n {
-		slot := scaling.Slot{FailureDomain: c.w.domain(i % c.w.c.Fleet.Domains), Reclaimable: c.w.c.Fixed == 0}
+		slot := scaling.Slot{FailureDomain: c.w.domain(i % c.w.c.Fleet.Domains), Reclaimable: c.w.c.FixedEngines == 0}
 		c.wanted[slot]++
 		c.startEngine(slot)
 	}
@@ -145,8 +145,8 @@
 	return duty.Grant{Authority: platform.Authority{Fence: 1}}, true
 }
 
-// Refused implements scaling.Leases.
-func (c *cloud) Refused(ident.Fence) {}
+// FenceRejected implements scaling.Leases.
+func (c *cloud) FenceRejected(ident.Fence) {}
 
 // Report implements platform.Duties.
 func (c *cloud) Report(context.Context, platform.Authority, platform.UsageReport) error { return nil }
--- a/internal/fleetsim/figures.go
+++ b/internal/fleetsim/figures.go
@@ -90,7 +90,7 @@
 		RereadShare: float64(w.rereadTokens) / float64(max(1, w.readTokens)), Paid: w.paidSeconds / (arrivalsEnd - warmUp).Seconds() / w.c.BusyEngines,
 		Orders: w.cloud.orders, OrdersRefused: w.cloud.refused,
 	}
-	f.RateRatio = w.gateways[0].chooser.EngineFigures(service, w.Clock()).Rate() / (w.c.Engine.TokensPerMS * 1000)
+	f.RateRatio = w.gateways[0].chooser.EngineEstimate(service, w.Clock()).Rate() / (w.c.Engine.TokensPerMS * 1000)
 	return f
 }
 
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -45,7 +45,7 @@
 	for _, size := range FleetSizes()[1:3] {
 		c := Case{Engine: EngineKinds()[0], Fleet: size, Load: Loads()[0], BusyEngines: 12, Seed: 1}
 		aged := Run(c)
-		c.Told = true
+		c.LoadsKnownAtOnce = true
 		told := Run(c)
 		t.Logf("%d gateways: aged %.3f, told %.3f", size.Gateways, aged.Value(), told.Value())
 		if aged.Value() < told.Value()-0.03 {
--- a/internal/fleetsim/table.go
+++ b/internal/fleetsim/table.go
@@ -27,9 +27,9 @@
 	return out
 }
 
-// PlayAll simulates each cell's case with so many seeds and sets the cell's figures to the
+// RunAll simulates each cell's case with so many seeds and sets the cell's figures to the
 // mean. Several cells run at once.
-func PlayAll(cells []Cell, seeds int) {
+func RunAll(cells []Cell, seeds int) {
 	var all sync.WaitGroup
 	slots := make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2))
 	for i := range cells {
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -35,10 +35,10 @@
 	Seed        uint64
 	// Told: every gateway knows the others' load at once. Engine estimates are learned in
 	// the same way as otherwise.
-	Told bool
-	// Fixed is a number of on-demand engines that run all the time, to find the smallest
+	LoadsKnownAtOnce bool
+	// FixedEngines is a number of on-demand engines that run all the time, to find the smallest
 	// sufficient number; 0 leaves the number to the policy.
-	Fixed int
+	FixedEngines int
 }
 
 // The periods of the entry process's own loops: recording loads, the duties of the lease
@@ -56,7 +56,7 @@
 
 // world is the state of a run.
 type world struct {
-	agenda.Agenda
+	agenda.Queue
 	c        Case
 	rng      *rand.Rand
 	svc      *routetable.Service
@@ -69,7 +69,7 @@
 	// pastTotals are the sums of all gateways' loads by engine at recorded times, the
 	// newest last.
 	pastTotals []map[ident.Instance]placement.Load
-	// currentLoads are these sums now; with Case.Told gateways place requests by them.
+	// currentLoads are these sums now; with Case.LoadsKnownAtOnce gateways place requests by them.
 	currentLoads map[ident.Instance]placement.Load
 	sums         enginemodel.Sums
 	cloud        *cloud
@@ -129,7 +129,7 @@
 
 func newWorld(c Case) *world {
 	w := &world{c: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), byID: make(map[ident.Instance]*server), readPrompts: make(map[uint64]bool), currentLoads: make(map[ident.Instance]placement.Load), view: directory.NewView(nil)}
-	scale := &routetable.Scale{Least: 1, Most: 400, Startup: 4 * time.Second, ReclaimablePrice: reclaimablePrice, Prices: make(map[ident.FailureDomain]float64)}
+	scale := &routetable.Scale{MinPerDomain: 1, MaxPerDomain: 400, Startup: 4 * time.Second, ReclaimablePrice: reclaimablePrice, Prices: make(map[ident.FailureDomain]float64)}
 	for i := range c.Fleet.Domains {
 		scale.Prices[w.domain(i)] = 1
 	}
@@ -159,14 +159,14 @@
 	g := &gateway{currentLoads: make(map[ident.Instance]placement.Load)}
 	g.chooser = placement.New(placement.Config{
 		Params: placement.DefaultParams(), Self: ident.Instance(fmt.Sprint("gw", i)), Domain: w.domain(i % w.c.Fleet.Domains), Log: hclog.NewNullLogger(),
-		View:     func() *directory.View { return w.view },
-		Others:   func(id ident.Instance) placement.Load { return w.loadOfOthers(g, id) },
-		Silent:   func(ident.FailureDomain) bool { return false },
-		Gateways: func() int { return w.c.Fleet.Gateways },
-		Engines:  func(ident.Service) enginemodel.Sums { return w.sums },
-		Split:    func(ident.Service) *rollout.Split { return nil },
-		Limits: upstreamlimit.NewKeeper(upstreamlimit.Config{
-			Now: w.Clock, Log: hclog.NewNullLogger(), Key: func(id ident.Instance) uint32 { return uint32(gossip.KeyOf(id)) }, Round: gossip.Interval,
+		View:            func() *directory.View { return w.view },
+		OtherLoad:       func(id ident.Instance) placement.Load { return w.loadOfOthers(g, id) },
+		Silent:          func(ident.FailureDomain) bool { return false },
+		Gateways:        func() int { return w.c.Fleet.Gateways },
+		OtherEngineSums: func(ident.Service) enginemodel.Sums { return w.sums },
+		Split:           func(ident.Service) *rollout.Split { return nil },
+		Limits: upstreamlimit.NewLimiter(upstreamlimit.Config{
+			Now: w.Clock, Log: hclog.NewNullLogger(), Key: func(id ident.Instance) uint32 { return uint32(gossip.UpstreamKeyOf(id)) }, Round: gossip.Interval,
 		}),
 	})
 	w.gateways = append(w.gateways, g)
@@ -174,7 +174,7 @@
 
 // loadOfOthers returns what a gateway knows of the other gateways' load at an engine.
 func (w *world) loadOfOthers(g *gateway, id ident.Instance) placement.Load {
-	if w.c.Told {
+	if w.c.LoadsKnownAtOnce {
 		return w.currentLoads[id].Minus(g.currentLoads[id])
 	}
 	back := int(w.c.Fleet.ReportAge / recordEvery)
@@ -200,7 +200,7 @@
 func (w *world) recordLoads() {
 	total := make(map[ident.Instance]placement.Load)
 	for _, g := range w.gateways {
-		own := g.chooser.Own()
+		own := g.chooser.OwnLoads()
 		g.pastLoads = append(g.pastLoads, own)
 		for id, load := range own {
 			total[id] = total[id].Plus(load)
@@ -210,7 +210,7 @@
 	if len(w.pastTotals)%5 == 0 {
 		var sums enginemodel.Sums
 		for _, g := range w.gateways {
-			sums.Add(g.chooser.Engines()[service])
+			sums.Add(g.chooser.EngineSums()[service])
 		}
 		w.sums = sums
 	}
@@ -257,7 +257,7 @@
 	c.Call = forward.Call{
 		ID: ident.Request(strconv.Itoa(len(w.calls))), Route: w.routes[n], Service: w.svc, Priority: k.Priority,
 		Parts:        []forward.PromptPart{{ID: part, Tokens: k.SharedTokens}, {ID: uint64(len(w.calls)), Tokens: own}},
-		PromptTokens: k.SharedTokens + own, MostTokens: c.outputTokens,
+		PromptTokens: k.SharedTokens + own, MaxTokens: c.outputTokens,
 		Received: time.Unix(0, int64(t)), Expires: time.Unix(0, int64(t+k.Deadline)),
 	}
 	for block := range k.SharedTokens / prompt.BlockTokens {
@@ -280,7 +280,7 @@
 	case !c.retried:
 		// The caller retries once, after the retry-after time.
 		c.retried = true
-		room := c.gateway.chooser.RoomIn(&c.Call, now)
+		room := c.gateway.chooser.RetryAfter(&c.Call, now)
 		again := w.Now() + returntime.Spread(max(c.Route.Objective/2, room, 100*time.Millisecond), c.ID)
 		w.At(again, func() { w.place(c, again) })
 	default:
@@ -292,7 +292,7 @@
 	s := w.byID[choice.Upstream]
 	c.choice, c.server = choice, s
 	w.addLoad(c, 1, c.PromptTokens)
-	err := s.model.Submit(w.Clock(), engine.Work{ID: c.ID, Tag: c.index, Priority: -int32(c.Priority), Blocks: c.blocks, Context: c.PromptTokens, Output: c.outputTokens})
+	err := s.model.Submit(w.Clock(), engine.Attempt{ID: c.ID, Tag: c.index, Priority: -int32(c.Priority), Blocks: c.blocks, ContextTokens: c.PromptTokens, OutputTokens: c.outputTokens})
 	if s.ended || err != nil {
 		w.finish(c, forward.Rejected)
 		return
@@ -304,7 +304,7 @@
 // tokens, since those who place requests do not know how much the engine has cached.
 func (w *world) addLoad(c *call, running, unread int) {
 	for _, loads := range []map[ident.Instance]placement.Load{w.currentLoads, c.gateway.currentLoads} {
-		loads[c.server.ID] = loads[c.server.ID].Plus(placement.Load{Running: running, Unread: unread})
+		loads[c.server.ID] = loads[c.server.ID].Plus(placement.Load{Running: running, UnreadTokens: unread})
 	}
 }
 
@@ -370,7 +370,7 @@
 	}
 	c.firstEventAt = w.Now()
 	w.addLoad(c, 0, -c.PromptTokens)
-	c.gateway.chooser.Began(c.choice, w.Clock())
+	c.gateway.chooser.FirstEventArrived(c.choice, w.Clock())
 }
 
 // endEngine ends an engine and breaks off its requests.
--- a/internal/forward/content.go
+++ b/internal/forward/content.go
@@ -9,7 +9,7 @@
 // Outline returns the hash of the call's account, method, host and URI, which is
 // everything that identifies its content except the body. It is computed on the first
 // call and then cached, without a lock.
-func (c *Call) Outline() ident.Outline {
+func (c *Call) Outline() ident.OutlineHash {
 	if c.outline != 0 {
 		return c.outline
 	}
@@ -20,28 +20,28 @@
 		_, _ = d.WriteString(part) // a digest never returns an error
 		_, _ = d.Write([]byte{0})
 	}
-	c.outline = ident.Outline(d.Sum64())
+	c.outline = ident.OutlineHash(d.Sum64())
 	return c.outline
 }
 
-// Knowing tells which requests may be poison requests or are suspected of it. Its
+// KnownPoison tells which requests may be poison requests or are suspected of it. Its
 // methods are cheap, so that the body of any other request need not be hashed.
-type Knowing interface {
-	// Quiet reports whether no request at all is known or suspected.
-	Quiet() bool
+type KnownPoison interface {
+	// KnowsNone reports whether no request at all is known or suspected.
+	KnowsNone() bool
 	// Knows reports whether a request with this outline is known or suspected.
-	Knows(outline ident.Outline) bool
+	Knows(outline ident.OutlineHash) bool
 }
 
 // KnownTo reports whether the guard knows or suspects a request with the call's outline.
-func (c *Call) KnownTo(guard Knowing) bool { return !guard.Quiet() && guard.Knows(c.Outline()) }
+func (c *Call) KnownTo(guard KnownPoison) bool { return !guard.KnowsNone() && guard.Knows(c.Outline()) }
 
 // Content returns the hash of the call's outline and body; it is never 0. It is computed
 // on the first call and then cached, without a lock, because it is needed only for calls
 // whose attempts fail and for calls with the same outline as a known or suspected request.
-func (c *Call) Content() ident.Content {
+func (c *Call) Content() ident.ContentHash {
 	if c.content == 0 {
-		c.content = ident.ContentOf(c.Outline(), xxhash.Sum64(c.Body))
+		c.content = ident.ContentHashOf(c.Outline(), xxhash.Sum64(c.Body))
 	}
 	return c.content
 }
--- a/internal/forward/content_test.go
+++ b/internal/forward/content_test.go
@@ -11,7 +11,7 @@
 // hash under another ID.
 func TestContent(t *testing.T) {
 	base := Call{ID: "1", Account: "a", Method: "POST", Host: "h", URI: "/p?q=1", Body: []byte("body")}
-	seen := map[ident.Content]string{base.Content(): "base"}
+	seen := map[ident.ContentHash]string{base.Content(): "base"}
 	for name, change := range map[string]func(*Call){
 		"account": func(c *Call) { c.Account = "b" }, "method": func(c *Call) { c.Method = "GET" }, "host": func(c *Call) { c.Host = "i" },
 		"path": func(c *Call) { c.URI = "/r?q=1" }, "query": func(c *Call) { c.URI = "/p?q=2" }, "body": func(c *Call) { c.Body = []byte("other") },
@@ -26,7 +26,7 @@
 		seen[next.Content()] = name
 	}
 	again := base
-	again.outline, again.content, again.ID, again.LastEvent = 0, 0, "2", "7"
+	again.outline, again.content, again.ID, again.LastEventID = 0, 0, "2", "7"
 	if again.Content() != base.Content() {
 		t.Error("another ID changed the content")
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -74,7 +74,7 @@
 	defer cancel(nil)
 	timer := time.AfterFunc(call.Remaining(f.cfg.Now()), func() { cancel(errExpired) })
 	defer timer.Stop()
-	s := &session{f: f, call: call, caller: caller, ctx: ctx, state: NewState(call.Route), lastEvent: call.LastEvent}
+	s := &session{f: f, call: call, caller: caller, ctx: ctx, state: NewState(call.Route), lastEvent: call.LastEventID}
 	s.run()
 	return s.outcome
 }
@@ -193,7 +193,7 @@
 // spendRetry takes one retry out of the retry budget, unless the next attempt is already
 // paid for, and reports whether the call may be sent once more.
 func (s *session) spendRetry() bool {
-	if s.upstreamCrashed.Load() && !s.f.cfg.Guard.Resend(s.call.Content()) {
+	if s.upstreamCrashed.Load() && !s.f.cfg.Guard.MayResend(s.call.Content()) {
 		return false
 	}
 	if s.nextAttemptPaid.Swap(false) {
@@ -233,7 +233,7 @@
 	defer silence.stop()
 	if !s.firstAttemptCounted {
 		s.firstAttemptCounted = true
-		s.f.cfg.Budget.FirstTry(s.call.Service.Name, s.f.cfg.Now())
+		s.f.cfg.Budget.RecordFirstAttempt(s.call.Service.Name, s.f.cfg.Now())
 	}
 	target := httpconn.Target{ID: choice.Upstream, Address: choice.Address, MaxConnections: choice.MaxConnections}
 	if s.call.KnownTo(s.f.cfg.Guard) {
@@ -254,7 +254,7 @@
 // delivered as they arrive.
 func (s *session) exchange(ctx context.Context, choice Choice, target httpconn.Target, silence *silenceTimer) Result {
 	answer, failure := s.f.cfg.Pool.Send(ctx, target, s.f.cfg.Dialect.Request(s.call, Attempt{
-		Upstream: choice.Name, Left: s.call.Remaining(s.f.cfg.Now()), LastEvent: s.lastEvent,
+		Upstream: choice.Name, TimeLeft: s.call.Remaining(s.f.cfg.Now()), LastEventID: s.lastEvent,
 	}))
 	if failure != nil {
 		if countsAsStarted(failure) {
@@ -272,21 +272,21 @@
 // have closed an idle connection at that very moment, but that is far rarer. An exchange
 // that stayed silent does not count: the request may just as well never have arrived.
 func countsAsStarted(failure *httpconn.Failure) bool {
-	return failure.Sent && !errors.Is(failure, errSilent) && !errors.Is(failure, errExpired)
+	return failure.MaybeSent && !errors.Is(failure, errSilent) && !errors.Is(failure, errExpired)
 }
 
 // resultOfFailure returns the result of an attempt whose exchange failed.
 func (s *session) resultOfFailure(choice Choice, failure *httpconn.Failure) Result {
 	s.reason = failure.Error()
 	ended := s.callEnded()
-	if !failure.Sent && ended != CallerGone {
+	if !failure.MaybeSent && ended != CallerGone {
 		return NoConnection
 	}
 	if ended != 0 {
 		return ended
 	}
 	if errors.Is(failure, errSilent) {
-		s.f.cfg.Pool.Distrust(choice.Upstream)
+		s.f.cfg.Pool.CloseIdle(choice.Upstream)
 	}
 	return s.interrupted()
 }
@@ -313,9 +313,9 @@
 
 // readAnswer reads an answer whose header was received.
 func (s *session) readAnswer(choice Choice, answer *httpconn.Answer, silence *silenceTimer) Result {
-	reading := s.f.cfg.Dialect.Read(answer.Status, answer.Header)
-	if !reading.Other {
-		s.f.cfg.Limits.Hear(choice.Upstream, s.call.ID, reading.Limit)
+	reading := s.f.cfg.Dialect.ParseAnswer(answer.Status, answer.Header)
+	if !reading.FromOtherUpstream {
+		s.f.cfg.Limits.RecordStatement(choice.Upstream, s.call.ID, reading.Limit)
 	}
 	if reading.NotRun {
 		s.reason = "status " + http.StatusText(answer.Status)
@@ -344,7 +344,7 @@
 
 // readWhole reads a complete answer before any of it is delivered, so that after an
 // answer that breaks off the request can still be sent to another upstream.
-func (s *session) readWhole(choice Choice, answer *httpconn.Answer, reading Reading) Result {
+func (s *session) readWhole(choice Choice, answer *httpconn.Answer, reading AnswerInfo) Result {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
 	if err != nil {
 		s.reason = err.Error()
@@ -354,17 +354,17 @@
 		s.reason = "the answer is too long to be held"
 		return Broken
 	}
-	if !reading.Genuine && answer.Status/100 == 2 {
+	if !reading.Signed && answer.Status/100 == 2 {
 		s.reason = "a success without the upstream's signature"
 		return Broken
 	}
 	whole := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
-	if answer.Status >= http.StatusInternalServerError || answer.Status/100 != 2 && !reading.Genuine {
+	if answer.Status >= http.StatusInternalServerError || answer.Status/100 != 2 && !reading.Signed {
 		s.buffered = whole
 		s.reason = "status " + http.StatusText(answer.Status)
 		return Failed
 	}
-	s.f.cfg.Placement.Began(choice, s.f.cfg.Now())
+	s.f.cfg.Placement.FirstEventArrived(choice, s.f.cfg.Now())
 	s.buffered = whole
 	return Done
 }
@@ -381,7 +381,7 @@
 func (s *session) countForUsage() {
 	if !s.metered {
 		s.metered = true
-		s.f.cfg.Meter.Began(s.call.Account)
+		s.f.cfg.Meter.CountStarted(s.call.Account)
 	}
 }
 
--- a/internal/forward/meter_test.go
+++ b/internal/forward/meter_test.go
@@ -15,9 +15,9 @@
 		failure httpconn.Failure
 		want    bool
 	}{
-		{"broken off", httpconn.Failure{Sent: true, Err: errors.New("connection reset")}, true},
-		{"silent", httpconn.Failure{Sent: true, Err: errSilent}, false},
-		{"silent until its time was over", httpconn.Failure{Sent: true, Err: errExpired}, false},
+		{"broken off", httpconn.Failure{MaybeSent: true, Err: errors.New("connection reset")}, true},
+		{"silent", httpconn.Failure{MaybeSent: true, Err: errSilent}, false},
+		{"silent until its time was over", httpconn.Failure{MaybeSent: true, Err: errExpired}, false},
 		{"no connection", httpconn.Failure{Err: errors.New("refused")}, false},
 	} {
 		if got := countsAsStarted(&c.failure); got != c.want {
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -30,7 +30,7 @@
 // recordUpstreamEnd records that an upstream's process ended while it had the call, which
 // is a crash if it was unexpected.
 func (s *session) recordUpstreamEnd(choice Choice, result Result) {
-	unexpected := s.f.cfg.Placement.Ended(choice)
+	unexpected := s.f.cfg.Placement.UpstreamEnded(choice)
 	s.f.cfg.Log.Info("upstream process ended during a request", "id", s.call.ID, "content", s.call.Content(), "account", s.call.Account,
 		"route", s.call.Route.Name, "upstream", choice.Upstream, "result", result.String(), "unexpected", unexpected, "again", s.upstreamCrashed.Load())
 	if unexpected {
@@ -49,7 +49,7 @@
 		decision := s.f.cfg.Guard.Admit(s.call.Content(), s.f.cfg.Now().Sub(start))
 		switch {
 		case decision.Step == poison.Bar:
-			s.barredFor, s.reason = decision.After, BarredReason
+			s.barredFor, s.reason = decision.RetryAfter, BarredReason
 			return nil, false
 		case decision.Step == poison.Send || !pause.For(s.ctx, waitInterval):
 			return decision.Avoid, true
--- a/internal/forward/state_test.go
+++ b/internal/forward/state_test.go
@@ -17,7 +17,7 @@
 // request must not run twice if that is not allowed, must not go to too many upstreams, and
 // must not be refused as not run if it may have run. Guards against a step that ignores
 // the result of an earlier attempt.
-func TestWhateverHappensTheRulesHold(t *testing.T) {
+func TestAnySequenceOfResultsKeepsTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		route := &routetable.Route{
 			Kind:      routetable.Kind(rapid.IntRange(1, 3).Draw(t, "kind")),
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -25,12 +25,12 @@
 // fires, it cancels the attempt only if the retry budget allows another one.
 func (s *session) watchForSilence(choice Choice, cancel context.CancelCauseFunc) *silenceTimer {
 	route := s.call.Route
-	if !route.Repeatable() && !route.Resumable || choice.Slow <= 0 || s.state.possibleRuns+1 >= route.Attempts {
+	if !route.Repeatable() && !route.Resumable || choice.SilenceTimeout <= 0 || s.state.possibleRuns+1 >= route.Attempts {
 		return &silenceTimer{}
 	}
-	t := &silenceTimer{afterEvent: max(silentGapFactor*route.GapObjective, choice.Slow)}
-	t.timer = time.AfterFunc(choice.Slow, func() {
-		if s.call.Remaining(s.f.cfg.Now()) > choice.Slow && s.spendRetry() {
+	t := &silenceTimer{afterEvent: max(silentGapFactor*route.GapObjective, choice.SilenceTimeout)}
+	t.timer = time.AfterFunc(choice.SilenceTimeout, func() {
+		if s.call.Remaining(s.f.cfg.Now()) > choice.SilenceTimeout && s.spendRetry() {
 			s.nextAttemptPaid.Store(true)
 			cancel(errSilent)
 		}
@@ -56,8 +56,8 @@
 }
 
 // readStream reads a stream and delivers its events as they arrive.
-func (s *session) readStream(choice Choice, answer *httpconn.Answer, reading Reading, silence *silenceTimer) Result {
-	if !reading.Genuine && !s.answerBegan {
+func (s *session) readStream(choice Choice, answer *httpconn.Answer, reading AnswerInfo, silence *silenceTimer) Result {
+	if !reading.Signed && !s.answerBegan {
 		s.reason = "a stream without the upstream's signature"
 		return Broken
 	}
@@ -71,7 +71,7 @@
 			silence.reset()
 			if first {
 				first = false
-				s.f.cfg.Placement.Began(choice, s.f.cfg.Now())
+				s.f.cfg.Placement.FirstEventArrived(choice, s.f.cfg.Now())
 			}
 			if !s.deliver(answer, events) {
 				return CallerGone
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -40,10 +40,10 @@
 	Parts []PromptPart
 	// PromptTokens is the prompt's size, and MostTokens the largest size of the answer;
 	// both are 0 if the caller did not declare them.
-	PromptTokens, MostTokens int
-	// LastEvent is the ID of the event after which the caller wants its stream to
+	PromptTokens, MaxTokens int
+	// LastEventID is the ID of the event after which the caller wants its stream to
 	// resume; empty for the whole stream.
-	LastEvent string
+	LastEventID string
 
 	// Received is when the gateway received the request.
 	Received time.Time
@@ -52,8 +52,8 @@
 	Expires time.Time
 
 	// outline and content cache the results of Outline and Content; 0 until computed.
-	outline ident.Outline
-	content ident.Content
+	outline ident.OutlineHash
+	content ident.ContentHash
 }
 
 // Remaining returns the time from now until the call expires; it is negative afterwards.
@@ -63,23 +63,23 @@
 type Attempt struct {
 	// Upstream is the name that the upstream answers to.
 	Upstream ident.Instance
-	// Left is how long the upstream may take.
-	Left time.Duration
-	// LastEvent is the ID of the event after which the stream resumes; empty for the
+	// TimeLeft is how long the upstream may take.
+	TimeLeft time.Duration
+	// LastEventID is the ID of the event after which the stream resumes; empty for the
 	// whole stream.
-	LastEvent string
+	LastEventID string
 }
 
-// Reading is what the status and header of an upstream's answer mean.
-type Reading struct {
+// AnswerInfo is what the status and header of an upstream's answer mean.
+type AnswerInfo struct {
 	// NotRun: the upstream did not run the request and never will.
 	NotRun bool
 	// Genuine: the answer carries the upstream's signature.
-	Genuine bool
+	Signed bool
 	// Stream: the body is a stream of server-sent events.
 	Stream bool
 	// Other: the answer came from another upstream than the request was meant for.
-	Other bool
+	FromOtherUpstream bool
 	// Limit is what the answer states about the request rate that its upstream accepts.
 	Limit upstreamlimit.Statement
 }
@@ -88,8 +88,8 @@
 type Dialect interface {
 	// Request returns the HTTP request to send for an attempt.
 	Request(call *Call, attempt Attempt) *httpconn.Request
-	// Read interprets the status and header of an answer.
-	Read(status int, header http.Header) Reading
+	// ParseAnswer interprets the status and header of an answer.
+	ParseAnswer(status int, header http.Header) AnswerInfo
 }
 
 // Choice is the upstream chosen for an attempt, with the slot reserved there.
@@ -100,10 +100,10 @@
 	Address        string
 	// MaxConnections is how many connections this gateway may open to the upstream.
 	MaxConnections int
-	// Slow is the time within which nearly all attempts receive an answer, or a
+	// SilenceTimeout is the time within which nearly all attempts receive an answer, or a
 	// stream's first event. An attempt that is silent for longer is taken for stuck; 0
 	// or less if unknown.
-	Slow time.Duration
+	SilenceTimeout time.Duration
 	// Why names the reason of the choice, for the log.
 	Why string
 	// AtLimit lists the upstreams that were preferable but have reached the request rate
@@ -111,8 +111,8 @@
 	AtLimit []ident.Instance
 	// OnlyLimits: no upstream was found, and only such limits prevented it.
 	OnlyLimits bool
-	// Place is the reserved slot, which Placement.Finished releases.
-	Place any
+	// Reservation is the reserved slot, which Placement.Finished releases.
+	Reservation any
 }
 
 // Placement chooses upstreams and records how attempts at them go. It is safe for
@@ -121,12 +121,12 @@
 	// Choose reserves a slot at an upstream that is not in exclude, and reports whether
 	// it found one.
 	Choose(call *Call, exclude []ident.Instance, now time.Time) (Choice, bool)
-	// Began records that a valid answer, or a stream's first event, was received.
-	Began(choice Choice, now time.Time)
-	// Ended records that the upstream's process ended while it had the request, so that
+	// FirstEventArrived records that a valid answer, or a stream's first event, was received.
+	FirstEventArrived(choice Choice, now time.Time)
+	// UpstreamEnded records that the upstream's process ended while it had the request, so that
 	// the failed attempt says nothing about how the upstream serves other requests. It
 	// reports whether the end was unexpected. Finished is called after it.
-	Ended(choice Choice) bool
+	UpstreamEnded(choice Choice) bool
 	// Finished records the result of the attempt and releases its slot.
 	Finished(choice Choice, result Result, now time.Time)
 }
@@ -134,40 +134,40 @@
 // Guard keeps poison requests, which crash the upstreams that run them, away from
 // upstreams. It is safe for concurrent use.
 type Guard interface {
-	Knowing
+	KnownPoison
 	// Admit decides whether a request that has waited for this long is sent, waits on or
 	// is barred.
-	Admit(content ident.Content, waited time.Duration) poison.Decision
+	Admit(content ident.ContentHash, waited time.Duration) poison.Decision
 	// Started records that a request is sent to an upstream. The caller must call ended
 	// when the attempt is over.
-	Started(upstream ident.Instance, content ident.Content) (ended func())
+	Started(upstream ident.Instance, content ident.ContentHash) (ended func())
 	// Crashed records that an upstream crashed while it had the request with this mark.
 	Crashed(upstream ident.Instance, mark ident.Mark)
-	// Resend reports whether a request whose upstream crashed may go to another one.
-	Resend(content ident.Content) bool
+	// MayResend reports whether a request whose upstream crashed may go to another one.
+	MayResend(content ident.ContentHash) bool
 	// Completed records that a request was answered completely.
-	Completed(content ident.Content)
+	Completed(content ident.ContentHash)
 }
 
 // Limits keeps the request rates that upstreams state in their answers.
 type Limits interface {
-	// Hear records what an upstream's answer to a request states.
-	Hear(upstream ident.Instance, id ident.Request, s upstreamlimit.Statement)
+	// RecordStatement records what an upstream's answer to a request states.
+	RecordStatement(upstream ident.Instance, id ident.Request, s upstreamlimit.Statement)
 }
 
 // Budget bounds the retries that all gateways together send to a service, as a share of
 // the first attempts.
 type Budget interface {
-	// FirstTry records the first attempt of a request.
-	FirstTry(service ident.Service, now time.Time)
+	// RecordFirstAttempt records the first attempt of a request.
+	RecordFirstAttempt(service ident.Service, now time.Time)
 	// Spend takes one retry out of the budget and reports whether the budget allowed it.
 	Spend(service ident.Service, now time.Time) bool
 }
 
 // Meter counts the requests that began to run, for each account's usage.
 type Meter interface {
-	// Began counts one request of the account.
-	Began(account ident.ClientAccount)
+	// CountStarted counts one request of the account.
+	CountStarted(account ident.ClientAccount)
 }
 
 // Caller receives the answer. Its methods are never called concurrently.
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -37,7 +37,7 @@
 		connect.WithReadMaxBytes(int(limits.MaxBody))))
 	authenticated := h.auth.Middleware(h.logUnhandledRefusals(mux), h.logUnauthenticated)
 	bounded := withCallerTimeouts(authenticated, callerTimeouts{read: callerReadTimeout, write: callerWriteTimeout})
-	server := transport.NewServer(telemetry.Continue(bounded))
+	server := transport.NewServer(telemetry.ContinueTrace(bounded))
 	server.ReadHeaderTimeout = limits.HeaderTimeout
 	server.MaxHeaderBytes = int(limits.MaxHeader)
 	server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: limits.MaxStreams}
@@ -48,7 +48,7 @@
 // callersCertificate returns the certificate that is presented to callers, or nil when
 // callers get plaintext.
 func callersCertificate(pair settings.KeyPair) (*certificate.Reloader, error) {
-	if !pair.Set() {
+	if !pair.IsSet() {
 		return nil, nil
 	}
 	return certificate.NewReloader(pair.Files())
@@ -60,7 +60,7 @@
 	if reloader == nil {
 		return server.Serve(listener)
 	}
-	server.TLSConfig = reloader.Server("h2", "http/1.1")
+	server.TLSConfig = reloader.ServerConfig("h2", "http/1.1")
 	return server.ServeTLS(listener, "", "")
 }
 
--- a/internal/gateway/documents.go
+++ b/internal/gateway/documents.go
@@ -8,7 +8,7 @@
 // highestRevisionPeer returns the reachable gateway whose heartbeats report the highest
 // revision.
 func (p *Process) highestRevisionPeer() (configuration.Peer, bool) {
-	id, revision, ok := p.members.Highest()
+	id, revision, ok := p.members.HighestPeer()
 	if !ok {
 		return configuration.Peer{}, false
 	}
--- a/internal/gateway/endings_test.go
+++ b/internal/gateway/endings_test.go
@@ -23,7 +23,7 @@
 	refuse := func(err error) func(invocation) (upstream.Answer, error) {
 		return func(invocation) (upstream.Answer, error) { return upstream.Answer{}, err }
 	}
-	none := retry.BudgetConfig{Ratio: 1e-9, Floor: 1e-9, MostStored: 1e-9}
+	none := retry.BudgetConfig{Ratio: 1e-9, Floor: 1e-9, MaxStored: 1e-9}
 	cases := map[string]struct {
 		budget retry.BudgetConfig
 		err    error
@@ -143,7 +143,7 @@
 		env := newTestEnv(t, envOptions{admission: admission.Config{
 			// With a short initial hold time, admission queues callers as it expects to
 			// serve them in time.
-			Gate:        gate.Config{Hold: time.Millisecond},
+			Gate:        gate.Config{InitialHoldTime: time.Millisecond},
 			Concurrency: concurrency.Config{Initial: 1, Min: 1, Max: 1},
 		}})
 		arrived, release := env.holdCalls()
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -72,7 +72,7 @@
 func (e *enginePicker) Pick(ctx context.Context, req streaming.PickRequest) (streaming.Target, error) {
 	_, span, end := startSpan(ctx, e.tracer, "routing")
 	defer end()
-	ask := req.Request.Ask
+	ask := req.Request.Params
 	doc, ok := e.documents.Value().Find(ask.Service)
 	if !ok {
 		return streaming.Target{}, noUpstreamRefusal("the service is no longer offered")
@@ -80,7 +80,7 @@
 	class, _ := doc.FindClass(ask.Class)
 	route := streamRoutingRequest(doc, class, req.Request.Key.Account, ask.Prompt, ask.MaxTokens, req.Answer)
 	route.Exclude = req.Exclude
-	e.recordServedPrompt(doc.Service, req.Served, route.Blocks)
+	e.recordServedPrompt(doc.Service, req.LastInstance, route.Blocks)
 	decision := e.router.decide(doc, route)
 	u, found := e.router.find(doc.Service, decision.Upstream)
 	if !decision.Found() || !found {
@@ -118,10 +118,10 @@
 	e.attempts.RecordAttemptStart(route.Service, d.Upstream)
 	notice, unwatch := e.notices.Watch(d.Upstream, u.Instance.Incarnation)
 	return streaming.Target{
-		Instance:   d.Upstream,
-		Engine:     e.dialer.Engine(d.Address),
-		Notice:     notice,
-		FirstToken: active.recordFirstToken,
+		Instance:     d.Upstream,
+		Engine:       e.dialer.Engine(d.Address),
+		Notice:       notice,
+		OnFirstToken: active.recordFirstToken,
 		Release: func(r streaming.Result) {
 			unwatch()
 			active.end(streamRoutingResult(r))
@@ -144,17 +144,17 @@
 		sentAt:       active.sentAt,
 		inFlight:     active.inFlight,
 		firstToken:   r.FirstToken,
-		failed:       r.Next != "" && !r.Leaving,
+		failed:       r.NextCause != "" && !r.Leaving,
 		latencyRatio: targetLatencyRatio(route.Class, active, r, time.Now()),
 	})
 	subject := explain.Subject{Request: req.Request.Key.Request, Service: route.Service, Account: req.Request.Key.Account}
 	e.explain.RecordAttempt(subject, explain.Attempt{
-		Upstream:   d.Upstream,
-		Cause:      string(req.Cause),
-		Reasons:    d.Reasons,
-		Predicted:  d.FirstToken,
-		FirstToken: r.FirstToken,
-		Error:      string(r.Next),
+		Upstream:            d.Upstream,
+		Cause:               string(req.Cause),
+		Reasons:             d.Reasons,
+		PredictedFirstToken: d.FirstToken,
+		FirstToken:          r.FirstToken,
+		Error:               string(r.NextCause),
 	})
 }
 
@@ -192,9 +192,9 @@
 	switch {
 	case r.Unused:
 		return routing.ResultCancelled
-	case r.Next == "":
+	case r.NextCause == "":
 		return routing.ResultDone
-	case r.Next == streaming.CauseRefused:
+	case r.NextCause == streaming.CauseRefused:
 		return routing.ResultRefused
 	}
 	return routing.ResultFailed
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -216,7 +216,7 @@
 	}
 	return checkedStream{doc: doc, class: class, attempt: req.GetAttempt(), request: streaming.Request{
 		Key: streaming.Key{Account: auth.Account(ctx), Request: ident.Request(req.GetRequestId())},
-		Ask: streaming.Ask{
+		Params: streaming.Params{
 			Service:   doc.Service,
 			Class:     class.Name,
 			Prompt:    req.GetPrompt(),
@@ -237,30 +237,30 @@
 		return *refusal, nil
 	}
 	defer ticket.Done(admission.Result{})
-	h.dispatcher.budgets.forService(stream.doc.Service).FirstTry()
+	h.dispatcher.budgets.forService(stream.doc.Service).RecordFirstAttempt()
 	return h.streams.Generate(ctx, stream.request, &firstTokenSink{Sink: sink, onFirstToken: ticket.FirstToken})
 }
 
 // admitStream admits a token stream of which the caller has no tokens yet.
 func (h *handler) admitStream(ctx context.Context, stream checkedStream) (*admission.Ticket, *outcome.Outcome) {
 	key := stream.request.Key
-	ask := stream.request.Ask
+	ask := stream.request.Params
 	route := streamRoutingRequest(stream.doc, stream.class, key.Account, ask.Prompt, ask.MaxTokens, nil)
 	predicted := h.router.decide(stream.doc, route)
 	u, _ := h.router.find(stream.doc.Service, predicted.Upstream)
 	return h.admit(ctx, admission.Request{
-		Service:     stream.doc.Service,
-		ID:          key.Request,
-		Account:     key.Account,
-		Limit:       stream.doc.AccountLimit(key.Account),
-		Class:       stream.class,
-		Predicted:   predicted.FirstToken,
-		PredictedBy: predicted.FirstTokenBy,
-		Unloaded:    unloadedFirstToken(u.Report, predicted.UncachedTokens),
-		Remaining:   time.Duration(route.MaxTokens) * predicted.BetweenTokens,
-		Deadline:    stream.request.Deadline,
-		Cost:        float64(predicted.UncachedTokens + route.MaxTokens),
-		Attempt:     stream.attempt,
+		Service:                  stream.doc.Service,
+		ID:                       key.Request,
+		Account:                  key.Account,
+		Limit:                    stream.doc.AccountLimit(key.Account),
+		Class:                    stream.class,
+		PredictedFirstToken:      predicted.FirstToken,
+		PredictedFirstTokenP80:   predicted.FirstTokenBy,
+		UnloadedFirstToken:       unloadedFirstToken(u.Report, predicted.UncachedTokens),
+		PredictedAfterFirstToken: time.Duration(route.MaxTokens) * predicted.BetweenTokens,
+		Deadline:                 stream.request.Deadline,
+		Cost:                     float64(predicted.UncachedTokens + route.MaxTokens),
+		Attempt:                  stream.attempt,
 	})
 }
 
@@ -273,7 +273,7 @@
 	}
 	resume := streaming.ResumeRequest{
 		Key:       streaming.Key{Account: auth.Account(ctx), Request: ident.Request(req.GetRequestId())},
-		Next:      req.GetNextIndex(),
+		NextIndex: req.GetNextIndex(),
 		Delivered: req.GetDelivered(),
 	}
 	sink := resumeSink(out)
@@ -298,7 +298,7 @@
 		return outcome.Outcome{}, err
 	}
 	resume.Original = &stream.request
-	if resume.Next > 0 || h.streams.Holds(resume.Key) {
+	if resume.NextIndex > 0 || h.streams.Holds(resume.Key) {
 		return h.streams.Resume(ctx, resume, sink)
 	}
 	ticket, refusal := h.admitStream(ctx, stream)
--- a/internal/gateway/handler_test.go
+++ b/internal/gateway/handler_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestAccountsNeverMeet(t *testing.T) {
+func TestAccountsAreIsolated(t *testing.T) {
 	env := newTestEnv(t, envOptions{})
 	other := env.clientWithToken(t, traderToken)
 	ctx := context.Background()
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -98,7 +98,7 @@
 // A caller that sends a request and reads nothing of the answer must not hold the
 // handler and its memory: without a deadline, writes to it block as long as the
 // connection exists.
-func TestCallerThatStopsReadingIsLeft(t *testing.T) {
+func TestCallerThatStopsReadingIsCutOff(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
 			runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
@@ -138,7 +138,7 @@
 // A caller that does not read the answer to its request must not hold the connection,
 // even if the answer is so short that only the last flush, at the end of the request,
 // writes it.
-func TestCallerThatTakesNoAnswerIsLeft(t *testing.T) {
+func TestCallerThatReadsNoAnswerIsCutOff(t *testing.T) {
 	runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
 		closed := make(chan struct{})
 		server := newTimeoutServer(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
@@ -163,7 +163,7 @@
 
 // A caller that sends the header of a request and then little or nothing must not hold
 // the handler: without a deadline, reading the body may take forever.
-func TestCallerWhoseBodyDoesNotComeIsLeft(t *testing.T) {
+func TestCallerThatSendsNoBodyIsCutOff(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
 			runInMemory(t, func(t *testing.T, start func(*http.Server) *pipeListener) {
--- a/internal/gateway/peering/peers.go
+++ b/internal/gateway/peering/peers.go
@@ -151,7 +151,7 @@
 type streamPeer struct{ remote *remote }
 
 // HandOver implements streaming.Peer.
-func (s streamPeer) HandOver(ctx context.Context, streams []streaming.Handed) ([]streaming.Key, error) {
+func (s streamPeer) HandOver(ctx context.Context, streams []streaming.HandedStream) ([]streaming.Key, error) {
 	req := &peerv1.HandOverRequest{From: string(s.remote.peers.Self)}
 	known := map[string]streaming.Key{}
 	for _, h := range streams {
@@ -176,10 +176,10 @@
 	Calls interface {
 		PutOutcomes(outcomes []calls.KeyedOutcome)
 		FindLocal(key ident.CallKey) calls.PeerAnswer
-		TakeOver(h calls.HandOver) []journal.ClaimID
+		AcceptHandOver(h calls.HandOver) []journal.ClaimID
 	}
 	Streams interface {
-		Accept(streams []streaming.Handed) []streaming.Key
+		Accept(streams []streaming.HandedStream) []streaming.Key
 	}
 	// Stopping is whether this gateway is leaving; it then accepts no hand-over.
 	Stopping *blackboard.Section[bool]
@@ -236,12 +236,12 @@
 		return nil, err
 	}
 	h.Outcomes = outcomes
-	var streams []streaming.Handed
+	var streams []streaming.HandedStream
 	for _, w := range req.GetStreams() {
 		streams = append(streams, streamFromWire(w))
 	}
 	resp := &peerv1.HandOverResponse{}
-	for _, id := range l.Calls.TakeOver(h) {
+	for _, id := range l.Calls.AcceptHandOver(h) {
 		resp.Accepted = append(resp.Accepted, id.String())
 	}
 	for _, key := range l.Streams.Accept(streams) {
--- a/internal/gateway/peering/stream_test.go
+++ b/internal/gateway/peering/stream_test.go
@@ -11,15 +11,15 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
-func TestHandedStreamSurvivesTheWire(t *testing.T) {
-	want := streaming.Handed{
-		Key:       streaming.Key{Account: "weber", Request: "r-1"},
-		Ask:       streaming.Ask{Service: "spool-llm", Class: "long", Prompt: "lot 7", MaxTokens: 9},
-		Priority:  3,
-		Remaining: 1500 * time.Millisecond,
-		Delivered: []string{"a", "b"},
-		Attempt:   4,
-		Served:    "hall-a-1",
+func TestHandedStreamRoundTrip(t *testing.T) {
+	want := streaming.HandedStream{
+		Key:          streaming.Key{Account: "weber", Request: "r-1"},
+		Params:       streaming.Params{Service: "spool-llm", Class: "long", Prompt: "lot 7", MaxTokens: 9},
+		Priority:     3,
+		Remaining:    1500 * time.Millisecond,
+		Delivered:    []string{"a", "b"},
+		LastAttempt:  4,
+		LastInstance: "hall-a-1",
 	}
 	wire, err := proto.Marshal(streamToWire(want))
 	if err != nil {
--- a/internal/gateway/peering/wire.go
+++ b/internal/gateway/peering/wire.go
@@ -104,17 +104,17 @@
 	}, nil
 }
 
-func streamToWire(s streaming.Handed) *peerv1.HandedStream {
+func streamToWire(s streaming.HandedStream) *peerv1.HandedStream {
 	w := &peerv1.HandedStream{
-		Service:       string(s.Ask.Service),
+		Service:       string(s.Params.Service),
 		ClientAccount: string(s.Key.Account),
 		RequestId:     string(s.Key.Request),
-		Class:         string(s.Ask.Class),
-		Prompt:        s.Ask.Prompt,
-		MaxTokens:     s.Ask.MaxTokens,
+		Class:         string(s.Params.Class),
+		Prompt:        s.Params.Prompt,
+		MaxTokens:     s.Params.MaxTokens,
 		Delivered:     s.Delivered,
-		Attempt:       s.Attempt,
-		Upstream:      string(s.Served),
+		Attempt:       s.LastAttempt,
+		Upstream:      string(s.LastInstance),
 		Priority:      s.Priority,
 	}
 	if s.Remaining > 0 {
@@ -123,23 +123,23 @@
 	return w
 }
 
-func streamFromWire(w *peerv1.HandedStream) streaming.Handed {
+func streamFromWire(w *peerv1.HandedStream) streaming.HandedStream {
 	var remaining time.Duration
 	if w.GetRemaining().IsValid() {
 		remaining = w.GetRemaining().AsDuration()
 	}
-	return streaming.Handed{
+	return streaming.HandedStream{
 		Key: streaming.Key{Account: ident.ClientAccount(w.GetClientAccount()), Request: ident.Request(w.GetRequestId())},
-		Ask: streaming.Ask{
+		Params: streaming.Params{
 			Service:   ident.Service(w.GetService()),
 			Class:     ident.Class(w.GetClass()),
 			Prompt:    w.GetPrompt(),
 			MaxTokens: w.GetMaxTokens(),
 		},
-		Priority:  w.GetPriority(),
-		Remaining: remaining,
-		Delivered: w.GetDelivered(),
-		Attempt:   w.GetAttempt(),
-		Served:    ident.Instance(w.GetUpstream()),
+		Priority:     w.GetPriority(),
+		Remaining:    remaining,
+		Delivered:    w.GetDelivered(),
+		LastAttempt:  w.GetAttempt(),
+		LastInstance: ident.Instance(w.GetUpstream()),
 	}
 }
--- a/internal/gateway/plains.go
+++ b/internal/gateway/plains.go
@@ -60,7 +60,7 @@
 // or possible, or ctx ends.
 func (p *plainDispatcher) Run(ctx context.Context, call idempotentCall) outcome.Outcome {
 	budget := p.budgets.forService(call.doc.Service)
-	budget.FirstTry()
+	budget.RecordFirstAttempt()
 	var tried []ident.Instance
 	mayHaveRun := false
 	for attempt := 1; ; attempt++ {
@@ -74,11 +74,11 @@
 		if err == nil {
 			return answeredOutcome(answer)
 		}
-		mayHaveRun = mayHaveRun || upstream.Ran(err)
+		mayHaveRun = mayHaveRun || upstream.MayHaveRun(err)
 		if ctx.Err() != nil {
 			return unansweredOutcome(mayHaveRun, contextReason(ctx), "the request was given up before an upstream answered")
 		}
-		if attempt == maxAttempts || !retry.Retryable(err, true, upstream.Ran(err)) {
+		if attempt == maxAttempts || !retry.Retryable(err, true, upstream.MayHaveRun(err)) {
 			return unansweredOutcome(mayHaveRun, outcome.ReasonUpstreamLost, "no upstream answered")
 		}
 		if !budget.Spend(time.Now()) {
@@ -160,12 +160,12 @@
 		failed:     err != nil && !isLeaving(err) && ctx.Err() == nil,
 	})
 	p.explain.RecordAttempt(a.subject, explain.Attempt{
-		Upstream:   u.Instance.ID,
-		Cause:      attemptCause(a.attempt),
-		Reasons:    a.decision.Reasons,
-		Predicted:  a.decision.FirstToken,
-		FirstToken: took,
-		Error:      errorCodeText(err),
+		Upstream:            u.Instance.ID,
+		Cause:               attemptCause(a.attempt),
+		Reasons:             a.decision.Reasons,
+		PredictedFirstToken: a.decision.FirstToken,
+		FirstToken:          took,
+		Error:               errorCodeText(err),
 	})
 	return answer, err
 }
@@ -174,7 +174,7 @@
 	switch {
 	case err == nil:
 		return routing.ResultDone
-	case !upstream.Ran(err):
+	case !upstream.MayHaveRun(err):
 		return routing.ResultRefused
 	}
 	return routing.ResultFailed
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -214,9 +214,9 @@
 	config := membership.DefaultConfig(p.self)
 	config.Interval = p.settings.Membership.Heartbeat
 	config.Seeds = p.settings.Membership.Seeds
-	config.LocalAll = p.settings.Membership.PeersPerDomain
-	if config.LocalAll == 0 {
-		config.LocalAll = math.MaxInt
+	config.LocalMeshLimit = p.settings.Membership.PeersPerDomain
+	if config.LocalMeshLimit == 0 {
+		config.LocalMeshLimit = math.MaxInt
 	}
 	config.RemotePerDomain = p.settings.Membership.OtherDomains
 	p.members = membership.New(config, membership.Deps{
--- a/internal/gateway/results.go
+++ b/internal/gateway/results.go
@@ -36,7 +36,7 @@
 	case streaming.CauseFirst, streaming.CauseNotice, streaming.CauseMoved, streaming.CauseResumed:
 		return true
 	}
-	return b.forService(req.Ask.Service).Spend(time.Now())
+	return b.forService(req.Params.Service).Spend(time.Now())
 }
 
 // admissionRecorder reports attempts at upstreams to the admission controller.
@@ -46,7 +46,7 @@
 
 // RecordAttemptStart implements attemptRecorder.
 func (r *admissionRecorder) RecordAttemptStart(service ident.Service, id ident.Instance) {
-	r.admission.Sending(service, id)
+	r.admission.RecordAttemptStart(service, id)
 }
 
 // RecordAttemptEnd implements attemptRecorder.
@@ -63,7 +63,7 @@
 		observed.FirstToken = time.Duration(a.latencyRatio * float64(time.Second))
 		unloaded = targetUnloadedLatency
 	}
-	r.admission.Observe(service, observed, unloaded)
+	r.admission.RecordAttemptEnd(service, observed, unloaded)
 }
 
 // targetUnloadedLatency is the unloaded latency reported for an attempt whose latency
--- a/internal/gateway/routes.go
+++ b/internal/gateway/routes.go
@@ -19,7 +19,7 @@
 // ejections returns the upstreams that get no requests now because they are ejected or
 // under a probe.
 type ejections interface {
-	Ejected(service ident.Service) []ident.Instance
+	Excluded(service ident.Service) []ident.Instance
 }
 
 // upstreamRouter chooses upstreams from this gateway's view of them. It is safe for
@@ -62,7 +62,7 @@
 	req.Explain = len(view) <= maxExplainedUpstreams
 	router := r.serviceRouter(doc.Service)
 	failed := req.Exclude
-	req.Exclude = append(r.ejections.Ejected(doc.Service), failed...)
+	req.Exclude = append(r.ejections.Excluded(doc.Service), failed...)
 	decision := router.Decide(doc, view, req, time.Now())
 	if decision.Found() || len(req.Exclude) == len(failed) {
 		return decision
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -143,7 +143,7 @@
 	var callsErr error
 	parts.Go(func() {
 		report := p.streams.Leave(ctx, max(limit-streamHandOverReserve-shutdownReserve, 0), p.peers.StreamPeers())
-		p.log.Info("token streams handed over", "handed_over", report.HandedOver, "left", report.Left)
+		p.log.Info("token streams handed over", "handed_over", report.HandedOver, "left", report.NotHandedOver)
 	})
 	parts.Go(func() { callsErr = p.calls.Stop(ctx) })
 	parts.Wait()
--- a/internal/gateway/span_test.go
+++ b/internal/gateway/span_test.go
@@ -46,9 +46,9 @@
 // knowsNothing is a peer that knows no calls.
 type knowsNothing struct{}
 
-func (knowsNothing) PutOutcomes([]calls.KeyedOutcome)          {}
-func (knowsNothing) FindLocal(ident.CallKey) calls.PeerAnswer  { return calls.PeerAnswer{} }
-func (knowsNothing) TakeOver(calls.HandOver) []journal.ClaimID { return nil }
+func (knowsNothing) PutOutcomes([]calls.KeyedOutcome)                {}
+func (knowsNothing) FindLocal(ident.CallKey) calls.PeerAnswer        { return calls.PeerAnswer{} }
+func (knowsNothing) AcceptHandOver(calls.HandOver) []journal.ClaimID { return nil }
 
 // startPeer returns a function that starts another gateway's peer server, makes it
 // known to a test environment and returns the environment's peers.
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -79,7 +79,7 @@
 		id := ident.Request(r.URL.Query().Get(report.RequestParameter))
 		records := recorder.Find(id)
 		if len(records) == 0 {
-			writeJSON(w, http.StatusNotFound, report.Problem{Error: "this gateway remembers no request with this ID"})
+			writeJSON(w, http.StatusNotFound, report.ErrorResponse{Error: "this gateway remembers no request with this ID"})
 			return
 		}
 		writeJSON(w, http.StatusOK, records)
--- a/internal/gossip/bench_test.go
+++ b/internal/gossip/bench_test.go
@@ -17,23 +17,23 @@
 		r := newReport("edge-hall-a-1", 1, 1)
 		r.Loads = make(map[UpstreamKey]placement.Load)
 		r.Accounts = make(map[ident.ClientAccount]Spending)
-		r.Began = make(WindowCounts)
+		r.StartedRequests = make(WindowCounts)
 		for i := range n.upstreams {
-			r.Loads[KeyOf(ident.Instance(fmt.Sprintf("i-%010x", i)))] = placement.Load{Running: 3, Unread: 12000}
+			r.Loads[UpstreamKeyOf(ident.Instance(fmt.Sprintf("i-%010x", i)))] = placement.Load{Running: 3, UnreadTokens: 12000}
 		}
 		for i := range n.accounts {
 			name := ident.ClientAccount(fmt.Sprintf("hule%d", i))
 			r.Accounts[name] = Spending{Spent: 1234567, Refused: 2345678}
 			for w := range int64(5) {
-				if r.Began[w] == nil {
-					r.Began[w] = make(map[ident.ClientAccount]int64)
+				if r.StartedRequests[w] == nil {
+					r.StartedRequests[w] = make(map[ident.ClientAccount]int64)
 				}
-				r.Began[w][name] = 412
+				r.StartedRequests[w][name] = 412
 			}
 		}
 		var sums enginemodel.Sums
 		for i := range 100 {
-			sums.Learn(enginemodel.Sample{Own: float64(700 + 31*i), Ahead: float64(17 * i), Running: float64(i % 7), First: 90 * time.Millisecond}, sums.Fit())
+			sums.AddSample(enginemodel.Sample{OwnTokens: float64(700 + 31*i), TokensAhead: float64(17 * i), Running: float64(i % 7), FirstEvent: 90 * time.Millisecond}, sums.Fit())
 		}
 		r.Engines = map[ident.Service]enginemodel.Sums{"huvo11a": sums}
 		b.Run(fmt.Sprintf("%d upstreams %d accounts", n.upstreams, n.accounts), func(b *testing.B) {
@@ -100,7 +100,7 @@
 		Loads: make(map[UpstreamKey]placement.Load), Accounts: make(map[ident.ClientAccount]Spending),
 	}
 	for i := range upstreams {
-		s.Loads[UpstreamKey(i)] = placement.Load{Running: 3, Unread: 12000}
+		s.Loads[UpstreamKey(i)] = placement.Load{Running: 3, UnreadTokens: 12000}
 	}
 	for i := range accounts {
 		s.Accounts[ident.ClientAccount(fmt.Sprint("acct", i))] = Spending{Spent: 1234567, Refused: 2345678}
