--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -51,7 +51,7 @@
 		out.Rosters = append(out.Rosters, &exchangev1.Roster{FailureDomain: string(r.Domain), Gateways: contactsToProto(r.Gateways)})
 	}
 	for _, c := range m.Counts {
-		out.Counts = append(out.Counts, &exchangev1.LifeCounts{Life: c.Life, Began: countsToProto(c.Began)})
+		out.Counts = append(out.Counts, &exchangev1.LifeCounts{Life: c.IncarnationID, Began: countsToProto(c.StartedRequests)})
 	}
 	data, err := proto.Marshal(out)
 	if err != nil {
@@ -111,7 +111,7 @@
 		m.Rosters = append(m.Rosters, Roster{Domain: ident.FailureDomain(r.FailureDomain), Gateways: c.contacts(r.Gateways)})
 	}
 	for _, l := range in.Counts {
-		m.Counts = append(m.Counts, LifeCounts{Life: l.Life, Began: c.counts(l.Began)})
+		m.Counts = append(m.Counts, IncarnationCounts{IncarnationID: l.Life, StartedRequests: c.counts(l.Began)})
 	}
 	return m, c.err
 }
@@ -152,9 +152,9 @@
 func (r *Report) toProto() *exchangev1.Report {
 	return &exchangev1.Report{
 		Node: string(r.Node), Incarnation: uint64(r.Incarnation), Seq: r.Seq, Address: r.Address, FailureDomain: string(r.Domain),
-		MilliCores: milliCores(r.Cores), WallMs: r.WallMillis, Leaving: r.Leaving, HoldsLease: r.Holds, GivenUpFence: uint64(r.GivenUp),
-		Revision: uint64(r.Revision), RevisionAgeMs: millis(r.RevisionAge), UpstreamsOffset: uint64(r.Upstreams), UpstreamsAgeMs: millis(r.UpstreamsAge),
-		Loads: loadsToProto(r.Loads), Accounts: accountsToProto(r.Accounts), Work: workToProto(r.Work, r.Engines), Began: countsToProto(r.Began),
+		MilliCores: milliCores(r.Cores), WallMs: r.WallMillis, Leaving: r.Leaving, HoldsLease: r.HoldsLease, GivenUpFence: uint64(r.GivenUpFence),
+		Revision: uint64(r.Revision), RevisionAgeMs: millis(r.RevisionAge), UpstreamsOffset: uint64(r.UpstreamsOffset), UpstreamsAgeMs: millis(r.UpstreamsAge),
+		Loads: loadsToProto(r.Loads), Accounts: accountsToProto(r.Accounts), Work: workToProto(r.Demand, r.Engines), Began: countsToProto(r.StartedRequests),
 		Rollouts: rolloutsToProto(r.Rollouts), Poison: poisonToProto(r.Poison),
 		Limits: limitsToProto(r.Limits), LimitUses: usesToProto(r.LimitUses, r.LimitColumns), LimitSet: r.LimitSet,
 	}
@@ -163,16 +163,16 @@
 func (c *checker) report(in *exchangev1.Report) Report {
 	r := Report{
 		Contact:     Contact{Node: ident.Instance(in.Node), Address: in.Address, Domain: ident.FailureDomain(in.FailureDomain), Cores: c.cores(in.MilliCores)},
-		Incarnation: ident.Incarnation(in.Incarnation), Seq: in.Seq, WallMillis: in.WallMs, Leaving: in.Leaving, Holds: in.HoldsLease,
-		GivenUp: ident.Fence(in.GivenUpFence), Revision: ident.Revision(in.Revision), RevisionAge: c.age(in.RevisionAgeMs),
-		Upstreams: ident.Offset(in.UpstreamsOffset), UpstreamsAge: c.age(in.UpstreamsAgeMs),
-		Loads: c.loads(in.Loads), Accounts: c.accounts(in.Accounts), Began: c.counts(in.Began), Rollouts: c.rollouts(in.Rollouts), Poison: c.poison(in.Poison),
+		Incarnation: ident.Incarnation(in.Incarnation), Seq: in.Seq, WallMillis: in.WallMs, Leaving: in.Leaving, HoldsLease: in.HoldsLease,
+		GivenUpFence: ident.Fence(in.GivenUpFence), Revision: ident.Revision(in.Revision), RevisionAge: c.age(in.RevisionAgeMs),
+		UpstreamsOffset: ident.Offset(in.UpstreamsOffset), UpstreamsAge: c.age(in.UpstreamsAgeMs),
+		Loads: c.loads(in.Loads), Accounts: c.accounts(in.Accounts), StartedRequests: c.counts(in.Began), Rollouts: c.rollouts(in.Rollouts), Poison: c.poison(in.Poison),
 		Limits: c.limits(in.Limits), LimitUses: c.limitUses(in.LimitUses), LimitColumns: c.limitColumns(in.LimitUses), LimitSet: in.LimitSet,
 	}
 	if in.Node == "" || in.Address == "" {
 		c.fail("report of gateway %q at address %q lacks the name or the address", in.Node, in.Address)
 	}
-	r.Work, r.Engines = c.work(in.Work)
+	r.Demand, r.Engines = c.work(in.Work)
 	return r
 }
 
@@ -231,7 +231,7 @@
 	for key, load := range loads {
 		out.Upstreams = append(out.Upstreams, uint32(key))
 		out.Running = append(out.Running, uint32(max(0, load.Running)))
-		out.UnreadTokens = append(out.UnreadTokens, uint32(max(0, load.Unread)))
+		out.UnreadTokens = append(out.UnreadTokens, uint32(max(0, load.UnreadTokens)))
 	}
 	return out
 }
@@ -251,7 +251,7 @@
 		if in.Running[i] > maxRunning || in.UnreadTokens[i] > maxUnreadTokens {
 			c.fail("load of %d requests and %d unread tokens is too high, at most %d and %d", in.Running[i], in.UnreadTokens[i], maxRunning, maxUnreadTokens)
 		}
-		out[UpstreamKey(key)] = placement.Load{Running: int(in.Running[i]), Unread: int(in.UnreadTokens[i])}
+		out[UpstreamKey(key)] = placement.Load{Running: int(in.Running[i]), UnreadTokens: int(in.UnreadTokens[i])}
 	}
 	return out
 }
@@ -286,7 +286,7 @@
 	var out []*exchangev1.ServiceWork
 	for _, service := range services {
 		w := work[service]
-		each := &exchangev1.ServiceWork{Service: string(service), PromptTokensPerS: float32(w.Prompt), Generating: float32(w.Generating)}
+		each := &exchangev1.ServiceWork{Service: string(service), PromptTokensPerS: float32(w.PromptTokensPerSecond), Generating: float32(w.Generating)}
 		if sums, ok := engines[service]; ok {
 			each.Engines = sums.List()
 		}
@@ -300,7 +300,7 @@
 	work, engines := make(map[ident.Service]placement.Demand, len(in)), make(map[ident.Service]enginemodel.Sums)
 	for _, w := range in {
 		service := ident.Service(w.Service)
-		work[service] = placement.Demand{Prompt: c.rate(w.PromptTokensPerS), Generating: c.rate(w.Generating)}
+		work[service] = placement.Demand{PromptTokensPerSecond: c.rate(w.PromptTokensPerS), Generating: c.rate(w.Generating)}
 		if len(w.Engines) == 0 {
 			continue
 		}
@@ -388,21 +388,21 @@
 
 func (c *checker) cores(milliCores uint32) float64 {
 	cores := float64(milliCores) / milli
-	if cores > settings.MostCores {
-		c.fail("machine with %v cores, at most %v", cores, settings.MostCores)
+	if cores > settings.MaxCores {
+		c.fail("machine with %v cores, at most %v", cores, settings.MaxCores)
 	}
 	return cores
 }
 
 func millis(d time.Duration) uint64 { return uint64(max(0, d.Milliseconds())) }
 
-func newsToProto(news *directory.News) *exchangev1.News {
+func newsToProto(news *directory.Update) *exchangev1.News {
 	if news == nil {
 		return nil
 	}
 	out := &exchangev1.News{UpTo: uint64(news.UpTo), Complete: news.Complete}
 	for _, r := range news.Records {
-		record := &exchangev1.EntryRecord{Name: string(r.ID), Offset: uint64(r.Offset), UsableMs: millis(r.Usable)}
+		record := &exchangev1.EntryRecord{Name: string(r.Name), Offset: uint64(r.Offset), UsableMs: millis(r.UsableFor)}
 		if u := r.Upstream; u != nil {
 			record.Upstream = &exchangev1.Upstream{
 				Id: string(u.ID), Name: string(u.Name), BornMs: u.Born, Service: string(u.Service), Address: u.Address,
@@ -415,14 +415,14 @@
 	return out
 }
 
-func (c *checker) news(in *exchangev1.News) *directory.News {
+func (c *checker) news(in *exchangev1.News) *directory.Update {
 	if in == nil {
 		return nil
 	}
 	c.checkCount("entries", len(in.Records))
-	news := &directory.News{UpTo: ident.Offset(in.UpTo), Complete: in.Complete}
+	news := &directory.Update{UpTo: ident.Offset(in.UpTo), Complete: in.Complete}
 	for _, r := range in.Records {
-		record := directory.Record{ID: ident.Instance(r.Name), Offset: ident.Offset(r.Offset), Usable: c.age(r.UsableMs)}
+		record := directory.Record{Name: ident.Instance(r.Name), Offset: ident.Offset(r.Offset), UsableFor: c.age(r.UsableMs)}
 		if u := r.Upstream; u != nil {
 			record.Upstream = c.upstream(u)
 		}
--- a/internal/gossip/codec_limits.go
+++ b/internal/gossip/codec_limits.go
@@ -20,7 +20,7 @@
 	noLimit = -1
 )
 
-func limitsToProto(limits []upstreamlimit.Said) *exchangev1.Limits {
+func limitsToProto(limits []upstreamlimit.Announcement) *exchangev1.Limits {
 	if len(limits) == 0 {
 		return nil
 	}
@@ -37,7 +37,7 @@
 	return out
 }
 
-func (c *checker) limits(in *exchangev1.Limits) []upstreamlimit.Said {
+func (c *checker) limits(in *exchangev1.Limits) []upstreamlimit.Announcement {
 	if in == nil {
 		return nil
 	}
@@ -47,9 +47,9 @@
 		c.fail("limits of %d upstreams have %d rates and %d ages", n, len(in.PerSecond), len(in.AgeMs))
 		return nil
 	}
-	out := make([]upstreamlimit.Said, n)
+	out := make([]upstreamlimit.Announcement, n)
 	for i, upstream := range in.Upstreams {
-		s := upstreamlimit.Said{Upstream: upstream, Age: c.age(uint64(in.AgeMs[i]))}
+		s := upstreamlimit.Announcement{Upstream: upstream, Age: c.age(uint64(in.AgeMs[i]))}
 		if in.PerSecond[i] != noLimit {
 			s.Limited, s.Rate = true, c.rate(in.PerSecond[i])
 		}
@@ -60,7 +60,7 @@
 
 // usesToProto encodes the columns if they are set, else the uses by upstream key.
 func usesToProto(uses upstreamlimit.Uses, columns upstreamlimit.Columns) *exchangev1.LimitUses {
-	if columns.Set != 0 {
+	if columns.Hash != 0 {
 		return limitColumnsToProto(columns)
 	}
 	if len(uses) == 0 {
@@ -69,7 +69,7 @@
 	out := &exchangev1.LimitUses{}
 	for upstream, use := range uses {
 		out.Upstreams = append(out.Upstreams, upstream)
-		out.Asked = append(out.Asked, inUnits(use.Asked, fineUnit))
+		out.Asked = append(out.Asked, inUnits(use.Demand, fineUnit))
 		out.Sent = append(out.Sent, inUnits(use.Sent, fineUnit))
 	}
 	return out
@@ -88,9 +88,9 @@
 }
 
 func limitColumnsToProto(columns upstreamlimit.Columns) *exchangev1.LimitUses {
-	out := &exchangev1.LimitUses{LimitSet: columns.Set, Positions: columns.Positions}
-	for i := range columns.Asked {
-		out.Asked = append(out.Asked, inUnits(columns.Asked[i], askedUnit(columns.Positions)))
+	out := &exchangev1.LimitUses{LimitSet: columns.Hash, Positions: columns.Positions}
+	for i := range columns.Demand {
+		out.Asked = append(out.Asked, inUnits(columns.Demand[i], askedUnit(columns.Positions)))
 		out.Sent = append(out.Sent, inUnits(columns.Sent[i], fineUnit))
 	}
 	return out
@@ -106,10 +106,10 @@
 		c.fail("columns of %d limit uses have %d sent values, %d positions and %d upstream keys", n, len(in.Sent), len(in.Positions), len(in.Upstreams))
 		return upstreamlimit.Columns{}
 	}
-	out := upstreamlimit.Columns{Set: in.LimitSet, Positions: in.Positions}
+	out := upstreamlimit.Columns{Hash: in.LimitSet, Positions: in.Positions}
 	for i := range in.Asked {
 		use := c.limitUse(in.Asked[i], askedUnit(in.Positions), in.Sent[i])
-		out.Asked = append(out.Asked, use.Asked)
+		out.Demand = append(out.Demand, use.Demand)
 		out.Sent = append(out.Sent, use.Sent)
 	}
 	return out
@@ -119,7 +119,7 @@
 	if asked > maxUses/fineUnit || sent > maxUses/fineUnit {
 		c.fail("limit use is too high: asked %d, sent %d, at most %d", asked, sent, int(maxUses/fineUnit))
 	}
-	return upstreamlimit.Use{Asked: float64(asked) * unit, Sent: float64(sent) * fineUnit}
+	return upstreamlimit.Use{Demand: float64(asked) * unit, Sent: float64(sent) * fineUnit}
 }
 
 func (c *checker) limitUses(in *exchangev1.LimitUses) upstreamlimit.Uses {
--- a/internal/gossip/codec_poison.go
+++ b/internal/gossip/codec_poison.go
@@ -6,7 +6,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/poison"
 )
 
-func poisonToProto(statements poison.Words) *exchangev1.Poison {
+func poisonToProto(statements poison.Report) *exchangev1.Poison {
 	if statements.Empty() {
 		return nil
 	}
@@ -33,13 +33,13 @@
 	return out
 }
 
-func (c *checker) poison(in *exchangev1.Poison) poison.Words {
+func (c *checker) poison(in *exchangev1.Poison) poison.Report {
 	if in == nil {
-		return poison.Words{}
+		return poison.Report{}
 	}
 	c.checkCount("crashes of upstreams", len(in.Crashes))
 	c.checkCount("verdicts", len(in.Verdicts))
-	var out poison.Words
+	var out poison.Report
 	for _, each := range in.Crashes {
 		out.Crashes = append(out.Crashes, poison.Crash{
 			Upstream: each.Upstream, Age: c.age(each.AgeMs), Marks: c.marks(each.Marks),
@@ -50,7 +50,7 @@
 			c.fail("verdict on content %d is not valid", each.Content)
 		}
 		out.Verdicts = append(out.Verdicts, poison.Verdict{
-			Content: ident.Content(each.Content), Age: c.age(each.AgeMs), Idle: c.age(each.IdleMs), Cleared: each.Cleared,
+			Content: ident.ContentHash(each.Content), Age: c.age(each.AgeMs), Idle: c.age(each.IdleMs), Cleared: each.Cleared,
 		})
 	}
 	return out
--- a/internal/gossip/codec_rollout.go
+++ b/internal/gossip/codec_rollout.go
@@ -10,18 +10,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-func rolloutsToProto(statements rollout.Words) []*exchangev1.Rollout {
+func rolloutsToProto(statements rollout.OrderStates) []*exchangev1.Rollout {
 	var out []*exchangev1.Rollout
 	for i := range statements {
 		w := &statements[i]
 		each := &exchangev1.Rollout{
-			Service: string(w.Order.Service), Order: uint64(w.Order.Offset), To: string(w.Order.To), LengthMs: millis(w.Order.Length),
-			AgeMs: millis(min(w.Age, maxAge)), Phase: uint32(w.Phase), ConfirmedMs: millis(min(w.Confirmed, maxAge)), Stopped: w.Stopped,
+			Service: string(w.Order.Service), Order: uint64(w.Order.Offset), To: string(w.Order.To), LengthMs: millis(w.Order.TimeLimit),
+			AgeMs: millis(min(w.Age, maxAge)), Phase: uint32(w.Phase), ConfirmedMs: millis(min(w.ConfirmedAge, maxAge)), Stopped: w.Stopped,
 			Settled: uint32(max(0, w.Settled)),
 		}
-		for _, route := range slices.Sorted(maps.Keys(w.Seen)) {
+		for _, route := range slices.Sorted(maps.Keys(w.Evidence)) {
 			each.Routes = append(each.Routes, uint32(route))
-			for _, tally := range w.Seen[route] {
+			for _, tally := range w.Evidence[route] {
 				each.Figures = appendTally(each.Figures, &tally)
 			}
 		}
@@ -38,20 +38,20 @@
 	return figures
 }
 
-func (c *checker) rollouts(in []*exchangev1.Rollout) rollout.Words {
+func (c *checker) rollouts(in []*exchangev1.Rollout) rollout.OrderStates {
 	c.checkCount("rollouts", len(in))
-	var out rollout.Words
+	var out rollout.OrderStates
 	for _, each := range in {
 		phase := rollout.Phase(each.Phase)
 		if each.Service == "" || each.To == "" || phase < rollout.Waiting || phase > rollout.Completed || each.Settled > maxItems {
 			c.fail("rollout is not valid: service %q, version %q, phase %d, settled at %d gateways", each.Service, each.To, each.Phase, each.Settled)
 		}
-		out = append(out, rollout.Word{
+		out = append(out, rollout.OrderState{
 			Order: rollout.Order{
-				Service: ident.Service(each.Service), Offset: ident.Offset(each.Order), To: ident.Version(each.To), Length: c.length(each.LengthMs),
+				Service: ident.Service(each.Service), Offset: ident.Offset(each.Order), To: ident.Version(each.To), TimeLimit: c.length(each.LengthMs),
 			},
-			Age: c.age(each.AgeMs), Phase: phase, Confirmed: c.age(each.ConfirmedMs), Stopped: each.Stopped, Settled: int(each.Settled),
-			Seen: c.seen(each.Routes, each.Figures),
+			Age: c.age(each.AgeMs), Phase: phase, ConfirmedAge: c.age(each.ConfirmedMs), Stopped: each.Stopped, Settled: int(each.Settled),
+			Evidence: c.seen(each.Routes, each.Figures),
 		})
 	}
 	return out
@@ -65,9 +65,9 @@
 	return c.age(millis)
 }
 
-func (c *checker) seen(routes []uint32, figures []int32) rollout.Seen {
+func (c *checker) seen(routes []uint32, figures []int32) rollout.EvidenceByRoute {
 	c.checkCount("routes of a rollout", len(routes))
-	out := make(rollout.Seen, len(routes))
+	out := make(rollout.EvidenceByRoute, len(routes))
 	for _, route := range routes {
 		evidence := new(rollout.Evidence)
 		for side := range evidence {
@@ -97,13 +97,13 @@
 		return rollout.Tally{}, nil
 	}
 	for i := range classes {
-		class, n := rollout.Class(rest[2*i]), int(rest[2*i+1])
+		class, n := rollout.TimeClass(rest[2*i]), int(rest[2*i+1])
 		if !class.Valid() || n < 0 || n > out.Answers {
 			c.fail("tally of a rollout is not valid: %d answers in time class %d", n, class)
 			continue
 		}
 		if out.Times == nil {
-			out.Times = make(map[rollout.Class]int)
+			out.Times = make(map[rollout.TimeClass]int)
 		}
 		out.Times[class] = n
 	}
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -23,61 +23,61 @@
 // fullReport returns a report in which all fields but LimitColumns are set.
 func fullReport() Report {
 	var sums enginemodel.Sums
-	sums.Learn(enginemodel.Sample{Own: 1000, Ahead: 500, Running: 3, First: 80 * time.Millisecond}, sums.Fit())
+	sums.AddSample(enginemodel.Sample{OwnTokens: 1000, TokensAhead: 500, Running: 3, FirstEvent: 80 * time.Millisecond}, sums.Fit())
 	exact, err := enginemodel.SumsOf(sums.List())
 	if err != nil {
 		panic(err)
 	}
 	return Report{
 		Contact:     Contact{Node: "gw-1", Address: "10.0.0.1:1", Domain: "hall-a", Cores: 0.192},
-		Incarnation: 1 << 60, Seq: 7, WallMillis: -5, Leaving: true, Holds: true, GivenUp: 9, Revision: 3, RevisionAge: time.Second,
-		Upstreams: 77, UpstreamsAge: 20 * time.Millisecond,
-		Loads:    map[UpstreamKey]placement.Load{KeyOf("u1"): {Running: 3, Unread: 12_000}, KeyOf("u2"): {}},
-		Accounts: map[ident.ClientAccount]Spending{"a": {Spent: 123_456_789, Refused: 4}},
-		Began:    WindowCounts{7: {"a": 1}},
-		Work:     map[ident.Service]placement.Demand{"llm": {Prompt: 1000, Generating: 2.5}},
-		Engines:  map[ident.Service]enginemodel.Sums{"llm": exact},
-		Rollouts: fullRollouts(),
-		Poison:   fullPoison(),
-		Limits: []upstreamlimit.Said{
+		Incarnation: 1 << 60, Seq: 7, WallMillis: -5, Leaving: true, HoldsLease: true, GivenUpFence: 9, Revision: 3, RevisionAge: time.Second,
+		UpstreamsOffset: 77, UpstreamsAge: 20 * time.Millisecond,
+		Loads:           map[UpstreamKey]placement.Load{UpstreamKeyOf("u1"): {Running: 3, UnreadTokens: 12_000}, UpstreamKeyOf("u2"): {}},
+		Accounts:        map[ident.ClientAccount]Spending{"a": {Spent: 123_456_789, Refused: 4}},
+		StartedRequests: WindowCounts{7: {"a": 1}},
+		Demand:          map[ident.Service]placement.Demand{"llm": {PromptTokensPerSecond: 1000, Generating: 2.5}},
+		Engines:         map[ident.Service]enginemodel.Sums{"llm": exact},
+		Rollouts:        fullRollouts(),
+		Poison:          fullPoison(),
+		Limits: []upstreamlimit.Announcement{
 			{Upstream: 7, Limited: true, Rate: 0.5, Age: 40 * time.Millisecond}, {Upstream: 8, Limited: true}, {Upstream: 1 << 31, Age: time.Second},
 		},
-		LimitUses: upstreamlimit.Uses{7: {Asked: 12.5, Sent: 2}, 1 << 31: {Asked: 0.125}},
+		LimitUses: upstreamlimit.Uses{7: {Demand: 12.5, Sent: 2}, 1 << 31: {Demand: 0.125}},
 		LimitSet:  1 << 31,
 	}
 }
 
 // fullPoison returns statements in which all fields are set.
-func fullPoison() poison.Words {
-	return poison.Words{
+func fullPoison() poison.Report {
+	return poison.Report{
 		Crashes:  []poison.Crash{{Upstream: 7, Age: 300 * time.Millisecond, Marks: []ident.Mark{1 << 8, 1<<63 | 5}}},
 		Verdicts: []poison.Verdict{{Content: 9 << 8, Age: time.Second, Idle: 20 * time.Millisecond, Cleared: true}},
 	}
 }
 
 // fullRollouts returns statements in which all fields are set.
-func fullRollouts() rollout.Words {
-	seen := make(rollout.Seen)
+func fullRollouts() rollout.OrderStates {
+	seen := make(rollout.EvidenceByRoute)
 	for side := range rollout.Side(len(rollout.Evidence{})) {
-		seen.Send(rollout.KeyOf("r"), side)
-		seen.Add(rollout.KeyOf("r"), side, rollout.Answer{Failed: side > rollout.Old, Timed: true, Time: 0.3})
+		seen.CountSent(rollout.KeyOf("r"), side)
+		seen.CountAnswer(rollout.KeyOf("r"), side, rollout.Answer{Failed: side > rollout.Old, Timed: true, Time: 0.3})
 	}
-	return rollout.Words{{
-		Order: rollout.Order{Service: "llm", To: "v2", Length: 12 * time.Second, Offset: 9}, Age: 3 * time.Second, Phase: rollout.Canary,
-		Confirmed: 200 * time.Millisecond, Stopped: true, Settled: 1, Seen: seen,
+	return rollout.OrderStates{{
+		Order: rollout.Order{Service: "llm", To: "v2", TimeLimit: 12 * time.Second, Offset: 9}, Age: 3 * time.Second, Phase: rollout.Canary,
+		ConfirmedAge: 200 * time.Millisecond, Stopped: true, Settled: 1, Evidence: seen,
 	}}
 }
 
 func TestMessagesTravelUnchanged(t *testing.T) {
 	sum := &Sum{
 		Source: "gw-1/5", Seq: 8, Domain: "hall-a", Heard: 3, Known: 4, Age: 130 * time.Millisecond, LeaseHolders: 1, GivenUpFence: 2, CountedReport: reportID{1 << 60, 9},
-		Loads: map[UpstreamKey]placement.Load{4: {Running: 1, Unread: 2}}, Accounts: map[ident.ClientAccount]Spending{"a": {Spent: 1}},
-		Demand: map[ident.Service]placement.Demand{"llm": {Prompt: 1}}, Engines: map[ident.Service]enginemodel.Sums{},
-		LimitUses: upstreamlimit.Uses{9: {Asked: 100, Sent: 20}},
+		Loads: map[UpstreamKey]placement.Load{4: {Running: 1, UnreadTokens: 2}}, Accounts: map[ident.ClientAccount]Spending{"a": {Spent: 1}},
+		Demand: map[ident.Service]placement.Demand{"llm": {PromptTokensPerSecond: 1}}, Engines: map[ident.Service]enginemodel.Sums{},
+		LimitUses: upstreamlimit.Uses{9: {Demand: 100, Sent: 20}},
 		Rollouts:  fullRollouts(), Poison: fullPoison(), SilentDomains: []ident.FailureDomain{"hall-b"}, TrueWallMillis: 1_800_000_000_000,
 	}
 	withColumns := *sum
-	withColumns.LimitUses, withColumns.LimitColumns = nil, upstreamlimit.Columns{Set: 5, Asked: []float64{1, 0}, Sent: []float64{0.5, 0}}
+	withColumns.LimitUses, withColumns.LimitColumns = nil, upstreamlimit.Columns{Hash: 5, Demand: []float64{1, 0}, Sent: []float64{0.5, 0}}
 	up := directory.Upstream{
 		ID: "u/1", Name: "u", Born: 36, Service: "llm", Address: "10.0.0.9:1", FailureDomain: "hall-b", Slots: 12, State: directory.Leaving,
 		Reclaimable: true, LeavesIn: 2 * time.Second, Version: "v2", ColdFor: time.Second,
@@ -86,10 +86,10 @@
 	for name, m := range map[string]message{
 		"between two":                  {From: fullReport(), KnownDigest: 5, Contacts: contacts, WantsLarge: true, Config: &encodedConfig{Revision: 5, Offset: 6, Gzip: []byte("x")}},
 		"a patch":                      {From: fullReport(), AcceptsPatches: true, Config: &encodedConfig{Revision: 5, Offset: 6, Base: 4, Patch: []byte("x")}},
-		"news":                         {From: fullReport(), Upstreams: &directory.News{UpTo: 9, Complete: true, Records: []directory.Record{{ID: "u", Offset: 3, Upstream: &up}, {ID: "v", Offset: 4, Usable: time.Second}}}},
+		"news":                         {From: fullReport(), Upstreams: &directory.Update{UpTo: 9, Complete: true, Records: []directory.Record{{Name: "u", Offset: 3, Upstream: &up}, {Name: "v", Offset: 4, UsableFor: time.Second}}}},
 		"to a collector":               {From: fullReport(), Collect: true, SubtractsOwn: true, RosterDigests: map[ident.FailureDomain]uint64{"hall-a": 1}, WantsCounts: true},
 		"to one that knows the limits": {From: fullReport(), Others: &withColumns},
-		"from a collector":             {From: fullReport(), Others: sum, DomainSum: sum, Rosters: []Roster{{Domain: "hall-b", Gateways: contacts}}, Counts: []LifeCounts{{Life: "a/1", Began: WindowCounts{1: {"a": 2}}}}},
+		"from a collector":             {From: fullReport(), Others: sum, DomainSum: sum, Rosters: []Roster{{Domain: "hall-b", Gateways: contacts}}, Counts: []IncarnationCounts{{IncarnationID: "a/1", StartedRequests: WindowCounts{1: {"a": 2}}}}},
 	} {
 		data, err := m.encode()
 		if err != nil {
@@ -113,7 +113,7 @@
 		{7: {"a": 1, "b": 2}, 8: {"b": 3}, 900_000: {"c": 1}},
 	} {
 		m := message{From: fullReport()}
-		m.From.Began = w
+		m.From.StartedRequests = w
 		data, err := m.encode()
 		if err != nil {
 			t.Fatal(err)
@@ -122,7 +122,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(w, got.From.Began); diff != "" {
+		if diff := cmp.Diff(w, got.From.StartedRequests); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -131,7 +131,7 @@
 // Another gateway's message is truncated, comes from an older build or contains impossible
 // values. Guards against using such values unchecked: a gateway would crash, or all of them
 // would place requests by a load that no gateway has.
-func TestMessagesThatCannotBeAreRefused(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	whole := message{From: fullReport()}
 	data, err := whole.encode()
 	if err != nil {
@@ -219,13 +219,13 @@
 
 // What a gateway reports per round about requests that crash upstreams must stay below 200
 // bytes, also while many different requests do, and take no bytes while none does.
-func TestEndsOfUpstreamsTakeFewBytesOfAReport(t *testing.T) {
+func TestCrashesTakeFewBytesOfAReport(t *testing.T) {
 	const maxBytes = 200
 	now := time.Unix(1_000_000, 0)
 	tracker := poison.New(poison.Config{
-		Now: func() time.Time { return now }, Log: hclog.NewNullLogger(), Key: func(id ident.Instance) uint32 { return uint32(KeyOf(id)) },
+		Now: func() time.Time { return now }, Log: hclog.NewNullLogger(), Key: func(id ident.Instance) uint32 { return uint32(UpstreamKeyOf(id)) },
 	})
-	size := func(statements poison.Words) int {
+	size := func(statements poison.Report) int {
 		m := message{From: fullReport()}
 		m.From.Poison = statements
 		data, err := m.encode()
@@ -234,8 +234,8 @@
 		}
 		return len(data)
 	}
-	without := size(poison.Words{})
-	if extra := size(tracker.Words()) - without; extra != 0 {
+	without := size(poison.Report{})
+	if extra := size(tracker.Report()) - without; extra != 0 {
 		t.Errorf("%d bytes while no upstream crashes", extra)
 	}
 	most := 0
@@ -243,18 +243,18 @@
 		for k := range 3 {
 			upstream := ident.Instance(fmt.Sprint(i, "/", k))
 			for request := range 8 {
-				content := ident.ContentOf(ident.Outline(1+i*100), 0)
+				content := ident.ContentHashOf(ident.OutlineHash(1+i*100), 0)
 				if request > 0 {
-					content = ident.ContentOf(ident.Outline(1+i*100+10*k+request), 0)
+					content = ident.ContentHashOf(ident.OutlineHash(1+i*100+10*k+request), 0)
 				}
 				tracker.Crashed(upstream, ident.MarkOf(content, ident.Request(fmt.Sprint(i, k, request))))
 			}
 		}
 		now = now.Add(Interval)
-		tracker.Refresh(poison.Words{})
-		most = max(most, size(tracker.Words())-without)
+		tracker.Refresh(poison.Report{})
+		most = max(most, size(tracker.Report())-without)
 	}
-	if tracker.Counters().Found < 100 {
+	if tracker.Counters().Convicted < 100 {
 		t.Fatal("fewer than 100 crashing requests were found")
 	}
 	if most > maxBytes {
@@ -265,9 +265,9 @@
 
 // What one of many gateways reports per round about a rollout must stay below 200 bytes,
 // because each gateway reports it four times a second.
-func TestAnOrderTakesFewBytesOfAReport(t *testing.T) {
+func TestARolloutTakesFewBytesOfAReport(t *testing.T) {
 	const maxBytes = 200
-	seen := make(rollout.Seen)
+	seen := make(rollout.EvidenceByRoute)
 	for route := range 5 {
 		key := rollout.KeyOf(string(rune('a' + route)))
 		for i := range 40 {
@@ -276,12 +276,12 @@
 			if i < 3 {
 				side = rollout.Side(1 + i%2)
 			}
-			seen.Send(key, side)
-			seen.Add(key, side, rollout.Answer{Timed: true, Time: 0.5 + float64(i%5)/5})
+			seen.CountSent(key, side)
+			seen.CountAnswer(key, side, rollout.Answer{Timed: true, Time: 0.5 + float64(i%5)/5})
 		}
 	}
 	statements := fullRollouts()
-	statements[0].Seen = seen
+	statements[0].Evidence = seen
 	with := message{From: fullReport()}
 	with.From.Rollouts = statements
 	without := message{From: fullReport()}
--- a/internal/gossip/collect.go
+++ b/internal/gossip/collect.go
@@ -143,7 +143,7 @@
 // encodeDomainSumRequest encodes this domain's sum as a request to another domain's collector.
 func (g *Gossip) encodeDomainSumRequest(now time.Time) []byte {
 	_, digests := g.cfg.Table.Rosters(now)
-	m := &message{From: g.cfg.Knowledge.Brief(now), RosterDigests: digests}
+	m := &message{From: g.cfg.Knowledge.BriefReport(now), RosterDigests: digests}
 	g.addDomainSum(m, now, time.Now())
 	return g.encode(m)
 }
@@ -314,8 +314,8 @@
 // the given time before now, and asks the collectors of the other domains for theirs. It does
 // not wait for the answers.
 func (g *Gossip) requestDomainCounts(ctx context.Context, within time.Duration, now time.Time) bool {
-	silent := g.View(now).Silent
-	g.cfg.Knowledge.Count(g.collector.Counts())
+	silent := g.View(now).SilentDomains
+	g.cfg.Knowledge.ApplyCounts(g.collector.Counts())
 	all := true
 	for _, domain := range g.cfg.Table.Domains() {
 		order := g.cfg.Table.Collectors(domain, now)
@@ -335,7 +335,7 @@
 		}
 		go func() {
 			defer g.endExchange(key)
-			request := g.encode(&message{From: g.cfg.Knowledge.Brief(now), WantsCounts: true})
+			request := g.encode(&message{From: g.cfg.Knowledge.BriefReport(now), WantsCounts: true})
 			if g.sendToFirst(ctx, order, request) {
 				g.mu.Lock()
 				defer g.mu.Unlock()
--- a/internal/gossip/collector.go
+++ b/internal/gossip/collector.go
@@ -78,14 +78,14 @@
 // NewCollector returns a collector that has received nothing.
 func NewCollector(self Contact, incarnation ident.Incarnation) *Collector {
 	return &Collector{
-		self: self, incarnationID: LifeOf(self.Node, incarnation), members: make(map[ident.Instance]*receivedReport),
+		self: self, incarnationID: IncarnationID(self.Node, incarnation), members: make(map[ident.Instance]*receivedReport),
 		domains: make(map[ident.FailureDomain]*domainSums), counts: make(map[string]*receivedCounts),
 		memberTotals: newAccumulator(), domainTotals: newAccumulator(),
 	}
 }
 
-// LifeOf returns the name of one incarnation of a gateway.
-func LifeOf(node ident.Instance, incarnation ident.Incarnation) string {
+// IncarnationID returns the name of one incarnation of a gateway.
+func IncarnationID(node ident.Instance, incarnation ident.Incarnation) string {
 	return string(node) + "/" + strconv.FormatUint(uint64(incarnation), 10)
 }
 
@@ -99,9 +99,9 @@
 		return
 	}
 	c.members[r.Node] = &receivedReport{report: r, receivedAt: now, clockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
-	incarnationID := LifeOf(r.Node, r.Incarnation)
+	incarnationID := IncarnationID(r.Node, r.Incarnation)
 	c.memberTotals.update(string(r.Node), incarnationID, r.Accounts)
-	c.counts[incarnationID] = &receivedCounts{began: r.Began, receivedAt: now}
+	c.counts[incarnationID] = &receivedCounts{began: r.StartedRequests, receivedAt: now}
 	c.stats.Reports++
 	c.expire(now)
 }
@@ -270,12 +270,12 @@
 
 // Counts returns the requests that this domain's gateways counted, including gateways that are
 // gone.
-func (c *Collector) Counts() []LifeCounts {
+func (c *Collector) Counts() []IncarnationCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]LifeCounts, 0, len(c.counts))
+	out := make([]IncarnationCounts, 0, len(c.counts))
 	for incarnationID, counts := range c.counts {
-		out = append(out, LifeCounts{Life: incarnationID, Began: counts.began})
+		out = append(out, IncarnationCounts{IncarnationID: incarnationID, StartedRequests: counts.began})
 	}
 	return out
 }
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -54,7 +54,7 @@
 	if p := g.compressed; p != nil && p.Revision == record.Revision && p.Offset == record.Offset {
 		return p, nil
 	}
-	data, err := gzipped.Pack(record.Data, gzip.BestSpeed)
+	data, err := gzipped.Compress(record.Data, gzip.BestSpeed)
 	if err != nil {
 		return nil, errors.Wrapf(err, "compress the configuration of revision %d", record.Revision)
 	}
@@ -64,7 +64,7 @@
 
 // decompress is the inverse of compress.
 func (p *encodedConfig) decompress() (*ConfigRecord, error) {
-	data, err := gzipped.Unpack(p.Gzip, maxConfigBytes)
+	data, err := gzipped.Decompress(p.Gzip, maxConfigBytes)
 	if err != nil {
 		return nil, errors.Wrapf(err, "decompress the configuration of revision %d", p.Revision)
 	}
@@ -75,7 +75,7 @@
 // lacks them and is not already asking. It prefers gateways with the newest configuration and
 // falls back to the given addresses. It does not wait for the answer.
 func (g *Gossip) fetch(ctx context.Context, addresses []string) {
-	if !g.cfg.Knowledge.Lacks() {
+	if !g.cfg.Knowledge.NeedsFetch() {
 		return
 	}
 	_, from := g.cfg.Table.newestConfig(g.cfg.Now())
@@ -114,10 +114,10 @@
 			g.activeTransfers.Add(-1)
 		}
 	}
-	if reply.From.Upstreams > asked.From.Upstreams {
-		reply.Upstreams = g.cfg.Knowledge.Upstreams(asked.From.Upstreams, large)
+	if reply.From.UpstreamsOffset > asked.From.UpstreamsOffset {
+		reply.Upstreams = g.cfg.Knowledge.UpstreamsSince(asked.From.UpstreamsOffset, large)
 	}
-	if record := g.cfg.Knowledge.Config(asked.From.Revision); record != nil {
+	if record := g.cfg.Knowledge.ConfigSince(asked.From.Revision); record != nil {
 		if asked.AcceptsPatches {
 			reply.Config = g.patchFor(asked.From.Revision)
 		}
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -187,15 +187,15 @@
 	}
 }
 
-// Brief implements Knowledge.
-func (n *node) Brief(now time.Time) Report {
+// BriefReport implements Knowledge.
+func (n *node) BriefReport(now time.Time) Report {
 	order := n.LimitOrder()
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	n.seq++
-	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: order.Set}
+	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: order.Hash}
 	for _, key := range order.Keys[:min(4, len(order.Keys))] {
-		r.Limits = append(r.Limits, upstreamlimit.Said{Upstream: key, Limited: true, Rate: 1.5, Age: time.Second})
+		r.Limits = append(r.Limits, upstreamlimit.Announcement{Upstream: key, Limited: true, Rate: 1.5, Age: time.Second})
 	}
 	return r
 }
@@ -203,29 +203,29 @@
 // Report implements Knowledge. Each gateway has one request at the upstream of its own number
 // and one at an upstream that all gateways share, and spends at a constant rate.
 func (n *node) Report(now time.Time) Report {
-	r := n.Brief(now)
-	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, Unread: 100}, sharedUpstream: {Running: 1, Unread: 10}}
+	r := n.BriefReport(now)
+	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, UnreadTokens: 100}, sharedUpstream: {Running: 1, UnreadTokens: 10}}
 	r.Accounts = map[ident.ClientAccount]Spending{"acct": {Spent: spentPerSecond * now.Sub(n.startedAt).Seconds()}}
-	r.Work = map[ident.Service]placement.Demand{"llm": {Prompt: 10, Generating: 1}}
-	if order := n.LimitOrder(); order.Set != 0 {
+	r.Demand = map[ident.Service]placement.Demand{"llm": {PromptTokensPerSecond: 10, Generating: 1}}
+	if order := n.LimitOrder(); order.Hash != 0 {
 		r.LimitUses = upstreamlimit.Uses{}
 		for i := range usedLimits {
-			r.LimitUses[limitedKey((n.number+i)%len(order.Keys))] = upstreamlimit.Use{Asked: 1, Sent: 0.25}
+			r.LimitUses[limitedKey((n.number+i)%len(order.Keys))] = upstreamlimit.Use{Demand: 1, Sent: 0.25}
 		}
 	}
-	r.Began = WindowCounts{1: {"acct": int64(n.number + 1)}}
+	r.StartedRequests = WindowCounts{1: {"acct": int64(n.number + 1)}}
 	return r
 }
 
 const sharedUpstream = UpstreamKey(1 << 30)
 
-func (n *node) Config(ident.Revision) *ConfigRecord                   { return nil }
-func (n *node) Upstreams(ident.Offset, bool) *directory.News          { return nil }
-func (n *node) Lacks() bool                                           { return false }
-func (n *node) Learn(config *ConfigRecord, upstreams *directory.News) {}
+func (n *node) ConfigSince(ident.Revision) *ConfigRecord                       { return nil }
+func (n *node) UpstreamsSince(ident.Offset, bool) *directory.Update            { return nil }
+func (n *node) NeedsFetch() bool                                               { return false }
+func (n *node) ApplyUpdates(config *ConfigRecord, upstreams *directory.Update) {}
 
-// Heard implements Knowledge.
-func (n *node) Heard(r *Report, asOf time.Time) {
+// ApplyReport implements Knowledge.
+func (n *node) ApplyReport(r *Report, asOf time.Time) {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	if at := asOf.Add(-r.RevisionAge); at.After(n.confirmedAt) {
@@ -235,15 +235,15 @@
 
 // LimitOrder implements Knowledge. If limitsDiffer is set, gateways with an odd number report
 // another digest of the limits than those with an even number.
-func (n *node) LimitOrder() upstreamlimit.Order {
+func (n *node) LimitOrder() upstreamlimit.LimitedSet {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	if n.fleet.limits == 0 {
-		return upstreamlimit.Order{}
+		return upstreamlimit.LimitedSet{}
 	}
-	o := upstreamlimit.Order{Set: 1}
+	o := upstreamlimit.LimitedSet{Hash: 1}
 	if n.fleet.limitsDiffer {
-		o.Set += uint32(n.number % 2)
+		o.Hash += uint32(n.number % 2)
 	}
 	for i := range n.fleet.limits {
 		o.Keys = append(o.Keys, limitedKey(i))
@@ -258,12 +258,12 @@
 // limitedKey returns the key of the i-th upstream with a limit.
 func limitedKey(i int) uint32 { return uint32(1000 + i) }
 
-// Count implements Knowledge.
-func (n *node) Count(counts []LifeCounts) {
+// ApplyCounts implements Knowledge.
+func (n *node) ApplyCounts(counts []IncarnationCounts) {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	for _, c := range counts {
-		n.receivedCounts[c.Life] = c.Began
+		n.receivedCounts[c.IncarnationID] = c.StartedRequests
 	}
 }
 
@@ -291,12 +291,12 @@
 			for key, load := range g.Loads {
 				loads[key] = loads[key].Plus(load)
 			}
-			demand += g.Work["llm"].Generating
+			demand += g.Demand["llm"].Generating
 			age += time.Duration(g.Gateways) * time.Since(g.ReportedAt)
 		}
 		others := len(among) - 1
 		age /= time.Duration(max(1, others))
-		ok := v.Heard == others && int(demand+0.5) == others && loads[sharedUpstream] == placement.Load{Running: others, Unread: 10 * others} && age <= maxAge && age >= 0
+		ok := v.Heard == others && int(demand+0.5) == others && loads[sharedUpstream] == placement.Load{Running: others, UnreadTokens: 10 * others} && age <= maxAge && age >= 0
 		for _, other := range among {
 			if running := loads[UpstreamKey(other.number)].Running; other != n && running != 1 || other == n && running != 0 {
 				ok = false
@@ -429,7 +429,7 @@
 		},
 		"leaves": func(_ *fleet, n *node) {
 			n.gossip.Leave()
-			n.gossip.Say(context.Background())
+			n.gossip.Announce(context.Background())
 			time.Sleep(time.Second)
 			n.kill()
 		},
@@ -505,7 +505,7 @@
 			if v.Known < len(f.order)-1 {
 				t.Errorf("%s knows only %d others that may admit requests", n.contact.Node, v.Known)
 			}
-			if n.contact.Domain != "hall-a" && !v.Silent["hall-a"] {
+			if n.contact.Domain != "hall-a" && !v.SilentDomains["hall-a"] {
 				t.Errorf("%s does not report hall-a as silent", n.contact.Node)
 			}
 		}
@@ -696,14 +696,14 @@
 		time.Sleep(2 * time.Second)
 		holder := f.collectorOf("hall-a")
 		for range 10 {
-			if holder.gossip.Gather(context.Background(), time.Second) {
+			if holder.gossip.RequestCounts(context.Background(), time.Second) {
 				break
 			}
 			time.Sleep(Interval)
 		}
 		sum := int64(0)
 		for life, began := range holder.receivedCounts {
-			if life != LifeOf(holder.contact.Node, holder.incarnation) {
+			if life != IncarnationID(holder.contact.Node, holder.incarnation) {
 				sum += began[1]["acct"]
 			}
 		}
@@ -748,13 +748,13 @@
 
 // Guards against two gateways that do the work of the same rank for long: the first collectors
 // of the domains must have different ranks, and all others none.
-func TestPlacesInLine(t *testing.T) {
+func TestFirstCollectorsHaveDifferentRanks(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
 		time.Sleep(settleTime)
 		ranks := make(map[int]int)
 		for _, n := range f.order {
-			ranks[n.gossip.View(time.Now()).Place]++
+			ranks[n.gossip.View(time.Now()).Rank]++
 		}
 		for rank := range 6 {
 			if ranks[rank] != 1 {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -46,19 +46,19 @@
 type Knowledge interface {
 	// Report returns this gateway's report as of now.
 	Report(now time.Time) Report
-	// Brief returns the report without requests in progress, spending and counts.
-	Brief(now time.Time) Report
-	// Config returns the configuration if its revision is newer than the given one, else nil.
-	Config(than ident.Revision) *ConfigRecord
-	// Upstreams returns what a gateway lacks that knows the upstream entries up to an offset.
+	// BriefReport returns the report without requests in progress, spending and counts.
+	BriefReport(now time.Time) Report
+	// ConfigSince returns the configuration if its revision is newer than the given one, else nil.
+	ConfigSince(than ident.Revision) *ConfigRecord
+	// UpstreamsSince returns what a gateway lacks that knows the upstream entries up to an offset.
 	// It returns nil if that means all entries and all is not set.
-	Upstreams(from ident.Offset, all bool) *directory.News
-	// Lacks reports whether another gateway should be asked for the configuration or for all
+	UpstreamsSince(from ident.Offset, all bool) *directory.Update
+	// NeedsFetch reports whether another gateway should be asked for the configuration or for all
 	// upstream entries.
-	Lacks() bool
-	// Learn applies what another gateway sent; an argument is nil if it sent none.
-	Learn(config *ConfigRecord, upstreams *directory.News)
-	// Heard applies a report that has just arrived: which revision and offset it confirms, and
+	NeedsFetch() bool
+	// ApplyUpdates applies what another gateway sent; an argument is nil if it sent none.
+	ApplyUpdates(config *ConfigRecord, upstreams *directory.Update)
+	// ApplyReport applies a report that has just arrived: which revision and offset it confirms, and
 	// what its gateway counted. It is called for each report at once. If that waited for the
 	// next look at all reports, what the gateway with the lowest rank reads from the store
 	// would grow older by up to 0.125 s at each gateway that passes it on, and the others would
@@ -66,11 +66,11 @@
 	//
 	// The ages in the report count from asOf. A zero asOf means that the instant is unknown;
 	// the report then confirms nothing.
-	Heard(r *Report, asOf time.Time)
+	ApplyReport(r *Report, asOf time.Time)
 	// LimitOrder returns the upstreams whose limits this gateway knows.
-	LimitOrder() upstreamlimit.Order
-	// Count applies the counts of other gateways that a collector sent.
-	Count(counts []LifeCounts)
+	LimitOrder() upstreamlimit.LimitedSet
+	// ApplyCounts applies the counts of other gateways that a collector sent.
+	ApplyCounts(counts []IncarnationCounts)
 }
 
 // Config is what New needs.
@@ -206,9 +206,9 @@
 	}
 }
 
-// Say reports to the other gateways at once and waits for their answers, for news that cannot
+// Announce reports to the other gateways at once and waits for their answers, for news that cannot
 // wait for the next round. In a large fleet it reports to the collectors.
-func (g *Gossip) Say(ctx context.Context) {
+func (g *Gossip) Announce(ctx context.Context) {
 	var all sync.WaitGroup
 	now := g.cfg.Now()
 	if usesCollectors(g.cfg.Table.CountOthers(now)) {
@@ -222,9 +222,9 @@
 	all.Wait()
 }
 
-// Gather reports whether the counts of all gateways that are heard arrived within the given
+// RequestCounts reports whether the counts of all gateways that are heard arrived within the given
 // time before now, and asks for those that did not. It does not wait for the answers.
-func (g *Gossip) Gather(ctx context.Context, within time.Duration) bool {
+func (g *Gossip) RequestCounts(ctx context.Context, within time.Duration) bool {
 	now := g.cfg.Now()
 	if usesCollectors(g.cfg.Table.CountOthers(now)) {
 		return g.requestDomainCounts(ctx, within, now)
@@ -360,12 +360,12 @@
 func (g *Gossip) handleAnswer(m *message, sent time.Time) {
 	now, wall := g.cfg.Now(), time.Now()
 	// What the report confirms counts only once the data that this gateway lacked is applied.
-	defer g.cfg.Knowledge.Heard(&m.From, sent)
+	defer g.cfg.Knowledge.ApplyReport(&m.From, sent)
 	g.cfg.Table.RecordReport(m.From, now, wall)
 	g.cfg.Table.AddContacts(m.Contacts, now)
 	g.applyCollectorAnswer(m, now, wall)
 	if len(m.Counts) > 0 {
-		g.cfg.Knowledge.Count(m.Counts)
+		g.cfg.Knowledge.ApplyCounts(m.Counts)
 	}
 	var config *ConfigRecord
 	if m.Config != nil {
@@ -375,7 +375,7 @@
 		}
 	}
 	if config != nil || m.Upstreams != nil {
-		g.cfg.Knowledge.Learn(config, m.Upstreams)
+		g.cfg.Knowledge.ApplyUpdates(config, m.Upstreams)
 	}
 }
 
@@ -417,7 +417,7 @@
 // is to a collector or from one: sums contain the rest.
 func (g *Gossip) reportFor(asked *message, now time.Time) Report {
 	if asked.Collect || asked.DomainSum != nil || asked.WantsCounts {
-		return g.cfg.Knowledge.Brief(now)
+		return g.cfg.Knowledge.BriefReport(now)
 	}
 	return g.cfg.Knowledge.Report(now)
 }
@@ -427,14 +427,14 @@
 func (g *Gossip) answerRequest(asked *message) (reply *message, done func()) {
 	now, wall := g.cfg.Now(), time.Now()
 	g.cfg.Table.RecordReport(asked.From, now, wall)
-	g.cfg.Knowledge.Heard(&asked.From, time.Time{})
+	g.cfg.Knowledge.ApplyReport(&asked.From, time.Time{})
 	reply = &message{From: g.reportFor(asked, now)}
 	done = g.addMissing(asked, reply)
 	if asked.KnownDigest != 0 && asked.KnownDigest != g.cfg.Table.Digest(now) {
 		reply.Contacts = g.cfg.Table.Contacts(now)
 	}
 	g.addCollectorAnswer(asked, reply, now, wall)
-	if asked.From.Upstreams > reply.From.Upstreams && g.tryBeginExchange(asked.From.Address) {
+	if asked.From.UpstreamsOffset > reply.From.UpstreamsOffset && g.tryBeginExchange(asked.From.Address) {
 		// The asker has newer upstream entries. Only an asker gets what it lacks, so
 		// this gateway asks in turn.
 		go g.exchange(context.Background(), asked.From.Address, g.encodeReport(false))
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -95,7 +95,7 @@
 	// calls lists applied updates and reports, in their order.
 	calls     []string
 	config    *ConfigRecord
-	upstreams directory.News
+	upstreams directory.Update
 }
 
 func (k *fakeKnowledge) Report(time.Time) Report {
@@ -105,17 +105,17 @@
 	if k.config != nil {
 		k.self.Revision = k.config.Revision
 	}
-	k.self.Upstreams = k.upstreams.UpTo
+	k.self.UpstreamsOffset = k.upstreams.UpTo
 	return k.self
 }
 
-func (k *fakeKnowledge) Config(than ident.Revision) *ConfigRecord {
+func (k *fakeKnowledge) ConfigSince(than ident.Revision) *ConfigRecord {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.config
 }
 
-func (k *fakeKnowledge) Upstreams(_ ident.Offset, all bool) *directory.News {
+func (k *fakeKnowledge) UpstreamsSince(_ ident.Offset, all bool) *directory.Update {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.upstreams.Complete && !all {
@@ -125,20 +125,20 @@
 	return &news
 }
 
-func (k *fakeKnowledge) Brief(now time.Time) Report { return k.Report(now) }
+func (k *fakeKnowledge) BriefReport(now time.Time) Report { return k.Report(now) }
 
-func (k *fakeKnowledge) Heard(*Report, time.Time) {
+func (k *fakeKnowledge) ApplyReport(*Report, time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.calls = append(k.calls, "heard")
 }
 
-func (k *fakeKnowledge) Count([]LifeCounts) {}
+func (k *fakeKnowledge) ApplyCounts([]IncarnationCounts) {}
 
-func (k *fakeKnowledge) LimitOrder() upstreamlimit.Order { return upstreamlimit.Order{} }
-func (k *fakeKnowledge) Lacks() bool                     { return false }
+func (k *fakeKnowledge) LimitOrder() upstreamlimit.LimitedSet { return upstreamlimit.LimitedSet{} }
+func (k *fakeKnowledge) NeedsFetch() bool                     { return false }
 
-func (k *fakeKnowledge) Learn(config *ConfigRecord, upstreams *directory.News) {
+func (k *fakeKnowledge) ApplyUpdates(config *ConfigRecord, upstreams *directory.Update) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.calls = append(k.calls, "learned")
@@ -170,7 +170,7 @@
 		k := &fakeKnowledge{self: Report{Contact: self, Incarnation: 1, WallMillis: time.Now().UnixMilli()}}
 		g := New(Config{
 			Self: self, Incarnation: 1, Table: NewTable(self, []string{seed}), Knowledge: k,
-			Network: OverHTTP{Pool: httpconn.NewPool(boottime.Now)}, Now: boottime.Now, Log: hclog.NewNullLogger(),
+			Network: HTTPNetwork{Pool: httpconn.NewPool(boottime.Now)}, Now: boottime.Now, Log: hclog.NewNullLogger(),
 		})
 		var serving sync.WaitGroup
 		serving.Go(func() {
@@ -218,7 +218,7 @@
 		}
 	}
 	fakes[17].config = &ConfigRecord{Revision: 5, Offset: 3, Data: []byte("x")}
-	fakes[3].upstreams = directory.News{Records: []directory.Record{{ID: "u", Offset: 7}}, UpTo: 8}
+	fakes[3].upstreams = directory.Update{Records: []directory.Record{{Name: "u", Offset: 7}}, UpTo: 8}
 	rounds(4)
 	for i, k := range fakes {
 		if k.config == nil || len(k.upstreams.Records) != 1 {
@@ -239,7 +239,7 @@
 	}
 	data := []byte(lines.String())
 	fakes[0].config = &ConfigRecord{Revision: 5, Offset: 3, Data: data}
-	fakes[0].upstreams = directory.News{Records: []directory.Record{{ID: "u", Offset: 7}}, UpTo: 8, Complete: true}
+	fakes[0].upstreams = directory.Update{Records: []directory.Record{{Name: "u", Offset: 7}}, UpTo: 8, Complete: true}
 	lacking, address := gateways[1], gateways[0].cfg.Self.Address
 	for range 10 {
 		lacking.exchange(t.Context(), address, lacking.encodeReport(false))
@@ -268,9 +268,9 @@
 // A gateway sends what it read from the store, and says that it is the newest. Guards against
 // applying what an answer confirms before the data that it brings, or a round later: hundreds
 // of gateways would read the store themselves.
-func TestWhatAnAnswerConfirmsCountsAfterWhatItBrings(t *testing.T) {
+func TestAnAnswersDataIsAppliedBeforeItsReport(t *testing.T) {
 	gateways, fakes := startMesh(t, 2)
-	fakes[0].upstreams = directory.News{Records: []directory.Record{{ID: "u", Offset: 7}}, UpTo: 8}
+	fakes[0].upstreams = directory.Update{Records: []directory.Record{{Name: "u", Offset: 7}}, UpTo: 8}
 	gateways[1].exchange(t.Context(), gateways[0].cfg.Self.Address, gateways[1].encodeReport(false))
 	if got := strings.Join(fakes[1].calls, ", "); got != "learned, heard" {
 		t.Errorf("calls were %s, want learned, heard", got)
--- a/internal/gossip/limits.go
+++ b/internal/gossip/limits.go
@@ -9,7 +9,7 @@
 // the limits, and the keys of the upstreams in LimitUses.
 func (g *Gossip) omitKnownLimits(asked, reply *message) {
 	order := g.cfg.Knowledge.LimitOrder()
-	if reply.Others == nil || order.Set == 0 || asked.From.LimitSet != order.Set {
+	if reply.Others == nil || order.Hash == 0 || asked.From.LimitSet != order.Hash {
 		return
 	}
 	reply.From.Limits = nil
@@ -21,7 +21,7 @@
 // changed since the request, the uses refer to other limits, and the last known uses stay.
 func (g *Gossip) applyLimits(m *message) {
 	g.collectorLimitSet = m.From.LimitSet
-	if m.Others.LimitColumns.Set == 0 {
+	if m.Others.LimitColumns.Hash == 0 {
 		return
 	}
 	uses, known := m.Others.LimitColumns.Uses(g.cfg.Knowledge.LimitOrder())
@@ -35,7 +35,7 @@
 // since the last answer, the columns refer to other limits, and the uses of the gateway's last
 // report stand in.
 func (g *Gossip) resolveUses(r *Report) {
-	if r.LimitColumns.Set == 0 {
+	if r.LimitColumns.Hash == 0 {
 		return
 	}
 	uses, known := r.LimitColumns.Uses(g.cfg.Knowledge.LimitOrder())
--- a/internal/gossip/limits_test.go
+++ b/internal/gossip/limits_test.go
@@ -68,7 +68,7 @@
 					want++
 				}
 			}
-			if got := uses[limitedKey(i)]; got.Asked != want || got.Sent != want/4 {
+			if got := uses[limitedKey(i)]; got.Demand != want || got.Sent != want/4 {
 				f.t.Fatalf("%s hears uses %+v of limited upstream %d, want asked %v", n.contact.Node, got, i, want)
 			}
 		}
--- a/internal/gossip/network.go
+++ b/internal/gossip/network.go
@@ -17,11 +17,11 @@
 	Send(ctx context.Context, address string, request []byte) ([]byte, error)
 }
 
-// OverHTTP is a Network that uses HTTP/1.1 connections and reuses each for several exchanges.
-type OverHTTP struct{ Pool *httpconn.Pool }
+// HTTPNetwork is a Network that uses HTTP/1.1 connections and reuses each for several exchanges.
+type HTTPNetwork struct{ Pool *httpconn.Pool }
 
 // Send implements Network.
-func (n OverHTTP) Send(ctx context.Context, address string, request []byte) ([]byte, error) {
+func (n HTTPNetwork) Send(ctx context.Context, address string, request []byte) ([]byte, error) {
 	target := httpconn.Target{ID: ident.Instance(address), Address: address}
 	answer, failure := n.Pool.Send(ctx, target, &httpconn.Request{Method: http.MethodPost, URI: exchangePath, Host: address, Body: request})
 	if failure != nil {
--- a/internal/gossip/patch.go
+++ b/internal/gossip/patch.go
@@ -100,7 +100,7 @@
 
 // recordConfig records the configuration in force, to make patches from it and to it.
 func (g *Gossip) recordConfig() {
-	record := g.cfg.Knowledge.Config(0)
+	record := g.cfg.Knowledge.ConfigSince(0)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.configs.add(record)
@@ -128,7 +128,7 @@
 	if len(p.Patch) == 0 {
 		return p.decompress()
 	}
-	base := g.cfg.Knowledge.Config(0)
+	base := g.cfg.Knowledge.ConfigSince(0)
 	if base == nil || base.Revision != p.Base {
 		return nil, nil
 	}
--- a/internal/gossip/sharedsum.go
+++ b/internal/gossip/sharedsum.go
@@ -47,17 +47,17 @@
 	// Reports counts the reports that were collected, Sums the sums that were added up, and
 	// Parts what they were added up from: reports, and sums of other domains.
 	Reports, Sums, Parts int64
-	// Refused counts the collectors' answers that this gateway rejected because they include a
+	// RejectedAnswers counts the collectors' answers that this gateway rejected because they include a
 	// report that it no longer remembers.
-	Refused int64
+	RejectedAnswers int64
 }
 
-// Work returns what this gateway has done as a collector.
-func (g *Gossip) Work() CollectorStats {
+// CollectorStats returns what this gateway has done as a collector.
+func (g *Gossip) CollectorStats() CollectorStats {
 	g.collector.mu.Lock()
 	defer g.collector.mu.Unlock()
 	stats := g.collector.stats
-	stats.Refused = g.rejectedAnswers.Load()
+	stats.RejectedAnswers = g.rejectedAnswers.Load()
 	return stats
 }
 
@@ -187,13 +187,13 @@
 		w.counted[node] = m
 		w.sum.Heard++
 		sum += age
-		w.sum.addTotals(m.report.Loads, m.report.Work, m.report.Engines)
+		w.sum.addTotals(m.report.Loads, m.report.Demand, m.report.Engines)
 		w.uses.Add(m.report.LimitUses)
 		w.statements.add(node, m.report.Rollouts.Aged(age), m.report.Poison.Aged(age))
-		if m.report.Holds {
+		if m.report.HoldsLease {
 			w.sum.LeaseHolders++
 		}
-		w.sum.GivenUpFence = max(w.sum.GivenUpFence, m.report.GivenUp)
+		w.sum.GivenUpFence = max(w.sum.GivenUpFence, m.report.GivenUpFence)
 	}
 	return sum
 }
@@ -239,16 +239,16 @@
 }
 
 type rolloutAndPoison struct {
-	rollouts rollout.Words
-	poison   poison.Words
+	rollouts rollout.OrderStates
+	poison   poison.Report
 }
 
 func (w rolloutAndPoison) plus(o rolloutAndPoison) rolloutAndPoison {
-	return rolloutAndPoison{w.rollouts.Plus(o.rollouts), w.poison.Plus(o.poison)}
+	return rolloutAndPoison{w.rollouts.Merge(o.rollouts), w.poison.Merge(o.poison)}
 }
 
 // add adds a gateway's statements, if it has any. Those of another domain have an empty node.
-func (w *leaveOneOut) add(node ident.Instance, r rollout.Words, p poison.Words) {
+func (w *leaveOneOut) add(node ident.Instance, r rollout.OrderStates, p poison.Report) {
 	if len(r) == 0 && p.Empty() {
 		return
 	}
--- a/internal/gossip/sharedsum_test.go
+++ b/internal/gossip/sharedsum_test.go
@@ -38,10 +38,10 @@
 	r := Report{
 		Contact: Contact{Node: nodeOf(gateway), Address: fmt.Sprint("gw-", gateway, ":1"), Domain: "hall-a"}, Incarnation: 1, Seq: d.seq,
 		WallMillis: d.now.UnixMilli(), Loads: make(map[UpstreamKey]placement.Load), Accounts: make(map[ident.ClientAccount]Spending),
-		Work: map[ident.Service]placement.Demand{"llm": {Prompt: 100, Generating: 1}},
+		Demand: map[ident.Service]placement.Demand{"llm": {PromptTokensPerSecond: 100, Generating: 1}},
 	}
 	for i := range upstreams {
-		r.Loads[UpstreamKey(gateway*7+i*13)] = placement.Load{Running: 1 + gateway%3, Unread: 100 * (i + 1)}
+		r.Loads[UpstreamKey(gateway*7+i*13)] = placement.Load{Running: 1 + gateway%3, UnreadTokens: 100 * (i + 1)}
 	}
 	for i := range accounts {
 		r.Accounts[ident.ClientAccount(fmt.Sprint("acct", (gateway+i)%333))] = Spending{Spent: float64(d.seq * 1000), Refused: float64(i)}
@@ -68,17 +68,17 @@
 
 // A gateway subtracts its own report from a sum of all gateways. Guards against a gateway that
 // then counts itself among the others, or one of the others twice or not at all.
-func TestWhoTakesItselfOutKnowsTheOthers(t *testing.T) {
+func TestSubtractingTheOwnReportLeavesTheOthers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := newTestDomain()
 		sent, first := make(map[int][]Report), make(map[int]float64)
 		send := func(gateway, upstreams int) {
 			r := d.reportOf(gateway, upstreams, 0)
-			r.Holds = gateway == 2
+			r.HoldsLease = gateway == 2
 			total := float64(d.seq * 1000)
 			r.Accounts["shared"] = Spending{Spent: total}
 			if gateway%2 == 0 {
-				r.Poison = poison.Words{Crashes: []poison.Crash{{Upstream: uint32(gateway), Marks: []ident.Mark{1 << 8}}}}
+				r.Poison = poison.Report{Crashes: []poison.Crash{{Upstream: uint32(gateway), Marks: []ident.Mark{1 << 8}}}}
 			}
 			if _, known := first[gateway]; !known {
 				first[gateway] = total
@@ -116,7 +116,7 @@
 			for key, load := range counted.report.Loads {
 				loads[key] = loads[key].Plus(load)
 			}
-			if counted.report.Holds {
+			if counted.report.HoldsLease {
 				holders++
 			}
 		}
@@ -139,7 +139,7 @@
 
 // Gateways of an older build do not subtract their own report from a sum. Guards against
 // gateways that then count their own requests twice.
-func TestAGatewayThatTakesNoWholeGetsTheOthers(t *testing.T) {
+func TestAGatewayOfAnOlderBuildGetsTheOthers(t *testing.T) {
 	d := newTestDomain()
 	for gateway := range 3 {
 		d.collector.AddReport(d.reportOf(gateway, 1, 1), d.now, d.now)
@@ -152,7 +152,7 @@
 
 // Guards against an answer to a restarted gateway that includes a report of its last
 // incarnation, which the gateway cannot subtract.
-func TestANewLifeIsCountedInItsFirstAnswer(t *testing.T) {
+func TestARestartedGatewayIsCountedInItsFirstAnswer(t *testing.T) {
 	d := newTestDomain()
 	d.collector.AddReport(d.reportOf(1, 1, 1), d.now, d.now)
 	d.collector.encodedOthers(nodeOf(1), d.now, d.now)
--- a/internal/gossip/sum.go
+++ b/internal/gossip/sum.go
@@ -33,8 +33,8 @@
 	// number under which a holder no longer acts.
 	LeaseHolders int
 	GivenUpFence ident.Fence
-	Rollouts     rollout.Words
-	Poison       poison.Words
+	Rollouts     rollout.OrderStates
+	Poison       poison.Report
 	// LimitUses tells how much the gateways use upstreams that have a limit. LimitColumns is
 	// its short form for a receiver that knows the same limits.
 	LimitUses    upstreamlimit.Uses
@@ -84,11 +84,11 @@
 // how fast the others spend, not how much they have spent.
 func (s *Sum) subtractReport(r *Report) {
 	s.Heard, s.Known = max(0, s.Heard-1), max(0, s.Known-1)
-	if r.Holds {
+	if r.HoldsLease {
 		s.LeaseHolders = max(0, s.LeaseHolders-1)
 	}
 	for key, load := range r.Loads {
-		if left := s.Loads[key].Minus(load); left.Running > 0 || left.Unread > 0 {
+		if left := s.Loads[key].Minus(load); left.Running > 0 || left.UnreadTokens > 0 {
 			s.Loads[key] = left
 		} else {
 			delete(s.Loads, key)
@@ -97,7 +97,7 @@
 	for account, total := range r.Accounts {
 		s.Accounts[account] = s.Accounts[account].minus(total.rounded())
 	}
-	for service, w := range r.Work {
+	for service, w := range r.Demand {
 		s.Demand[service] = s.Demand[service].Minus(w)
 	}
 	for service, sums := range r.Engines {
--- a/internal/gossip/types.go
+++ b/internal/gossip/types.go
@@ -33,8 +33,8 @@
 // each of the two is then taken to have the load of both.
 type UpstreamKey uint32
 
-// KeyOf returns the key of the upstream with the given ID.
-func KeyOf(id ident.Instance) UpstreamKey { return UpstreamKey(xxhash.Sum64String(string(id))) }
+// UpstreamKeyOf returns the key of the upstream with the given ID.
+func UpstreamKeyOf(id ident.Instance) UpstreamKey { return UpstreamKey(xxhash.Sum64String(string(id))) }
 
 // Spending is how much was admitted for a client account and how much was refused because it
 // exceeded the account's limit, in the account's unit. Both are totals that only grow.
@@ -53,15 +53,15 @@
 	WallMillis int64
 	// Leaving is set once the gateway was told to stop.
 	Leaving bool
-	// Holds is set while the gateway holds the lease of the duties.
-	Holds bool
-	// GivenUp is the fencing number of the newest of its leases that ran out. The gateway no
+	// HoldsLease is set while the gateway holds the lease of the duties.
+	HoldsLease bool
+	// GivenUpFence is the fencing number of the newest of its leases that ran out. The gateway no
 	// longer acts under that number.
-	GivenUp ident.Fence
+	GivenUpFence ident.Fence
 	// Revision is the revision of the gateway's configuration.
 	Revision ident.Revision
-	// Upstreams is the offset up to which the gateway knows the upstream entries.
-	Upstreams ident.Offset
+	// UpstreamsOffset is the offset up to which the gateway knows the upstream entries.
+	UpstreamsOffset ident.Offset
 	// RevisionAge and UpstreamsAge tell how long ago the store confirmed that the configuration
 	// and the upstream entries were the newest.
 	RevisionAge, UpstreamsAge time.Duration
@@ -69,20 +69,20 @@
 	Loads map[UpstreamKey]placement.Load
 	// Accounts are the gateway's totals since its start.
 	Accounts map[ident.ClientAccount]Spending
-	// Began counts the requests that started to run, by window of true time.
-	Began WindowCounts
-	// Work is the gateway's demand for each service during the last seconds.
-	Work map[ident.Service]placement.Demand
+	// StartedRequests counts the requests that started to run, by window of true time.
+	StartedRequests WindowCounts
+	// Demand is the gateway's demand for each service during the last seconds.
+	Demand map[ident.Service]placement.Demand
 	// Engines are the gateway's measurements of each service's engines, taken from its
 	// requests.
 	Engines map[ident.Service]enginemodel.Sums
 	// Rollouts is what the gateway knows and has observed of rollouts of new service versions.
-	Rollouts rollout.Words
+	Rollouts rollout.OrderStates
 	// Poison is what the gateway knows about requests that crash upstreams.
-	Poison poison.Words
+	Poison poison.Report
 	// Limits are the request rates that upstreams say they accept. LimitUses tells how much the
 	// gateway uses the upstreams that have a limit.
-	Limits    []upstreamlimit.Said
+	Limits    []upstreamlimit.Announcement
 	LimitUses upstreamlimit.Uses
 	// LimitSet is a digest of the limits that the gateway knows; 0 means none. LimitColumns is
 	// the short form of LimitUses, sent instead of it to a receiver that knows the same limits.
@@ -107,10 +107,10 @@
 	Data     []byte
 }
 
-// LifeCounts holds the requests that one incarnation of a gateway counted.
-type LifeCounts struct {
-	Life  string
-	Began WindowCounts
+// IncarnationCounts holds the requests that one incarnation of a gateway counted.
+type IncarnationCounts struct {
+	IncarnationID   string
+	StartedRequests WindowCounts
 }
 
 // Roster lists the gateways of a failure domain that come first as collectors, in that order.
@@ -133,7 +133,7 @@
 	WantsLarge bool
 	// Config and Upstreams are what the receiver lacks.
 	Config    *encodedConfig
-	Upstreams *directory.News
+	Upstreams *directory.Update
 	// Collect asks the receiver to add the report up as a collector and to answer with Others.
 	// SubtractsOwn is set if the sender subtracts its own report from the answer itself.
 	Collect, SubtractsOwn bool
@@ -150,7 +150,7 @@
 	Rosters       []Roster
 	// WantsCounts asks the receiver for the counts that it has collected.
 	WantsCounts bool
-	Counts      []LifeCounts
+	Counts      []IncarnationCounts
 }
 
 // Member is another gateway as this one knows it.
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -20,25 +20,25 @@
 	// Heard counts the gateways in Groups. Known counts those that may admit requests, heard
 	// recently or not.
 	Heard, Known int
-	// Holds is set if another gateway says that it holds the lease of the duties.
-	Holds bool
-	// GivenUp is the highest fencing number under which a holder no longer acts.
-	GivenUp ident.Fence
-	// Silent are the other failure domains in which gateways were heard recently and none is
+	// LeaseHeld is set if another gateway says that it holds the lease of the duties.
+	LeaseHeld bool
+	// GivenUpFence is the highest fencing number under which a holder no longer acts.
+	GivenUpFence ident.Fence
+	// SilentDomains are the other failure domains in which gateways were heard recently and none is
 	// heard now.
-	Silent map[ident.FailureDomain]bool
-	// Place is this gateway's rank, from 0, in work that only a few gateways do for all, such
+	SilentDomains map[ident.FailureDomain]bool
+	// Rank is this gateway's rank, from 0, in work that only a few gateways do for all, such
 	// as reading the store.
-	Place int
+	Rank int
 	// WallCorrection is what to add to this machine's wall clock to get the median of the
 	// gateways' clocks.
 	WallCorrection time.Duration
 }
 
-// NoView returns the view of a gateway that has heard nothing yet: it leaves work that only a
+// InitialView returns the view of a gateway that has heard nothing yet: it leaves work that only a
 // few gateways do to others. With rank 0, each of a thousand gateways that start
 // together would consider itself the first, and write a claim of the lease.
-func NoView() View { return View{Place: lastRank} }
+func InitialView() View { return View{Rank: lastRank} }
 
 // Group is one or more gateways that are reported together.
 type Group struct {
@@ -50,10 +50,10 @@
 	ReportedAt time.Time
 	Loads      map[UpstreamKey]placement.Load
 	Accounts   map[ident.ClientAccount]Spending
-	Work       map[ident.Service]placement.Demand
+	Demand     map[ident.Service]placement.Demand
 	Engines    map[ident.Service]enginemodel.Sums
-	Rollouts   rollout.Words
-	Poison     poison.Words
+	Rollouts   rollout.OrderStates
+	Poison     poison.Report
 	LimitUses  upstreamlimit.Uses
 }
 
@@ -67,7 +67,7 @@
 // View returns the other gateways as of now.
 func (g *Gossip) View(now time.Time) View {
 	direct := g.cfg.Table.DirectPeers(now)
-	v := View{Silent: make(map[ident.FailureDomain]bool), WallCorrection: direct.WallCorrection()}
+	v := View{SilentDomains: make(map[ident.FailureDomain]bool), WallCorrection: direct.WallCorrection()}
 	if !usesCollectors(g.cfg.Table.CountOthers(now)) {
 		g.fillDirect(&v, direct, now)
 		return v
@@ -84,29 +84,29 @@
 func (g *Gossip) fillDirect(v *View, direct DirectPeers, now time.Time) {
 	v.Heard, v.Known = len(direct.Fresh), direct.Known
 	if v.Known == 0 && now.Sub(g.startedAt) < startupGrace {
-		v.Place = lastRank
+		v.Rank = lastRank
 	}
 	for i := range direct.Fresh {
 		m := &direct.Fresh[i]
 		r := &m.Report
-		incarnationID := LifeOf(r.Node, r.Incarnation)
+		incarnationID := IncarnationID(r.Node, r.Incarnation)
 		v.Groups = append(v.Groups, Group{
-			Name: incarnationID, Source: incarnationID, Gateways: 1, ReportedAt: m.HeardAt, Loads: r.Loads, Accounts: r.Accounts, Work: r.Work, Engines: r.Engines,
+			Name: incarnationID, Source: incarnationID, Gateways: 1, ReportedAt: m.HeardAt, Loads: r.Loads, Accounts: r.Accounts, Demand: r.Demand, Engines: r.Engines,
 			Rollouts: r.Rollouts.Aged(now.Sub(m.HeardAt)), Poison: r.Poison.Aged(now.Sub(m.HeardAt)), LimitUses: r.LimitUses,
 		})
-		v.Holds = v.Holds || r.Holds
-		v.GivenUp = max(v.GivenUp, r.GivenUp)
+		v.LeaseHeld = v.LeaseHeld || r.HoldsLease
+		v.GivenUpFence = max(v.GivenUpFence, r.GivenUpFence)
 		if !r.Leaving && r.Node < g.cfg.Self.Node {
-			v.Place++
+			v.Rank++
 		}
 	}
-	v.Silent = SilentDomains(g.cfg.Table.Members(), g.cfg.Self.Domain, now)
+	v.SilentDomains = SilentDomains(g.cfg.Table.Members(), g.cfg.Self.Domain, now)
 }
 
 // fillCollected fills a view from a collector's sum of all others, or from what this gateway
 // collected itself.
 func (g *Gossip) fillCollected(v *View, now time.Time) {
-	v.Place = lastRank
+	v.Rank = lastRank
 	sum, heardAt, collecting := g.bestSum(now)
 	if sum == nil {
 		return
@@ -119,21 +119,21 @@
 	}
 	v.Known = g.knownOthers(now)
 	for _, domain := range sum.SilentDomains {
-		v.Silent[domain] = true
+		v.SilentDomains[domain] = true
 	}
 	if !collecting {
 		v.WallCorrection = g.lastClockCorrection()
 	} else {
 		v.WallCorrection = g.collector.clockCorrection(now)
 	}
-	v.Place = g.rank(now)
+	v.Rank = g.rank(now)
 	if age > freshFor || sum.Heard == 0 {
 		return
 	}
-	v.Heard, v.Holds, v.GivenUp = sum.Heard, sum.LeaseHolders > 0, sum.GivenUpFence
+	v.Heard, v.LeaseHeld, v.GivenUpFence = sum.Heard, sum.LeaseHolders > 0, sum.GivenUpFence
 	v.Groups = []Group{{
 		Name: allOthers, Source: sum.Source, Gateways: sum.Heard, ReportedAt: heardAt.Add(-sum.Age),
-		Loads: sum.Loads, Accounts: sum.Accounts, Work: sum.Demand, Engines: sum.Engines, Rollouts: sum.Rollouts.Aged(age), Poison: sum.Poison.Aged(age),
+		Loads: sum.Loads, Accounts: sum.Accounts, Demand: sum.Demand, Engines: sum.Engines, Rollouts: sum.Rollouts.Aged(age), Poison: sum.Poison.Aged(age),
 		LimitUses: sum.LimitUses,
 	}}
 }
--- a/internal/gzipped/gzipped.go
+++ b/internal/gzipped/gzipped.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// Pack compresses data. The level is one of package compress/gzip.
-func Pack(data []byte, level int) ([]byte, error) {
+// Compress compresses data. The level is one of package compress/gzip.
+func Compress(data []byte, level int) ([]byte, error) {
 	var buffer bytes.Buffer
 	w, err := gzip.NewWriterLevel(&buffer, level)
 	if err != nil {
@@ -26,9 +26,9 @@
 	return buffer.Bytes(), nil
 }
 
-// Unpack returns the decompressed data. More than maxBytes bytes of it are an error: a
+// Decompress returns the decompressed data. More than maxBytes bytes of it are an error: a
 // small message that is damaged or hostile must not use up the machine's memory.
-func Unpack(packed []byte, maxBytes int64) ([]byte, error) {
+func Decompress(packed []byte, maxBytes int64) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress")
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -49,12 +49,12 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Belongs reports whether an answer with this header is the one to this
+	// IsAnswer reports whether an answer with this header is the one to this
 	// request. Nil accepts every answer.
-	Belongs func(http.Header) bool
-	// Before is called once a connection is available, right before the first
+	IsAnswer func(http.Header) bool
+	// BeforeSend is called once a connection is available, right before the first
 	// byte is sent. If it returns an error, nothing is sent. It may be nil.
-	Before func() error
+	BeforeSend func() error
 }
 
 // Stage is the part of an exchange in which it failed.
@@ -62,7 +62,7 @@
 
 // The stages.
 const (
-	// StageConnect: there was no connection, or Request.Before returned an
+	// StageConnect: there was no connection, or Request.BeforeSend returned an
 	// error, so nothing was sent.
 	StageConnect Stage = "connect"
 	// StageWrite: the connection broke while the request was written.
@@ -76,8 +76,8 @@
 // Failure is the error of a failed exchange.
 type Failure struct {
 	Stage Stage
-	// Sent is false only if no byte of the request can have been sent.
-	Sent bool
+	// MaybeSent is false only if no byte of the request can have been sent.
+	MaybeSent bool
 	// Err is the cause.
 	Err error
 }
@@ -120,7 +120,7 @@
 		return n, io.EOF
 	}
 	if err != nil {
-		return n, &Failure{Stage: StageBody, Sent: true, Err: err}
+		return n, &Failure{Stage: StageBody, MaybeSent: true, Err: err}
 	}
 	return n, nil
 }
@@ -172,7 +172,7 @@
 		if ctx.Err() != nil {
 			err = context.Cause(ctx)
 		}
-		return nil, &Failure{Stage: stage, Sent: true, Err: err}
+		return nil, &Failure{Stage: stage, MaybeSent: true, Err: err}
 	}
 	written, err := c.write(req)
 	if err != nil {
@@ -243,7 +243,7 @@
 		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
 		}
-		if req.Belongs == nil || req.Belongs(response.Header) {
+		if req.IsAnswer == nil || req.IsAnswer(response.Header) {
 			return response, nil
 		}
 		c.unmatched++
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -17,7 +17,7 @@
 func request(id, body string) *Request {
 	return &Request{
 		Method: http.MethodPost, URI: "/x", Host: "app", Header: http.Header{worker.RequestID: {id}}, Body: []byte(body),
-		Belongs: func(h http.Header) bool { return h.Get(worker.RequestID) == id },
+		IsAnswer: func(h http.Header) bool { return h.Get(worker.RequestID) == id },
 	}
 }
 
@@ -33,7 +33,7 @@
 	return answer.Status, string(body), err
 }
 
-func TestWhatAFailureSays(t *testing.T) {
+func TestFailureStages(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		act   worker.Act
@@ -63,10 +63,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := worker.New(t, "u")
-			w.Next(c.act)
+			w.QueueActs(c.act)
 			_, _, err := send(t, NewPool(boottime.Now), w, request("r1", ""))
 			var failure *Failure
-			if !errors.As(err, &failure) || failure.Stage != c.stage || !failure.Sent {
+			if !errors.As(err, &failure) || failure.Stage != c.stage || !failure.MaybeSent {
 				t.Errorf("error %v, want a failure of the %s after it was sent", err, c.stage)
 			}
 		})
@@ -76,7 +76,7 @@
 		w.Stop()
 		_, _, err := send(t, NewPool(boottime.Now), w, request("r1", ""))
 		var failure *Failure
-		if !errors.As(err, &failure) || failure.Sent {
+		if !errors.As(err, &failure) || failure.MaybeSent {
 			t.Errorf("error %v, want a failure before anything was sent", err)
 		}
 	})
@@ -84,7 +84,7 @@
 
 func TestAnOrderlyEndWithoutLengthIsComplete(t *testing.T) {
 	w := worker.New(t, "u")
-	w.Next(func(w *worker.Writer, _ *http.Request) {
+	w.QueueActs(func(w *worker.Writer, _ *http.Request) {
 		w.Head(200, "")
 		w.Raw("whole")
 		w.Close(false)
@@ -140,9 +140,9 @@
 func TestAnEndedContextClosesTheConnection(t *testing.T) {
 	w := worker.New(t, "u")
 	began, gone := make(chan struct{}), make(chan bool, 1)
-	w.Next(func(w *worker.Writer, _ *http.Request) {
+	w.QueueActs(func(w *worker.Writer, _ *http.Request) {
 		close(began)
-		gone <- w.Gone(5 * time.Second)
+		gone <- w.WaitClosed(5 * time.Second)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
@@ -171,7 +171,7 @@
 func TestConnectionsAreBoundedAndForgotten(t *testing.T) {
 	w := worker.New(t, "u")
 	release := make(chan struct{})
-	w.Next(func(w *worker.Writer, r *http.Request) {
+	w.QueueActs(func(w *worker.Writer, r *http.Request) {
 		<-release
 		worker.Answer(200, "fine")(w, r)
 	})
@@ -188,7 +188,7 @@
 	for len(seenRequests(w)) == 0 {
 		<-time.After(time.Millisecond)
 	}
-	if _, failure := p.Send(t.Context(), target, request("r2", "")); failure == nil || !errors.Is(failure, ErrNoFreeConnection) || failure.Sent {
+	if _, failure := p.Send(t.Context(), target, request("r2", "")); failure == nil || !errors.Is(failure, ErrNoFreeConnection) || failure.MaybeSent {
 		t.Errorf("failure %v, want no connection left", failure)
 	}
 	close(release)
@@ -208,6 +208,6 @@
 }
 
 func seenRequests(w *worker.Worker) []*http.Request {
-	seen, _ := w.Seen()
+	seen, _ := w.Requests()
 	return seen
 }
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -29,7 +29,7 @@
 // over an idle connection, Discards are closed connections, and Strays are
 // those of them that had received answers to other requests.
 type Counters struct {
-	Dials, DialFailures, Reuses, Discards, Strays int64
+	Dials, DialFailures, Reuses, Discards, ClosedUnmatched int64
 }
 
 // Pool keeps connections to upstreams, by instance ID. A restarted upstream has
@@ -87,9 +87,9 @@
 	// MaxConnections bounds this gateway's connections to the upstream; 0 means
 	// no bound.
 	MaxConnections int
-	// IdleFor is how long a connection is kept idle if the upstream does not
+	// DefaultIdleTime is how long a connection is kept idle if the upstream does not
 	// say; at least and by default 400 ms.
-	IdleFor time.Duration
+	DefaultIdleTime time.Duration
 }
 
 // Send sends a request at most once and returns when the answer's header has
@@ -100,13 +100,13 @@
 	if err != nil {
 		return nil, &Failure{Stage: StageConnect, Err: err}
 	}
-	if req.Before != nil {
-		if err := req.Before(); err != nil {
+	if req.BeforeSend != nil {
+		if err := req.BeforeSend(); err != nil {
 			c.discard()
 			return nil, &Failure{Stage: StageConnect, Err: err}
 		}
 	}
-	c.defaultIdle = max(target.IdleFor, defaultIdleTimeout)
+	c.defaultIdle = max(target.DefaultIdleTime, defaultIdleTimeout)
 	return c.exchange(ctx, req)
 }
 
@@ -247,7 +247,7 @@
 		c.host.open--
 		p.counters.Discards++
 		if c.unmatched > 0 {
-			p.counters.Strays++
+			p.counters.ClosedUnmatched++
 		}
 	})
 }
@@ -280,9 +280,9 @@
 	delete(p.hosts, id)
 }
 
-// Distrust closes the idle connections to an upstream on which another
+// CloseIdle closes the idle connections to an upstream on which another
 // connection went silent: the same fault may have silenced them too.
-func (p *Pool) Distrust(id ident.Instance) {
+func (p *Pool) CloseIdle(id ident.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[id]; h != nil {
--- a/internal/httpconn/reset_test.go
+++ b/internal/httpconn/reset_test.go
@@ -28,7 +28,7 @@
 			w := worker.New(t, "u")
 			relay := testkit.NewRelay(t, "http://"+w.Address())
 			pool := NewPool(boottime.Now)
-			target := Target{ID: "u", Address: relay.Address(), IdleFor: time.Minute}
+			target := Target{ID: "u", Address: relay.Address(), DefaultIdleTime: time.Minute}
 			if c.kept {
 				answer, failure := pool.Send(t.Context(), target, request("before", ""))
 				if failure != nil {
@@ -47,7 +47,7 @@
 			}
 			relay.Hold(false)
 			<-time.After(100 * time.Millisecond)
-			if n := w.Ran("order"); n != 0 {
+			if n := w.RunCount("order"); n != 0 {
 				t.Errorf("the order arrived %d times after it was abandoned", n)
 			}
 		})
--- a/internal/ident/content.go
+++ b/internal/ident/content.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content is a hash of what a request asks for: requests of one client account with the
+// ContentHash is a hash of what a request asks for: requests of one client account with the
 // same method, host, path, query and body have the same one, whatever their IDs are. Its
 // upper 32 bits are the hash of all but the body, and its lower 32 bits come from the
 // body's hash, with the lowest byte zero.
-type Content uint64
+type ContentHash uint64
 
-// Outline is the part of a content hash that is computed without the body: a hash of
+// OutlineHash is the part of a content hash that is computed without the body: a hash of
 // client account, method, host, path and query.
-type Outline uint32
+type OutlineHash uint32
 
 const (
 	// requestBits masks the bits of a Mark that tell requests with the same content
@@ -24,21 +24,21 @@
 	outlineShift = 32
 )
 
-// ContentOf returns the content hash for an outline and the hash of a body. It is never 0.
-func ContentOf(outline Outline, body uint64) Content {
-	return Content(max(uint64(outline)<<outlineShift|body&(1<<outlineShift-1)&^requestBits, requestBits+1))
+// ContentHashOf returns the content hash for an outline and the hash of a body. It is never 0.
+func ContentHashOf(outline OutlineHash, body uint64) ContentHash {
+	return ContentHash(max(uint64(outline)<<outlineShift|body&(1<<outlineShift-1)&^requestBits, requestBits+1))
 }
 
 // Outline returns the outline in the content hash.
-func (c Content) Outline() Outline { return Outline(c >> outlineShift) }
+func (c ContentHash) Outline() OutlineHash { return OutlineHash(c >> outlineShift) }
 
 // String returns the hash in hexadecimal, as in logs and in operators' requests.
-func (c Content) String() string { return strconv.FormatUint(uint64(c), 16) }
+func (c ContentHash) String() string { return strconv.FormatUint(uint64(c), 16) }
 
-// ParseContent parses the text of a content hash.
-func ParseContent(text string) (Content, error) {
+// ParseContentHash parses the text of a content hash.
+func ParseContentHash(text string) (ContentHash, error) {
 	v, err := strconv.ParseUint(text, 16, 64)
-	return Content(v), err
+	return ContentHash(v), err
 }
 
 // Mark is a content hash whose lowest byte is that of the hash of a request's ID. Two
@@ -46,9 +46,9 @@
 type Mark uint64
 
 // MarkOf returns the Mark of a request with a content hash and an ID.
-func MarkOf(content Content, id Request) Mark {
+func MarkOf(content ContentHash, id Request) Mark {
 	return Mark(uint64(content) | xxhash.Sum64String(string(id))&requestBits)
 }
 
 // Content returns the content hash in the Mark.
-func (m Mark) Content() Content { return Content(m &^ requestBits) }
+func (m Mark) Content() ContentHash { return ContentHash(m &^ requestBits) }
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -33,14 +33,14 @@
 	Key string
 	// Deadline is how long the caller waits for the answer; 0 if it did not state that.
 	Deadline time.Duration
-	// LastEvent is the ID of the event after which the caller wants its stream to
+	// LastEventID is the ID of the event after which the caller wants its stream to
 	// resume; empty for the whole stream.
-	LastEvent string
+	LastEventID string
 	// Declared: the request declares its tokens.
-	Declared bool
+	TokensDeclared bool
 	// PromptTokens is the prompt's size, and MostTokens the largest size of the answer;
 	// both are 0 if not declared.
-	PromptTokens, MostTokens int
+	PromptTokens, MaxTokens int
 	// Parts lists the prompt's parts in order.
 	Parts []forward.PromptPart
 	// Header holds the headers that may be passed on to an upstream.
@@ -62,9 +62,9 @@
 
 // Guard knows the poison requests, which crash the upstreams that run them.
 type Guard interface {
-	forward.Knowing
+	forward.KnownPoison
 	// Barred reports whether a request must not run, and its retry-after time.
-	Barred(content ident.Content) (after time.Duration, barred bool)
+	Barred(content ident.ContentHash) (after time.Duration, barred bool)
 }
 
 // Forwarder sends a call to an upstream and delivers the answer.
@@ -187,7 +187,7 @@
 func (s *Server) SweepIdle() {
 	limit := time.Duration(0)
 	if table := s.cfg.Table(); table != nil {
-		limit = table.Limits().IdleTime
+		limit = table.Limits().IdleTimeout
 	}
 	s.conns.sweep(limit)
 }
@@ -233,7 +233,7 @@
 	// abort: the connection is closed without an answer.
 	abort bool
 	// content identifies a barred request; 0 for others.
-	content ident.Content
+	content ident.ContentHash
 }
 
 // accept checks a request, reads its body and returns the call. If the request is refused,
@@ -252,7 +252,7 @@
 	parsed, findings := s.cfg.Protocol.Parse(r)
 	call := &forward.Call{
 		ID: parsed.ID, Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: removeHopByHop(parsed.Header), Received: now,
-		Parts: parsed.Parts, PromptTokens: parsed.PromptTokens, MostTokens: parsed.MostTokens, LastEvent: parsed.LastEvent,
+		Parts: parsed.Parts, PromptTokens: parsed.PromptTokens, MaxTokens: parsed.MaxTokens, LastEventID: parsed.LastEventID,
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	call.Route = table.Route(r.Host, path)
@@ -284,12 +284,12 @@
 		}
 	}
 	if account != nil {
-		cost := account.Cost(parsed.Declared, parsed.PromptTokens+parsed.MostTokens)
+		cost := account.Cost(parsed.TokensDeclared, parsed.PromptTokens+parsed.MaxTokens)
 		if d := s.cfg.Quota.Admit(account, cost, now); !d.OK {
 			s.bodyBytes.Add(-int64(len(call.Body)))
 			s.cfg.Log.Info("account at its limit", "id", call.ID, "account", account.Name, "cost", cost, "rate", account.Rate,
-				"level", d.Level, "need", d.Need, "asked", d.Asked, "heard", d.Heard, "known", d.Known)
-			return call, &refusal{status: http.StatusTooManyRequests, reason: "the account's limit is reached", retryAfter: d.After}
+				"level", d.Level, "need", d.Need, "asked", d.DemandRate, "heard", d.Heard, "known", d.Known)
+			return call, &refusal{status: http.StatusTooManyRequests, reason: "the account's limit is reached", retryAfter: d.RetryAfter}
 		}
 	}
 	return call, nil
@@ -436,7 +436,7 @@
 	fields := []any{"id", call.ID, "route", call.Route.Name, "account", call.Account, "service", call.Service.Name,
 		"step", outcome.Step.String(), "status", outcome.Status, "reason", outcome.Reason, "attempts", outcome.Attempts, "upstreams", outcome.Tried,
 		"resumed", outcome.Resumed, "events", outcome.Events, "first_ms", outcome.FirstPart.Milliseconds(), "pause_ms", outcome.LongestPause.Milliseconds(), "took_ms", took.Milliseconds(),
-		"prompt", call.PromptTokens, "most", call.MostTokens}
+		"prompt", call.PromptTokens, "most", call.MaxTokens}
 	if len(outcome.AtLimit) > 0 {
 		fields = append(fields, "at_limit", outcome.AtLimit)
 	}
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -101,7 +101,7 @@
 	}
 	holder := lease.NewHolder(ident.Instance(fmt.Sprintf("entry-%d", i)), ident.Incarnation(m.started))
 	p.manager = lease.New(lease.Config{Holder: holder, Margin: m.margin}, p.link)
-	p.manager.Want(wantedWithRank(0))
+	p.manager.SetWanted(wantedWithRank(0))
 	go func() {
 		p.manager.Run(running)
 		close(p.stopped)
@@ -326,13 +326,13 @@
 				},
 				"unwant": func(t *rapid.T) {
 					p := pick()
-					p.manager.Want(nil)
+					p.manager.SetWanted(nil)
 					p.drawFault(t)
 				},
-				"wantAgain": func(t *rapid.T) { pick().manager.Want(wantedWithRank(rapid.IntRange(0, 2).Draw(t, "rank"))) },
+				"wantAgain": func(t *rapid.T) { pick().manager.SetWanted(wantedWithRank(rapid.IntRange(0, 2).Draw(t, "rank"))) },
 			})
 			for i, p := range m.processes {
-				p.manager.Want(wantedWithRank(i))
+				p.manager.SetWanted(wantedWithRank(i))
 			}
 			m.endFaults(t)
 		})
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -145,9 +145,9 @@
 	return m
 }
 
-// Want sets the leases for which this process is a candidate. A lease that it
+// SetWanted sets the leases for which this process is a candidate. A lease that it
 // holds but no longer wants is revoked at once and released after Config.Margin.
-func (m *Manager) Want(wanted []Wanted) {
+func (m *Manager) SetWanted(wanted []Wanted) {
 	m.mu.Lock()
 	m.wanted.Store(&wanted)
 	m.revokeUnwanted(time.Now())
@@ -239,7 +239,7 @@
 // without waiting for their length. It revokes the grants first, because no order
 // may be sent after the release.
 func (m *Manager) releaseAll() {
-	m.Want(nil)
+	m.SetWanted(nil)
 	ctx, cancel := context.WithTimeout(context.Background(), m.cfg.CallTimeout)
 	defer cancel()
 	m.append(ctx, m.takeReleases(func(leaseView) bool { return true }))
--- a/internal/lease/outage_test.go
+++ b/internal/lease/outage_test.go
@@ -17,7 +17,7 @@
 		defer m.shutDown()
 		m.waitUntilFirstHolds(t)
 		for _, p := range m.processes[1:] {
-			p.manager.Want(nil)
+			p.manager.SetWanted(nil)
 		}
 		m.log.setDown(true)
 		m.advance(t, 2*lease.Horizon)
--- a/internal/lease/scenario_test.go
+++ b/internal/lease/scenario_test.go
@@ -32,7 +32,7 @@
 			run: func(t *testing.T, m *machine) {
 				m.processes[0].orderDelay.Store(int64(lease.DefaultMargin))
 				m.advance(t, time.Second)
-				m.processes[0].manager.Want(nil)
+				m.processes[0].manager.SetWanted(nil)
 				m.advance(t, 20*time.Second)
 			},
 		},
@@ -43,7 +43,7 @@
 			run: func(t *testing.T, m *machine) {
 				m.processes[0].preparation.Store(int64(5 * time.Second))
 				m.advance(t, time.Second)
-				m.processes[0].manager.Want(nil)
+				m.processes[0].manager.SetWanted(nil)
 				m.advance(t, 20*time.Second)
 			},
 		},
@@ -53,11 +53,11 @@
 			// records from before the release.
 			name: "late release of a lease that is wanted again",
 			run: func(t *testing.T, m *machine) {
-				m.processes[0].manager.Want(nil)
+				m.processes[0].manager.SetWanted(nil)
 				m.processes[0].link.setFault(appendLate, 3*time.Second)
 				m.advance(t, lease.DefaultMargin+2*lease.DefaultPoll)
 				m.processes[0].link.setCut(true)
-				m.processes[0].manager.Want(wantedWithRank(0))
+				m.processes[0].manager.SetWanted(wantedWithRank(0))
 				m.advance(t, 20*time.Second)
 			},
 		},
@@ -79,7 +79,7 @@
 				m.waitUntilFirstHolds(t)
 				c.run(t, m)
 				for i, p := range m.processes {
-					p.manager.Want(wantedWithRank(i))
+					p.manager.SetWanted(wantedWithRank(i))
 				}
 				m.endFaults(t)
 			})
@@ -90,11 +90,11 @@
 // waitUntilFirstHolds waits until process 0 holds all leases.
 func (m *machine) waitUntilFirstHolds(t *testing.T) {
 	for _, p := range m.processes[1:] {
-		p.manager.Want(nil)
+		p.manager.SetWanted(nil)
 	}
 	m.advance(t, 30*time.Second)
 	for _, p := range m.processes[1:] {
-		p.manager.Want(wantedWithRank(0))
+		p.manager.SetWanted(wantedWithRank(0))
 	}
 	m.advance(t, 5*time.Second)
 	for _, name := range leaseNames {
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -271,7 +271,7 @@
 
 // Guards against a caller that waits for ever because a gateway executes a call
 // and then freezes without answering.
-func TestSilentCallIsAskedFor(t *testing.T) {
+func TestOutcomeOfASilentCallIsQueried(t *testing.T) {
 	frozen := func(ctx context.Context, g *scriptedGateway, key string) (*callerv1.Outcome, []byte, error) {
 		_, _, _ = execute(ctx, g, key)
 		<-ctx.Done()
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -69,9 +69,9 @@
 	return digest
 }
 
-// Key returns a hash that identifies one incarnation of an instance. Messages
+// IncarnationKey returns a hash that identifies one incarnation of an instance. Messages
 // with figures carry it in place of the ID, which would take most of their bytes.
-func Key(e Entry) uint64 {
+func IncarnationKey(e Entry) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(e.ID))
@@ -81,8 +81,8 @@
 	return d.Sum64()
 }
 
-// FindKey returns the entry of the incarnation that a key identifies.
-func (t *Table) FindKey(key uint64) (Entry, bool) {
+// FindByKey returns the entry of the incarnation that a key identifies.
+func (t *Table) FindByKey(key uint64) (Entry, bool) {
 	return t.Find(t.byKey[key])
 }
 
@@ -122,23 +122,23 @@
 // two states of one incarnation have the same hash.
 func factHash(e Entry) uint64 {
 	const mix = 0x9e3779b97f4a7c15
-	return (Key(e) + uint64(e.State)) * mix
+	return (IncarnationKey(e) + uint64(e.State)) * mix
 }
 
-// Suspicion holds the ages of the last proof of life above which an instance is
+// SuspicionTimeouts holds the ages of the last proof of life above which an instance is
 // suspect.
-type Suspicion struct {
+type SuspicionTimeouts struct {
 	// Local applies to upstreams in this process's own failure domain, Remote to
 	// all other instances, whose proofs of life are passed on less often.
 	Local  time.Duration
 	Remote time.Duration
 }
 
-// Effective returns the state that this process acts on: the merged state, or
+// EffectiveState returns the state that this process acts on: the merged state, or
 // Suspect for an instance that is alive but has no recent proof of life. A
 // suspect instance is not treated as gone, because this process itself may be
 // the one that is cut off.
-func (t *Table) Effective(e Entry, limits Suspicion, now time.Time) blackboard.MemberState {
+func (t *Table) EffectiveState(e Entry, limits SuspicionTimeouts, now time.Time) blackboard.MemberState {
 	if e.State != blackboard.Alive || e.ID == t.self {
 		return e.State
 	}
@@ -146,7 +146,7 @@
 	if e.FailureDomain == t.domain && e.PeerAddress == "" {
 		limit = limits.Local
 	}
-	if e.Seen.IsZero() || now.Sub(e.Seen) > limit {
+	if e.LastSeen.IsZero() || now.Sub(e.LastSeen) > limit {
 		return blackboard.Suspect
 	}
 	return blackboard.Alive
--- a/internal/membership/entry.go
+++ b/internal/membership/entry.go
@@ -44,9 +44,9 @@
 	FailureDomain ident.FailureDomain
 	// PeerAddress is empty for upstreams.
 	PeerAddress string
-	// Seen is the time of the last proof of life, that is the last answer of
+	// LastSeen is the time of the last proof of life, that is the last answer of
 	// the instance itself to some process. Zero means that there is none.
-	Seen time.Time
+	LastSeen time.Time
 	// GoneAt is the time when a process found out that the instance is gone.
 	GoneAt time.Time
 	Load   Load
@@ -68,7 +68,7 @@
 	out.State = max(a.State, b.State)
 	out.FailureDomain = max(a.FailureDomain, b.FailureDomain)
 	out.PeerAddress = max(a.PeerAddress, b.PeerAddress)
-	out.Seen = boottime.Later(a.Seen, b.Seen)
+	out.LastSeen = boottime.Later(a.LastSeen, b.LastSeen)
 	out.GoneAt = boottime.Later(a.GoneAt, b.GoneAt)
 	out.Load = newerLoad(a.Load, b.Load)
 	out.Description = chooseDescription(a.Description, b.Description)
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -61,7 +61,7 @@
 	// factSequence is the number of the last change that was a Fact or
 	// Departure, and figuresSequence that of the last change of any kind.
 	factSequence, figuresSequence uint64
-	// announcedSeen is the value that Entry.Seen had at figuresSequence.
+	// announcedSeen is the value that Entry.LastSeen had at figuresSequence.
 	announcedSeen time.Time
 	// factFrom and figuresFrom are the peers that these two changes came from,
 	// empty if from none. The changes are not sent back to them.
@@ -105,8 +105,8 @@
 // Sequence returns the number of the last change; 0 before the first one.
 func (t *Table) Sequence() uint64 { return t.sequence }
 
-// LastFact returns the number of the last change that was a Fact or Departure.
-func (t *Table) LastFact() uint64 { return t.lastFactSequence }
+// LastFactSequence returns the number of the last change that was a Fact or Departure.
+func (t *Table) LastFactSequence() uint64 { return t.lastFactSequence }
 
 // Find returns the entry of an instance.
 func (t *Table) Find(id ident.Instance) (Entry, bool) {
@@ -161,7 +161,7 @@
 		// The platform's list may still show the instance as live.
 		return true
 	}
-	return now.Sub(e.Seen) <= t.limits.MaxProofAge
+	return now.Sub(e.LastSeen) <= t.limits.MaxProofAge
 }
 
 // Observe merges what this process itself observed of an instance: its answer to
@@ -180,7 +180,7 @@
 	if !known {
 		r = &record{Entry: e}
 		t.records[e.ID] = r
-		t.byKey[Key(e)] = e.ID
+		t.byKey[IncarnationKey(e)] = e.ID
 		t.assignSequence(r, from, Fact)
 		if e.State >= blackboard.Leaving {
 			return Departure
@@ -200,8 +200,8 @@
 	replaced := r.Incarnation != before.Incarnation
 	if replaced {
 		r.absentSince = time.Time{}
-		delete(t.byKey, Key(before))
-		t.byKey[Key(r.Entry)] = r.ID
+		delete(t.byKey, IncarnationKey(before))
+		t.byKey[IncarnationKey(r.Entry)] = r.ID
 	}
 	departed := r.State >= blackboard.Leaving && (replaced || before.State < blackboard.Leaving)
 	switch {
@@ -211,7 +211,7 @@
 		return Fact
 	case r.PeerAddress != before.PeerAddress, r.FailureDomain != before.FailureDomain:
 		return Fact
-	case r.Seen.Sub(r.announcedSeen) >= t.refreshInterval(r.Entry):
+	case r.LastSeen.Sub(r.announcedSeen) >= t.refreshInterval(r.Entry):
 		return Figures
 	}
 	return NoChange
@@ -232,7 +232,7 @@
 		return
 	}
 	t.sequence++
-	r.announcedSeen = r.Seen
+	r.announcedSeen = r.LastSeen
 	r.figuresSequence = t.sequence
 	r.figuresFrom = from
 	if change >= Fact {
@@ -309,7 +309,7 @@
 		r.absentSince = now
 	}
 	missing := now.Sub(r.absentSince) > t.limits.MaxListLag
-	silent := now.Sub(r.Seen) > t.limits.MaxListLag
+	silent := now.Sub(r.LastSeen) > t.limits.MaxListLag
 	if !missing || !silent {
 		return false
 	}
@@ -327,7 +327,7 @@
 	for id, r := range t.records {
 		if r.State == blackboard.Gone && now.Sub(r.GoneAt) > t.limits.ForgetAfter {
 			delete(t.records, id)
-			delete(t.byKey, Key(r.Entry))
+			delete(t.byKey, IncarnationKey(r.Entry))
 		}
 	}
 }
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -32,7 +32,7 @@
 		State:         rapid.SampledFrom([]blackboard.MemberState{blackboard.Alive, blackboard.Leaving, blackboard.Gone}).Draw(t, "state"),
 		FailureDomain: rapid.SampledFrom([]ident.FailureDomain{"", "one"}).Draw(t, "domain"),
 		PeerAddress:   rapid.SampledFrom([]string{"", "x:1"}).Draw(t, "peer"),
-		Seen:          at("seen"),
+		LastSeen:      at("seen"),
 		GoneAt:        at("gone"),
 		Load:          Load{Running: rapid.Uint32Range(0, 2).Draw(t, "running"), At: at("load")},
 	}
@@ -44,7 +44,7 @@
 
 // The result of merging must not depend on the order, grouping or repetition of
 // messages.
-func TestJoinIsASemilattice(t *testing.T) {
+func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawEntry(t), drawEntry(t), drawEntry(t)
 		if d := cmp.Diff(Merge(a, b), Merge(b, a)); d != "" {
@@ -141,7 +141,7 @@
 			if i.State == platform.Ended {
 				return
 			}
-			m.tables[p].Observe(Entry{ID: i.ID, Incarnation: i.Incarnation, State: memberState(i.State), FailureDomain: "one", Seen: m.now}, m.now)
+			m.tables[p].Observe(Entry{ID: i.ID, Incarnation: i.Incarnation, State: memberState(i.State), FailureDomain: "one", LastSeen: m.now}, m.now)
 		},
 		"list": func(t *rapid.T) {
 			p := m.drawTable(t, "reader")
@@ -262,7 +262,7 @@
 	table.ApplyList([]platform.Instance{up}, now)
 	for range 300 {
 		now = now.Add(time.Second)
-		table.Observe(Entry{ID: "u", Incarnation: 1, State: blackboard.Alive, Seen: now}, now)
+		table.Observe(Entry{ID: "u", Incarnation: 1, State: blackboard.Alive, LastSeen: now}, now)
 		table.ApplyList(nil, now)
 	}
 	if e, _ := table.Find("u"); e.State != blackboard.Alive {
@@ -299,7 +299,7 @@
 func TestStaleAliveAfterTheEnd(t *testing.T) {
 	limits := DefaultLimits()
 	up := platform.Instance{ID: "u", Incarnation: 1, State: platform.Live}
-	proof := Entry{ID: "u", Incarnation: 1, State: blackboard.Alive, Seen: epoch}
+	proof := Entry{ID: "u", Incarnation: 1, State: blackboard.Alive, LastSeen: epoch}
 	for delay := time.Duration(0); delay < 2*limits.ForgetAfter; delay += time.Second {
 		table := NewTable("g", "one", limits)
 		table.Observe(Entry{ID: "u", Incarnation: 1, State: blackboard.Gone}, epoch)
@@ -322,12 +322,12 @@
 // later one as alive, without a recent proof of life.
 // Cause: any later incarnation of a known ID is accepted; or it is rejected, and
 // the fact that the earlier one is over is dropped with it.
-func TestUnprovedLaterLifeOnlyEndsTheEarlier(t *testing.T) {
+func TestUnprovedLaterIncarnationOnlyEndsTheEarlier(t *testing.T) {
 	for _, state := range []blackboard.MemberState{blackboard.Alive, blackboard.Leaving} {
 		table := NewTable("g", "one", DefaultLimits())
 		now := epoch.Add(time.Hour)
-		table.Observe(Entry{ID: "u", Incarnation: 1, State: state, Seen: now}, now)
-		table.MergePeer("p", Entry{ID: "u", Incarnation: 2, State: blackboard.Alive, Seen: epoch}, now)
+		table.Observe(Entry{ID: "u", Incarnation: 1, State: state, LastSeen: now}, now)
+		table.MergePeer("p", Entry{ID: "u", Incarnation: 2, State: blackboard.Alive, LastSeen: epoch}, now)
 		if e, _ := table.Find("u"); e.State != blackboard.Gone || e.Incarnation != 1 {
 			t.Errorf("incarnation %d in state %v, want 1 gone", e.Incarnation, e.State)
 		}
--- a/internal/metering/counter.go
+++ b/internal/metering/counter.go
@@ -48,9 +48,9 @@
 	return at.UnixNano() / int64(length)
 }
 
-// Began implements forward.Meter. The window is chosen by true time, so that a gateway whose clock
+// CountStarted implements forward.Meter. The window is chosen by true time, so that a gateway whose clock
 // is wrong counts in the same window as the others.
-func (c *Counter) Began(account ident.ClientAccount) {
+func (c *Counter) CountStarted(account ident.ClientAccount) {
 	if account == "" {
 		return
 	}
@@ -115,9 +115,9 @@
 // NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{counts: make(Pending)} }
 
-// Hear merges the counts of one incarnation of a gateway. Its counts only grow, so the larger of
+// MergeCounts merges the counts of one incarnation of a gateway. Its counts only grow, so the larger of
 // two is the newer, in whatever order they arrive.
-func (l *Ledger) Hear(incarnation string, windows map[int64]map[ident.ClientAccount]int64) {
+func (l *Ledger) MergeCounts(incarnation string, windows map[int64]map[ident.ClientAccount]int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for window, counts := range windows {
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -28,8 +28,8 @@
 func (h *holder) Grant() (duty.Grant, bool) {
 	return duty.Grant{Authority: platform.Authority{Fence: h.fence}}, h.holds
 }
-func (h *holder) Refused(ident.Fence)      { h.holds = false }
-func (h *holder) Decided() json.RawMessage { return h.decided }
+func (h *holder) FenceRejected(ident.Fence) { h.holds = false }
+func (h *holder) Decided() json.RawMessage  { return h.decided }
 
 func (h *holder) Commit(_ context.Context, decided json.RawMessage) error {
 	if h.commit == nil {
@@ -70,7 +70,7 @@
 
 func (f *fixture) newReporter(h *holder) *Reporter {
 	return &Reporter{
-		Length: windowLength, DueAfter: 2 * windowLength, Gather: f.gather, TrueTime: func() time.Time { return f.now }, Now: func() time.Time { return f.now }, Ledger: f.ledger, Leases: h, Duties: h, Log: hclog.NewNullLogger(),
+		WindowLength: windowLength, DueAfter: 2 * windowLength, Gather: f.gather, TrueTime: func() time.Time { return f.now }, Now: func() time.Time { return f.now }, Ledger: f.ledger, Leases: h, Duties: h, Log: hclog.NewNullLogger(),
 	}
 }
 
@@ -80,7 +80,7 @@
 }
 
 func (f *fixture) recordBegan(gateway string, window int64, n int64) {
-	f.ledger.Hear(gateway, map[int64]map[ident.ClientAccount]int64{window: {"acct": n}})
+	f.ledger.MergeCounts(gateway, map[int64]map[ident.ClientAccount]int64{window: {"acct": n}})
 }
 
 func TestAWindowIsReportedOnceItHasSettled(t *testing.T) {
@@ -194,7 +194,7 @@
 	for i := range 20_000 {
 		counts[ident.ClientAccount(fmt.Sprint("acct", i))] = 1
 	}
-	f.ledger.Hear("a/1", map[int64]map[ident.ClientAccount]int64{1000: counts})
+	f.ledger.MergeCounts("a/1", map[int64]map[ident.ClientAccount]int64{1000: counts})
 	f.Step(t.Context())
 	if n := len(f.holder.decided); n == 0 || n > maxRecordBytes {
 		t.Errorf("recorded %d bytes, want some, up to maxRecordBytes", n)
@@ -246,11 +246,11 @@
 // Guards against counts of a dead gateway that are missing, or counted twice after its restart. The
 // gateway reports, dies, and starts again from zero. The test fails when the ledger has one entry
 // per gateway for all its incarnations.
-func TestTheDeadCount(t *testing.T) {
+func TestCountsOfDeadGatewaysAreKept(t *testing.T) {
 	l := NewLedger()
-	l.Hear("a/1", map[int64]map[ident.ClientAccount]int64{7: {"acct": 5}})
-	l.Hear("a/1", map[int64]map[ident.ClientAccount]int64{7: {"acct": 6}})
-	l.Hear("a/2", map[int64]map[ident.ClientAccount]int64{7: {"acct": 1}})
+	l.MergeCounts("a/1", map[int64]map[ident.ClientAccount]int64{7: {"acct": 5}})
+	l.MergeCounts("a/1", map[int64]map[ident.ClientAccount]int64{7: {"acct": 6}})
+	l.MergeCounts("a/2", map[int64]map[ident.ClientAccount]int64{7: {"acct": 1}})
 	if got := l.Sum(7); got["acct"] != 7 {
 		t.Errorf("counted %v, want 7", got)
 	}
@@ -264,8 +264,8 @@
 	l := NewLedger()
 	for i := range 100 {
 		now = now.Add(windowLength)
-		c.Began("acct")
-		l.Hear(fmt.Sprint("a/", i%3), c.Windows())
+		c.CountStarted("acct")
+		l.MergeCounts(fmt.Sprint("a/", i%3), c.Windows())
 	}
 	if n := len(c.Windows()); n > maxCounterWindows {
 		t.Errorf("%d windows kept by the counter", n)
--- a/internal/metering/pending_test.go
+++ b/internal/metering/pending_test.go
@@ -26,7 +26,7 @@
 					want++
 				}
 			}
-			f.ledger.Hear(fmt.Sprintf("edge-hall-a-%d/%d", gateway, 1_780_000_000_000_000_000+random.Int64N(1e9)), windows)
+			f.ledger.MergeCounts(fmt.Sprintf("edge-hall-a-%d/%d", gateway, 1_780_000_000_000_000_000+random.Int64N(1e9)), windows)
 		}
 		data, err := f.encode(UsageRecord{Windows: map[int64]Counts{997: {"hule1": 4}}})
 		if err != nil {
@@ -57,7 +57,7 @@
 		for range 5_000 {
 			counts[ident.ClientAccount(fmt.Sprintf("%x", random.Uint64()))] = 1
 		}
-		f.ledger.Hear("a/1", map[int64]map[ident.ClientAccount]int64{window: counts})
+		f.ledger.MergeCounts("a/1", map[int64]map[ident.ClientAccount]int64{window: counts})
 	}
 	data, err := f.encode(UsageRecord{Windows: map[int64]Counts{997: {"a": 1}}})
 	if err != nil || len(data) > maxRecordBytes {
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -67,7 +67,7 @@
 // Leases is the part of the lease that a Reporter needs.
 type Leases interface {
 	Grant() (duty.Grant, bool)
-	Refused(ident.Fence)
+	FenceRejected(ident.Fence)
 	Decided() json.RawMessage
 	Commit(context.Context, json.RawMessage) error
 }
@@ -75,7 +75,7 @@
 // Reporter reports usage while this gateway holds the lease. Its fields are set before the first
 // Step, and Step must not be called concurrently.
 type Reporter struct {
-	Length time.Duration
+	WindowLength time.Duration
 	// DueAfter is the time after a window's end at which its report is due.
 	DueAfter time.Duration
 	// Gather reports whether all gateways were heard in the last within, and asks those that
@@ -139,7 +139,7 @@
 		r.Log.Error("recorded pending usage cannot be decoded; only counts from gateways are used", "error", err)
 	}
 	for incarnation, windows := range counts {
-		r.Ledger.Hear(incarnation, windows)
+		r.Ledger.MergeCounts(incarnation, windows)
 	}
 }
 
@@ -147,7 +147,7 @@
 // into maxRecordBytes. The newest windows are left out first, because the gateways that counted
 // them are the most likely to be still alive.
 func (r *Reporter) encode(record UsageRecord) (json.RawMessage, error) {
-	last := Window(r.TrueTime(), r.Length) - maxBacklogWindows
+	last := Window(r.TrueTime(), r.WindowLength) - maxBacklogWindows
 	for window := range record.Windows {
 		last = max(last, window)
 	}
@@ -171,7 +171,7 @@
 		if err != nil {
 			return nil, pkgerrors.Wrap(err, "encode pending usage")
 		}
-		record.CompressedPending, err = gzipped.Pack(data, gzip.DefaultCompression)
+		record.CompressedPending, err = gzipped.Compress(data, gzip.DefaultCompression)
 		if err != nil {
 			return nil, pkgerrors.Wrap(err, "compress pending usage")
 		}
@@ -199,7 +199,7 @@
 	if len(packed) == 0 {
 		return nil, nil
 	}
-	data, err := gzipped.Unpack(packed, maxUnpackedBytes)
+	data, err := gzipped.Decompress(packed, maxUnpackedBytes)
 	if err != nil {
 		return nil, pkgerrors.Wrap(err, "decompress pending usage")
 	}
@@ -212,7 +212,7 @@
 // any.
 func (r *Reporter) decide(ctx context.Context, record UsageRecord) (UsageRecord, bool) {
 	now := r.TrueTime()
-	last := Window(now, r.Length) - 1
+	last := Window(now, r.WindowLength) - 1
 	for !r.settled(ctx, last, now) {
 		last--
 	}
@@ -233,7 +233,7 @@
 // its report is nearly due. Gateways that weren't heard are asked. Without asking, some of ninety
 // gateways aren't heard for six seconds, and reports were wrong by a tenth.
 func (r *Reporter) settled(ctx context.Context, window int64, now time.Time) bool {
-	end := time.Unix(0, (window+1)*int64(r.Length))
+	end := time.Unix(0, (window+1)*int64(r.WindowLength))
 	ago := now.Sub(end)
 	if ago >= r.DueAfter-reportReserve {
 		return true
@@ -269,7 +269,7 @@
 			r.sent[window] = true
 			r.Log.Info("usage reported", "window", window, "accounts", len(record.Windows[window]), "requests", record.Windows[window].total(), "fence", grant.Fence)
 		case errors.Is(err, platform.ErrOldFence):
-			r.Leases.Refused(grant.Fence)
+			r.Leases.FenceRejected(grant.Fence)
 			return
 		default:
 			r.Log.Info("usage not reported; trying again", "window", window, "error", err)
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -59,7 +59,7 @@
 // are appended to the dial options of each connection.
 func NewPool(tlsFiles TLSFiles, options ...grpc.DialOption) (*Pool, error) {
 	p := &Pool{conns: map[string]*connection{}, dialOptions: options}
-	if !tlsFiles.Set() {
+	if !tlsFiles.IsSet() {
 		return p, nil
 	}
 	reload, err := certificate.NewReloader(tlsFiles)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -81,12 +81,12 @@
 // NewServer returns a server. The zero value of tlsFiles means plaintext.
 func NewServer(handlers Handlers, tlsFiles TLSFiles) (*Server, error) {
 	creds := insecure.NewCredentials()
-	if tlsFiles.Set() {
+	if tlsFiles.IsSet() {
 		reload, err := certificate.NewReloader(tlsFiles)
 		if err != nil {
 			return nil, err
 		}
-		creds = credentials.NewTLS(reload.Server(alpnProtocol))
+		creds = credentials.NewTLS(reload.ServerConfig(alpnProtocol))
 	}
 	server := grpc.NewServer(
 		grpc.Creds(creds),
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -23,13 +23,13 @@
 }
 
 func newClientCredentials(r *certificate.Reloader) credentials.TransportCredentials {
-	return &clientCredentials{TransportCredentials: credentials.NewTLS(r.Client()), reloader: r}
+	return &clientCredentials{TransportCredentials: credentials.NewTLS(r.ClientConfig()), reloader: r}
 }
 
 // ClientHandshake implements credentials.TransportCredentials. gRPC calls it for
 // each new connection.
 func (c *clientCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	return credentials.NewTLS(c.reloader.Client()).ClientHandshake(ctx, authority, conn)
+	return credentials.NewTLS(c.reloader.ClientConfig()).ClientHandshake(ctx, authority, conn)
 }
 
 // Clone implements credentials.TransportCredentials.
--- a/internal/planner/market.go
+++ b/internal/planner/market.go
@@ -9,28 +9,28 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Reclaims says how often instances are reclaimed and how much work that costs.
-type Reclaims struct {
+// ReclaimCosts says how often instances are reclaimed and how much work that costs.
+type ReclaimCosts struct {
 	// PerHour is how often a reclaimable instance is reclaimed in an hour. Offerings
 	// that are not listed have the rate Default.
-	PerHour map[Offering]float64
-	Default float64
-	// Lost is how long an upstream would have worked for what a reclaim costs: for the
+	PerHour        map[Offering]float64
+	DefaultPerHour float64
+	// LostWork is how long an upstream would have worked for what a reclaim costs: for the
 	// tokens that others compute again, and until a replacement serves.
-	Lost time.Duration
+	LostWork time.Duration
 }
 
 // ExpectedCost returns what an hour of useful work costs on an offering, in cents: the
 // price of the hour and that of the work that is lost to reclaims in it.
-func (r Reclaims) ExpectedCost(offering Offering, centsPerHour float64) float64 {
+func (r ReclaimCosts) ExpectedCost(offering Offering, centsPerHour float64) float64 {
 	if !offering.Reclaimable {
 		return centsPerHour
 	}
 	rate, known := r.PerHour[offering]
 	if !known {
-		rate = r.Default
+		rate = r.DefaultPerHour
 	}
-	return centsPerHour * (1 + rate*r.Lost.Hours())
+	return centsPerHour * (1 + rate*r.LostWork.Hours())
 }
 
 // An offering whose starts fail is retried after a back-off that doubles with each
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -75,17 +75,17 @@
 	// Demand is the work, as the number of upstreams that it keeps busy: 2.5 is the work
 	// of two and a half.
 	Demand float64
-	// Holder and Starts make start IDs unique: the holder's fencing number, and how many
+	// Fence and Starts make start IDs unique: the holder's fencing number, and how many
 	// starts it has requested.
-	Holder ident.Fence
-	Starts int
+	Fence           ident.Fence
+	StartsRequested int
 }
 
 // Wanted is what the document demands, and the reclaim costs that decide between
 // offerings.
 type Wanted struct {
 	Placement document.Placement
-	Reclaims  Reclaims
+	Reclaims  ReclaimCosts
 }
 
 // Kind is what an action does.
@@ -139,7 +139,7 @@
 }
 
 func newPlan(actual Actual, wanted Wanted, now time.Time) *plan {
-	p := &plan{actual: actual, wanted: wanted, now: now, starts: actual.Starts}
+	p := &plan{actual: actual, wanted: wanted, now: now, starts: actual.StartsRequested}
 	p.market = newMarket(wanted, actual.Failures, now)
 	p.fleet = newFleet(actual)
 	p.size = newSize(wanted.Placement, actual.Demand, p.fleet, p.market)
@@ -307,7 +307,7 @@
 	p.fleet.add(offering)
 	p.actions = append(p.actions, Action{
 		Kind:     Start,
-		StartID:  fmt.Sprintf("%s/%d/%d", p.actual.Service, p.actual.Holder, p.starts),
+		StartID:  fmt.Sprintf("%s/%d/%d", p.actual.Service, p.actual.Fence, p.starts),
 		Offering: offering,
 		Reason:   reason,
 	})
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -79,7 +79,7 @@
 }
 
 func (w *world) start(action Action) bool {
-	w.actual.Starts++
+	w.actual.StartsRequested++
 	if w.startsFail[action.Offering] {
 		w.changed = true
 		f := w.actual.Failures[action.Offering]
@@ -167,8 +167,8 @@
 
 func drawWorld(t *rapid.T) *world {
 	w := &world{now: time.Unix(0, 0), startsFail: make(map[Offering]bool)}
-	w.actual = Actual{Service: "spool-llm", Holder: 7, Failures: make(map[Offering]Failures)}
-	w.wanted.Reclaims = Reclaims{Default: 0.1, Lost: 10 * time.Minute}
+	w.actual = Actual{Service: "spool-llm", Fence: 7, Failures: make(map[Offering]Failures)}
+	w.wanted.Reclaims = ReclaimCosts{DefaultPerHour: 0.1, LostWork: 10 * time.Minute}
 	w.wanted.Placement.Min = rapid.IntRange(1, 12).Draw(t, "min")
 	w.wanted.Placement.Max = w.wanted.Placement.Min + rapid.IntRange(0, 12).Draw(t, "more")
 	w.wanted.Placement.OnDemandShare = rapid.SampledFrom([]float64{0, 0, 0.32, 1}).Draw(t, "share")
--- a/internal/platform/connectplatform/cloud_test.go
+++ b/internal/platform/connectplatform/cloud_test.go
@@ -18,7 +18,7 @@
 
 func init() { testkit.OneProcessor() }
 
-func TestInstanceListTellsStatesAndLives(t *testing.T) {
+func TestInstanceListReportsStatesAndIncarnations(t *testing.T) {
 	onEachImplementation(t, func(t *testing.T, s subject) {
 		gateway := platform.Instance{
 			ID: "gw-1", Role: platform.RoleEntry, Region: "tirol", FailureDomain: "hall-a",
--- a/internal/platform/connectplatform/errors.go
+++ b/internal/platform/connectplatform/errors.go
@@ -93,5 +93,5 @@
 }
 
 func wrapKind(kind, err error, operation string) error {
-	return errcode.Wrap(transport.Code(err), fmt.Errorf("%w: %w", kind, err), operation)
+	return errcode.Wrap(transport.CodeOf(err), fmt.Errorf("%w: %w", kind, err), operation)
 }
--- a/internal/platform/connectplatform/silence_test.go
+++ b/internal/platform/connectplatform/silence_test.go
@@ -99,7 +99,7 @@
 // A client that dials a connection for each request is not affected by silent
 // connections. With kept connections, each silence would cost an append's timeout and a
 // search for its record.
-func TestFreshConnectionsDoNotMeetASilence(t *testing.T) {
+func TestFreshConnectionsAvoidSilentOnes(t *testing.T) {
 	client, relay := newRelayedClient(t, transport.Options{FreshConnections: true})
 	for _, text := range []string{"a", "b", "c"} {
 		if _, err := client.Append(t.Context(), "s", [][]byte{[]byte(text)}); err != nil {
--- a/internal/poison/admit.go
+++ b/internal/poison/admit.go
@@ -26,8 +26,8 @@
 	// Avoid lists the upstreams where a request with another suspected content is in progress.
 	// Kept apart, a crash shows which of the two contents caused it.
 	Avoid []ident.Instance
-	// After is how long the caller of a barred request should wait before a retry.
-	After time.Duration
+	// RetryAfter is how long the caller of a barred request should wait before a retry.
+	RetryAfter time.Duration
 }
 
 // Admit decides whether a request may be sent now, after it has waited for the given time.
@@ -36,12 +36,12 @@
 // running in them. A content with one crash fewer is sent, but not while another request with
 // the same content is in progress at this gateway, because its end may decide. No request
 // waits longer than settleTime.
-func (t *Tracker) Admit(content ident.Content, waited time.Duration) Decision {
+func (t *Tracker) Admit(content ident.ContentHash, waited time.Duration) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
 	if after, barred := t.barIfConvicted(content); barred {
-		return Decision{Step: Bar, After: after}
+		return Decision{Step: Bar, RetryAfter: after}
 	}
 	crashes, newest := t.crashesAgainst(content, now)
 	if crashes == 0 {
@@ -54,10 +54,10 @@
 	return Decision{Step: Send, Avoid: t.upstreamsOfOtherSuspects(content)}
 }
 
-// Resend reports whether a request that a crash interrupted may be sent to another upstream.
+// MayResend reports whether a request that a crash interrupted may be sent to another upstream.
 // It may not if its content already has minCrashes crashes: then only another arrival of the
 // content can tell whether it is their cause.
-func (t *Tracker) Resend(content ident.Content) bool {
+func (t *Tracker) MayResend(content ident.ContentHash) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
@@ -66,7 +66,7 @@
 }
 
 // crashesAgainst returns how many crashes count against a content, and when the newest was.
-func (t *Tracker) crashesAgainst(content ident.Content, now time.Time) (n int, newest time.Time) {
+func (t *Tracker) crashesAgainst(content ident.ContentHash, now time.Time) (n int, newest time.Time) {
 	t.rebuildSuspects(now)
 	s := t.suspects[content]
 	if s == nil {
@@ -80,7 +80,7 @@
 
 // upstreamsOfOtherSuspects returns the upstreams where a request with another suspected content is in
 // progress.
-func (t *Tracker) upstreamsOfOtherSuspects(content ident.Content) []ident.Instance {
+func (t *Tracker) upstreamsOfOtherSuspects(content ident.ContentHash) []ident.Instance {
 	var out []ident.Instance
 	for other, upstreams := range t.inFlight {
 		if other == content {
@@ -95,7 +95,7 @@
 
 // Started records that a request was sent to an upstream, if its content is suspected. The
 // caller must call ended when the request has ended there.
-func (t *Tracker) Started(upstream ident.Instance, content ident.Content) (ended func()) {
+func (t *Tracker) Started(upstream ident.Instance, content ident.ContentHash) (ended func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if crashes, _ := t.crashesAgainst(content, t.cfg.Now()); crashes == 0 {
@@ -108,7 +108,7 @@
 	return func() { t.finished(upstream, content) }
 }
 
-func (t *Tracker) finished(upstream ident.Instance, content ident.Content) {
+func (t *Tracker) finished(upstream ident.Instance, content ident.ContentHash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	upstreams := t.inFlight[content]
--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -14,7 +14,7 @@
 	b.Run("quiet", func(b *testing.B) {
 		tr := newTestTracker()
 		for b.Loop() {
-			if !tr.Quiet() {
+			if !tr.KnowsNone() {
 				b.Fatal("a new tracker is not empty")
 			}
 		}
@@ -28,14 +28,14 @@
 	tr.advance(settleTime)
 	b.Run("unlike any", func(b *testing.B) {
 		for b.Loop() {
-			if tr.Quiet() || tr.Knows(content(1<<30).Outline()) {
+			if tr.KnowsNone() || tr.Knows(content(1<<30).Outline()) {
 				b.Fatal("a content with no crash is known")
 			}
 		}
 	})
 	for _, c := range []struct {
 		name    string
-		content ident.Content
+		content ident.ContentHash
 	}{{"another request", content(1 << 30)}, {"a suspect", content(5)}} {
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/poison/find.go
+++ b/internal/poison/find.go
@@ -29,7 +29,7 @@
 
 // suspect is a content that was running in at least one crash.
 type suspect struct {
-	content ident.Content
+	content ident.ContentHash
 	// convicted and cleared give the content's verdict. Only crashes after clearedAt count.
 	convicted, cleared bool
 	clearedAt          time.Time
@@ -93,7 +93,7 @@
 }
 
 // tallyOf counts the given crashes and a content's distinct requests in them.
-func tallyOf(content ident.Content, crashes []*crash) tally {
+func tallyOf(content ident.ContentHash, crashes []*crash) tally {
 	var arrived []ident.Mark
 	for _, c := range crashes {
 		first, _ := slices.BinarySearch(c.marks, ident.Mark(content))
@@ -122,7 +122,7 @@
 			ages = append(ages, now.Sub(c.at).Milliseconds())
 		}
 		t.verdicts[best.content] = &verdict{at: now, lastSeen: now, shared: true}
-		t.counts.Found++
+		t.counts.Convicted++
 		t.limitVerdicts()
 		t.dirty = true
 		t.cfg.Log.Warn("request content convicted of crashing upstreams", "content", best.content, "ends", best.tally.crashes, "arrivals", best.tally.arrivals,
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -73,7 +73,7 @@
 
 type request struct {
 	id      int
-	content ident.Content
+	content ident.ContentHash
 	killer  *killer
 	gateway *gateway
 	// retries counts the client's retries; sends counts how often this arrival was sent.
@@ -133,9 +133,9 @@
 	lastID     int
 	result     result
 	// thirdCrashAt, kills and lateSends are by the killer's content.
-	thirdCrashAt map[ident.Content]time.Duration
-	kills        map[ident.Content]int
-	lateSends    map[ident.Content]int
+	thirdCrashAt map[ident.ContentHash]time.Duration
+	kills        map[ident.ContentHash]int
+	lateSends    map[ident.ContentHash]int
 	cutOffDomain int
 	checkedAt    time.Duration
 	// storedRecord is the content of the lease's record, which outlives all gateways.
@@ -144,11 +144,11 @@
 
 // receivedReport is the latest report of a gateway or a collector, and when it was sent.
 type receivedReport struct {
-	report Words
+	report Report
 	sentAt time.Duration
 }
 
-func (f *fleet) aged(h receivedReport) Words { return h.report.Aged(f.Now() - h.sentAt) }
+func (f *fleet) aged(h receivedReport) Report { return h.report.Aged(f.Now() - h.sentAt) }
 
 var epoch = time.Unix(1_000_000, 0)
 
@@ -160,8 +160,8 @@
 
 func playStory(s story, seed uint64) result {
 	f := &fleet{
-		s: s, rng: rand.New(rand.NewPCG(seed, 7)), thirdCrashAt: make(map[ident.Content]time.Duration),
-		kills: make(map[ident.Content]int), lateSends: make(map[ident.Content]int), cutOffDomain: -1,
+		s: s, rng: rand.New(rand.NewPCG(seed, 7)), thirdCrashAt: make(map[ident.ContentHash]time.Duration),
+		kills: make(map[ident.ContentHash]int), lateSends: make(map[ident.ContentHash]int), cutOffDomain: -1,
 	}
 	for i := range s.gateways {
 		f.gateways = append(f.gateways, &gateway{index: i, domain: i % s.domains, tracker: newTracker(f.clock), connectedSince: -time.Hour})
@@ -171,7 +171,7 @@
 	}
 	f.received, f.domainSums = make([]receivedReport, s.gateways), make([]receivedReport, s.domains)
 	f.schedule()
-	f.Play(playLength)
+	f.RunUntil(playLength)
 	for _, n := range f.lateSends {
 		f.result.mostLateSends = max(f.result.mostLateSends, n)
 	}
@@ -189,7 +189,7 @@
 	f.In(0, f.ordinaryArrives)
 	for i := range s.killers {
 		k := &s.killers[i]
-		content := ident.ContentOf(ident.Outline(1+i), 0)
+		content := ident.ContentHashOf(ident.OutlineHash(1+i), 0)
 		f.In(k.startsAt, func() { f.killerArrives(k, content) })
 	}
 	for _, g := range f.gateways {
@@ -241,13 +241,13 @@
 
 func (f *fleet) restart(g *gateway) {
 	g.tracker, g.connectedSince = newTracker(f.clock), f.Now()
-	f.In(restoreDelay, func() { g.tracker.Learn(f.storedRecord) })
+	f.In(restoreDelay, func() { g.tracker.Restore(f.storedRecord) })
 	f.received[g.index] = receivedReport{}
 }
 
 // renewLease writes the first gateway's verdicts to the lease's record.
 func (f *fleet) renewLease() {
-	f.storedRecord = f.gateways[0].tracker.Keep()
+	f.storedRecord = f.gateways[0].tracker.Snapshot()
 	f.In(leaseRenewalPeriod, f.renewLease)
 }
 
@@ -312,15 +312,15 @@
 	}
 	f.In(f.randomExp(time.Duration(float64(time.Second)/rate)), f.ordinaryArrives)
 	f.lastID++
-	r := &request{id: f.lastID, content: ident.ContentOf(ident.Outline(1_000_000+f.lastID), 0), maxSends: 1 + 2*f.rng.IntN(2), group: f.rng.IntN(10)}
+	r := &request{id: f.lastID, content: ident.ContentHashOf(ident.OutlineHash(1_000_000+f.lastID), 0), maxSends: 1 + 2*f.rng.IntN(2), group: f.rng.IntN(10)}
 	if f.rng.Float64() < f.s.hotShare {
-		r.content, r.maxSends, r.group = ident.ContentOf(999, 0), 3, 5
+		r.content, r.maxSends, r.group = ident.ContentHashOf(999, 0), 3, 5
 	}
 	f.result.ordinary++
 	f.receive(r)
 }
 
-func (f *fleet) killerArrives(k *killer, content ident.Content) {
+func (f *fleet) killerArrives(k *killer, content ident.ContentHash) {
 	for range max(1, k.burst) {
 		f.lastID++
 		f.receive(&request{id: f.lastID, content: content, killer: k, maxSends: k.maxSends, group: k.group})
@@ -349,7 +349,7 @@
 
 func (f *fleet) admit(r *request) {
 	var avoid []ident.Instance
-	if t := r.gateway.tracker; !f.s.withoutTracker && !t.Quiet() && t.Knows(r.content.Outline()) {
+	if t := r.gateway.tracker; !f.s.withoutTracker && !t.KnowsNone() && t.Knows(r.content.Outline()) {
 		d := t.Admit(r.content, f.Now()-r.waitingSince)
 		switch d.Step {
 		case Bar:
@@ -460,7 +460,7 @@
 		t.Crashed(u.id(f.s.keepsIDs), ident.MarkOf(r.content, ident.Request(strconv.Itoa(r.id))))
 		r.crashed = true
 	}
-	if r.sends < r.maxSends && (f.s.withoutTracker || !r.crashed || t.Resend(r.content)) {
+	if r.sends < r.maxSends && (f.s.withoutTracker || !r.crashed || t.MayResend(r.content)) {
 		r.waitingSince = f.Now()
 		f.In(time.Millisecond, func() { f.admit(r) })
 		return
@@ -482,7 +482,7 @@
 // exchange sends one gateway's report.
 func (f *fleet) exchange(g *gateway) {
 	f.In(exchangePeriod, func() { f.exchange(g) })
-	w := g.tracker.Words()
+	w := g.tracker.Report()
 	reported := len(w.Verdicts)
 	for _, c := range w.Crashes {
 		reported += len(c.Marks)
@@ -495,10 +495,10 @@
 // collect merges the reports of a domain's gateways.
 func (f *fleet) collect(d int) {
 	f.In(exchangePeriod/2, func() { f.collect(d) })
-	var sum Words
+	var sum Report
 	for _, g := range f.gateways {
 		if g.domain == d {
-			sum = sum.Plus(f.aged(f.received[g.index]))
+			sum = sum.Merge(f.aged(f.received[g.index]))
 		}
 	}
 	at := f.Now()
@@ -508,17 +508,17 @@
 // refresh has a gateway merge the reports of the gateways that it can reach.
 func (f *fleet) refresh(g *gateway) {
 	f.In(exchangePeriod/2, func() { f.refresh(g) })
-	var words Words
+	var words Report
 	if f.s.gateways < minGatewaysForCollectors {
 		for _, o := range f.gateways {
 			if o != g && (f.cutOffDomain < 0 || (o.domain == f.cutOffDomain) == (g.domain == f.cutOffDomain)) {
-				words = words.Plus(f.aged(f.received[o.index]))
+				words = words.Merge(f.aged(f.received[o.index]))
 			}
 		}
 	} else {
 		for d := range f.s.domains {
 			if f.cutOffDomain < 0 || (d == f.cutOffDomain) == (g.domain == f.cutOffDomain) {
-				words = words.Plus(f.aged(f.domainSums[d]))
+				words = words.Merge(f.aged(f.domainSums[d]))
 			}
 		}
 	}
--- a/internal/poison/kept.go
+++ b/internal/poison/kept.go
@@ -14,16 +14,16 @@
 
 // storedVerdict is a convicted content in a record of the platform's store.
 type storedVerdict struct {
-	Content ident.Content `json:"content"`
+	Content ident.ContentHash `json:"content"`
 	// AgeMillis and IdleMillis are measured at the time the record was written.
 	AgeMillis  int64 `json:"age_ms"`
 	IdleMillis int64 `json:"idle_ms"`
 }
 
-// Keep returns the convicted contents for storage, the most recently seen first, or nil if
+// Snapshot returns the convicted contents for storage, the most recently seen first, or nil if
 // there are none. Without the record, after all gateways were killed, each such content
 // crashes three more upstreams before it is convicted again.
-func (t *Tracker) Keep() json.RawMessage {
+func (t *Tracker) Snapshot() json.RawMessage {
 	if t.empty.Load() {
 		return nil
 	}
@@ -50,9 +50,9 @@
 	return data
 }
 
-// Learn merges the record that an earlier holder of the lease stored with Keep. Entries that
+// Restore merges the record that an earlier holder of the lease stored with Keep. Entries that
 // cannot be used are logged and skipped.
-func (t *Tracker) Learn(data json.RawMessage) {
+func (t *Tracker) Restore(data json.RawMessage) {
 	if len(data) == 0 {
 		return
 	}
--- a/internal/poison/list.go
+++ b/internal/poison/list.go
@@ -10,12 +10,12 @@
 
 // Barred describes a convicted content to operators.
 type Barred struct {
-	Content ident.Content
+	Content ident.ContentHash
 	// Age is the time since its conviction, Idle the time since a request with it last arrived
 	// at any gateway.
 	Age, Idle time.Duration
-	// Ends counts the remembered crashes in which it was running.
-	Ends int
+	// Crashes counts the remembered crashes in which it was running.
+	Crashes int
 }
 
 // List returns the convicted contents, the most recently convicted first.
@@ -29,7 +29,7 @@
 		if t.isConvicted(content, now) {
 			b := Barred{Content: content, Age: now.Sub(v.at), Idle: now.Sub(v.lastSeen)}
 			if s := t.suspects[content]; s != nil {
-				b.Ends = s.tally.crashes
+				b.Crashes = s.tally.crashes
 			}
 			out = append(out, b)
 		}
--- a/internal/poison/outgoing.go
+++ b/internal/poison/outgoing.go
@@ -19,15 +19,15 @@
 	maxReportedVerdicts = 3
 )
 
-// Words returns this gateway's current report to the other gateways.
-func (t *Tracker) Words() Words {
+// Report returns this gateway's current report to the other gateways.
+func (t *Tracker) Report() Report {
 	if t.empty.Load() {
-		return Words{}
+		return Report{}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	w := Words{Verdicts: t.verdictsToReport(now)}
+	w := Report{Verdicts: t.verdictsToReport(now)}
 	for _, c := range t.crashes {
 		if len(c.ownMarks) > 0 && now.Sub(c.lastOwnAt) < reportCrashFor {
 			w.Crashes = append(w.Crashes, t.crashToReport(c, now))
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -21,7 +21,7 @@
 
 // Verdict is the conviction or the clearance of a content.
 type Verdict struct {
-	Content ident.Content
+	Content ident.ContentHash
 	// Age is the time since the verdict, and Idle the time since a request with the content
 	// last arrived at any gateway.
 	Age, Idle time.Duration
@@ -30,19 +30,19 @@
 	Cleared bool
 }
 
-// Words is the report that gateways exchange. Reports may arrive in any order and more than
+// Report is the report that gateways exchange. Reports may arrive in any order and more than
 // once.
-type Words struct {
+type Report struct {
 	Crashes  []Crash
 	Verdicts []Verdict
 }
 
 // Empty reports whether the report contains nothing.
-func (w Words) Empty() bool { return len(w.Crashes) == 0 && len(w.Verdicts) == 0 }
+func (w Report) Empty() bool { return len(w.Crashes) == 0 && len(w.Verdicts) == 0 }
 
 // Aged returns a copy of the report with all ages increased.
-func (w Words) Aged(by time.Duration) Words {
-	out := Words{Crashes: slices.Clone(w.Crashes), Verdicts: slices.Clone(w.Verdicts)}
+func (w Report) Aged(by time.Duration) Report {
+	out := Report{Crashes: slices.Clone(w.Crashes), Verdicts: slices.Clone(w.Verdicts)}
 	for i := range out.Crashes {
 		out.Crashes[i].Age += by
 	}
@@ -53,12 +53,12 @@
 	return out
 }
 
-// Plus merges the reports of two groups of gateways, bounded to the size of a message.
-func (w Words) Plus(o Words) Words {
+// Merge merges the reports of two groups of gateways, bounded to the size of a message.
+func (w Report) Merge(o Report) Report {
 	if o.Empty() {
 		return w
 	}
-	out := Words{Crashes: cloneCrashes(w.Crashes), Verdicts: slices.Clone(w.Verdicts)}
+	out := Report{Crashes: cloneCrashes(w.Crashes), Verdicts: slices.Clone(w.Verdicts)}
 	for i := range o.Crashes {
 		out.addCrash(&o.Crashes[i])
 	}
@@ -78,7 +78,7 @@
 }
 
 // addCrash merges a crash into the same upstream's crash at about the same time, if there is one.
-func (w *Words) addCrash(c *Crash) {
+func (w *Report) addCrash(c *Crash) {
 	for i := range w.Crashes {
 		known := &w.Crashes[i]
 		if known.Upstream == c.Upstream && (known.Age-c.Age).Abs() < sameCrashWindow {
@@ -100,7 +100,7 @@
 }
 
 // addVerdict keeps the prevailing one of two verdicts on a content, with the shorter idle time.
-func (w *Words) addVerdict(v Verdict) {
+func (w *Report) addVerdict(v Verdict) {
 	for i := range w.Verdicts {
 		known := &w.Verdicts[i]
 		if known.Content != v.Content {
@@ -119,7 +119,7 @@
 
 // limit cuts the report down to the size of one message: it drops marks, those of the oldest
 // crashes first, then crashes without marks, and the verdicts that were idle for longest.
-func (w *Words) limit(marks, verdicts int) {
+func (w *Report) limit(marks, verdicts int) {
 	slices.SortStableFunc(w.Crashes, func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) })
 	left := marks
 	for i := range w.Crashes {
--- a/internal/poison/stories_test.go
+++ b/internal/poison/stories_test.go
@@ -148,7 +148,7 @@
 			}
 			t.Run(fmt.Sprintf("%s/%v", s.name, withoutTracker), func(t *testing.T) {
 				var all storyTotals
-				for i, r := range testkit.Plays(plays, func(seed uint64) result { return playStory(s, seed) }) {
+				for i, r := range testkit.RunSeeds(plays, func(seed uint64) result { return playStory(s, seed) }) {
 					all.add(r, len(s.killers))
 					if r.mostLateSends > 3 && !withoutTracker {
 						t.Errorf("seed %d: sent %d times after all gateways had to bar it, want at most 3", i+1, r.mostLateSends)
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -2,7 +2,7 @@
 // bars them from further upstreams.
 //
 // Such a request arrives again and again, at any gateway, under new IDs; what it asks for, its
-// content (ident.Content), stays the same. A crash interrupts all requests in progress at the
+// content (ident.ContentHash), stays the same. A crash interrupts all requests in progress at the
 // upstream, as many as it has slots, and each of them may be the cause. Gateways report to each
 // other which contents they had there. A content is convicted as the cause if it explains at
 // least three crashes in a row, without a complete answer in between, better than any other
@@ -64,15 +64,15 @@
 	mu      sync.Mutex
 	crashes []*crash
 	// suspects is derived from crashes and verdicts; dirty means that these have changed since.
-	suspects map[ident.Content]*suspect
+	suspects map[ident.ContentHash]*suspect
 	dirty    bool
 	// outlines are the outlines of all contents in crashes and verdicts. The body of a request
 	// with another outline need not be read.
 	outlinesMu sync.RWMutex
-	outlines   map[ident.Outline]bool
-	verdicts   map[ident.Content]*verdict
+	outlines   map[ident.OutlineHash]bool
+	verdicts   map[ident.ContentHash]*verdict
 	// inFlight counts the requests in progress with suspected contents, by upstream.
-	inFlight map[ident.Content]map[ident.Instance]int
+	inFlight map[ident.ContentHash]map[ident.Instance]int
 	// reportCursor is the number of verdicts reported in turn so far.
 	reportCursor int
 	counts       Counters
@@ -82,7 +82,7 @@
 type Counters struct {
 	// Crashes counts crashes of upstreams that had requests in progress, Found convicted
 	// contents, Refused barred requests.
-	Crashes, Found, Refused int64
+	Crashes, Convicted, Barred int64
 }
 
 // crash is the end of an upstream's process while requests were in progress there.
@@ -113,17 +113,17 @@
 
 // New returns an empty Tracker.
 func New(cfg Config) *Tracker {
-	t := &Tracker{cfg: cfg, suspects: make(map[ident.Content]*suspect), verdicts: make(map[ident.Content]*verdict), inFlight: make(map[ident.Content]map[ident.Instance]int), outlines: make(map[ident.Outline]bool)}
+	t := &Tracker{cfg: cfg, suspects: make(map[ident.ContentHash]*suspect), verdicts: make(map[ident.ContentHash]*verdict), inFlight: make(map[ident.ContentHash]map[ident.Instance]int), outlines: make(map[ident.OutlineHash]bool)}
 	t.empty.Store(true)
 	return t
 }
 
-// Quiet reports whether there are no crashes and no verdicts, so that every request may be sent
+// KnowsNone reports whether there are no crashes and no verdicts, so that every request may be sent
 // without further questions.
-func (t *Tracker) Quiet() bool { return t.empty.Load() }
+func (t *Tracker) KnowsNone() bool { return t.empty.Load() }
 
 // Knows reports whether any content with this outline is suspected or has a verdict.
-func (t *Tracker) Knows(outline ident.Outline) bool {
+func (t *Tracker) Knows(outline ident.OutlineHash) bool {
 	t.outlinesMu.RLock()
 	defer t.outlinesMu.RUnlock()
 	return t.outlines[outline]
@@ -131,7 +131,7 @@
 
 // rebuildOutlines recomputes the outlines and the empty flag.
 func (t *Tracker) rebuildOutlines() {
-	all := make(map[ident.Outline]bool)
+	all := make(map[ident.OutlineHash]bool)
 	for _, c := range t.crashes {
 		for _, mark := range c.marks {
 			all[mark.Content().Outline()] = true
@@ -205,7 +205,7 @@
 }
 
 // Completed records that a request was answered completely, which clears its content.
-func (t *Tracker) Completed(content ident.Content) {
+func (t *Tracker) Completed(content ident.ContentHash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
@@ -220,7 +220,7 @@
 }
 
 // reportedElsewhere reports whether another gateway had a suspected content in a crash too.
-func (t *Tracker) reportedElsewhere(content ident.Content) bool {
+func (t *Tracker) reportedElsewhere(content ident.ContentHash) bool {
 	return slices.ContainsFunc(t.suspects[content].unexplained, func(c *crash) bool {
 		return slices.ContainsFunc(c.marks, func(mark ident.Mark) bool {
 			_, own := slices.BinarySearch(c.ownMarks, mark)
@@ -231,7 +231,7 @@
 
 // clearContent discounts all crashes up to now for a content, and tells the other gateways if
 // share is set.
-func (t *Tracker) clearContent(content ident.Content, share bool, now time.Time) {
+func (t *Tracker) clearContent(content ident.ContentHash, share bool, now time.Time) {
 	t.verdicts[content] = &verdict{at: now, lastSeen: now, cleared: true, shared: share}
 	t.limitVerdicts()
 	t.dirty = true
@@ -239,7 +239,7 @@
 
 // clearedAt returns when a content was last cleared, zero for never. Crashes up to then do not
 // count against it.
-func (t *Tracker) clearedAt(content ident.Content) time.Time {
+func (t *Tracker) clearedAt(content ident.ContentHash) time.Time {
 	if v := t.verdicts[content]; v != nil && v.cleared {
 		return v.at
 	}
@@ -247,31 +247,31 @@
 }
 
 // isConvicted reports whether a content is convicted and arrived within ForgetAfter.
-func (t *Tracker) isConvicted(content ident.Content, now time.Time) bool {
+func (t *Tracker) isConvicted(content ident.ContentHash, now time.Time) bool {
 	v := t.verdicts[content]
 	return v != nil && !v.cleared && now.Sub(v.lastSeen) < ForgetAfter
 }
 
 // Barred reports whether a request with this content must not run, and after what time its
 // caller may retry. It counts as an arrival of the content.
-func (t *Tracker) Barred(content ident.Content) (after time.Duration, barred bool) {
+func (t *Tracker) Barred(content ident.ContentHash) (after time.Duration, barred bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.barIfConvicted(content)
 }
 
-func (t *Tracker) barIfConvicted(content ident.Content) (time.Duration, bool) {
+func (t *Tracker) barIfConvicted(content ident.ContentHash) (time.Duration, bool) {
 	now := t.cfg.Now()
 	if !t.isConvicted(content, now) {
 		return 0, false
 	}
 	t.verdicts[content].lastSeen = now
-	t.counts.Refused++
+	t.counts.Barred++
 	return ForgetAfter, true
 }
 
 // Clear clears a content on an operator's behalf; it reports whether the content was barred.
-func (t *Tracker) Clear(content ident.Content) bool {
+func (t *Tracker) Clear(content ident.ContentHash) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
@@ -285,7 +285,7 @@
 
 // Refresh merges the reports of the other gateways, convicts causes and drops expired crashes
 // and verdicts. It must be called regularly, also with an empty report.
-func (t *Tracker) Refresh(report Words) {
+func (t *Tracker) Refresh(report Report) {
 	if report.Empty() && t.empty.Load() {
 		return
 	}
@@ -381,7 +381,7 @@
 // that have not arrived for longest.
 func (t *Tracker) limitVerdicts() {
 	for len(t.verdicts) > maxVerdicts {
-		var oldest ident.Content
+		var oldest ident.ContentHash
 		for content, v := range t.verdicts {
 			if o := t.verdicts[oldest]; o == nil || v.cleared && !o.cleared || v.cleared == o.cleared && v.lastSeen.Before(o.lastSeen) {
 				oldest = content
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -22,10 +22,10 @@
 	return tr
 }
 
-func content(n int) ident.Content { return ident.ContentOf(ident.Outline(n), 0) }
+func content(n int) ident.ContentHash { return ident.ContentHashOf(ident.OutlineHash(n), 0) }
 
 // crashWith records a crash of an upstream under one new request per content.
-func (tr *testTracker) crashWith(upstream string, contents ...ident.Content) {
+func (tr *testTracker) crashWith(upstream string, contents ...ident.ContentHash) {
 	for _, c := range contents {
 		tr.lastID++
 		tr.Crashed(ident.Instance(upstream), ident.MarkOf(c, ident.Request(fmt.Sprint(tr.lastID))))
@@ -33,16 +33,16 @@
 }
 
 // advance lets time pass and merges the reports of other gateways.
-func (tr *testTracker) advance(by time.Duration, reports ...Words) {
+func (tr *testTracker) advance(by time.Duration, reports ...Report) {
 	tr.now = tr.now.Add(by)
-	var all Words
+	var all Report
 	for _, r := range reports {
-		all = all.Plus(r)
+		all = all.Merge(r)
 	}
 	tr.Refresh(all)
 }
 
-func (tr *testTracker) isBarred(c ident.Content) bool {
+func (tr *testTracker) isBarred(c ident.ContentHash) bool {
 	_, barred := tr.Barred(c)
 	return barred
 }
@@ -53,26 +53,26 @@
 	for _, c := range []struct {
 		name   string
 		happen func(tr *testTracker)
-		barred []ident.Content
-		free   []ident.Content
+		barred []ident.ContentHash
+		free   []ident.ContentHash
 	}{
 		{"two ends are not enough", func(tr *testTracker) {
 			tr.crashWith("a", cause)
 			tr.crashWith("b", cause)
 			tr.advance(settleTime)
-		}, nil, []ident.Content{cause}},
+		}, nil, []ident.ContentHash{cause}},
 		{"three ends, of which all have told", func(tr *testTracker) {
 			tr.crashWith("a", cause, beside)
 			tr.crashWith("b", cause)
 			tr.crashWith("c", cause, beside)
 			tr.advance(settleTime)
-		}, []ident.Content{cause}, []ident.Content{beside}},
+		}, []ident.ContentHash{cause}, []ident.ContentHash{beside}},
 		{"others may yet tell of what else was there", func(tr *testTracker) {
 			tr.crashWith("a", cause)
 			tr.crashWith("b", cause)
 			tr.crashWith("c", cause)
 			tr.advance(settleTime - time.Millisecond)
-		}, nil, []ident.Content{cause}},
+		}, nil, []ident.ContentHash{cause}},
 		{"a whole answer between the ends", func(tr *testTracker) {
 			tr.crashWith("a", cause)
 			tr.crashWith("b", cause)
@@ -81,33 +81,33 @@
 			tr.now = tr.now.Add(time.Second)
 			tr.crashWith("c", cause)
 			tr.advance(settleTime)
-		}, nil, []ident.Content{cause}},
+		}, nil, []ident.ContentHash{cause}},
 		{"a whole answer of a request that was on its way", func(tr *testTracker) {
 			tr.crashWith("a", cause)
 			tr.crashWith("b", cause)
 			tr.crashWith("c", cause)
 			tr.advance(settleTime)
 			tr.Completed(cause)
-		}, nil, []ident.Content{cause}},
+		}, nil, []ident.ContentHash{cause}},
 		{"one request that its gateway sent on", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c", "d"} {
 				tr.Crashed(ident.Instance(u), ident.MarkOf(beside, "one"))
 			}
 			tr.advance(settleTime)
-		}, nil, []ident.Content{beside}},
+		}, nil, []ident.ContentHash{beside}},
 		{"two at the same ends", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c"} {
 				tr.crashWith(u, cause, beside)
 			}
 			tr.advance(settleTime)
-		}, nil, []ident.Content{cause, beside}},
+		}, nil, []ident.ContentHash{cause, beside}},
 		{"two at the same ends, and then one alone", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c"} {
 				tr.crashWith(u, cause, beside)
 			}
 			tr.crashWith("d", cause)
 			tr.advance(settleTime)
-		}, []ident.Content{cause}, []ident.Content{beside}},
+		}, []ident.ContentHash{cause}, []ident.ContentHash{beside}},
 		{"two causes", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c"} {
 				tr.crashWith(u, cause, beside)
@@ -120,20 +120,20 @@
 			// answered.
 			tr.Completed(beside)
 			tr.advance(0)
-		}, []ident.Content{cause, other}, []ident.Content{beside}},
+		}, []ident.ContentHash{cause, other}, []ident.ContentHash{beside}},
 		{"a life that ends twice under one name", func(tr *testTracker) {
 			for range 3 {
 				tr.crashWith("a", cause)
 				tr.advance(3 * time.Second)
 			}
-		}, []ident.Content{cause}, nil},
+		}, []ident.ContentHash{cause}, nil},
 		{"forgotten once it stays away", func(tr *testTracker) {
 			for _, u := range []string{"a", "b", "c"} {
 				tr.crashWith(u, cause)
 			}
 			tr.advance(settleTime)
 			tr.advance(ForgetAfter)
-		}, nil, []ident.Content{cause}},
+		}, nil, []ident.ContentHash{cause}},
 	} {
 		tr := newTestTracker()
 		c.happen(tr)
@@ -160,21 +160,21 @@
 	a.advance(settleTime)
 	a.advance(time.Minute)
 	b.now = a.now
-	b.advance(0, a.Words())
+	b.advance(0, a.Report())
 	if !b.isBarred(content(1)) {
 		t.Fatal("content convicted by another gateway is not barred")
 	}
 	// A report that arrives a round late has no effect.
-	late := b.Words()
+	late := b.Report()
 	if !b.Clear(content(1)) {
 		t.Fatal("Clear reports that the content was not barred")
 	}
-	b.advance(250*time.Millisecond, a.Words(), late.Aged(250*time.Millisecond))
+	b.advance(250*time.Millisecond, a.Report(), late.Aged(250*time.Millisecond))
 	if b.isBarred(content(1)) {
 		t.Error("barred again by an older report")
 	}
 	a.now = b.now
-	a.advance(0, b.Words())
+	a.advance(0, b.Report())
 	if a.isBarred(content(1)) {
 		t.Error("the operator's clearance did not reach the gateway that convicted the content")
 	}
@@ -188,7 +188,7 @@
 	b.crashWith("u", content(1))
 	b.now = b.now.Add(30 * time.Millisecond)
 	for range 4 {
-		a.advance(250*time.Millisecond, b.Words())
+		a.advance(250*time.Millisecond, b.Report())
 		b.now = a.now
 	}
 	if n, _ := a.crashesAgainst(content(1), a.now); n != 1 {
@@ -212,7 +212,7 @@
 	if len(tr.crashes) > maxCrashes || len(tr.verdicts) > maxVerdicts {
 		t.Errorf("%d crashes and %d verdicts remembered", len(tr.crashes), len(tr.verdicts))
 	}
-	w := tr.Words()
+	w := tr.Report()
 	marks := 0
 	for _, c := range w.Crashes {
 		marks += len(c.Marks)
@@ -221,11 +221,11 @@
 		t.Errorf("%d marks and %d verdicts in one report", marks, len(w.Verdicts))
 	}
 	var stored []storedVerdict
-	if err := json.Unmarshal(tr.Keep(), &stored); err != nil || len(stored) != maxStoredVerdicts {
+	if err := json.Unmarshal(tr.Snapshot(), &stored); err != nil || len(stored) != maxStoredVerdicts {
 		t.Errorf("%d verdicts stored, error %v", len(stored), err)
 	}
 	tr.advance(ForgetAfter)
-	if !tr.Quiet() {
+	if !tr.KnowsNone() {
 		t.Error("crashes or verdicts remembered after ForgetAfter")
 	}
 }
@@ -240,7 +240,7 @@
 	}
 	tr.advance(settleTime)
 	for range 12 {
-		other.advance(250*time.Millisecond, tr.Words())
+		other.advance(250*time.Millisecond, tr.Report())
 		tr.now = other.now
 	}
 	for i := range 10 {
@@ -259,15 +259,15 @@
 	}
 	a.advance(settleTime)
 	b.now = a.now
-	b.Learn(a.Keep())
-	if b.Quiet() || !b.isBarred(content(1)) {
+	b.Restore(a.Snapshot())
+	if b.KnowsNone() || !b.isBarred(content(1)) {
 		t.Error("stored content is not barred")
 	}
 	c := newTestTracker()
 	for _, data := range []string{"", "null", "[]", "{}", "7", `[{"content":0}]`, `[{"content":256,"age_ms":-1}]`} {
-		c.Learn(json.RawMessage(data))
+		c.Restore(json.RawMessage(data))
 	}
-	if !c.Quiet() {
+	if !c.KnowsNone() {
 		t.Error("an invalid record left crashes or verdicts")
 	}
 }
@@ -280,7 +280,7 @@
 	if !a.Knows(known) || a.Knows(content(2).Outline()) {
 		t.Error("outlines do not match this gateway's crash")
 	}
-	b.advance(0, a.Words())
+	b.advance(0, a.Report())
 	if !b.Knows(known) {
 		t.Error("outline of another gateway's crash is not known")
 	}
@@ -288,7 +288,7 @@
 	a.crashWith("c", content(1))
 	a.advance(settleTime)
 	c := newTestTracker()
-	c.Learn(a.Keep())
+	c.Restore(a.Snapshot())
 	if !c.Knows(known) {
 		t.Error("outline of a stored verdict is not known")
 	}
@@ -303,7 +303,7 @@
 func TestAdmission(t *testing.T) {
 	tr := newTestTracker()
 	c := content(1)
-	if !tr.Quiet() {
+	if !tr.KnowsNone() {
 		t.Fatal("a new tracker is not empty")
 	}
 	tr.crashWith("a", c)
@@ -325,19 +325,19 @@
 	if got := tr.Admit(content(2), 0); got.Step != Send || len(got.Avoid) != 1 || got.Avoid[0] != "c" {
 		t.Errorf("a second suspect does not avoid the upstream of the first: %+v", got)
 	}
-	if !tr.Resend(c) {
+	if !tr.MayResend(c) {
 		t.Error("no resend after two crashes")
 	}
 	ended()
 	tr.crashWith("c", c)
-	if tr.Resend(c) {
+	if tr.MayResend(c) {
 		t.Error("resend after three crashes")
 	}
 	if got := tr.Admit(c, 0); got.Step != Wait {
 		t.Errorf("after three crashes that others may not have reported yet: %+v", got)
 	}
 	tr.advance(settleTime)
-	if got := tr.Admit(c, 0); got.Step != Bar || got.After != ForgetAfter {
+	if got := tr.Admit(c, 0); got.Step != Bar || got.RetryAfter != ForgetAfter {
 		t.Errorf("after three settled crashes: %+v", got)
 	}
 }
--- a/internal/procstat/procstat.go
+++ b/internal/procstat/procstat.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Processor returns the processor time, user and system, that this process has used so
+// ProcessorTime returns the processor time, user and system, that this process has used so
 // far. Unlike elapsed time it does not include the time of the machine's other processes.
-func Processor() (time.Duration, error) {
+func ProcessorTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0, err
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -39,8 +39,8 @@
 	Kill context.Context
 }
 
-// Daemon is a program that runs until it is told to stop.
-type Daemon[S any] struct {
+// Program is a program that runs until it is told to stop.
+type Program[S any] struct {
 	Name        string
 	Description string
 	// DefaultSettings is the settings file that is used if the command line names
@@ -78,9 +78,9 @@
 
 // Main runs the daemon with the process's command line and returns its exit
 // status.
-func (d Daemon[S]) Main() int { return d.main(os.Args[1:], os.Stdout, os.Stderr) }
+func (d Program[S]) Main() int { return d.main(os.Args[1:], os.Stdout, os.Stderr) }
 
-func (d Daemon[S]) main(args []string, stdout, stderr io.Writer) int {
+func (d Program[S]) main(args []string, stdout, stderr io.Writer) int {
 	parsed := arguments{name: d.Name, description: d.Description}
 	parsed.Settings = d.DefaultSettings
 	status, done := parse(&parsed, d.Name, args, stdout, stderr)
@@ -129,7 +129,7 @@
 	return ExitUsage, true
 }
 
-func (d Daemon[S]) run(settings *S) error {
+func (d Program[S]) run(settings *S) error {
 	signals, release := watchSignals()
 	defer release()
 	return d.Run(signals, settings)
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -47,7 +47,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			ran := false
-			d := Daemon[testSettings]{Name: "daemon", Description: "daemon serves tests.", Load: load,
+			d := Program[testSettings]{Name: "daemon", Description: "daemon serves tests.", Load: load,
 				Run: func(_ Signals, s *testSettings) error {
 					ran = s.path == "good.toml"
 					return c.fails
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -19,7 +19,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				f.now = f.now.Add(time.Millisecond)
-				g.limiter.Tick([]routetable.Account{f.limit}, f.now)
+				g.limiter.ApplyReports([]routetable.Account{f.limit}, f.now)
 			}
 		})
 		b.Run(fmt.Sprintf("admit/%d", n), func(b *testing.B) {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -74,9 +74,9 @@
 // before the start is unknown, and all gateways may have started at once.
 const initialFillShare = 0.25
 
-// Others holds the other gateways' reports on one account. Their totals count from the start of
+// OtherGateways holds the other gateways' reports on one account. Their totals count from the start of
 // their sources.
-type Others struct {
+type OtherGateways struct {
 	// Known counts the gateways that may admit requests, without this one.
 	Known int
 	// Reports are those of the gateways that are heard. Each has a different Name.
@@ -99,12 +99,12 @@
 	Age time.Duration
 }
 
-// Keeper admits or refuses requests by their accounts' limits. It is safe for concurrent use.
-type Keeper struct {
+// Limiter admits or refuses requests by their accounts' limits. It is safe for concurrent use.
+type Limiter struct {
 	tolerance Tolerance
 	// otherGateways returns the other gateways' reports on an account, with ages as of the given
 	// time.
-	otherGateways func(ident.ClientAccount, time.Time) Others
+	otherGateways func(ident.ClientAccount, time.Time) OtherGateways
 
 	mu       sync.Mutex
 	started  time.Time
@@ -176,22 +176,22 @@
 	return r.rate
 }
 
-// NewKeeper returns a limiter that has admitted nothing. The function others returns the other
+// NewLimiter returns a limiter that has admitted nothing. The function others returns the other
 // gateways' reports on an account, as of a time.
-func NewKeeper(tolerance Tolerance, others func(ident.ClientAccount, time.Time) Others, now time.Time) *Keeper {
-	return &Keeper{tolerance: tolerance, otherGateways: others, started: now, accounts: make(map[ident.ClientAccount]*account)}
+func NewLimiter(tolerance Tolerance, others func(ident.ClientAccount, time.Time) OtherGateways, now time.Time) *Limiter {
+	return &Limiter{tolerance: tolerance, otherGateways: others, started: now, accounts: make(map[ident.ClientAccount]*account)}
 }
 
 // Decision tells whether a request is admitted, and the values that decided it.
 type Decision struct {
 	OK bool
-	// After is the time after which a refused request may be admitted.
-	After time.Duration
+	// RetryAfter is the time after which a refused request may be admitted.
+	RetryAfter time.Duration
 	// Level is the content of the bucket, or of this gateway's share of it. Need is the content
 	// that the request needs.
 	Level, Need float64
-	// Asked is the cost that callers request of all gateways per second.
-	Asked float64
+	// DemandRate is the cost that callers request of all gateways per second.
+	DemandRate float64
 	// Heard counts the gateways that are heard and Known those that may admit requests, both with
 	// this one.
 	Heard, Known int
@@ -201,7 +201,7 @@
 // when it would be admitted. One request may overdraw the bucket by a share of the tolerance, so
 // that large requests are admitted about as often as small ones. If the whole cost had to be in the
 // bucket, the small requests of an account at its limit would leave nothing for the large ones.
-func (k *Keeper) Admit(limit *routetable.Account, cost float64, now time.Time) Decision {
+func (k *Limiter) Admit(limit *routetable.Account, cost float64, now time.Time) Decision {
 	if limit.Rate <= 0 {
 		return Decision{OK: true}
 	}
@@ -210,7 +210,7 @@
 	a := k.account(limit, now)
 	a.requestedTotal += cost
 	a.advance(now)
-	d := Decision{Level: a.level, Need: max(0, min(cost, a.burst)-a.overdraft), Asked: a.totalDemand, Heard: a.heard, Known: a.known}
+	d := Decision{Level: a.level, Need: max(0, min(cost, a.burst)-a.overdraft), DemandRate: a.totalDemand, Heard: a.heard, Known: a.known}
 	rate := a.rate
 	if a.share < 1 {
 		// Demand exceeds the rate, so this gateway's share decides.
@@ -225,13 +225,13 @@
 		d.OK = true
 		return d
 	}
-	d.After = k.retryAfter(d, rate, now)
+	d.RetryAfter = k.retryAfter(d, rate, now)
 	return d
 }
 
 // retryAfter estimates when a refused request may be admitted, from the rate at which its bucket
 // refills.
-func (k *Keeper) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
+func (k *Limiter) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
 	if rate < minFillRate {
 		// This gateway's share is known after the next report.
 		return minRetryAfter
@@ -263,7 +263,7 @@
 
 // effectiveLimits returns an account's rate, burst and overdraft with the tolerance that callers
 // get when the gateways' reports have the given mean age.
-func (k *Keeper) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, overdraft float64) {
+func (k *Limiter) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, overdraft float64) {
 	t := k.tolerance
 	tolerated := t.Overage*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
 	tolerated *= max(0, 1-lag.Seconds()/lagWithoutTolerance.Seconds())
@@ -271,7 +271,7 @@
 }
 
 // counts returns how many gateways are heard and how many may admit requests, both with this one.
-func (o Others) counts() (heard, known int) {
+func (o OtherGateways) counts() (heard, known int) {
 	heard = 1
 	for _, r := range o.Reports {
 		heard += r.Gateways
@@ -280,13 +280,13 @@
 }
 
 // heardShare returns the fraction of the gateways that is heard.
-func (o Others) heardShare() float64 {
+func (o OtherGateways) heardShare() float64 {
 	heard, known := o.counts()
 	return float64(heard) / float64(known)
 }
 
 // meanAge returns the mean age of the reports, weighted by their gateways.
-func (o Others) meanAge() time.Duration {
+func (o OtherGateways) meanAge() time.Duration {
 	if len(o.Reports) == 0 {
 		return 0
 	}
@@ -298,10 +298,10 @@
 	return sum / time.Duration(max(1, gateways))
 }
 
-// Tick applies the other gateways' reports to the accounts with the given limits. Call it with
+// ApplyReports applies the other gateways' reports to the accounts with the given limits. Call it with
 // every round of reports: then other gateways' spending is deducted in small steps, and Admit
 // doesn't have to go through the reports.
-func (k *Keeper) Tick(limits []routetable.Account, now time.Time) {
+func (k *Limiter) ApplyReports(limits []routetable.Account, now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range limits {
@@ -313,7 +313,7 @@
 
 // account returns an account's state. If the account is new to this gateway, the other gateways'
 // reports on it are applied first.
-func (k *Keeper) account(limit *routetable.Account, now time.Time) *account {
+func (k *Limiter) account(limit *routetable.Account, now time.Time) *account {
 	a := k.accounts[limit.Name]
 	if a == nil {
 		others := k.otherGateways(limit.Name, now)
@@ -339,7 +339,7 @@
 
 // refreshAccount applies the other gateways' reports: it deducts what they spent beyond the
 // estimate and updates their rates.
-func (k *Keeper) refreshAccount(a *account, limit *routetable.Account, others Others, now time.Time) {
+func (k *Limiter) refreshAccount(a *account, limit *routetable.Account, others OtherGateways, now time.Time) {
 	heardShare, lag := others.heardShare(), others.meanAge()
 	rate, burst, overdraft := k.effectiveLimits(limit, lag)
 	a.rate, a.burst = rate*heardShare, burst*heardShare
@@ -435,7 +435,7 @@
 
 // removeUnheard removes the groups that are no longer heard. The bucket isn't refilled with their
 // share meanwhile, so what they spend in that time must not be deducted when they are heard again.
-func (a *account) removeUnheard(others Others) {
+func (a *account) removeUnheard(others OtherGateways) {
 	if len(a.groups) == len(others.Reports) {
 		return
 	}
@@ -450,7 +450,7 @@
 type Total struct{ Spent, Refused float64 }
 
 // Totals returns this gateway's totals by account, without accounts that requested nothing.
-func (k *Keeper) Totals() map[ident.ClientAccount]Total {
+func (k *Limiter) Totals() map[ident.ClientAccount]Total {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := make(map[ident.ClientAccount]Total, len(k.accounts))
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -33,7 +33,7 @@
 }
 
 type gateway struct {
-	limiter     *Keeper
+	limiter     *Limiter
 	incarnation string
 	// heard are the latest reports of the other gateways, by their index.
 	heard map[int]report
@@ -68,15 +68,15 @@
 
 func (f *fleet) restart(i int) {
 	g := &gateway{incarnation: fmt.Sprint(i, "/", f.now.UnixNano()), heard: make(map[int]report)}
-	g.limiter = NewKeeper(f.tolerance, func(ident.ClientAccount, time.Time) Others { return f.others(g) }, f.now)
+	g.limiter = NewLimiter(f.tolerance, func(ident.ClientAccount, time.Time) OtherGateways { return f.others(g) }, f.now)
 	f.gateways[i] = g
 }
 
-func (f *fleet) others(g *gateway) Others {
+func (f *fleet) others(g *gateway) OtherGateways {
 	if f.collector != nil {
 		return f.collector.others(g, f.now)
 	}
-	var o Others
+	var o OtherGateways
 	for _, r := range g.heard {
 		o.Known++
 		if f.now.Sub(r.at) <= f.maxReportAge {
@@ -100,7 +100,7 @@
 		}
 	}
 	for _, g := range f.gateways {
-		g.limiter.Tick([]routetable.Account{f.limit}, f.now)
+		g.limiter.ApplyReports([]routetable.Account{f.limit}, f.now)
 	}
 }
 
@@ -127,16 +127,16 @@
 	}
 }
 
-func (c *collector) others(g *gateway, now time.Time) Others {
+func (c *collector) others(g *gateway, now time.Time) OtherGateways {
 	n := len(c.published.byGateway) - 1
 	if now.Before(c.until) {
-		return Others{Known: c.unheard}
+		return OtherGateways{Known: c.unheard}
 	}
 	if n < 1 {
-		return Others{}
+		return OtherGateways{}
 	}
 	own := c.published.byGateway[g.incarnation]
-	return Others{Known: n, Reports: []Report{{
+	return OtherGateways{Known: n, Reports: []Report{{
 		Name: "all", Source: "collector", Gateways: n, Spent: c.published.all.spent - own.spent, Refused: c.published.all.refused - own.refused, Age: now.Sub(c.published.all.at),
 	}}}
 }
@@ -400,20 +400,20 @@
 	f.now = f.now.Add(50 * time.Millisecond)
 	// The first request overdraws the share.
 	g.limiter.Admit(&f.limit, 40_000, f.now)
-	if d := g.limiter.Admit(&f.limit, 9500, f.now); d.OK || d.After > startupMaxRetryAfter {
-		t.Errorf("after the start: admitted %v, retry after %v", d.OK, d.After)
+	if d := g.limiter.Admit(&f.limit, 9500, f.now); d.OK || d.RetryAfter > startupMaxRetryAfter {
+		t.Errorf("after the start: admitted %v, retry after %v", d.OK, d.RetryAfter)
 	}
 	f.now = f.now.Add(startupPeriod)
 	g.limiter.Admit(&f.limit, 40_000, f.now)
-	if d := g.limiter.Admit(&f.limit, 90_000, f.now); d.OK || d.After <= startupMaxRetryAfter {
-		t.Errorf("others still unheard after the startup period: admitted %v, retry after %v", d.OK, d.After)
+	if d := g.limiter.Admit(&f.limit, 90_000, f.now); d.OK || d.RetryAfter <= startupMaxRetryAfter {
+		t.Errorf("others still unheard after the startup period: admitted %v, retry after %v", d.OK, d.RetryAfter)
 	}
 }
 
 // Guards against a meaningless retry time. An account requests many times its limit through other
 // gateways, and its first request reaches this one, whose share is unknown yet or next to zero. The
 // test fails when the computed time overflows a time.Duration.
-func TestAPartOfNothingTellsAReturnTime(t *testing.T) {
+func TestRetryTimeOfATinyShare(t *testing.T) {
 	f := newFleet(1, 57_000)
 	for _, c := range []struct {
 		rate float64
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -48,7 +48,7 @@
 	Since time.Time `json:"since"`
 }
 
-// Problem is the answer to a request that fails.
-type Problem struct {
+// ErrorResponse is the answer to a request that fails.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -27,8 +27,8 @@
 	// Floor is the number of extra attempts per second that are allowed even without first
 	// attempts, so that a service with few requests can retry at all.
 	Floor float64
-	// MostStored bounds the extra attempts that are saved up while none are made.
-	MostStored float64
+	// MaxStored bounds the extra attempts that are saved up while none are made.
+	MaxStored float64
 }
 
 func (c BudgetConfig) withDefaults() BudgetConfig {
@@ -38,8 +38,8 @@
 	if c.Floor <= 0 {
 		c.Floor = DefaultFloor
 	}
-	if c.MostStored <= 0 {
-		c.MostStored = DefaultMaxStored
+	if c.MaxStored <= 0 {
+		c.MaxStored = DefaultMaxStored
 	}
 	return c
 }
@@ -63,7 +63,7 @@
 // NewBudget returns a budget that is filled to its maximum.
 func NewBudget(config BudgetConfig, now time.Time) *Budget {
 	config = config.withDefaults()
-	maxStored := int64(config.MostStored * unitsPerAttempt)
+	maxStored := int64(config.MaxStored * unitsPerAttempt)
 	return &Budget{
 		perFirstTry: int64(config.Ratio * unitsPerAttempt),
 		perSecond:   int64(config.Floor * unitsPerAttempt),
@@ -73,8 +73,8 @@
 	}
 }
 
-// FirstTry records a request's first attempt, which allows Ratio extra attempts.
-func (b *Budget) FirstTry() {
+// RecordFirstAttempt records a request's first attempt, which allows Ratio extra attempts.
+func (b *Budget) RecordFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stored = min(b.stored+b.perFirstTry, b.maxStored)
--- a/internal/retry/classify.go
+++ b/internal/retry/classify.go
@@ -33,7 +33,7 @@
 	if errors.Is(err, upstream.ErrNotSent) {
 		return !sent
 	}
-	return !upstream.Ran(err)
+	return !upstream.MayHaveRun(err)
 }
 
 // worthRepeating reports whether another upstream may answer the same request differently.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -27,9 +27,9 @@
 
 func checkBudgetBound(t *rapid.T) {
 	config := BudgetConfig{
-		Ratio:      rapid.Float64Range(0.01, 1).Draw(t, "ratio"),
-		Floor:      rapid.Float64Range(0.01, 5).Draw(t, "floor"),
-		MostStored: rapid.Float64Range(1, 20).Draw(t, "most stored"),
+		Ratio:     rapid.Float64Range(0.01, 1).Draw(t, "ratio"),
+		Floor:     rapid.Float64Range(0.01, 5).Draw(t, "floor"),
+		MaxStored: rapid.Float64Range(1, 20).Draw(t, "most stored"),
 	}
 	start := time.Unix(1000, 0)
 	now, latest := start, start
@@ -42,7 +42,7 @@
 		case 1:
 			n := rapid.IntRange(1, 50).Draw(t, "first tries")
 			for range n {
-				b.FirstTry()
+				b.RecordFirstAttempt()
 			}
 			first += n
 		default:
@@ -55,7 +55,7 @@
 		if now.After(latest) {
 			latest = now
 		}
-		bound := config.Ratio*float64(first) + config.Floor*latest.Sub(start).Seconds() + config.MostStored
+		bound := config.Ratio*float64(first) + config.Floor*latest.Sub(start).Seconds() + config.MaxStored
 		if float64(extra) > bound {
 			t.Fatalf("%d extra attempts after %d first attempts, at most %.2f allowed", extra, first, bound)
 		}
@@ -68,7 +68,7 @@
 	now := time.Unix(1000, 0)
 	b := NewBudget(BudgetConfig{}, now)
 	for i := range 1000 {
-		b.FirstTry()
+		b.RecordFirstAttempt()
 		if i%10 == 9 && !b.Spend(now) {
 			t.Fatalf("no retry after %d first attempts", i+1)
 		}
--- a/internal/retry/shared.go
+++ b/internal/retry/shared.go
@@ -7,9 +7,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// SharedConfig limits the extra attempts that arrive at a service from all gateways together, in
+// FleetBudgetConfig limits the extra attempts that arrive at a service from all gateways together, in
 // any window.
-type SharedConfig struct {
+type FleetBudgetConfig struct {
 	// Ratio is the number of extra attempts that each request in the window allows. Slack is a
 	// number of extra attempts allowed on top of that.
 	Ratio, Slack float64
@@ -25,11 +25,11 @@
 	minGateways = 4
 )
 
-// Shared is a retry budget for many services that all gateways keep together without communication:
+// FleetBudget is a retry budget for many services that all gateways keep together without communication:
 // each gateway uses the ratio of its own requests and an even share of the slack. It is safe for
 // concurrent use.
-type Shared struct {
-	cfg SharedConfig
+type FleetBudget struct {
+	cfg FleetBudgetConfig
 	// gateways returns how many gateways there may be, with this one.
 	gateways func() int
 
@@ -46,14 +46,14 @@
 
 const sliceCount = 10
 
-// NewShared returns a budget of which nothing is spent. gateways returns how many gateways there
+// NewFleetBudget returns a budget of which nothing is spent. gateways returns how many gateways there
 // may be, with this one.
-func NewShared(cfg SharedConfig, gateways func() int) *Shared {
-	return &Shared{cfg: cfg, gateways: gateways, services: make(map[ident.Service]*window)}
+func NewFleetBudget(cfg FleetBudgetConfig, gateways func() int) *FleetBudget {
+	return &FleetBudget{cfg: cfg, gateways: gateways, services: make(map[ident.Service]*window)}
 }
 
-// FirstTry records a request's first attempt.
-func (s *Shared) FirstTry(service ident.Service, now time.Time) {
+// RecordFirstAttempt records a request's first attempt.
+func (s *FleetBudget) RecordFirstAttempt(service ident.Service, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.currentWindow(service, now)
@@ -61,7 +61,7 @@
 }
 
 // Spend takes one extra attempt from the service's budget, or returns false if none is left.
-func (s *Shared) Spend(service ident.Service, now time.Time) bool {
+func (s *FleetBudget) Spend(service ident.Service, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.currentWindow(service, now)
@@ -83,7 +83,7 @@
 }
 
 // currentWindow returns a service's window, advanced to now.
-func (s *Shared) currentWindow(service ident.Service, now time.Time) *window {
+func (s *FleetBudget) currentWindow(service ident.Service, now time.Time) *window {
 	slice := now.UnixNano() / int64(s.cfg.Window/sliceCount)
 	w := s.services[service]
 	if w == nil {
--- a/internal/retry/shared_test.go
+++ b/internal/retry/shared_test.go
@@ -13,7 +13,7 @@
 // make first attempts and ask for extra ones at any time and in any order. The test fails when each
 // gateway takes the whole budget, or when budget is saved up.
 func TestGatewaysKeepTheBudgetTogether(t *testing.T) {
-	cfg := SharedConfig{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
+	cfg := FleetBudgetConfig{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	type event struct {
 		at    time.Time
 		extra bool
@@ -24,9 +24,9 @@
 		if rapid.Bool().Draw(t, "one is not known") {
 			known = max(1, n-1)
 		}
-		var budgets []*Shared
+		var budgets []*FleetBudget
 		for range n {
-			budgets = append(budgets, NewShared(cfg, func() int { return known }))
+			budgets = append(budgets, NewFleetBudget(cfg, func() int { return known }))
 		}
 		now := time.Unix(1000, 0)
 		var events []event
@@ -34,7 +34,7 @@
 			b := budgets[rapid.IntRange(0, n-1).Draw(t, "gateway")]
 			service := ident.Service("svc")
 			if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
-				b.FirstTry(service, now)
+				b.RecordFirstAttempt(service, now)
 				events = append(events, event{now, false})
 			} else if b.Spend(service, now) {
 				events = append(events, event{now, true})
@@ -61,11 +61,11 @@
 }
 
 func TestAFailingServiceGetsItsFewRetriesAndNoMore(t *testing.T) {
-	b := NewShared(SharedConfig{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}, func() int { return 8 })
+	b := NewFleetBudget(FleetBudgetConfig{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}, func() int { return 8 })
 	now := time.Unix(1000, 0)
 	granted := 0
 	for range 100 {
-		b.FirstTry("svc", now)
+		b.RecordFirstAttempt("svc", now)
 		if b.Spend("svc", now) {
 			granted++
 		}
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -18,10 +18,10 @@
 
 // ControllerConfig configures a Controller. All fields are required.
 type ControllerConfig struct {
-	Tracker *Tracker
-	Leases  Leases
-	Store   platform.KeyedLog
-	Reports Reports
+	Tracker     *Tracker
+	Leases      Leases
+	Store       platform.KeyedLog
+	StatusTopic StatusTopic
 	// TrueTime returns the time of day.
 	TrueTime func() time.Time
 	// Gateways returns the number of gateways that may exist, including this one.
@@ -29,11 +29,11 @@
 	// Settled reports whether this gateway has no requests at a service's old version and sends
 	// none there.
 	Settled func(service ident.Service) bool
-	// Drain returns the duration within which nearly all answers of a service end.
-	Drain func(ident.Service) time.Duration
-	// Running returns the number of requests that all gateways have in progress at a service.
-	Running func(ident.Service) int
-	Log     hclog.Logger
+	// DrainTime returns the duration within which nearly all answers of a service end.
+	DrainTime func(ident.Service) time.Duration
+	// InFlight returns the number of requests that all gateways have in progress at a service.
+	InFlight func(ident.Service) int
+	Log      hclog.Logger
 }
 
 // Controller decides on orders while this gateway holds the lease of the duties.
@@ -45,7 +45,7 @@
 
 // NewController returns a controller that has read no records yet.
 func NewController(cfg ControllerConfig) *Controller {
-	return &Controller{cfg: cfg, ledger: ledger{store: cfg.Store, status: cfg.Reports}}
+	return &Controller{cfg: cfg, ledger: ledger{store: cfg.Store, status: cfg.StatusTopic}}
 }
 
 // Step advances all orders if this gateway holds the lease. It must be called regularly.
@@ -147,11 +147,11 @@
 	if c.cfg.Settled(s.Order.Service) {
 		settled++
 	}
-	inFlight := c.cfg.Running(s.Order.Service)
+	inFlight := c.cfg.InFlight(s.Order.Service)
 	return &Situation{
-		Phase: s.Phase, Age: s.Age, PhaseAge: s.PhaseAge, TimeLimit: s.Order.Length, NewReady: s.NewReady, OldLeft: s.OldLeft,
+		Phase: s.Phase, Age: s.Age, PhaseAge: s.PhaseAge, TimeLimit: s.Order.TimeLimit, NewReady: s.NewReady, OldLeft: s.OldLeft,
 		HasCapacity: s.NewSlots == 0 && s.NewReady > 0 || float64(s.NewSlots) >= requiredHeadroom*float64(inFlight),
-		Verdict:     s.Verdict, Stopped: s.Stopped, Settled: settled, Gateways: c.cfg.Gateways(), DrainTime: c.cfg.Drain(s.Order.Service),
+		Verdict:     s.Verdict, Stopped: s.Stopped, Settled: settled, Gateways: c.cfg.Gateways(), DrainTime: c.cfg.DrainTime(s.Order.Service),
 	}
 }
 
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -33,31 +33,31 @@
 	// Answers counts the requests that ended, Failures those of them that failed.
 	Answers, Failures int
 	// Times counts the answers whose duration is meaningful, by its class.
-	Times map[Class]int
+	Times map[TimeClass]int
 }
 
-// Class is a logarithmic class of durations. It grows by two with each doubling.
-type Class int
+// TimeClass is a logarithmic class of durations. It grows by two with each doubling.
+type TimeClass int
 
 // maxClass bounds the absolute value of a class: a factor of a million either way.
 const maxClass = 40
 
 // Valid reports whether a class is within its bounds.
-func (c Class) Valid() bool { return -maxClass <= c && c <= maxClass }
+func (c TimeClass) Valid() bool { return -maxClass <= c && c <= maxClass }
 
-// ClassOf returns the class of a duration, in any unit that all gateways share.
-func ClassOf(x float64) Class {
+// TimeClassOf returns the class of a duration, in any unit that all gateways share.
+func TimeClassOf(x float64) TimeClass {
 	if x <= 0 {
 		return -maxClass
 	}
-	return Class(min(max(math.Round(2*math.Log2(x)), -maxClass), maxClass))
+	return TimeClass(min(max(math.Round(2*math.Log2(x)), -maxClass), maxClass))
 }
 
 // Evidence holds the tallies of one route, by side.
 type Evidence [numSides]Tally
 
-// Seen is the evidence about an order's versions, by route.
-type Seen map[RouteKey]*Evidence
+// EvidenceByRoute is the evidence about an order's versions, by route.
+type EvidenceByRoute map[RouteKey]*Evidence
 
 // Answer is the outcome of one request.
 type Answer struct {
@@ -69,7 +69,7 @@
 }
 
 // tally returns the tally of a route and a side, and adds it if there is none.
-func (s Seen) tally(route RouteKey, side Side) *Tally {
+func (s EvidenceByRoute) tally(route RouteKey, side Side) *Tally {
 	e := s[route]
 	if e == nil {
 		e = new(Evidence)
@@ -78,14 +78,14 @@
 	return &e[side]
 }
 
-// Send counts a request that was sent.
-func (s Seen) Send(route RouteKey, side Side) { s.tally(route, side).Sent++ }
+// CountSent counts a request that was sent.
+func (s EvidenceByRoute) CountSent(route RouteKey, side Side) { s.tally(route, side).Sent++ }
 
 // UncountSent takes back a request whose end says nothing about the version.
-func (s Seen) UncountSent(route RouteKey, side Side) { s.tally(route, side).Sent-- }
+func (s EvidenceByRoute) UncountSent(route RouteKey, side Side) { s.tally(route, side).Sent-- }
 
-// Add counts the answer to a request that Send counted.
-func (s Seen) Add(route RouteKey, side Side, a Answer) {
+// CountAnswer counts the answer to a request that Send counted.
+func (s EvidenceByRoute) CountAnswer(route RouteKey, side Side, a Answer) {
 	t := s.tally(route, side)
 	t.Answers++
 	if a.Failed {
@@ -93,14 +93,14 @@
 	}
 	if a.Timed {
 		if t.Times == nil {
-			t.Times = make(map[Class]int)
+			t.Times = make(map[TimeClass]int)
 		}
-		t.Times[ClassOf(a.Time)]++
+		t.Times[TimeClassOf(a.Time)]++
 	}
 }
 
-// Join adds other evidence.
-func (s Seen) Join(o Seen) {
+// Merge adds other evidence.
+func (s EvidenceByRoute) Merge(o EvidenceByRoute) {
 	for route, evidence := range o {
 		for side := range evidence {
 			s.tally(route, Side(side)).merge(&evidence[side])
@@ -114,21 +114,21 @@
 	t.Failures += o.Failures
 	for class, n := range o.Times {
 		if t.Times == nil {
-			t.Times = make(map[Class]int)
+			t.Times = make(map[TimeClass]int)
 		}
 		t.Times[class] += n
 	}
 }
 
 // Clone returns a deep copy.
-func (s Seen) Clone() Seen {
-	out := make(Seen, len(s))
-	out.Join(s)
+func (s EvidenceByRoute) Clone() EvidenceByRoute {
+	out := make(EvidenceByRoute, len(s))
+	out.Merge(s)
 	return out
 }
 
 // newVersionAnswers counts the answers of the new version on all routes.
-func (s Seen) newVersionAnswers() int {
+func (s EvidenceByRoute) newVersionAnswers() int {
 	n := 0
 	for _, e := range s {
 		n += e[NewA].Answers + e[NewB].Answers
--- a/internal/rollout/fisher_test.go
+++ b/internal/rollout/fisher_test.go
@@ -13,7 +13,7 @@
 
 // judgeByFisher is the alternative that Judge was compared with: Fisher's exact test, with the
 // error divided among maxJudgements and the comparisons.
-func judgeByFisher(seen Seen, both bool) Verdict {
+func judgeByFisher(seen EvidenceByRoute, both bool) Verdict {
 	v := Verdict{Answers: seen.newVersionAnswers()}
 	least, comparisons := 1.0, 1
 	var all Evidence
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -77,7 +77,7 @@
 	// newUpstreamsAt is when the new upstreams start, as a time since the order.
 	newUpstreamsAt time.Duration
 	// judge replaces Judge if it is set.
-	judge func(Seen, bool) Verdict
+	judge func(EvidenceByRoute, bool) Verdict
 	// undecidable says why the evidence within the share, or the time, is not always enough to
 	// decide rightly; empty if it must be.
 	undecidable string
@@ -115,7 +115,7 @@
 	badAt      time.Time
 	holder     int
 	fence      ident.Fence
-	reports    []Words
+	reports    []OrderStates
 	reportedAt time.Time
 	view       *directory.View
 	// meanTimes is the moving average of answer durations by route, in seconds.
@@ -128,7 +128,7 @@
 	tracker    *Tracker
 	controller *Controller
 	inFlight   map[ident.Instance]int
-	received   Words
+	received   OrderStates
 }
 
 type simUpstream struct {
@@ -196,13 +196,13 @@
 	}
 	g.controller = NewController(ControllerConfig{
 		Tracker: g.tracker, Leases: g, Store: f.store, TrueTime: f.clock, Log: hclog.NewNullLogger(),
-		Reports:  Reports{Topic: "reports", Encode: encodeForTest},
-		Gateways: func() int { return f.s.gateways },
-		Settled:  func(service ident.Service) bool { return g.tracker.Settled(service, g.idle) },
-		Drain: func(ident.Service) time.Duration {
+		StatusTopic: StatusTopic{Topic: "reports", Encode: encodeForTest},
+		Gateways:    func() int { return f.s.gateways },
+		Settled:     func(service ident.Service) bool { return g.tracker.Settled(service, g.idle) },
+		DrainTime: func(ident.Service) time.Duration {
 			return time.Duration(3 * slices.Max(f.meanTimes) * float64(time.Second))
 		},
-		Running: func(ident.Service) int {
+		InFlight: func(ident.Service) int {
 			sum := 0
 			for _, u := range f.upstreams {
 				sum += u.inFlight
@@ -257,9 +257,9 @@
 
 // play simulates the order until 6 s after its end, at most until 20 s after its time limit.
 func (f *fleet) play() result {
-	order := Order{Service: service, To: "v2", Length: f.s.timeLimit, Offset: 5}
+	order := Order{Service: service, To: "v2", TimeLimit: f.s.timeLimit, Offset: 5}
 	for _, g := range f.gateways {
-		g.tracker.Order(order, 0, "test")
+		g.tracker.ApplyOrder(order, 0, "test")
 	}
 	carry, started, holderDead, takenOver, reclaimed := 0.0, false, false, false, false
 	for end := f.start.Add(f.s.timeLimit + 20*time.Second); f.now.Before(end); f.now = f.now.Add(tick) {
@@ -344,14 +344,14 @@
 		x -= f.s.routeFractions[route]
 	}
 	id := ident.Request(fmt.Sprint(f.rng.Uint64()))
-	split := g.tracker.Of(service)
-	lists := Lists{First: f.view.Of(service)}
+	split := g.tracker.SplitOf(service)
+	lists := Candidates{Preferred: f.view.Of(service)}
 	if split != nil {
-		lists = split.Lists(id, routeName(route), false, f.now)
+		lists = split.Candidates(id, routeName(route), false, f.now)
 	}
-	u := f.choose(lists.First)
+	u := f.choose(lists.Preferred)
 	if u == nil {
-		u = f.choose(lists.Then)
+		u = f.choose(lists.Fallback)
 	}
 	if u == nil {
 		f.result.refused++
@@ -455,9 +455,9 @@
 	case f.age()%exchangePeriod == 0:
 		for i, g := range f.gateways {
 			if f.reports == nil {
-				f.reports = make([]Words, len(f.gateways))
+				f.reports = make([]OrderStates, len(f.gateways))
 			}
-			f.reports[i] = g.tracker.Words(g.idle)
+			f.reports[i] = g.tracker.OrderStates(g.idle)
 		}
 		f.reportedAt = f.now
 	case f.age()%exchangePeriod == exchangePeriod-2*tick:
@@ -475,15 +475,15 @@
 	if f.s.cutOff > 0 && f.progress() >= f.s.cutOff {
 		connected -= connected / 4
 	}
-	before := make([]Words, connected+1)
+	before := make([]OrderStates, connected+1)
 	for i := range connected {
-		before[i+1] = before[i].Plus(f.reports[i])
+		before[i+1] = before[i].Merge(f.reports[i])
 	}
-	var after Words
+	var after OrderStates
 	for i := connected - 1; i >= 0; i-- {
 		g := f.gateways[i]
-		g.received = before[i].Plus(after)
-		after = after.Plus(f.reports[i])
+		g.received = before[i].Merge(after)
+		after = after.Merge(f.reports[i])
 		g.tracker.Refresh(g.received.Aged(f.now.Sub(f.reportedAt)))
 	}
 	for _, g := range f.gateways[connected:] {
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -23,8 +23,8 @@
 type Order struct {
 	Service ident.Service
 	To      ident.Version
-	// Length is the time limit: the order must have ended this long after it was given.
-	Length time.Duration
+	// TimeLimit is the time limit: the order must have ended this long after it was given.
+	TimeLimit time.Duration
 	// Offset is the position of the order's record in its topic. It identifies the order; an
 	// order with a higher offset replaces it.
 	Offset ident.Offset
--- a/internal/rollout/orderstate.go
+++ b/internal/rollout/orderstate.go
@@ -2,70 +2,70 @@
 
 import "time"
 
-// Word is the state of an order that gateways exchange. Its fields only ever grow, so that
+// OrderState is the state of an order that gateways exchange. Its fields only ever grow, so that
 // states may arrive in any order and more than once.
-type Word struct {
+type OrderState struct {
 	Order Order
 	// Age is the time since any gateway first heard of the order.
 	Age   time.Duration
 	Phase Phase
-	// Confirmed is the time since the holder of the duties last confirmed the phase.
-	Confirmed time.Duration
+	// ConfirmedAge is the time since the holder of the duties last confirmed the phase.
+	ConfirmedAge time.Duration
 	// Stopped means that some gateway found the new version bad.
 	Stopped bool
 	// Settled counts the gateways that have no requests at the old version and send none there.
-	Settled int
-	Seen    Seen
+	Settled  int
+	Evidence EvidenceByRoute
 }
 
 // Aged returns a copy of the state with all ages increased.
-func (w Word) Aged(by time.Duration) Word {
+func (w OrderState) Aged(by time.Duration) OrderState {
 	w.Age += by
-	w.Confirmed += by
+	w.ConfirmedAge += by
 	return w
 }
 
-// Join merges the states of one service's order from two groups of gateways. Of two different
+// Merge merges the states of one service's order from two groups of gateways. Of two different
 // orders the later one prevails.
-func (w Word) Join(o Word) Word {
+func (w OrderState) Merge(o OrderState) OrderState {
 	switch {
 	case o.Order.Offset > w.Order.Offset:
-		o.Seen = o.Seen.Clone()
+		o.Evidence = o.Evidence.Clone()
 		return o
 	case o.Order.Offset < w.Order.Offset:
 		return w
 	}
 	switch {
 	case o.Phase > w.Phase:
-		w.Phase, w.Confirmed = o.Phase, o.Confirmed
+		w.Phase, w.ConfirmedAge = o.Phase, o.ConfirmedAge
 	case o.Phase == w.Phase:
-		w.Confirmed = min(w.Confirmed, o.Confirmed)
+		w.ConfirmedAge = min(w.ConfirmedAge, o.ConfirmedAge)
 	}
 	w.Age = max(w.Age, o.Age)
 	w.Stopped = w.Stopped || o.Stopped
 	w.Settled += o.Settled
-	seen := w.Seen.Clone()
-	seen.Join(o.Seen)
-	w.Seen = seen
+	seen := w.Evidence.Clone()
+	seen.Merge(o.Evidence)
+	w.Evidence = seen
 	return w
 }
 
-// Words holds at most one state for each service.
-type Words []Word
+// OrderStates holds at most one state for each service.
+type OrderStates []OrderState
 
-// Plus merges the states from two groups of gateways.
-func (w Words) Plus(o Words) Words {
-	out := append(Words(nil), w...)
+// Merge merges the states from two groups of gateways.
+func (w OrderStates) Merge(o OrderStates) OrderStates {
+	out := append(OrderStates(nil), w...)
 	for _, next := range o {
 		out = out.mergeState(next)
 	}
 	return out
 }
 
-func (w Words) mergeState(next Word) Words {
+func (w OrderStates) mergeState(next OrderState) OrderStates {
 	for i := range w {
 		if w[i].Order.Service == next.Order.Service {
-			w[i] = w[i].Join(next)
+			w[i] = w[i].Merge(next)
 			return w
 		}
 	}
@@ -73,8 +73,8 @@
 }
 
 // Aged returns a copy of the states with all ages increased.
-func (w Words) Aged(by time.Duration) Words {
-	out := make(Words, len(w))
+func (w OrderStates) Aged(by time.Duration) OrderStates {
+	out := make(OrderStates, len(w))
 	for i := range w {
 		out[i] = w[i].Aged(by)
 	}
--- a/internal/rollout/outgoing.go
+++ b/internal/rollout/outgoing.go
@@ -41,8 +41,8 @@
 	return idle(r.order.Service, func(u *directory.Upstream) bool { return u.Version != r.order.To })
 }
 
-// Words returns this gateway's report to the others. It contains no evidence about ended orders.
-func (t *Tracker) Words(idle Idle) Words {
+// OrderStates returns this gateway's report to the others. It contains no evidence about ended orders.
+func (t *Tracker) OrderStates(idle Idle) OrderStates {
 	states, draining := t.draftReport()
 	for i, r := range draining {
 		if r != nil && r.idleAtOld(idle) {
@@ -55,20 +55,20 @@
 
 // draftReport returns the report without Settled. The second result has the order at the same
 // index if this gateway sends nothing to its old version, otherwise nil.
-func (t *Tracker) draftReport() (Words, []*trackedOrder) {
+func (t *Tracker) draftReport() (OrderStates, []*trackedOrder) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	var out Words
+	var out OrderStates
 	var draining []*trackedOrder
 	for _, service := range slices.Sorted(maps.Keys(t.rollouts)) {
 		r := t.rollouts[service]
 		if r.phase.Ended() && !t.mixed[service] && now.Sub(r.phaseSince) > reportEndedFor {
 			continue
 		}
-		w := Word{Order: r.order, Age: now.Sub(r.orderedAt), Phase: r.phase, Confirmed: now.Sub(r.confirmedAt), Stopped: r.stopped}
+		w := OrderState{Order: r.order, Age: now.Sub(r.orderedAt), Phase: r.phase, ConfirmedAge: now.Sub(r.confirmedAt), Stopped: r.stopped}
 		if !r.phase.Ended() {
-			w.Seen = r.ownEvidence.Clone()
+			w.Evidence = r.ownEvidence.Clone()
 		}
 		out = append(out, w)
 		if r.maySendToOld(now) {
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -57,31 +57,31 @@
 // twice, because merging depends on the order or the grouping in which reports arrive.
 func TestWordsJoinInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var words []Words
+		var words []OrderStates
 		for range rapid.IntRange(1, 6).Draw(t, "gateways") {
-			seen := make(Seen)
+			seen := make(EvidenceByRoute)
 			for range rapid.IntRange(0, 5).Draw(t, "answers") {
 				side := Side(rapid.IntRange(0, int(numSides)-1).Draw(t, "side"))
-				seen.Send(KeyOf("r"), side)
-				seen.Add(KeyOf("r"), side, Answer{Failed: rapid.Bool().Draw(t, "failed"), Timed: true, Time: rapid.Float64Range(0.001, 100).Draw(t, "time")})
+				seen.CountSent(KeyOf("r"), side)
+				seen.CountAnswer(KeyOf("r"), side, Answer{Failed: rapid.Bool().Draw(t, "failed"), Timed: true, Time: rapid.Float64Range(0.001, 100).Draw(t, "time")})
 			}
-			words = append(words, Words{{
+			words = append(words, OrderStates{{
 				Order: Order{Service: "svc", To: "v2", Offset: 3}, Phase: Phase(rapid.IntRange(0, int(Completed)).Draw(t, "phase")),
 				Age: time.Duration(rapid.IntRange(0, 9).Draw(t, "age")), Stopped: rapid.Bool().Draw(t, "stopped"),
-				Settled: rapid.IntRange(0, 1).Draw(t, "settled"), Seen: seen,
+				Settled: rapid.IntRange(0, 1).Draw(t, "settled"), Evidence: seen,
 			}})
 		}
-		join := func(list []Words) Words {
-			var all Words
+		join := func(list []OrderStates) OrderStates {
+			var all OrderStates
 			for _, w := range list {
-				all = all.Plus(w)
+				all = all.Merge(w)
 			}
 			return all
 		}
 		want := join(words)
 		mixed := rapid.Permutation(words).Draw(t, "order")
 		cut := rapid.IntRange(0, len(mixed)).Draw(t, "cut")
-		if diff := cmp.Diff(want, join(mixed[:cut]).Plus(join(mixed[cut:]))); diff != "" {
+		if diff := cmp.Diff(want, join(mixed[:cut]).Merge(join(mixed[cut:]))); diff != "" {
 			t.Fatal(diff)
 		}
 	})
@@ -92,7 +92,7 @@
 // the first one writes, although the topic changed after its read.
 func TestAHolderThatStoodStillDecidesNothing(t *testing.T) {
 	store := newMemoryStore()
-	first, second := ledger{store: store, status: Reports{Topic: "reports", Encode: encodeForTest}}, ledger{store: store, status: Reports{Topic: "reports", Encode: encodeForTest}}
+	first, second := ledger{store: store, status: StatusTopic{Topic: "reports", Encode: encodeForTest}}, ledger{store: store, status: StatusTopic{Topic: "reports", Encode: encodeForTest}}
 	for _, l := range []*ledger{&first, &second} {
 		if err := l.load(t.Context()); err != nil {
 			t.Fatal(err)
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -25,8 +25,8 @@
 	OrderedMillis int64 `json:"ordered_ms"`
 }
 
-// Reports is the topic where operators read the status of their orders.
-type Reports struct {
+// StatusTopic is the topic where operators read the status of their orders.
+type StatusTopic struct {
 	Topic string
 	// Encode returns the key and the value of the status record for a phase.
 	Encode func(service ident.Service, to ident.Version, phase Phase) (key string, value []byte, err error)
@@ -35,7 +35,7 @@
 // ledger reads and writes the two topics and caches what they contain.
 type ledger struct {
 	store  platform.KeyedLog
-	status Reports
+	status StatusTopic
 
 	loaded                bool
 	recordsEnd, statusEnd ident.Offset
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -25,9 +25,9 @@
 	halves       [2][]directory.Upstream
 }
 
-// Lists holds the upstreams that may take a request: those of First and, if none of them can,
+// Candidates holds the upstreams that may take a request: those of First and, if none of them can,
 // those of Then.
-type Lists struct{ First, Then []directory.Upstream }
+type Candidates struct{ Preferred, Fallback []directory.Upstream }
 
 // rebuildSplits recomputes all splits. t.mu must be held.
 func (t *Tracker) rebuildSplits() {
@@ -122,44 +122,44 @@
 	return (version == s.newVersion) == !r.maySendToOld(s.tracker.cfg.Now())
 }
 
-// Lists returns the upstreams that a request may go to. A request that is sent again prefers the
+// Candidates returns the upstreams that a request may go to. A request that is sent again prefers the
 // old version, so that no caller suffers twice from a bad new one.
-func (s *Split) Lists(id ident.Request, route string, again bool, now time.Time) Lists {
+func (s *Split) Candidates(id ident.Request, route string, again bool, now time.Time) Candidates {
 	t := s.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := s.tracked
 	if r == nil {
-		return Lists{First: s.oldUpstreams}
+		return Candidates{Preferred: s.oldUpstreams}
 	}
 	switch {
 	case !r.maySendToOld(now):
 		if len(s.newUpstreams) > 0 {
-			return Lists{First: s.newUpstreams}
+			return Candidates{Preferred: s.newUpstreams}
 		}
 	case r.stopped || now.Sub(r.confirmedAt) > t.confirmationTTL():
 	case r.phase == Canary:
 		return s.canaryLists(r, KeyOf(route), again, now)
 	case r.phase == Shifting:
 		if !again && hashFraction(r.order.Offset, string(id)) < now.Sub(r.phaseSince).Seconds()/rampTime.Seconds() {
-			return Lists{First: s.newUpstreams, Then: s.oldUpstreams}
+			return Candidates{Preferred: s.newUpstreams, Fallback: s.oldUpstreams}
 		}
-		return Lists{First: s.oldUpstreams, Then: s.newUpstreams}
+		return Candidates{Preferred: s.oldUpstreams, Fallback: s.newUpstreams}
 	}
-	return Lists{First: s.oldUpstreams}
+	return Candidates{Preferred: s.oldUpstreams}
 }
 
 // canaryLists returns the lists in the canary phase: the new version first if the budget allows
 // it.
-func (s *Split) canaryLists(r *trackedOrder, key RouteKey, again bool, now time.Time) Lists {
+func (s *Split) canaryLists(r *trackedOrder, key RouteKey, again bool, now time.Time) Candidates {
 	if again {
-		return Lists{First: s.oldUpstreams}
+		return Candidates{Preferred: s.oldUpstreams}
 	}
 	r.budget.setSlack(s.tracker.cfg.Limits, s.tracker.cfg.Gateways(), hashFraction(r.order.Offset, s.tracker.cfg.Life))
 	if !r.budget.allowsExposure(key, s.tracker.cfg.Limits) {
-		return Lists{First: s.oldUpstreams}
+		return Candidates{Preferred: s.oldUpstreams}
 	}
-	return Lists{First: s.canaryUpstreams(r, now), Then: s.oldUpstreams}
+	return Candidates{Preferred: s.canaryUpstreams(r, now), Fallback: s.oldUpstreams}
 }
 
 const (
@@ -175,7 +175,7 @@
 func (s *Split) canaryUpstreams(r *trackedOrder, now time.Time) []directory.Upstream {
 	half := s.halves[0]
 	if s.hasBothHalves() {
-		each := min(time.Duration(halfFraction*float64(r.order.Length)), maxHalfTime)
+		each := min(time.Duration(halfFraction*float64(r.order.TimeLimit)), maxHalfTime)
 		half = s.halves[int(now.Sub(r.orderedAt)/max(each, 1))%2]
 	}
 	width := int(math.Round(canaryFraction * s.tracker.cfg.Limits.Share * float64(len(s.oldUpstreams))))
@@ -191,7 +191,7 @@
 	side := s.sideOf(u)
 	if r := s.tracked; r != nil {
 		r.budget.count(KeyOf(route), side != Old)
-		r.ownEvidence.Send(KeyOf(route), side)
+		r.ownEvidence.CountSent(KeyOf(route), side)
 	}
 	return side
 }
@@ -216,7 +216,7 @@
 		// The upstream was still slow after its start, whatever its version.
 		a.Timed = false
 	}
-	s.tracked.ownEvidence.Add(KeyOf(route), side, a)
+	s.tracked.ownEvidence.CountAnswer(KeyOf(route), side, a)
 }
 
 // sideOf returns the side that an upstream belongs to.
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -91,12 +91,12 @@
 // Serves reports whether an upstream has the version that serves a service permanently. Scaling
 // counts neither an unproven version nor one that is being drained.
 func (t *Tracker) Serves(u *directory.Upstream) bool {
-	split := t.Of(u.Service)
+	split := t.SplitOf(u.Service)
 	return split == nil || split.serves(u.Version)
 }
 
-// Running reports whether a service has an order that has not ended.
-func (t *Tracker) Running(service ident.Service) bool {
+// InProgress reports whether a service has an order that has not ended.
+func (t *Tracker) InProgress(service ident.Service) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.rollouts[service]
