--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -32,7 +32,7 @@
 type Tracker struct {
 	cfg Config
 	// judgeFunc is Judge, unless a test replaces it for comparison.
-	judgeFunc func(Seen, bool) Verdict
+	judgeFunc func(EvidenceByRoute, bool) Verdict
 	// splits are by service. All upstreams of a service without one may take any request.
 	splits atomic.Pointer[map[ident.Service]*Split]
 
@@ -65,7 +65,7 @@
 	// version.
 	reportedSettled bool
 	// ownEvidence is this gateway's evidence, othersEvidence the sum of the others'.
-	ownEvidence, othersEvidence Seen
+	ownEvidence, othersEvidence EvidenceByRoute
 	verdict                     Verdict
 	// settledOthers is the number of other gateways that have no requests at the old version.
 	settledOthers int
@@ -82,12 +82,12 @@
 	return t
 }
 
-// Of returns the split of a service's upstreams, or nil if all may take any request.
-func (t *Tracker) Of(service ident.Service) *Split { return (*t.splits.Load())[service] }
+// SplitOf returns the split of a service's upstreams, or nil if all may take any request.
+func (t *Tracker) SplitOf(service ident.Service) *Split { return (*t.splits.Load())[service] }
 
-// Order applies an operator's order that was given at least age ago. from names its source in
+// ApplyOrder applies an operator's order that was given at least age ago. from names its source in
 // logs.
-func (t *Tracker) Order(o Order, age time.Duration, from string) {
+func (t *Tracker) ApplyOrder(o Order, age time.Duration, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.applyOrder(o, age, from) {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Unreadable applies an order for a service that cannot be decoded: the present versions go on
+// ApplyUnreadableOrder applies an order for a service that cannot be decoded: the present versions go on
 // serving, and versions that appear later get no requests until a readable order follows.
-func (t *Tracker) Unreadable(service ident.Service) {
+func (t *Tracker) ApplyUnreadableOrder(service ident.Service) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, known := t.frozen[service]; !known {
@@ -117,7 +117,7 @@
 		}
 		return false
 	}
-	next := &trackedOrder{order: o, orderedAt: now.Add(-age), phaseSince: now, ownEvidence: make(Seen)}
+	next := &trackedOrder{order: o, orderedAt: now.Add(-age), phaseSince: now, ownEvidence: make(EvidenceByRoute)}
 	switch {
 	case last == nil:
 	case last.order.To == o.To && !last.phase.Ended():
@@ -132,7 +132,7 @@
 	delete(t.rejected[o.Service], o.To)
 	delete(t.frozen, o.Service)
 	t.rollouts[o.Service] = next
-	t.cfg.Log.Info("rollout ordered", "service", o.Service, "to", o.To, "order", o.Offset, "length_ms", o.Length.Milliseconds(),
+	t.cfg.Log.Info("rollout ordered", "service", o.Service, "to", o.To, "order", o.Offset, "length_ms", o.TimeLimit.Milliseconds(),
 		"age_ms", age.Milliseconds(), "from", from, "phase", next.phase.String())
 	return true
 }
@@ -167,8 +167,8 @@
 	t.rebuildSplits()
 }
 
-// Learn merges another gateway's orders and their phases.
-func (t *Tracker) Learn(states Words) {
+// Merge merges another gateway's orders and their phases.
+func (t *Tracker) Merge(states OrderStates) {
 	if len(states) == 0 {
 		return
 	}
@@ -185,13 +185,13 @@
 
 // mergeOrderState merges another gateway's state of an order, except its evidence, and reports whether
 // anything changed that the splits depend on.
-func (t *Tracker) mergeOrderState(w Word) bool {
+func (t *Tracker) mergeOrderState(w OrderState) bool {
 	changed := t.applyOrder(w.Order, w.Age, "gateway")
 	r := t.rollouts[w.Order.Service]
 	if r == nil || r.order.Offset != w.Order.Offset {
 		return changed
 	}
-	confirmed := t.cfg.Now().Add(-w.Confirmed)
+	confirmed := t.cfg.Now().Add(-w.ConfirmedAge)
 	if w.Phase > r.phase {
 		t.enterPhase(r, w.Phase, "another gateway's word")
 		r.confirmedAt = confirmed
@@ -217,7 +217,7 @@
 
 // Refresh replaces the merged state of all other gateways and judges the evidence of all
 // gateways.
-func (t *Tracker) Refresh(others Words) {
+func (t *Tracker) Refresh(others OrderStates) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.rollouts {
@@ -228,7 +228,7 @@
 		t.mergeOrderState(w)
 		if r := t.rollouts[w.Order.Service]; r != nil && r.order.Offset == w.Order.Offset {
 			r.settledOthers = w.Settled
-			r.othersEvidence = w.Seen
+			r.othersEvidence = w.Evidence
 		}
 	}
 	for service, r := range t.rollouts {
@@ -242,8 +242,8 @@
 // judge judges an order by the evidence of all gateways and stops it if the version is bad.
 func (t *Tracker) judge(service ident.Service, r *trackedOrder) {
 	all := r.ownEvidence.Clone()
-	all.Join(r.othersEvidence)
-	split := t.Of(service)
+	all.Merge(r.othersEvidence)
+	split := t.SplitOf(service)
 	r.verdict = t.judgeFunc(all, split != nil && split.hasBothHalves())
 	if r.stopped || !r.verdict.Bad() {
 		return
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -44,7 +44,7 @@
 }
 
 func (g *testGateway) order(offset ident.Offset, to ident.Version) {
-	g.tracker.Order(Order{Service: service, To: to, Length: 20 * time.Second, Offset: offset}, 0, "test")
+	g.tracker.ApplyOrder(Order{Service: service, To: to, TimeLimit: 20 * time.Second, Offset: offset}, 0, "test")
 }
 
 // countSentTo sends 200 requests and returns how many go to a version, or notSplit if all
@@ -52,16 +52,16 @@
 func (g *testGateway) countSentTo(version ident.Version) int {
 	n := 0
 	for i := range 200 {
-		split := g.tracker.Of(service)
+		split := g.tracker.SplitOf(service)
 		if split == nil {
 			return -1
 		}
-		lists := split.Lists(ident.Request(fmt.Sprint(i)), "r", false, g.now)
-		if len(lists.First) == 0 {
+		lists := split.Candidates(ident.Request(fmt.Sprint(i)), "r", false, g.now)
+		if len(lists.Preferred) == 0 {
 			continue
 		}
-		split.Sent(&lists.First[0], "r")
-		if lists.First[0].Version == version {
+		split.Sent(&lists.Preferred[0], "r")
+		if lists.Preferred[0].Version == version {
 			n++
 		}
 	}
@@ -128,7 +128,7 @@
 			g.observe("v1", "v2")
 			g.order(5, "v2")
 			g.tracker.Advance(service, 5, Shifting, "test")
-			g.tracker.Learn(Words{{Order: Order{Service: service, To: "v2", Length: time.Second, Offset: 5}, Phase: Shifting, Stopped: true}})
+			g.tracker.Merge(OrderStates{{Order: Order{Service: service, To: "v2", TimeLimit: time.Second, Offset: 5}, Phase: Shifting, Stopped: true}})
 			g.advance(rampTime)
 			g.wantSentTo("v2", 0, 0)
 		}},
@@ -146,8 +146,8 @@
 			g.observe("v1", "v2")
 			g.order(5, "v2")
 			g.tracker.Advance(service, 5, Draining, "test")
-			g.tracker.Words(func(ident.Service, func(*directory.Upstream) bool) bool { return true })
-			g.tracker.Learn(Words{{Order: Order{Service: service, To: "v2", Length: time.Second, Offset: 5}, Phase: Draining, Stopped: true}})
+			g.tracker.OrderStates(func(ident.Service, func(*directory.Upstream) bool) bool { return true })
+			g.tracker.Merge(OrderStates{{Order: Order{Service: service, To: "v2", TimeLimit: time.Second, Offset: 5}, Phase: Draining, Stopped: true}})
 			g.wantSentTo("v2", 200, 200)
 			g.advance(returnDelay)
 			g.wantSentTo("v2", 0, 0)
@@ -158,12 +158,12 @@
 		{"rolled back by an earlier holder after it was completed", func(g *testGateway) {
 			g.observe("v1", "v2")
 			g.order(5, "v2")
-			word := Word{Order: Order{Service: service, To: "v2", Length: time.Second, Offset: 5}, Phase: RolledBack, Stopped: true}
-			g.tracker.Learn(Words{word})
+			word := OrderState{Order: Order{Service: service, To: "v2", TimeLimit: time.Second, Offset: 5}, Phase: RolledBack, Stopped: true}
+			g.tracker.Merge(OrderStates{word})
 			word.Phase = Completed
-			g.tracker.Learn(Words{word})
+			g.tracker.Merge(OrderStates{word})
 			word.Phase = RolledBack
-			g.tracker.Learn(Words{word})
+			g.tracker.Merge(OrderStates{word})
 			g.wantSentTo("v2", 200, 200)
 		}},
 		{"rolled back", func(g *testGateway) {
@@ -225,7 +225,7 @@
 		{"an order that cannot be read", func(g *testGateway) {
 			g.observe("v1")
 			g.advance(time.Second)
-			g.tracker.Unreadable(service)
+			g.tracker.ApplyUnreadableOrder(service)
 			g.advance(time.Second)
 			g.observe("v1", "v2")
 			g.ordersKnownAt = g.now
@@ -250,12 +250,12 @@
 	g.observe("v1", "v2")
 	g.order(5, "v2")
 	g.tracker.Advance(service, 5, Canary, "test")
-	split := g.tracker.Of(service)
-	if first := split.Lists("q", "r", false, g.now).First; first[0].Version != "v2" {
+	split := g.tracker.SplitOf(service)
+	if first := split.Candidates("q", "r", false, g.now).Preferred; first[0].Version != "v2" {
 		t.Fatalf("the first attempt does not prefer the new version: %v", first)
 	}
-	lists := split.Lists("q", "r", true, g.now)
-	for _, u := range append(lists.First, lists.Then...) {
+	lists := split.Candidates("q", "r", true, g.now)
+	for _, u := range append(lists.Preferred, lists.Fallback...) {
 		if u.Version != "v1" {
 			t.Errorf("second attempt may go to %s", u.ID)
 		}
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -34,7 +34,7 @@
 // slowThresholds are the thresholds of slow answers, in classes above the old version's median:
 // twice and four times its duration. Most versions that are slow in part of their answers show
 // at one of the two.
-var slowThresholds = [...]Class{2, 4}
+var slowThresholds = [...]TimeClass{2, 4}
 
 // Judge compares a new version with the old one by failures and by slow answers, for each route
 // and in total. Failures that the old version has too do not count against the new one.
@@ -44,7 +44,7 @@
 // failures are under a worse failure rate than under the highest rate that the old version's
 // answers allow. Such a ratio ever exceeds x with probability 1/x at most, however often it is
 // computed, and so does a weighted mean of several.
-func Judge(seen Seen, bothHalves bool) Verdict {
+func Judge(seen EvidenceByRoute, bothHalves bool) Verdict {
 	v := Verdict{Answers: seen.newVersionAnswers()}
 	if len(seen) == 0 {
 		return v
@@ -79,7 +79,7 @@
 
 func failures(t *Tally) trials { return trials{t.Sent, t.Failures} }
 
-func slowTrials(t *Tally, from Class) trials {
+func slowTrials(t *Tally, from TimeClass) trials {
 	var out trials
 	for class, n := range t.Times {
 		out.n += n
@@ -102,7 +102,7 @@
 const minTimes = 8
 
 // medianOf returns the median class, and false if there are too few durations.
-func medianOf(times map[Class]int) (Class, bool) {
+func medianOf(times map[TimeClass]int) (TimeClass, bool) {
 	total := 0
 	for _, n := range times {
 		total += n
@@ -111,7 +111,7 @@
 		return 0, false
 	}
 	below := 0
-	for class := Class(-maxClass); class <= maxClass; class++ {
+	for class := TimeClass(-maxClass); class <= maxClass; class++ {
 		below += times[class]
 		if 2*below >= total {
 			return class, true
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -117,9 +117,9 @@
 
 // Scale holds the bounds and the prices for the number of a service's upstreams.
 type Scale struct {
-	// Least and Most bound the number of upstreams in each failure domain, reclaimable
+	// MinPerDomain and Most bound the number of upstreams in each failure domain, reclaimable
 	// and other ones together.
-	Least, Most int
+	MinPerDomain, MaxPerDomain int
 	// Startup is the time from the start of a new upstream until it serves requests.
 	Startup time.Duration
 	// ReclaimablePrice is the price of a reclaimable upstream relative to
@@ -161,8 +161,8 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// IdleTime is how long a connection may be idle before it is closed.
-	IdleTime time.Duration
+	// IdleTimeout is how long a connection may be idle before it is closed.
+	IdleTimeout time.Duration
 }
 
 // Spec is the input of New.
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -180,7 +180,7 @@
 		BetweenTokens:  duration(x.betweenTokens),
 		UncachedTokens: x.uncachedTokens,
 		Unloaded:       duration(x.unloaded),
-		Work:           x.engineSeconds,
+		EngineSeconds:  x.engineSeconds,
 		Reasons:        c.reasons,
 		local:          c.upstreams[x.index].local,
 	}
--- a/internal/routing/placement/bench_test.go
+++ b/internal/routing/placement/bench_test.go
@@ -32,7 +32,7 @@
 		}
 		b.Run(fmt.Sprint(n), choose)
 		for i := range min(n, 50) / 2 {
-			f.limits.Hear(list[2*i].ID, "", upstreamlimit.RateOf(1))
+			f.limits.RecordStatement(list[2*i].ID, "", upstreamlimit.LimitedTo(1))
 		}
 		b.Run(fmt.Sprintf("%d, some with limits", n), choose)
 	}
--- a/internal/routing/placement/engines.go
+++ b/internal/routing/placement/engines.go
@@ -21,7 +21,7 @@
 	own enginemodel.Sums
 	// estimate is the model that was fitted at fittedAt to the samples of all
 	// gateways.
-	estimate enginemodel.Figures
+	estimate enginemodel.Estimate
 	fittedAt time.Time
 	// loggedRate is the prefill rate that was logged last, in tokens per second.
 	loggedRate float64
@@ -33,18 +33,18 @@
 		return // a plain service, or a prompt whose tokens were not counted
 	}
 	estimate := c.engineEstimate(p.service, now)
-	getOrCreate(c.engines, p.service).own.Learn(enginemodel.Sample{
-		Own: float64(p.unreadTokens), Ahead: float64(p.loadAhead.Unread), Running: float64(p.loadAhead.Running), First: p.firstEventLatency,
+	getOrCreate(c.engines, p.service).own.AddSample(enginemodel.Sample{
+		OwnTokens: float64(p.unreadTokens), TokensAhead: float64(p.loadAhead.UnreadTokens), Running: float64(p.loadAhead.Running), FirstEvent: p.firstEventLatency,
 	}, estimate)
 }
 
 // engineEstimate returns the model of a service's engines that is fitted to the
 // samples of all gateways.
-func (c *Chooser) engineEstimate(service ident.Service, now time.Time) enginemodel.Figures {
+func (c *Chooser) engineEstimate(service ident.Service, now time.Time) enginemodel.Estimate {
 	e := getOrCreate(c.engines, service)
 	if e.fittedAt.IsZero() || now.Sub(e.fittedAt) >= fitInterval {
 		sums := e.own
-		sums.Add(c.cfg.Engines(service))
+		sums.Add(c.cfg.OtherEngineSums(service))
 		e.estimate, e.fittedAt = sums.Fit(), now
 		c.logEngineEstimate(service, e)
 	}
@@ -60,18 +60,18 @@
 	}
 	e.loggedRate = rate
 	c.cfg.Log.Info("fitted the engine model", "service", service, "tokens_per_s", int(rate), "base_ms", e.estimate.Base.Milliseconds(),
-		"ahead_us_per_token", e.estimate.Ahead*1e6, "running_ms", e.estimate.Running*1e3, "samples", int(e.estimate.Samples))
+		"ahead_us_per_token", e.estimate.SecondsPerTokenAhead*1e6, "running_ms", e.estimate.SecondsPerRunning*1e3, "samples", int(e.estimate.Samples))
 }
 
-// EngineFigures returns the current model of a service's engines.
-func (c *Chooser) EngineFigures(service ident.Service, now time.Time) enginemodel.Figures {
+// EngineEstimate returns the current model of a service's engines.
+func (c *Chooser) EngineEstimate(service ident.Service, now time.Time) enginemodel.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.engineEstimate(service, now)
 }
 
-// Engines returns the samples of this gateway's requests for each service.
-func (c *Chooser) Engines() map[ident.Service]enginemodel.Sums {
+// EngineSums returns the samples of this gateway's requests for each service.
+func (c *Chooser) EngineSums() map[ident.Service]enginemodel.Sums {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[ident.Service]enginemodel.Sums)
--- a/internal/routing/placement/learn.go
+++ b/internal/routing/placement/learn.go
@@ -9,17 +9,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Began implements forward.Placement.
-func (c *Chooser) Began(choice forward.Choice, now time.Time) {
+// FirstEventArrived implements forward.Placement.
+func (c *Chooser) FirstEventArrived(choice forward.Choice, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := choice.Place.(*reservation)
+	p := choice.Reservation.(*reservation)
 	if p.gotFirstEvent {
 		return
 	}
 	p.gotFirstEvent = true
 	p.firstEventLatency = now.Sub(p.sentAt)
-	getOrCreate(c.own, choice.Upstream).load.Unread -= p.unreadTokens
+	getOrCreate(c.own, choice.Upstream).load.UnreadTokens -= p.unreadTokens
 	if p.usesUnprovenVersion() {
 		return
 	}
@@ -27,12 +27,12 @@
 	c.learnEngineSpeed(p, now)
 }
 
-// Ended implements forward.Placement. The end was expected if the upstream had
+// UpstreamEnded implements forward.Placement. The end was expected if the upstream had
 // announced that it leaves, or if its entry is gone from the directory.
-func (c *Chooser) Ended(choice forward.Choice) bool {
+func (c *Chooser) UpstreamEnded(choice forward.Choice) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	choice.Place.(*reservation).upstreamEnded = true
+	choice.Reservation.(*reservation).upstreamEnded = true
 	u, known := c.cfg.View().Upstream(choice.Upstream)
 	return known && u.State == directory.Ready
 }
@@ -41,7 +41,7 @@
 func (c *Chooser) Finished(choice forward.Choice, result forward.Result, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := choice.Place.(*reservation)
+	p := choice.Reservation.(*reservation)
 	o := getOrCreate(c.own, choice.Upstream)
 	o.load.Running--
 	p.reportToRollout(result, c.demands[p.service], now)
@@ -49,14 +49,14 @@
 		getOrCreate(c.demands, p.service).answerFinished(p.route, now.Sub(p.sentAt)-p.firstEventLatency)
 	}
 	if !p.gotFirstEvent {
-		o.load.Unread -= p.unreadTokens
+		o.load.UnreadTokens -= p.unreadTokens
 	}
 	c.updateAvoidance(o, result, now)
 	if result == forward.NoConnection || result == forward.Broken || result == forward.Cut {
 		c.lastUnreachable[p.domain] = now
 	}
 	if sample, counts := ejectionSample(p, result); counts {
-		c.ejectionSet(p.service).Ended(now, choice.Upstream, sample)
+		c.ejectionSet(p.service).RecordAttemptEnd(now, choice.Upstream, sample)
 		c.logEjectionChange(p.service, choice.Upstream)
 	}
 }
--- a/internal/routing/placement/limits.go
+++ b/internal/routing/placement/limits.go
@@ -23,7 +23,7 @@
 	slices.SortFunc(s.limitedCandidates, func(a, b candidate) int { return cmp.Compare(a.score, b.score) })
 	for i := range s.limitedCandidates {
 		next := s.limitedCandidates[i]
-		if s.chooser.cfg.Limits.Take(next.upstream.ID) {
+		if s.chooser.cfg.Limits.Admit(next.upstream.ID) {
 			return next, true
 		}
 		if !slices.Contains(s.atLimit, next.upstream.ID) {
@@ -51,7 +51,7 @@
 // marksOf returns for each upstream of a list whether it has a limit, or nil if no
 // upstream of any list has one.
 func (m *limitedMarks) marksOf(all []directory.Upstream, limits Limits) []bool {
-	if len(all) == 0 || !limits.Some() {
+	if len(all) == 0 || !limits.AnyLimited() {
 		return nil
 	}
 	if version := limits.Version(); m.marks == nil || version != m.version || len(m.marks) >= maxMarkedLists {
@@ -72,7 +72,7 @@
 // readyIfAllLimited returns the ready upstreams of a service if all of them have
 // limits, else nil.
 func (c *Chooser) readyIfAllLimited(service ident.Service) []ident.Instance {
-	if !c.cfg.Limits.Some() {
+	if !c.cfg.Limits.AnyLimited() {
 		return nil
 	}
 	var ids []ident.Instance
--- a/internal/routing/placement/limits_test.go
+++ b/internal/routing/placement/limits_test.go
@@ -44,7 +44,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
 			for _, id := range c.limited {
-				f.limits.Hear(id, "", upstreamlimit.RateOf(c.rate))
+				f.limits.RecordStatement(id, "", upstreamlimit.LimitedTo(c.rate))
 			}
 			f.limits.Refresh(nil, upstreamlimit.Fleet{Heard: 1, Known: 1})
 			const calls = 8000
@@ -67,7 +67,7 @@
 func TestWhereAllHaveLimitsCallsAreRefusedAtOnce(t *testing.T) {
 	f := newFixture()
 	for _, u := range f.view.Of("svc") {
-		f.limits.Hear(u.ID, "", upstreamlimit.RateOf(2))
+		f.limits.RecordStatement(u.ID, "", upstreamlimit.LimitedTo(2))
 	}
 	f.limits.Refresh(nil, upstreamlimit.Fleet{Heard: 1, Known: 1})
 	const calls = 8000
@@ -87,11 +87,11 @@
 	if !choice.OnlyLimits || len(choice.AtLimit) != 6 {
 		t.Errorf("choice of a call that found no upstream: %+v, want 6 at their limits and nothing else in the way", choice)
 	}
-	if in := f.RoomIn(f.call(plain, 0), f.now); in < time.Second || in > 30*time.Second {
+	if in := f.RetryAfter(f.call(plain, 0), f.now); in < time.Second || in > 30*time.Second {
 		t.Errorf("room in %v after 1000 calls per second for 12 per second that are admitted, want 1s to 30s", in)
 	}
 	for _, u := range f.view.Of("svc") {
-		f.limits.Hear(u.ID, "", upstreamlimit.Statement{})
+		f.limits.RecordStatement(u.ID, "", upstreamlimit.Statement{})
 	}
 	if _, found := f.Choose(f.call(plain, 0), nil, f.now); !found {
 		t.Error("a call found no upstream after the limits were lifted")
@@ -104,7 +104,7 @@
 	f := newFixture()
 	f.setUpstreams(directory.Ready, "a0", "a1")
 	f.others["a1"] = Load{Running: 1000}
-	f.limits.Hear("a0", "", upstreamlimit.RateOf(0))
+	f.limits.RecordStatement("a0", "", upstreamlimit.LimitedTo(0))
 	f.limits.Refresh(nil, upstreamlimit.Fleet{Heard: 1, Known: 1})
 	choice, found := forward.Choice{}, true
 	for found {
@@ -122,7 +122,7 @@
 		f, tracker := newRolloutFixture(8)
 		for _, u := range f.view.Of("svc") {
 			if u.Version == limited {
-				f.limits.Hear(u.ID, "", upstreamlimit.RateOf(1))
+				f.limits.RecordStatement(u.ID, "", upstreamlimit.LimitedTo(1))
 			}
 		}
 		f.limits.Refresh(nil, upstreamlimit.Fleet{Heard: 1, Known: 1})
@@ -139,7 +139,7 @@
 			}
 			u, _ := f.view.Upstream(choice.Upstream)
 			sent[u.Version]++
-			f.Began(choice, f.now)
+			f.FirstEventArrived(choice, f.now)
 			f.Finished(choice, forward.Done, f.now)
 		}
 		tracker.Refresh(nil)
--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -58,16 +58,16 @@
 type Load struct {
 	// Running counts requests in progress.
 	Running int
-	// Unread counts the prompt tokens still to be read: those of requests that
+	// UnreadTokens counts the prompt tokens still to be read: those of requests that
 	// have had no first event.
-	Unread int
+	UnreadTokens int
 }
 
 // Plus returns the sum of two loads.
-func (l Load) Plus(o Load) Load { return Load{l.Running + o.Running, l.Unread + o.Unread} }
+func (l Load) Plus(o Load) Load { return Load{l.Running + o.Running, l.UnreadTokens + o.UnreadTokens} }
 
 // Minus returns the load without a part of it.
-func (l Load) Minus(o Load) Load { return Load{l.Running - o.Running, l.Unread - o.Unread} }
+func (l Load) Minus(o Load) Load { return Load{l.Running - o.Running, l.UnreadTokens - o.UnreadTokens} }
 
 // Config holds the parameters of a Chooser and where it gets its data. The
 // functions are called with the Chooser locked and must not call it.
@@ -79,15 +79,15 @@
 	Log    hclog.Logger
 	// View returns the current upstreams. It is called for each choice.
 	View func() *directory.View
-	// Others returns the load that the other gateways have at an upstream.
-	Others func(ident.Instance) Load
+	// OtherLoad returns the load that the other gateways have at an upstream.
+	OtherLoad func(ident.Instance) Load
 	// Silent reports whether all gateways of another failure domain have
 	// recently stopped reporting.
 	Silent func(ident.FailureDomain) bool
 	// Gateways returns how many gateways share the upstreams' connections.
 	Gateways func() int
-	// Engines returns the other gateways' samples of a service's engines.
-	Engines func(ident.Service) enginemodel.Sums
+	// OtherEngineSums returns the other gateways' samples of a service's engines.
+	OtherEngineSums func(ident.Service) enginemodel.Sums
 	// Limits are the rate limits that upstreams announced.
 	Limits Limits
 	// Split returns how a service's upstreams are split by version, or nil if
@@ -98,18 +98,18 @@
 // Limits are the rate limits that upstreams announced. They hold for all
 // gateways together.
 type Limits interface {
-	// Some reports whether any upstream has a limit.
-	Some() bool
+	// AnyLimited reports whether any upstream has a limit.
+	AnyLimited() bool
 	// Version changes whenever the set of upstreams with limits changes.
 	Version() uint64
 	// Limited reports whether an upstream has a limit.
 	Limited(ident.Instance) bool
-	// Take reports whether the limit of an upstream admits one more request. If
+	// Admit reports whether the limit of an upstream admits one more request. If
 	// so, the request counts as sent.
-	Take(ident.Instance) bool
-	// RoomIn returns the time until one of the upstreams, all of which have
+	Admit(ident.Instance) bool
+	// RetryAfter returns the time until one of the upstreams, all of which have
 	// limits, admits one more request.
-	RoomIn([]ident.Instance) time.Duration
+	RetryAfter([]ident.Instance) time.Duration
 }
 
 // Chooser implements forward.Placement. It is safe for concurrent use.
@@ -155,7 +155,7 @@
 // ejectionConfig ejects and probes more quickly than the package's defaults,
 // because upstreams that fail some of their requests do so for about five
 // seconds at a time.
-var ejectionConfig = ejection.Config{Failures: 3, Base: 2 * time.Second, Longest: 8 * time.Second, Probes: 2, ProbeLimit: 5 * time.Second}
+var ejectionConfig = ejection.Config{ConsecutiveFailures: 3, BaseEjectionTime: 2 * time.Second, MaxEjectionTime: 8 * time.Second, Probes: 2, ProbeTimeout: 5 * time.Second}
 
 // reservation is a request's place at an upstream, from Choose to Finished.
 type reservation struct {
@@ -233,9 +233,9 @@
 	if split != nil {
 		side = split.Sent(&best.upstream, call.Route.Name)
 	}
-	set.Started(now, best.upstream.ID)
+	set.RecordAttemptStart(now, best.upstream.ID)
 	best.own.load.Running++
-	best.own.load.Unread += best.prefillTokens
+	best.own.load.UnreadTokens += best.prefillTokens
 	if len(exclude) == 0 {
 		getOrCreate(c.demands, call.Service.Name).callStarted(call, now)
 	}
@@ -246,28 +246,28 @@
 		Name:           best.upstream.Name,
 		Address:        best.upstream.Address,
 		MaxConnections: share.maxPerUpstream,
-		Slow:           t.slowAfter(call.Route.Objective, expected),
+		SilenceTimeout: t.slowAfter(call.Route.Objective, expected),
 		Why:            why,
 		AtLimit:        s.atLimit,
-		Place:          &reservation{domain: best.upstream.FailureDomain, service: call.Service.Name, route: call.Route.Name, unreadTokens: best.prefillTokens, sentAt: now, expectedFirstEvent: expected, loadAhead: best.load, split: split, side: side, upstream: best.upstream},
+		Reservation:    &reservation{domain: best.upstream.FailureDomain, service: call.Service.Name, route: call.Route.Name, unreadTokens: best.prefillTokens, sentAt: now, expectedFirstEvent: expected, loadAhead: best.load, split: split, side: side, upstream: best.upstream},
 	}, true
 }
 
 // upstreamLists returns the upstreams that may take a call, and how they are
 // split by version. again is true if the call was sent before.
-func (c *Chooser) upstreamLists(call *forward.Call, view *directory.View, again bool, now time.Time) (*rollout.Split, rollout.Lists) {
+func (c *Chooser) upstreamLists(call *forward.Call, view *directory.View, again bool, now time.Time) (*rollout.Split, rollout.Candidates) {
 	split := c.cfg.Split(call.Service.Name)
 	if split == nil {
-		return nil, rollout.Lists{First: view.Of(call.Service.Name)}
+		return nil, rollout.Candidates{Preferred: view.Of(call.Service.Name)}
 	}
-	return split, split.Lists(call.ID, call.Route.Name, again, now)
+	return split, split.Candidates(call.ID, call.Route.Name, again, now)
 }
 
 // search is the state of the search for one call's upstream.
 type search struct {
 	chooser  *Chooser
 	call     *forward.Call
-	estimate enginemodel.Figures
+	estimate enginemodel.Estimate
 	now      time.Time
 	// limitedCandidates are the candidates with rate limits. The slice is reused
 	// by the next search.
@@ -281,10 +281,10 @@
 
 // bestOfLists returns the best candidate of the first list that has one, and
 // the reason of the choice for the log.
-func (s *search) bestOfLists(lists rollout.Lists, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
-	best, why, found := s.bestOfList(lists.First, fits)
-	if !found && len(lists.Then) > 0 {
-		return s.bestOfList(lists.Then, fits)
+func (s *search) bestOfLists(lists rollout.Candidates, fits func(*directory.Upstream, *ownWork) bool) (candidate, string, bool) {
+	best, why, found := s.bestOfList(lists.Preferred, fits)
+	if !found && len(lists.Fallback) > 0 {
+		return s.bestOfList(lists.Fallback, fits)
 	}
 	return best, why, found
 }
@@ -344,7 +344,7 @@
 
 // totalLoad returns the load of all gateways at an upstream.
 func (c *Chooser) totalLoad(id ident.Instance, o *ownWork) Load {
-	return o.load.Plus(c.cfg.Others(id))
+	return o.load.Plus(c.cfg.OtherLoad(id))
 }
 
 // isFull reports whether an upstream has as many requests as it may get.
@@ -366,7 +366,7 @@
 // that time, plus penalties for reading shared parts again, for another failure
 // domain, and for breaking ties. i is the upstream's index in the list of order,
 // which is nil if the call shares no prompt part.
-func (c *Chooser) score(call *forward.Call, x *candidate, order *homeOrder, i int, estimate *enginemodel.Figures) {
+func (c *Chooser) score(call *forward.Call, x *candidate, order *homeOrder, i int, estimate *enginemodel.Estimate) {
 	p := c.cfg.Params
 	x.prefillTokens = call.PromptTokens
 	extraTokens := 0.0
@@ -384,8 +384,8 @@
 		// few requests each would all use the same one of several idle upstreams.
 		x.score += c.rank(x.upstream.Name) * tieBreakSeconds
 	} else {
-		x.firstEventSeconds = estimate.FirstSeconds(float64(x.prefillTokens), float64(x.load.Unread), float64(x.load.Running))
-		x.score = x.firstEventSeconds + extraTokens*estimate.Token
+		x.firstEventSeconds = estimate.FirstEventSeconds(float64(x.prefillTokens), float64(x.load.UnreadTokens), float64(x.load.Running))
+		x.score = x.firstEventSeconds + extraTokens*estimate.SecondsPerToken
 	}
 	if order != nil {
 		// Among equals the front of the home order is preferred, so that few
@@ -456,8 +456,8 @@
 	return v
 }
 
-// Own returns this gateway's load at each upstream where it has any.
-func (c *Chooser) Own() map[ident.Instance]Load {
+// OwnLoads returns this gateway's load at each upstream where it has any.
+func (c *Chooser) OwnLoads() map[ident.Instance]Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[ident.Instance]Load)
--- a/internal/routing/placement/placement_test.go
+++ b/internal/routing/placement/placement_test.go
@@ -28,7 +28,7 @@
 	others map[ident.Instance]Load
 	// sums are the other gateways' samples of engines that read 92,100 tokens per second.
 	sums   enginemodel.Sums
-	limits *upstreamlimit.Keeper
+	limits *upstreamlimit.Limiter
 }
 
 var (
@@ -42,21 +42,21 @@
 	f.setUpstreams(directory.Ready, "a0", "a1", "b0", "b1", "c0", "c1")
 	for i := range 100 {
 		own := float64(500 * (1 + i%7))
-		f.sums.Learn(enginemodel.Sample{Own: own, First: 15*time.Millisecond + time.Duration(own/92_100*float64(time.Second))}, f.sums.Fit())
+		f.sums.AddSample(enginemodel.Sample{OwnTokens: own, FirstEvent: 15*time.Millisecond + time.Duration(own/92_100*float64(time.Second))}, f.sums.Fit())
 	}
-	f.limits = upstreamlimit.NewKeeper(upstreamlimit.Config{
+	f.limits = upstreamlimit.NewLimiter(upstreamlimit.Config{
 		Now: func() time.Time { return f.now }, Log: hclog.NewNullLogger(),
 		Key: func(id ident.Instance) uint32 { return uint32(xxhash.Sum64String(string(id))) }, Round: time.Second,
 	})
 	f.Chooser = New(Config{
 		Params: DefaultParams(), Domain: "a", Log: hclog.NewNullLogger(),
-		View:     func() *directory.View { return f.view },
-		Others:   func(id ident.Instance) Load { return f.others[id] },
-		Silent:   func(d ident.FailureDomain) bool { return f.silent[d] },
-		Gateways: func() int { return 3 },
-		Engines:  func(ident.Service) enginemodel.Sums { return f.sums },
-		Split:    func(ident.Service) *rollout.Split { return f.split },
-		Limits:   f.limits,
+		View:            func() *directory.View { return f.view },
+		OtherLoad:       func(id ident.Instance) Load { return f.others[id] },
+		Silent:          func(d ident.FailureDomain) bool { return f.silent[d] },
+		Gateways:        func() int { return 3 },
+		OtherEngineSums: func(ident.Service) enginemodel.Sums { return f.sums },
+		Split:           func(ident.Service) *rollout.Split { return f.split },
+		Limits:          f.limits,
 	})
 	return f
 }
@@ -96,7 +96,7 @@
 		t.Fatal("no upstream")
 	}
 	if result == forward.Done {
-		f.Began(choice, f.now.Add(30*time.Millisecond))
+		f.FirstEventArrived(choice, f.now.Add(30*time.Millisecond))
 	}
 	f.Finished(choice, result, f.now.Add(30*time.Millisecond))
 	return choice
@@ -165,11 +165,11 @@
 func TestABusyHomeIsLeft(t *testing.T) {
 	f := newFixture()
 	home := f.choose(t, f.call(engine, 7), forward.Done).Upstream
-	f.others[home] = Load{Running: 5, Unread: 60_000}
+	f.others[home] = Load{Running: 5, UnreadTokens: 60_000}
 	if next := f.choose(t, f.call(engine, 7), forward.Done).Upstream; next == home {
 		t.Error("chose the home, with 60,000 unread tokens there")
 	}
-	f.others[home] = Load{Running: 5, Unread: 5000}
+	f.others[home] = Load{Running: 5, UnreadTokens: 5000}
 	if next := f.choose(t, f.call(engine, 7), forward.Done).Upstream; next != home {
 		t.Error("did not choose the home, with only 5,000 unread tokens there")
 	}
@@ -213,10 +213,10 @@
 		}
 		f.Finished(choice, result, f.now)
 	}
-	if failed == 0 || failed > ejectionConfig.Failures {
+	if failed == 0 || failed > ejectionConfig.ConsecutiveFailures {
 		t.Errorf("%d requests failed before the ejection, want at least one and at most ejectionConfig.Failures", failed)
 	}
-	f.now = f.now.Add(ejectionConfig.Longest)
+	f.now = f.now.Add(ejectionConfig.MaxEjectionTime)
 	back := false
 	for range 60 {
 		back = f.choose(t, f.call(plain, 0), forward.Done).Upstream == faulty || back
@@ -232,7 +232,7 @@
 		f.now = f.now.Add(time.Minute)
 		f.choose(t, f.call(engine, uint64(i+2)), result)
 	}
-	if own := f.Own(); len(own) != 0 {
+	if own := f.OwnLoads(); len(own) != 0 {
 		t.Errorf("load left after all requests finished: %v", fmt.Sprint(own))
 	}
 }
@@ -243,11 +243,11 @@
 func TestTheWorkIsWhatCallersAsk(t *testing.T) {
 	f := newFixture()
 	asked := func() float64 {
-		return f.Demand("svc", f.now).Prompt
+		return f.Demand("svc", f.now).PromptTokensPerSecond
 	}
 	home := f.choose(t, f.call(engine, 7), forward.Done).Upstream
 	atHome := asked()
-	f.others[home] = Load{Running: 5, Unread: 60_000}
+	f.others[home] = Load{Running: 5, UnreadTokens: 60_000}
 	if away := f.choose(t, f.call(engine, 7), forward.Done).Upstream; away == home {
 		t.Fatal("chose the home, with 60,000 unread tokens there")
 	}
@@ -273,7 +273,7 @@
 			if !found {
 				t.Fatal("no upstream")
 			}
-			f.Began(choice, f.now.Add(50*time.Millisecond))
+			f.FirstEventArrived(choice, f.now.Add(50*time.Millisecond))
 			f.Finished(choice, forward.Done, f.now.Add(50*time.Millisecond+generating))
 		}
 		return f.Demand("svc", f.now).Generating
@@ -293,7 +293,7 @@
 // those with one second are refused at once.
 func TestWhatCannotBeServedIsNotSent(t *testing.T) {
 	f := newFixture()
-	f.setOtherLoads(Load{Running: 5, Unread: 200_000})
+	f.setOtherLoads(Load{Running: 5, UnreadTokens: 200_000})
 	for _, c := range []struct {
 		left time.Duration
 		want bool
@@ -311,15 +311,15 @@
 // 200,000 tokens take two seconds to read, and 20,000 tokens a fifth of a second.
 func TestTheReturnTimeFollowsTheShortestQueue(t *testing.T) {
 	f := newFixture()
-	if got := f.RoomIn(f.call(engine, 7), f.now); got != 0 {
+	if got := f.RetryAfter(f.call(engine, 7), f.now); got != 0 {
 		t.Errorf("room in %v at idle engines, want 0", got)
 	}
-	f.setOtherLoads(Load{Unread: 200_000})
-	if got := f.RoomIn(f.call(engine, 7), f.now); got < time.Second || got > 2500*time.Millisecond {
+	f.setOtherLoads(Load{UnreadTokens: 200_000})
+	if got := f.RetryAfter(f.call(engine, 7), f.now); got < time.Second || got > 2500*time.Millisecond {
 		t.Errorf("room in %v with 200,000 unread tokens at every engine, want 1s to 2.5s", got)
 	}
-	f.others["b1"] = Load{Unread: 20_000}
-	if got := f.RoomIn(f.call(engine, 7), f.now); got > 200*time.Millisecond {
+	f.others["b1"] = Load{UnreadTokens: 20_000}
+	if got := f.RetryAfter(f.call(engine, 7), f.now); got > 200*time.Millisecond {
 		t.Errorf("room in %v with 20,000 unread tokens at one engine, want at most 200ms", got)
 	}
 }
--- a/internal/routing/placement/room.go
+++ b/internal/routing/placement/room.go
@@ -7,17 +7,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// RoomIn returns how long it takes until the queue of some engine is so short that
+// RetryAfter returns how long it takes until the queue of some engine is so short that
 // the call's first event would arrive within its objective. It returns 0 if that
 // is so now, for a plain service, and while too little is known about the engines.
 // It is a lower bound, because it assumes that no more work arrives. If all ready
 // upstreams have limits, it returns when the limits will have admitted the requests
 // that came before the call.
-func (c *Chooser) RoomIn(call *forward.Call, now time.Time) time.Duration {
+func (c *Chooser) RetryAfter(call *forward.Call, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if limited := c.readyIfAllLimited(call.Service.Name); len(limited) > 0 {
-		return c.cfg.Limits.RoomIn(limited)
+		return c.cfg.Limits.RetryAfter(limited)
 	}
 	estimate := c.engineEstimate(call.Service.Name, now)
 	if call.Service.Engine == nil || estimate.Samples < minSamples {
@@ -29,7 +29,7 @@
 			continue
 		}
 		load := c.totalLoad(u.ID, getOrCreate(c.own, u.ID))
-		first := estimate.First(float64(prefillTokens(call)), float64(load.Unread), float64(load.Running))
+		first := estimate.FirstEvent(float64(prefillTokens(call)), float64(load.UnreadTokens), float64(load.Running))
 		if late := max(0, first-call.Route.Objective); !found || late < room {
 			room, found = late, true
 		}
--- a/internal/routing/placement/sampledpair_test.go
+++ b/internal/routing/placement/sampledpair_test.go
@@ -24,14 +24,14 @@
 			}
 			f.setUpstreams(directory.Ready, ids...)
 			for n, u := range f.view.Of("svc") {
-				f.others[u.ID] = Load{Running: 1 + n%3, Unread: 500 * (1 + n%5)}
+				f.others[u.ID] = Load{Running: 1 + n%3, UnreadTokens: 500 * (1 + n%5)}
 			}
 			call := f.call(engine, part)
 			call.ID = ident.Request(fmt.Sprint("request-", i))
 			if part > 0 {
 				// The home has a queue, so the call goes elsewhere.
 				home := f.Chooser.homeOrderOf(call, f.view.Of("svc")).home
-				f.others[f.view.Of("svc")[home].ID] = Load{Running: 8, Unread: 400_000}
+				f.others[f.view.Of("svc")[home].ID] = Load{Running: 8, UnreadTokens: 400_000}
 			} else {
 				call.PromptTokens = 1000
 				call.Parts = []forward.PromptPart{{ID: uint64(i), Tokens: 1000}}
--- a/internal/routing/placement/timing_test.go
+++ b/internal/routing/placement/timing_test.go
@@ -21,7 +21,7 @@
 			t.Fatal("no upstream")
 		}
 		f.Finished(choice, forward.CallerGone, f.now)
-		return choice.Slow
+		return choice.SilenceTimeout
 	}
 	for range minSamples {
 		f.choose(t, f.call(engine, 7), forward.Done)
@@ -30,7 +30,7 @@
 		t.Errorf("an attempt at an idle engine is slow after %v, want at most the objective", got)
 	}
 	f.setUpstreams(directory.Ready, "a0", "b0")
-	f.setOtherLoads(Load{Unread: 200_000})
+	f.setOtherLoads(Load{UnreadTokens: 200_000})
 	if got := slow(); got < 2*time.Second {
 		t.Errorf("an attempt behind a queue of two seconds is slow after %v, want at least 2s", got)
 	}
--- a/internal/routing/placement/versions_test.go
+++ b/internal/routing/placement/versions_test.go
@@ -35,9 +35,9 @@
 		Log: hclog.NewNullLogger(), Life: "gw", Gateways: func() int { return 1 }, OrdersKnown: func() time.Time { return f.now },
 	})
 	t.Observe(f.view)
-	t.Order(rollout.Order{Service: "svc", To: "v2", Length: 20 * time.Second, Offset: 5}, 0, "test")
+	t.ApplyOrder(rollout.Order{Service: "svc", To: "v2", TimeLimit: 20 * time.Second, Offset: 5}, 0, "test")
 	t.Advance("svc", 5, rollout.Canary, "test")
-	f.split = t.Of("svc")
+	f.split = t.SplitOf("svc")
 	return f, t
 }
 
@@ -83,12 +83,12 @@
 		if !found {
 			t.Fatal("no upstream")
 		}
-		f.Began(choice, f.now)
+		f.FirstEventArrived(choice, f.now)
 		result := forward.Done
 		if u, _ := f.view.Upstream(choice.Upstream); u.Version == "v2" {
 			reached++
 			result = forward.Cut
-			if !f.Ended(choice) {
+			if !f.UpstreamEnded(choice) {
 				t.Error("the end of a ready upstream counted as expected")
 			}
 		}
@@ -111,11 +111,11 @@
 	u, _ := f.view.Upstream(choice.Upstream)
 	u.State = directory.Leaving
 	f.view = directory.NewView([]directory.Upstream{u})
-	if f.Ended(choice) {
+	if f.UpstreamEnded(choice) {
 		t.Error("the end of a leaving upstream counted as unexpected")
 	}
 	f.view = directory.NewView(nil)
-	if f.Ended(choice) {
+	if f.UpstreamEnded(choice) {
 		t.Error("the end of an upstream whose entry is gone counted as unexpected")
 	}
 	f.Finished(choice, forward.Cut, f.now)
--- a/internal/routing/placement/work.go
+++ b/internal/routing/placement/work.go
@@ -102,9 +102,9 @@
 // answers end.
 const drainFactor = 3
 
-// Drain returns the time within which nearly all answers of a service end that have
+// DrainTime returns the time within which nearly all answers of a service end that have
 // begun.
-func (c *Chooser) Drain(service ident.Service) time.Duration {
+func (c *Chooser) DrainTime(service ident.Service) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	longest := 0.0
@@ -125,8 +125,8 @@
 // Demand is the work that callers ask of a service's engines: what these would have
 // to do if there were enough of them.
 type Demand struct {
-	// Prompt is the number of prompt tokens to be read per second.
-	Prompt float64
+	// PromptTokensPerSecond is the number of prompt tokens to be read per second.
+	PromptTokensPerSecond float64
 	// Generating is how many requests would be generating an answer at a time if each
 	// took its usual time.
 	Generating float64
@@ -134,12 +134,12 @@
 
 // Plus returns the sum of two demands.
 func (d Demand) Plus(o Demand) Demand {
-	return Demand{d.Prompt + o.Prompt, d.Generating + o.Generating}
+	return Demand{d.PromptTokensPerSecond + o.PromptTokensPerSecond, d.Generating + o.Generating}
 }
 
 // Minus returns the demand without a part of it, at least 0.
 func (d Demand) Minus(o Demand) Demand {
-	return Demand{max(0, d.Prompt-o.Prompt), max(0, d.Generating-o.Generating)}
+	return Demand{max(0, d.PromptTokensPerSecond-o.PromptTokensPerSecond), max(0, d.Generating-o.Generating)}
 }
 
 // Demand returns the demand of this gateway's callers for a service.
@@ -148,5 +148,5 @@
 	defer c.mu.Unlock()
 	d := getOrCreate(c.demands, service)
 	d.decayTo(now)
-	return Demand{Prompt: d.promptRate, Generating: d.generating()}
+	return Demand{PromptTokensPerSecond: d.promptRate, Generating: d.generating()}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -185,7 +185,7 @@
 	r.predictor.output.add(float64(max(1, req.MaxTokens)), assumedOutput)
 	d.local.addSent(t.epoch, t.uncachedTokens)
 	if len(req.Blocks) > 0 {
-		r.popularity.add(req.Blocks[0], d.Work)
+		r.popularity.add(req.Blocks[0], d.EngineSeconds)
 	}
 	if d.observer != nil {
 		d.observer.Placed(req.Blocks, now)
--- a/internal/routing/types.go
+++ b/internal/routing/types.go
@@ -78,8 +78,8 @@
 	// Unloaded is the predicted time to the first token if the upstream were
 	// idle.
 	Unloaded time.Duration
-	// Work is the predicted engine time of the request, in seconds.
-	Work float64
+	// EngineSeconds is the predicted engine time of the request, in seconds.
+	EngineSeconds float64
 	// Reasons is filled only if Request.Explain is set, because it allocates.
 	Reasons []Reason
 
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -79,7 +79,7 @@
 // rejected.
 type Leases interface {
 	Grant() (duty.Grant, bool)
-	Refused(ident.Fence)
+	FenceRejected(ident.Fence)
 }
 
 // Controller orders upstreams for the services that have a Scale. It is not safe for
@@ -97,11 +97,11 @@
 	// Serves reports whether an upstream counts as its service's lasting capacity, which
 	// those of a version that is being tried or drained do not. Changing reports whether a
 	// service's upstreams are being replaced by those of another version.
-	Serves   func(*directory.Upstream) bool
-	Changing func(ident.Service) bool
-	// Lacking returns the share of its work, from 0 to 1, that an upstream does not accept
+	Serves         func(*directory.Upstream) bool
+	RolloutRunning func(ident.Service) bool
+	// UnservedShare returns the share of its work, from 0 to 1, that an upstream does not accept
 	// because of a rate limit that it announced.
-	Lacking func(ident.Instance) float64
+	UnservedShare func(ident.Instance) float64
 
 	// fence is the fencing number of the newest lease, and holderSince when this gateway
 	// was first seen to hold it. services is what was recorded under it.
@@ -286,7 +286,7 @@
 	sum := 0.0
 	for _, u := range c.View().Of(name) {
 		if u.State == directory.Ready && c.Serves(&u) {
-			sum += c.Lacking(u.ID)
+			sum += c.UnservedShare(u.ID)
 		}
 	}
 	return sum
@@ -347,7 +347,7 @@
 	if last != nil {
 		before = last.wanted
 	}
-	if wanted <= before && c.Changing(r.service.Name) {
+	if wanted <= before && c.RolloutRunning(r.service.Name) {
 		// It is not specified whether an order counts the upstreams of both versions or of
 		// one. An order for fewer, or for the same number again, might remove those that
 		// serve.
@@ -429,7 +429,7 @@
 	delete(r.state.lessWantedSince, slot)
 	switch {
 	case errors.Is(err, platform.ErrOldFence):
-		c.Leases.Refused(grant.Fence)
+		c.Leases.FenceRejected(grant.Fence)
 		return false
 	case errors.Is(err, platform.ErrNoCapacity):
 		r.state.closedUntil[slot] = r.now.Add(slotClosedFor)
--- a/internal/scaling/need.go
+++ b/internal/scaling/need.go
@@ -25,8 +25,8 @@
 
 // Need returns how many engines, each with the given number of slots, a demand keeps as
 // busy as they should be.
-func Need(d placement.Demand, figures enginemodel.Figures, slots int) float64 {
-	byReading := d.Prompt / (figures.Rate() * maxReadingShare)
+func Need(d placement.Demand, figures enginemodel.Estimate, slots int) float64 {
+	byReading := d.PromptTokensPerSecond / (figures.Rate() * maxReadingShare)
 	bySlots := (d.Generating + freeSlotFactor*math.Sqrt(d.Generating)) / float64(max(1, slots))
 	return byReading + bySlots
 }
--- a/internal/scaling/need_test.go
+++ b/internal/scaling/need_test.go
@@ -11,8 +11,8 @@
 
 // figuresOf returns the figures of engines that read prompts at the given rate, in tokens
 // per second.
-func figuresOf(rate float64) enginemodel.Figures {
-	return enginemodel.Figures{Base: 60 * time.Millisecond, Token: 1 / rate}
+func figuresOf(rate float64) enginemodel.Estimate {
+	return enginemodel.Estimate{Base: 60 * time.Millisecond, SecondsPerToken: 1 / rate}
 }
 
 // Guards against a large fleet that orders all the upstreams that it may, at a tenth of its
@@ -30,7 +30,7 @@
 		{"440 generate on 12 slots: 37 engines at full slots", placement.Demand{Generating: 440}, 60_000, 12, 40, 48},
 		{"45 generate on 64 slots", placement.Demand{Generating: 45}, 60_000, 64, 1, 1.3},
 		{"45 generate on 6 slots", placement.Demand{Generating: 45}, 60_000, 6, 10, 13},
-		{"reading for ten engines", placement.Demand{Prompt: 600_000}, 60_000, 12, 16, 17},
+		{"reading for ten engines", placement.Demand{PromptTokensPerSecond: 600_000}, 60_000, 12, 16, 17},
 	} {
 		if got := Need(c.demand, figuresOf(c.rate), c.slots); got < c.least || got > c.most {
 			t.Errorf("%s: %.1f engines, want %.1f to %.1f", c.name, got, c.least, c.most)
@@ -59,7 +59,7 @@
 // quiet day is refused.
 func TestWhatTheNextReclaimTakesIsOrderedBeforeIt(t *testing.T) {
 	scale := standardScale()
-	scale.Most = 60
+	scale.MaxPerDomain = 60
 	delete(scale.Prices, "d")
 	s := PlanInput{Scale: scale, Need: 60, ClosedSlots: make(map[Slot]bool), Serving: map[Slot]int{{"b", true}: 40, {"c", true}: 40}}
 	for _, d := range []ident.FailureDomain{"a", "b", "c"} {
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -79,14 +79,14 @@
 		wanted[Slot{d, true}], wanted[Slot{d, false}] = 0, 0
 	}
 	if s.Scale.ReclaimablePrice <= 0 {
-		s.fill(wanted, domains, s.atLeastOne(s.Need+s.MissingCapacity), s.Scale.Most, false)
+		s.fill(wanted, domains, s.atLeastOne(s.Need+s.MissingCapacity), s.Scale.MaxPerDomain, false)
 		s.ensureMinimum(wanted, domains, false)
 		return wanted
 	}
-	total := max(s.atLeastOne(reserveFactor(len(domains))*s.Need+s.MissingCapacity), min(minReclaimablePerDomain, s.Scale.Most)*len(domains))
+	total := max(s.atLeastOne(reserveFactor(len(domains))*s.Need+s.MissingCapacity), min(minReclaimablePerDomain, s.Scale.MaxPerDomain)*len(domains))
 	s.fill(wanted, domains, total, (total+len(domains)-1)/len(domains)+maxAboveEvenShare, true)
 	s.ensureMinimum(wanted, domains, true)
-	s.fill(wanted, domains, s.onDemandNeeded(), s.Scale.Most, false)
+	s.fill(wanted, domains, s.onDemandNeeded(), s.Scale.MaxPerDomain, false)
 	return wanted
 }
 
@@ -130,7 +130,7 @@
 	for range count {
 		open := slices.DeleteFunc(slices.Clone(domains), func(d ident.FailureDomain) bool {
 			slot := Slot{d, reclaimable}
-			return countInDomain(wanted, d) >= s.Scale.Most || wanted[slot] >= most || s.ClosedSlots[slot] && wanted[slot] >= s.Serving[slot]
+			return countInDomain(wanted, d) >= s.Scale.MaxPerDomain || wanted[slot] >= most || s.ClosedSlots[slot] && wanted[slot] >= s.Serving[slot]
 		})
 		if len(open) == 0 {
 			return
@@ -154,7 +154,7 @@
 // closed.
 func (s PlanInput) ensureMinimum(wanted map[Slot]int, domains []ident.FailureDomain, reclaimable bool) {
 	for _, d := range domains {
-		if missing := s.Scale.Least - countInDomain(wanted, d); missing > 0 && !s.ClosedSlots[Slot{d, reclaimable}] {
+		if missing := s.Scale.MinPerDomain - countInDomain(wanted, d); missing > 0 && !s.ClosedSlots[Slot{d, reclaimable}] {
 			wanted[Slot{d, reclaimable}] += missing
 		}
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -23,7 +23,7 @@
 
 func standardScale() *routetable.Scale {
 	return &routetable.Scale{
-		Least: 1, Most: 6, Startup: 4 * time.Second, ReclaimablePrice: 0.22,
+		MinPerDomain: 1, MaxPerDomain: 6, Startup: 4 * time.Second, ReclaimablePrice: 0.22,
 		Prices: map[ident.FailureDomain]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9},
 	}
 }
@@ -34,8 +34,8 @@
 func TestPlanKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := PlanInput{Scale: standardScale(), Need: rapid.Float64Range(0, 40).Draw(t, "need"), ClosedSlots: make(map[Slot]bool)}
-		s.Scale.Least = rapid.IntRange(0, 2).Draw(t, "least")
-		s.Scale.Most = rapid.IntRange(s.Scale.Least, 8).Draw(t, "most")
+		s.Scale.MinPerDomain = rapid.IntRange(0, 2).Draw(t, "least")
+		s.Scale.MaxPerDomain = rapid.IntRange(s.Scale.MinPerDomain, 8).Draw(t, "most")
 		if rapid.Bool().Draw(t, "no reclaimable ones") {
 			s.Scale.ReclaimablePrice = 0
 		}
@@ -47,14 +47,14 @@
 		for _, d := range domains {
 			n := countInDomain(wanted, d)
 			total += n
-			if n > s.Scale.Most || n < s.Scale.Least && !s.ClosedSlots[Slot{d, true}] {
-				t.Fatalf("%d in %s, want %d to %d", n, d, s.Scale.Least, s.Scale.Most)
+			if n > s.Scale.MaxPerDomain || n < s.Scale.MinPerDomain && !s.ClosedSlots[Slot{d, true}] {
+				t.Fatalf("%d in %s, want %d to %d", n, d, s.Scale.MinPerDomain, s.Scale.MaxPerDomain)
 			}
 			if s.Scale.ReclaimablePrice == 0 && wanted[Slot{d, true}] > 0 {
 				t.Fatalf("reclaimable upstreams are planned in %s, where none are offered", d)
 			}
 		}
-		if room := s.Scale.Most * len(domains); float64(total) < min(s.Need, float64(room)) {
+		if room := s.Scale.MaxPerDomain * len(domains); float64(total) < min(s.Need, float64(room)) {
 			t.Fatalf("%d upstreams are planned for a need of %.1f", total, s.Need)
 		}
 	})
@@ -116,7 +116,7 @@
 func (c *cloud) Grant() (duty.Grant, bool) {
 	return duty.Grant{Authority: platform.Authority{Fence: 1}}, c.holds
 }
-func (c *cloud) Refused(ident.Fence) { c.holds = false }
+func (c *cloud) FenceRejected(ident.Fence) { c.holds = false }
 func (c *cloud) Report(context.Context, platform.Authority, platform.UsageReport) error {
 	return nil
 }
@@ -133,9 +133,9 @@
 		Now: func() time.Time { return c.now }, Table: func() *routetable.Table { return table },
 		View: func() *directory.View { return c.view }, Need: func(*routetable.Service) float64 { return c.need },
 		Leases: c, Duties: c, Log: hclog.NewNullLogger(),
-		Serves:   func(u *directory.Upstream) bool { return c.newVersion == "" || u.Version != c.newVersion },
-		Changing: func(ident.Service) bool { return c.newVersion != "" },
-		Lacking:  func(id ident.Instance) float64 { return c.lacking[id] },
+		Serves:         func(u *directory.Upstream) bool { return c.newVersion == "" || u.Version != c.newVersion },
+		RolloutRunning: func(ident.Service) bool { return c.newVersion != "" },
+		UnservedShare:  func(id ident.Instance) float64 { return c.lacking[id] },
 	}
 }
 
@@ -154,7 +154,7 @@
 		return reclaimable, onDemand
 	}
 	scale := standardScale()
-	scale.Most = 10
+	scale.MaxPerDomain = 10
 	for _, c := range []struct {
 		lacking               float64
 		reclaimable, onDemand int
@@ -330,7 +330,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c, controller := newCloud()
-			controller.Table().Services()[0].Scale.Most = 100
+			controller.Table().Services()[0].Scale.MaxPerDomain = 100
 			there := make(map[Slot]int)
 			for _, d := range domains {
 				there[Slot{d, true}] = test.serving / len(domains)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -20,8 +20,8 @@
 
 func checkGateway(s *tomlfile.Source, g *Gateway) {
 	checkCommon(s, &g.Common)
-	checkListener(s, "listen.callers", g.Listen.Callers, g.TLS.Callers.Set() || g.Listen.AcceptPlaintext)
-	checkListener(s, "listen.peers", g.Listen.Peers, g.TLS.Peers.Set() || g.Listen.AcceptPlaintext)
+	checkListener(s, "listen.callers", g.Listen.Callers, g.TLS.Callers.IsSet() || g.Listen.AcceptPlaintext)
+	checkListener(s, "listen.peers", g.Listen.Peers, g.TLS.Peers.IsSet() || g.Listen.AcceptPlaintext)
 	checkListener(s, "listen.operators", g.Listen.Operators, g.Listen.AcceptPlaintext)
 	checkAccounts(s, g.ClientAccounts)
 }
@@ -115,9 +115,9 @@
 
 func checkTLS(s *tomlfile.Source, t TLS) {
 	anySet := t.Callers.Cert != "" || t.Callers.Key != ""
-	s.Check(!anySet || t.Callers.Set(), "tls.callers", "is incomplete", "both cert and key")
+	s.Check(!anySet || t.Callers.IsSet(), "tls.callers", "is incomplete", "both cert and key")
 	anySet = t.Peers.Cert != "" || t.Peers.Key != "" || t.Peers.CA != ""
-	s.Check(!anySet || t.Peers.Set(), "tls.peers", "is incomplete", "cert, key and ca")
+	s.Check(!anySet || t.Peers.IsSet(), "tls.peers", "is incomplete", "cert, key and ca")
 }
 
 // checkHostPort reports whether address is host:port with a numeric port, and
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -61,9 +61,9 @@
 	Duties []string `toml:"duties"`
 }
 
-// MostCores is the maximum of a machine's processor cores. Gateways reject a
+// MaxCores is the maximum of a machine's processor cores. Gateways reject a
 // report that names more.
-const MostCores = 1024
+const MaxCores = 1024
 
 // Machine tells how much of the machine the process may use.
 type Machine struct {
@@ -186,7 +186,7 @@
 	checkRequired(s, "store.address", e.Store.Address)
 	s.Check(e.Machine.MemoryMiB >= 32, "machine.memory_mib", "is too small", "32 or more")
 	s.Check(e.Machine.Descriptors >= 64, "machine.descriptors", "is too small", "64 or more")
-	s.Check(e.Machine.Cores > 0 && e.Machine.Cores <= MostCores, "machine.cores", "is out of range", "more than 0, 1024 at the most")
+	s.Check(e.Machine.Cores > 0 && e.Machine.Cores <= MaxCores, "machine.cores", "is out of range", "more than 0, 1024 at the most")
 	s.Check(e.Stop.Grace >= time.Second, "stop.grace", "is too short", "1s or more")
 	s.Check(e.Configuration.ChangeDue >= time.Second, "configuration.change_due", "is too short", "1s or more: news of it are up to 0.6 of it old")
 	s.Check(e.Upstreams.DepartureDue >= time.Second, "upstreams.departure_due", "is too short", "1s or more: the view is up to 0.55 of it old")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -195,8 +195,8 @@
 	Key  string `toml:"key"`
 }
 
-// Set reports whether TLS is on.
-func (k KeyPair) Set() bool { return k.Cert != "" && k.Key != "" }
+// IsSet reports whether TLS is on.
+func (k KeyPair) IsSet() bool { return k.Cert != "" && k.Key != "" }
 
 // PeerKeyPair names the PEM files for mutual TLS: a certificate, its private key
 // and the authority of the peers' certificates.
@@ -206,8 +206,8 @@
 	CA   string `toml:"ca"`
 }
 
-// Set reports whether mutual TLS is on.
-func (k PeerKeyPair) Set() bool { return k.Cert != "" && k.Key != "" && k.CA != "" }
+// IsSet reports whether mutual TLS is on.
+func (k PeerKeyPair) IsSet() bool { return k.Cert != "" && k.Key != "" && k.CA != "" }
 
 // Authority names a PEM file of trusted certificates. Empty trusts the system's.
 type Authority struct {
--- a/internal/settings/tls.go
+++ b/internal/settings/tls.go
@@ -17,7 +17,7 @@
 
 // Files returns the files for mutual TLS between processes, none if it is off.
 func (k PeerKeyPair) Files() certificate.Files {
-	if !k.Set() {
+	if !k.IsSet() {
 		return certificate.Files{}
 	}
 	return certificate.Files{Certificate: k.Cert, Key: k.Key, Authority: k.CA, ServerName: PeerName}
--- a/internal/spoolctl/command_test.go
+++ b/internal/spoolctl/command_test.go
@@ -51,7 +51,7 @@
 		_ = json.NewEncoder(w).Encode([]explain.Record{{
 			Subject: explain.Subject{Request: "r1", Service: "spool-llm", Account: "registrar"},
 			Attempts: []explain.Attempt{{
-				Upstream: "engine-1", Cause: "first", Predicted: 20 * time.Millisecond,
+				Upstream: "engine-1", Cause: "first", PredictedFirstToken: 20 * time.Millisecond,
 				Reasons: []routing.Reason{{Upstream: "engine-1", Rule: "chosen", Detail: "cheapest"}},
 			}},
 			Endings: []explain.Ending{{Outcome: "completed"}},
--- a/internal/spoolctl/gateway.go
+++ b/internal/spoolctl/gateway.go
@@ -78,7 +78,7 @@
 
 // errorText returns the error message in the body of a gateway's error answer.
 func errorText(body []byte) string {
-	var problem report.Problem
+	var problem report.ErrorResponse
 	if err := json.Unmarshal(body, &problem); err == nil && problem.Error != "" {
 		return problem.Error
 	}
@@ -144,7 +144,7 @@
 	if upstream == "" {
 		upstream = "no upstream"
 	}
-	return joinNonEmpty(", ", upstream, a.Cause, durationText("predicted", a.Predicted),
+	return joinNonEmpty(", ", upstream, a.Cause, durationText("predicted", a.PredictedFirstToken),
 		durationText("answered after", a.FirstToken), a.Error)
 }
 
--- a/internal/spoolctl/history.go
+++ b/internal/spoolctl/history.go
@@ -52,7 +52,7 @@
 	applied := map[ident.Revision]bool{}
 	for _, d := range s.decisions {
 		if d.Kind == document.AcceptedRecord {
-			applied[d.Current] = true
+			applied[d.CurrentRevision] = true
 		}
 	}
 	var list []version
@@ -79,10 +79,10 @@
 func (s *configStream) versionOf(d document.Decision) version {
 	var v version
 	if d.Kind == document.AcceptedRecord {
-		v = newVersion(d.Publication, accepted, d.Current)
+		v = newVersion(d.Publication, accepted, d.CurrentRevision)
 	} else {
 		v = newVersion(d.Publication, lost, 0)
-		v.LostTo = d.Current
+		v.LostTo = d.CurrentRevision
 	}
 	v.At = s.appendTime(d.Offset)
 	return v
@@ -90,7 +90,7 @@
 
 func newVersion(p document.Publication, outcome verdict, revision ident.Revision) version {
 	return version{
-		Revision: revision, Base: p.Base, PublishID: p.PublishID, Schema: p.Schema,
+		Revision: revision, Base: p.BaseRevision, PublishID: p.PublishID, Schema: p.Schema,
 		Bytes: len(p.Document), Verdict: outcome, document: p.Document,
 	}
 }
--- a/internal/spoolctl/publish.go
+++ b/internal/spoolctl/publish.go
@@ -112,12 +112,12 @@
 		return result, nil
 	}
 	current, _ := s.reader.State().Current(p.Service)
-	p.Base = current.Revision
+	p.BaseRevision = current.Revision
 	if base != nil {
-		p.Base = ident.Revision(*base)
+		p.BaseRevision = ident.Revision(*base)
 	}
-	result := publication{Service: p.Service, PublishID: p.PublishID, Base: p.Base}
-	if p.Base != current.Revision {
+	result := publication{Service: p.Service, PublishID: p.PublishID, Base: p.BaseRevision}
+	if p.BaseRevision != current.Revision {
 		result.Verdict, result.Revision = lost, current.Revision
 		return result, nil
 	}
@@ -136,7 +136,7 @@
 	defer cancelAppend()
 	_, err = s.log.Append(appendCtx, document.StreamName, [][]byte{record})
 	if errors.Is(err, platform.ErrUnavailable) {
-		result.Verdict, result.Detail, result.Revision = notPublished, err.Error(), p.Base
+		result.Verdict, result.Detail, result.Revision = notPublished, err.Error(), p.BaseRevision
 		return result, nil
 	}
 	return s.awaitDecision(ctx, p, result, err)
@@ -149,7 +149,7 @@
 		if decided, ok := s.findDecision(p); ok {
 			return decided, nil
 		}
-		if current, _ := s.reader.State().Current(p.Service); current.Revision != p.Base && !s.recordsExpired {
+		if current, _ := s.reader.State().Current(p.Service); current.Revision != p.BaseRevision && !s.recordsExpired {
 			// All records up to this revision were read and this publication's
 			// record is not among them. A record that comes later has a base
 			// that is no longer in force and is refused.
@@ -157,7 +157,7 @@
 			return result, nil
 		}
 		if ctx.Err() != nil {
-			result.Verdict, result.Revision = undecided, p.Base
+			result.Verdict, result.Revision = undecided, p.BaseRevision
 			result.Detail = "the log's answer was lost and the record is not in the log yet"
 			if appendErr == nil {
 				result.Detail = "the log took the record but could not be read back"
@@ -173,12 +173,12 @@
 // findDecision returns the verdict on the publication with p's service and
 // publish ID, or false if there is none yet.
 func (s *configStream) findDecision(p document.Publication) (publication, bool) {
-	result := publication{Service: p.Service, PublishID: p.PublishID, Base: p.Base}
+	result := publication{Service: p.Service, PublishID: p.PublishID, Base: p.BaseRevision}
 	for _, d := range s.decisions {
 		if d.Publication.PublishID != p.PublishID || d.Publication.Service != p.Service {
 			continue
 		}
-		result.Base, result.Revision = d.Publication.Base, d.Current
+		result.Base, result.Revision = d.Publication.BaseRevision, d.CurrentRevision
 		result.Verdict = lost
 		if d.Kind == document.AcceptedRecord {
 			result.Verdict = accepted
@@ -189,7 +189,7 @@
 	// if it is in force.
 	current, _ := s.reader.State().Current(p.Service)
 	if current.PublishID == p.PublishID {
-		result.Base, result.Revision, result.Verdict = current.Base, current.Revision, accepted
+		result.Base, result.Revision, result.Verdict = current.BaseRevision, current.Revision, accepted
 		return result, true
 	}
 	return publication{}, false
--- a/internal/spoolctl/publish_test.go
+++ b/internal/spoolctl/publish_test.go
@@ -49,7 +49,7 @@
 		if _, twice := out[d.Publication.PublishID]; twice {
 			t.Fatalf("%s was appended twice", d.Publication.PublishID)
 		}
-		out[d.Publication.PublishID] = publication{Verdict: decided, Revision: d.Current}
+		out[d.Publication.PublishID] = publication{Verdict: decided, Revision: d.CurrentRevision}
 	}
 	return out
 }
--- a/internal/spoolctl/stream.go
+++ b/internal/spoolctl/stream.go
@@ -74,9 +74,9 @@
 func (s *configStream) readBatch(ctx context.Context, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
-	batch, err := s.log.Read(ctx, document.StreamName, s.reader.From(), readLimit, wait)
+	batch, err := s.log.Read(ctx, document.StreamName, s.reader.NextOffset(), readLimit, wait)
 	if errors.Is(err, platform.ErrExpired) {
-		s.reader.Expired(batch.First)
+		s.reader.HandleExpired(batch.First)
 		s.recordsExpired = true
 		return nil
 	}
@@ -89,7 +89,7 @@
 	for _, r := range batch.Records {
 		s.appendedAt[r.Offset] = r.AppendedAt
 	}
-	s.decisions = append(s.decisions, s.reader.Take(batch)...)
+	s.decisions = append(s.decisions, s.reader.ApplyBatch(batch)...)
 	return nil
 }
 
--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -21,11 +21,11 @@
 	// not start.
 	ServiceOf func(ident.Instance) ident.Service
 	// Started, if set, is called when a new instance is started.
-	Started func(ident.Instance, platform.StartRequest)
+	OnStarted func(ident.Instance, platform.StartRequest)
 	// Stopped, if set, is called when an instance is ordered to stop.
-	Stopped func(ident.Instance)
+	OnStopped func(ident.Instance)
 	// Announced, if set, is called when a reclaim notice is announced.
-	Announced func(platform.Notice)
+	OnAnnounced func(platform.Notice)
 }
 
 // Cloud is a platform.Cloud in memory. Its embedded Injector makes it fail.
@@ -96,8 +96,8 @@
 	}
 	c.notices = append(c.notices, n)
 	c.mu.Unlock()
-	if c.options.Announced != nil {
-		c.options.Announced(n.Notice)
+	if c.options.OnAnnounced != nil {
+		c.options.OnAnnounced(n.Notice)
 	}
 	return n.Notice
 }
@@ -150,8 +150,8 @@
 	if err != nil {
 		return "", err
 	}
-	if created && c.options.Started != nil {
-		c.options.Started(id, req)
+	if created && c.options.OnStarted != nil {
+		c.options.OnStarted(id, req)
 	}
 	return id, nil
 }
@@ -183,8 +183,8 @@
 	if err != nil {
 		return err
 	}
-	if c.options.Stopped != nil {
-		c.options.Stopped(id)
+	if c.options.OnStopped != nil {
+		c.options.OnStopped(id)
 	}
 	return nil
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -190,13 +190,13 @@
 
 func (e *Engine) submit(s *tokenStream) error {
 	req := s.req
-	w := Work{
-		ID:       req.Request,
-		Tag:      int(req.Attempt),
-		Priority: req.Priority,
-		Blocks:   prompt.Blocks(req.Prompt),
-		Context:  max(1, prompt.Tokens(req.Prompt)+len(req.Delivered)),
-		Output:   int(req.MaxTokens) - len(req.Delivered),
+	w := Attempt{
+		ID:            req.Request,
+		Tag:           int(req.Attempt),
+		Priority:      req.Priority,
+		Blocks:        prompt.Blocks(req.Prompt),
+		ContextTokens: max(1, prompt.Tokens(req.Prompt)+len(req.Delivered)),
+		OutputTokens:  int(req.MaxTokens) - len(req.Delivered),
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -294,7 +294,7 @@
 // ImportCache stores a KV cache for a request that is sent next, after the time
 // that its transfer takes. It returns how many context tokens the cache covers.
 func (e *Engine) ImportCache(ctx context.Context, id ident.Request, cache []byte) (int, error) {
-	var exported Exported
+	var exported ExportedCache
 	if err := json.Unmarshal(cache, &exported); err != nil {
 		return 0, errors.Join(upstream.ErrRefused, err)
 	}
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -43,7 +43,7 @@
 			}
 			index++
 		}
-		prefilled += f.Prefilled
+		prefilled += f.PrefilledTokens
 	}
 	if index != int(req.MaxTokens) {
 		t.Fatalf("got %d tokens, want %d", index, req.MaxTokens)
@@ -101,7 +101,7 @@
 		for err == nil {
 			_, err = s.Next()
 		}
-		if !errors.Is(err, ErrEnded) || !upstream.Ran(err) {
+		if !errors.Is(err, ErrEnded) || !upstream.MayHaveRun(err) {
 			t.Errorf("the stream ended with %v, want ErrEnded", err)
 		}
 	})
@@ -122,7 +122,7 @@
 	now := time.Unix(0, 0)
 	for i := range n {
 		id := ident.Request(strconv.Itoa(i))
-		_ = m.Submit(now, Work{ID: id, Context: 8, Output: 100})
+		_ = m.Submit(now, Attempt{ID: id, ContextTokens: 8, OutputTokens: 100})
 	}
 	var d time.Duration
 	const untilAllDecode = 6
--- a/internal/standin/engine/model.go
+++ b/internal/standin/engine/model.go
@@ -39,7 +39,7 @@
 
 // stream is one attempt in the engine.
 type stream struct {
-	Work
+	Attempt
 	// sharedBlocks is how many leading Blocks this stream uses in the cache.
 	sharedBlocks int
 	// privateBlocks is how many other blocks it holds.
@@ -71,16 +71,16 @@
 // Submit queues an attempt. Errors are upstream.ErrLeaving, and
 // upstream.ErrRefused if the attempt can never fit into memory or the engine has
 // the request already.
-func (m *Model) Submit(now time.Time, w Work) error {
+func (m *Model) Submit(now time.Time, w Attempt) error {
 	if m.leaving {
 		return upstream.ErrLeaving
 	}
-	if m.byID[w.ID] != nil || blocksFor(w.Context+w.Output) > m.params.MemoryBlocks {
+	if m.byID[w.ID] != nil || blocksFor(w.ContextTokens+w.OutputTokens) > m.params.MemoryBlocks {
 		return upstream.ErrRefused
 	}
-	s := &stream{Work: w}
+	s := &stream{Attempt: w}
 	s.computed = m.imported[w.ID]
-	s.estimatedPrefill = w.Context - max(s.computed, m.cache.cachedPrefix(w.Blocks)*prompt.BlockTokens)
+	s.estimatedPrefill = w.ContextTokens - max(s.computed, m.cache.cachedPrefix(w.Blocks)*prompt.BlockTokens)
 	m.waitingTokens += s.estimatedPrefill
 	m.byID[w.ID] = s
 	m.waiting = slices.Insert(m.waiting, m.queueIndex(w.Priority), s)
@@ -127,7 +127,7 @@
 	budget := m.params.StepTokens
 	decoding := 0
 	for _, s := range m.running {
-		if s.computed >= s.Context {
+		if s.computed >= s.ContextTokens {
 			decoding++
 		}
 	}
@@ -163,7 +163,7 @@
 	for _, h := range s.Blocks[:hits] {
 		m.cache.acquire(h)
 	}
-	need := blocksFor(s.Context+s.Output) - hits
+	need := blocksFor(s.ContextTokens+s.OutputTokens) - hits
 	if !m.cache.reserve(need, now) {
 		m.cache.release(s.Blocks[:hits])
 		return false
@@ -172,7 +172,7 @@
 	s.sharedBlocks, s.privateBlocks = hits, need
 	s.computed = max(s.computed, hits*prompt.BlockTokens)
 	// The last token is always computed, since its output is needed.
-	s.computed = min(s.computed, s.Context-1)
+	s.computed = min(s.computed, s.ContextTokens-1)
 	m.shareBlocks(now, s)
 	return true
 }
@@ -180,7 +180,7 @@
 // decode generates the next token of each stream whose context is complete.
 func (m *Model) decode(out []Token) []Token {
 	for _, s := range m.running {
-		if s.computed >= s.Context {
+		if s.computed >= s.ContextTokens {
 			out = append(out, s.nextToken())
 		}
 	}
@@ -193,14 +193,14 @@
 func (m *Model) prefill(now time.Time, budget int, out []Token) (int, []Token) {
 	m.prefilling = m.prefilling[:0]
 	for _, s := range m.running {
-		if s.computed < s.Context {
+		if s.computed < s.ContextTokens {
 			m.prefilling = append(m.prefilling, s)
 		}
 	}
 	slices.SortStableFunc(m.prefilling, func(a, b *stream) int { return cmp.Compare(b.Priority, a.Priority) })
 	spent := 0
 	for _, s := range m.prefilling {
-		chunk := min(s.Context-s.computed, budget-spent)
+		chunk := min(s.ContextTokens-s.computed, budget-spent)
 		if chunk <= 0 {
 			break
 		}
@@ -208,7 +208,7 @@
 		s.computed += chunk
 		s.prefilled += chunk
 		m.shareBlocks(now, s)
-		if s.computed >= s.Context {
+		if s.computed >= s.ContextTokens {
 			out = append(out, s.nextToken())
 		}
 	}
@@ -233,7 +233,7 @@
 		t.Prefilled = s.prefilled
 	}
 	s.generated++
-	t.Done = s.generated >= s.Output
+	t.Done = s.generated >= s.OutputTokens
 	return t
 }
 
@@ -241,7 +241,7 @@
 func (m *Model) removeDone() {
 	kept := m.running[:0]
 	for _, s := range m.running {
-		if s.generated < s.Output {
+		if s.generated < s.OutputTokens {
 			kept = append(kept, s)
 			continue
 		}
@@ -267,17 +267,17 @@
 
 // Export returns the KV cache of a request's stream; false if there is no stream or
 // nothing was computed for it.
-func (m *Model) Export(id ident.Request) (Exported, bool) {
+func (m *Model) Export(id ident.Request) (ExportedCache, bool) {
 	s := m.byID[id]
 	if s == nil || s.computed == 0 {
-		return Exported{}, false
+		return ExportedCache{}, false
 	}
-	e := Exported{Blocks: slices.Clone(s.Blocks[:s.sharedBlocks]), Tokens: s.computed + s.generated}
+	e := ExportedCache{Blocks: slices.Clone(s.Blocks[:s.sharedBlocks]), Tokens: s.computed + s.generated}
 	return e, true
 }
 
 // Import stores a KV cache for a request that will be submitted next.
-func (m *Model) Import(id ident.Request, e Exported) {
+func (m *Model) Import(id ident.Request, e ExportedCache) {
 	m.imported[id] = e.Tokens
 }
 
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -42,7 +42,7 @@
 // Checks the invariants of any engine: every request that is not cancelled gets all
 // its tokens once and in order, memory is never exceeded and is free in the end, and
 // the cache events describe exactly what is cached.
-func TestModelKeepsItsPromises(t *testing.T) {
+func TestModelInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewModel(smallParameters())
 		now := time.Unix(0, 0)
@@ -70,16 +70,16 @@
 		}
 		for i := range rapid.IntRange(1, 20).Draw(t, "requests") {
 			count := rapid.IntRange(0, 6).Draw(t, "blocks")
-			w := Work{
+			w := Attempt{
 				ID: ident.Request(strconv.Itoa(i)), Tag: i, Priority: int32(rapid.IntRange(0, 2).Draw(t, "priority")),
-				Blocks:  sharedBlocks(rapid.IntRange(0, 2).Draw(t, "family"), count),
-				Context: count*prompt.BlockTokens + rapid.IntRange(1, 63).Draw(t, "rest"),
-				Output:  rapid.IntRange(1, 30).Draw(t, "output"),
+				Blocks:        sharedBlocks(rapid.IntRange(0, 2).Draw(t, "family"), count),
+				ContextTokens: count*prompt.BlockTokens + rapid.IntRange(1, 63).Draw(t, "rest"),
+				OutputTokens:  rapid.IntRange(1, 30).Draw(t, "output"),
 			}
 			if rapid.Bool().Draw(t, "moved here") {
-				m.Import(w.ID, Exported{Tokens: rapid.IntRange(0, w.Context).Draw(t, "tokens")})
+				m.Import(w.ID, ExportedCache{Tokens: rapid.IntRange(0, w.ContextTokens).Draw(t, "tokens")})
 			}
-			want[i] = w.Output
+			want[i] = w.OutputTokens
 			if err := m.Submit(now, w); err != nil {
 				t.Fatal(err)
 			}
@@ -129,7 +129,7 @@
 	m := NewModel(p)
 	now := time.Unix(0, 0)
 	blocks := sharedBlocks(1, 400)
-	if err := m.Submit(now, Work{ID: "a", Blocks: blocks, Context: 400 * prompt.BlockTokens, Output: 2}); err != nil {
+	if err := m.Submit(now, Attempt{ID: "a", Blocks: blocks, ContextTokens: 400 * prompt.BlockTokens, OutputTokens: 2}); err != nil {
 		t.Fatal(err)
 	}
 	if r := m.Report(now); r.Queued != 0 || r.Age != p.ReportLag {
@@ -162,7 +162,7 @@
 	took := func(p Parameters) (time.Duration, upstream.Report) {
 		m := NewModel(p)
 		now := time.Unix(0, 0)
-		_ = m.Submit(now, Work{ID: "a", Context: 100, Output: 2})
+		_ = m.Submit(now, Attempt{ID: "a", ContextTokens: 100, OutputTokens: 2})
 		_, d := m.Step(now, nil)
 		return d, m.Report(now.Add(time.Second))
 	}
@@ -187,7 +187,7 @@
 	m := NewModel(smallParameters())
 	now := time.Unix(0, 0)
 	submit := func(tag, context int, priority int32) {
-		w := Work{ID: ident.Request(strconv.Itoa(tag)), Tag: tag, Priority: priority, Context: context, Output: 1}
+		w := Attempt{ID: ident.Request(strconv.Itoa(tag)), Tag: tag, Priority: priority, ContextTokens: context, OutputTokens: 1}
 		if err := m.Submit(now, w); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/engine/parameters.go
+++ b/internal/standin/engine/parameters.go
@@ -98,8 +98,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Work is one attempt of a request at an engine.
-type Work struct {
+// Attempt is one attempt of a request at an engine.
+type Attempt struct {
 	ID ident.Request
 	// Tag is returned with each token, for the use of the caller.
 	Tag int
@@ -107,11 +107,11 @@
 	Priority int32
 	// Blocks are the prefix blocks of the prompt.
 	Blocks []uint64
-	// Context is the number of tokens that must be in memory before the first
+	// ContextTokens is the number of tokens that must be in memory before the first
 	// token is generated: the prompt and the tokens delivered already.
-	Context int
-	// Output is the number of tokens still to generate.
-	Output int
+	ContextTokens int
+	// OutputTokens is the number of tokens still to generate.
+	OutputTokens int
 }
 
 // Token is one generated token.
@@ -128,8 +128,8 @@
 	Prefilled int
 }
 
-// Exported is the KV cache of one stream.
-type Exported struct {
+// ExportedCache is the KV cache of one stream.
+type ExportedCache struct {
 	// Blocks are the hashes of its prefix blocks.
 	Blocks []uint64
 	// Tokens is the number of context tokens that the cache covers.
--- a/internal/standin/engine/report.go
+++ b/internal/standin/engine/report.go
@@ -61,7 +61,7 @@
 func (m *Model) uncomputedTokens() int {
 	n := m.waitingTokens
 	for _, s := range m.running {
-		n += s.Context - s.computed
+		n += s.ContextTokens - s.computed
 	}
 	return n
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -36,7 +36,7 @@
 		f.Tokens = []string{answer.Token(s.req.Prompt, index)}
 	}
 	if t.Index == 0 {
-		f.Prefilled = uint32(t.Prefilled)
+		f.PrefilledTokens = uint32(t.Prefilled)
 	}
 	s.mu.Lock()
 	s.frames = append(s.frames, f)
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -77,7 +77,7 @@
 // Begin waits for the delay of a request. It returns platform.ErrUnavailable
 // during an outage, or if ctx ends first; the request then has no effect.
 func (i *Injector) Begin(ctx context.Context) error {
-	if err := sleep(ctx, i.currentDelay()); err != nil {
+	if err := sleepContext(ctx, i.currentDelay()); err != nil {
 		return UnavailableError(err)
 	}
 	if i.OutageOn() {
@@ -144,8 +144,8 @@
 	return fmt.Errorf("%w: %w", platform.ErrUnavailable, cause)
 }
 
-// sleep waits for d, or returns the context's error.
-func sleep(ctx context.Context, d time.Duration) error {
+// sleepContext waits for d, or returns the context's error.
+func sleepContext(ctx context.Context, d time.Duration) error {
 	pause.For(ctx, d)
 	return ctx.Err()
 }
--- a/internal/standin/metastore/metastore.go
+++ b/internal/standin/metastore/metastore.go
@@ -88,9 +88,9 @@
 	return s.append(name, []record{{key: key, value: value}})
 }
 
-// Forget expires a topic's history; the newest record of each key can still be read
+// ExpireHistory expires a topic's history; the newest record of each key can still be read
 // by key.
-func (s *Store) Forget(name string) {
+func (s *Store) ExpireHistory(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
--- a/internal/standin/process/platform.go
+++ b/internal/standin/process/platform.go
@@ -68,8 +68,8 @@
 				instance, _ := list.Find(id)
 				return instance.Service
 			},
-			Stopped:   func(id ident.Instance) { list.SetState(id, 0, platform.Leaving) },
-			Announced: func(n platform.Notice) { applyNotice(list, n) },
+			OnStopped:   func(id ident.Instance) { list.SetState(id, 0, platform.Leaving) },
+			OnAnnounced: func(n platform.Notice) { applyNotice(list, n) },
 		}),
 		Weights: weights.New(weights.Options{
 			ModelBytes:     options.ModelBytes,
--- a/internal/standin/tokens/tokens.go
+++ b/internal/standin/tokens/tokens.go
@@ -58,17 +58,17 @@
 
 // Sink counts tokens. It implements streaming.Sink.
 type Sink struct {
-	// Left is the number of tokens that are still expected. Done is called when
+	// TokensLeft is the number of tokens that are still expected. Done is called when
 	// it becomes 0.
-	Left int
-	Done func()
+	TokensLeft int
+	OnDone     func()
 }
 
 // Tokens implements streaming.Sink.
 func (s *Sink) Tokens(_ uint32, tokens []string) error {
-	s.Left -= len(tokens)
-	if s.Left == 0 {
-		s.Done()
+	s.TokensLeft -= len(tokens)
+	if s.TokensLeft == 0 {
+		s.OnDone()
 	}
 	return nil
 }
@@ -79,6 +79,6 @@
 // NewRegistry returns a registry whose streams all come from one engine.
 func NewRegistry(e Engine) *streaming.Registry {
 	config := streaming.DefaultConfig()
-	config.IdleStreams = 1
+	config.MaxIdleStreams = 1
 	return streaming.NewRegistry(config, streaming.NewRunner(config, e, nil, nil))
 }
--- a/internal/standin/worker/limits.go
+++ b/internal/standin/worker/limits.go
@@ -4,8 +4,8 @@
 
 // How many requests an upstream that announces a rate limit may receive, by the users' rule.
 const (
-	// LimitContact is the time within which all gateways that reach each other know the limit.
-	LimitContact = 3 * time.Second
+	// LimitPropagationTime is the time within which all gateways that reach each other know the limit.
+	LimitPropagationTime = 3 * time.Second
 	// LimitWindow is the length of the window in which requests are counted. limitOverage
 	// times what the limit allows in a window, plus limitSlack requests, may arrive in it.
 	LimitWindow  = 4 * time.Second
@@ -13,8 +13,8 @@
 	limitSlack   = 5
 )
 
-// Allowed returns how many requests may arrive in a window at a limit.
-func Allowed(perSecond float64) int {
+// MaxAllowed returns how many requests may arrive in a window at a limit.
+func MaxAllowed(perSecond float64) int {
 	return int(limitOverage*perSecond*LimitWindow.Seconds()) + limitSlack
 }
 
@@ -24,9 +24,9 @@
 	At time.Time
 }
 
-// Limit sets the text that all answers announce as the rate limit, valid or not; empty
+// SetLimit sets the text that all answers announce as the rate limit, valid or not; empty
 // announces none.
-func (w *Worker) Limit(text string) {
+func (w *Worker) SetLimit(text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limit = text
@@ -52,15 +52,15 @@
 	return "Server-Limit: " + w.limit + "\r\n"
 }
 
-// MostInWindow returns the largest number of requests received in any LimitWindow that
+// MaxInWindow returns the largest number of requests received in any LimitWindow that
 // begins at least LimitContact after the first announcement of a limit.
-func (w *Worker) MostInWindow() int {
+func (w *Worker) MaxInWindow() int {
 	namedAt, arrivals := w.Arrivals()
 	most := 0
 	for i, last := range arrivals {
 		n := 0
 		for _, a := range arrivals[:i+1] {
-			if a.At.Sub(namedAt) >= LimitContact && last.At.Sub(a.At) <= LimitWindow {
+			if a.At.Sub(namedAt) >= LimitPropagationTime && last.At.Sub(a.At) <= LimitWindow {
 				n++
 			}
 		}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -75,38 +75,38 @@
 	}
 }
 
-// Next queues acts for the next requests, one for each; later requests get the default
+// QueueActs queues acts for the next requests, one for each; later requests get the default
 // act.
-func (w *Worker) Next(acts ...Act) {
+func (w *Worker) QueueActs(acts ...Act) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queuedActs = append(w.queuedActs, acts...)
 }
 
-// Default sets the act for requests for which none is queued. Without it, they are
+// SetDefaultAct sets the act for requests for which none is queued. Without it, they are
 // answered with status 200.
-func (w *Worker) Default(act Act) {
+func (w *Worker) SetDefaultAct(act Act) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.defaultAct = act
 }
 
-// Reset clears the queued acts.
-func (w *Worker) Reset() {
+// ClearActs clears the queued acts.
+func (w *Worker) ClearActs() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queuedActs = nil
 }
 
-// Ran returns how often the request with an ID ran.
-func (w *Worker) Ran(id string) int {
+// RunCount returns how often the request with an ID ran.
+func (w *Worker) RunCount(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[id]
 }
 
-// Seen returns the requests received so far, and their bodies.
-func (w *Worker) Seen() ([]*http.Request, []string) {
+// Requests returns the requests received so far, and their bodies.
+func (w *Worker) Requests() ([]*http.Request, []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*http.Request(nil), w.requests...), append([]string(nil), w.bodies...)
@@ -183,8 +183,8 @@
 	closed  bool
 }
 
-// Run records that the request began to run.
-func (w *Writer) Run() {
+// RecordRun records that the request began to run.
+func (w *Writer) RecordRun() {
 	w.worker.mu.Lock()
 	defer w.worker.mu.Unlock()
 	w.worker.runs[w.request.Header.Get(RequestID)]++
@@ -212,9 +212,9 @@
 	_ = w.conn.Close() // may be closed already
 }
 
-// Gone waits until the client has closed the connection, for at most within, and
+// WaitClosed waits until the client has closed the connection, for at most within, and
 // reports whether it has.
-func (w *Writer) Gone(within time.Duration) bool {
+func (w *Writer) WaitClosed(within time.Duration) bool {
 	if err := w.conn.SetReadDeadline(time.Now().Add(within)); err != nil {
 		return true
 	}
@@ -226,7 +226,7 @@
 // Answer returns an act that runs the request and answers it.
 func Answer(status int, body string) Act {
 	return func(w *Writer, _ *http.Request) {
-		w.Run()
+		w.RecordRun()
 		w.Head(status, "Content-Length: "+strconv.Itoa(len(body))+"\r\nKeep-Alive: timeout=5\r\n")
 		w.Raw(body)
 	}
@@ -247,7 +247,7 @@
 // end is nil.
 func Stream(last int, end Act) Act {
 	return func(w *Writer, r *http.Request) {
-		w.Run()
+		w.RecordRun()
 		after, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 		if err != nil {
 			after = 0
@@ -273,22 +273,22 @@
 // RunAndCrash is an act that runs the request and resets the connection without an
 // answer.
 func RunAndCrash(w *Writer, r *http.Request) {
-	w.Run()
+	w.RecordRun()
 	Crash(w, r)
 }
 
 // Hang is an act that runs the request and sends nothing until the client closes the
 // connection, for at most a minute.
 func Hang(w *Writer, _ *http.Request) {
-	w.Run()
-	w.Gone(time.Minute)
+	w.RecordRun()
+	w.WaitClosed(time.Minute)
 	w.closed = true
 }
 
-// RunAndEnd is an act that runs the request and stops the whole worker, which cuts off
+// RunAndStop is an act that runs the request and stops the whole worker, which cuts off
 // all requests in progress.
-func RunAndEnd(w *Writer, _ *http.Request) {
-	w.Run()
+func RunAndStop(w *Writer, _ *http.Request) {
+	w.RecordRun()
 	w.closed = true
 	w.worker.Stop()
 }
--- a/internal/streaming/attempt.go
+++ b/internal/streaming/attempt.go
@@ -66,7 +66,7 @@
 	ctx, span := startSpan(ctx, a)
 	end := a.serve(ctx)
 	end.tokens = int(r.assembler.NextIndex() - a.startIndex)
-	if end.err == nil || upstream.Ran(end.err) {
+	if end.err == nil || upstream.MayHaveRun(end.err) {
 		r.mayHaveRun = true
 		r.lastInstance = at.target.Instance
 	}
@@ -144,9 +144,9 @@
 	return upstream.GenerateRequest{
 		Request:   a.run.req.Key.engineID(),
 		Attempt:   a.number,
-		Prompt:    a.run.req.Ask.Prompt,
+		Prompt:    a.run.req.Params.Prompt,
 		Delivered: a.run.assembler.Answer(),
-		MaxTokens: a.run.req.Ask.MaxTokens,
+		MaxTokens: a.run.req.Params.MaxTokens,
 		Priority:  a.run.req.Priority,
 	}
 }
@@ -157,7 +157,7 @@
 	if r.err != nil {
 		return a.endOf(r.err), true
 	}
-	a.prefilled = max(a.prefilled, int(r.frame.Prefilled))
+	a.prefilled = max(a.prefilled, int(r.frame.PrefilledTokens))
 	switch a.run.assembler.Accept(r.frame) {
 	case AnswerExtended:
 		a.publishTokens()
@@ -182,7 +182,7 @@
 // endOf returns the end that an engine's error causes. A stream that ends
 // without an error before the answer is complete counts as lost too.
 func (a *attempt) endOf(err error) attemptEnd {
-	if upstream.Ran(err) {
+	if upstream.MayHaveRun(err) {
 		return attemptEnd{nextCause: CauseLost, err: err}
 	}
 	return attemptEnd{nextCause: CauseRefused, err: err, leaving: errors.Is(err, upstream.ErrLeaving)}
@@ -213,7 +213,7 @@
 // release reports to the picker how the attempt ended.
 func (a *attempt) release(end attemptEnd) {
 	a.target.release(Result{
-		Next:       end.nextCause,
+		NextCause:  end.nextCause,
 		Leaving:    end.leaving,
 		FirstToken: a.firstToken,
 		Tokens:     end.tokens,
--- a/internal/streaming/bench_test.go
+++ b/internal/streaming/bench_test.go
@@ -16,8 +16,8 @@
 
 func benchRequest(i int, maxTokens uint32) streaming.Request {
 	return streaming.Request{
-		Key: streaming.Key{Account: "weber", Request: ident.Request(strconv.Itoa(i))},
-		Ask: streaming.Ask{Service: "spool-llm", Prompt: "Dossier", MaxTokens: maxTokens},
+		Key:    streaming.Key{Account: "weber", Request: ident.Request(strconv.Itoa(i))},
+		Params: streaming.Params{Service: "spool-llm", Prompt: "Dossier", MaxTokens: maxTokens},
 	}
 }
 
@@ -36,7 +36,7 @@
 				var all sync.WaitGroup
 				for i := range streams {
 					all.Go(func() {
-						sink := &tokens.Sink{Left: count, Done: func() {}}
+						sink := &tokens.Sink{TokensLeft: count, OnDone: func() {}}
 						_, _ = g.Generate(b.Context(), benchRequest(round*streams+i, count), sink)
 					})
 				}
@@ -78,7 +78,7 @@
 	for i := range streams {
 		received.Add(1)
 		callers.Go(func() {
-			sink := &tokens.Sink{Left: int(count), Done: received.Done}
+			sink := &tokens.Sink{TokensLeft: int(count), OnDone: received.Done}
 			_, _ = g.Generate(ctx, benchRequest(i, count+1), sink)
 		})
 	}
--- a/internal/streaming/caller_test.go
+++ b/internal/streaming/caller_test.go
@@ -63,7 +63,7 @@
 	}
 	order := slices.Clone(p.engines)
 	slices.SortStableFunc(order, func(a, b testEngine) int {
-		return rank(a, req.Served) - rank(b, req.Served)
+		return rank(a, req.LastInstance) - rank(b, req.LastInstance)
 	})
 	for _, e := range order {
 		if !slices.Contains(req.Exclude, e.name()) {
@@ -166,8 +166,8 @@
 	if c.problem != "" {
 		return c.problem
 	}
-	if o.Kind == outcome.Completed && len(c.tokens) != int(c.req.Ask.MaxTokens) {
-		return fmt.Sprintf("completed with %d tokens of %d", len(c.tokens), c.req.Ask.MaxTokens)
+	if o.Kind == outcome.Completed && len(c.tokens) != int(c.req.Params.MaxTokens) {
+		return fmt.Sprintf("completed with %d tokens of %d", len(c.tokens), c.req.Params.MaxTokens)
 	}
 	return ""
 }
@@ -181,7 +181,7 @@
 	tokens := c.held()[:n]
 	req := c.req
 	req.Deadline = time.Time{}
-	return &fakeCaller{req: req, slow: slow, tokens: tokens, hash: answerHash(c.req.Ask.Prompt, tokens)}
+	return &fakeCaller{req: req, slow: slow, tokens: tokens, hash: answerHash(c.req.Params.Prompt, tokens)}
 }
 
 // resume requests the rest and sends all that the caller has.
@@ -189,20 +189,20 @@
 	held := c.held()
 	original := c.req
 	return g.Resume(ctx, ResumeRequest{
-		Key: c.req.Key, Next: uint32(len(held)), Original: &original, Delivered: held,
+		Key: c.req.Key, NextIndex: uint32(len(held)), Original: &original, Delivered: held,
 	}, sink{caller: c, ctx: ctx})
 }
 
 // resumeByID requests the rest by the request's key alone.
 func (c *fakeCaller) resumeByID(ctx context.Context, g *Registry) (outcome.Outcome, error) {
-	return g.Resume(ctx, ResumeRequest{Key: c.req.Key, Next: uint32(len(c.held()))}, sink{caller: c, ctx: ctx})
+	return g.Resume(ctx, ResumeRequest{Key: c.req.Key, NextIndex: uint32(len(c.held()))}, sink{caller: c, ctx: ctx})
 }
 
 func newCaller(account, request string, maxTokens uint32) *fakeCaller {
 	prompt := "Dossier of lot " + account + " " + request
 	return &fakeCaller{hash: answerHash(prompt, nil), req: Request{
 		Key: Key{Account: ident.ClientAccount(account), Request: ident.Request(request)},
-		Ask: Ask{
+		Params: Params{
 			Service:   "spool-llm",
 			Class:     "short",
 			Prompt:    prompt,
--- a/internal/streaming/config.go
+++ b/internal/streaming/config.go
@@ -39,9 +39,9 @@
 	KeepEnded time.Duration
 	// MaxStreams bounds the streams that a gateway keeps.
 	MaxStreams int
-	// IdleStreams bounds the streams without a caller that a gateway keeps for
+	// MaxIdleStreams bounds the streams without a caller that a gateway keeps for
 	// one client account.
-	IdleStreams int
+	MaxIdleStreams int
 	// MaxTokens bounds the length of an answer.
 	MaxTokens uint32
 	// MaxFrameTokens bounds the tokens of one frame towards a caller.
@@ -64,7 +64,7 @@
 		Linger:               10 * time.Second,
 		KeepEnded:            30 * time.Second,
 		MaxStreams:           4096,
-		IdleStreams:          128,
+		MaxIdleStreams:       128,
 		MaxTokens:            16384,
 		MaxFrameTokens:       256,
 		HandOverTimeout:      2 * time.Second,
--- a/internal/streaming/engine_test.go
+++ b/internal/streaming/engine_test.go
@@ -280,7 +280,7 @@
 		Done:    len(s.answer) == int(s.req.MaxTokens),
 	}
 	if s.first {
-		f.Prefilled = uint32(s.prefilled)
+		f.PrefilledTokens = uint32(s.prefilled)
 		s.first = false
 	}
 	return f
--- a/internal/streaming/entry.go
+++ b/internal/streaming/entry.go
@@ -63,8 +63,8 @@
 	req := e.req
 	if replaced != nil {
 		<-replaced.done
-		req.Attempt = replaced.resumable.Attempt
-		req.Served = replaced.resumable.Served
+		req.LastAttempt = replaced.resumable.LastAttempt
+		req.LastInstance = replaced.resumable.LastInstance
 	}
 	if !req.Deadline.IsZero() {
 		deadlineCtx, cancel := context.WithDeadline(ctx, req.Deadline)
@@ -83,7 +83,7 @@
 func (r *run) resumableRequest() Request {
 	req := r.req
 	req.Delivered = r.assembler.Answer()
-	req.Served = r.lastInstance
-	req.Attempt = r.assembler.Attempt()
+	req.LastInstance = r.lastInstance
+	req.LastAttempt = r.assembler.Attempt()
 	return req
 }
--- a/internal/streaming/handover.go
+++ b/internal/streaming/handover.go
@@ -8,36 +8,36 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// Handed is a stream in progress that a leaving gateway hands over to a peer.
-type Handed struct {
-	Key Key
-	Ask Ask
+// HandedStream is a stream in progress that a leaving gateway hands over to a peer.
+type HandedStream struct {
+	Key    Key
+	Params Params
 	// Priority as in Request.
 	Priority int32
 	// Remaining is the time until the deadline; 0 means no deadline.
 	Remaining time.Duration
 	// Delivered are all tokens that any caller may have received.
 	Delivered []string
-	// Attempt is the number of the last attempt that was opened.
-	Attempt uint32
-	// Served is the instance of that attempt.
-	Served ident.Instance
+	// LastAttempt is the number of the last attempt that was opened.
+	LastAttempt uint32
+	// LastInstance is the instance of that attempt.
+	LastInstance ident.Instance
 }
 
 // Peer is another gateway, in another failure domain.
 type Peer interface {
 	// HandOver offers streams to the peer and returns the keys of those that it
 	// has taken over. The others stay at the sender.
-	HandOver(ctx context.Context, streams []Handed) ([]Key, error)
+	HandOver(ctx context.Context, streams []HandedStream) ([]Key, error)
 }
 
 // LeaveReport counts what happened to the streams of a leaving gateway.
 type LeaveReport struct {
 	// HandedOver streams continue at a peer.
 	HandedOver int
-	// Left streams were taken over by no peer. Their callers resume with the
+	// NotHandedOver streams were taken over by no peer. Their callers resume with the
 	// tokens that they have.
-	Left int
+	NotHandedOver int
 }
 
 // The bounds of one hand-over message; bytes as Handed.size estimates them.
@@ -64,7 +64,7 @@
 // Accept takes streams over from a leaving peer and returns their keys. They go
 // on without a caller for Config.Linger, like a stream whose caller has
 // disconnected.
-func (g *Registry) Accept(streams []Handed) []Key {
+func (g *Registry) Accept(streams []HandedStream) []Key {
 	var accepted []Key
 	for _, s := range streams {
 		if g.accept(s) {
@@ -75,7 +75,7 @@
 }
 
 // accept takes one stream over. It reports whether the stream goes on here.
-func (g *Registry) accept(s Handed) bool {
+func (g *Registry) accept(s HandedStream) bool {
 	req := s.request()
 	if req.validate(g.config.MaxTokens) != nil {
 		return false
@@ -83,7 +83,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.entries[req.Key]
-	if g.refusalOf(e, req.Ask) != nil {
+	if g.refusalOf(e, req.Params) != nil {
 		return false
 	}
 	// The caller resumed here before the hand-over arrived. Its stream goes on.
@@ -95,14 +95,14 @@
 }
 
 // request returns the request that continues the stream.
-func (s Handed) request() Request {
+func (s HandedStream) request() Request {
 	req := Request{
-		Key:       s.Key,
-		Ask:       s.Ask,
-		Priority:  s.Priority,
-		Delivered: s.Delivered,
-		Attempt:   s.Attempt,
-		Served:    s.Served,
+		Key:          s.Key,
+		Params:       s.Params,
+		Priority:     s.Priority,
+		Delivered:    s.Delivered,
+		LastAttempt:  s.LastAttempt,
+		LastInstance: s.LastInstance,
 	}
 	if s.Remaining > 0 {
 		req.Deadline = time.Now().Add(s.Remaining)
@@ -114,18 +114,18 @@
 // false if a peer must not continue it, because its deadline has passed or
 // nothing of it has run. In the latter case the caller is told not_run, which
 // would become wrong if a peer ran it afterwards.
-func (e *entry) handedStream() (Handed, bool) {
+func (e *entry) handedStream() (HandedStream, bool) {
 	if e.final.Kind == outcome.NotRun {
-		return Handed{}, false
+		return HandedStream{}, false
 	}
 	req := e.resumable
-	h := Handed{
-		Key:       req.Key,
-		Ask:       req.Ask,
-		Priority:  req.Priority,
-		Delivered: req.Delivered,
-		Attempt:   req.Attempt,
-		Served:    req.Served,
+	h := HandedStream{
+		Key:          req.Key,
+		Params:       req.Params,
+		Priority:     req.Priority,
+		Delivered:    req.Delivered,
+		LastAttempt:  req.LastAttempt,
+		LastInstance: req.LastInstance,
 	}
 	if req.Deadline.IsZero() {
 		return h, true
@@ -217,7 +217,7 @@
 
 // handOver stops the streams and offers them to one peer after another.
 func (g *Registry) handOver(ctx context.Context, peers []Peer) LeaveReport {
-	waiting := make(map[Key]Handed)
+	waiting := make(map[Key]HandedStream)
 	for _, e := range g.stopRuns(ctx) {
 		if h, ok := e.handedStream(); ok {
 			waiting[h.Key] = h
@@ -227,16 +227,16 @@
 	for _, peer := range peers {
 		g.offer(ctx, peer, len(peers), waiting)
 	}
-	report := LeaveReport{HandedOver: offered - len(waiting), Left: len(waiting)}
+	report := LeaveReport{HandedOver: offered - len(waiting), NotHandedOver: len(waiting)}
 	handedOverVar.Add(int64(report.HandedOver))
-	leftVar.Add(int64(report.Left))
+	leftVar.Add(int64(report.NotHandedOver))
 	return report
 }
 
 // offer offers the waiting streams to one of several peers and removes those
 // that it takes over. Each peer gets an equal part of HandOverTimeout, so that
 // one that does not answer leaves time for the others.
-func (g *Registry) offer(ctx context.Context, peer Peer, peers int, waiting map[Key]Handed) {
+func (g *Registry) offer(ctx context.Context, peer Peer, peers int, waiting map[Key]HandedStream) {
 	ctx, cancel := context.WithTimeout(ctx, g.config.HandOverTimeout/time.Duration(peers))
 	defer cancel()
 	for _, batch := range batches(waiting) {
@@ -252,8 +252,8 @@
 
 // batches splits streams into messages of bounded size. A stream that exceeds
 // the bound gets a message of its own.
-func batches(streams map[Key]Handed) [][]Handed {
-	var all [][]Handed
+func batches(streams map[Key]HandedStream) [][]HandedStream {
+	var all [][]HandedStream
 	size := 0
 	for _, s := range streams {
 		last := len(all) - 1
@@ -269,8 +269,8 @@
 }
 
 // size estimates the stream's size in a message, in bytes.
-func (s Handed) size() int {
-	size := len(s.Ask.Prompt)
+func (s HandedStream) size() int {
+	size := len(s.Params.Prompt)
 	for _, token := range s.Delivered {
 		size += len(token)
 	}
--- a/internal/streaming/keep.go
+++ b/internal/streaming/keep.go
@@ -75,7 +75,7 @@
 	g.idle.add(e)
 	period := e.idlePeriods
 	e.timer = time.AfterFunc(wait, func() { g.expire(e, period) })
-	if g.idle.count(e.req.Key.Account) > g.config.IdleStreams {
+	if g.idle.count(e.req.Key.Account) > g.config.MaxIdleStreams {
 		g.evict(g.idle.oldest(e.req.Key.Account))
 	}
 }
--- a/internal/streaming/leave.go
+++ b/internal/streaming/leave.go
@@ -61,7 +61,7 @@
 	h.noticed = true
 	h.timer = time.NewTimer(left)
 	h.leaveDue = h.timer.C
-	remaining := h.attempt.run.req.Ask.MaxTokens - h.attempt.run.assembler.NextIndex()
+	remaining := h.attempt.run.req.Params.MaxTokens - h.attempt.run.assembler.NextIndex()
 	if planLeave(left, remaining, h.attempt.tokenInterval(), config.MinMoveTime) != planMove {
 		return
 	}
--- a/internal/streaming/machine_test.go
+++ b/internal/streaming/machine_test.go
@@ -41,7 +41,7 @@
 	config.Linger = time.Second
 	config.KeepEnded = 2 * time.Second
 	config.MaxStreams = 6
-	config.IdleStreams = 1
+	config.MaxIdleStreams = 1
 	config.MinMoveTime = 200 * time.Millisecond
 	config.LeaveMargin = 50 * time.Millisecond
 	return config
@@ -236,7 +236,7 @@
 	frozen bool
 }
 
-func (p fakePeer) HandOver(ctx context.Context, streams []Handed) ([]Key, error) {
+func (p fakePeer) HandOver(ctx context.Context, streams []HandedStream) ([]Key, error) {
 	if p.frozen {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/streaming/pick.go
+++ b/internal/streaming/pick.go
@@ -71,11 +71,11 @@
 
 func (r *run) pickRequest(cause Cause) PickRequest {
 	return PickRequest{
-		Request: r.req,
-		Cause:   cause,
-		Answer:  r.assembler.Answer(),
-		Served:  r.lastInstance,
-		Exclude: r.excluded.instances(),
+		Request:      r.req,
+		Cause:        cause,
+		Answer:       r.assembler.Answer(),
+		LastInstance: r.lastInstance,
+		Exclude:      r.excluded.instances(),
 	}
 }
 
--- a/internal/streaming/recompute_test.go
+++ b/internal/streaming/recompute_test.go
@@ -119,7 +119,7 @@
 				p := newEnginePair()
 				defer p.close()
 				caller := newCaller("weber", "r-1", answerTokens)
-				caller.req.Ask.Prompt = strings.Repeat("lot.", promptTokens)
+				caller.req.Params.Prompt = strings.Repeat("lot.", promptTokens)
 				caller.unchecked = true
 				began := time.Now()
 				time.AfterFunc(faultAfter, func() { c.fault(p) })
@@ -127,7 +127,7 @@
 					time.AfterFunc(faultAfter, func() { p.handOver(t) })
 				}
 				p.serve(t, caller)
-				if !slices.Equal(caller.tokens, standin.Tokens(caller.req.Ask.Prompt, answerTokens)) {
+				if !slices.Equal(caller.tokens, standin.Tokens(caller.req.Params.Prompt, answerTokens)) {
 					t.Error("the answer is not the one asked for")
 				}
 				attempts, recomputed, imported := p.recomputed()
@@ -161,7 +161,7 @@
 	slices.Reverse(p.picker.engines)
 	p.registry = p.gateway()
 	report := old.Leave(t.Context(), time.Millisecond, []Peer{fakePeer{to: p.registry}})
-	if report.HandedOver != 1 || report.Left != 0 {
+	if report.HandedOver != 1 || report.NotHandedOver != 0 {
 		t.Errorf("hand-over: %+v; want one stream handed over", report)
 	}
 }
--- a/internal/streaming/registry.go
+++ b/internal/streaming/registry.go
@@ -37,8 +37,8 @@
 // ResumeRequest is a request for the rest of a token stream.
 type ResumeRequest struct {
 	Key Key
-	// Next is the index of the first token that the caller does not have.
-	Next uint32
+	// NextIndex is the index of the first token that the caller does not have.
+	NextIndex uint32
 	// Original is the request as it was first sent, without Delivered; nil if
 	// the caller left it out.
 	Original *Request
@@ -82,7 +82,7 @@
 	if refused != nil {
 		return *refused, nil
 	}
-	return g.follow(ctx, e, resume.Next, sink), nil
+	return g.follow(ctx, e, resume.NextIndex, sink), nil
 }
 
 // Holds reports whether the gateway keeps the stream. Resuming one that it does
@@ -141,7 +141,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := g.entries[req.Key]
-	if refused := g.refusalOf(e, req.Ask); refused != nil {
+	if refused := g.refusalOf(e, req.Params); refused != nil {
 		return nil, refused
 	}
 	switch {
@@ -167,7 +167,7 @@
 		return nil, nil, notFound()
 	}
 	req := resume.request(e)
-	if refused := g.refusalOf(e, req.Ask); refused != nil {
+	if refused := g.refusalOf(e, req.Params); refused != nil {
 		return nil, refused, nil
 	}
 	e, err := g.continueFrom(ctx, e, req, resume)
@@ -182,7 +182,7 @@
 // has. e is the entry with the request's key, or nil.
 func (g *Registry) continueFrom(ctx context.Context, e *entry, req Request, resume ResumeRequest) (*entry, error) {
 	allDelivered := resume.hasAllDelivered()
-	if !allDelivered && (e == nil || int(resume.Next) > len(e.tokens())) {
+	if !allDelivered && (e == nil || int(resume.NextIndex) > len(e.tokens())) {
 		return nil, notFound()
 	}
 	if e == nil {
@@ -210,10 +210,10 @@
 // refusalOf returns the outcome of a request that cannot be served here, or
 // nil. e is the entry with the request's key, or nil. It may evict an idle
 // stream to make room for a new one.
-func (g *Registry) refusalOf(e *entry, ask Ask) *outcome.Outcome {
+func (g *Registry) refusalOf(e *entry, ask Params) *outcome.Outcome {
 	var refused outcome.Outcome
 	switch {
-	case e != nil && e.req.Ask != ask:
+	case e != nil && e.req.Params != ask:
 		refused = outcome.NewNotRun(outcome.ReasonKeyReused, "the request ID belongs to a different request", 0)
 	case g.leaving && e != nil:
 		refused = leavingOutcome()
@@ -233,8 +233,8 @@
 
 // validate returns an InvalidArgument error, or nil.
 func (r ResumeRequest) validate(maxTokens uint32) error {
-	if r.Delivered != nil && len(r.Delivered) != int(r.Next) {
-		return errcode.Errorf(errcode.InvalidArgument, "next_index is %d and delivered has %d tokens", r.Next, len(r.Delivered))
+	if r.Delivered != nil && len(r.Delivered) != int(r.NextIndex) {
+		return errcode.Errorf(errcode.InvalidArgument, "next_index is %d and delivered has %d tokens", r.NextIndex, len(r.Delivered))
 	}
 	if r.Original == nil {
 		return nil
@@ -249,7 +249,7 @@
 
 // hasAllDelivered reports whether the request contains every token that the
 // caller has.
-func (r ResumeRequest) hasAllDelivered() bool { return len(r.Delivered) == int(r.Next) }
+func (r ResumeRequest) hasAllDelivered() bool { return len(r.Delivered) == int(r.NextIndex) }
 
 // request returns the request to serve: the caller's copy if there is one, or
 // else the entry's.
--- a/internal/streaming/registry_test.go
+++ b/internal/streaming/registry_test.go
@@ -79,7 +79,7 @@
 			caller := newCaller("weber", "r-1", length)
 			leaveAfter(t, caller, gw.registry, time.Second)
 			tooMany := make([]string, length+1)
-			_, err := gw.registry.Resume(t.Context(), ResumeRequest{Key: caller.req.Key, Next: length + 1, Delivered: tooMany}, nil)
+			_, err := gw.registry.Resume(t.Context(), ResumeRequest{Key: caller.req.Key, NextIndex: length + 1, Delivered: tooMany}, nil)
 			if errcode.Of(err) != errcode.InvalidArgument {
 				t.Errorf("error %v; want invalid argument", err)
 			}
@@ -197,8 +197,8 @@
 			for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8", "9"} {
 				leaveAfter(t, newCaller("kofler", id, length), gw.registry, 10*time.Millisecond)
 			}
-			if idle := gw.registry.Stats().Idle; idle != gw.registry.config.IdleStreams+1 {
-				t.Errorf("%d idle streams; want %d of one account and 1 of the other", idle, gw.registry.config.IdleStreams)
+			if idle := gw.registry.Stats().Idle; idle != gw.registry.config.MaxIdleStreams+1 {
+				t.Errorf("%d idle streams; want %d of one account and 1 of the other", idle, gw.registry.config.MaxIdleStreams)
 			}
 			serve(t, caller, gw.registry, caller.resumeByID)
 		}},
@@ -240,7 +240,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				config := DefaultConfig()
 				config.MaxStreams = 6
-				config.IdleStreams = 3
+				config.MaxIdleStreams = 3
 				gw := newTestGateway(config)
 				defer gw.registry.Close()
 				c.run(t, gw)
--- a/internal/streaming/request.go
+++ b/internal/streaming/request.go
@@ -26,9 +26,9 @@
 // the same engine would otherwise share one exported KV cache.
 func (k Key) engineID() ident.Request { return ident.Request(k.String()) }
 
-// Ask holds the parameters of a request that determine its answer. Two requests
+// Params holds the parameters of a request that determine its answer. Two requests
 // with the same Key and a different Ask are different requests.
-type Ask struct {
+type Params struct {
 	Service ident.Service
 	Class   ident.Class
 	Prompt  string
@@ -38,8 +38,8 @@
 
 // Request is a request for one token stream.
 type Request struct {
-	Key Key
-	Ask Ask
+	Key    Key
+	Params Params
 	// Priority orders requests: a higher one is served first.
 	Priority int32
 	// Deadline is the time after which the answer is of no use; zero means
@@ -47,12 +47,12 @@
 	Deadline time.Time
 	// Delivered are the tokens that the caller already has.
 	Delivered []string
-	// Attempt is the number of the last attempt that was opened, here or at
+	// LastAttempt is the number of the last attempt that was opened, here or at
 	// another gateway; 0 if there was none.
-	Attempt uint32
-	// Served is the instance of that attempt, which may have the prefix in its
+	LastAttempt uint32
+	// LastInstance is the instance of that attempt, which may have the prefix in its
 	// cache; empty if unknown.
-	Served ident.Instance
+	LastInstance ident.Instance
 }
 
 // validate returns an InvalidArgument error, or nil.
@@ -62,10 +62,10 @@
 		return errcode.New(errcode.InvalidArgument, "request_id is empty")
 	case r.Key.Account == "":
 		return errcode.New(errcode.InvalidArgument, "client account is empty")
-	case r.Ask.MaxTokens == 0 || r.Ask.MaxTokens > maxTokens:
-		return errcode.Errorf(errcode.InvalidArgument, "max_tokens is %d; want 1 to %d", r.Ask.MaxTokens, maxTokens)
-	case uint32(len(r.Delivered)) > r.Ask.MaxTokens:
-		return errcode.Errorf(errcode.InvalidArgument, "%d tokens delivered of an answer of %d", len(r.Delivered), r.Ask.MaxTokens)
+	case r.Params.MaxTokens == 0 || r.Params.MaxTokens > maxTokens:
+		return errcode.Errorf(errcode.InvalidArgument, "max_tokens is %d; want 1 to %d", r.Params.MaxTokens, maxTokens)
+	case uint32(len(r.Delivered)) > r.Params.MaxTokens:
+		return errcode.Errorf(errcode.InvalidArgument, "%d tokens delivered of an answer of %d", len(r.Delivered), r.Params.MaxTokens)
 	}
 	return nil
 }
--- a/internal/streaming/runner.go
+++ b/internal/streaming/runner.go
@@ -52,7 +52,7 @@
 
 func newRun(r *Runner, req Request, answer *answer) *run {
 	cause := CauseFirst
-	mayHaveRun := len(req.Delivered) > 0 || req.Attempt > 0
+	mayHaveRun := len(req.Delivered) > 0 || req.LastAttempt > 0
 	if mayHaveRun {
 		cause = CauseResumed
 	}
@@ -60,9 +60,9 @@
 		runner:       r,
 		req:          req,
 		answer:       answer,
-		assembler:    NewAssembler(req.Delivered, req.Ask.MaxTokens, req.Attempt),
+		assembler:    NewAssembler(req.Delivered, req.Params.MaxTokens, req.LastAttempt),
 		cause:        cause,
-		lastInstance: req.Served,
+		lastInstance: req.LastInstance,
 		mayHaveRun:   mayHaveRun,
 	}
 }
--- a/internal/streaming/runner_test.go
+++ b/internal/streaming/runner_test.go
@@ -109,7 +109,7 @@
 // told nothing until its deadline. The request cannot be served, as the case
 // names. This comes about if the outcome depends on the last attempt alone, or
 // if a request that cannot succeed is not given up.
-func TestGivenUpRequestHearsTheTruthAtOnce(t *testing.T) {
+func TestGivenUpRequestGetsTheRightOutcomeAtOnce(t *testing.T) {
 	refusal := &Refusal{Reason: outcome.ReasonOverloaded, Message: "full", RetryAfter: 3 * time.Second}
 	cases := []struct {
 		story  string
--- a/internal/streaming/sockets_test.go
+++ b/internal/streaming/sockets_test.go
@@ -154,8 +154,8 @@
 	registry := streaming.NewRegistry(config, streaming.NewRunner(config, picker, nil, seen))
 	defer registry.Close()
 	req := streaming.Request{
-		Key: streaming.Key{Account: "weber", Request: "r-1"},
-		Ask: streaming.Ask{Service: "spool-llm", Prompt: strings.Repeat("lot.", 3000), MaxTokens: tokens},
+		Key:    streaming.Key{Account: "weber", Request: "r-1"},
+		Params: streaming.Params{Service: "spool-llm", Prompt: strings.Repeat("lot.", 3000), MaxTokens: tokens},
 	}
 	sink := &callbackSink{at: tokens / 20, then: func() {
 		if _, err := client.Report(t.Context()); err != nil {
@@ -167,14 +167,14 @@
 	if err != nil || got.Kind != outcome.Completed {
 		t.Fatalf("outcome %v, error %v; want completed", got, err)
 	}
-	if !slices.Equal(sink.tokens, answer.Tokens(req.Ask.Prompt, tokens)) {
+	if !slices.Equal(sink.tokens, answer.Tokens(req.Params.Prompt, tokens)) {
 		t.Errorf("%d tokens, not the answer", len(sink.tokens))
 	}
 	if len(*seen) != 2 || (*seen)[1].Cause != streaming.CauseSilent {
 		t.Fatalf("attempts %+v; want a first and one after the silence", *seen)
 	}
 	t.Logf("connection silent, upstream alive: %d tokens delivered before, %d recomputed", (*seen)[0].Tokens, (*seen)[1].Recomputed)
-	if whole := prompt.Tokens(req.Ask.Prompt) + (*seen)[0].Tokens; (*seen)[1].Recomputed >= whole {
+	if whole := prompt.Tokens(req.Params.Prompt) + (*seen)[0].Tokens; (*seen)[1].Recomputed >= whole {
 		t.Errorf("recomputed all %d tokens; the prompt is cached here", whole)
 	}
 }
--- a/internal/streaming/target.go
+++ b/internal/streaming/target.go
@@ -41,9 +41,9 @@
 	// Answer holds the tokens so far. The next attempt's prompt is Ask.Prompt
 	// followed by them.
 	Answer []string
-	// Served is the instance of the last attempt, which may have the prefix in
+	// LastInstance is the instance of the last attempt, which may have the prefix in
 	// its cache; empty if there was none.
-	Served ident.Instance
+	LastInstance ident.Instance
 	// Exclude lists the instances that must not be chosen.
 	Exclude []ident.Instance
 }
@@ -75,9 +75,9 @@
 	// Notice receives one value when the instance is to be reclaimed. It is nil
 	// if no notices are available, and shared with no other target.
 	Notice <-chan Notice
-	// FirstToken is called when the first token has been received; it may be
+	// OnFirstToken is called when the first token has been received; it may be
 	// nil.
-	FirstToken func()
+	OnFirstToken func()
 	// Release is called once when the attempt has ended; it may be nil.
 	Release func(Result)
 }
@@ -91,8 +91,8 @@
 
 // notifyFirstToken reports to the picker that the prompt has been computed.
 func (t Target) notifyFirstToken() {
-	if t.FirstToken != nil {
-		t.FirstToken()
+	if t.OnFirstToken != nil {
+		t.OnFirstToken()
 	}
 }
 
@@ -105,9 +105,9 @@
 
 // Result describes how an attempt ended.
 type Result struct {
-	// Next is the cause of the attempt that follows, or "" if the answer is
+	// NextCause is the cause of the attempt that follows, or "" if the answer is
 	// complete or the run was stopped.
-	Next Cause
+	NextCause Cause
 	// Unused: no attempt was opened, because the stream for which the target
 	// was picked ended first.
 	Unused bool
--- a/internal/telemetry/asyncwriter.go
+++ b/internal/telemetry/asyncwriter.go
@@ -10,11 +10,11 @@
 // requests are some 200 KiB a second.
 const maxPendingBytes = 512 << 10
 
-// Ring is an io.Writer for log lines that never blocks. It buffers up to
+// AsyncWriter is an io.Writer for log lines that never blocks. It buffers up to
 // maxPendingBytes, and one goroutine writes them to the output. While the output is
 // stuck and the buffer is full, lines are dropped and counted. It is safe for
 // concurrent use.
-type Ring struct {
+type AsyncWriter struct {
 	output   io.Writer
 	dropped  atomic.Int64
 	accepted atomic.Int64
@@ -26,9 +26,9 @@
 	writing bool
 }
 
-// NewRing returns a writer of log lines to output. Its goroutine never ends.
-func NewRing(output io.Writer) *Ring {
-	w := &Ring{output: output, wake: make(chan struct{}, 1)}
+// NewAsyncWriter returns a writer of log lines to output. Its goroutine never ends.
+func NewAsyncWriter(output io.Writer) *AsyncWriter {
+	w := &AsyncWriter{output: output, wake: make(chan struct{}, 1)}
 	w.idle = sync.NewCond(&w.mu)
 	go w.run()
 	return w
@@ -36,7 +36,7 @@
 
 // Write implements io.Writer. Each call must hold one whole line. It never returns an
 // error, not even for a line that is dropped.
-func (w *Ring) Write(line []byte) (int, error) {
+func (w *AsyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	if len(w.pending)+len(line) > maxPendingBytes {
 		w.mu.Unlock()
@@ -53,7 +53,7 @@
 	return len(line), nil
 }
 
-func (w *Ring) run() {
+func (w *AsyncWriter) run() {
 	var buffer []byte
 	for range w.wake {
 		w.mu.Lock()
@@ -71,7 +71,7 @@
 
 // Flush waits until all buffered lines are written. It never returns while the output
 // is stuck, so call it only where the process ends anyway.
-func (w *Ring) Flush() {
+func (w *AsyncWriter) Flush() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for len(w.pending) > 0 || w.writing {
@@ -80,4 +80,4 @@
 }
 
 // Counts returns how many lines were accepted and how many were dropped.
-func (w *Ring) Counts() (accepted, dropped int64) { return w.accepted.Load(), w.dropped.Load() }
+func (w *AsyncWriter) Counts() (accepted, dropped int64) { return w.accepted.Load(), w.dropped.Load() }
--- a/internal/telemetry/asyncwriter_test.go
+++ b/internal/telemetry/asyncwriter_test.go
@@ -25,7 +25,7 @@
 // blocks. Lines beyond the buffer are dropped and counted instead.
 func TestAStuckOutputBlocksNobodyAndLosesCountedLines(t *testing.T) {
 	out := &stuckWriter{free: make(chan struct{})}
-	w := NewRing(out)
+	w := NewAsyncWriter(out)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 3 * maxPendingBytes / 1024
 	for range lines {
--- a/internal/testkit/measure.go
+++ b/internal/testkit/measure.go
@@ -10,7 +10,7 @@
 // ProcessorTime returns the processor time that this process has used so far.
 func ProcessorTime(t testing.TB) time.Duration {
 	t.Helper()
-	used, err := procstat.Processor()
+	used, err := procstat.ProcessorTime()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/timeline.go
+++ b/internal/testkit/timeline.go
@@ -43,8 +43,8 @@
 	heap.Push(&t.events, timedEvent{at: t.now + after, order: t.added, run: run})
 }
 
-// Play runs all events up to a virtual time, and sets the virtual time to it.
-func (t *Timeline) Play(until time.Duration) {
+// RunUntil runs all events up to a virtual time, and sets the virtual time to it.
+func (t *Timeline) RunUntil(until time.Duration) {
 	for len(t.events) > 0 && t.events[0].at <= until {
 		e := heap.Pop(&t.events).(timedEvent)
 		t.now = e.at
--- a/internal/transport/errors.go
+++ b/internal/transport/errors.go
@@ -54,8 +54,8 @@
 // ConnectCode returns Connect's code for a canonical code.
 func ConnectCode(code errcode.Code) connect.Code { return connectCodes[code] }
 
-// Code returns the canonical code of an error that a Connect client returned.
-func Code(err error) errcode.Code {
+// CodeOf returns the canonical code of an error that a Connect client returned.
+func CodeOf(err error) errcode.Code {
 	got := connect.CodeOf(err)
 	for canonical, code := range connectCodes {
 		if code == got {
--- a/internal/upstream/connectupstream/bench_test.go
+++ b/internal/upstream/connectupstream/bench_test.go
@@ -62,7 +62,7 @@
 		b.Fatal(err)
 	}
 	server := transport.NewServer(handler)
-	server.TLSConfig = shown.Server("http/1.1")
+	server.TLSConfig = shown.ServerConfig("http/1.1")
 	go func() { _ = server.ServeTLS(listener, "", "") }()
 	b.Cleanup(func() { _ = server.Close() })
 	return "https://" + listener.Addr().String()
--- a/internal/upstream/connectupstream/convert.go
+++ b/internal/upstream/connectupstream/convert.go
@@ -10,12 +10,12 @@
 
 func frameFromProto(p *upstreamv1.GenerateResponse) upstream.Frame {
 	return upstream.Frame{
-		Attempt:   p.GetAttempt(),
-		Index:     p.GetIndex(),
-		Tokens:    p.GetTokens(),
-		Done:      p.GetDone(),
-		Prefilled: p.GetPrefilled(),
-		Heartbeat: p.GetHeartbeat(),
+		Attempt:         p.GetAttempt(),
+		Index:           p.GetIndex(),
+		Tokens:          p.GetTokens(),
+		Done:            p.GetDone(),
+		PrefilledTokens: p.GetPrefilled(),
+		Heartbeat:       p.GetHeartbeat(),
 	}
 }
 
@@ -25,7 +25,7 @@
 		Index:     f.Index,
 		Tokens:    f.Tokens,
 		Done:      f.Done,
-		Prefilled: f.Prefilled,
+		Prefilled: f.PrefilledTokens,
 		Heartbeat: f.Heartbeat,
 	}
 }
--- a/internal/upstream/connectupstream/engine_test.go
+++ b/internal/upstream/connectupstream/engine_test.go
@@ -71,7 +71,7 @@
 			t.Errorf("frame at index %d after %d tokens", frame.Index, next+len(got.tokens))
 		}
 		got.tokens = append(got.tokens, frame.Tokens...)
-		got.prefilled += frame.Prefilled
+		got.prefilled += frame.PrefilledTokens
 	}
 }
 
@@ -105,7 +105,7 @@
 	onEachEngine(t, func(t *testing.T, fake *engine.Engine, subject upstream.Engine) {
 		fake.Leave()
 		_, err := subject.Generate(t.Context(), upstream.GenerateRequest{Request: "r-1", Prompt: promptText, MaxTokens: 1})
-		if !errors.Is(err, upstream.ErrLeaving) || upstream.Ran(err) {
+		if !errors.Is(err, upstream.ErrLeaving) || upstream.MayHaveRun(err) {
 			t.Errorf("got %v, want ErrLeaving", err)
 		}
 		report, err := subject.Report(t.Context())
@@ -132,7 +132,7 @@
 		}
 		go fake.Close()
 		got := collect(t, stream, 1, 0)
-		if errors.Is(got.err, io.EOF) || !upstream.Ran(got.err) {
+		if errors.Is(got.err, io.EOF) || !upstream.MayHaveRun(got.err) {
 			t.Errorf("got %v; the request did run and its answer is not whole", got.err)
 		}
 	})
@@ -141,7 +141,7 @@
 // When a stream is closed or its context ends while another goroutine waits for the
 // next frame, the cancellation must reach the engine. Otherwise the engine goes on
 // computing for callers who left.
-func TestEngineHearsOfCancel(t *testing.T) {
+func TestCancellationReachesTheEngine(t *testing.T) {
 	cancels := map[string]func(upstream.TokenStream, context.CancelFunc){
 		"stream closed": func(s upstream.TokenStream, _ context.CancelFunc) { _ = s.Close() },
 		"context ended": func(_ upstream.TokenStream, cancel context.CancelFunc) { cancel() },
@@ -193,7 +193,7 @@
 			t.Fatal(err)
 		}
 		late := upstream.Order{Fence: 6, Model: "spool", Version: "1"}
-		if err := subject.Apply(t.Context(), late); !errors.Is(err, upstream.ErrOldFence) || upstream.Ran(err) {
+		if err := subject.Apply(t.Context(), late); !errors.Is(err, upstream.ErrOldFence) || upstream.MayHaveRun(err) {
 			t.Errorf("got %v, want ErrOldFence", err)
 		}
 		report, err := subject.Report(t.Context())
--- a/internal/upstream/connectupstream/errors.go
+++ b/internal/upstream/connectupstream/errors.go
@@ -64,9 +64,9 @@
 }
 
 func wrapKind(kind, err error, operation string) error {
-	return errcode.Wrap(transport.Code(err), fmt.Errorf("%w: %w", kind, err), operation)
+	return errcode.Wrap(transport.CodeOf(err), fmt.Errorf("%w: %w", kind, err), operation)
 }
 
 func wrapUncertain(err error, operation string) error {
-	return errcode.Wrap(transport.Code(err), err, operation)
+	return errcode.Wrap(transport.CodeOf(err), err, operation)
 }
--- a/internal/upstream/connectupstream/plain_test.go
+++ b/internal/upstream/connectupstream/plain_test.go
@@ -70,7 +70,7 @@
 				if err == nil || (c.want != nil && !errors.Is(err, c.want)) {
 					t.Errorf("got %v, want %v", err, c.want)
 				}
-				if upstream.Ran(err) != c.ran {
+				if upstream.MayHaveRun(err) != c.ran {
 					t.Errorf("Ran(%v) = %v", err, !c.ran)
 				}
 				if got := fake.Effects(callKey); got != c.effects {
@@ -117,7 +117,7 @@
 		}()
 		awaitRunning(t, subject)
 		cancel()
-		if err := <-failed; !upstream.Ran(err) || !errors.Is(err, context.Canceled) {
+		if err := <-failed; !upstream.MayHaveRun(err) || !errors.Is(err, context.Canceled) {
 			t.Errorf("got %v; the call may have run", err)
 		}
 		if err := fake.Drain(t.Context()); err != nil {
--- a/internal/upstream/connectupstream/repeat_test.go
+++ b/internal/upstream/connectupstream/repeat_test.go
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, testTimeout)
 	defer cancel()
 	_, err := p.Invoke(ctx, upstream.InvokeRequest{Method: "bid", Key: "k", Payload: []byte("lot 17")})
-	if err == nil || !upstream.Ran(err) {
+	if err == nil || !upstream.MayHaveRun(err) {
 		t.Errorf("got %v; the call may have run", err)
 	}
 }
@@ -179,7 +179,7 @@
 			}
 			p := pooledPlain(t, baseURL, transport.Options{})
 			_, err := p.Invoke(t.Context(), upstream.InvokeRequest{Method: "bid", Payload: []byte("lot 17")})
-			if err == nil || upstream.Ran(err) != c.ran {
+			if err == nil || upstream.MayHaveRun(err) != c.ran {
 				t.Errorf("got %v, want Ran %v", err, c.ran)
 			}
 		})
--- a/internal/upstream/connectupstream/silence_test.go
+++ b/internal/upstream/connectupstream/silence_test.go
@@ -82,7 +82,7 @@
 				silence()
 			}
 			_, err := subject.Invoke(ctx, c.call)
-			if (err != nil && upstream.Ran(err)) != c.ran {
+			if (err != nil && upstream.MayHaveRun(err)) != c.ran {
 				t.Errorf("got %v; want that the call may have run: %v", err, c.ran)
 			}
 			if err := fake.Drain(t.Context()); err != nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -36,8 +36,8 @@
 // Is makes every refusal match ErrRefused.
 func (r *refusal) Is(target error) bool { return target == ErrRefused }
 
-// Ran reports whether a request that failed with err may have run.
-func Ran(err error) bool {
+// MayHaveRun reports whether a request that failed with err may have run.
+func MayHaveRun(err error) bool {
 	return !errors.Is(err, ErrNotSent) && !errors.Is(err, ErrRefused)
 }
 
@@ -63,9 +63,9 @@
 	Tokens []string
 	// Done is set on the last frame.
 	Done bool
-	// Prefilled is how many tokens this attempt had to prefill; it is set
+	// PrefilledTokens is how many tokens this attempt had to prefill; it is set
 	// on the first frame.
-	Prefilled uint32
+	PrefilledTokens uint32
 	// Heartbeat marks an empty frame which shows that the connection works.
 	Heartbeat bool
 }
--- a/internal/upstreamlimit/exchange.go
+++ b/internal/upstreamlimit/exchange.go
@@ -18,8 +18,8 @@
 	minAnnouncedUse = 1.0 / 32
 )
 
-// Said is an announcement between gateways: what an upstream's answers state about its limit.
-type Said struct {
+// Announcement is an announcement between gateways: what an upstream's answers state about its limit.
+type Announcement struct {
 	// Upstream is the Config.Key of the upstream's ID, which differs after each restart.
 	Upstream uint32
 	Limited  bool
@@ -31,7 +31,7 @@
 
 // Use counts, for one or more gateways, how often an upstream was the best choice for a request
 // (Asked) and how often it was sent one (Sent). Both counts decay over seconds.
-type Use struct{ Asked, Sent float64 }
+type Use struct{ Demand, Sent float64 }
 
 // Uses are the uses of several upstreams, by their keys.
 type Uses map[uint32]Use
@@ -39,14 +39,14 @@
 // Add adds other uses.
 func (u Uses) Add(o Uses) {
 	for key, use := range o {
-		u[key] = Use{u[key].Asked + use.Asked, u[key].Sent + use.Sent}
+		u[key] = Use{u[key].Demand + use.Demand, u[key].Sent + use.Sent}
 	}
 }
 
 // Subtract subtracts uses that were added before.
 func (u Uses) Subtract(o Uses) {
 	for key, use := range o {
-		left := Use{max(0, u[key].Asked-use.Asked), max(0, u[key].Sent-use.Sent)}
+		left := Use{max(0, u[key].Demand-use.Demand), max(0, u[key].Sent-use.Sent)}
 		if left == (Use{}) {
 			delete(u, key)
 			continue
@@ -55,9 +55,9 @@
 	}
 }
 
-// Say returns the announcements for the other gateways: the limits that changed lately, and some of
+// Announcements returns the announcements for the other gateways: the limits that changed lately, and some of
 // the others in turn.
-func (k *Keeper) Say() []Said {
+func (k *Limiter) Announcements() []Announcement {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.limits) == 0 {
@@ -74,10 +74,10 @@
 	}
 	turn := int(now.UnixNano() / int64(k.cfg.Round))
 	selected := append(selectInTurn(changed, maxAnnouncedChanges, turn), selectInTurn(others, maxAnnouncedOthers, turn)...)
-	out := make([]Said, len(selected))
+	out := make([]Announcement, len(selected))
 	for i, key := range selected {
 		l := k.limits[key]
-		out[i] = Said{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.statedAt)}
+		out[i] = Announcement{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.statedAt)}
 	}
 	return out
 }
@@ -96,8 +96,8 @@
 	return out
 }
 
-// Learn merges another gateway's announcements, whose ages are as of the given time.
-func (k *Keeper) Learn(announced []Said, asOf time.Time) {
+// MergeAnnouncements merges another gateway's announcements, whose ages are as of the given time.
+func (k *Limiter) MergeAnnouncements(announced []Announcement, asOf time.Time) {
 	if len(announced) == 0 {
 		return
 	}
@@ -111,7 +111,7 @@
 // merge merges what an answer stated at the given time, unless a newer statement is known. A lifted
 // limit is remembered even if the limit was unknown, because an older announcement of the limit may
 // still arrive.
-func (k *Keeper) merge(s Said, at, now time.Time) {
+func (k *Limiter) merge(s Announcement, at, now time.Time) {
 	l := k.limits[s.Upstream]
 	switch {
 	case l == nil && len(k.limits) >= maxLimits:
@@ -127,7 +127,7 @@
 }
 
 // Uses returns this gateway's own uses of the limited upstreams.
-func (k *Keeper) Uses() Uses {
+func (k *Limiter) Uses() Uses {
 	if !k.anyLimited.Load() {
 		return nil
 	}
@@ -141,20 +141,20 @@
 		}
 		l.decay(now)
 		if l.demand >= minAnnouncedUse || l.sent >= minAnnouncedUse {
-			out[key] = Use{Asked: l.demand, Sent: l.sent}
+			out[key] = Use{Demand: l.demand, Sent: l.sent}
 		}
 	}
 	return out
 }
 
 // Refresh sets what the other gateways use and how many gateways there are.
-func (k *Keeper) Refresh(others Uses, fleet Fleet) {
+func (k *Limiter) Refresh(others Uses, fleet Fleet) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.fleet = fleet
 	for key, l := range k.limits {
 		u := others[key]
-		l.othersDemand, l.othersSent = u.Asked, u.Sent
+		l.othersDemand, l.othersSent = u.Demand, u.Sent
 		if l.limited {
 			l.seedSent(fleet)
 			l.decay(k.cfg.Now())
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -48,8 +48,8 @@
 	return func(at time.Duration) (float64, bool) { return rate, at >= from && at < to }
 }
 
-// scenario is a fleet and what happens to it.
-type scenario struct {
+// story is a fleet and what happens to it.
+type story struct {
 	name              string
 	gateways, domains int
 	upstreams         int
@@ -80,14 +80,14 @@
 	share shareFunc
 }
 
-func (s scenario) with(change func(*scenario)) scenario {
+func (s story) with(change func(*story)) story {
 	change(&s)
 	return s
 }
 
 type gateway struct {
 	i, domain int
-	limiter   *Keeper
+	limiter   *Limiter
 	up        bool
 	startedAt time.Duration
 	// reports are the other gateways' uses, by gateway, if they arrive directly or this gateway is
@@ -152,7 +152,7 @@
 
 type fleet struct {
 	testkit.Timeline
-	scenario  scenario
+	scenario  story
 	rng       *rand.Rand
 	gateways  []*gateway
 	upstreams []*upstream
@@ -167,7 +167,7 @@
 
 func key(id ident.Instance) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
-func play(s scenario, seed uint64) result {
+func play(s story, seed uint64) result {
 	f := &fleet{scenario: s, rng: rand.New(rand.NewPCG(seed, 11)), cutOff: -1}
 	for i := range s.gateways + s.joins {
 		g := &gateway{i: i, domain: i % s.domains}
@@ -184,7 +184,7 @@
 		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, schedule: s.limits[i], named: -1, lifted: -1})
 	}
 	f.schedule()
-	f.Play(playTime)
+	f.RunUntil(playTime)
 	for _, u := range f.upstreams {
 		f.evaluate(u)
 	}
@@ -233,7 +233,7 @@
 	g.up, g.startedAt = true, f.Now()
 	g.reports, g.sums, g.collected = make(map[int]report), make(map[int]domainReport), domainReport{}
 	g.fleet = Fleet{Heard: 1, Known: f.scenario.gateways}
-	g.limiter = NewKeeper(Config{Now: f.clock, Log: hclog.NewNullLogger(), Key: key, Round: round, Seed: f.rng.Uint64()})
+	g.limiter = NewLimiter(Config{Now: f.clock, Log: hclog.NewNullLogger(), Key: key, Round: round, Seed: f.rng.Uint64()})
 	if f.scenario.share != nil {
 		g.limiter.shareOf = f.scenario.share
 	}
@@ -255,7 +255,7 @@
 	f.In(renewal, f.saveLimits)
 	for _, g := range f.gateways {
 		if g.up && f.cutOff != g.domain {
-			f.saved = g.limiter.Keep()
+			f.saved = g.limiter.Snapshot()
 			return
 		}
 	}
@@ -300,13 +300,13 @@
 
 // announceLimits delivers one gateway's announcements to another and then calls then.
 func (f *fleet) announceLimits(from, to *gateway, then func()) {
-	announced := from.limiter.Say()
+	announced := from.limiter.Announcements()
 	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(announced))
 	at := f.Now()
 	limiter := to.limiter
 	f.In(messageDelay+time.Duration(f.rng.Int64N(int64(messageDelay))), func() {
 		if to.up && to.limiter == limiter {
-			to.limiter.Learn(announced, epoch.Add(at))
+			to.limiter.MergeAnnouncements(announced, epoch.Add(at))
 			then()
 		}
 	})
@@ -396,7 +396,7 @@
 	g.limiter.Refresh(others, fleet)
 	if f.Now() >= g.nextListAt {
 		g.nextListAt = f.Now() + time.Second
-		g.limiter.Listed(func(note func(ident.Instance)) {
+		g.limiter.UpdateListed(func(note func(ident.Instance)) {
 			for _, u := range f.upstreams {
 				note(u.id())
 			}
@@ -483,7 +483,7 @@
 			continue
 		}
 		room = room || !g.limiter.Limited(u.id())
-		if g.limiter.Take(u.id()) {
+		if g.limiter.Admit(u.id()) {
 			f.sendRequest(g, u)
 			return
 		}
@@ -517,7 +517,7 @@
 		s := Statement{}
 		if u.schedule != nil {
 			if rate, limited := u.schedule(f.Now()); limited {
-				s = RateOf(rate)
+				s = LimitedTo(rate)
 				if u.named < 0 {
 					u.named = f.Now()
 				}
@@ -526,7 +526,7 @@
 				u.lifted = f.Now()
 			}
 		}
-		g.limiter.Hear(id, "", s)
+		g.limiter.RecordStatement(id, "", s)
 	})
 }
 
--- a/internal/upstreamlimit/limiter.go
+++ b/internal/upstreamlimit/limiter.go
@@ -38,9 +38,9 @@
 	Seed uint64
 }
 
-// Keeper holds the limits that upstreams stated, and decides which requests this gateway sends so
+// Limiter holds the limits that upstreams stated, and decides which requests this gateway sends so
 // that all gateways together keep to them. It is safe for concurrent use.
-type Keeper struct {
+type Limiter struct {
 	cfg Config
 	// version increases when the set of limited upstreams changes. anyLimited is set if there are
 	// any.
@@ -53,8 +53,8 @@
 	// fleet is as of the last Refresh.
 	fleet Fleet
 	rng   *rand.Rand
-	// order is computed on demand. Its Set is 0 until then.
-	order Order
+	// limitedSet is computed on demand. Its Set is 0 until then.
+	limitedSet LimitedSet
 	// shareOf divides a rate between the gateways.
 	shareOf  shareFunc
 	counters Counters
@@ -102,16 +102,16 @@
 	Sent, PassedOver int
 }
 
-// NewKeeper returns a limiter that knows no limits.
-func NewKeeper(cfg Config) *Keeper {
-	return &Keeper{
+// NewLimiter returns a limiter that knows no limits.
+func NewLimiter(cfg Config) *Limiter {
+	return &Limiter{
 		cfg: cfg, limits: make(map[uint32]*limit), fleet: Fleet{Heard: 1, Known: 1},
 		rng: rand.New(rand.NewPCG(cfg.Seed, 0)), shareOf: demandShare,
 	}
 }
 
-// Hear records what an upstream's answer to a request states.
-func (k *Keeper) Hear(upstream ident.Instance, id ident.Request, s Statement) {
+// RecordStatement records what an upstream's answer to a request states.
+func (k *Limiter) RecordStatement(upstream ident.Instance, id ident.Request, s Statement) {
 	if s.Kind == Unlimited && !k.anyLimited.Load() {
 		return
 	}
@@ -138,14 +138,14 @@
 }
 
 // add adds an upstream about which nothing is known.
-func (k *Keeper) add(key uint32) *limit {
+func (k *Limiter) add(key uint32) *limit {
 	l := &limit{listedAt: k.cfg.Now()}
 	k.limits[key] = l
 	return l
 }
 
 // setLimit records what was stated at the given time and reports whether it is a change.
-func (k *Keeper) setLimit(l *limit, limited bool, rate float64, at, now time.Time) bool {
+func (k *Limiter) setLimit(l *limit, limited bool, rate float64, at, now time.Time) bool {
 	l.statedAt = at
 	if !limited {
 		rate = 0
@@ -162,7 +162,7 @@
 		l.sent *= max(rate, minRate) / l.allowedRate()
 	}
 	limitedChanged := l.limited != limited
-	k.order = Order{}
+	k.limitedSet = LimitedSet{}
 	l.limited, l.rate, l.changedAt = limited, rate, now
 	if limitedChanged {
 		k.updateLimited()
@@ -171,8 +171,8 @@
 }
 
 // updateLimited updates what depends on the set of limited upstreams.
-func (k *Keeper) updateLimited() {
-	k.order = Order{}
+func (k *Limiter) updateLimited() {
+	k.limitedSet = LimitedSet{}
 	k.version.Add(1)
 	anyLimited := false
 	for _, l := range k.limits {
@@ -182,7 +182,7 @@
 }
 
 // inForce returns an upstream's limit, or nil if it has none.
-func (k *Keeper) inForce(upstream ident.Instance) *limit {
+func (k *Limiter) inForce(upstream ident.Instance) *limit {
 	if l := k.limits[k.cfg.Key(upstream)]; l != nil && l.limited {
 		return l
 	}
@@ -190,7 +190,7 @@
 }
 
 // logChange logs a change of a limit, unless one was logged within logInterval.
-func (k *Keeper) logChange(l *limit, id ident.Request, now time.Time) {
+func (k *Limiter) logChange(l *limit, id ident.Request, now time.Time) {
 	if !l.loggedAt.IsZero() && now.Sub(l.loggedAt) < logInterval {
 		l.unloggedChanges++
 		return
@@ -202,7 +202,7 @@
 
 // logUnreadable counts an unreadable limit and logs it, unless one of any upstream was logged
 // within logInterval.
-func (k *Keeper) logUnreadable(upstream ident.Instance, id ident.Request, s Statement, l *limit, now time.Time) {
+func (k *Limiter) logUnreadable(upstream ident.Instance, id ident.Request, s Statement, l *limit, now time.Time) {
 	k.counters.Unreadable++
 	if k.counters.Unreadable > 1 && now.Sub(k.unreadableLoggedAt) < logInterval {
 		return
@@ -213,27 +213,27 @@
 }
 
 // Counters returns the totals since the start.
-func (k *Keeper) Counters() Counters {
+func (k *Limiter) Counters() Counters {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.counters
 }
 
-// Some reports whether any upstream has a limit.
-func (k *Keeper) Some() bool { return k.anyLimited.Load() }
+// AnyLimited reports whether any upstream has a limit.
+func (k *Limiter) AnyLimited() bool { return k.anyLimited.Load() }
 
 // Version returns a number that changes with the set of limited upstreams.
-func (k *Keeper) Version() uint64 { return k.version.Load() }
+func (k *Limiter) Version() uint64 { return k.version.Load() }
 
 // Limited reports whether an upstream has a limit.
-func (k *Keeper) Limited(upstream ident.Instance) bool {
+func (k *Limiter) Limited(upstream ident.Instance) bool {
 	_, limited := k.Rate(upstream)
 	return limited
 }
 
 // Rate returns the rate that all gateways together may send to an upstream, at least minRate. It
 // returns false if there is no limit.
-func (k *Keeper) Rate(upstream ident.Instance) (perSecond float64, limited bool) {
+func (k *Limiter) Rate(upstream ident.Instance) (perSecond float64, limited bool) {
 	if !k.anyLimited.Load() {
 		return 0, false
 	}
@@ -246,9 +246,9 @@
 	return l.allowedRate(), true
 }
 
-// Listed updates which upstreams exist and drops the limits of those that are gone. each calls its
+// UpdateListed updates which upstreams exist and drops the limits of those that are gone. each calls its
 // argument for every upstream.
-func (k *Keeper) Listed(each func(func(ident.Instance))) {
+func (k *Limiter) UpdateListed(each func(func(ident.Instance))) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.limits) == 0 {
--- a/internal/upstreamlimit/limiter_test.go
+++ b/internal/upstreamlimit/limiter_test.go
@@ -21,14 +21,14 @@
 
 // fixture is a limiter with a clock that the test sets, and its log.
 type fixture struct {
-	*Keeper
+	*Limiter
 	now time.Time
 	log bytes.Buffer
 }
 
 func newFixture() *fixture {
 	f := &fixture{now: epoch}
-	f.Keeper = NewKeeper(Config{Now: func() time.Time { return f.now }, Log: hclog.New(&hclog.LoggerOptions{Output: &f.log}), Key: key, Round: round, Seed: 1})
+	f.Limiter = NewLimiter(Config{Now: func() time.Time { return f.now }, Log: hclog.New(&hclog.LoggerOptions{Output: &f.log}), Key: key, Round: round, Seed: 1})
 	f.Refresh(nil, Fleet{Heard: 1, Known: 1})
 	return f
 }
@@ -37,7 +37,7 @@
 
 // applyList tells the limiter that the given upstreams are listed.
 func (f *fixture) applyList(ids ...ident.Instance) {
-	f.Listed(func(note func(ident.Instance)) {
+	f.UpdateListed(func(note func(ident.Instance)) {
 		for _, id := range ids {
 			note(id)
 		}
@@ -56,31 +56,31 @@
 		rate    float64
 	}{
 		{name: "none", stated: []Statement{none}},
-		{name: "a limit", stated: []Statement{RateOf(2)}, limited: true, rate: 2},
-		{name: "another", stated: []Statement{RateOf(2), RateOf(5)}, limited: true, rate: 5},
-		{name: "lifted", stated: []Statement{RateOf(2), none}},
-		{name: "named again", stated: []Statement{RateOf(2), none, RateOf(2)}, limited: true, rate: 2},
+		{name: "a limit", stated: []Statement{LimitedTo(2)}, limited: true, rate: 2},
+		{name: "another", stated: []Statement{LimitedTo(2), LimitedTo(5)}, limited: true, rate: 5},
+		{name: "lifted", stated: []Statement{LimitedTo(2), none}},
+		{name: "named again", stated: []Statement{LimitedTo(2), none, LimitedTo(2)}, limited: true, rate: 2},
 		{name: "unreadable first", stated: []Statement{bad}},
-		{name: "unreadable after a limit", stated: []Statement{RateOf(2), bad}, limited: true, rate: 2},
-		{name: "unreadable after it was lifted", stated: []Statement{RateOf(2), none, bad}},
-		{name: "zero", stated: []Statement{RateOf(0)}, limited: true, rate: minRate},
-		{name: "tiny", stated: []Statement{RateOf(1e-300)}, limited: true, rate: minRate},
-		{name: "huge", stated: []Statement{RateOf(1e300)}, limited: true, rate: maxRate},
-		{name: "negative", stated: []Statement{RateOf(-1)}},
-		{name: "no number", stated: []Statement{RateOf(math.NaN())}},
+		{name: "unreadable after a limit", stated: []Statement{LimitedTo(2), bad}, limited: true, rate: 2},
+		{name: "unreadable after it was lifted", stated: []Statement{LimitedTo(2), none, bad}},
+		{name: "zero", stated: []Statement{LimitedTo(0)}, limited: true, rate: minRate},
+		{name: "tiny", stated: []Statement{LimitedTo(1e-300)}, limited: true, rate: minRate},
+		{name: "huge", stated: []Statement{LimitedTo(1e300)}, limited: true, rate: maxRate},
+		{name: "negative", stated: []Statement{LimitedTo(-1)}},
+		{name: "no number", stated: []Statement{LimitedTo(math.NaN())}},
 		{name: "a limit beside what cannot be read", stated: []Statement{{Kind: Limited, Rate: 3, Problem: "x"}}, limited: true, rate: 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
 			for _, s := range c.stated {
-				f.Hear(u, "r", s)
+				f.RecordStatement(u, "r", s)
 				f.now = f.now.Add(time.Millisecond)
 			}
 			rate, limited := f.Rate(u)
 			if limited != c.limited || limited && rate != c.rate {
 				t.Errorf("limited %v to %v a second", limited, rate)
 			}
-			if f.Some() != c.limited || f.Limited(u) != c.limited {
+			if f.AnyLimited() != c.limited || f.Limited(u) != c.limited {
 				t.Error("the methods that report whether there is a limit contradict Rate")
 			}
 		})
@@ -93,8 +93,8 @@
 	f := newFixture()
 	const answers = 5000
 	for i := range answers {
-		f.Hear(u, "r", RateOf(float64(1+i%7)))
-		f.Hear(u, "r", Statement{Kind: Unreadable, Problem: "few"})
+		f.RecordStatement(u, "r", LimitedTo(float64(1+i%7)))
+		f.RecordStatement(u, "r", Statement{Kind: Unreadable, Problem: "few"})
 		f.now = f.now.Add(time.Millisecond)
 	}
 	if lines := strings.Count(f.log.String(), "\n"); lines > 2*(answers/1000+1) {
@@ -106,7 +106,7 @@
 	if c := f.Counters(); c.Changes != answers || c.Unreadable != answers {
 		t.Errorf("wrong counters: %+v", c)
 	}
-	if len(f.Say()) != 1 || len(f.List()) != 1 {
+	if len(f.Announcements()) != 1 || len(f.List()) != 1 {
 		t.Error("an upstream has more than one limit")
 	}
 }
@@ -114,10 +114,10 @@
 // Guards against a limit that outlives its upstream, and against a limiter that grows without bound.
 func TestLimitsOfUpstreamsThatAreGoneAreForgotten(t *testing.T) {
 	f := newFixture()
-	f.Hear(u, "r", RateOf(1))
-	f.Hear("v", "r", RateOf(1))
-	f.Hear("w", "r", RateOf(1))
-	f.Hear("w", "r", Statement{})
+	f.RecordStatement(u, "r", LimitedTo(1))
+	f.RecordStatement("v", "r", LimitedTo(1))
+	f.RecordStatement("w", "r", LimitedTo(1))
+	f.RecordStatement("w", "r", Statement{})
 	version := f.Version()
 	for range 60 {
 		f.now = f.now.Add(time.Second)
@@ -130,27 +130,27 @@
 		t.Error("a limit was dropped but the version did not change")
 	}
 	for i := range 3 * maxLimits {
-		f.Learn([]Said{{Upstream: uint32(i), Limited: true, Rate: 1}}, f.now)
+		f.MergeAnnouncements([]Announcement{{Upstream: uint32(i), Limited: true, Rate: 1}}, f.now)
 	}
 	if len(f.limits) > maxLimits {
 		t.Errorf("%d limits are known", len(f.limits))
 	}
 	f.now = f.now.Add(2 * unlistedRetention)
 	f.applyList()
-	if f.Some() {
+	if f.AnyLimited() {
 		t.Error("limits of upstreams that are not listed any more are kept")
 	}
 }
 
 // Guards against an older announcement that undoes a newer one, in whatever order they arrive.
-func TestWordsComeInAnyOrder(t *testing.T) {
+func TestAnnouncementsComeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		said := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Said {
-			return Said{
+		said := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Announcement {
+			return Announcement{
 				Upstream: key(u), Limited: rapid.Bool().Draw(t, "limited"), Rate: float64(rapid.IntRange(1, 3).Draw(t, "rate")),
 				Age: time.Duration(rapid.IntRange(0, 5000).Draw(t, "age")) * time.Millisecond,
 			}
-		}), 1, 12, func(s Said) time.Duration { return s.Age }).Draw(t, "said")
+		}), 1, 12, func(s Announcement) time.Duration { return s.Age }).Draw(t, "said")
 		newest := said[0]
 		for _, s := range said {
 			if s.Age < newest.Age {
@@ -159,7 +159,7 @@
 		}
 		f := newFixture()
 		for _, s := range said {
-			f.Learn([]Said{s}, f.now)
+			f.MergeAnnouncements([]Announcement{s}, f.now)
 		}
 		rate, limited := f.Rate(u)
 		if limited != newest.Limited || limited && rate != newest.Rate {
@@ -172,62 +172,62 @@
 // overloaded upstream until the upstream's own answers state the limit.
 func TestLimitsOutliveAllGateways(t *testing.T) {
 	f := newFixture()
-	if f.Keep() != nil {
+	if f.Snapshot() != nil {
 		t.Error("something is saved though there is no limit")
 	}
-	f.Hear(u, "r", RateOf(0.5))
-	f.Hear("v", "r", RateOf(3))
-	f.Hear("v", "r", Statement{})
+	f.RecordStatement(u, "r", LimitedTo(0.5))
+	f.RecordStatement("v", "r", LimitedTo(3))
+	f.RecordStatement("v", "r", Statement{})
 	later := newFixture()
-	later.Restore(f.Keep())
+	later.Restore(f.Snapshot())
 	if rate, limited := later.Rate(u); !limited || rate != 0.5 || later.Limited("v") {
 		t.Errorf("restored limit: %v a second, limited %v", rate, limited)
 	}
-	if said := later.Say(); len(said) != 1 || said[0].Age < restoredExtraAge {
+	if said := later.Announcements(); len(said) != 1 || said[0].Age < restoredExtraAge {
 		t.Errorf("announced as %+v, newer than what the others may have heard since", said)
 	}
 	// What an answer states here takes precedence, also if it arrives before the record is read.
 	first := newFixture()
-	first.Hear(u, "r", RateOf(4))
-	first.Restore(f.Keep())
+	first.RecordStatement(u, "r", LimitedTo(4))
+	first.Restore(f.Snapshot())
 	if rate, _ := first.Rate(u); rate != 4 {
 		t.Errorf("an old record changed a limit to %v", rate)
 	}
 	for _, bad := range []string{`{`, `[{"upstream":1,"per_second":-1}]`, `[{"upstream":1,"age_ms":-5}]`, `[{"upstream":1,"age_ms":99999999999}]`, `"x"`} {
 		g := newFixture()
 		g.Restore(json.RawMessage(bad))
-		if g.Some() || !strings.Contains(g.log.String(), "not usable") {
+		if g.AnyLimited() || !strings.Contains(g.log.String(), "not usable") {
 			t.Errorf("%s: %v, log %q", bad, g.List(), g.log.String())
 		}
 	}
 }
 
 // Guards against a lease's record that grows with the number of upstreams.
-func TestWhatIsKeptIsBounded(t *testing.T) {
+func TestSavedLimitsAreBounded(t *testing.T) {
 	f := newFixture()
 	for i := range 2000 {
-		f.Hear(ident.Instance(fmt.Sprint("u", i)), "r", RateOf(1.25))
+		f.RecordStatement(ident.Instance(fmt.Sprint("u", i)), "r", LimitedTo(1.25))
 	}
-	if data := f.Keep(); len(data) > 16<<10 {
+	if data := f.Snapshot(); len(data) > 16<<10 {
 		t.Errorf("%d bytes are saved", len(data))
 	}
 }
 
 // Guards against messages that grow with the number of limits, and against a limit that is never
 // announced because there are many.
-func TestAllLimitsAreToldInTurns(t *testing.T) {
+func TestAllLimitsAreAnnouncedInTurns(t *testing.T) {
 	f := newFixture()
 	const limits = 50
 	var all []ident.Instance
 	for i := range limits {
 		all = append(all, ident.Instance(fmt.Sprint("u", i)))
-		f.Hear(all[i], "r", RateOf(1))
+		f.RecordStatement(all[i], "r", LimitedTo(1))
 	}
 	f.now = f.now.Add(announceChangeFor)
 	f.applyList(all...)
 	told := make(map[uint32]bool)
 	for range limits/maxAnnouncedOthers + 1 {
-		said := f.Say()
+		said := f.Announcements()
 		if len(said) > maxAnnouncedOthers {
 			t.Errorf("%d limits in a message", len(said))
 		}
@@ -239,9 +239,9 @@
 	if len(told) != limits {
 		t.Errorf("%d of %d limits were announced", len(told), limits)
 	}
-	f.Hear(all[3], "r", RateOf(2))
+	f.RecordStatement(all[3], "r", LimitedTo(2))
 	news := false
-	for _, s := range f.Say() {
+	for _, s := range f.Announcements() {
 		news = news || s.Upstream == key(all[3]) && s.Rate == 2
 	}
 	if !news {
@@ -253,12 +253,12 @@
 func TestASideOfACutUsesItsPart(t *testing.T) {
 	sent := func(fleet Fleet) int {
 		f := newFixture()
-		f.Hear(u, "r", RateOf(10))
+		f.RecordStatement(u, "r", LimitedTo(10))
 		n := 0
 		for range 4000 {
 			f.now = f.now.Add(10 * time.Millisecond)
 			f.Refresh(nil, fleet)
-			if f.Take(u) {
+			if f.Admit(u) {
 				n++
 			}
 		}
@@ -278,18 +278,18 @@
 func TestAChangedRateIsUsedFromTheStart(t *testing.T) {
 	for _, c := range []struct{ before, after float64 }{{20, 2}, {2, 20}} {
 		f := newFixture()
-		f.Hear(u, "r", RateOf(c.before))
+		f.RecordStatement(u, "r", LimitedTo(c.before))
 		ask := func(seconds float64) (sent int) {
 			for range int(seconds * 200) {
 				f.now = f.now.Add(5 * time.Millisecond)
-				if f.Take(u) {
+				if f.Admit(u) {
 					sent++
 				}
 			}
 			return sent
 		}
 		ask(20)
-		f.Hear(u, "r", RateOf(c.after))
+		f.RecordStatement(u, "r", LimitedTo(c.after))
 		if got, want := float64(ask(10)), 10*c.after; got < minUsedShareOfLimit*want || got > 1.2*want {
 			t.Errorf("from %v to %v a second: %v requests sent in 10 s, %v are allowed", c.before, c.after, got, want)
 		}
@@ -299,31 +299,31 @@
 func BenchmarkTake(b *testing.B) {
 	f := newFixture()
 	for i := range 50 {
-		f.Hear(ident.Instance(fmt.Sprint("u", i)), "r", RateOf(1))
+		f.RecordStatement(ident.Instance(fmt.Sprint("u", i)), "r", LimitedTo(1))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Take("u7")
+		f.Admit("u7")
 	}
 }
 
 // Guards against an upstream that counts as lacking although it accepts all its demand.
 func TestWhatAnUpstreamLacks(t *testing.T) {
 	f := newFixture()
-	f.Hear(u, "r", RateOf(2))
-	f.Hear("idle", "r", RateOf(2))
+	f.RecordStatement(u, "r", LimitedTo(2))
+	f.RecordStatement("idle", "r", LimitedTo(2))
 	for range 2000 {
 		f.now = f.now.Add(10 * time.Millisecond)
-		f.Take(u)
+		f.Admit(u)
 	}
-	if got := f.Lacking(u); got < 0.95 || got > 0.99 {
+	if got := f.UnservedShare(u); got < 0.95 || got > 0.99 {
 		t.Errorf("%v of the requests lacking at 2 of 100 a second", got)
 	}
-	if f.Lacking("idle") != 0 || f.Lacking("unknown") != 0 {
+	if f.UnservedShare("idle") != 0 || f.UnservedShare("unknown") != 0 {
 		t.Error("an upstream without demand counts as lacking")
 	}
-	f.Hear(u, "r", Statement{})
-	if f.Lacking(u) != 0 {
+	f.RecordStatement(u, "r", Statement{})
+	if f.UnservedShare(u) != 0 {
 		t.Error("a lifted limit counts as lacking")
 	}
 }
@@ -331,12 +331,12 @@
 // Guards against uses that are attributed to the wrong upstreams when they are sent without keys.
 func TestUsesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := Order{Set: 7}
+		o := LimitedSet{Hash: 7}
 		uses := Uses{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "limits") {
 			o.Keys = append(o.Keys, uint32(3*i))
 			if rapid.IntRange(0, 3).Draw(t, "used") == 0 {
-				uses[uint32(3*i)] = Use{Asked: float64(i + 1), Sent: 1}
+				uses[uint32(3*i)] = Use{Demand: float64(i + 1), Sent: 1}
 			}
 		}
 		c := uses.Columns(o)
@@ -349,7 +349,7 @@
 				t.Fatalf("%d: %+v, want %+v", key, got[key], uses[key])
 			}
 		}
-		if _, known := c.Uses(Order{Set: 8, Keys: o.Keys}); known {
+		if _, known := c.Uses(LimitedSet{Hash: 8, Keys: o.Keys}); known {
 			t.Fatal("uses for another set of limits are accepted")
 		}
 		if len(c.Positions) > 0 {
@@ -374,13 +374,13 @@
 		{name: "nothing", othersSent: 0, most: 100, least: 70},
 	} {
 		f := newFixture()
-		f.Hear(u, "r", RateOf(10))
+		f.RecordStatement(u, "r", LimitedTo(10))
 		sent := 0
 		for i := range 2000 {
 			f.now = f.now.Add(10 * time.Millisecond)
 			// Half of the demand is at this gateway.
-			f.Refresh(Uses{key(u): {Asked: 300, Sent: c.othersSent}}, Fleet{2, 2})
-			if f.Take(u) && i >= 1000 {
+			f.Refresh(Uses{key(u): {Demand: 300, Sent: c.othersSent}}, Fleet{2, 2})
+			if f.Admit(u) && i >= 1000 {
 				sent++
 			}
 		}
@@ -399,9 +399,9 @@
 		f := newFixture()
 		f.rng = rand.New(rand.NewPCG(uint64(i), 1))
 		f.Refresh(nil, Fleet{gateways, gateways})
-		f.Hear(u, "r", RateOf(5))
+		f.RecordStatement(u, "r", LimitedTo(5))
 		f.now = f.now.Add(2 * time.Second)
-		if f.Take(u) {
+		if f.Admit(u) {
 			sent++
 		}
 	}
@@ -413,12 +413,12 @@
 // Guards against requests that are sent all at once after a pause in which there was no demand.
 func TestAPauseIsNotMadeUpFor(t *testing.T) {
 	f := newFixture()
-	f.Hear(u, "r", RateOf(5))
+	f.RecordStatement(u, "r", LimitedTo(5))
 	ask := func(seconds float64) (sent int) {
 		for range int(seconds * 100) {
 			f.now = f.now.Add(10 * time.Millisecond)
 			f.Refresh(nil, Fleet{1, 1})
-			if f.Take(u) {
+			if f.Admit(u) {
 				sent++
 			}
 		}
@@ -436,12 +436,12 @@
 // rate.
 func TestAGatewayBeginsWithItsPartSent(t *testing.T) {
 	f := newFixture()
-	f.Hear(u, "r", RateOf(20))
+	f.RecordStatement(u, "r", LimitedTo(20))
 	sent := 0
 	for range 600 {
 		f.now = f.now.Add(5 * time.Millisecond)
 		f.Refresh(nil, Fleet{1, 1})
-		if f.Take(u) {
+		if f.Admit(u) {
 			sent++
 		}
 	}
@@ -455,12 +455,12 @@
 func TestAnUpstreamThatTakesNothingIsAskedNowAndThen(t *testing.T) {
 	for _, rate := range []float64{0, 1e-300, 0.01} {
 		f := newFixture()
-		f.Hear(u, "r", RateOf(rate))
+		f.RecordStatement(u, "r", LimitedTo(rate))
 		sent := 0
 		for range 6000 {
 			f.now = f.now.Add(10 * time.Millisecond)
 			f.Refresh(nil, Fleet{1, 1})
-			if f.Take(u) {
+			if f.Admit(u) {
 				sent++
 			}
 		}
--- a/internal/upstreamlimit/list.go
+++ b/internal/upstreamlimit/list.go
@@ -20,7 +20,7 @@
 }
 
 // List returns the limits in force, sorted by upstream.
-func (k *Keeper) List() []Entry {
+func (k *Limiter) List() []Entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
--- a/internal/upstreamlimit/saved.go
+++ b/internal/upstreamlimit/saved.go
@@ -23,10 +23,10 @@
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// Keep returns the limits in force as JSON, for Restore. They must survive a restart of all
+// Snapshot returns the limits in force as JSON, for Restore. They must survive a restart of all
 // gateways, because otherwise each gateway would send to an overloaded upstream until the
 // upstream's own answers state the limit. It returns nil if there are none.
-func (k *Keeper) Keep() json.RawMessage {
+func (k *Limiter) Snapshot() json.RawMessage {
 	if !k.anyLimited.Load() {
 		return nil
 	}
@@ -52,7 +52,7 @@
 
 // Restore merges the limits that an earlier holder of the lease saved. Limits that cannot be read
 // are logged and ignored.
-func (k *Keeper) Restore(data json.RawMessage) {
+func (k *Limiter) Restore(data json.RawMessage) {
 	if len(data) == 0 {
 		return
 	}
@@ -65,13 +65,13 @@
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
 	for _, entry := range saved[:min(len(saved), maxSavedLimits)] {
-		s := RateOf(entry.Rate)
+		s := LimitedTo(entry.Rate)
 		if s.Kind != Limited || entry.AgeMillis < 0 || entry.AgeMillis > time.Hour.Milliseconds() {
 			k.cfg.Log.Error("saved limit not usable", "key", entry.Upstream, "per_second", entry.Rate, "age_ms", entry.AgeMillis)
 			continue
 		}
 		at := now.Add(-time.Duration(entry.AgeMillis)*time.Millisecond - restoredExtraAge)
-		k.merge(Said{Upstream: entry.Upstream, Limited: true, Rate: s.Rate}, at, now)
+		k.merge(Announcement{Upstream: entry.Upstream, Limited: true, Rate: s.Rate}, at, now)
 		if l := k.limits[entry.Upstream]; l != nil && l.statedAt.Equal(at) {
 			l.changedAt = at // not announced as a recent change
 		}
--- a/internal/upstreamlimit/statement.go
+++ b/internal/upstreamlimit/statement.go
@@ -31,9 +31,9 @@
 	Problem string
 }
 
-// RateOf returns a Statement of the given rate. If the rate is negative or NaN, the Statement is
+// LimitedTo returns a Statement of the given rate. If the rate is negative or NaN, the Statement is
 // Unreadable.
-func RateOf(rate float64) Statement {
+func LimitedTo(rate float64) Statement {
 	if !(rate >= 0) {
 		return Statement{Kind: Unreadable}
 	}
--- a/internal/upstreamlimit/stories_test.go
+++ b/internal/upstreamlimit/stories_test.go
@@ -21,8 +21,8 @@
 	only  = flag.String("limit.only", "", "stories whose names hold this")
 )
 
-func small(name string, limits map[int]limitSchedule) scenario {
-	return scenario{name: name, gateways: 8, domains: 4, upstreams: 13, rate: 80, limits: limits}
+func small(name string, limits map[int]limitSchedule) story {
+	return story{name: name, gateways: 8, domains: 4, upstreams: 13, rate: 80, limits: limits}
 }
 
 // each gives the first n upstreams the same schedule.
@@ -59,23 +59,23 @@
 	return at > 4*time.Second && at < 4500*time.Millisecond || at > 20*time.Second
 }
 
-func scenarios() []scenario {
+func scenarios() []story {
 	const from = 4 * time.Second
-	busy := func(s *scenario) { s.gateways, s.domains, s.upstreams, s.rate = 3, 3, 9, 500 }
-	at82 := func(s *scenario) { s.gateways, s.upstreams, s.rate = 82, 60, 800 }
-	at195 := func(s *scenario) { s.gateways, s.domains, s.upstreams, s.rate = 195, 6, 117, 1500 }
-	at330 := func(s *scenario) { s.gateways, s.domains, s.upstreams, s.rate = 330, 10, 690, 4200 }
-	return []scenario{
+	busy := func(s *story) { s.gateways, s.domains, s.upstreams, s.rate = 3, 3, 9, 500 }
+	at82 := func(s *story) { s.gateways, s.upstreams, s.rate = 82, 60, 800 }
+	at195 := func(s *story) { s.gateways, s.domains, s.upstreams, s.rate = 195, 6, 117, 1500 }
+	at330 := func(s *story) { s.gateways, s.domains, s.upstreams, s.rate = 330, 10, 690, 4200 }
+	return []story{
 		small("0.2 a second", each(1, always(0.2, from))),
 		small("0.5 a second", each(1, always(0.5, from))),
 		small("1 a second", each(2, always(1, from))),
 		small("2 a second", each(1, always(2, from))),
 		small("5 a second", each(1, always(5, from))),
-		small("200 a second", each(1, always(200, from))).with(func(s *scenario) { s.rate = 4000 }),
+		small("200 a second", each(1, always(200, from))).with(func(s *story) { s.rate = 4000 }),
 		small("none", nil),
 		small("zero", each(1, always(0, from))),
 		small("half of all, 1 a second", each(6, always(1, from))),
-		small("all, 1 a second", each(13, always(1, from))).with(func(s *scenario) { s.retries = 1 }),
+		small("all, 1 a second", each(13, always(1, from))).with(func(s *story) { s.retries = 1 }),
 		small("half, then all", func() map[int]limitSchedule {
 			limits := each(6, always(1, from))
 			for i := 6; i < 13; i++ {
@@ -83,37 +83,37 @@
 			}
 			return limits
 		}()),
-		small("the only upstream, 5 a second", each(1, always(5, from))).with(func(s *scenario) { s.upstreams, s.rate, s.retries = 1, 40, 3 }),
+		small("the only upstream, 5 a second", each(1, always(5, from))).with(func(s *story) { s.upstreams, s.rate, s.retries = 1, 40, 3 }),
 		small("lifted after 20 s", each(2, between(1, from, 24*time.Second))),
 		small("10, then 1, then 4 a second", each(1, steps)),
 		small("another rate in each answer", each(2, changing)),
 		small("on and off each second", each(2, flapping)),
 		small("from the first second", each(2, always(1, 0))),
-		small("beside a burst of 2.5 times", each(2, always(1, from))).with(func(s *scenario) { s.burst = 2.5 }),
-		small("named in a burst", each(2, always(1, 13*time.Second))).with(func(s *scenario) { s.burst = 2.5 }),
-		small("a domain cut off for 5 s", each(3, always(1, from))).with(func(s *scenario) { s.cut = true }),
-		small("gateways killed one by one", each(2, always(1, from))).with(func(s *scenario) { s.killEach = true }),
-		small("all gateways killed twice", each(2, always(1, from))).with(func(s *scenario) {
+		small("beside a burst of 2.5 times", each(2, always(1, from))).with(func(s *story) { s.burst = 2.5 }),
+		small("named in a burst", each(2, always(1, 13*time.Second))).with(func(s *story) { s.burst = 2.5 }),
+		small("a domain cut off for 5 s", each(3, always(1, from))).with(func(s *story) { s.cut = true }),
+		small("gateways killed one by one", each(2, always(1, from))).with(func(s *story) { s.killEach = true }),
+		small("all gateways killed twice", each(2, always(1, from))).with(func(s *story) {
 			s.killed = []time.Duration{14 * time.Second, 27 * time.Second}
 		}),
-		small("gateways join", each(2, always(1, from))).with(func(s *scenario) { s.joins = 4 }),
-		small("callers keep to one gateway", each(2, always(1, from))).with(func(s *scenario) { s.gatewayShare = 0.125 }),
-		small("started again without a limit", each(2, always(1, from))).with(func(s *scenario) { s.restarted = true }),
-		small("3 busy gateways killed one by one", each(4, always(5, from))).with(busy).with(func(s *scenario) { s.killEach = true }),
-		small("3 busy gateways, all killed", each(4, always(1, from))).with(busy).with(func(s *scenario) { s.killed = []time.Duration{14 * time.Second} }),
-		small("8 busy gateways, a domain cut off", each(4, always(2, from))).with(func(s *scenario) { s.rate, s.cut = 900, true }),
-		small("asked in pulses, 1 a second", each(2, always(1, from))).with(func(s *scenario) { s.preferred = pulses }),
-		small("3 busy gateways, asked in pulses", each(4, always(5, from))).with(busy).with(func(s *scenario) { s.preferred = pulses }),
-		small("82 gateways, asked in pulses", each(3, always(2, from))).with(at82).with(func(s *scenario) { s.preferred = pulses }),
-		small("3 busy gateways, all ask at once", each(4, always(5, from))).with(busy).with(func(s *scenario) { s.preferred = late }),
+		small("gateways join", each(2, always(1, from))).with(func(s *story) { s.joins = 4 }),
+		small("callers keep to one gateway", each(2, always(1, from))).with(func(s *story) { s.gatewayShare = 0.125 }),
+		small("started again without a limit", each(2, always(1, from))).with(func(s *story) { s.restarted = true }),
+		small("3 busy gateways killed one by one", each(4, always(5, from))).with(busy).with(func(s *story) { s.killEach = true }),
+		small("3 busy gateways, all killed", each(4, always(1, from))).with(busy).with(func(s *story) { s.killed = []time.Duration{14 * time.Second} }),
+		small("8 busy gateways, a domain cut off", each(4, always(2, from))).with(func(s *story) { s.rate, s.cut = 900, true }),
+		small("asked in pulses, 1 a second", each(2, always(1, from))).with(func(s *story) { s.preferred = pulses }),
+		small("3 busy gateways, asked in pulses", each(4, always(5, from))).with(busy).with(func(s *story) { s.preferred = pulses }),
+		small("82 gateways, asked in pulses", each(3, always(2, from))).with(at82).with(func(s *story) { s.preferred = pulses }),
+		small("3 busy gateways, all ask at once", each(4, always(5, from))).with(busy).with(func(s *story) { s.preferred = late }),
 		small("82 gateways, 0.5 a second", each(3, always(0.5, from))).with(at82),
-		small("82 gateways, 5 a second, all killed", each(3, always(5, from))).with(at82).with(func(s *scenario) { s.killed = []time.Duration{15 * time.Second} }),
-		small("82 gateways, callers at few", each(3, always(2, from))).with(at82).with(func(s *scenario) { s.gatewayShare = 0.1 }),
-		small("82 gateways, 20 a second, a domain cut off", each(3, always(5, from))).with(at82).with(func(s *scenario) { s.cut = true }),
+		small("82 gateways, 5 a second, all killed", each(3, always(5, from))).with(at82).with(func(s *story) { s.killed = []time.Duration{15 * time.Second} }),
+		small("82 gateways, callers at few", each(3, always(2, from))).with(at82).with(func(s *story) { s.gatewayShare = 0.1 }),
+		small("82 gateways, 20 a second, a domain cut off", each(3, always(5, from))).with(at82).with(func(s *story) { s.cut = true }),
 		small("195 gateways, 1 a second", each(10, always(1, from))).with(at195),
-		small("195 gateways, callers at few, burst", each(10, always(1, from))).with(at195).with(func(s *scenario) { s.gatewayShare, s.burst = 0.05, 2.5 }),
+		small("195 gateways, callers at few, burst", each(10, always(1, from))).with(at195).with(func(s *story) { s.gatewayShare, s.burst = 0.05, 2.5 }),
 		small("330 gateways, 0.5 a second", each(50, always(0.5, from))).with(at330),
-		small("330 gateways, 2 a second, all killed", each(50, always(2, from))).with(at330).with(func(s *scenario) { s.killed = []time.Duration{15 * time.Second} }),
+		small("330 gateways, 2 a second, all killed", each(50, always(2, from))).with(at330).with(func(s *story) { s.killed = []time.Duration{15 * time.Second} }),
 	}
 }
 
@@ -121,9 +121,9 @@
 // it becomes the best choice for all requests of a service at once, before gateways hear of each
 // other.
 func TestAllGatewaysAskAtOnceAfterAPause(t *testing.T) {
-	for _, s := range []scenario{
-		small("8 gateways, 900 requests a second", each(4, always(5, 4*time.Second))).with(func(s *scenario) { s.rate, s.preferred = 900, late }),
-		small("82 gateways, 800 requests a second", each(3, always(5, 4*time.Second))).with(func(s *scenario) {
+	for _, s := range []story{
+		small("8 gateways, 900 requests a second", each(4, always(5, 4*time.Second))).with(func(s *story) { s.rate, s.preferred = 900, late }),
+		small("82 gateways, 800 requests a second", each(3, always(5, 4*time.Second))).with(func(s *story) {
 			s.gateways, s.upstreams, s.rate, s.preferred = 82, 60, 800, late
 		}),
 	} {
@@ -218,9 +218,9 @@
 }
 
 // playAll runs a scenario with n seeds and calls look with each result.
-func playAll(s scenario, n int, look func(seed int, r result)) *totals {
+func playAll(s story, n int, look func(seed int, r result)) *totals {
 	all := &totals{}
-	for i, r := range testkit.Plays(n, func(seed uint64) result { return play(s, seed) }) {
+	for i, r := range testkit.RunSeeds(n, func(seed uint64) result { return play(s, seed) }) {
 		all.add(r)
 		look(i+1, r)
 	}
@@ -230,11 +230,11 @@
 // alternative is another way to divide a rate between gateways, for comparison in the table.
 type alternative struct {
 	name   string
-	change func(scenario) scenario
+	change func(story) story
 }
 
 func alternativeShare(name string, s shareFunc) alternative {
-	return alternative{name, func(x scenario) scenario { x.share = s; return x }}
+	return alternative{name, func(x story) story { x.share = s; return x }}
 }
 
 var alternatives = []alternative{
--- a/internal/upstreamlimit/take.go
+++ b/internal/upstreamlimit/take.go
@@ -6,9 +6,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Take decides whether a request is sent to the upstream that is the best choice for it, and counts
+// Admit decides whether a request is sent to the upstream that is the best choice for it, and counts
 // the request. It returns true if the upstream has no limit.
-func (k *Keeper) Take(upstream ident.Instance) bool {
+func (k *Limiter) Admit(upstream ident.Instance) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.inForce(upstream)
@@ -33,9 +33,9 @@
 // maxRetryAfter bounds the retry time that a caller is given.
 const maxRetryAfter = 30 * time.Second
 
-// RoomIn estimates the time until limited upstreams can accept one more request: the time in which
+// RetryAfter estimates the time until limited upstreams can accept one more request: the time in which
 // they accept the demand of one second. It returns 0 if any of them has no limit.
-func (k *Keeper) RoomIn(upstreams []ident.Instance) time.Duration {
+func (k *Limiter) RetryAfter(upstreams []ident.Instance) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
@@ -54,9 +54,9 @@
 	return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
 }
 
-// Lacking returns the fraction of the requests for which an upstream is the best choice that its
+// UnservedShare returns the fraction of the requests for which an upstream is the best choice that its
 // limit excludes. It is 0 for an upstream without a limit.
-func (k *Keeper) Lacking(upstream ident.Instance) float64 {
+func (k *Limiter) UnservedShare(upstream ident.Instance) float64 {
 	if !k.anyLimited.Load() {
 		return 0
 	}
