--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -7,12 +7,12 @@
 	"os"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/controller"
-	"github.com/goldcrestspool/goldcrestspool/internal/program"
+	"github.com/goldcrestspool/goldcrestspool/internal/daemon"
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 )
 
 func main() {
-	os.Exit(program.Program[settings.Controller]{
+	os.Exit(daemon.Program[settings.Controller]{
 		Name:        "controller",
 		Description: "controller takes the leased decisions: which upstreams to start and to stop, and what model engines run.",
 		Load:        settings.LoadController,
@@ -20,7 +20,7 @@
 	}.Main())
 }
 
-func run(signals program.Signals, s *settings.Controller) error {
+func run(signals daemon.Signals, s *settings.Controller) error {
 	process, err := controller.New(s)
 	if err != nil {
 		return err
--- a/cmd/entry/main.go
+++ b/cmd/entry/main.go
@@ -7,8 +7,8 @@
 	"os/signal"
 	"syscall"
 
+	"github.com/goldcrestspool/goldcrestspool/internal/daemon"
 	"github.com/goldcrestspool/goldcrestspool/internal/entry"
-	"github.com/goldcrestspool/goldcrestspool/internal/program"
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 	"github.com/goldcrestspool/goldcrestspool/platform"
 )
@@ -19,7 +19,7 @@
 
 func main() {
 	signal.Notify(reload, syscall.SIGHUP)
-	os.Exit(program.Program[settings.Entry]{
+	os.Exit(daemon.Program[settings.Entry]{
 		Name:            "entry",
 		Description:     "entry takes callers' requests to upstreams by the operators' configuration, and runs the controllers that one entry process at a time runs under a lease.",
 		DefaultSettings: platform.SettingsPath(),
@@ -28,7 +28,7 @@
 	}.Main())
 }
 
-func run(signals program.Signals, s *settings.Entry) error {
+func run(signals daemon.Signals, s *settings.Entry) error {
 	process, err := entry.New(s, platform.Ports(s), os.Stdout)
 	if err != nil {
 		return err
--- a/cmd/gateway/main.go
+++ b/cmd/gateway/main.go
@@ -5,13 +5,13 @@
 import (
 	"os"
 
+	"github.com/goldcrestspool/goldcrestspool/internal/daemon"
 	"github.com/goldcrestspool/goldcrestspool/internal/gateway"
-	"github.com/goldcrestspool/goldcrestspool/internal/program"
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 )
 
 func main() {
-	os.Exit(program.Program[settings.Gateway]{
+	os.Exit(daemon.Program[settings.Gateway]{
 		Name:        "gateway",
 		Description: "gateway serves callers: it admits, routes and retries requests, streams answers, and hands over what is in progress when it leaves.",
 		Load:        settings.LoadGateway,
@@ -19,7 +19,7 @@
 	}.Main())
 }
 
-func run(signals program.Signals, s *settings.Gateway) error {
+func run(signals daemon.Signals, s *settings.Gateway) error {
 	process, err := gateway.New(s)
 	if err != nil {
 		return err
--- a/internal/admission/gate/client.go
+++ b/internal/admission/gate/client.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/admission/quota"
-	"github.com/goldcrestspool/goldcrestspool/internal/admission/returntime"
+	"github.com/goldcrestspool/goldcrestspool/internal/admission/retryafter"
 )
 
 // client is the state of one client account at the gate.
@@ -16,7 +16,7 @@
 	demand float64
 	// limitTurns books turns for requests refused because of the account's
 	// limits.
-	limitTurns returntime.Schedule
+	limitTurns retryafter.Schedule
 	// usages has one element per priority. It is searched linearly since there
 	// are few classes.
 	usages []*priorityUsage
@@ -29,7 +29,7 @@
 	// firstAttempts and retries measure the cost per second that is offered.
 	firstAttempts, retries rateMeter
 	// overloadTurns books turns for requests refused because of load.
-	overloadTurns returntime.Schedule
+	overloadTurns retryafter.Schedule
 }
 
 // clientFor returns the client of a request's account, which it creates if there
--- a/internal/admission/gate/plan.go
+++ b/internal/admission/gate/plan.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/admission/fairshare"
-	"github.com/goldcrestspool/goldcrestspool/internal/admission/returntime"
+	"github.com/goldcrestspool/goldcrestspool/internal/admission/retryafter"
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
@@ -141,7 +141,7 @@
 		return g.deadlineRefusal(now, u, e), true
 	}
 	if g.slots == 0 {
-		after := returntime.Spread(noUpstreamRetryAfter, r.ID)
+		after := retryafter.Spread(noUpstreamRetryAfter, r.ID)
 		return outcome.NewNotRun(outcome.ReasonNoUpstream, messageNoUpstream, after), true
 	}
 	budget := e.Item.LatestStart.Sub(now)
@@ -247,6 +247,6 @@
 // secondsToDuration converts seconds to a duration. It caps them at ten times
 // the longest retry-after time so that the conversion can't overflow.
 func secondsToDuration(s float64) time.Duration {
-	const maxSeconds = float64(returntime.Max/time.Second) * 10
+	const maxSeconds = float64(retryafter.Max/time.Second) * 10
 	return time.Duration(min(s, maxSeconds) * float64(time.Second))
 }
--- a/internal/admission/returntime/returntime.go
+++ b/internal/admission/retryafter/retryafter.go
@@ -1,4 +1,4 @@
-// Package returntime computes retry-after times: how long a caller whose request
+// Package retryafter computes retry-after times: how long a caller whose request
 // was refused should wait before it sends the request again.
 //
 // If all refused callers were told the same time, they would come back together
@@ -6,7 +6,7 @@
 // and spaces the turns as the service can take them; Spread adds jitter where no
 // drain rate is known. Both are pure and derive the jitter from the request ID
 // instead of a random source, so that a run can be repeated.
-package returntime
+package retryafter
 
 import (
 	"time"
--- a/internal/admission/returntime/returntime_test.go
+++ b/internal/admission/retryafter/retryafter_test.go
@@ -1,4 +1,4 @@
-package returntime
+package retryafter
 
 import (
 	"fmt"
--- a/internal/calls/committer.go
+++ b/internal/calls/committer.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/calls/journal"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 // The counters of all committers: appends sent, the records in them, and
@@ -148,10 +148,10 @@
 		err := w.append(ctx, data)
 		w.finishBatch(p, batch, err)
 		if err != nil {
-			pause.For(ctx, w.backoffLeft())
+			sleep.For(ctx, w.backoffLeft())
 			continue
 		}
-		pause.For(ctx, w.c.limits.AppendInterval-time.Since(began))
+		sleep.For(ctx, w.c.limits.AppendInterval-time.Since(began))
 	}
 }
 
@@ -282,7 +282,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		pause.For(ctx, every)
+		sleep.For(ctx, every)
 	}
 }
 
--- a/internal/calls/partition.go
+++ b/internal/calls/partition.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/calls/journal"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 // The limits of the reader: the largest number of records of one read, how long a
@@ -91,7 +91,7 @@
 			p.restart(batch.First)
 		case err != nil:
 			p.setReadable(false)
-			pause.For(ctx, readBackoff)
+			sleep.For(ctx, readBackoff)
 		default:
 			p.applyBatch(batch)
 		}
@@ -266,7 +266,7 @@
 func (p *partition) maintainLoop(ctx context.Context) {
 	const every = 5 * time.Second
 	for ctx.Err() == nil {
-		pause.For(ctx, every)
+		sleep.For(ctx, every)
 		p.appendMarkIfDue()
 		p.sweepCopies(time.Now())
 	}
--- a/internal/capacity/streams.go
+++ b/internal/capacity/streams.go
@@ -6,7 +6,7 @@
 	"sync"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
-	"github.com/goldcrestspool/goldcrestspool/internal/standin/tokens"
+	"github.com/goldcrestspool/goldcrestspool/internal/standin/zerodelay"
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
@@ -25,14 +25,14 @@
 // frames to the caller's sink. It runs as many streams at once as a gateway does.
 func tokensCost(count int) (float64, error) {
 	const streams = 200
-	registry := tokens.NewRegistry(tokens.Engine{StopAt: uint32(count) + 1})
+	registry := zerodelay.NewRegistry(zerodelay.Engine{StopAt: uint32(count) + 1})
 	defer registry.Close()
 	round := 0
 	used := microsPerCall(func() {
 		var all sync.WaitGroup
 		for i := range streams {
 			all.Go(func() {
-				_, _ = registry.Generate(context.Background(), streamRequest(round*streams+i, uint32(count)), &tokens.Sink{TokensLeft: count, OnDone: func() {}})
+				_, _ = registry.Generate(context.Background(), streamRequest(round*streams+i, uint32(count)), &zerodelay.Sink{TokensLeft: count, OnDone: func() {}})
 			})
 		}
 		all.Wait()
@@ -45,7 +45,7 @@
 // in the middle of the answer.
 func streamsMemory(streams int) (float64, error) {
 	const half = answerTokens / 2
-	registry := tokens.NewRegistry(tokens.Engine{StopAt: half})
+	registry := zerodelay.NewRegistry(zerodelay.Engine{StopAt: half})
 	defer registry.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -54,7 +54,7 @@
 		for i := range streams {
 			halfDone.Add(1)
 			callers.Go(func() {
-				_, _ = registry.Generate(ctx, streamRequest(i, half+1), &tokens.Sink{TokensLeft: half, OnDone: halfDone.Done})
+				_, _ = registry.Generate(ctx, streamRequest(i, half+1), &zerodelay.Sink{TokensLeft: half, OnDone: halfDone.Done})
 			})
 		}
 		halfDone.Wait()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,14 +20,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/controllers/configuration"
 	"github.com/goldcrestspool/goldcrestspool/internal/controllers/fleet"
 	"github.com/goldcrestspool/goldcrestspool/internal/controllers/orders"
+	"github.com/goldcrestspool/goldcrestspool/internal/daemon"
 	"github.com/goldcrestspool/goldcrestspool/internal/document"
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/lease"
-	"github.com/goldcrestspool/goldcrestspool/internal/operations"
+	"github.com/goldcrestspool/goldcrestspool/internal/operatorserver"
 	"github.com/goldcrestspool/goldcrestspool/internal/peer"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform/connectplatform"
-	"github.com/goldcrestspool/goldcrestspool/internal/program"
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 	"github.com/goldcrestspool/goldcrestspool/internal/telemetry"
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream/connectupstream"
@@ -95,7 +95,7 @@
 // Run runs the controllers until the stop signal or the first failure. Then it
 // ends their rounds, releases its leases so that another process can take them
 // over at once, and returns.
-func (p *Process) Run(signals program.Signals, stdout io.Writer) error {
+func (p *Process) Run(signals daemon.Signals, stdout io.Writer) error {
 	rounds, endRounds := context.WithCancel(signals.Kill)
 	defer endRounds()
 	holding, endHolding := context.WithCancel(signals.Kill)
@@ -164,7 +164,7 @@
 	}
 }
 
-func (p *Process) close(signals program.Signals, server *operations.Server) error {
+func (p *Process) close(signals daemon.Signals, server *operatorserver.Server) error {
 	ctx, cancel := context.WithTimeout(signals.Kill, closeTimeout)
 	defer cancel()
 	_ = server.Shutdown(ctx)
@@ -191,8 +191,8 @@
 	return errcode.Wrap(errcode.Internal, json.NewEncoder(stdout).Encode(line), "announce")
 }
 
-func (p *Process) operations() *operations.Server {
-	return operations.New(operations.Config{
+func (p *Process) operations() *operatorserver.Server {
+	return operatorserver.New(operatorserver.Config{
 		Listener: p.listener,
 		Ready:    p.ready,
 		Pprof:    p.settings.Listen.PProf,
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -15,12 +15,12 @@
 	"go.uber.org/goleak"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/controller"
+	"github.com/goldcrestspool/goldcrestspool/internal/daemon"
 	"github.com/goldcrestspool/goldcrestspool/internal/document"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/lease"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform/connectplatform"
-	"github.com/goldcrestspool/goldcrestspool/internal/program"
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/cloud"
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/instances"
@@ -109,7 +109,7 @@
 	kill, endKill := context.WithCancel(context.Background())
 	reader, writer := io.Pipe()
 	r := &testProcess{stop: stop, ended: make(chan error, 1)}
-	go func() { r.ended <- process.Run(program.Signals{Stop: stopCtx, Kill: kill}, writer) }()
+	go func() { r.ended <- process.Run(daemon.Signals{Stop: stopCtx, Kill: kill}, writer) }()
 	line, err := bufio.NewReader(reader).ReadBytes('\n')
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controllers/membership/push.go
+++ b/internal/controllers/membership/push.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 // audience says to whom a departure is pushed.
@@ -50,7 +50,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !pause.For(ctx, pushDelay) {
+		if !sleep.For(ctx, pushDelay) {
 			return ctx.Err()
 		}
 		c.startPushes(ctx, &pushes)
@@ -131,7 +131,7 @@
 		// A refused connection fails at once. Waiting out the rest of
 		// Timeout gives the peer time to answer again before the last
 		// attempt.
-		if err != nil && !pause.For(ctx, c.config.Timeout-time.Since(start)) {
+		if err != nil && !sleep.For(ctx, c.config.Timeout-time.Since(start)) {
 			return
 		}
 	}
--- a/internal/program/program.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package program runs daemons: it parses the command line, loads and checks the
+// Package daemon runs daemons: it parses the command line, loads and checks the
 // settings, handles signals and returns the exit status.
-package program
+package daemon
 
 import (
 	"context"
--- a/internal/program/program_test.go
+++ b/internal/daemon/daemon_test.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"bytes"
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -13,8 +13,8 @@
 
 	"github.com/goldcrestspool/goldcrestspool/internal/boottime"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 const (
@@ -195,7 +195,7 @@
 // Run claims and renews the lease until ctx ends, and then releases it.
 func (m *Manager) Run(ctx context.Context) {
 	wait := tickInterval
-	for pause.For(ctx, wait) {
+	for sleep.For(ctx, wait) {
 		wait = idleTickInterval
 		if m.tick(ctx) {
 			wait = tickInterval
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -10,12 +10,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/duty"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/metering"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 	"github.com/goldcrestspool/goldcrestspool/internal/routing/placement"
 	"github.com/goldcrestspool/goldcrestspool/internal/scaling"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 const (
@@ -35,7 +35,7 @@
 	var steps, lease sync.WaitGroup
 	run := func(step func(context.Context)) {
 		steps.Go(func() {
-			for pause.For(stop, dutyInterval) {
+			for sleep.For(stop, dutyInterval) {
 				step(ctx)
 			}
 		})
@@ -66,7 +66,7 @@
 			p.log.Info("gateways before the start", "count", n)
 			return
 		}
-		if !pause.For(ctx, retryPause(failures)) {
+		if !sleep.For(ctx, retryPause(failures)) {
 			return
 		}
 	}
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -11,11 +11,11 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/goldcrestspool/goldcrestspool/internal/operations"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
-	"github.com/goldcrestspool/goldcrestspool/internal/program"
+	"github.com/goldcrestspool/goldcrestspool/internal/daemon"
+	"github.com/goldcrestspool/goldcrestspool/internal/operatorserver"
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 const (
@@ -72,11 +72,11 @@
 
 // newOperatorsServer returns the server for operators. It serves the metrics, the barred
 // requests, the upstreams with rate limits, liveness, and readiness with its reason.
-func (p *Process) newOperatorsServer(listener net.Listener) *operations.Server {
+func (p *Process) newOperatorsServer(listener net.Listener) *operatorserver.Server {
 	handlers := p.barredHandlers()
 	handlers["GET "+limitedPath] = http.HandlerFunc(p.listLimited)
 	handlers["GET "+metricsPath] = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { p.writeMetrics(w) })
-	return operations.New(operations.Config{Listener: listener, Ready: p.readiness, Handlers: handlers})
+	return operatorserver.New(operatorserver.Config{Listener: listener, Ready: p.readiness, Handlers: handlers})
 }
 
 // writeMetrics prints the metrics as text, one per line.
@@ -129,7 +129,7 @@
 // leave drains the callers' server: callers are asked to go to other gateways, requests in
 // progress are finished, and then the connections are closed. What is still running at the
 // end of the grace period or at signals.Kill is cut off.
-func (p *Process) leave(ctx context.Context, signals program.Signals) {
+func (p *Process) leave(ctx context.Context, signals daemon.Signals) {
 	start := p.now()
 	p.leaving.Store(true)
 	p.gossip.Leave()
@@ -142,7 +142,7 @@
 		if now.Sub(start) >= closeIdleAfter {
 			left = p.callers.CloseIdle()
 		}
-		if left == 0 && now.Sub(start) >= platformNoticeTime || !pause.For(signals.Kill, stopPollInterval) {
+		if left == 0 && now.Sub(start) >= platformNoticeTime || !sleep.For(signals.Kill, stopPollInterval) {
 			break
 		}
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -8,11 +8,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/enginemodel"
 	"github.com/goldcrestspool/goldcrestspool/internal/gossip"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/poison"
 	"github.com/goldcrestspool/goldcrestspool/internal/quota"
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 	"github.com/goldcrestspool/goldcrestspool/internal/routing/placement"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
@@ -26,7 +26,7 @@
 
 // followPeers applies the other gateways' reports twice per round, until ctx ends.
 func (p *Process) followPeers(ctx context.Context) {
-	for pause.For(ctx, gossip.Interval/2) {
+	for sleep.For(ctx, gossip.Interval/2) {
 		p.refreshPeers()
 	}
 }
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -15,8 +15,9 @@
 	pkgerrors "github.com/pkg/errors"
 	"golang.org/x/net/netutil"
 
-	"github.com/goldcrestspool/goldcrestspool/internal/admission/returntime"
+	"github.com/goldcrestspool/goldcrestspool/internal/admission/retryafter"
 	"github.com/goldcrestspool/goldcrestspool/internal/boottime"
+	"github.com/goldcrestspool/goldcrestspool/internal/daemon"
 	"github.com/goldcrestspool/goldcrestspool/internal/directory"
 	"github.com/goldcrestspool/goldcrestspool/internal/duty"
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
@@ -25,15 +26,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/ingress"
 	"github.com/goldcrestspool/goldcrestspool/internal/metering"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/poison"
-	"github.com/goldcrestspool/goldcrestspool/internal/program"
 	"github.com/goldcrestspool/goldcrestspool/internal/quota"
 	"github.com/goldcrestspool/goldcrestspool/internal/retry"
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 	"github.com/goldcrestspool/goldcrestspool/internal/routing/placement"
 	"github.com/goldcrestspool/goldcrestspool/internal/settings"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 	"github.com/goldcrestspool/goldcrestspool/internal/telemetry"
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
@@ -169,7 +169,7 @@
 // refused together do not return together.
 func (p *Process) retryAfter(call *forward.Call) time.Duration {
 	capacityIn := p.chooser.RetryAfter(call, p.now())
-	return returntime.Spread(max(call.Route.Objective/2, capacityIn, minRetryAfter), call.ID)
+	return retryafter.Spread(max(call.Route.Objective/2, capacityIn, minRetryAfter), call.ID)
 }
 
 // table returns the operators' configuration in force, or nil while none is known.
@@ -177,9 +177,9 @@
 
 // Run serves until signals.Stop ends, and then leaves within the grace period. It returns an
 // error only if it cannot listen. Each value from reload makes it read the settings again.
-func (p *Process) Run(signals program.Signals, reload <-chan os.Signal) error {
+func (p *Process) Run(signals daemon.Signals, reload <-chan os.Signal) error {
 	debug.SetMemoryLimit(int64(goMemoryShare * p.settings.Machine.MemoryMiB * (1 << 20)))
-	p.log.Info("started", "version", program.Version(), "domain", p.settings.Instance.FailureDomain,
+	p.log.Info("started", "version", daemon.Version(), "domain", p.settings.Instance.FailureDomain,
 		"callers", p.settings.Listen.Callers, "operators", p.settings.Listen.Operators, "seeds", p.settings.Peers.Seeds)
 	listeners, err := p.listen()
 	if err != nil {
@@ -254,7 +254,7 @@
 
 // sweepIdle closes connections that were idle for too long, until ctx ends.
 func (p *Process) sweepIdle(ctx context.Context) {
-	for pause.For(ctx, sweepInterval) {
+	for sleep.For(ctx, sweepInterval) {
 		p.pool.Sweep()
 		p.callers.SweepIdle()
 	}
--- a/internal/entry/storehealth.go
+++ b/internal/entry/storehealth.go
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 const (
@@ -50,7 +50,7 @@
 		idle, err := step(ctx)
 		switch {
 		case idle > 0:
-			pause.For(ctx, min(max(idle, minPollInterval), maxPollInterval))
+			sleep.For(ctx, min(max(idle, minPollInterval), maxPollInterval))
 		case err != nil:
 			h.recordFailure(ctx, err)
 		default:
@@ -78,7 +78,7 @@
 	if failures == 1 {
 		h.log.Warn("store does not answer", "topic", h.topic, "error", err)
 	}
-	pause.For(ctx, retryPause(int(failures)))
+	sleep.For(ctx, retryPause(int(failures)))
 }
 
 // ageOf returns how long ago a view was confirmed, and an hour if it never was.
--- a/internal/agenda/agenda.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,7 +1,7 @@
-// Package agenda is the event queue of simulations: it runs actions in virtual time, in
+// Package eventqueue is the event queue of simulations: it runs actions in virtual time, in
 // the order of their times. Actions with the same time run in the order in which they
 // were added.
-package agenda
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/experiment/brownout.go
+++ b/internal/experiment/brownout.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/admission/ejection"
-	"github.com/goldcrestspool/goldcrestspool/internal/admission/returntime"
+	"github.com/goldcrestspool/goldcrestspool/internal/admission/retryafter"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
@@ -50,7 +50,7 @@
 	}
 	k.unpaidRetries++
 	entry := k.entry
-	r.refuse(k, outcome.NewNotRun(outcome.ReasonUpstreamRefused, "", returntime.Spread(unpaidRetryAfter, k.id())))
+	r.refuse(k, outcome.NewNotRun(outcome.ReasonUpstreamRefused, "", retryafter.Spread(unpaidRetryAfter, k.id())))
 	a.gate.Done(r.agenda.Clock(), entry, 0)
 	r.grantWaiting(a)
 }
--- a/internal/experiment/driver.go
+++ b/internal/experiment/driver.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/admission/gate"
-	"github.com/goldcrestspool/goldcrestspool/internal/agenda"
 	"github.com/goldcrestspool/goldcrestspool/internal/blackboard"
 	"github.com/goldcrestspool/goldcrestspool/internal/cacheview"
 	"github.com/goldcrestspool/goldcrestspool/internal/document"
+	"github.com/goldcrestspool/goldcrestspool/internal/eventqueue"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
@@ -99,7 +99,7 @@
 	workload *Workload
 	fault    Case
 	rng      *rand.Rand
-	agenda   agenda.Queue
+	agenda   eventqueue.Queue
 	runners  []*runner
 	gateways []*gateway
 	calls    []*call
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -10,10 +10,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/goldcrestspool/goldcrestspool/internal/admission/returntime"
-	"github.com/goldcrestspool/goldcrestspool/internal/agenda"
+	"github.com/goldcrestspool/goldcrestspool/internal/admission/retryafter"
 	"github.com/goldcrestspool/goldcrestspool/internal/directory"
 	"github.com/goldcrestspool/goldcrestspool/internal/enginemodel"
+	"github.com/goldcrestspool/goldcrestspool/internal/eventqueue"
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 	"github.com/goldcrestspool/goldcrestspool/internal/gossip"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
@@ -56,7 +56,7 @@
 
 // world is the state of a run.
 type world struct {
-	agenda.Queue
+	eventqueue.Queue
 	c        Case
 	rng      *rand.Rand
 	svc      *routetable.Service
@@ -281,7 +281,7 @@
 		// The caller retries once, after the retry-after time.
 		c.retried = true
 		room := c.gateway.chooser.RetryAfter(&c.Call, now)
-		again := w.Now() + returntime.Spread(max(c.Route.Objective/2, room, 100*time.Millisecond), c.ID)
+		again := w.Now() + retryafter.Spread(max(c.Route.Objective/2, room, 100*time.Millisecond), c.ID)
 		w.At(again, func() { w.place(c, again) })
 	default:
 		c.done = true
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -15,8 +15,8 @@
 
 	"github.com/goldcrestspool/goldcrestspool/internal/boottime"
 	"github.com/goldcrestspool/goldcrestspool/internal/httpconn"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 const (
@@ -217,7 +217,7 @@
 		if found || choice.OnlyLimits || !now.Before(waitUntil) || s.ctx.Err() != nil {
 			return choice, found && s.ctx.Err() == nil
 		}
-		pause.For(s.ctx, waitInterval) // the loop checks whether the call has ended
+		sleep.For(s.ctx, waitInterval) // the loop checks whether the call has ended
 	}
 }
 
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -7,8 +7,8 @@
 
 	"github.com/goldcrestspool/goldcrestspool/internal/httpconn"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/poison"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 // probeTimeout bounds the probe of an upstream that broke an answer off. A host whose
@@ -51,7 +51,7 @@
 		case decision.Step == poison.Bar:
 			s.barredFor, s.reason = decision.RetryAfter, BarredReason
 			return nil, false
-		case decision.Step == poison.Send || !pause.For(s.ctx, waitInterval):
+		case decision.Step == poison.Send || !sleep.For(s.ctx, waitInterval):
 			return decision.Avoid, true
 		}
 	}
--- a/internal/gateway/plains.go
+++ b/internal/gateway/plains.go
@@ -13,9 +13,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/explain"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/retry"
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
@@ -85,7 +85,7 @@
 			return unansweredOutcome(mayHaveRun, outcome.ReasonOverloaded, "too many retries at this time")
 		}
 		tried = append(tried, u.Instance.ID)
-		if !pause.For(ctx, p.backoff.Delay(attempt, call.request)) {
+		if !sleep.For(ctx, p.backoff.Delay(attempt, call.request)) {
 			return unansweredOutcome(mayHaveRun, contextReason(ctx), "the request was given up before an upstream answered")
 		}
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
+	"github.com/goldcrestspool/goldcrestspool/internal/daemon"
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 	"github.com/goldcrestspool/goldcrestspool/internal/gateway/peering"
-	"github.com/goldcrestspool/goldcrestspool/internal/operations"
+	"github.com/goldcrestspool/goldcrestspool/internal/operatorserver"
 	"github.com/goldcrestspool/goldcrestspool/internal/peer"
-	"github.com/goldcrestspool/goldcrestspool/internal/program"
 )
 
 const (
@@ -26,7 +26,7 @@
 
 // Run serves until a stop signal or a reclaim notice arrives, then leaves gracefully.
 // It returns early with an error if a part fails.
-func (p *Process) Run(signals program.Signals, stdout io.Writer) error {
+func (p *Process) Run(signals daemon.Signals, stdout io.Writer) error {
 	servers, err := p.servers()
 	if err != nil {
 		p.listeners.close()
@@ -56,7 +56,7 @@
 // servers are the servers behind the three listeners.
 type servers struct {
 	callers    *http.Server
-	operations *operations.Server
+	operations *operatorserver.Server
 	peers      *peer.Server
 	stopPeers  context.CancelFunc
 }
@@ -73,7 +73,7 @@
 	return &servers{
 		callers: newCallersServer(p.handler, p.settings.Limits),
 		peers:   peers,
-		operations: operations.New(operations.Config{
+		operations: operatorserver.New(operatorserver.Config{
 			Listener: p.listeners.operators,
 			Ready:    func() (bool, string) { return p.ready.check(time.Now()) },
 			Pprof:    p.settings.Listen.PProf,
@@ -118,7 +118,7 @@
 
 // awaitStop waits for a stop signal, a reclaim notice or the failure of a part. It
 // returns how long leaving may take.
-func (p *Process) awaitStop(signals program.Signals, failed <-chan error) (time.Duration, error) {
+func (p *Process) awaitStop(signals daemon.Signals, failed <-chan error) (time.Duration, error) {
 	limit := p.settings.Limits.StopTimeout
 	select {
 	case <-signals.Stop.Done():
@@ -135,7 +135,7 @@
 
 // leave stops gracefully: it accepts no new work, finishes or hands over the requests
 // in progress and flushes the journal. A second signal ends this at once.
-func (p *Process) leave(signals program.Signals, s *servers, limit time.Duration) error {
+func (p *Process) leave(signals daemon.Signals, s *servers, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(signals.Kill, limit)
 	defer cancel()
 	p.board.Stopping.Publish(true)
@@ -162,7 +162,7 @@
 const streamHandOverReserve = 2 * time.Second
 
 // flush exports the remaining trace spans.
-func (p *Process) flush(signals program.Signals) error {
+func (p *Process) flush(signals daemon.Signals) error {
 	ctx, cancel := context.WithTimeout(signals.Kill, shutdownReserve)
 	defer cancel()
 	if err := p.telemetry.Shutdown(ctx); err != nil {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -10,14 +10,14 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/blackboard"
 	"github.com/goldcrestspool/goldcrestspool/internal/explain"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
+	"github.com/goldcrestspool/goldcrestspool/internal/operatorapi"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
-	"github.com/goldcrestspool/goldcrestspool/internal/report"
 )
 
 // The gateway's own paths on the operators' address.
 const (
-	statusPath  = "GET " + report.StatusPath
-	explainPath = "GET " + report.ExplainPath
+	statusPath  = "GET " + operatorapi.StatusPath
+	explainPath = "GET " + operatorapi.ExplainPath
 )
 
 var roleNames = map[platform.Role]string{
@@ -33,10 +33,10 @@
 	blackboard.Gone:    "gone",
 }
 
-func statusOf(self platform.Instance, board *blackboard.Board, r *readiness) report.Status {
+func statusOf(self platform.Instance, board *blackboard.Board, r *readiness) operatorapi.Status {
 	ok, reason := r.check(time.Now())
 	set := board.Documents.Value()
-	s := report.Status{
+	s := operatorapi.Status{
 		Instance:      self.ID,
 		Incarnation:   self.Incarnation,
 		FailureDomain: self.FailureDomain,
@@ -53,7 +53,7 @@
 		s.Services[name] = entry.Revision
 	}
 	for _, m := range board.Members.Value().ByID {
-		s.Members = append(s.Members, report.Member{
+		s.Members = append(s.Members, operatorapi.Member{
 			ID:            m.Instance.ID,
 			Role:          roleNames[m.Instance.Role],
 			Service:       m.Instance.Service,
@@ -62,7 +62,7 @@
 			Since:         m.Since,
 		})
 	}
-	slices.SortFunc(s.Members, func(a, b report.Member) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(s.Members, func(a, b operatorapi.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return s
 }
 
@@ -76,10 +76,10 @@
 // explainHandler answers with the recorded attempts and endings of a request.
 func explainHandler(recorder *explain.Recorder) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		id := ident.Request(r.URL.Query().Get(report.RequestParameter))
+		id := ident.Request(r.URL.Query().Get(operatorapi.RequestParameter))
 		records := recorder.Find(id)
 		if len(records) == 0 {
-			writeJSON(w, http.StatusNotFound, report.ErrorResponse{Error: "this gateway remembers no request with this ID"})
+			writeJSON(w, http.StatusNotFound, operatorapi.ErrorResponse{Error: "this gateway remembers no request with this ID"})
 			return
 		}
 		writeJSON(w, http.StatusOK, records)
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -129,7 +129,7 @@
 // Send implements Network.
 func (n *node) Send(ctx context.Context, address string, request []byte) ([]byte, error) {
 	f := n.fleet
-	if err := sleep(ctx, n.untilThaw()+f.oneWay()); err != nil {
+	if err := sleepContext(ctx, n.untilThaw()+f.oneWay()); err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
@@ -144,7 +144,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := sleep(ctx, to.untilThaw()); err != nil {
+	if err := sleepContext(ctx, to.untilThaw()); err != nil {
 		return nil, err
 	}
 	answer, done, err := to.gossip.handleRequest(string(n.contact.Node), request)
@@ -156,7 +156,7 @@
 	n.sentBytes, n.receivedBytes = n.sentBytes+len(request), n.receivedBytes+len(answer)
 	to.sentBytes, to.receivedBytes = to.sentBytes+len(answer), to.receivedBytes+len(request)
 	f.mu.Unlock()
-	return answer, sleep(ctx, f.oneWay())
+	return answer, sleepContext(ctx, f.oneWay())
 }
 
 // slowDown sets the one-way delay to that of busy machines.
@@ -178,7 +178,7 @@
 	return max(0, time.Until(n.frozenUntil))
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
+func sleepContext(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -17,7 +17,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/boottime"
 	"github.com/goldcrestspool/goldcrestspool/internal/directory"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
@@ -160,11 +160,11 @@
 
 // Run exchanges reports in every round until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
-	for pause.For(ctx, Interval/2) {
+	for sleep.For(ctx, Interval/2) {
 		// Sums are exchanged twice a round: all gateways then get younger data, and only
 		// the few collectors do so.
 		g.exchangeSums(ctx, g.cfg.Now())
-		if !pause.For(ctx, Interval/2) {
+		if !sleep.For(ctx, Interval/2) {
 			return
 		}
 		g.round(ctx)
--- a/internal/loadgen/caller.go
+++ b/internal/loadgen/caller.go
@@ -9,7 +9,7 @@
 
 	callerv1 "github.com/goldcrestspool/goldcrestspool/api/caller/v1"
 	"github.com/goldcrestspool/goldcrestspool/api/caller/v1/callerv1connect"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
@@ -78,7 +78,7 @@
 func (c *caller) backOff(ctx context.Context) bool {
 	c.nextGateway++
 	c.backoff = min(max(2*c.backoff, firstBackoff), maxBackoff)
-	return pause.For(ctx, c.backoff)
+	return sleep.For(ctx, c.backoff)
 }
 
 // waitRetryAfter records an outcome that is not final, moves to the next gateway
@@ -92,7 +92,7 @@
 	if retryAfter <= 0 {
 		retryAfter = defaultRetryAfter
 	}
-	return pause.For(ctx, retryAfter)
+	return sleep.For(ctx, retryAfter)
 }
 
 // assessUnfinished assesses a request that its caller gave up without a final
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -13,7 +13,7 @@
 	callerv1 "github.com/goldcrestspool/goldcrestspool/api/caller/v1"
 	"github.com/goldcrestspool/goldcrestspool/api/caller/v1/callerv1connect"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
@@ -73,7 +73,7 @@
 	var group sync.WaitGroup
 	for _, arrival := range arrivals {
 		due := start.Add(arrival.At)
-		if !pause.For(ctx, time.Until(due)) {
+		if !sleep.For(ctx, time.Until(due)) {
 			break
 		}
 		r.recorder.recordStart()
--- a/internal/report/report.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,6 +1,6 @@
-// Package report defines the JSON that a gateway serves on its operators' address and
+// Package operatorapi defines the JSON that a gateway serves on its operators' address and
 // spoolctl reads. The answer of ExplainPath is in package explain.
-package report
+package operatorapi
 
 import (
 	"time"
--- a/internal/operations/operations.go
+++ b/internal/operatorserver/operatorserver.go
@@ -1,8 +1,8 @@
-// Package operations is the HTTP server for a process's operators: liveness,
+// Package operatorserver is the HTTP server for a process's operators: liveness,
 // readiness with the reason if not ready, the expvar metrics and, if enabled,
 // profiles. It has a listener apart from that for callers, so that operators can
 // still examine a process whose callers overload it.
-package operations
+package operatorserver
 
 import (
 	"context"
--- a/internal/operations/operations_test.go
+++ b/internal/operatorserver/operatorserver_test.go
@@ -1,4 +1,4 @@
-package operations_test
+package operatorserver_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"github.com/goldcrestspool/goldcrestspool/internal/operations"
+	"github.com/goldcrestspool/goldcrestspool/internal/operatorserver"
 )
 
 func TestServerAnswersOperators(t *testing.T) {
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := operations.New(operations.Config{
+	server := operatorserver.New(operatorserver.Config{
 		Listener: l,
 		Ready:    func() (bool, string) { return ready, "documents not read yet" },
 		Pprof:    pprof,
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -136,7 +136,7 @@
 
 // service implements the generated server interface by calling the handlers. The
 // protocol's method ExplainRequest has no handler, because operators ask the
-// gateway itself (package report).
+// gateway itself (package operatorapi).
 type service struct {
 	peerv1.UnimplementedPeerServiceServer
 	handlers Handlers
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"github.com/goldcrestspool/goldcrestspool/internal/admission/returntime"
+	"github.com/goldcrestspool/goldcrestspool/internal/admission/retryafter"
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
@@ -26,6 +26,6 @@
 	if shift := max(attempt-1, 0); shift < 30 && b.Base<<shift < b.Max {
 		longest = b.Base << shift
 	}
-	jitter := returntime.Fraction(id + ident.Request("/"+strconv.Itoa(attempt)))
+	jitter := retryafter.Fraction(id + ident.Request("/"+strconv.Itoa(attempt)))
 	return longest/2 + time.Duration(float64(longest/2)*jitter)
 }
--- a/internal/pause/pause.go
+++ b/internal/sleep/sleep.go
@@ -1,5 +1,5 @@
-// Package pause waits for a time or until a context ends.
-package pause
+// Package sleep waits for a time or until a context ends.
+package sleep
 
 import (
 	"context"
--- a/internal/spoolctl/command_test.go
+++ b/internal/spoolctl/command_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"github.com/goldcrestspool/goldcrestspool/internal/explain"
+	"github.com/goldcrestspool/goldcrestspool/internal/operatorapi"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform/connectplatform"
-	"github.com/goldcrestspool/goldcrestspool/internal/report"
 	"github.com/goldcrestspool/goldcrestspool/internal/routing"
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/logstore"
 )
@@ -40,11 +40,11 @@
 // newGateway returns a server that answers like a gateway's operators' address.
 func newGateway() *httptest.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+report.StatusPath, func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(report.Status{Instance: "entry-1", NotReady: "catching up"})
+	mux.HandleFunc("GET "+operatorapi.StatusPath, func(w http.ResponseWriter, _ *http.Request) {
+		_ = json.NewEncoder(w).Encode(operatorapi.Status{Instance: "entry-1", NotReady: "catching up"})
 	})
-	mux.HandleFunc("GET "+report.ExplainPath, func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Query().Get(report.RequestParameter) != "r1" {
+	mux.HandleFunc("GET "+operatorapi.ExplainPath, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get(operatorapi.RequestParameter) != "r1" {
 			http.Error(w, "no such request", http.StatusNotFound)
 			return
 		}
--- a/internal/spoolctl/gateway.go
+++ b/internal/spoolctl/gateway.go
@@ -15,7 +15,7 @@
 
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 	"github.com/goldcrestspool/goldcrestspool/internal/explain"
-	"github.com/goldcrestspool/goldcrestspool/internal/report"
+	"github.com/goldcrestspool/goldcrestspool/internal/operatorapi"
 	"github.com/goldcrestspool/goldcrestspool/internal/transport"
 )
 
@@ -27,8 +27,8 @@
 )
 
 func (c *command) status(ctx context.Context, a *statusArguments) error {
-	var status report.Status
-	if err := queryGateway(ctx, a.Gateway, report.StatusPath, nil, &status); err != nil {
+	var status operatorapi.Status
+	if err := queryGateway(ctx, a.Gateway, operatorapi.StatusPath, nil, &status); err != nil {
 		return err
 	}
 	c.print(status, statusText(status))
@@ -40,8 +40,8 @@
 
 func (c *command) explain(ctx context.Context, a *explainArguments) error {
 	var records []explain.Record
-	query := url.Values{report.RequestParameter: {a.RequestID}}
-	if err := queryGateway(ctx, a.Gateway, report.ExplainPath, query, &records); err != nil {
+	query := url.Values{operatorapi.RequestParameter: {a.RequestID}}
+	if err := queryGateway(ctx, a.Gateway, operatorapi.ExplainPath, query, &records); err != nil {
 		return err
 	}
 	c.print(records, explanationText(records))
@@ -78,14 +78,14 @@
 
 // errorText returns the error message in the body of a gateway's error answer.
 func errorText(body []byte) string {
-	var problem report.ErrorResponse
+	var problem operatorapi.ErrorResponse
 	if err := json.Unmarshal(body, &problem); err == nil && problem.Error != "" {
 		return problem.Error
 	}
 	return strings.TrimSpace(string(body))
 }
 
-func statusText(s report.Status) string {
+func statusText(s operatorapi.Status) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "instance\t%s (%s)\n", s.Instance, s.FailureDomain)
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/goldcrestspool/goldcrestspool/internal/pause"
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
+	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
 // Loss is what is lost of a request that has an effect.
@@ -146,6 +146,6 @@
 
 // sleepContext waits for d, or returns the context's error.
 func sleepContext(ctx context.Context, d time.Duration) error {
-	pause.For(ctx, d)
+	sleep.For(ctx, d)
 	return ctx.Err()
 }
--- a/internal/standin/tokens/tokens.go
+++ b/internal/standin/zerodelay/zerodelay.go
@@ -1,6 +1,6 @@
-// Package tokens provides an engine without delay and a sink that only counts
+// Package zerodelay provides an engine without delay and a sink that only counts
 // tokens, for benchmarks of the streaming path between them.
-package tokens
+package zerodelay
 
 import (
 	"context"
--- a/internal/streaming/bench_test.go
+++ b/internal/streaming/bench_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 	"github.com/goldcrestspool/goldcrestspool/internal/procstat"
-	"github.com/goldcrestspool/goldcrestspool/internal/standin/tokens"
+	"github.com/goldcrestspool/goldcrestspool/internal/standin/zerodelay"
 	"github.com/goldcrestspool/goldcrestspool/internal/streaming"
 )
 
@@ -27,7 +27,7 @@
 	const count = 256
 	for _, streams := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
-			g := tokens.NewRegistry(tokens.Engine{StopAt: count + 1})
+			g := zerodelay.NewRegistry(zerodelay.Engine{StopAt: count + 1})
 			defer g.Close()
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
@@ -36,7 +36,7 @@
 				var all sync.WaitGroup
 				for i := range streams {
 					all.Go(func() {
-						sink := &tokens.Sink{TokensLeft: count, OnDone: func() {}}
+						sink := &zerodelay.Sink{TokensLeft: count, OnDone: func() {}}
 						_, _ = g.Generate(b.Context(), benchRequest(round*streams+i, count), sink)
 					})
 				}
@@ -70,7 +70,7 @@
 // openStreamBytes returns the bytes of heap and stack that each open stream
 // takes.
 func openStreamBytes(b *testing.B, streams int, count uint32) float64 {
-	g := tokens.NewRegistry(tokens.Engine{StopAt: count})
+	g := zerodelay.NewRegistry(zerodelay.Engine{StopAt: count})
 	defer g.Close()
 	ctx, cancel := context.WithCancel(b.Context())
 	var received, callers sync.WaitGroup
@@ -78,7 +78,7 @@
 	for i := range streams {
 		received.Add(1)
 		callers.Go(func() {
-			sink := &tokens.Sink{TokensLeft: int(count), OnDone: received.Done}
+			sink := &zerodelay.Sink{TokensLeft: int(count), OnDone: received.Done}
 			_, _ = g.Generate(ctx, benchRequest(i, count+1), sink)
 		})
 	}
