--- a/internal/duty/lease.go
+++ b/internal/duty/lease.go
@@ -34,11 +34,11 @@
 	// GatewayCount is how many gateways the holder knew, for gateways that have
 	// just started and know none.
 	GatewayCount int `json:"gateways,omitempty"`
-	Kept
+	StoredState
 }
 
-// Kept is state that the record passes on to gateways that start.
-type Kept struct {
+// StoredState is state that the record passes on to gateways that start.
+type StoredState struct {
 	// PoisonRequests are the poison requests.
 	PoisonRequests json.RawMessage `json:"kept,omitempty"`
 	// Limits are the rate limits that upstreams announced.
--- a/internal/duty/lease_test.go
+++ b/internal/duty/lease_test.go
@@ -334,8 +334,8 @@
 	w := newWorld(0)
 	keepState := func(m *Manager, initial string) *string {
 		learned := initial
-		m.cfg.KeptState = func() Kept { return Kept{PoisonRequests: json.RawMessage(learned), Limits: json.RawMessage(learned)} }
-		m.cfg.MergeKept = func(kept Kept) {
+		m.cfg.StateToStore = func() StoredState { return StoredState{PoisonRequests: json.RawMessage(learned), Limits: json.RawMessage(learned)} }
+		m.cfg.RestoreState = func(kept StoredState) {
 			if string(kept.PoisonRequests) != string(kept.Limits) {
 				t.Errorf("learned %s and %s", kept.PoisonRequests, kept.Limits)
 			}
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -50,11 +50,11 @@
 	Rank func() (rank int, held bool)
 	// GatewayCount returns how many gateways are known.
 	GatewayCount func() int
-	// KeptState returns the state that the record passes on to gateways that start. Learn
+	// StateToStore returns the state that the record passes on to gateways that start. Learn
 	// merges the state of a record that was read; it is called before this gateway can
 	// write a record itself. Both may be nil.
-	KeptState func() Kept
-	MergeKept func(kept Kept)
+	StateToStore func() StoredState
+	RestoreState func(kept StoredState)
 	// GivenUpFence returns the highest fencing number whose holder reports that it no longer
 	// acts under it; 0 if none. Without that report, a holder that alone cannot reach the
 	// store is replaced only after its record has not changed for the lease's length
@@ -259,8 +259,8 @@
 		}
 		newest, offset = &record, r.Offset
 	}
-	if newest != nil && m.cfg.MergeKept != nil {
-		m.cfg.MergeKept(newest.Kept)
+	if newest != nil && m.cfg.RestoreState != nil {
+		m.cfg.RestoreState(newest.StoredState)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -292,8 +292,8 @@
 	record, condition := m.state.NextRecord(action, uuid.NewString(), decided, m.cfg.Now())
 	m.mu.Unlock()
 	record.GatewayCount = m.cfg.GatewayCount()
-	if m.cfg.KeptState != nil {
-		record.Kept = m.cfg.KeptState()
+	if m.cfg.StateToStore != nil {
+		record.StoredState = m.cfg.StateToStore()
 	}
 	offset, err := m.put(ctx, record, condition)
 	m.mu.Lock()
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -76,18 +76,18 @@
 	return duty.NewManager(duty.Config{
 		Self: p.settings.Instance.ID, Incarnation: p.incarnation, Timing: duty.NewTiming(p.settings.Lease.Length, platform.DutyTimeout),
 		Store: p.ports.Store, Now: p.now, Log: p.log.Named("lease"), Rank: p.leaseRank, GatewayCount: p.gatewayCount,
-		GivenUpFence: p.givenUpFence, KeptState: p.recordsToKeep, MergeKept: p.restoreKept,
+		GivenUpFence: p.givenUpFence, StateToStore: p.stateToStore, RestoreState: p.restoreState,
 		OnGivenUp: func() { go p.gossip.Announce(context.Background()) },
 	})
 }
 
-// recordsToKeep returns what must survive when all gateways end at once.
-func (p *Process) recordsToKeep() duty.Kept {
-	return duty.Kept{PoisonRequests: p.poison.Snapshot(), Limits: p.limits.Snapshot()}
+// stateToStore returns what must survive when all gateways end at once.
+func (p *Process) stateToStore() duty.StoredState {
+	return duty.StoredState{PoisonRequests: p.poison.Snapshot(), Limits: p.limits.Snapshot()}
 }
 
-// restoreKept restores what recordsToKeep returned at an earlier holder of the lease.
-func (p *Process) restoreKept(kept duty.Kept) {
+// restoreState restores what recordsToKeep returned at an earlier holder of the lease.
+func (p *Process) restoreState(kept duty.StoredState) {
 	p.poison.Restore(kept.PoisonRequests)
 	p.limits.Restore(kept.Limits)
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -225,8 +225,8 @@
 	k.p.ledger.MergeCounts(gossip.IncarnationID(r.Node, r.Incarnation), r.StartedRequests)
 }
 
-// LimitOrder implements gossip.Knowledge.
-func (k knowledge) LimitOrder() upstreamlimit.LimitedSet { return k.p.limits.LimitedSet() }
+// LimitedSet implements gossip.Knowledge.
+func (k knowledge) LimitedSet() upstreamlimit.LimitedSet { return k.p.limits.LimitedSet() }
 
 // ApplyCounts implements gossip.Knowledge.
 func (k knowledge) ApplyCounts(counts []gossip.IncarnationCounts) {
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -38,7 +38,7 @@
 // encode encodes a message.
 func (m *message) encode() ([]byte, error) {
 	out := &exchangev1.Message{
-		From: m.From.toProto(), Knows: m.KnownDigest, Contacts: contactsToProto(m.Contacts), Wants: m.WantsLarge, TakesPatches: m.AcceptsPatches, Upstreams: newsToProto(m.Upstreams),
+		From: m.From.toProto(), Knows: m.KnownDigest, Contacts: contactsToProto(m.Contacts), Wants: m.WantsLarge, TakesPatches: m.AcceptsPatches, Upstreams: updateToProto(m.Upstreams),
 		Collect: m.Collect, TakesWhole: m.SubtractsOwn, Others: m.Others.toProto(), Domain: m.DomainSum.toProto(), WantsCounts: m.WantsCounts,
 	}
 	if c := m.Config; c != nil {
@@ -96,7 +96,7 @@
 	}
 	m.From = c.report(in.From)
 	m.Contacts = c.contacts(in.Contacts)
-	m.Upstreams = c.news(in.Upstreams)
+	m.Upstreams = c.update(in.Upstreams)
 	m.Others, m.DomainSum = c.sum(in.Others), c.sum(in.Domain)
 	if p := in.Configuration; p != nil {
 		m.Config = &encodedConfig{Revision: ident.Revision(p.Revision), Offset: ident.Offset(p.Offset), Gzip: p.Gzip, Base: ident.Revision(p.BaseRevision), Patch: p.Patch}
@@ -396,7 +396,7 @@
 
 func millis(d time.Duration) uint64 { return uint64(max(0, d.Milliseconds())) }
 
-func newsToProto(news *directory.Update) *exchangev1.News {
+func updateToProto(news *directory.Update) *exchangev1.News {
 	if news == nil {
 		return nil
 	}
@@ -415,7 +415,7 @@
 	return out
 }
 
-func (c *checker) news(in *exchangev1.News) *directory.Update {
+func (c *checker) update(in *exchangev1.News) *directory.Update {
 	if in == nil {
 		return nil
 	}
--- a/internal/gossip/codec_rollout.go
+++ b/internal/gossip/codec_rollout.go
@@ -51,7 +51,7 @@
 				Service: ident.Service(each.Service), Offset: ident.Offset(each.Order), To: ident.Version(each.To), TimeLimit: c.length(each.LengthMs),
 			},
 			Age: c.age(each.AgeMs), Phase: phase, ConfirmedAge: c.age(each.ConfirmedMs), Stopped: each.Stopped, Settled: int(each.Settled),
-			Evidence: c.seen(each.Routes, each.Figures),
+			Evidence: c.evidence(each.Routes, each.Figures),
 		})
 	}
 	return out
@@ -65,7 +65,7 @@
 	return c.age(millis)
 }
 
-func (c *checker) seen(routes []uint32, figures []int32) rollout.EvidenceByRoute {
+func (c *checker) evidence(routes []uint32, figures []int32) rollout.EvidenceByRoute {
 	c.checkCount("routes of a rollout", len(routes))
 	out := make(rollout.EvidenceByRoute, len(routes))
 	for _, route := range routes {
--- a/internal/gossip/collect.go
+++ b/internal/gossip/collect.go
@@ -107,7 +107,7 @@
 	if report.LimitSet != 0 && report.LimitSet == g.collectorLimitSet {
 		// The collector knows the same limits.
 		report.Limits = nil
-		report.LimitColumns, report.LimitUses = report.LimitUses.Columns(g.cfg.Knowledge.LimitOrder()), nil
+		report.LimitColumns, report.LimitUses = report.LimitUses.Columns(g.cfg.Knowledge.LimitedSet()), nil
 	}
 	g.mu.Unlock()
 	g.rememberReport(report)
@@ -307,7 +307,7 @@
 	g.mu.Lock()
 	answered := g.collectorSum != nil && g.collectorSum.Heard > 0 && now.Sub(g.collectorSumAt) <= freshFor
 	g.mu.Unlock()
-	return answered || g.isFirstCollector(now) && (g.collector.ReceivesReports(now) || len(g.collector.heardDomains(now)) > 0)
+	return answered || g.isFirstCollector(now) && (g.collector.ReceivesReports(now) || len(g.collector.currentDomains(now)) > 0)
 }
 
 // requestDomainCounts reports whether the counts of all domains that are heard arrived within
--- a/internal/gossip/collector.go
+++ b/internal/gossip/collector.go
@@ -71,7 +71,7 @@
 }
 
 type receivedCounts struct {
-	began      WindowCounts
+	startedRequests      WindowCounts
 	receivedAt time.Time
 }
 
@@ -101,7 +101,7 @@
 	c.members[r.Node] = &receivedReport{report: r, receivedAt: now, clockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
 	incarnationID := IncarnationID(r.Node, r.Incarnation)
 	c.memberTotals.update(string(r.Node), incarnationID, r.Accounts)
-	c.counts[incarnationID] = &receivedCounts{began: r.StartedRequests, receivedAt: now}
+	c.counts[incarnationID] = &receivedCounts{startedRequests: r.StartedRequests, receivedAt: now}
 	c.stats.Reports++
 	c.expire(now)
 }
@@ -236,8 +236,8 @@
 	return c.clockCorrectionLocked(now)
 }
 
-// heardDomains returns the other domains that have a current sum.
-func (c *Collector) heardDomains(now time.Time) []ident.FailureDomain {
+// currentDomains returns the other domains that have a current sum.
+func (c *Collector) currentDomains(now time.Time) []ident.FailureDomain {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []ident.FailureDomain
@@ -275,7 +275,7 @@
 	defer c.mu.Unlock()
 	out := make([]IncarnationCounts, 0, len(c.counts))
 	for incarnationID, counts := range c.counts {
-		out = append(out, IncarnationCounts{IncarnationID: incarnationID, StartedRequests: counts.began})
+		out = append(out, IncarnationCounts{IncarnationID: incarnationID, StartedRequests: counts.startedRequests})
 	}
 	return out
 }
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -189,7 +189,7 @@
 
 // BriefReport implements Knowledge.
 func (n *node) BriefReport(now time.Time) Report {
-	order := n.LimitOrder()
+	order := n.LimitedSet()
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	n.seq++
@@ -207,7 +207,7 @@
 	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, UnreadTokens: 100}, sharedUpstream: {Running: 1, UnreadTokens: 10}}
 	r.Accounts = map[ident.ClientAccount]Spending{"acct": {Spent: spentPerSecond * now.Sub(n.startedAt).Seconds()}}
 	r.Demand = map[ident.Service]placement.Demand{"llm": {PromptTokensPerSecond: 10, Generating: 1}}
-	if order := n.LimitOrder(); order.Hash != 0 {
+	if order := n.LimitedSet(); order.Hash != 0 {
 		r.LimitUses = upstreamlimit.Uses{}
 		for i := range usedLimits {
 			r.LimitUses[limitedKey((n.number+i)%len(order.Keys))] = upstreamlimit.Use{Demand: 1, Sent: 0.25}
@@ -233,9 +233,9 @@
 	}
 }
 
-// LimitOrder implements Knowledge. If limitsDiffer is set, gateways with an odd number report
+// LimitedSet implements Knowledge. If limitsDiffer is set, gateways with an odd number report
 // another digest of the limits than those with an even number.
-func (n *node) LimitOrder() upstreamlimit.LimitedSet {
+func (n *node) LimitedSet() upstreamlimit.LimitedSet {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	if n.fleet.limits == 0 {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -67,8 +67,8 @@
 	// The ages in the report count from asOf. A zero asOf means that the instant is unknown;
 	// the report then confirms nothing.
 	ApplyReport(r *Report, asOf time.Time)
-	// LimitOrder returns the upstreams whose limits this gateway knows.
-	LimitOrder() upstreamlimit.LimitedSet
+	// LimitedSet returns the upstreams whose limits this gateway knows.
+	LimitedSet() upstreamlimit.LimitedSet
 	// ApplyCounts applies the counts of other gateways that a collector sent.
 	ApplyCounts(counts []IncarnationCounts)
 }
@@ -231,7 +231,7 @@
 	}
 	var missing []string
 	for _, m := range g.cfg.Table.DirectPeers(now).Fresh {
-		if now.Sub(m.HeardAt) > within {
+		if now.Sub(m.ReceivedAt) > within {
 			missing = append(missing, m.Report.Address)
 		}
 	}
@@ -370,7 +370,7 @@
 	var config *ConfigRecord
 	if m.Config != nil {
 		var err error
-		if config, err = g.unpackConfig(m.Config); err != nil {
+		if config, err = g.decodeConfig(m.Config); err != nil {
 			g.cfg.Log.Error("cannot decode the configuration that a gateway sent", "node", m.From.Node, "revision", m.Config.Revision, "error", err)
 		}
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -135,7 +135,7 @@
 
 func (k *fakeKnowledge) ApplyCounts([]IncarnationCounts) {}
 
-func (k *fakeKnowledge) LimitOrder() upstreamlimit.LimitedSet { return upstreamlimit.LimitedSet{} }
+func (k *fakeKnowledge) LimitedSet() upstreamlimit.LimitedSet { return upstreamlimit.LimitedSet{} }
 func (k *fakeKnowledge) NeedsFetch() bool                     { return false }
 
 func (k *fakeKnowledge) ApplyUpdates(config *ConfigRecord, upstreams *directory.Update) {
@@ -329,11 +329,11 @@
 	}
 	packed := &encodedConfig{Revision: 9, Base: 5, Patch: patch}
 	fakes[0].config = &ConfigRecord{Revision: 6, Data: base}
-	if got, err := gateways[0].unpackConfig(packed); got != nil || err != nil {
+	if got, err := gateways[0].decodeConfig(packed); got != nil || err != nil {
 		t.Errorf("revision 6 became %v, %v", got, err)
 	}
 	fakes[0].config = &ConfigRecord{Revision: 5, Data: bytes.ToUpper(base)}
-	if got, err := gateways[0].unpackConfig(packed); err == nil {
+	if got, err := gateways[0].decodeConfig(packed); err == nil {
 		t.Errorf("other data under the same revision became revision %d", got.Revision)
 	}
 }
--- a/internal/gossip/limits.go
+++ b/internal/gossip/limits.go
@@ -8,7 +8,7 @@
 // omitKnownLimits removes from a collector's answer what an asker with the same limits knows:
 // the limits, and the keys of the upstreams in LimitUses.
 func (g *Gossip) omitKnownLimits(asked, reply *message) {
-	order := g.cfg.Knowledge.LimitOrder()
+	order := g.cfg.Knowledge.LimitedSet()
 	if reply.Others == nil || order.Hash == 0 || asked.From.LimitSet != order.Hash {
 		return
 	}
@@ -24,7 +24,7 @@
 	if m.Others.LimitColumns.Hash == 0 {
 		return
 	}
-	uses, known := m.Others.LimitColumns.Uses(g.cfg.Knowledge.LimitOrder())
+	uses, known := m.Others.LimitColumns.Uses(g.cfg.Knowledge.LimitedSet())
 	if !known && g.collectorSum != nil {
 		uses = g.collectorSum.LimitUses
 	}
@@ -38,7 +38,7 @@
 	if r.LimitColumns.Hash == 0 {
 		return
 	}
-	uses, known := r.LimitColumns.Uses(g.cfg.Knowledge.LimitOrder())
+	uses, known := r.LimitColumns.Uses(g.cfg.Knowledge.LimitedSet())
 	if !known {
 		uses = g.collector.lastLimitUses(r.Node)
 	}
--- a/internal/gossip/patch.go
+++ b/internal/gossip/patch.go
@@ -122,9 +122,9 @@
 	return p
 }
 
-// unpackConfig returns a configuration that another gateway sent; nil if it is a patch of one
+// decodeConfig returns a configuration that another gateway sent; nil if it is a patch of one
 // that this gateway does not have.
-func (g *Gossip) unpackConfig(p *encodedConfig) (*ConfigRecord, error) {
+func (g *Gossip) decodeConfig(p *encodedConfig) (*ConfigRecord, error) {
 	if len(p.Patch) == 0 {
 		return p.decompress()
 	}
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -82,7 +82,7 @@
 	if known != nil && !supersedes(r, known.Report) {
 		return
 	}
-	t.members[r.Node] = &Member{Report: r, HeardAt: now, ClockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
+	t.members[r.Node] = &Member{Report: r, ReceivedAt: now, ClockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
 	t.addContact(r.Contact, now)
 }
 
@@ -194,7 +194,7 @@
 		}
 	}
 	for node, m := range t.members {
-		if now.Sub(m.HeardAt) < KnownTimeout {
+		if now.Sub(m.ReceivedAt) < KnownTimeout {
 			all[node] = m.Report.Contact
 		}
 	}
@@ -216,7 +216,7 @@
 	defer t.mu.Unlock()
 	var v DirectPeers
 	for node, m := range t.members {
-		age := now.Sub(m.HeardAt)
+		age := now.Sub(m.ReceivedAt)
 		if age <= freshFor {
 			v.Fresh = append(v.Fresh, *m)
 		}
@@ -299,7 +299,7 @@
 	// gateway of a domain than each of them, so that the same limit suffices.
 	silent := make(map[ident.FailureDomain]bool)
 	for _, m := range members {
-		domain, age := m.Report.Domain, now.Sub(m.HeardAt)
+		domain, age := m.Report.Domain, now.Sub(m.ReceivedAt)
 		if domain == own || age > KnownTimeout {
 			continue
 		}
--- a/internal/gossip/types.go
+++ b/internal/gossip/types.go
@@ -156,8 +156,8 @@
 // Member is another gateway as this one knows it.
 type Member struct {
 	Report Report
-	// HeardAt is when the newest report arrived, by this machine's boot-time clock.
-	HeardAt time.Time
+	// ReceivedAt is when the newest report arrived, by this machine's boot-time clock.
+	ReceivedAt time.Time
 	// ClockOffset is the gateway's wall clock minus this machine's.
 	ClockOffset time.Duration
 }
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -91,8 +91,8 @@
 		r := &m.Report
 		incarnationID := IncarnationID(r.Node, r.Incarnation)
 		v.Groups = append(v.Groups, Group{
-			Name: incarnationID, Source: incarnationID, Gateways: 1, ReportedAt: m.HeardAt, Loads: r.Loads, Accounts: r.Accounts, Demand: r.Demand, Engines: r.Engines,
-			Rollouts: r.Rollouts.Aged(now.Sub(m.HeardAt)), Poison: r.Poison.Aged(now.Sub(m.HeardAt)), LimitUses: r.LimitUses,
+			Name: incarnationID, Source: incarnationID, Gateways: 1, ReportedAt: m.ReceivedAt, Loads: r.Loads, Accounts: r.Accounts, Demand: r.Demand, Engines: r.Engines,
+			Rollouts: r.Rollouts.Aged(now.Sub(m.ReceivedAt)), Poison: r.Poison.Aged(now.Sub(m.ReceivedAt)), LimitUses: r.LimitUses,
 		})
 		v.LeaseHeld = v.LeaseHeld || r.HoldsLease
 		v.GivenUpFence = max(v.GivenUpFence, r.GivenUpFence)
@@ -188,7 +188,7 @@
 		return lastRank
 	}
 	rank := 0
-	for _, domain := range g.collector.heardDomains(now) {
+	for _, domain := range g.collector.currentDomains(now) {
 		if domain < g.cfg.Self.Domain {
 			rank++
 		}
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -79,14 +79,14 @@
 	return !f.someUnheard
 }
 
-func (f *fixture) recordBegan(gateway string, window int64, n int64) {
+func (f *fixture) addStarted(gateway string, window int64, n int64) {
 	f.ledger.MergeCounts(gateway, map[int64]map[ident.ClientAccount]int64{window: {"acct": n}})
 }
 
 func TestAWindowIsReportedOnceItHasSettled(t *testing.T) {
 	f := newFixture()
-	f.recordBegan("a/1", 1000, 3)
-	f.recordBegan("b/1", 1000, 4)
+	f.addStarted("a/1", 1000, 3)
+	f.addStarted("b/1", 1000, 4)
 	f.Step(t.Context())
 	if len(f.holder.reported) != 0 {
 		t.Fatal("reported before the window ended")
@@ -105,7 +105,7 @@
 func TestAWindowWaitsForCountsThatAreSlowToCome(t *testing.T) {
 	f := newFixture()
 	f.someUnheard = true
-	f.recordBegan("a/1", 1000, 3)
+	f.addStarted("a/1", 1000, 3)
 	f.now = f.now.Add(windowLength + minSettleTime)
 	f.Step(t.Context())
 	if len(f.holder.reported) != 0 || f.gathered == 0 {
@@ -123,7 +123,7 @@
 func TestAWindowThatIsDueWaitsForNobody(t *testing.T) {
 	f := newFixture()
 	f.someUnheard = true
-	f.recordBegan("a/1", 1000, 3)
+	f.addStarted("a/1", 1000, 3)
 	f.now = f.now.Add(windowLength + 2*windowLength - reportReserve)
 	f.Step(t.Context())
 	if len(f.holder.reported) == 0 {
@@ -135,10 +135,10 @@
 // of the window arrive, another gateway takes over the lease and counts again.
 func TestASuccessorRepeatsTheDecisionExactly(t *testing.T) {
 	f := newFixture()
-	f.recordBegan("a/1", 1000, 3)
+	f.addStarted("a/1", 1000, 3)
 	f.now = f.now.Add(windowLength + minSettleTime)
 	f.Step(t.Context())
-	f.recordBegan("b/1", 1000, 9)
+	f.addStarted("b/1", 1000, 9)
 	next := &holder{fence: 2, holds: true, decided: f.holder.decided}
 	f.newReporter(next).Step(t.Context())
 	if diff := cmp.Diff(f.holder.reported, next.reported); diff != "" {
@@ -151,7 +151,7 @@
 func TestNothingIsSentBeforeItsDecisionStands(t *testing.T) {
 	for _, err := range []error{platform.ErrAnswerLost, platform.ErrUnavailable, duty.ErrNotHeld} {
 		f := newFixture()
-		f.recordBegan("a/1", 1000, 3)
+		f.addStarted("a/1", 1000, 3)
 		f.holder.commit = err
 		f.now = f.now.Add(windowLength + minSettleTime)
 		f.Step(t.Context())
@@ -166,8 +166,8 @@
 // the counts.
 func TestCountsOutliveAKillOfAllGateways(t *testing.T) {
 	f := newFixture()
-	f.recordBegan("a/1", 1000, 3)
-	f.recordBegan("b/1", 1000, 4)
+	f.addStarted("a/1", 1000, 3)
+	f.addStarted("b/1", 1000, 4)
 	f.now = f.now.Add(windowLength)
 	f.Step(t.Context())
 	if len(f.holder.reported) != 0 {
@@ -175,9 +175,9 @@
 	}
 	next := &holder{fence: 2, holds: true, decided: f.holder.decided}
 	f.ledger = NewLedger()
-	f.recordBegan("a/2", 1001, 1)
+	f.addStarted("a/2", 1001, 1)
 	// A gateway that wasn't killed sends its earlier counts again, and more.
-	f.recordBegan("b/1", 1000, 5)
+	f.addStarted("b/1", 1000, 5)
 	f.now = f.now.Add(minSettleTime)
 	f.newReporter(next).Step(t.Context())
 	want := []platform.UsageReport{{Window: 1000, Counts: Counts{"acct": 8}}}
@@ -204,7 +204,7 @@
 // Guards against twice as many writes to the platform, because counts are recorded at each step.
 func TestPendingCountsAreRecordedNowAndThen(t *testing.T) {
 	f := newFixture()
-	f.recordBegan("a/1", 1000, 1)
+	f.addStarted("a/1", 1000, 1)
 	writes := 0
 	for range 40 {
 		f.holder.decided = nil
@@ -221,7 +221,7 @@
 
 func TestARefusedHolderStops(t *testing.T) {
 	f := newFixture()
-	f.recordBegan("a/1", 1000, 3)
+	f.addStarted("a/1", 1000, 3)
 	f.holder.report = platform.ErrOldFence
 	f.now = f.now.Add(windowLength + minSettleTime)
 	f.Step(t.Context())
@@ -232,7 +232,7 @@
 
 func TestAReportIsRepeatedUntilItIsTaken(t *testing.T) {
 	f := newFixture()
-	f.recordBegan("a/1", 1000, 3)
+	f.addStarted("a/1", 1000, 3)
 	f.holder.report = platform.ErrAnswerLost
 	f.now = f.now.Add(windowLength + minSettleTime)
 	f.Step(t.Context())
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -51,15 +51,15 @@
 	// repeatedWindows is how many of the newest windows a new holder reports again, because it
 	// doesn't know whether they were reported.
 	repeatedWindows = 3
-	// recordInterval is the interval at which the pending counts are recorded. It is just below the
+	// storeInterval is the interval at which the pending counts are recorded. It is just below the
 	// interval at which the lease is renewed anyway (1.65 s with the users' lease of 3 s), so that
 	// there are hardly any additional writes.
-	recordInterval = 1500 * time.Millisecond
+	storeInterval = 1500 * time.Millisecond
 	// maxRecordBytes bounds the record with the pending counts: the platform accepts 256 KiB per
 	// record.
 	maxRecordBytes = 128 << 10
-	// maxUnpackedBytes bounds the size of a record's pending counts after decompression.
-	maxUnpackedBytes = 16 << 20
+	// maxDecompressedBytes bounds the size of a record's pending counts after decompression.
+	maxDecompressedBytes = 16 << 20
 	// maxBacklogWindows is how many undecided past windows a new holder decides and reports.
 	maxBacklogWindows = 4
 )
@@ -92,8 +92,8 @@
 	// sent holds the windows that were reported under the fencing token in fence.
 	sent  map[int64]bool
 	fence ident.Fence
-	// recordedAt is when the pending counts were last recorded.
-	recordedAt time.Time
+	// storedAt is when the pending counts were last recorded.
+	storedAt time.Time
 }
 
 // Step decides the windows whose counts are complete, records the pending counts and reports the
@@ -109,11 +109,11 @@
 	}
 	if grant.Fence != r.fence || r.sent == nil {
 		r.fence, r.sent = grant.Fence, make(map[int64]bool)
-		r.mergeInherited(&record)
+		r.restorePending(&record)
 	}
 	next, changed := r.decide(ctx, record)
-	if changed || r.Now().Sub(r.recordedAt) >= recordInterval {
-		r.recordedAt = r.Now()
+	if changed || r.Now().Sub(r.storedAt) >= storeInterval {
+		r.storedAt = r.Now()
 		data, err := r.encode(next)
 		if err != nil {
 			r.Log.Error("usage record cannot be encoded", "error", err)
@@ -131,8 +131,8 @@
 	r.send(ctx, record)
 }
 
-// mergeInherited merges the pending counts that the previous holder of the lease recorded.
-func (r *Reporter) mergeInherited(record *UsageRecord) {
+// restorePending merges the pending counts that the previous holder of the lease recorded.
+func (r *Reporter) restorePending(record *UsageRecord) {
 	r.Ledger.MergePending(record.Pending)
 	counts, err := decodePending(record.CompressedPending)
 	if err != nil {
@@ -199,7 +199,7 @@
 	if len(packed) == 0 {
 		return nil, nil
 	}
-	data, err := gzipped.Decompress(packed, maxUnpackedBytes)
+	data, err := gzipped.Decompress(packed, maxDecompressedBytes)
 	if err != nil {
 		return nil, pkgerrors.Wrap(err, "decompress pending usage")
 	}
