--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -12,7 +12,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// State is the state that an upstream reports.
+// State says whether an upstream accepts work, as its entry states.
 type State int
 
 // The states.
@@ -26,7 +26,8 @@
 // Upstream is one upstream's entry.
 type Upstream struct {
 	// ID identifies one incarnation of an upstream, so that whatever is kept by ID (loads,
-	// connections, failures, what its cache holds) ends with the incarnation. See LifeID.
+	// connections, failures, what its cache holds) ends with the incarnation. See
+	// IncarnationID.
 	ID ident.Instance
 	// Name is the upstream's key in the store, by which requests address it. A later
 	// incarnation may have the same name.
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -206,11 +206,11 @@
 	there.Apply("v", 3, ready("v"), at(time.Second))
 	there.Apply("v", 4, ready("v"), at(time.Second))
 	there.AdvanceTo(5)
-	news := there.UpdateSince(here.Next(), at(time.Second))
-	if len(news.Records) != 1 || news.Records[0].Name != "v" || news.UpTo != 5 || news.Complete {
-		t.Fatalf("want one record, of v, up to offset 5: %+v", news)
+	update := there.UpdateSince(here.Next(), at(time.Second))
+	if len(update.Records) != 1 || update.Records[0].Name != "v" || update.UpTo != 5 || update.Complete {
+		t.Fatalf("want one record, of v, up to offset 5: %+v", update)
 	}
-	here.ApplyUpdate(news, at(time.Second))
+	here.ApplyUpdate(update, at(time.Second))
 	there.Apply("u", 5, leavingOf("u"), at(2*time.Second))
 	there.Apply("u", 6, leavingOf("u"), at(2*time.Second))
 	there.Apply("v", 7, nil, at(2*time.Second))
--- a/internal/directory/incarnations_test.go
+++ b/internal/directory/incarnations_test.go
@@ -141,7 +141,7 @@
 	d.Apply("u", 1, incarnation(100, Ready), at(0))
 	d.Apply("v", 2, ready("v"), at(0))
 	if !d.ApplyUnreadable("u", 3, at(time.Second)) || d.ApplyUnreadable("w", 4, at(time.Second)) {
-		t.Error("Unreadable must report a change for the known name u, and none for the unknown w")
+		t.Error("ApplyUnreadable must report a change for the known name u, and none for the unknown w")
 	}
 	if usable(d, "u/2s", at(time.Second)) || !usable(d, "v", at(time.Second)) {
 		t.Error("u is usable, or v is not")
--- a/internal/directory/updates.go
+++ b/internal/directory/updates.go
@@ -32,7 +32,8 @@
 }
 
 // UpdateSince returns the update for a directory that knows all records before an offset: the
-// newer changes, or all entries if those do not suffice (see Covers). A gateway that has
+// newer changes, or all entries if those do not suffice (see
+// HasChangesSince). A gateway that has
 // just started lists the store's entries and does not know which were dropped before. If it
 // sent only newer changes, a receiver that adopts its offset would keep such an upstream
 // forever, and send it requests after it has left. Renewals are left out: with those of
@@ -121,7 +122,7 @@
 func (d *Directory) HasChangesSince(from ident.Offset) bool { return from >= d.dropsKnownFrom }
 
 // ApplyUpdate applies another gateway's update. It returns the records that changed something, and
-// whether anything changed, which a complete update may also do by what it lacks. A dropped
+// whether anything changed: a complete update also drops the entries that it lacks. A dropped
 // entry stays usable for as long as the sender says: this gateway alone may have been cut
 // off from the store, or may receive the drop long after it, and would otherwise give a
 // departure the grace of an outage.
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -82,7 +82,7 @@
 					if diff := cmp.Diff(kept, listOf(before)); diff != "" {
 						t.Fatalf("an earlier view was modified: %s", diff)
 					}
-					checkGone(t, before, view)
+					checkMissing(t, before, view)
 				}
 				before, kept = view, listOf(view)
 			}
@@ -90,7 +90,7 @@
 	})
 }
 
-func checkGone(t *rapid.T, before, view *View) {
+func checkMissing(t *rapid.T, before, view *View) {
 	var want []ident.Instance
 	before.Each(func(u *Upstream) {
 		list := view.Of(u.Service)
@@ -102,7 +102,7 @@
 	slices.Sort(got)
 	slices.Sort(want)
 	if !slices.Equal(got, want) {
-		t.Fatalf("Gone returns %v, want %v", got, want)
+		t.Fatalf("MissingFrom returns %v, want %v", got, want)
 	}
 }
 
--- a/internal/duty/lease.go
+++ b/internal/duty/lease.go
@@ -29,7 +29,7 @@
 	Released bool `json:"released,omitempty"`
 	// PreviousHolder held the lease before Holder.
 	PreviousHolder ident.Instance `json:"before,omitempty"`
-	// Decided holds the decisions that holders have committed.
+	// Decided holds the decisions that holders of the lease have committed.
 	Decided json.RawMessage `json:"decided,omitempty"`
 	// GatewayCount is how many gateways the holder knew, for gateways that have
 	// just started and know none.
@@ -37,7 +37,8 @@
 	StoredState
 }
 
-// StoredState is state that the record passes on to gateways that start.
+// StoredState is the part of the record that gateways store for later holders of the lease,
+// and restore when they start.
 type StoredState struct {
 	// PoisonRequests are the poison requests.
 	PoisonRequests json.RawMessage `json:"kept,omitempty"`
@@ -61,7 +62,7 @@
 }
 
 // NewTiming returns the timing of a lease of the given length, where a call is in
-// flight for at most the given time. A holder keeps the lease when one renewal is
+// flight for at most the time flight. A holder still has the lease after one renewal is
 // lost.
 func NewTiming(length, flight time.Duration) Timing {
 	const (
@@ -98,15 +99,15 @@
 	extendedAt time.Time
 	// fence is the claim's fencing number; 0 until the claim was seen in the store.
 	fence ident.Fence
-	// expired is set once the lease has run out: its claim is never used again.
+	// expired is set once the lease has expired: its claim is never used again.
 	expired bool
 	// dropped is set once the lease was given up early, see Drop.
 	dropped bool
 }
 
 // NewState returns the state of a gateway that has not read the lease yet.
-func NewState(self ident.Instance, life ident.Incarnation) *State {
-	return &State{self: self, incarnation: life}
+func NewState(self ident.Instance, incarnation ident.Incarnation) *State {
+	return &State{self: self, incarnation: incarnation}
 }
 
 // ApplyRead applies a read of the store at the time now: the newest record and its
@@ -227,7 +228,7 @@
 
 // NextRecord returns the record to write for an action, and the log's end that the
 // write must name as its condition. It must be called right before the write with the
-// current time, from which the deadline counts. A nil decided keeps the committed
+// current time, from which the deadline counts. A nil decided leaves the committed
 // decisions as they are.
 func (s *State) NextRecord(action Action, claim string, decided json.RawMessage, now time.Time) (Record, ident.Offset) {
 	r := Record{Holder: s.self, Incarnation: s.incarnation, Decided: decided}
--- a/internal/duty/lease_test.go
+++ b/internal/duty/lease_test.go
@@ -182,7 +182,7 @@
 			for _, h := range holders {
 				grant, _ := w.managers[h].Grant()
 				if by, used := fences[grant.Fence]; used && by != h {
-					t.Fatalf("fencing number %d is used by two", grant.Fence)
+					t.Fatalf("fencing number %d is used by two gateways", grant.Fence)
 				}
 				fences[grant.Fence] = h
 				if grant.Fence < last {
@@ -328,23 +328,25 @@
 	})
 }
 
-// Guards against a holder that writes its record before it has merged the state that the
-// previous holder passed on, and so erases it.
+// Guards against a holder of the lease that writes its record before it has restored the state
+// that the previous holder stored, and so erases it.
 func TestWhatIsKeptOutlivesItsHolder(t *testing.T) {
 	w := newWorld(0)
-	keepState := func(m *Manager, initial string) *string {
-		learned := initial
-		m.cfg.StateToStore = func() StoredState { return StoredState{PoisonRequests: json.RawMessage(learned), Limits: json.RawMessage(learned)} }
-		m.cfg.RestoreState = func(kept StoredState) {
-			if string(kept.PoisonRequests) != string(kept.Limits) {
-				t.Errorf("learned %s and %s", kept.PoisonRequests, kept.Limits)
+	withState := func(m *Manager, initial string) *string {
+		state := initial
+		m.cfg.StateToStore = func() StoredState {
+			return StoredState{PoisonRequests: json.RawMessage(state), Limits: json.RawMessage(state)}
+		}
+		m.cfg.RestoreState = func(stored StoredState) {
+			if string(stored.PoisonRequests) != string(stored.Limits) {
+				t.Errorf("restored %s and %s", stored.PoisonRequests, stored.Limits)
 			}
-			learned = string(kept.Limits)
+			state = string(stored.Limits)
 		}
-		return &learned
+		return &state
 	}
 	first := w.add("a", 0)
-	keepState(first, `[1]`)
+	withState(first, `[1]`)
 	claim := func(m *Manager) {
 		for range 100 {
 			m.tick(context.Background())
@@ -353,18 +355,18 @@
 				return
 			}
 		}
-		t.Fatal("the lease was not taken")
+		t.Fatal("the lease was not claimed")
 	}
 	claim(first)
 	second := w.add("b", 0)
-	learned := keepState(second, `null`)
+	restored := withState(second, `null`)
 	claim(second)
-	if *learned != `[1]` {
-		t.Errorf("the second holder learned %s", *learned)
+	if *restored != `[1]` {
+		t.Errorf("the second holder restored %s", *restored)
 	}
 	third := w.add("c", 0)
-	read := keepState(third, `null`)
+	read := withState(third, `null`)
 	if _, err := third.ReadGatewayCount(context.Background()); err != nil || *read != `[1]` {
-		t.Errorf("a gateway that starts learned %s, %v", *read, err)
+		t.Errorf("a gateway that starts restored %s, %v", *read, err)
 	}
 }
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -27,7 +27,7 @@
 	// thousand gateways.
 	idleTickInterval = 500 * time.Millisecond
 	// readInterval is how often a candidate reads the lease while no gateway reports
-	// that it holds it.
+	// that it holds the lease.
 	readInterval = 700 * time.Millisecond
 	// candidateCount is how many gateways watch the lease: enough to lose two of them
 	// together with the holder.
@@ -50,11 +50,11 @@
 	Rank func() (rank int, held bool)
 	// GatewayCount returns how many gateways are known.
 	GatewayCount func() int
-	// StateToStore returns the state that the record passes on to gateways that start. Learn
-	// merges the state of a record that was read; it is called before this gateway can
-	// write a record itself. Both may be nil.
+	// StateToStore returns the state to store in the lease's record, for later holders of the
+	// lease. RestoreState merges the stored state of a record that was read; it is called
+	// before this gateway can write a record itself. Both may be nil.
 	StateToStore func() StoredState
-	RestoreState func(kept StoredState)
+	RestoreState func(stored StoredState)
 	// GivenUpFence returns the highest fencing number whose holder reports that it no longer
 	// acts under it; 0 if none. Without that report, a holder that alone cannot reach the
 	// store is replaced only after its record has not changed for the lease's length
@@ -279,7 +279,8 @@
 	return m.write(ctx, Renew, decided)
 }
 
-// write writes the lease's next record. A nil decided keeps the committed decisions.
+// write writes the lease's next record. A nil decided leaves the committed decisions as they
+// are.
 func (m *Manager) write(ctx context.Context, action Action, decided json.RawMessage) error {
 	m.writeMu.Lock()
 	defer m.writeMu.Unlock()
--- a/internal/entry/barred.go
+++ b/internal/entry/barred.go
@@ -8,8 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// barredPath is the path where operators list the requests that are barred because they
-// crash upstreams, and where they clear one.
+// barredPath is the path where operators list the poison requests, which are barred because
+// they crash upstreams, and where they clear one.
 const barredPath = "/requests/barred"
 
 // barredHandlers returns the operators' handlers for barred requests, by pattern.
@@ -40,7 +40,7 @@
 	}
 }
 
-// writePoisonMetrics prints the counters of poison requests, which crash upstreams.
+// writePoisonMetrics prints the counters of poison requests.
 func (p *Process) writePoisonMetrics(w io.Writer) {
 	c := p.poison.Counters()
 	fmt.Fprintf(w, "upstreams_ended_total %d\nrequests_barred_found_total %d\nrequests_barred_total %d\nrequests_barred_now %d\nrequests_suspected_now %d\n",
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -18,18 +18,18 @@
 
 const (
 	// waitingReaders is how many gateways, those with the lowest ranks, always have a read
-	// waiting at the store for the next configuration; the others learn of it from their
-	// reports. If every gateway had one, they would be half of the store's calls. There
-	// are two, so that one is left if the store refuses the other.
+	// waiting at the store for the next configuration; the others learn of it from
+	// reports. If every gateway had such a read, these reads would be half of the store's
+	// calls. Two gateways have one, so that one is left if the store refuses the other.
 	waitingReaders = 2
 	// readWaitShare is how long such a read waits, as a share of the time within which a
-	// change must be in force. After that time it is noticed that a connection to the
-	// store has gone silent.
+	// change must be in force. A connection to the store that went silent is noticed only
+	// when this wait is over.
 	readWaitShare = 0.4
 	// peerConfirmationShare is how old another gateway's confirmation that the
 	// configuration is the newest may become before a gateway asks the store itself, as a
-	// share of the same time. It is longer than the reports of two readers usually take,
-	// and short enough to be in time where all readers have lost the store.
+	// share of the same time. It is longer than the age that the confirmations of two
+	// readers usually reach in transit, and short enough to be in time where all readers have lost the store.
 	peerConfirmationShare = 0.6
 	// storeHeadStart is how long, after peerHeadStart, a gateway waits for the store to
 	// deliver a configuration that other gateways have before it requests the
@@ -51,7 +51,7 @@
 type configFollower struct {
 	ports Ports
 	board *board
-	// rollouts gets the rollout orders, which operators write to the same topic.
+	// rollouts receives the rollout orders, which operators write to the same topic.
 	rollouts *rollout.Tracker
 	now      boottime.Clock
 	log      hclog.Logger
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// applyRollout applies an operator's order to change a service's version. An order that
-// cannot be read has one effect: no other version of the service gets work.
+// applyRollout applies a rollout order. An order that cannot be read has one effect: no other
+// version of the service gets work.
 func (c *configFollower) applyRollout(record platform.KeyedRecord) {
 	if record.Value == nil || record.Unreadable != nil || c.ports.DecodeRollout == nil {
 		return
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -57,7 +57,7 @@
 }
 
 // readGatewayCount reads from the store how many gateways there were before this process
-// started. It retries for as long as that number counts.
+// started. It retries until gatewaysBeforeStartPeriod is over.
 func (p *Process) readGatewayCount(ctx context.Context) {
 	for failures := 0; p.now().Sub(p.started) < gatewaysBeforeStartPeriod; failures++ {
 		n, err := p.lease.ReadGatewayCount(ctx)
@@ -81,19 +81,20 @@
 	})
 }
 
-// stateToStore returns what must survive when all gateways end at once.
+// stateToStore returns the state to store in the lease's record, so that it survives when all
+// gateways end at once.
 func (p *Process) stateToStore() duty.StoredState {
 	return duty.StoredState{PoisonRequests: p.poison.Snapshot(), Limits: p.limits.Snapshot()}
 }
 
-// restoreState restores what recordsToKeep returned at an earlier holder of the lease.
-func (p *Process) restoreState(kept duty.StoredState) {
-	p.poison.Restore(kept.PoisonRequests)
-	p.limits.Restore(kept.Limits)
+// restoreState restores the state that an earlier holder of the lease stored.
+func (p *Process) restoreState(stored duty.StoredState) {
+	p.poison.Restore(stored.PoisonRequests)
+	p.limits.Restore(stored.Limits)
 }
 
-// givenUpFence returns the highest fencing number of a lease whose holder reports that the
-// lease has ended.
+// givenUpFence returns the highest fencing number whose holder reports that it no longer acts
+// under it; 0 if none.
 func (p *Process) givenUpFence() ident.Fence {
 	return p.view.Load().GivenUpFence
 }
@@ -131,8 +132,8 @@
 	})
 }
 
-// hasNoRequests reports whether this gateway has no request in flight at those upstreams of
-// a service that match, nor at any upstream that is not listed any more.
+// hasNoRequests reports whether this gateway has no request in flight at an upstream of the
+// service for which match returns true, nor at any upstream that is not listed any more.
 func (p *Process) hasNoRequests(service ident.Service, match func(*directory.Upstream) bool) bool {
 	view := p.board.upstreams.Value()
 	for id := range p.chooser.OwnLoads() {
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -11,17 +11,17 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// limitedPath is the path where operators list the upstreams that stated a rate limit.
+// limitedPath is the path where operators list the upstreams that announced a rate limit.
 const limitedPath = "/upstreams/limited"
 
-// listLimited prints a line for each upstream that stated a rate limit.
+// listLimited prints a line for each upstream that announced a rate limit.
 func (p *Process) listLimited(w http.ResponseWriter, _ *http.Request) {
 	for _, l := range p.limits.List() {
 		fmt.Fprintf(w, "%s per_second=%g said_s=%.1f answers=%d\n", l.Upstream, l.Rate, l.Age.Seconds(), l.Answers)
 	}
 }
 
-// writeLimitMetrics prints the counters of the rate limits that upstreams state.
+// writeLimitMetrics prints the counters of the rate limits that upstreams announce.
 func (p *Process) writeLimitMetrics(w io.Writer) {
 	c := p.limits.Counters()
 	fmt.Fprintf(w, "upstreams_limited_now %d\nupstream_limits_changed_total %d\nupstream_limits_unreadable_total %d\n"+
@@ -43,11 +43,11 @@
 }
 
 // applyLimits merges the rate limits of upstreams that another gateway reported as of the
-// given time. A zero time means that it is unknown, and counts as now: the report was on its
-// way for less time than gateways need to learn of each other.
-func (p *Process) applyLimits(said []upstreamlimit.Announcement, asOf time.Time) {
+// given time. A zero time means that it is unknown, and counts as now: the report was in
+// transit for less time than gateways need to learn of each other.
+func (p *Process) applyLimits(limits []upstreamlimit.Announcement, asOf time.Time) {
 	if asOf.IsZero() {
 		asOf = p.now()
 	}
-	p.limits.MergeAnnouncements(said, asOf)
+	p.limits.MergeAnnouncements(limits, asOf)
 }
--- a/internal/entry/peers_test.go
+++ b/internal/entry/peers_test.go
@@ -22,9 +22,9 @@
 		accounts = append(accounts, routetable.Account{Name: ident.ClientAccount(fmt.Sprint("acct", i)), Rate: 36_000, Burst: 36_000})
 	}
 	now := p.now()
-	keeper := quota.NewLimiter(quota.Tolerance{Window: 8 * time.Second}, p.quotaReports, now)
+	limiter := quota.NewLimiter(quota.Tolerance{Window: 8 * time.Second}, p.quotaReports, now)
 	for range 8 {
-		keeper.ApplyReports(accounts, now)
+		limiter.ApplyReports(accounts, now)
 	}
 	if reads > 8 {
 		t.Errorf("the clock was read %d times by applying the reports on %d accounts 8 times", reads, len(accounts))
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -15,7 +15,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// Protocol translates between the product's terms and what callers and upstreams speak.
+// Protocol translates between the gateway's types and the wire protocols of callers and
+// upstreams.
 type Protocol interface {
 	ingress.Protocol
 	forward.Dialect
@@ -37,11 +38,11 @@
 	// DecodeUpstream decodes the entry of the upstream with the given ID; record is its
 	// name in findings.
 	DecodeUpstream func(record, id string, data []byte) (directory.Upstream, finding.List)
-	// DecodeRollout decodes an operator's order to change a service's version. It returns
-	// false if the key is not that of an order. If there are findings, only the order's
+	// DecodeRollout decodes a rollout order. It returns false if the key is not that of an
+	// order. If there are findings, only the order's
 	// service is valid. It may be nil.
 	DecodeRollout func(topic, key string, data []byte, offset ident.Offset) (rollout.Order, bool, finding.List)
-	// RolloutReports is where the operators read the progress of their orders.
+	// RolloutReports is where the operators read the progress of their rollout orders.
 	RolloutReports rollout.StatusTopic
 	// StoreCalls returns how many calls of the store were made and how many of them failed.
 	StoreCalls func() (made, failed int64)
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -164,9 +164,9 @@
 // is short because slots become free all the time.
 const minRetryAfter = 100 * time.Millisecond
 
-// retryAfter returns the retry-after time of such a request: the time until an engine will
-// probably have read the prompts that are queued there, spread so that callers that were
-// refused together do not return together.
+// retryAfter returns the retry-after time of a request that no upstream accepted: the time
+// until an engine will probably have read the prompts that are queued there, spread so that
+// callers that were refused together do not return together.
 func (p *Process) retryAfter(call *forward.Call) time.Duration {
 	capacityIn := p.chooser.RetryAfter(call, p.now())
 	return retryafter.Spread(max(call.Route.Objective/2, capacityIn, minRetryAfter), call.ID)
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -30,10 +30,11 @@
 	// second one's view should have arrived.
 	secondMaxViewAgeShare = 0.35
 	otherMaxViewAgeShare  = 0.55
-	// viewJitter bounds the random delay that spreads the reads of those others.
+	// viewJitter bounds the random delay that spreads the reads of gateways that ask the
+	// store only when the other gateways' reports have not confirmed their data in time.
 	viewJitter = 150 * time.Millisecond
 	// storeAwayShare is how old the view must be for the store to count as unreachable for
-	// all gateways, as a share of the same time. It is longer than a gateway that the store
+	// all gateways, as a share of the time within which a departure must be followed. It is longer than a gateway that the store
 	// refuses waits for the others' view, and shorter than an entry lives without renewal
 	// (3.6 s).
 	storeAwayShare = 0.9
@@ -319,8 +320,8 @@
 	if !all && !u.dir.HasChangesSince(from) {
 		return nil
 	}
-	news := u.dir.UpdateSince(from, u.now())
-	return &news
+	update := u.dir.UpdateSince(from, u.now())
+	return &update
 }
 
 // needsFetch reports whether all entries should be requested from another gateway: the store
@@ -331,13 +332,13 @@
 
 // applyUpdate applies the entries that another gateway sent, and publishes the view if they
 // change it.
-func (u *upstreamsFollower) applyUpdate(news directory.Update) {
+func (u *upstreamsFollower) applyUpdate(update directory.Update) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	changes, changed := u.dir.ApplyUpdate(news, u.now())
+	changes, changed := u.dir.ApplyUpdate(update, u.now())
 	u.logBatch(changes, "gateway")
-	if news.Complete {
-		u.log.Info("upstreams listed by another gateway", "count", len(news.Records), "end", news.UpTo, "changes", len(changes))
+	if update.Complete {
+		u.log.Info("upstreams listed by another gateway", "count", len(update.Records), "end", update.UpTo, "changes", len(changes))
 	}
 	u.publish(changed)
 }
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -62,15 +62,15 @@
 	var log bytes.Buffer
 	tracker := rollout.New(rollout.Config{Now: clock, Log: hclog.NewNullLogger(), OrdersKnown: clock, Gateways: func() int { return 1 }})
 	u := newUpstreamsFollower(Ports{}, newBoard(), tracker, httpconn.NewPool(clock), clock, func() int { return 0 }, 3*time.Second, hclog.New(&hclog.LoggerOptions{Output: &log}))
-	news := directory.Update{UpTo: 4000}
+	update := directory.Update{UpTo: 4000}
 	for i := range 3000 {
 		up := directory.Upstream{ID: ident.Instance(fmt.Sprint("u", i)), Service: "svc", State: directory.Ready}
 		if i == 7 {
 			up.State = directory.Leaving
 		}
-		news.Records = append(news.Records, directory.Record{Name: up.ID, Offset: ident.Offset(i), Upstream: &up})
+		update.Records = append(update.Records, directory.Record{Name: up.ID, Offset: ident.Offset(i), Upstream: &up})
 	}
-	u.applyUpdate(news)
+	u.applyUpdate(update)
 	if lines := strings.Count(log.String(), "\n"); lines != 1 || !strings.Contains(log.String(), "some_leaving=[\"u7\"]") {
 		t.Errorf("%d lines: %.300s", lines, log.String())
 	}
--- a/internal/gossip/accumulator.go
+++ b/internal/gossip/accumulator.go
@@ -3,8 +3,7 @@
 import "github.com/goldcrestspool/goldcrestspool/internal/ident"
 
 // accumulator adds up totals that only grow, from sources that come, go and restart from zero.
-// What a source had reached when it was first heard is not added, because it was counted
-// before.
+// The totals in a source's first update are not added, because they were counted before.
 //
 // The sum is updated by each source's increase, so that reading it takes the same time however
 // many sources there are.
@@ -23,7 +22,7 @@
 	return accumulator{sources: make(map[string]*sourceTotals), sum: make(map[ident.ClientAccount]Spending)}
 }
 
-// update takes over a source's totals. incarnationID tells whether they continue the totals of
+// update applies a source's totals. incarnationID tells whether they continue the totals of
 // the last update or began anew.
 func (a *accumulator) update(source, incarnationID string, totals map[ident.ClientAccount]Spending) {
 	s := a.sources[source]
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -30,7 +30,8 @@
 	// maxRunning and maxUnreadTokens bound the load of one upstream.
 	maxRunning      = 1 << 20
 	maxUnreadTokens = 1 << 30
-	// maxAge bounds the ages in a message. What was never confirmed is said to be an hour old.
+	// maxAge bounds the ages in a message. A revision or offset that was never confirmed is
+	// reported with an age of an hour.
 	maxAge = 24 * time.Hour
 	milli  = 1000
 )
@@ -98,8 +99,8 @@
 	m.Contacts = c.contacts(in.Contacts)
 	m.Upstreams = c.update(in.Upstreams)
 	m.Others, m.DomainSum = c.sum(in.Others), c.sum(in.Domain)
-	if p := in.Configuration; p != nil {
-		m.Config = &encodedConfig{Revision: ident.Revision(p.Revision), Offset: ident.Offset(p.Offset), Gzip: p.Gzip, Base: ident.Revision(p.BaseRevision), Patch: p.Patch}
+	if config := in.Configuration; config != nil {
+		m.Config = &encodedConfig{Revision: ident.Revision(config.Revision), Offset: ident.Offset(config.Offset), Gzip: config.Gzip, Base: ident.Revision(config.BaseRevision), Patch: config.Patch}
 	}
 	if len(in.KnowsRosters) > 0 {
 		m.RosterDigests = make(map[ident.FailureDomain]uint64, len(in.KnowsRosters))
@@ -276,17 +277,17 @@
 	return out
 }
 
-func workToProto(work map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) []*exchangev1.ServiceWork {
-	services := slices.Collect(maps.Keys(work))
+func workToProto(demand map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) []*exchangev1.ServiceWork {
+	services := slices.Collect(maps.Keys(demand))
 	for service := range engines {
-		if _, known := work[service]; !known {
+		if _, known := demand[service]; !known {
 			services = append(services, service)
 		}
 	}
 	var out []*exchangev1.ServiceWork
 	for _, service := range services {
-		w := work[service]
-		each := &exchangev1.ServiceWork{Service: string(service), PromptTokensPerS: float32(w.PromptTokensPerSecond), Generating: float32(w.Generating)}
+		d := demand[service]
+		each := &exchangev1.ServiceWork{Service: string(service), PromptTokensPerS: float32(d.PromptTokensPerSecond), Generating: float32(d.Generating)}
 		if sums, ok := engines[service]; ok {
 			each.Engines = sums.List()
 		}
@@ -297,10 +298,10 @@
 
 func (c *checker) work(in []*exchangev1.ServiceWork) (map[ident.Service]placement.Demand, map[ident.Service]enginemodel.Sums) {
 	c.checkCount("services", len(in))
-	work, engines := make(map[ident.Service]placement.Demand, len(in)), make(map[ident.Service]enginemodel.Sums)
+	demand, engines := make(map[ident.Service]placement.Demand, len(in)), make(map[ident.Service]enginemodel.Sums)
 	for _, w := range in {
 		service := ident.Service(w.Service)
-		work[service] = placement.Demand{PromptTokensPerSecond: c.rate(w.PromptTokensPerS), Generating: c.rate(w.Generating)}
+		demand[service] = placement.Demand{PromptTokensPerSecond: c.rate(w.PromptTokensPerS), Generating: c.rate(w.Generating)}
 		if len(w.Engines) == 0 {
 			continue
 		}
@@ -310,7 +311,7 @@
 		}
 		engines[service] = sums
 	}
-	return work, engines
+	return demand, engines
 }
 
 // countsToProto encodes each account's name once instead of once a window. That makes a report
@@ -396,12 +397,12 @@
 
 func millis(d time.Duration) uint64 { return uint64(max(0, d.Milliseconds())) }
 
-func updateToProto(news *directory.Update) *exchangev1.News {
-	if news == nil {
+func updateToProto(update *directory.Update) *exchangev1.News {
+	if update == nil {
 		return nil
 	}
-	out := &exchangev1.News{UpTo: uint64(news.UpTo), Complete: news.Complete}
-	for _, r := range news.Records {
+	out := &exchangev1.News{UpTo: uint64(update.UpTo), Complete: update.Complete}
+	for _, r := range update.Records {
 		record := &exchangev1.EntryRecord{Name: string(r.Name), Offset: uint64(r.Offset), UsableMs: millis(r.UsableFor)}
 		if u := r.Upstream; u != nil {
 			record.Upstream = &exchangev1.Upstream{
@@ -420,7 +421,7 @@
 		return nil
 	}
 	c.checkCount("entries", len(in.Records))
-	news := &directory.Update{UpTo: ident.Offset(in.UpTo), Complete: in.Complete}
+	update := &directory.Update{UpTo: ident.Offset(in.UpTo), Complete: in.Complete}
 	for _, r := range in.Records {
 		record := directory.Record{Name: ident.Instance(r.Name), Offset: ident.Offset(r.Offset), UsableFor: c.age(r.UsableMs)}
 		if u := r.Upstream; u != nil {
@@ -429,9 +430,9 @@
 		if r.Name == "" {
 			c.fail("upstream entry at offset %d has no name", r.Offset)
 		}
-		news.Records = append(news.Records, record)
+		update.Records = append(update.Records, record)
 	}
-	return news
+	return update
 }
 
 func (c *checker) upstream(u *exchangev1.Upstream) *directory.Upstream {
--- a/internal/gossip/codec_limits.go
+++ b/internal/gossip/codec_limits.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// fineUnit is the unit of encoded uses, as a part of a request.
+	// fineUnit is the unit of encoded uses, as a fraction of a request.
 	fineUnit = 1.0 / 8
-	// coarseUnit is the unit of Asked where the columns contain all upstreams of the order.
+	// coarseUnit is the unit of Asked if the columns contain all upstreams of the LimitedSet.
 	// Sums of many gateways need no more precision, and then take one byte each.
 	coarseUnit = 1.0 / 2
 	// maxUses bounds a use: it is more requests than all gateways together assign to an
@@ -25,14 +25,14 @@
 		return nil
 	}
 	out := &exchangev1.Limits{}
-	for _, s := range limits {
-		rate := float32(s.Rate)
-		if !s.Limited {
+	for _, a := range limits {
+		rate := float32(a.Rate)
+		if !a.Limited {
 			rate = noLimit
 		}
-		out.Upstreams = append(out.Upstreams, s.Upstream)
+		out.Upstreams = append(out.Upstreams, a.Upstream)
 		out.PerSecond = append(out.PerSecond, rate)
-		out.AgeMs = append(out.AgeMs, uint32(millis(min(s.Age, maxAge))))
+		out.AgeMs = append(out.AgeMs, uint32(millis(min(a.Age, maxAge))))
 	}
 	return out
 }
@@ -49,11 +49,11 @@
 	}
 	out := make([]upstreamlimit.Announcement, n)
 	for i, upstream := range in.Upstreams {
-		s := upstreamlimit.Announcement{Upstream: upstream, Age: c.age(uint64(in.AgeMs[i]))}
+		a := upstreamlimit.Announcement{Upstream: upstream, Age: c.age(uint64(in.AgeMs[i]))}
 		if in.PerSecond[i] != noLimit {
-			s.Limited, s.Rate = true, c.rate(in.PerSecond[i])
+			a.Limited, a.Rate = true, c.rate(in.PerSecond[i])
 		}
-		out[i] = s
+		out[i] = a
 	}
 	return out
 }
@@ -79,7 +79,8 @@
 	return uint32(math.Round(min(max(x, 0), maxUses) / unit))
 }
 
-// askedUnit returns the unit of Asked in columns with the given positions.
+// askedUnit returns the unit of Asked in columns with the given positions. Columns without
+// positions contain all upstreams of the LimitedSet.
 func askedUnit(positions []uint32) float64 {
 	if len(positions) == 0 {
 		return coarseUnit
--- a/internal/gossip/codec_poison.go
+++ b/internal/gossip/codec_poison.go
@@ -6,18 +6,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/poison"
 )
 
-func poisonToProto(statements poison.Report) *exchangev1.Poison {
-	if statements.Empty() {
+func poisonToProto(report poison.Report) *exchangev1.Poison {
+	if report.Empty() {
 		return nil
 	}
 	out := &exchangev1.Poison{}
-	for i := range statements.Crashes {
-		c := &statements.Crashes[i]
+	for i := range report.Crashes {
+		c := &report.Crashes[i]
 		out.Crashes = append(out.Crashes, &exchangev1.Crash{
 			Upstream: c.Upstream, AgeMs: millis(min(c.Age, maxAge)), Marks: marksToProto(c.Marks),
 		})
 	}
-	for _, v := range statements.Verdicts {
+	for _, v := range report.Verdicts {
 		out.Verdicts = append(out.Verdicts, &exchangev1.Verdict{
 			Content: uint64(v.Content), AgeMs: millis(min(v.Age, maxAge)), IdleMs: millis(min(v.Idle, maxAge)), Cleared: v.Cleared,
 		})
--- a/internal/gossip/codec_rollout.go
+++ b/internal/gossip/codec_rollout.go
@@ -10,18 +10,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-func rolloutsToProto(statements rollout.OrderStates) []*exchangev1.Rollout {
+func rolloutsToProto(states rollout.OrderStates) []*exchangev1.Rollout {
 	var out []*exchangev1.Rollout
-	for i := range statements {
-		w := &statements[i]
+	for i := range states {
+		s := &states[i]
 		each := &exchangev1.Rollout{
-			Service: string(w.Order.Service), Order: uint64(w.Order.Offset), To: string(w.Order.To), LengthMs: millis(w.Order.TimeLimit),
-			AgeMs: millis(min(w.Age, maxAge)), Phase: uint32(w.Phase), ConfirmedMs: millis(min(w.ConfirmedAge, maxAge)), Stopped: w.Stopped,
-			Settled: uint32(max(0, w.Settled)),
+			Service: string(s.Order.Service), Order: uint64(s.Order.Offset), To: string(s.Order.To), LengthMs: millis(s.Order.TimeLimit),
+			AgeMs: millis(min(s.Age, maxAge)), Phase: uint32(s.Phase), ConfirmedMs: millis(min(s.ConfirmedAge, maxAge)), Stopped: s.Stopped,
+			Settled: uint32(max(0, s.Settled)),
 		}
-		for _, route := range slices.Sorted(maps.Keys(w.Evidence)) {
+		for _, route := range slices.Sorted(maps.Keys(s.Evidence)) {
 			each.Routes = append(each.Routes, uint32(route))
-			for _, tally := range w.Evidence[route] {
+			for _, tally := range s.Evidence[route] {
 				each.Figures = appendTally(each.Figures, &tally)
 			}
 		}
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// fullPoison returns statements in which all fields are set.
+// fullPoison returns a report on poison requests in which all fields are set.
 func fullPoison() poison.Report {
 	return poison.Report{
 		Crashes:  []poison.Crash{{Upstream: 7, Age: 300 * time.Millisecond, Marks: []ident.Mark{1 << 8, 1<<63 | 5}}},
@@ -55,16 +55,16 @@
 	}
 }
 
-// fullRollouts returns statements in which all fields are set.
+// fullRollouts returns the state of a rollout order with all fields set.
 func fullRollouts() rollout.OrderStates {
-	seen := make(rollout.EvidenceByRoute)
+	evidence := make(rollout.EvidenceByRoute)
 	for side := range rollout.Side(len(rollout.Evidence{})) {
-		seen.CountSent(rollout.KeyOf("r"), side)
-		seen.CountAnswer(rollout.KeyOf("r"), side, rollout.Answer{Failed: side > rollout.Old, Timed: true, Time: 0.3})
+		evidence.CountSent(rollout.KeyOf("r"), side)
+		evidence.CountAnswer(rollout.KeyOf("r"), side, rollout.Answer{Failed: side > rollout.Old, Timed: true, Time: 0.3})
 	}
 	return rollout.OrderStates{{
 		Order: rollout.Order{Service: "llm", To: "v2", TimeLimit: 12 * time.Second, Offset: 9}, Age: 3 * time.Second, Phase: rollout.Canary,
-		ConfirmedAge: 200 * time.Millisecond, Stopped: true, Settled: 1, Evidence: seen,
+		ConfirmedAge: 200 * time.Millisecond, Stopped: true, Settled: 1, Evidence: evidence,
 	}}
 }
 
@@ -217,17 +217,18 @@
 	})
 }
 
-// What a gateway reports per round about requests that crash upstreams must stay below 200
-// bytes, also while many different requests do, and take no bytes while none does.
+// Guards against reports that grow with poison requests: what a gateway reports per round about
+// them must stay below 200 bytes, also while many different requests crash upstreams, and take
+// no bytes while none does.
 func TestCrashesTakeFewBytesOfAReport(t *testing.T) {
 	const maxBytes = 200
 	now := time.Unix(1_000_000, 0)
 	tracker := poison.New(poison.Config{
 		Now: func() time.Time { return now }, Log: hclog.NewNullLogger(), Key: func(id ident.Instance) uint32 { return uint32(UpstreamKeyOf(id)) },
 	})
-	size := func(statements poison.Report) int {
+	size := func(report poison.Report) int {
 		m := message{From: fullReport()}
-		m.From.Poison = statements
+		m.From.Poison = report
 		data, err := m.encode()
 		if err != nil {
 			t.Fatal(err)
@@ -255,7 +256,7 @@
 		most = max(most, size(tracker.Report())-without)
 	}
 	if tracker.Counters().Convicted < 100 {
-		t.Fatal("fewer than 100 crashing requests were found")
+		t.Fatal("fewer than 100 poison requests were found")
 	}
 	if most > maxBytes {
 		t.Errorf("%d bytes, at most %d allowed", most, maxBytes)
@@ -263,11 +264,11 @@
 	t.Logf("at most %d bytes were used", most)
 }
 
-// What one of many gateways reports per round about a rollout must stay below 200 bytes,
-// because each gateway reports it four times a second.
+// Guards against reports that grow with a rollout: what one of many gateways reports per round
+// about it must stay below 200 bytes, because each gateway reports it four times a second.
 func TestARolloutTakesFewBytesOfAReport(t *testing.T) {
 	const maxBytes = 200
-	seen := make(rollout.EvidenceByRoute)
+	evidence := make(rollout.EvidenceByRoute)
 	for route := range 5 {
 		key := rollout.KeyOf(string(rune('a' + route)))
 		for i := range 40 {
@@ -276,14 +277,14 @@
 			if i < 3 {
 				side = rollout.Side(1 + i%2)
 			}
-			seen.CountSent(key, side)
-			seen.CountAnswer(key, side, rollout.Answer{Timed: true, Time: 0.5 + float64(i%5)/5})
+			evidence.CountSent(key, side)
+			evidence.CountAnswer(key, side, rollout.Answer{Timed: true, Time: 0.5 + float64(i%5)/5})
 		}
 	}
-	statements := fullRollouts()
-	statements[0].Evidence = seen
+	states := fullRollouts()
+	states[0].Evidence = evidence
 	with := message{From: fullReport()}
-	with.From.Rollouts = statements
+	with.From.Rollouts = states
 	without := message{From: fullReport()}
 	without.From.Rollouts = nil
 	sizes := make([]int, 2)
--- a/internal/gossip/collect.go
+++ b/internal/gossip/collect.go
@@ -51,7 +51,7 @@
 }
 
 // sendToCollector sends a request to the first collector of a domain, and to the next one if
-// that does not answer. It sends nothing while another request to that domain is in flight,
+// the first does not answer. It sends nothing while another request to that domain is in flight,
 // and does not wait for the answer.
 func (g *Gossip) sendToCollector(ctx context.Context, domain ident.FailureDomain, now time.Time, request func() []byte) {
 	order := g.cfg.Table.Collectors(domain, now)
@@ -159,15 +159,15 @@
 }
 
 // addOthers adds the sum of the other gateways to an answer.
-func (g *Gossip) addOthers(asked, reply *message, now, wall time.Time) {
-	if !asked.SubtractsOwn {
-		sum := g.collector.Others(asked.From.Node, now, wall)
+func (g *Gossip) addOthers(request, reply *message, now, wall time.Time) {
+	if !request.SubtractsOwn {
+		sum := g.collector.Others(request.From.Node, now, wall)
 		reply.Others = &sum
 		return
 	}
-	sum, encoded, err := g.collector.encodedOthers(asked.From.Node, now, wall)
+	sum, encoded, err := g.collector.encodedOthers(request.From.Node, now, wall)
 	if err != nil {
-		g.cfg.Log.Error("cannot encode the sum of all gateways", "asker", asked.From.Node, "error", err)
+		g.cfg.Log.Error("cannot encode the sum of all gateways", "asker", request.From.Node, "error", err)
 		return
 	}
 	reply.Others, reply.OthersEncoded = &sum, encoded
@@ -175,32 +175,32 @@
 
 // addCollectorAnswer adds to an answer what a gateway that reports to this collector, or the
 // collector of another domain, asks for.
-func (g *Gossip) addCollectorAnswer(asked, reply *message, now, wall time.Time) {
-	if asked.WantsCounts {
+func (g *Gossip) addCollectorAnswer(request, reply *message, now, wall time.Time) {
+	if request.WantsCounts {
 		reply.Counts = g.collector.Counts()
 	}
 	switch {
-	case asked.Collect:
-		g.resolveUses(&asked.From)
-		g.collector.AddReport(asked.From, now, wall)
-		g.addOthers(asked, reply, now, wall)
-		g.omitKnownLimits(asked, reply)
-	case asked.DomainSum != nil:
-		g.applyDomainSum(asked, now, wall)
+	case request.Collect:
+		g.resolveUses(&request.From)
+		g.collector.AddReport(request.From, now, wall)
+		g.addOthers(request, reply, now, wall)
+		g.omitKnownLimits(request, reply)
+	case request.DomainSum != nil:
+		g.applyDomainSum(request, now, wall)
 		g.addDomainSum(reply, now, wall)
 	default:
 		return
 	}
-	g.addMissingRosters(asked, reply, now)
+	g.addMissingRosters(request, reply, now)
 }
 
 // addMissingRosters adds the rosters that the asker lacks to an answer.
-func (g *Gossip) addMissingRosters(asked, reply *message, now time.Time) {
-	g.cfg.Table.ConfirmRosters(asked.RosterDigests, g.rosterFilter(asked.From.Domain, now), now)
+func (g *Gossip) addMissingRosters(request, reply *message, now time.Time) {
+	g.cfg.Table.ConfirmRosters(request.RosterDigests, g.rosterFilter(request.From.Domain, now), now)
 	rosters, digests := g.cfg.Table.Rosters(now)
 	reply.RosterDigests = digests
 	for _, r := range rosters {
-		if asked.RosterDigests[r.Domain] != digests[r.Domain] {
+		if request.RosterDigests[r.Domain] != digests[r.Domain] {
 			reply.Rosters = append(reply.Rosters, r)
 		}
 	}
@@ -273,7 +273,8 @@
 	receivedAt time.Time
 }
 
-// recordKnown records how many gateways the source of a sum knows; g.mu is held.
+// recordKnown records how many gateways the source of a sum knows, and drops records that are
+// older than KnownTimeout; g.mu is held.
 func (g *Gossip) recordKnown(s *Sum, now time.Time) {
 	g.knownBySource[s.Source] = knownCount{gateways: s.Known, receivedAt: now}
 	for source, k := range g.knownBySource {
@@ -284,10 +285,10 @@
 }
 
 // knownOthers returns how many other gateways may admit requests: the highest number that any
-// collector knew within KnownTimeout. The newest collector alone does not suffice: it starts
-// when the one before it was killed and knows only the gateways that report to it. Survivors
-// would take these for all gateways, though the killed ones admitted requests until just now
-// and will soon be back.
+// collector reported within KnownTimeout. The newest collector's number alone does not suffice:
+// a collector that takes over from a killed one knows only the gateways that report to it.
+// Survivors would take these for all gateways, though the killed ones admitted requests until
+// just now and will soon be back.
 func (g *Gossip) knownOthers(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -300,9 +301,9 @@
 	return most
 }
 
-// collectionWorks reports whether this gateway hears of the others from a collector, or is a
-// collector that others report to. Until then it also exchanges reports with others directly,
-// which tell it what gateways there are.
+// collectionWorks reports whether this gateway receives sums of the others from a collector, or
+// is a collector that others report to. Until then it also exchanges reports with others
+// directly, and learns from them which gateways there are.
 func (g *Gossip) collectionWorks(now time.Time) bool {
 	g.mu.Lock()
 	answered := g.collectorSum != nil && g.collectorSum.Heard > 0 && now.Sub(g.collectorSumAt) <= freshFor
@@ -310,9 +311,9 @@
 	return answered || g.isFirstCollector(now) && (g.collector.ReceivesReports(now) || len(g.collector.currentDomains(now)) > 0)
 }
 
-// requestDomainCounts reports whether the counts of all domains that are heard arrived within
-// the given time before now, and asks the collectors of the other domains for theirs. It does
-// not wait for the answers.
+// requestDomainCounts reports whether the counts of all domains that are not silent arrived
+// within the given time before now, and requests those that did not from the domains'
+// collectors. It does not wait for the answers.
 func (g *Gossip) requestDomainCounts(ctx context.Context, within time.Duration, now time.Time) bool {
 	silent := g.View(now).SilentDomains
 	g.cfg.Knowledge.ApplyCounts(g.collector.Counts())
--- a/internal/gossip/collector.go
+++ b/internal/gossip/collector.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// freshFor is how long a collected report, or the sum of a domain, counts as current: four
-	// rounds, so that losing two in a row changes nothing.
+	// freshFor is how long a report, or the sum of a domain, counts as current: four rounds, so
+	// that losing two in a row changes nothing.
 	freshFor = freshRounds * Interval
 	// countsTTL is how long the counts of a gateway that is gone are kept: the usage of a
 	// window is settled within 10 s after the window's end.
@@ -71,8 +71,8 @@
 }
 
 type receivedCounts struct {
-	startedRequests      WindowCounts
-	receivedAt time.Time
+	startedRequests WindowCounts
+	receivedAt      time.Time
 }
 
 // NewCollector returns a collector that has received nothing.
@@ -89,8 +89,8 @@
 	return string(node) + "/" + strconv.FormatUint(uint64(incarnation), 10)
 }
 
-// AddReport takes over a gateway's report. A report that is older than the known one is
-// ignored.
+// AddReport adds a gateway's report in place of its earlier one. A report that is older than
+// that one is ignored.
 func (c *Collector) AddReport(r Report, now, wall time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,8 +125,8 @@
 	}
 }
 
-// AddDomainSum takes over the sum of another domain. A sum that is older than the known one of
-// the same source is ignored.
+// AddDomainSum adds the sum of another domain in place of the earlier one of the same source. A
+// sum that is older than that one is ignored.
 func (c *Collector) AddDomainSum(s Sum, now, wall time.Time) {
 	if s.Domain == c.self.Domain || s.Source == c.incarnationID {
 		return
@@ -152,8 +152,8 @@
 	}
 }
 
-// choose returns the sum that counts: that of the source chosen last, unless another source
-// hears more gateways; nil if all sums are old. A domain has two collectors at work while its
+// choose returns the sum that counts: that of the source chosen last, unless the sum of
+// another source includes more gateways; nil if all sums are old. A domain has two collectors at work while its
 // gateways move from one to the other.
 func (d *domainSums) choose(now time.Time) *receivedSum {
 	best := d.sums[d.chosen]
@@ -184,17 +184,18 @@
 	return known
 }
 
-// silent reports whether a domain was heard within KnownTimeout but not within silentAfter.
+// silent reports whether a sum of a domain arrived within KnownTimeout, but none within
+// silentAfter.
 func (d *domainSums) silent(now time.Time) bool {
-	heard := false
+	recent := false
 	for _, s := range d.sums {
 		age := now.Sub(s.receivedAt)
 		if age <= silentAfter {
 			return false
 		}
-		heard = heard || age <= KnownTimeout
+		recent = recent || age <= KnownTimeout
 	}
-	return heard
+	return recent
 }
 
 // ReceivesReports reports whether gateways that come after this one in the order of collectors
@@ -212,7 +213,7 @@
 }
 
 // clockCorrectionLocked returns what to add to this machine's wall clock to get the median of
-// the clocks of all gateways that are heard. Each other domain counts as one clock. c.mu is
+// the clocks of this domain's gateways with a current report. Each other domain counts as one clock. c.mu is
 // held.
 func (c *Collector) clockCorrectionLocked(now time.Time) time.Duration {
 	offs := []time.Duration{0}
@@ -236,7 +237,7 @@
 	return c.clockCorrectionLocked(now)
 }
 
-// currentDomains returns the other domains that have a current sum.
+// currentDomains returns the other domains that have a current sum, in no particular order.
 func (c *Collector) currentDomains(now time.Time) []ident.FailureDomain {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -268,8 +269,8 @@
 // rosterFor is how long after its last report a gateway stays in the roster.
 const rosterFor = 1500 * time.Millisecond
 
-// Counts returns the requests that this domain's gateways counted, including gateways that are
-// gone.
+// Counts returns the requests that this domain's gateways counted, including those of gateways
+// that are gone.
 func (c *Collector) Counts() []IncarnationCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -51,8 +51,8 @@
 func (g *Gossip) compress(record *ConfigRecord) (*encodedConfig, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p := g.compressed; p != nil && p.Revision == record.Revision && p.Offset == record.Offset {
-		return p, nil
+	if c := g.compressed; c != nil && c.Revision == record.Revision && c.Offset == record.Offset {
+		return c, nil
 	}
 	data, err := gzipped.Compress(record.Data, gzip.BestSpeed)
 	if err != nil {
@@ -63,16 +63,16 @@
 }
 
 // decompress is the inverse of compress.
-func (p *encodedConfig) decompress() (*ConfigRecord, error) {
-	data, err := gzipped.Decompress(p.Gzip, maxConfigBytes)
+func (c *encodedConfig) decompress() (*ConfigRecord, error) {
+	data, err := gzipped.Decompress(c.Gzip, maxConfigBytes)
 	if err != nil {
-		return nil, errors.Wrapf(err, "decompress the configuration of revision %d", p.Revision)
+		return nil, errors.Wrapf(err, "decompress the configuration of revision %d", c.Revision)
 	}
-	return &ConfigRecord{Revision: p.Revision, Offset: p.Offset, Data: data}, nil
+	return &ConfigRecord{Revision: c.Revision, Offset: c.Offset, Data: data}, nil
 }
 
-// fetch asks one other gateway for the configuration, or for all upstream entries, if this one
-// lacks them and is not already asking. It prefers gateways with the newest configuration and
+// fetch requests the configuration, or all upstream entries, from one other gateway if this one
+// lacks them and no such request is in flight. It prefers gateways with the newest configuration and
 // falls back to the given addresses. It does not wait for the answer.
 func (g *Gossip) fetch(ctx context.Context, addresses []string) {
 	if !g.cfg.Knowledge.NeedsFetch() {
@@ -107,30 +107,30 @@
 // addMissing adds to an answer what the asker lacks. Large data is added only if the asker
 // wants it and fewer than maxTransfers transfers are active; otherwise the asker tries again,
 // here or at another gateway. The caller calls done once the answer is sent.
-func (g *Gossip) addMissing(asked, reply *message) (done func()) {
-	large := asked.WantsLarge && g.activeTransfers.Add(1) <= maxTransfers
+func (g *Gossip) addMissing(request, reply *message) (done func()) {
+	large := request.WantsLarge && g.activeTransfers.Add(1) <= maxTransfers
 	done = func() {
-		if asked.WantsLarge {
+		if request.WantsLarge {
 			g.activeTransfers.Add(-1)
 		}
 	}
-	if reply.From.UpstreamsOffset > asked.From.UpstreamsOffset {
-		reply.Upstreams = g.cfg.Knowledge.UpstreamsSince(asked.From.UpstreamsOffset, large)
+	if reply.From.UpstreamsOffset > request.From.UpstreamsOffset {
+		reply.Upstreams = g.cfg.Knowledge.UpstreamsSince(request.From.UpstreamsOffset, large)
 	}
-	if record := g.cfg.Knowledge.ConfigSince(asked.From.Revision); record != nil {
-		if asked.AcceptsPatches {
-			reply.Config = g.patchFor(asked.From.Revision)
+	if record := g.cfg.Knowledge.ConfigSince(request.From.Revision); record != nil {
+		if request.AcceptsPatches {
+			reply.Config = g.patchFor(request.From.Revision)
 		}
 		if reply.Config != nil {
 			return done
 		}
-		packed, err := g.compress(record)
+		encoded, err := g.compress(record)
 		if err != nil {
 			g.cfg.Log.Error("cannot send the configuration to another gateway", "revision", record.Revision, "error", err)
 			return done
 		}
-		if large || len(packed.Gzip) <= smallConfigBytes {
-			reply.Config = packed
+		if large || len(encoded.Gzip) <= smallConfigBytes {
+			reply.Config = encoded
 		}
 	}
 	return done
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -189,12 +189,12 @@
 
 // BriefReport implements Knowledge.
 func (n *node) BriefReport(now time.Time) Report {
-	order := n.LimitedSet()
+	limited := n.LimitedSet()
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	n.seq++
-	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: order.Hash}
-	for _, key := range order.Keys[:min(4, len(order.Keys))] {
+	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: limited.Hash}
+	for _, key := range limited.Keys[:min(4, len(limited.Keys))] {
 		r.Limits = append(r.Limits, upstreamlimit.Announcement{Upstream: key, Limited: true, Rate: 1.5, Age: time.Second})
 	}
 	return r
@@ -207,10 +207,10 @@
 	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, UnreadTokens: 100}, sharedUpstream: {Running: 1, UnreadTokens: 10}}
 	r.Accounts = map[ident.ClientAccount]Spending{"acct": {Spent: spentPerSecond * now.Sub(n.startedAt).Seconds()}}
 	r.Demand = map[ident.Service]placement.Demand{"llm": {PromptTokensPerSecond: 10, Generating: 1}}
-	if order := n.LimitedSet(); order.Hash != 0 {
+	if limited := n.LimitedSet(); limited.Hash != 0 {
 		r.LimitUses = upstreamlimit.Uses{}
 		for i := range usedLimits {
-			r.LimitUses[limitedKey((n.number+i)%len(order.Keys))] = upstreamlimit.Use{Demand: 1, Sent: 0.25}
+			r.LimitUses[limitedKey((n.number+i)%len(limited.Keys))] = upstreamlimit.Use{Demand: 1, Sent: 0.25}
 		}
 	}
 	r.StartedRequests = WindowCounts{1: {"acct": int64(n.number + 1)}}
@@ -241,14 +241,14 @@
 	if n.fleet.limits == 0 {
 		return upstreamlimit.LimitedSet{}
 	}
-	o := upstreamlimit.LimitedSet{Hash: 1}
+	limited := upstreamlimit.LimitedSet{Hash: 1}
 	if n.fleet.limitsDiffer {
-		o.Hash += uint32(n.number % 2)
+		limited.Hash += uint32(n.number % 2)
 	}
 	for i := range n.fleet.limits {
-		o.Keys = append(o.Keys, limitedKey(i))
+		limited.Keys = append(limited.Keys, limitedKey(i))
 	}
-	return o
+	return limited
 }
 
 // usedLimits is the number of limited upstreams that a gateway uses within some seconds if 330
@@ -278,8 +278,9 @@
 	return out
 }
 
-// expectAllHeard checks that each of the given gateways hears all the others of them, once
-// each, and no other gateway, and that their reports are at most maxAge old on average.
+// expectAllHeard checks that the view of each of the given gateways includes all the others of
+// them, once each, and no other gateway, and that their reports are at most maxAge old on
+// average.
 func (f *fleet) expectAllHeard(among []*node, maxAge time.Duration) {
 	f.t.Helper()
 	wrong := 0
@@ -685,9 +686,9 @@
 	}
 }
 
-// The lease holder requests all counts after a gateway was killed that had counted. Guards
-// against counts that only their own gateway has: usage would be wrong where gateways were
-// killed, or among hundreds of them.
+// The holder of the lease requests all counts after a gateway was killed that had counted.
+// Guards against counts that only their own gateway has: usage would be wrong where gateways
+// were killed, or in a fleet of hundreds of them.
 func TestAllCountsAreGathered(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
@@ -702,9 +703,9 @@
 			time.Sleep(Interval)
 		}
 		sum := int64(0)
-		for life, began := range holder.receivedCounts {
-			if life != IncarnationID(holder.contact.Node, holder.incarnation) {
-				sum += began[1]["acct"]
+		for incarnationID, counts := range holder.receivedCounts {
+			if incarnationID != IncarnationID(holder.contact.Node, holder.incarnation) {
+				sum += counts[1]["acct"]
 			}
 		}
 		want := int64(0)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -59,15 +59,15 @@
 	// ApplyUpdates applies what another gateway sent; an argument is nil if it sent none.
 	ApplyUpdates(config *ConfigRecord, upstreams *directory.Update)
 	// ApplyReport applies a report that has just arrived: which revision and offset it confirms, and
-	// what its gateway counted. It is called for each report at once. If that waited for the
-	// next look at all reports, what the gateway with the lowest rank reads from the store
-	// would grow older by up to 0.125 s at each gateway that passes it on, and the others would
-	// read the store themselves sooner.
+	// what its gateway counted. It is called for each report at once. If reports were applied
+	// only at the next refresh of the View, data that the gateway with the lowest rank reads
+	// from the store would grow older by up to 0.125 s at each gateway that passes it on, and
+	// the others would read the store themselves sooner.
 	//
 	// The ages in the report count from asOf. A zero asOf means that the instant is unknown;
 	// the report then confirms nothing.
 	ApplyReport(r *Report, asOf time.Time)
-	// LimitedSet returns the upstreams whose limits this gateway knows.
+	// LimitedSet returns the upstreams whose rate limits this gateway knows.
 	LimitedSet() upstreamlimit.LimitedSet
 	// ApplyCounts applies the counts of other gateways that a collector sent.
 	ApplyCounts(counts []IncarnationCounts)
@@ -107,7 +107,7 @@
 	compressed *encodedConfig
 	configs    configHistory
 	// unresponsive holds the addresses that did not answer the last request, and invalidSenders
-	// those whose last message was not valid; each is logged once.
+	// those from which the last message was not valid; each is logged once.
 	unresponsive, invalidSenders map[string]bool
 	inFlight                     map[string]bool
 	bytes                        int64
@@ -206,8 +206,8 @@
 	}
 }
 
-// Announce reports to the other gateways at once and waits for their answers, for news that cannot
-// wait for the next round. In a large fleet it reports to the collectors.
+// Announce reports to the other gateways at once and waits for their answers. It is for changes
+// that cannot wait for the next round. In a large fleet it reports to the collectors.
 func (g *Gossip) Announce(ctx context.Context) {
 	var all sync.WaitGroup
 	now := g.cfg.Now()
@@ -222,8 +222,8 @@
 	all.Wait()
 }
 
-// RequestCounts reports whether the counts of all gateways that are heard arrived within the given
-// time before now, and asks for those that did not. It does not wait for the answers.
+// RequestCounts reports whether the counts of all gateways in the View arrived within the given
+// time before now, and requests those that did not. It does not wait for the answers.
 func (g *Gossip) RequestCounts(ctx context.Context, within time.Duration) bool {
 	now := g.cfg.Now()
 	if usesCollectors(g.cfg.Table.CountOthers(now)) {
@@ -242,7 +242,8 @@
 // Leave records that this gateway is leaving: it no longer acts as a collector.
 func (g *Gossip) Leave() { g.leaving.Store(true) }
 
-// tryBeginExchange marks the exchange with the given key as in flight and reports whether it was not.
+// tryBeginExchange marks the exchange with the given key as in flight. It returns false if the
+// exchange was in flight already.
 func (g *Gossip) tryBeginExchange(key string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -404,19 +405,19 @@
 
 // handleRequest decodes a request and returns the encoded answer. The caller calls done once
 // the answer is sent.
-func (g *Gossip) handleRequest(from string, request []byte) (answer []byte, done func(), err error) {
-	asked, err := g.decodeFrom(from, request)
+func (g *Gossip) handleRequest(from string, data []byte) (answer []byte, done func(), err error) {
+	request, err := g.decodeFrom(from, data)
 	if err != nil {
 		return nil, nil, err
 	}
-	reply, done := g.answerRequest(asked)
+	reply, done := g.answerRequest(request)
 	return g.encode(reply), done, nil
 }
 
-// reportFor returns this gateway's report for an answer. It is the brief one where the answer
-// is to a collector or from one: sums contain the rest.
-func (g *Gossip) reportFor(asked *message, now time.Time) Report {
-	if asked.Collect || asked.DomainSum != nil || asked.WantsCounts {
+// reportFor returns this gateway's report for an answer. In answers to a collector or from one
+// it is the brief report: the sums contain the rest.
+func (g *Gossip) reportFor(request *message, now time.Time) Report {
+	if request.Collect || request.DomainSum != nil || request.WantsCounts {
 		return g.cfg.Knowledge.BriefReport(now)
 	}
 	return g.cfg.Knowledge.Report(now)
@@ -424,20 +425,20 @@
 
 // answerRequest applies another gateway's report and returns the answer with what that gateway
 // lacks. The caller calls done once the answer is sent.
-func (g *Gossip) answerRequest(asked *message) (reply *message, done func()) {
+func (g *Gossip) answerRequest(request *message) (reply *message, done func()) {
 	now, wall := g.cfg.Now(), time.Now()
-	g.cfg.Table.RecordReport(asked.From, now, wall)
-	g.cfg.Knowledge.ApplyReport(&asked.From, time.Time{})
-	reply = &message{From: g.reportFor(asked, now)}
-	done = g.addMissing(asked, reply)
-	if asked.KnownDigest != 0 && asked.KnownDigest != g.cfg.Table.Digest(now) {
+	g.cfg.Table.RecordReport(request.From, now, wall)
+	g.cfg.Knowledge.ApplyReport(&request.From, time.Time{})
+	reply = &message{From: g.reportFor(request, now)}
+	done = g.addMissing(request, reply)
+	if request.KnownDigest != 0 && request.KnownDigest != g.cfg.Table.Digest(now) {
 		reply.Contacts = g.cfg.Table.Contacts(now)
 	}
-	g.addCollectorAnswer(asked, reply, now, wall)
-	if asked.From.UpstreamsOffset > reply.From.UpstreamsOffset && g.tryBeginExchange(asked.From.Address) {
-		// The asker has newer upstream entries. Only an asker gets what it lacks, so
-		// this gateway asks in turn.
-		go g.exchange(context.Background(), asked.From.Address, g.encodeReport(false))
+	g.addCollectorAnswer(request, reply, now, wall)
+	if request.From.UpstreamsOffset > reply.From.UpstreamsOffset && g.tryBeginExchange(request.From.Address) {
+		// The asker has newer upstream entries. Entries are sent only in answers, so this
+		// gateway asks in turn.
+		go g.exchange(context.Background(), request.From.Address, g.encodeReport(false))
 	}
 	return reply, done
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -92,8 +92,8 @@
 type fakeKnowledge struct {
 	mu   sync.Mutex
 	self Report
-	// calls lists applied updates and reports, in their order.
-	calls     []string
+	// applied lists what was applied, updates or reports, in this order.
+	applied   []string
 	config    *ConfigRecord
 	upstreams directory.Update
 }
@@ -121,8 +121,8 @@
 	if k.upstreams.Complete && !all {
 		return nil
 	}
-	news := k.upstreams
-	return &news
+	update := k.upstreams
+	return &update
 }
 
 func (k *fakeKnowledge) BriefReport(now time.Time) Report { return k.Report(now) }
@@ -130,7 +130,7 @@
 func (k *fakeKnowledge) ApplyReport(*Report, time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.calls = append(k.calls, "heard")
+	k.applied = append(k.applied, "report")
 }
 
 func (k *fakeKnowledge) ApplyCounts([]IncarnationCounts) {}
@@ -141,7 +141,7 @@
 func (k *fakeKnowledge) ApplyUpdates(config *ConfigRecord, upstreams *directory.Update) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.calls = append(k.calls, "learned")
+	k.applied = append(k.applied, "updates")
 	if config != nil {
 		k.config = config
 	}
@@ -190,7 +190,7 @@
 }
 
 // One of thirty gateways learns of a change of the configuration, and another one of an
-// upstream entry; no other gateway hears from the store. Guards against news that travels only
+// upstream entry; no other gateway reads the store. Guards against updates that travel only
 // through the store: a gateway that the store rejects would never get it.
 func TestNewsReachesAllGatewaysInFewRounds(t *testing.T) {
 	gateways, fakes := startMesh(t, 30)
@@ -204,7 +204,7 @@
 					all.Go(func() { g.exchange(t.Context(), addresses[(round*fanout+i)%len(addresses)], g.encodeReport(false)) })
 				}
 				all.Wait()
-				if heard, from := g.cfg.Table.newestConfig(boottime.Now()); g.cfg.Knowledge.Report(boottime.Now()).Revision < heard {
+				if newest, from := g.cfg.Table.newestConfig(boottime.Now()); g.cfg.Knowledge.Report(boottime.Now()).Revision < newest {
 					g.fetchFrom(t.Context(), from[0])
 				}
 			}
@@ -272,8 +272,8 @@
 	gateways, fakes := startMesh(t, 2)
 	fakes[0].upstreams = directory.Update{Records: []directory.Record{{Name: "u", Offset: 7}}, UpTo: 8}
 	gateways[1].exchange(t.Context(), gateways[0].cfg.Self.Address, gateways[1].encodeReport(false))
-	if got := strings.Join(fakes[1].calls, ", "); got != "learned, heard" {
-		t.Errorf("calls were %s, want learned, heard", got)
+	if got := strings.Join(fakes[1].applied, ", "); got != "updates, report" {
+		t.Errorf("applied %s, want updates, report", got)
 	}
 }
 
@@ -327,13 +327,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed := &encodedConfig{Revision: 9, Base: 5, Patch: patch}
+	encoded := &encodedConfig{Revision: 9, Base: 5, Patch: patch}
 	fakes[0].config = &ConfigRecord{Revision: 6, Data: base}
-	if got, err := gateways[0].decodeConfig(packed); got != nil || err != nil {
+	if got, err := gateways[0].decodeConfig(encoded); got != nil || err != nil {
 		t.Errorf("revision 6 became %v, %v", got, err)
 	}
 	fakes[0].config = &ConfigRecord{Revision: 5, Data: bytes.ToUpper(base)}
-	if got, err := gateways[0].decodeConfig(packed); err == nil {
+	if got, err := gateways[0].decodeConfig(encoded); err == nil {
 		t.Errorf("other data under the same revision became revision %d", got.Revision)
 	}
 }
--- a/internal/gossip/limits.go
+++ b/internal/gossip/limits.go
@@ -7,13 +7,13 @@
 
 // omitKnownLimits removes from a collector's answer what an asker with the same limits knows:
 // the limits, and the keys of the upstreams in LimitUses.
-func (g *Gossip) omitKnownLimits(asked, reply *message) {
-	order := g.cfg.Knowledge.LimitedSet()
-	if reply.Others == nil || order.Hash == 0 || asked.From.LimitSet != order.Hash {
+func (g *Gossip) omitKnownLimits(request, reply *message) {
+	known := g.cfg.Knowledge.LimitedSet()
+	if reply.Others == nil || known.Hash == 0 || request.From.LimitSet != known.Hash {
 		return
 	}
 	reply.From.Limits = nil
-	reply.Others.LimitColumns = reply.Others.LimitUses.Columns(order)
+	reply.Others.LimitColumns = reply.Others.LimitUses.Columns(known)
 	reply.Others.LimitUses = nil
 }
 
--- a/internal/gossip/patch.go
+++ b/internal/gossip/patch.go
@@ -15,7 +15,7 @@
 
 const (
 	// maxRecentConfigs is how many configurations a gateway keeps to make patches from: some
-	// gateways are a few changes behind.
+	// gateways lack the last few changes.
 	maxRecentConfigs = 4
 	// patchDictionaryID is the zstd dictionary ID under which a patch refers to the earlier
 	// configuration.
@@ -122,19 +122,19 @@
 	return p
 }
 
-// decodeConfig returns a configuration that another gateway sent; nil if it is a patch of one
-// that this gateway does not have.
-func (g *Gossip) decodeConfig(p *encodedConfig) (*ConfigRecord, error) {
-	if len(p.Patch) == 0 {
-		return p.decompress()
+// decodeConfig decodes a configuration that another gateway sent. It returns nil for a patch of
+// a configuration that this gateway does not have.
+func (g *Gossip) decodeConfig(c *encodedConfig) (*ConfigRecord, error) {
+	if len(c.Patch) == 0 {
+		return c.decompress()
 	}
 	base := g.cfg.Knowledge.ConfigSince(0)
-	if base == nil || base.Revision != p.Base {
+	if base == nil || base.Revision != c.Base {
 		return nil, nil
 	}
-	data, err := applyPatch(base.Data, p.Patch)
+	data, err := applyPatch(base.Data, c.Patch)
 	if err != nil {
 		return nil, err
 	}
-	return &ConfigRecord{Revision: p.Revision, Offset: p.Offset, Data: data}, nil
+	return &ConfigRecord{Revision: c.Revision, Offset: c.Offset, Data: data}, nil
 }
--- a/internal/gossip/sum.go
+++ b/internal/gossip/sum.go
@@ -11,7 +11,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstreamlimit"
 )
 
-// Sum is what several gateways report together.
+// Sum is the sum of the reports of several gateways.
 type Sum struct {
 	// Source is the incarnation of the gateway that added the sum up. Totals of different
 	// sources cannot be compared.
@@ -19,8 +19,8 @@
 	Seq    uint64
 	// Domain is set if all gateways in the sum belong to one failure domain.
 	Domain ident.FailureDomain
-	// Heard counts the gateways whose reports are in the sum. Known counts those that may admit
-	// requests, heard recently or not.
+	// Heard counts the gateways whose reports are in the sum. Known counts all that may admit
+	// requests, also those without a current report.
 	Heard, Known int
 	// Age is the mean age of the reports in the sum.
 	Age      time.Duration
@@ -35,11 +35,12 @@
 	GivenUpFence ident.Fence
 	Rollouts     rollout.OrderStates
 	Poison       poison.Report
-	// LimitUses tells how much the gateways use upstreams that have a limit. LimitColumns is
+	// LimitUses tells how much the gateways use upstreams that have a rate limit. LimitColumns is
 	// its short form for a receiver that knows the same limits.
 	LimitUses    upstreamlimit.Uses
 	LimitColumns upstreamlimit.Columns
-	// SilentDomains are failure domains that were heard recently and are not heard now.
+	// SilentDomains are the failure domains from which sums arrived within KnownTimeout, but
+	// none within silentAfter.
 	SilentDomains []ident.FailureDomain
 	// TrueWallMillis is the source's wall clock, corrected to the median of the gateways'
 	// clocks, in milliseconds since 1970.
@@ -58,12 +59,12 @@
 func (r *Report) id() reportID { return reportID{r.Incarnation, r.Seq} }
 
 // addTotals adds loads, demand and engine measurements.
-func (s *Sum) addTotals(loads map[UpstreamKey]placement.Load, work map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) {
+func (s *Sum) addTotals(loads map[UpstreamKey]placement.Load, demand map[ident.Service]placement.Demand, engines map[ident.Service]enginemodel.Sums) {
 	for key, load := range loads {
 		s.Loads[key] = s.Loads[key].Plus(load)
 	}
-	for service, w := range work {
-		s.Demand[service] = s.Demand[service].Plus(w)
+	for service, d := range demand {
+		s.Demand[service] = s.Demand[service].Plus(d)
 	}
 	for service, sums := range engines {
 		all := s.Engines[service]
@@ -97,8 +98,8 @@
 	for account, total := range r.Accounts {
 		s.Accounts[account] = s.Accounts[account].minus(total.rounded())
 	}
-	for service, w := range r.Demand {
-		s.Demand[service] = s.Demand[service].Minus(w)
+	for service, d := range r.Demand {
+		s.Demand[service] = s.Demand[service].Minus(d)
 	}
 	for service, sums := range r.Engines {
 		left := s.Engines[service]
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -288,7 +288,7 @@
 	return offs[len(offs)/2]
 }
 
-// silentAfter is the time without a report after which a gateway counts as silent, where a
+// silentAfter is the time without a report after which a gateway counts as silent, if each
 // round reaches all others: three rounds and the time of one exchange.
 const silentAfter = 1100 * time.Millisecond
 
@@ -296,7 +296,7 @@
 // gateway reported within KnownTimeout and none within silentAfter.
 func SilentDomains(members []Member, own ident.FailureDomain, now time.Time) map[ident.FailureDomain]bool {
 	// In a large fleet a round does not reach every gateway, but it takes less time to meet one
-	// gateway of a domain than each of them, so that the same limit suffices.
+	// gateway of a domain than to meet each of them, so the same limit suffices.
 	silent := make(map[ident.FailureDomain]bool)
 	for _, m := range members {
 		domain, age := m.Report.Domain, now.Sub(m.ReceivedAt)
--- a/internal/gossip/types.go
+++ b/internal/gossip/types.go
@@ -55,8 +55,8 @@
 	Leaving bool
 	// HoldsLease is set while the gateway holds the lease of the duties.
 	HoldsLease bool
-	// GivenUpFence is the fencing number of the newest of its leases that ran out. The gateway no
-	// longer acts under that number.
+	// GivenUpFence is the fencing number of the newest of the gateway's leases that expired. The
+	// gateway no longer acts under that number; 0 if there is none.
 	GivenUpFence ident.Fence
 	// Revision is the revision of the gateway's configuration.
 	Revision ident.Revision
@@ -76,12 +76,12 @@
 	// Engines are the gateway's measurements of each service's engines, taken from its
 	// requests.
 	Engines map[ident.Service]enginemodel.Sums
-	// Rollouts is what the gateway knows and has observed of rollouts of new service versions.
+	// Rollouts is what the gateway knows of rollout orders and has observed of their rollouts.
 	Rollouts rollout.OrderStates
-	// Poison is what the gateway knows about requests that crash upstreams.
+	// Poison is what the gateway knows about poison requests, which crash upstreams.
 	Poison poison.Report
-	// Limits are the request rates that upstreams say they accept. LimitUses tells how much the
-	// gateway uses the upstreams that have a limit.
+	// Limits are the rate limits that upstreams announced. LimitUses tells how much the gateway
+	// uses the upstreams that have a rate limit.
 	Limits    []upstreamlimit.Announcement
 	LimitUses upstreamlimit.Uses
 	// LimitSet is a digest of the limits that the gateway knows; 0 means none. LimitColumns is
@@ -131,7 +131,8 @@
 	// WantsLarge is set if the sender accepts a large configuration, or all upstream entries,
 	// in the answer.
 	WantsLarge bool
-	// Config and Upstreams are what the receiver lacks.
+	// Config and Upstreams are the configuration and the upstream entries that the receiver
+	// lacks.
 	Config    *encodedConfig
 	Upstreams *directory.Update
 	// Collect asks the receiver to add the report up as a collector and to answer with Others.
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -14,18 +14,18 @@
 // View describes the other gateways at an instant, whether they reported directly or through
 // collectors.
 type View struct {
-	// Groups are the gateways that are heard: one group for each, or one for all by a
-	// collector's sum.
+	// Groups are the gateways with a current report: a group for each gateway, or one group for
+	// all of them if the reports come as a collector's sum.
 	Groups []Group
-	// Heard counts the gateways in Groups. Known counts those that may admit requests, heard
-	// recently or not.
+	// Heard counts the gateways in Groups. Known counts all that may admit requests, also those
+	// without a current report.
 	Heard, Known int
-	// LeaseHeld is set if another gateway says that it holds the lease of the duties.
+	// LeaseHeld is set if another gateway reports that it holds the lease of the duties.
 	LeaseHeld bool
 	// GivenUpFence is the highest fencing number under which a holder no longer acts.
 	GivenUpFence ident.Fence
-	// SilentDomains are the other failure domains in which gateways were heard recently and none is
-	// heard now.
+	// SilentDomains are the other failure domains from which reports arrived within KnownTimeout,
+	// but none within silentAfter.
 	SilentDomains map[ident.FailureDomain]bool
 	// Rank is this gateway's rank, from 0, in work that only a few gateways do for all, such
 	// as reading the store.
@@ -35,8 +35,8 @@
 	WallCorrection time.Duration
 }
 
-// InitialView returns the view of a gateway that has heard nothing yet: it leaves work that only a
-// few gateways do to others. With rank 0, each of a thousand gateways that start
+// InitialView returns the view of a gateway that has received no report yet: it leaves work that
+// only a few gateways do to others. With rank 0, each of a thousand gateways that start
 // together would consider itself the first, and write a claim of the lease.
 func InitialView() View { return View{Rank: lastRank} }
 
@@ -107,11 +107,11 @@
 // collected itself.
 func (g *Gossip) fillCollected(v *View, now time.Time) {
 	v.Rank = lastRank
-	sum, heardAt, collecting := g.bestSum(now)
+	sum, receivedAt, collecting := g.bestSum(now)
 	if sum == nil {
 		return
 	}
-	age := now.Sub(heardAt)
+	age := now.Sub(receivedAt)
 	if collecting {
 		g.mu.Lock()
 		g.recordKnown(sum, now)
@@ -132,15 +132,16 @@
 	}
 	v.Heard, v.LeaseHeld, v.GivenUpFence = sum.Heard, sum.LeaseHolders > 0, sum.GivenUpFence
 	v.Groups = []Group{{
-		Name: allOthers, Source: sum.Source, Gateways: sum.Heard, ReportedAt: heardAt.Add(-sum.Age),
+		Name: allOthers, Source: sum.Source, Gateways: sum.Heard, ReportedAt: receivedAt.Add(-sum.Age),
 		Loads: sum.Loads, Accounts: sum.Accounts, Demand: sum.Demand, Engines: sum.Engines, Rollouts: sum.Rollouts.Aged(age), Poison: sum.Poison.Aged(age),
 		LimitUses: sum.LimitUses,
 	}}
 }
 
-// bestSum returns the sum of all others, as of when it is, and whether this gateway added it
-// up itself: the sum of its own collector, or a current answer that includes more gateways.
-func (g *Gossip) bestSum(now time.Time) (sum *Sum, heardAt time.Time, collecting bool) {
+// bestSum returns the sum of all others, when it was received, and whether this gateway added
+// it up itself. It is the sum of this gateway's own collector, or a current answer of another
+// collector if that includes more gateways; nil if there is neither.
+func (g *Gossip) bestSum(now time.Time) (sum *Sum, receivedAt time.Time, collecting bool) {
 	g.mu.Lock()
 	answer, answeredAt := g.collectorSum, g.collectorSumAt
 	g.mu.Unlock()
@@ -173,15 +174,15 @@
 const (
 	// lastRank is the rank of a gateway that leaves the work of few gateways to others.
 	lastRank = 1 << 10
-	// startupGrace is how long after its start a gateway that has heard nobody leaves the work
-	// of few gateways to others: four rounds. Without it, after all gateways were killed, each
+	// startupGrace is how long after its start a gateway that has received no report leaves the
+	// work of few gateways to others: four rounds. Without it, after all gateways were killed, each
 	// would read the upstream entries and the lease for itself until it knows the others.
 	startupGrace = 4 * Interval
 )
 
 // rank returns this gateway's rank among those that do work for all. The first collectors of
-// the domains that are heard have the ranks from 0 on, in the order of the domains' names; all
-// other gateways have lastRank. First collectors are the first to learn what the others know,
+// the domains with a current sum have the ranks from 0 on, in the order of the domains' names;
+// all other gateways have lastRank. First collectors are the first to learn what the others know,
 // and what they know reaches the others first.
 func (g *Gossip) rank(now time.Time) int {
 	if !g.isFirstCollector(now) {
--- a/internal/gzipped/gzipped.go
+++ b/internal/gzipped/gzipped.go
@@ -28,8 +28,8 @@
 
 // Decompress returns the decompressed data. More than maxBytes bytes of it are an error: a
 // small message that is damaged or hostile must not use up the machine's memory.
-func Decompress(packed []byte, maxBytes int64) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+func Decompress(compressed []byte, maxBytes int64) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress")
 	}
--- a/internal/gzipped/gzipped_test.go
+++ b/internal/gzipped/gzipped_test.go
@@ -10,16 +10,16 @@
 // against one that is damaged.
 func TestWhatIsTooLargeOrDamagedIsRefused(t *testing.T) {
 	data := bytes.Repeat([]byte("x"), 10_000)
-	packed, err := Compress(data, gzip.BestSpeed)
+	compressed, err := Compress(data, gzip.BestSpeed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Decompress(packed, int64(len(data))); err != nil || !bytes.Equal(got, data) {
+	if got, err := Decompress(compressed, int64(len(data))); err != nil || !bytes.Equal(got, data) {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
 	for name, try := range map[string]func() ([]byte, error){
-		"too large": func() ([]byte, error) { return Decompress(packed, int64(len(data))-1) },
-		"cut off":   func() ([]byte, error) { return Decompress(packed[:len(packed)/2], 1<<20) },
+		"too large": func() ([]byte, error) { return Decompress(compressed, int64(len(data))-1) },
+		"cut off":   func() ([]byte, error) { return Decompress(compressed[:len(compressed)/2], 1<<20) },
 		"no gzip":   func() ([]byte, error) { return Decompress([]byte("x"), 1<<20) },
 		"no level":  func() ([]byte, error) { return Compress(data, 99) },
 	} {
