--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -122,8 +122,8 @@
 			d.StoreAway()
 			d.ApplyUpdate(Update{Records: []Record{{Name: "u", Offset: 2}}, UpTo: 3}, at(2*time.Second))
 		}, 2100 * time.Millisecond, false},
-		// As above, but the gateway learns late that the store answered the others, and
-		// then reads the departure itself.
+		// Guards against requests for an upstream after it left, if this gateway learns
+		// late that the store answered the others, and then reads the departure itself.
 		{"leaves after the store was back for the others", func(d *Directory) {
 			d.Apply("u", 1, ready("u"), at(0))
 			d.StoreAway()
--- a/internal/directory/updates.go
+++ b/internal/directory/updates.go
@@ -94,8 +94,8 @@
 // trim removes the changes after which the same entry changed again, once they are more than
 // half of all.
 func (l *changeLog) trim(entries map[ident.Instance]*Entry) {
-	const least = 64
-	if len(l.entries) <= 2*len(entries)+least {
+	const slack = 64
+	if len(l.entries) <= 2*len(entries)+slack {
 		return
 	}
 	l.entries = slices.DeleteFunc(l.entries, func(c change) bool {
--- a/internal/entry/configuration_test.go
+++ b/internal/entry/configuration_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// Guards against a gateway that keeps an old configuration and takes it for the newest
+// Guards against a gateway that keeps an old configuration and considers it the newest
 // because another gateway confirmed a newer revision.
 func TestAReportOfANewerRevisionConfirmsNothing(t *testing.T) {
 	s := newConfigFixture(t, waitingReaders)
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -28,7 +28,7 @@
 	// of the grace period to end.
 	acceptStreamsFor = 2800 * time.Millisecond
 	// closeIdleAfter is how long after it began to leave a gateway closes idle
-	// connections: what their callers would send soon must be refused.
+	// connections: the next requests on them would have to be refused.
 	closeIdleAfter = 2500 * time.Millisecond
 	// stopMargin is the part of the grace period that is left for the last steps.
 	stopMargin = 700 * time.Millisecond
@@ -87,7 +87,7 @@
 		c.Dials, c.DialFailures, c.Reuses, c.Discards, c.ClosedUnmatched)
 	made, failed := p.ports.StoreCalls()
 	fmt.Fprintf(w, "store_calls_total %d\nstore_calls_failed_total %d\n", made, failed)
-	lines, dropped := p.ring.Counts()
+	lines, dropped := p.logWriter.Counts()
 	fmt.Fprintf(w, "log_lines_total %d\nlog_lines_dropped_total %d\n", lines, dropped)
 	next, age := p.upstreams.state()
 	fmt.Fprintf(w, "upstreams_offset %d\nupstreams_age_seconds %.3f\nupstreams_known %d\n", next, age.Seconds(), p.board.upstreams.Value().Count())
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -54,13 +54,13 @@
 
 // Process is an entry process. Create it with New and call Run once.
 type Process struct {
-	settings *settings.Entry
-	ports    Ports
-	log      hclog.Logger
-	ring     *telemetry.AsyncWriter
-	tracing  *telemetry.Telemetry
-	now      boottime.Clock
-	started  time.Time
+	settings  *settings.Entry
+	ports     Ports
+	log       hclog.Logger
+	logWriter *telemetry.AsyncWriter
+	tracing   *telemetry.Telemetry
+	now       boottime.Clock
+	started   time.Time
 	// incarnation tells this process from earlier ones of the same instance.
 	incarnation ident.Incarnation
 	// incarnationID is the result of gossip.IncarnationID for this process.
@@ -95,17 +95,17 @@
 // New creates a process. makePorts gets the pool from which all outgoing connections of the
 // process come.
 func New(s *settings.Entry, makePorts func(*httpconn.Pool) Ports, output io.Writer) (*Process, error) {
-	ring := telemetry.NewAsyncWriter(output)
+	logWriter := telemetry.NewAsyncWriter(output)
 	tracing, err := telemetry.Setup(telemetry.Config{
 		Program: "entry", Instance: s.Instance.ID, FailureDomain: s.Instance.FailureDomain, Region: s.Instance.Region,
-		LogLevel: s.Log.Level, LogFormat: string(s.Log.Format), LogOutput: ring,
+		LogLevel: s.Log.Level, LogFormat: string(s.Log.Format), LogOutput: logWriter,
 		TraceExporter: string(s.Trace.Exporter), TraceEndpoint: s.Trace.Endpoint,
 	})
 	if err != nil {
 		return nil, err
 	}
 	p := &Process{
-		settings: s, log: tracing.Log, ring: ring, tracing: tracing, now: boottime.Now, started: boottime.Now(),
+		settings: s, log: tracing.Log, logWriter: logWriter, tracing: tracing, now: boottime.Now, started: boottime.Now(),
 		incarnation: ident.Incarnation(time.Now().UnixNano()), board: newBoard(), pool: httpconn.NewPool(boottime.Now),
 		ledger: metering.NewLedger(), metrics: ingress.NewMetrics(),
 	}
@@ -208,7 +208,7 @@
 	work.Wait()
 	p.flushSpans()
 	p.log.Info("stopped")
-	p.ring.Flush()
+	p.logWriter.Flush()
 	return nil
 }
 
--- a/internal/entry/start_test.go
+++ b/internal/entry/start_test.go
@@ -32,7 +32,7 @@
 	}
 	for range 2 {
 		if rank, held := p.leaseRank(); rank == 0 && !held {
-			t.Error("a gateway that has just started takes itself for the first candidate")
+			t.Error("a gateway that has just started considers itself the first candidate")
 		}
 		p.refreshPeers()
 	}
--- a/internal/gossip/collect.go
+++ b/internal/gossip/collect.go
@@ -212,8 +212,8 @@
 	return g.isFirstCollector(now) && g.collector.ReceivesReports(now)
 }
 
-// rosterFilter returns a function that tells of which domains the rosters from a gateway in
-// the given domain are accepted. The active collector of a domain accepts another domain's
+// rosterFilter returns a function that reports whether the roster of a domain is accepted from a
+// gateway in the domain from. The active collector of a domain accepts another domain's
 // roster only from gateways of that domain, and its own domain's from nobody. All other
 // gateways accept all rosters.
 func (g *Gossip) rosterFilter(from ident.FailureDomain, now time.Time) func(ident.FailureDomain) bool {
@@ -256,9 +256,9 @@
 		return
 	}
 	if g.collectorSum != nil && m.Others.Source != g.collectorSum.Source && m.Others.Heard < g.collectorSum.Heard && now.Sub(g.collectorSumAt) < collectorWarmUp {
-		// A collector that has just started has not heard from all gateways yet. Fewer
-		// gateways in the same source's sum mean that some are gone: in a large fleet that
-		// happens every few rounds.
+		// A collector that has just started has not received reports from all gateways yet.
+		// Fewer gateways in the same source's sum mean that some are gone: in a large fleet
+		// that happens every few rounds.
 		return
 	}
 	g.applyLimits(m)
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -98,7 +98,7 @@
 	sent := g.cfg.Now()
 	answer, err := g.call(ctx, address, g.encodeReport(true))
 	if err != nil {
-		g.cfg.Log.Info("fetch from another gateway failed", "address", address, "error", err)
+		g.cfg.Log.Info("cannot fetch from another gateway", "address", address, "error", err)
 		return
 	}
 	g.handleAnswer(answer, sent)
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -306,12 +306,12 @@
 		if !ok {
 			wrong++
 			if wrong < 4 {
-				f.t.Errorf("%s hears %d of %d others; known %d, demand %.1f, shared load %v, mean age %v", n.contact.Node, v.Heard, others, v.Known, demand, loads[sharedUpstream], age)
+				f.t.Errorf("the view of %s includes %d of %d others; known %d, demand %.1f, shared load %v, mean age %v", n.contact.Node, v.Heard, others, v.Known, demand, loads[sharedUpstream], age)
 			}
 		}
 	}
 	if wrong > 0 {
-		f.t.Errorf("%d of %d gateways do not hear exactly the others", wrong, len(among))
+		f.t.Errorf("the views of %d of %d gateways do not include exactly the others", wrong, len(among))
 	}
 }
 
@@ -417,8 +417,8 @@
 }
 
 // A domain's collector dies, freezes or leaves. Guards against reports that still go to it:
-// the others would then count the load of a gateway that is gone, or hear nothing of the
-// domain, for seconds.
+// the others would then count the load of a gateway that is gone, or receive no report
+// of the domain, for seconds.
 func TestALostCollectorCostsLittle(t *testing.T) {
 	for name, lose := range map[string]func(*fleet, *node){
 		"killed": func(_ *fleet, n *node) { n.kill() },
@@ -442,7 +442,7 @@
 				lost := f.collectorOf("hall-b")
 				lose(f, lost)
 				// The lost collector's own report counts for a second after it was sent. The
-				// rest of the domain is heard again within two rounds.
+				// rest of the domain is in the others' views again within two rounds.
 				time.Sleep(freshFor + 3*Interval)
 				f.expectAllHeard(f.running(), maxMeanAge)
 			})
@@ -452,7 +452,7 @@
 
 // A domain's collector is killed and starts again two seconds later, when it knows no other
 // gateway. Guards against taking its first sums for the whole domain: the others would then
-// hear nothing of the domain for a second or more.
+// lack the rest of the domain for a second or more.
 func TestACollectorThatStartsAgainIsNotBelievedTooEarly(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
@@ -471,7 +471,7 @@
 			}
 			// The gateway that starts may be missing, and one that loses a round.
 			if minHeard < len(f.order)-2 {
-				t.Errorf("a gateway hears only %d of %d others", minHeard, len(f.order)-1)
+				t.Errorf("the view of a gateway includes only %d of %d others", minHeard, len(f.order)-1)
 			}
 		}
 		f.expectAllHeard(f.order, maxMeanAge)
@@ -482,7 +482,7 @@
 }
 
 // A domain is cut off and comes back. Guards against two sides that count each other's load
-// during the partition, and against a side that hears no gateway.
+// during the partition, and against a side whose gateways receive no reports.
 func TestADomainThatIsCutOffGoesOnByItself(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
@@ -536,7 +536,7 @@
 	})
 }
 
-// Guards against survivors that take each other for all gateways: each would then give an
+// Guards against survivors that consider each other the whole fleet: each would then give an
 // account its whole limit, in addition to what the killed gateways admitted and will admit
 // again once they are back.
 func TestSurvivorsStillCountThoseThatWereKilled(t *testing.T) {
@@ -564,7 +564,8 @@
 }
 
 // A machine that replaces another one starts at an address that no gateway knows, and knows
-// only the seeds, one of which is gone. Guards against a new machine that is not heard.
+// only the seeds, one of which is gone. Guards against a new gateway that is missing in
+// the others' views.
 func TestANewMachineIsHeard(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
@@ -721,7 +722,7 @@
 }
 
 // The first gateway no longer confirms its view of the store, and collectors on busy machines
-// tell each other how old their views are. Guards against an age that counts from the arrival
+// report to each other how old their views are. Guards against an age that counts from the arrival
 // of an answer: it grows by less than the time that passes, so that gateways do not read the
 // store and a configuration change arrives seconds late. That is the probable cause of a
 // change that arrived 4.7 s late at 300 gateways.
@@ -740,7 +741,7 @@
 			defer f.mu.Unlock()
 			for _, n := range f.order {
 				if n.confirmedAt.After(last) {
-					t.Errorf("%d gateways: %s takes its view for %v younger than it is", size.gateways, n.contact.Node, n.confirmedAt.Sub(last))
+					t.Errorf("%d gateways: %s considers its view %v younger than it is", size.gateways, n.contact.Node, n.confirmedAt.Sub(last))
 				}
 			}
 		})
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -118,8 +118,8 @@
 	collectorClockCorrection time.Duration
 	// sentReports are the last reports that were sent to collectors, the newest last.
 	sentReports []Report
-	// knownBySource holds how many gateways each recently heard collector knew, by the source
-	// of its sum.
+	// knownBySource holds how many gateways each collector knew whose sum arrived within
+	// KnownTimeout, by the source of the sum.
 	knownBySource map[string]knownCount
 	// collectorLimitSet is the LimitSet of the collector that answered last.
 	collectorLimitSet uint32
--- a/internal/gossip/limits_test.go
+++ b/internal/gossip/limits_test.go
@@ -12,7 +12,7 @@
 // exchanges, with 50 upstreams that have a limit.
 const maxLimitBytes = 200
 
-// Guards against messages that grow by kilobytes with the limits of upstreams, and against
+// Guards against messages that grow by kilobytes with the rate limits of upstreams, and against
 // uses that are lost, counted twice or assigned to another upstream.
 func TestLimitsCostFewBytes(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
@@ -53,7 +53,8 @@
 	})
 }
 
-// expectUses checks that each gateway hears the limit uses of all others, once each.
+// expectUses checks that the view of each gateway includes the limit uses of all others, once
+// each.
 func (f *fleet) expectUses(limits int) {
 	f.t.Helper()
 	for _, n := range f.order {
@@ -69,7 +70,7 @@
 				}
 			}
 			if got := uses[limitedKey(i)]; got.Demand != want || got.Sent != want/4 {
-				f.t.Fatalf("%s hears uses %+v of limited upstream %d, want asked %v", n.contact.Node, got, i, want)
+				f.t.Fatalf("the view of %s has uses %+v of limited upstream %d, want demand %v", n.contact.Node, got, i, want)
 			}
 		}
 	}
--- a/internal/gossip/roster.go
+++ b/internal/gossip/roster.go
@@ -151,8 +151,8 @@
 // firstOfAllContacts returns the first collectors among the gateways in order and all known
 // contacts. It is used where this gateway comes first by the roster. Without it, of gateways
 // that start together two may each consider themselves the collector, collect from a part of
-// the domain each, and never hear of each other. So the first one reports to the first of all
-// others, which learns from it that it exists.
+// the domain each, and never learn of each other. So the first one reports to the first of all
+// others, which learns from the report that this gateway exists.
 func (t *Table) firstOfAllContacts(order []Contact, now time.Time) []Contact {
 	all := t.contactsIn(t.self.Domain, now)
 	for _, c := range order {
@@ -164,7 +164,7 @@
 	return t.firstReachable(all, now)
 }
 
-// contactsIn returns all known gateways of a failure domain, whoever told of them.
+// contactsIn returns all known gateways of a failure domain, from whichever source.
 func (t *Table) contactsIn(domain ident.FailureDomain, now time.Time) []Contact {
 	var all []Contact
 	for _, c := range t.contacts {
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -25,7 +25,8 @@
 	// leavingTimeout is how long a gateway that announced that it leaves still counts after its
 	// last report.
 	leavingTimeout = 2 * time.Second
-	// contactTTL is how long an address is tried after its gateway was last heard of.
+	// contactTTL is how long an address is tried after its gateway last reported or was last
+	// named by another gateway.
 	contactTTL = time.Minute
 )
 
@@ -160,8 +161,9 @@
 // sent all contacts by every gateway that it meets.
 const maxContactsSent = 64
 
-// Contacts returns gateways that were heard of recently, directly or from a collector: the
-// first collectors of each failure domain, then random others, maxContactsSent at most.
+// Contacts returns gateways that reported directly within KnownTimeout or are in a roster that a
+// collector confirmed within it: the first collectors of each failure domain, then random
+// others, maxContactsSent at most.
 func (t *Table) Contacts(now time.Time) []Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -233,8 +235,9 @@
 	return v
 }
 
-// countUnmet counts the gateways that others told of and that have not reported yet. In a
-// large fleet it takes some rounds to meet them all, and they admit requests meanwhile.
+// countUnmet counts the gateways that others named and that have not reported yet. In a large
+// fleet it takes some rounds to exchange reports with all of them, and they admit requests
+// meanwhile.
 func (t *Table) countUnmet(now time.Time) int {
 	n := 0
 	for _, c := range t.contacts {
--- a/internal/gossip/types.go
+++ b/internal/gossip/types.go
@@ -43,7 +43,7 @@
 // WindowCounts holds numbers of requests by window of true time and by client account.
 type WindowCounts map[int64]map[ident.ClientAccount]int64
 
-// Report is what one gateway says about itself. A later report replaces an earlier one
+// Report is what one gateway reports about itself. A later report replaces an earlier one
 // completely.
 type Report struct {
 	Contact
--- a/internal/metering/counter.go
+++ b/internal/metering/counter.go
@@ -66,9 +66,9 @@
 	counts[account]++
 }
 
-// keepNewest deletes the oldest windows until at most the given number is left.
-func keepNewest[V any](windows map[int64]V, most int) {
-	for len(windows) > most {
+// keepNewest deletes the oldest windows until at most limit are left.
+func keepNewest[V any](windows map[int64]V, limit int) {
+	for len(windows) > limit {
 		delete(windows, slices.Min(slices.Collect(maps.Keys(windows))))
 	}
 }
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -51,12 +51,12 @@
 // fixture is a Reporter with a clock that the test sets.
 type fixture struct {
 	now time.Time
-	// someUnheard is set if some gateways were not heard since the window's end. gathered counts
-	// the calls of Gather.
-	someUnheard bool
-	gathered    int
-	ledger      *Ledger
-	holder      *holder
+	// countsMissing is set if the counts of some gateways have not arrived since the window's
+	// end. gathered counts the calls of Gather.
+	countsMissing bool
+	gathered      int
+	ledger        *Ledger
+	holder        *holder
 	*Reporter
 }
 
@@ -76,7 +76,7 @@
 
 func (f *fixture) gather(context.Context, time.Duration) bool {
 	f.gathered++
-	return !f.someUnheard
+	return !f.countsMissing
 }
 
 func (f *fixture) addStarted(gateway string, window int64, n int64) {
@@ -100,21 +100,22 @@
 	}
 }
 
-// Guards against reports that are wrong by a tenth. Among ninety gateways some aren't heard for six
-// seconds, and a window is decided before their counts have arrived and without asking for them.
+// Guards against reports that are wrong by a tenth. The counts of some of ninety gateways don't
+// arrive for six seconds, and a window is decided before they have arrived and without requesting
+// them.
 func TestAWindowWaitsForCountsThatAreSlowToCome(t *testing.T) {
 	f := newFixture()
-	f.someUnheard = true
+	f.countsMissing = true
 	f.addStarted("a/1", 1000, 3)
 	f.now = f.now.Add(windowLength + minSettleTime)
 	f.Step(t.Context())
 	if len(f.holder.reported) != 0 || f.gathered == 0 {
-		t.Fatalf("%d windows reported before all gateways were heard, gateways asked %d times", len(f.holder.reported), f.gathered)
+		t.Fatalf("%d windows reported before all counts arrived, counts requested %d times", len(f.holder.reported), f.gathered)
 	}
-	f.someUnheard = false
+	f.countsMissing = false
 	f.Step(t.Context())
 	if len(f.holder.reported) == 0 {
-		t.Fatal("not reported once all gateways were heard")
+		t.Fatal("not reported once all counts arrived")
 	}
 }
 
@@ -122,7 +123,7 @@
 // counts as present for some seconds more.
 func TestAWindowThatIsDueWaitsForNobody(t *testing.T) {
 	f := newFixture()
-	f.someUnheard = true
+	f.countsMissing = true
 	f.addStarted("a/1", 1000, 3)
 	f.now = f.now.Add(windowLength + 2*windowLength - reportReserve)
 	f.Step(t.Context())
@@ -146,8 +147,8 @@
 	}
 }
 
-// Guards against the same fault when the record can't be committed, or when it is unknown whether
-// it was: the report is sent before its decision is stored.
+// Guards against two reports of one window with different counts, because a report is sent though
+// its decision can't be committed, or though it is unknown whether it was.
 func TestNothingIsSentBeforeItsDecisionStands(t *testing.T) {
 	for _, err := range []error{platform.ErrAnswerLost, platform.ErrUnavailable, duty.ErrNotHeld} {
 		f := newFixture()
@@ -197,11 +198,11 @@
 	f.ledger.MergeCounts("a/1", map[int64]map[ident.ClientAccount]int64{1000: counts})
 	f.Step(t.Context())
 	if n := len(f.holder.decided); n == 0 || n > maxRecordBytes {
-		t.Errorf("recorded %d bytes, want some, up to maxRecordBytes", n)
+		t.Errorf("stored %d bytes, want some, up to maxRecordBytes", n)
 	}
 }
 
-// Guards against twice as many writes to the platform, because counts are recorded at each step.
+// Guards against twice as many writes to the platform, because counts are stored at each step.
 func TestPendingCountsAreRecordedNowAndThen(t *testing.T) {
 	f := newFixture()
 	f.addStarted("a/1", 1000, 1)
@@ -226,7 +227,7 @@
 	f.now = f.now.Add(windowLength + minSettleTime)
 	f.Step(t.Context())
 	if f.holder.holds {
-		t.Error("the holder keeps its grant after a report was refused for an old fencing token")
+		t.Error("the holder keeps its grant after a report was refused for an old fencing number")
 	}
 }
 
--- a/internal/metering/pending_test.go
+++ b/internal/metering/pending_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a fleet whose pending counts don't fit into the lease's record: none would be
-// recorded, and a new holder would report windows without them. The counts are those of up to a
+// stored, and a new holder of the lease would report windows without them. The counts are those of up to a
 // thousand gateways with a request a second each, and of twice as many.
 func TestPendingCountsOfALargeFleetAreRecorded(t *testing.T) {
 	for _, gateways := range []int{100, 984, 1968} {
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -25,8 +25,8 @@
 type UsageRecord struct {
 	Windows map[int64]Counts `json:"windows"`
 	// Pending holds the counts of later windows as older builds write them: uncompressed. This
-	// build only reads it. Without the pending counts, a window is lost if its counts were heard
-	// only by gateways that were all killed or restarted before it was decided.
+	// build only reads it. Without the pending counts, a window is lost if its counts were
+	// received only by gateways that were all killed or restarted before it was decided.
 	Pending Pending `json:"pending,omitempty"`
 	// CompressedPending holds the pending counts as gzipped JSON, by incarnation and window. They
 	// are compressed because they have an entry for each gateway and account, and grow with both.
@@ -37,8 +37,8 @@
 	// minSettleTime is the shortest time between a window's end and its decision: the reports of a
 	// slow gateway take a second.
 	minSettleTime = 2500 * time.Millisecond
-	// gatherAfter is the time after a window's end at which gateways that weren't heard since are
-	// asked for their counts. Most are heard by then without asking.
+	// gatherAfter is the time after a window's end at which the counts that haven't arrived since
+	// are requested. Most have arrived by then without a request.
 	gatherAfter = time.Second
 	// maxReportTransit is the age that a report may have when it arrives.
 	maxReportTransit = 300 * time.Millisecond
@@ -48,10 +48,10 @@
 	// maxDecidedWindows is how many decided windows the record keeps: a window's report is due 10 s
 	// after its end, and the users' windows are 5 s long.
 	maxDecidedWindows = 6
-	// repeatedWindows is how many of the newest windows a new holder reports again, because it
+	// repeatedWindows is how many of the newest windows a new holder of the lease reports again, because it
 	// doesn't know whether they were reported.
 	repeatedWindows = 3
-	// storeInterval is the interval at which the pending counts are recorded. It is just below the
+	// storeInterval is the interval at which the pending counts are stored. It is just below the
 	// interval at which the lease is renewed anyway (1.65 s with the users' lease of 3 s), so that
 	// there are hardly any additional writes.
 	storeInterval = 1500 * time.Millisecond
@@ -78,8 +78,8 @@
 	WindowLength time.Duration
 	// DueAfter is the time after a window's end at which its report is due.
 	DueAfter time.Duration
-	// Gather reports whether all gateways were heard in the last within, and asks those that
-	// were not for their counts.
+	// Gather reports whether the counts of all gateways arrived within the given time before now,
+	// and requests those that did not.
 	Gather   func(ctx context.Context, within time.Duration) bool
 	TrueTime func() time.Time
 	// Now is a monotonic clock that keeps counting while the machine is suspended.
@@ -89,14 +89,14 @@
 	Duties platform.Duties
 	Log    hclog.Logger
 
-	// sent holds the windows that were reported under the fencing token in fence.
+	// sent holds the windows that were reported under the fencing number in fence.
 	sent  map[int64]bool
 	fence ident.Fence
-	// storedAt is when the pending counts were last recorded.
+	// storedAt is when the pending counts were last stored.
 	storedAt time.Time
 }
 
-// Step decides the windows whose counts are complete, records the pending counts and reports the
+// Step decides the windows whose counts are complete, stores the pending counts and reports the
 // decided windows. It does nothing unless this gateway holds the lease.
 func (r *Reporter) Step(ctx context.Context) {
 	grant, holds := r.Leases.Grant()
@@ -105,7 +105,7 @@
 	}
 	record, err := decodeRecord(r.Leases.Decided())
 	if err != nil {
-		r.Log.Error("recorded usage cannot be decoded; its windows are decided again", "error", err)
+		r.Log.Error("cannot decode the stored usage record, its windows are decided again", "error", err)
 	}
 	if grant.Fence != r.fence || r.sent == nil {
 		r.fence, r.sent = grant.Fence, make(map[int64]bool)
@@ -116,12 +116,12 @@
 		r.storedAt = r.Now()
 		data, err := r.encode(next)
 		if err != nil {
-			r.Log.Error("usage record cannot be encoded", "error", err)
+			r.Log.Error("cannot encode the usage record", "error", err)
 			return
 		}
 		err = r.Leases.Commit(ctx, data)
 		if err != nil {
-			r.Log.Info("usage record could not be committed", "decided", changed, "error", err)
+			r.Log.Info("cannot commit the usage record", "decided", changed, "error", err)
 		}
 		if err != nil && changed {
 			return
@@ -131,12 +131,12 @@
 	r.send(ctx, record)
 }
 
-// restorePending merges the pending counts that the previous holder of the lease recorded.
+// restorePending merges the pending counts that the previous holder of the lease stored.
 func (r *Reporter) restorePending(record *UsageRecord) {
 	r.Ledger.MergePending(record.Pending)
 	counts, err := decodePending(record.CompressedPending)
 	if err != nil {
-		r.Log.Error("recorded pending usage cannot be decoded; only counts from gateways are used", "error", err)
+		r.Log.Error("cannot decode the stored pending usage, only counts from gateways are used", "error", err)
 	}
 	for incarnation, windows := range counts {
 		r.Ledger.MergeCounts(incarnation, windows)
@@ -180,8 +180,8 @@
 	return data, pkgerrors.Wrap(err, "encode usage record")
 }
 
-// decodeRecord decodes what encodeRecord returned, but leaves the pending counts compressed: only a
-// new holder needs them.
+// decodeRecord decodes a record that encodeRecord encoded, but leaves the pending counts
+// compressed: only a new holder of the lease needs them.
 func decodeRecord(data json.RawMessage) (UsageRecord, error) {
 	record := UsageRecord{Windows: make(map[int64]Counts)}
 	if len(data) == 0 {
@@ -195,11 +195,11 @@
 }
 
 // decodePending decodes a record's compressed pending counts. It returns nil if there are none.
-func decodePending(packed []byte) (pendingByIncarnation, error) {
-	if len(packed) == 0 {
+func decodePending(compressed []byte) (pendingByIncarnation, error) {
+	if len(compressed) == 0 {
 		return nil, nil
 	}
-	data, err := gzipped.Decompress(packed, maxDecompressedBytes)
+	data, err := gzipped.Decompress(compressed, maxDecompressedBytes)
 	if err != nil {
 		return nil, pkgerrors.Wrap(err, "decompress pending usage")
 	}
@@ -229,9 +229,10 @@
 	return next, changed
 }
 
-// settled reports whether a window's counts are complete: all gateways were heard since its end, or
-// its report is nearly due. Gateways that weren't heard are asked. Without asking, some of ninety
-// gateways aren't heard for six seconds, and reports were wrong by a tenth.
+// settled reports whether a window's counts are complete: the counts of all gateways arrived after
+// its end, or its report is nearly due. Counts that haven't arrived are requested. Without the
+// requests, the counts of some of ninety gateways don't arrive for six seconds, and reports were
+// wrong by a tenth.
 func (r *Reporter) settled(ctx context.Context, window int64, now time.Time) bool {
 	end := time.Unix(0, (window+1)*int64(r.WindowLength))
 	ago := now.Sub(end)
@@ -251,7 +252,7 @@
 	return window > slices.Max(slices.Collect(maps.Keys(record.Windows)))
 }
 
-// send reports those of the newest windows that were not reported under this fencing token.
+// send reports those of the newest windows that were not reported under this fencing number.
 // Repeating an earlier holder's report exactly changes nothing.
 func (r *Reporter) send(ctx context.Context, record UsageRecord) {
 	windows := slices.Sorted(maps.Keys(record.Windows))
@@ -272,7 +273,7 @@
 			r.Leases.FenceRejected(grant.Fence)
 			return
 		default:
-			r.Log.Info("usage not reported; trying again", "window", window, "error", err)
+			r.Log.Info("cannot report usage, trying again", "window", window, "error", err)
 			return
 		}
 	}
