--- a/internal/directory/bench_test.go
+++ b/internal/directory/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// BenchmarkSnapshot measures one new view of n upstreams of which one has changed. A slope in
-// docs/CAPACITY.md comes from it.
+// BenchmarkSnapshot measures one new view of n upstreams of which one has changed. A slope
+// in docs/CAPACITY.md comes from it.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{64, 690, 3000} {
 		d := twoServiceDirectory(n)
--- a/internal/directory/incarnations_test.go
+++ b/internal/directory/incarnations_test.go
@@ -19,9 +19,10 @@
 }
 
 // Guards against an upstream that came back and never gets work again, and against work for
-// its earlier incarnation. An upstream leaves or crashes, and starts again under its name; the
-// records of both incarnations arrive in any order, from the store and from other gateways.
-// The cause would be state that is kept by the upstream's name and outlives its incarnation.
+// its earlier incarnation. An upstream leaves or crashes, and starts again under its name;
+// the records of both incarnations arrive in any order, from the store and from other
+// gateways. The cause would be state that is kept by the upstream's name and outlives its
+// incarnation.
 func TestAnUpstreamStartsAgainUnderItsName(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -93,8 +94,8 @@
 	}
 }
 
-// Guards against gateways whose views differ forever, because records of several incarnations
-// arrived in different orders or more than once.
+// Guards against gateways whose views differ forever, because records of several
+// incarnations arrived in different orders or more than once.
 func TestIncarnationsMergeInAnyOrder(t *testing.T) {
 	type step struct {
 		offset   ident.Offset
--- a/internal/directory/updates.go
+++ b/internal/directory/updates.go
@@ -31,13 +31,12 @@
 	Complete bool `json:"complete,omitempty"`
 }
 
-// UpdateSince returns the update for a directory that knows all records before an offset: the
-// newer changes, or all entries if those do not suffice (see
-// HasChangesSince). A gateway that has
-// just started lists the store's entries and does not know which were dropped before. If it
-// sent only newer changes, a receiver that adopts its offset would keep such an upstream
-// forever, and send it requests after it has left. Renewals are left out: with those of
-// hundreds of upstreams, the few changes that matter would be delayed.
+// UpdateSince returns the update for a directory that knows all records before an offset:
+// the newer changes, or all entries if those do not suffice (see HasChangesSince). A
+// gateway that has just started lists the store's entries and does not know which were
+// dropped before. If it sent only newer changes, a receiver that adopts its offset would
+// keep such an upstream forever, and send it requests after it has left. Renewals are left
+// out: with those of hundreds of upstreams, the few changes that matter would be delayed.
 func (d *Directory) UpdateSince(from ident.Offset, now time.Time) Update {
 	update := Update{UpTo: d.next, Complete: !d.HasChangesSince(from)}
 	if update.Complete {
@@ -121,11 +120,11 @@
 // offset with newer changes alone, rather than with all entries.
 func (d *Directory) HasChangesSince(from ident.Offset) bool { return from >= d.dropsKnownFrom }
 
-// ApplyUpdate applies another gateway's update. It returns the records that changed something, and
-// whether anything changed: a complete update also drops the entries that it lacks. A dropped
-// entry stays usable for as long as the sender says: this gateway alone may have been cut
-// off from the store, or may receive the drop long after it, and would otherwise give a
-// departure the grace of an outage.
+// ApplyUpdate applies another gateway's update. It returns the records that changed
+// something, and whether anything changed: a complete update also drops the entries that it
+// lacks. A dropped entry stays usable for as long as the sender says: this gateway alone
+// may have been cut off from the store, or may receive the drop long after it, and would
+// otherwise give a departure the grace of an outage.
 func (d *Directory) ApplyUpdate(update Update, now time.Time) (changes []Record, changed bool) {
 	present := make(map[ident.Instance]bool)
 	for _, r := range update.Records {
--- a/internal/duty/manager.go
+++ b/internal/duty/manager.go
@@ -50,9 +50,9 @@
 	Rank func() (rank int, held bool)
 	// GatewayCount returns how many gateways are known.
 	GatewayCount func() int
-	// StateToStore returns the state to store in the lease's record, for later holders of the
-	// lease. RestoreState merges the stored state of a record that was read; it is called
-	// before this gateway can write a record itself. Both may be nil.
+	// StateToStore returns the state to store in the lease's record, for later holders of
+	// the lease. RestoreState merges the stored state of a record that was read; it is
+	// called before this gateway can write a record itself. Both may be nil.
 	StateToStore func() StoredState
 	RestoreState func(stored StoredState)
 	// GivenUpFence returns the highest fencing number whose holder reports that it no longer
@@ -279,8 +279,8 @@
 	return m.write(ctx, Renew, decided)
 }
 
-// write writes the lease's next record. A nil decided leaves the committed decisions as they
-// are.
+// write writes the lease's next record. A nil decided leaves the committed decisions as
+// they are.
 func (m *Manager) write(ctx context.Context, action Action, decided json.RawMessage) error {
 	m.writeMu.Lock()
 	defer m.writeMu.Unlock()
--- a/internal/entry/configuration.go
+++ b/internal/entry/configuration.go
@@ -29,7 +29,8 @@
 	// peerConfirmationShare is how old another gateway's confirmation that the
 	// configuration is the newest may become before a gateway asks the store itself, as a
 	// share of the same time. It is longer than the age that the confirmations of two
-	// readers usually reach in transit, and short enough to be in time where all readers have lost the store.
+	// readers usually reach in transit, and short enough to be in time where all readers
+	// have lost the store.
 	peerConfirmationShare = 0.6
 	// storeHeadStart is how long, after peerHeadStart, a gateway waits for the store to
 	// deliver a configuration that other gateways have before it requests the
@@ -161,8 +162,8 @@
 	return nil
 }
 
-// applyRollout applies a rollout order. An order that cannot be read has one effect: no other
-// version of the service gets work.
+// applyRollout applies a rollout order. An order that cannot be read has one effect: no
+// other version of the service gets work.
 func (c *configFollower) applyRollout(record platform.KeyedRecord) {
 	if record.Value == nil || record.Unreadable != nil || c.ports.DecodeRollout == nil {
 		return
--- a/internal/entry/duties.go
+++ b/internal/entry/duties.go
@@ -81,8 +81,8 @@
 	})
 }
 
-// stateToStore returns the state to store in the lease's record, so that it survives when all
-// gateways end at once.
+// stateToStore returns the state to store in the lease's record, so that it survives when
+// all gateways end at once.
 func (p *Process) stateToStore() duty.StoredState {
 	return duty.StoredState{PoisonRequests: p.poison.Snapshot(), Limits: p.limits.Snapshot()}
 }
@@ -93,8 +93,8 @@
 	p.limits.Restore(stored.Limits)
 }
 
-// givenUpFence returns the highest fencing number whose holder reports that it no longer acts
-// under it; 0 if none.
+// givenUpFence returns the highest fencing number whose holder reports that it no longer
+// acts under it; 0 if none.
 func (p *Process) givenUpFence() ident.Fence {
 	return p.view.Load().GivenUpFence
 }
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -34,9 +34,9 @@
 	// store only when the other gateways' reports have not confirmed their data in time.
 	viewJitter = 150 * time.Millisecond
 	// storeAwayShare is how old the view must be for the store to count as unreachable for
-	// all gateways, as a share of the time within which a departure must be followed. It is longer than a gateway that the store
-	// refuses waits for the others' view, and shorter than an entry lives without renewal
-	// (3.6 s).
+	// all gateways, as a share of the time within which a departure must be followed. It is
+	// longer than a gateway that the store refuses waits for the others' view, and shorter
+	// than an entry lives without renewal (3.6 s).
 	storeAwayShare = 0.9
 )
 
--- a/internal/entry/upstreams_test.go
+++ b/internal/entry/upstreams_test.go
@@ -28,9 +28,9 @@
 }
 
 // Guards against using a listing only after its last page: when all gateways were killed at
-// once and started again among thousands of upstreams, all of them listed the upstreams at the
-// same time, each in several pages over a slow link, and each refused all requests for
-// seconds although upstreams were idle.
+// once and started again among thousands of upstreams, the callers returned before them.
+// All gateways listed the upstreams at the same time, each in several pages over a slow
+// link, and each refused all requests for seconds although upstreams were idle.
 func TestTheFirstPageOfAListingIsUsedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
--- a/internal/gossip/codec_limits.go
+++ b/internal/gossip/codec_limits.go
@@ -11,8 +11,8 @@
 	// fineUnit is the unit of encoded uses, as a fraction of a request.
 	fineUnit = 1.0 / 8
 	// coarseUnit is the unit of exchangev1.LimitUses.Asked if the columns contain all upstreams
-	// of the LimitedSet.
-	// Sums of many gateways need no more precision, and then take one byte each.
+	// of the LimitedSet. Sums of many gateways need no more precision, and then take one byte
+	// each.
 	coarseUnit = 1.0 / 2
 	// maxUses bounds a use: it is more requests than all gateways together assign to an
 	// upstream in some seconds.
--- a/internal/gossip/collect.go
+++ b/internal/gossip/collect.go
@@ -51,8 +51,8 @@
 }
 
 // sendToCollector sends a request to the first collector of a domain, and to the next one if
-// the first does not answer. It sends nothing while another request to that domain is in flight,
-// and does not wait for the answer.
+// the first does not answer. It sends nothing while another request to that domain is in
+// flight, and does not wait for the answer.
 func (g *Gossip) sendToCollector(ctx context.Context, domain ident.FailureDomain, now time.Time, request func() []byte) {
 	order := g.cfg.Table.Collectors(domain, now)
 	key := "collector of " + string(domain)
@@ -212,8 +212,8 @@
 	return g.isFirstCollector(now) && g.collector.ReceivesReports(now)
 }
 
-// rosterFilter returns a function that reports whether the roster of a domain is accepted from a
-// gateway in the domain from. The active collector of a domain accepts another domain's
+// rosterFilter returns a function that reports whether the roster of a domain is accepted from
+// a gateway in the domain from. The active collector of a domain accepts another domain's
 // roster only from gateways of that domain, and its own domain's from nobody. All other
 // gateways accept all rosters.
 func (g *Gossip) rosterFilter(from ident.FailureDomain, now time.Time) func(ident.FailureDomain) bool {
--- a/internal/gossip/collector.go
+++ b/internal/gossip/collector.go
@@ -152,9 +152,9 @@
 	}
 }
 
-// choose returns the sum that counts: that of the source chosen last, unless the sum of
-// another source includes more gateways; nil if all sums are old. A domain has two collectors at work while its
-// gateways move from one to the other.
+// choose returns the sum that counts: that of the source chosen last, unless the sum of another
+// source includes more gateways; nil if all sums are old. A domain has two collectors at work
+// while its gateways move from one to the other.
 func (d *domainSums) choose(now time.Time) *receivedSum {
 	best := d.sums[d.chosen]
 	if best != nil && now.Sub(best.receivedAt) > freshFor {
@@ -213,8 +213,8 @@
 }
 
 // clockCorrectionLocked returns what to add to this machine's wall clock to get the median of
-// the clocks of this domain's gateways with a current report. Each other domain counts as one clock. c.mu is
-// held.
+// the clocks of this domain's gateways with a current report. Each other domain counts as one
+// clock. c.mu is held.
 func (c *Collector) clockCorrectionLocked(now time.Time) time.Duration {
 	offs := []time.Duration{0}
 	for node, m := range c.members {
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -72,8 +72,8 @@
 }
 
 // fetch requests the configuration, or all upstream entries, from one other gateway if this one
-// lacks them and no such request is in flight. It prefers gateways with the newest configuration and
-// falls back to the given addresses. It does not wait for the answer.
+// lacks them and no such request is in flight. It prefers gateways with the newest
+// configuration and falls back to the given addresses. It does not wait for the answer.
 func (g *Gossip) fetch(ctx context.Context, addresses []string) {
 	if !g.cfg.Knowledge.NeedsFetch() {
 		return
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -416,9 +416,9 @@
 	return out
 }
 
-// A domain's collector dies, freezes or leaves. Guards against reports that still go to it:
-// the others would then count the load of a gateway that is gone, or receive no report
-// of the domain, for seconds.
+// A domain's collector dies, freezes or leaves. Guards against reports that still go to it: the
+// others would then count the load of a gateway that is gone, or receive no report of the
+// domain, for seconds.
 func TestALostCollectorCostsLittle(t *testing.T) {
 	for name, lose := range map[string]func(*fleet, *node){
 		"killed": func(_ *fleet, n *node) { n.kill() },
@@ -722,10 +722,10 @@
 }
 
 // The first gateway no longer confirms its view of the store, and collectors on busy machines
-// report to each other how old their views are. Guards against an age that counts from the arrival
-// of an answer: it grows by less than the time that passes, so that gateways do not read the
-// store and a configuration change arrives seconds late. That is the probable cause of a
-// change that arrived 4.7 s late at 300 gateways.
+// report to each other how old their views are. Guards against an age that counts from the
+// arrival of an answer: it grows by less than the time that passes, so that gateways do not
+// read the store and a configuration change arrives seconds late. That is the probable cause of
+// a change that arrived 4.7 s late at 300 gateways.
 func TestViewsGrowOldOverSlowLinks(t *testing.T) {
 	for _, size := range []struct{ gateways, domains int }{{8, 4}, {78, 3}} {
 		runVirtualTime(t, func(t *testing.T) {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -58,11 +58,11 @@
 	NeedsFetch() bool
 	// ApplyUpdates applies what another gateway sent; an argument is nil if it sent none.
 	ApplyUpdates(config *ConfigRecord, upstreams *directory.Update)
-	// ApplyReport applies a report that has just arrived: which revision and offset it confirms, and
-	// what its gateway counted. It is called for each report at once. If reports were applied
-	// only at the next refresh of the View, data that the gateway with the lowest rank reads
-	// from the store would grow older by up to 0.125 s at each gateway that passes it on, and
-	// the others would read the store themselves sooner.
+	// ApplyReport applies a report that has just arrived: which revision and offset it
+	// confirms, and what its gateway counted. It is called for each report at once. If reports
+	// were applied only at the next refresh of the View, data that the gateway with the lowest
+	// rank reads from the store would grow older by up to 0.125 s at each gateway that passes
+	// it on, and the others would read the store themselves sooner.
 	//
 	// The ages in the report count from asOf. A zero asOf means that the instant is unknown;
 	// the report then confirms nothing.
--- a/internal/gossip/sum.go
+++ b/internal/gossip/sum.go
@@ -35,8 +35,8 @@
 	GivenUpFence ident.Fence
 	Rollouts     rollout.OrderStates
 	Poison       poison.Report
-	// LimitUses tells how much the gateways use upstreams that have a rate limit. LimitColumns is
-	// its short form for a receiver that knows the same limits.
+	// LimitUses tells how much the gateways use upstreams that have a rate limit. LimitColumns
+	// is its short form for a receiver that knows the same limits.
 	LimitUses    upstreamlimit.Uses
 	LimitColumns upstreamlimit.Columns
 	// SilentDomains are the failure domains from which sums arrived within KnownTimeout, but
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -25,8 +25,8 @@
 	// leavingTimeout is how long a gateway that announced that it leaves still counts after its
 	// last report.
 	leavingTimeout = 2 * time.Second
-	// contactTTL is how long an address is tried after its gateway last reported or was last
-	// named by another gateway.
+	// contactTTL is how long an address is tried after it was received, or last renewed by a
+	// report of its gateway or by a roster.
 	contactTTL = time.Minute
 )
 
@@ -161,8 +161,8 @@
 // sent all contacts by every gateway that it meets.
 const maxContactsSent = 64
 
-// Contacts returns gateways that reported directly within KnownTimeout or are in a roster that a
-// collector confirmed within it: the first collectors of each failure domain, then random
+// Contacts returns gateways that reported directly within KnownTimeout or are in a roster that
+// a collector confirmed within it: the first collectors of each failure domain, then random
 // others, maxContactsSent at most.
 func (t *Table) Contacts(now time.Time) []Contact {
 	t.mu.Lock()
--- a/internal/gossip/view.go
+++ b/internal/gossip/view.go
@@ -24,8 +24,8 @@
 	LeaseHeld bool
 	// GivenUpFence is the highest fencing number under which a holder no longer acts.
 	GivenUpFence ident.Fence
-	// SilentDomains are the other failure domains from which reports arrived within KnownTimeout,
-	// but none within silentAfter.
+	// SilentDomains are the other failure domains from which reports or sums arrived within
+	// KnownTimeout, but none within silentAfter.
 	SilentDomains map[ident.FailureDomain]bool
 	// Rank is this gateway's rank, from 0, in work that only a few gateways do for all, such
 	// as reading the store.
@@ -35,8 +35,8 @@
 	WallCorrection time.Duration
 }
 
-// InitialView returns the view of a gateway that has received no report yet: it leaves work that
-// only a few gateways do to others. With rank 0, each of a thousand gateways that start
+// InitialView returns the view of a gateway that has received no report yet: it leaves work
+// that only a few gateways do to others. With rank 0, each of a thousand gateways that start
 // together would consider itself the first, and write a claim of the lease.
 func InitialView() View { return View{Rank: lastRank} }
 
@@ -139,8 +139,9 @@
 }
 
 // bestSum returns the sum of all others, when it was received, and whether this gateway added
-// it up itself. It is the sum of this gateway's own collector, or a current answer of another
-// collector if that includes more gateways; nil if there is neither.
+// it up itself. At a collector it is the collector's own sum, unless a current answer of
+// another collector includes more gateways. At other gateways it is the newest answer of a
+// collector; nil if there was none.
 func (g *Gossip) bestSum(now time.Time) (sum *Sum, receivedAt time.Time, collecting bool) {
 	g.mu.Lock()
 	answer, answeredAt := g.collectorSum, g.collectorSumAt
@@ -175,15 +176,15 @@
 	// lastRank is the rank of a gateway that leaves the work of few gateways to others.
 	lastRank = 1 << 10
 	// startupGrace is how long after its start a gateway that has received no report leaves the
-	// work of few gateways to others: four rounds. Without it, after all gateways were killed, each
-	// would read the upstream entries and the lease for itself until it knows the others.
+	// work of few gateways to others: four rounds. Without it, after all gateways were killed,
+	// each would read the upstream entries and the lease for itself until it knows the others.
 	startupGrace = 4 * Interval
 )
 
 // rank returns this gateway's rank among those that do work for all. The first collectors of
 // the domains with a current sum have the ranks from 0 on, in the order of the domains' names;
-// all other gateways have lastRank. First collectors are the first to learn what the others know,
-// and what they know reaches the others first.
+// all other gateways have lastRank. First collectors are the first to learn what the others
+// know, and what they know reaches the others first.
 func (g *Gossip) rank(now time.Time) int {
 	if !g.isFirstCollector(now) {
 		return lastRank
--- a/internal/metering/pending_test.go
+++ b/internal/metering/pending_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against a fleet whose pending counts don't fit into the lease's record: none would be
-// stored, and a new holder of the lease would report windows without them. The counts are those of up to a
-// thousand gateways with a request a second each, and of twice as many.
+// stored, and a new holder of the lease would report windows without them. The counts are those of
+// up to a thousand gateways with a request a second each, and of twice as many.
 func TestPendingCountsOfALargeFleetAreRecorded(t *testing.T) {
 	for _, gateways := range []int{100, 984, 1968} {
 		random := rand.New(rand.NewPCG(1, uint64(gateways)))
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -48,8 +48,8 @@
 	// maxDecidedWindows is how many decided windows the record keeps: a window's report is due 10 s
 	// after its end, and the users' windows are 5 s long.
 	maxDecidedWindows = 6
-	// repeatedWindows is how many of the newest windows a new holder of the lease reports again, because it
-	// doesn't know whether they were reported.
+	// repeatedWindows is how many of the newest windows a new holder of the lease reports again,
+	// because it doesn't know whether they were reported.
 	repeatedWindows = 3
 	// storeInterval is the interval at which the pending counts are stored. It is just below the
 	// interval at which the lease is renewed anyway (1.65 s with the users' lease of 3 s), so that
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -117,8 +117,8 @@
 
 // Scale holds the bounds and the prices for the number of a service's upstreams.
 type Scale struct {
-	// MinPerDomain and MaxPerDomain bound the number of upstreams in each failure domain, reclaimable
-	// and other ones together.
+	// MinPerDomain and MaxPerDomain bound the number of upstreams in each failure domain,
+	// reclaimable and other ones together.
 	MinPerDomain, MaxPerDomain int
 	// Startup is the time from the start of a new upstream until it serves requests.
 	Startup time.Duration
