--- a/internal/directory/incarnations_test.go
+++ b/internal/directory/incarnations_test.go
@@ -19,9 +19,10 @@
 }
 
 // Guards against an upstream that came back and never gets work again, and against work for
-// its earlier incarnation. An upstream leaves or crashes, and starts again under its name; the
-// records of both incarnations arrive in any order, from the store and from other gateways.
-// The cause would be state kept by name that outlives its incarnation.
+// its earlier incarnation. An upstream leaves or crashes, and starts again under its name;
+// the records of both incarnations arrive in any order, from the store and from other
+// gateways. The cause would be state that is kept by the upstream's name and outlives its
+// incarnation.
 func TestAnUpstreamStartsAgainUnderItsName(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -93,8 +94,8 @@
 	}
 }
 
-// As above, for any records of several incarnations that arrive in any order and more than
-// once.
+// Guards against gateways whose views differ forever, because records of several
+// incarnations arrived in different orders or more than once.
 func TestIncarnationsMergeInAnyOrder(t *testing.T) {
 	type step struct {
 		offset   ident.Offset
@@ -141,7 +142,7 @@
 	d.Apply("u", 1, incarnation(100, Ready), at(0))
 	d.Apply("v", 2, ready("v"), at(0))
 	if !d.ApplyUnreadable("u", 3, at(time.Second)) || d.ApplyUnreadable("w", 4, at(time.Second)) {
-		t.Error("Unreadable must report a change for the known name u, and none for the unknown w")
+		t.Error("ApplyUnreadable must report a change for the known name u, and none for the unknown w")
 	}
 	if usable(d, "u/2s", at(time.Second)) || !usable(d, "v", at(time.Second)) {
 		t.Error("u is usable, or v is not")
--- a/internal/gossip/codec_rollout.go
+++ b/internal/gossip/codec_rollout.go
@@ -10,18 +10,18 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/rollout"
 )
 
-func rolloutsToProto(statements rollout.OrderStates) []*exchangev1.Rollout {
+func rolloutsToProto(states rollout.OrderStates) []*exchangev1.Rollout {
 	var out []*exchangev1.Rollout
-	for i := range statements {
-		w := &statements[i]
+	for i := range states {
+		s := &states[i]
 		each := &exchangev1.Rollout{
-			Service: string(w.Order.Service), Order: uint64(w.Order.Offset), To: string(w.Order.To), LengthMs: millis(w.Order.TimeLimit),
-			AgeMs: millis(min(w.Age, maxAge)), Phase: uint32(w.Phase), ConfirmedMs: millis(min(w.ConfirmedAge, maxAge)), Stopped: w.Stopped,
-			Settled: uint32(max(0, w.Settled)),
+			Service: string(s.Order.Service), Order: uint64(s.Order.Offset), To: string(s.Order.To), LengthMs: millis(s.Order.TimeLimit),
+			AgeMs: millis(min(s.Age, maxAge)), Phase: uint32(s.Phase), ConfirmedMs: millis(min(s.ConfirmedAge, maxAge)), Stopped: s.Stopped,
+			Settled: uint32(max(0, s.Settled)),
 		}
-		for _, route := range slices.Sorted(maps.Keys(w.Evidence)) {
+		for _, route := range slices.Sorted(maps.Keys(s.Evidence)) {
 			each.Routes = append(each.Routes, uint32(route))
-			for _, tally := range w.Evidence[route] {
+			for _, tally := range s.Evidence[route] {
 				each.Figures = appendTally(each.Figures, &tally)
 			}
 		}
@@ -51,7 +51,7 @@
 				Service: ident.Service(each.Service), Offset: ident.Offset(each.Order), To: ident.Version(each.To), TimeLimit: c.length(each.LengthMs),
 			},
 			Age: c.age(each.AgeMs), Phase: phase, ConfirmedAge: c.age(each.ConfirmedMs), Stopped: each.Stopped, Settled: int(each.Settled),
-			Evidence: c.seen(each.Routes, each.Figures),
+			Evidence: c.evidence(each.Routes, each.Figures),
 		})
 	}
 	return out
@@ -65,7 +65,7 @@
 	return c.age(millis)
 }
 
-func (c *checker) seen(routes []uint32, figures []int32) rollout.EvidenceByRoute {
+func (c *checker) evidence(routes []uint32, figures []int32) rollout.EvidenceByRoute {
 	c.checkCount("routes of a rollout", len(routes))
 	out := make(rollout.EvidenceByRoute, len(routes))
 	for _, route := range routes {
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -189,12 +189,12 @@
 
 // BriefReport implements Knowledge.
 func (n *node) BriefReport(now time.Time) Report {
-	order := n.LimitOrder()
+	limited := n.LimitedSet()
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	n.seq++
-	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: order.Hash}
-	for _, key := range order.Keys[:min(4, len(order.Keys))] {
+	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: limited.Hash}
+	for _, key := range limited.Keys[:min(4, len(limited.Keys))] {
 		r.Limits = append(r.Limits, upstreamlimit.Announcement{Upstream: key, Limited: true, Rate: 1.5, Age: time.Second})
 	}
 	return r
@@ -207,10 +207,10 @@
 	r.Loads = map[UpstreamKey]placement.Load{UpstreamKey(n.number): {Running: 1, UnreadTokens: 100}, sharedUpstream: {Running: 1, UnreadTokens: 10}}
 	r.Accounts = map[ident.ClientAccount]Spending{"acct": {Spent: spentPerSecond * now.Sub(n.startedAt).Seconds()}}
 	r.Demand = map[ident.Service]placement.Demand{"llm": {PromptTokensPerSecond: 10, Generating: 1}}
-	if order := n.LimitOrder(); order.Hash != 0 {
+	if limited := n.LimitedSet(); limited.Hash != 0 {
 		r.LimitUses = upstreamlimit.Uses{}
 		for i := range usedLimits {
-			r.LimitUses[limitedKey((n.number+i)%len(order.Keys))] = upstreamlimit.Use{Demand: 1, Sent: 0.25}
+			r.LimitUses[limitedKey((n.number+i)%len(limited.Keys))] = upstreamlimit.Use{Demand: 1, Sent: 0.25}
 		}
 	}
 	r.StartedRequests = WindowCounts{1: {"acct": int64(n.number + 1)}}
@@ -233,22 +233,22 @@
 	}
 }
 
-// LimitOrder implements Knowledge. If limitsDiffer is set, gateways with an odd number report
+// LimitedSet implements Knowledge. If limitsDiffer is set, gateways with an odd number report
 // another digest of the limits than those with an even number.
-func (n *node) LimitOrder() upstreamlimit.LimitedSet {
+func (n *node) LimitedSet() upstreamlimit.LimitedSet {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
 	if n.fleet.limits == 0 {
 		return upstreamlimit.LimitedSet{}
 	}
-	o := upstreamlimit.LimitedSet{Hash: 1}
+	limited := upstreamlimit.LimitedSet{Hash: 1}
 	if n.fleet.limitsDiffer {
-		o.Hash += uint32(n.number % 2)
+		limited.Hash += uint32(n.number % 2)
 	}
 	for i := range n.fleet.limits {
-		o.Keys = append(o.Keys, limitedKey(i))
+		limited.Keys = append(limited.Keys, limitedKey(i))
 	}
-	return o
+	return limited
 }
 
 // usedLimits is the number of limited upstreams that a gateway uses within some seconds if 330
@@ -278,8 +278,9 @@
 	return out
 }
 
-// expectAllHeard checks that each of the given gateways hears all the others of them, once
-// each, and no other gateway, and that their reports are at most maxAge old on average.
+// expectAllHeard checks that the view of each of the given gateways includes all the others of
+// them, once each, and no other gateway, and that their reports are at most maxAge old on
+// average.
 func (f *fleet) expectAllHeard(among []*node, maxAge time.Duration) {
 	f.t.Helper()
 	wrong := 0
@@ -305,12 +306,12 @@
 		if !ok {
 			wrong++
 			if wrong < 4 {
-				f.t.Errorf("%s hears %d of %d others; known %d, demand %.1f, shared load %v, mean age %v", n.contact.Node, v.Heard, others, v.Known, demand, loads[sharedUpstream], age)
+				f.t.Errorf("the view of %s includes %d of %d others; known %d, demand %.1f, shared load %v, mean age %v", n.contact.Node, v.Heard, others, v.Known, demand, loads[sharedUpstream], age)
 			}
 		}
 	}
 	if wrong > 0 {
-		f.t.Errorf("%d of %d gateways do not hear exactly the others", wrong, len(among))
+		f.t.Errorf("the views of %d of %d gateways do not include exactly the others", wrong, len(among))
 	}
 }
 
@@ -415,8 +416,8 @@
 	return out
 }
 
-// A domain's collector dies, freezes or leaves. Guards against reports that still go to it:
-// the others would then count the load of a gateway that is gone, or hear nothing of the
+// A domain's collector dies, freezes or leaves. Guards against reports that still go to it: the
+// others would then count the load of a gateway that is gone, or receive no report of the
 // domain, for seconds.
 func TestALostCollectorCostsLittle(t *testing.T) {
 	for name, lose := range map[string]func(*fleet, *node){
@@ -441,7 +442,7 @@
 				lost := f.collectorOf("hall-b")
 				lose(f, lost)
 				// The lost collector's own report counts for a second after it was sent. The
-				// rest of the domain is heard again within two rounds.
+				// rest of the domain is in the others' views again within two rounds.
 				time.Sleep(freshFor + 3*Interval)
 				f.expectAllHeard(f.running(), maxMeanAge)
 			})
@@ -451,7 +452,7 @@
 
 // A domain's collector is killed and starts again two seconds later, when it knows no other
 // gateway. Guards against taking its first sums for the whole domain: the others would then
-// hear nothing of the domain for a second or more.
+// lack the rest of the domain for a second or more.
 func TestACollectorThatStartsAgainIsNotBelievedTooEarly(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
@@ -470,7 +471,7 @@
 			}
 			// The gateway that starts may be missing, and one that loses a round.
 			if minHeard < len(f.order)-2 {
-				t.Errorf("a gateway hears only %d of %d others", minHeard, len(f.order)-1)
+				t.Errorf("the view of a gateway includes only %d of %d others", minHeard, len(f.order)-1)
 			}
 		}
 		f.expectAllHeard(f.order, maxMeanAge)
@@ -481,7 +482,7 @@
 }
 
 // A domain is cut off and comes back. Guards against two sides that count each other's load
-// during the partition, and against a side that hears no gateway.
+// during the partition, and against a side whose gateways receive no reports.
 func TestADomainThatIsCutOffGoesOnByItself(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
@@ -535,7 +536,7 @@
 	})
 }
 
-// Guards against survivors that take each other for all gateways: each would then give an
+// Guards against survivors that consider each other the whole fleet: each would then give an
 // account its whole limit, in addition to what the killed gateways admitted and will admit
 // again once they are back.
 func TestSurvivorsStillCountThoseThatWereKilled(t *testing.T) {
@@ -563,7 +564,8 @@
 }
 
 // A machine that replaces another one starts at an address that no gateway knows, and knows
-// only the seeds, one of which is gone. Guards against a new machine that is not heard.
+// only the seeds, one of which is gone. Guards against a new gateway that is missing in
+// the others' views.
 func TestANewMachineIsHeard(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 3)
@@ -685,9 +687,9 @@
 	}
 }
 
-// The lease holder requests all counts after a gateway was killed that had counted. Guards
-// against counts that only their own gateway has: usage would be wrong where gateways were
-// killed, or among hundreds of them.
+// The holder of the lease requests all counts after a gateway was killed that had counted.
+// Guards against counts that only their own gateway has: usage would be wrong where gateways
+// were killed, or in a fleet of hundreds of them.
 func TestAllCountsAreGathered(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 78, 6)
@@ -702,9 +704,9 @@
 			time.Sleep(Interval)
 		}
 		sum := int64(0)
-		for life, began := range holder.receivedCounts {
-			if life != IncarnationID(holder.contact.Node, holder.incarnation) {
-				sum += began[1]["acct"]
+		for incarnationID, counts := range holder.receivedCounts {
+			if incarnationID != IncarnationID(holder.contact.Node, holder.incarnation) {
+				sum += counts[1]["acct"]
 			}
 		}
 		want := int64(0)
@@ -720,10 +722,10 @@
 }
 
 // The first gateway no longer confirms its view of the store, and collectors on busy machines
-// tell each other how old their views are. Guards against an age that counts from the arrival
-// of an answer: it grows by less than the time that passes, so that gateways do not read the
-// store and a configuration change arrives seconds late. That is the probable cause of a
-// change that arrived 4.7 s late at 300 gateways.
+// report to each other how old their views are. Guards against an age that counts from the
+// arrival of an answer: it grows by less than the time that passes, so that gateways do not
+// read the store and a configuration change arrives seconds late. That is the probable cause of
+// a change that arrived 4.7 s late at 300 gateways.
 func TestViewsGrowOldOverSlowLinks(t *testing.T) {
 	for _, size := range []struct{ gateways, domains int }{{8, 4}, {78, 3}} {
 		runVirtualTime(t, func(t *testing.T) {
@@ -739,7 +741,7 @@
 			defer f.mu.Unlock()
 			for _, n := range f.order {
 				if n.confirmedAt.After(last) {
-					t.Errorf("%d gateways: %s takes its view for %v younger than it is", size.gateways, n.contact.Node, n.confirmedAt.Sub(last))
+					t.Errorf("%d gateways: %s considers its view %v younger than it is", size.gateways, n.contact.Node, n.confirmedAt.Sub(last))
 				}
 			}
 		})
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -25,7 +25,8 @@
 	// leavingTimeout is how long a gateway that announced that it leaves still counts after its
 	// last report.
 	leavingTimeout = 2 * time.Second
-	// contactTTL is how long an address is tried after its gateway was last heard of.
+	// contactTTL is how long an address is tried after it was received, or last renewed by a
+	// report of its gateway or by a roster.
 	contactTTL = time.Minute
 )
 
@@ -82,7 +83,7 @@
 	if known != nil && !supersedes(r, known.Report) {
 		return
 	}
-	t.members[r.Node] = &Member{Report: r, HeardAt: now, ClockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
+	t.members[r.Node] = &Member{Report: r, ReceivedAt: now, ClockOffset: time.UnixMilli(r.WallMillis).Sub(wall)}
 	t.addContact(r.Contact, now)
 }
 
@@ -160,8 +161,9 @@
 // sent all contacts by every gateway that it meets.
 const maxContactsSent = 64
 
-// Contacts returns gateways that were heard of recently, directly or from a collector: the
-// first collectors of each failure domain, then random others, maxContactsSent at most.
+// Contacts returns gateways that reported directly within KnownTimeout or are in a roster that
+// a collector confirmed within it: the first collectors of each failure domain, then random
+// others, maxContactsSent at most.
 func (t *Table) Contacts(now time.Time) []Contact {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -194,7 +196,7 @@
 		}
 	}
 	for node, m := range t.members {
-		if now.Sub(m.HeardAt) < KnownTimeout {
+		if now.Sub(m.ReceivedAt) < KnownTimeout {
 			all[node] = m.Report.Contact
 		}
 	}
@@ -216,7 +218,7 @@
 	defer t.mu.Unlock()
 	var v DirectPeers
 	for node, m := range t.members {
-		age := now.Sub(m.HeardAt)
+		age := now.Sub(m.ReceivedAt)
 		if age <= freshFor {
 			v.Fresh = append(v.Fresh, *m)
 		}
@@ -233,8 +235,9 @@
 	return v
 }
 
-// countUnmet counts the gateways that others told of and that have not reported yet. In a
-// large fleet it takes some rounds to meet them all, and they admit requests meanwhile.
+// countUnmet counts the gateways that others named and that have not reported yet. In a large
+// fleet it takes some rounds to exchange reports with all of them, and they admit requests
+// meanwhile.
 func (t *Table) countUnmet(now time.Time) int {
 	n := 0
 	for _, c := range t.contacts {
@@ -288,7 +291,7 @@
 	return offs[len(offs)/2]
 }
 
-// silentAfter is the time without a report after which a gateway counts as silent, where a
+// silentAfter is the time without a report after which a gateway counts as silent, if each
 // round reaches all others: three rounds and the time of one exchange.
 const silentAfter = 1100 * time.Millisecond
 
@@ -296,10 +299,10 @@
 // gateway reported within KnownTimeout and none within silentAfter.
 func SilentDomains(members []Member, own ident.FailureDomain, now time.Time) map[ident.FailureDomain]bool {
 	// In a large fleet a round does not reach every gateway, but it takes less time to meet one
-	// gateway of a domain than each of them, so that the same limit suffices.
+	// gateway of a domain than to meet each of them, so the same limit suffices.
 	silent := make(map[ident.FailureDomain]bool)
 	for _, m := range members {
-		domain, age := m.Report.Domain, now.Sub(m.HeardAt)
+		domain, age := m.Report.Domain, now.Sub(m.ReceivedAt)
 		if domain == own || age > KnownTimeout {
 			continue
 		}
