--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -484,7 +484,7 @@
 // every two seconds. The test fails when callers get shares of the tolerance that the gateways need
 // for what they admit before they hear of each other.
 func TestASurgeOfALargeAccountOfManyGateways(t *testing.T) {
-	checkSurges(t, 61, 540_000, 8)
+	checkSpikes(t, 61, 540_000, 8)
 }
 
 // Guards against a large account of 90 gateways that gets 1.1 % more than its limit allows in a
@@ -492,7 +492,7 @@
 // gateways hear of each other too seldom: each knows the surge only by its own callers until the
 // others' reports arrive, and admits as if the others' callers still requested as little as before.
 func TestASurgeOfALargeAccountOfNinetyGateways(t *testing.T) {
-	checkSurges(t, 90, 466_000, 6)
+	checkSpikes(t, 90, 466_000, 6)
 }
 
 // Guards against an account of hundreds of gateways that gets more than its limit allows when it
@@ -525,9 +525,9 @@
 	}
 }
 
-// checkSurges runs surges of an account at gateways that each hear another one in one of so many
+// checkSpikes runs surges of an account at gateways that each hear another one in one of so many
 // rounds on average.
-func checkSurges(t *testing.T, gateways int, rate float64, rounds int) {
+func checkSpikes(t *testing.T, gateways int, rate float64, rounds int) {
 	t.Helper()
 	for seed := range uint64(5) {
 		for _, surge := range []float64{2, 4.5, 7} {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -50,7 +50,7 @@
 // Floor*t + MostStored extra attempts, whatever fails in whatever order. All attempts together are
 // then at most (1+Ratio)*f + Floor*t + MostStored. A Budget is safe for concurrent use.
 type Budget struct {
-	perFirstTry int64
+	perFirstAttempt int64
 	perSecond   int64
 	maxStored   int64
 
@@ -65,7 +65,7 @@
 	config = config.withDefaults()
 	maxStored := int64(config.MaxStored * unitsPerAttempt)
 	return &Budget{
-		perFirstTry: int64(config.Ratio * unitsPerAttempt),
+		perFirstAttempt: int64(config.Ratio * unitsPerAttempt),
 		perSecond:   int64(config.Floor * unitsPerAttempt),
 		maxStored:   maxStored,
 		stored:      maxStored,
@@ -77,7 +77,7 @@
 func (b *Budget) RecordFirstAttempt() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stored = min(b.stored+b.perFirstTry, b.maxStored)
+	b.stored = min(b.stored+b.perFirstAttempt, b.maxStored)
 }
 
 // Spend takes one extra attempt from the budget. If the budget doesn't allow one, it returns false
--- a/internal/upstreamlimit/exchange.go
+++ b/internal/upstreamlimit/exchange.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// announceChangeFor is the time for which a change is announced to the other gateways in every
+	// reportChangeFor is the time for which a change is announced to the other gateways in every
 	// message, so that two lost messages do no harm.
-	announceChangeFor = 3 * time.Second
-	// maxAnnouncedChanges bounds the changes in a message and maxAnnouncedOthers the limits that
+	reportChangeFor = 3 * time.Second
+	// maxReportedChanges bounds the changes in a message and maxAnnouncedOthers the limits that
 	// did not change lately. If there are more, each round announces others of them. All messages
 	// of a round announce the same ones, because each goes to another gateway.
-	maxAnnouncedChanges, maxAnnouncedOthers = 16, 4
-	// minAnnouncedUse is the count of demand or sent requests below which an upstream's use is not
+	maxReportedChanges, maxReportedOthers = 16, 4
+	// minReportedUse is the count of demand or sent requests below which an upstream's use is not
 	// announced.
-	minAnnouncedUse = 1.0 / 32
+	minReportedUse = 1.0 / 32
 )
 
 // Announcement is an announcement between gateways: what an upstream's answers state about its limit.
@@ -66,14 +66,14 @@
 	now := k.cfg.Now()
 	var changed, others []uint32
 	for key, l := range k.limits {
-		if now.Sub(l.changedAt) < announceChangeFor {
+		if now.Sub(l.changedAt) < reportChangeFor {
 			changed = append(changed, key)
 		} else {
 			others = append(others, key)
 		}
 	}
 	turn := int(now.UnixNano() / int64(k.cfg.Round))
-	selected := append(selectInTurn(changed, maxAnnouncedChanges, turn), selectInTurn(others, maxAnnouncedOthers, turn)...)
+	selected := append(selectInTurn(changed, maxReportedChanges, turn), selectInTurn(others, maxReportedOthers, turn)...)
 	out := make([]Announcement, len(selected))
 	for i, key := range selected {
 		l := k.limits[key]
@@ -140,7 +140,7 @@
 			continue
 		}
 		l.decay(now)
-		if l.demand >= minAnnouncedUse || l.sent >= minAnnouncedUse {
+		if l.demand >= minReportedUse || l.sent >= minReportedUse {
 			out[key] = Use{Demand: l.demand, Sent: l.sent}
 		}
 	}
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -118,9 +118,9 @@
 type upstream struct {
 	i, domain, incarnation int
 	schedule               limitSchedule
-	// named is when a limit was first stated, and lifted when an answer first stated none after
+	// announcedAt is when a limit was first stated, and lifted when an answer first stated none after
 	// that. Negative means never.
-	named, lifted time.Duration
+	announcedAt, liftedAt time.Duration
 	arrivals      []time.Duration
 }
 
@@ -181,7 +181,7 @@
 		f.In(time.Duration(f.rng.Int64N(int64(round/2))), func() { f.refresh(g) })
 	}
 	for i := range s.upstreams {
-		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, schedule: s.limits[i], named: -1, lifted: -1})
+		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, schedule: s.limits[i], announcedAt: -1, liftedAt: -1})
 	}
 	f.schedule()
 	f.RunUntil(playTime)
@@ -194,8 +194,8 @@
 func (f *fleet) schedule() {
 	s := f.scenario
 	f.In(0, f.arrive)
-	f.In(renewal, f.saveLimits)
-	f.In(checkInterval, f.noteKnown)
+	f.In(renewal, f.storeLimits)
+	f.In(checkInterval, f.recordKnown)
 	if f.usesCollectors() {
 		for d := range s.domains {
 			f.In(time.Duration(f.rng.Int64N(int64(round/2))), func() { f.exchangeSums(d) })
@@ -222,7 +222,7 @@
 			for _, u := range f.upstreams {
 				if u.schedule != nil {
 					f.evaluate(u)
-					u.incarnation, u.schedule, u.named, u.lifted, u.arrivals = u.incarnation+1, nil, -1, -1, nil
+					u.incarnation, u.schedule, u.announcedAt, u.liftedAt, u.arrivals = u.incarnation+1, nil, -1, -1, nil
 				}
 			}
 		})
@@ -250,9 +250,9 @@
 	f.In(restartDelay+time.Duration(f.rng.Int64N(int64(restartDelay/2))), func() { f.start(g) })
 }
 
-// saveLimits writes the lease's record.
-func (f *fleet) saveLimits() {
-	f.In(renewal, f.saveLimits)
+// storeLimits writes the lease's record.
+func (f *fleet) storeLimits() {
+	f.In(renewal, f.storeLimits)
 	for _, g := range f.gateways {
 		if g.up && f.cutOff != g.domain {
 			f.saved = g.limiter.Snapshot()
@@ -286,20 +286,20 @@
 	f.result.maxUsesInMessage = max(f.result.maxUsesInMessage, len(own))
 	if f.usesCollectors() {
 		if c := f.collector(g.domain); c != nil {
-			f.announceLimits(g, c, func() { c.reports[g.i] = report{own, f.Now()} })
-			f.announceLimits(c, g, func() { f.sendCollected(c, g) })
+			f.sendLimits(g, c, func() { c.reports[g.i] = report{own, f.Now()} })
+			f.sendLimits(c, g, func() { f.sendCollected(c, g) })
 		}
 		return
 	}
 	for _, o := range f.gateways {
 		if o != g && o.up && !f.apart(g.domain, o.domain) {
-			f.announceLimits(g, o, func() { o.reports[g.i] = report{own, f.Now()} })
+			f.sendLimits(g, o, func() { o.reports[g.i] = report{own, f.Now()} })
 		}
 	}
 }
 
-// announceLimits delivers one gateway's announcements to another and then calls then.
-func (f *fleet) announceLimits(from, to *gateway, then func()) {
+// sendLimits delivers one gateway's announcements to another and then calls then.
+func (f *fleet) sendLimits(from, to *gateway, then func()) {
 	announced := from.limiter.Announcements()
 	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(announced))
 	at := f.Now()
@@ -356,7 +356,7 @@
 	f.addMembers(c, &sum, -1)
 	for d := range f.scenario.domains {
 		if o := f.collector(d); d != domain && o != nil && !f.apart(domain, d) {
-			f.announceLimits(c, o, func() { o.sums[domain] = sum })
+			f.sendLimits(c, o, func() { o.sums[domain] = sum })
 		}
 	}
 }
@@ -404,12 +404,12 @@
 	}
 }
 
-// noteKnown records how long it takes until all gateways know what an upstream states about its
+// recordKnown records how long it takes until all gateways know what an upstream states about its
 // limit.
-func (f *fleet) noteKnown() {
-	f.In(checkInterval, f.noteKnown)
+func (f *fleet) recordKnown() {
+	f.In(checkInterval, f.recordKnown)
 	for _, u := range f.upstreams {
-		if u.named < 0 {
+		if u.announcedAt < 0 {
 			continue
 		}
 		rate, limited := u.schedule(f.Now())
@@ -426,9 +426,9 @@
 		switch {
 		case all:
 		case limited:
-			f.result.knownAfter = max(f.result.knownAfter, f.Now()-u.named)
-		case u.lifted >= 0:
-			f.result.liftedAfter = max(f.result.liftedAfter, f.Now()-u.lifted)
+			f.result.knownAfter = max(f.result.knownAfter, f.Now()-u.announcedAt)
+		case u.liftedAt >= 0:
+			f.result.liftedAfter = max(f.result.liftedAfter, f.Now()-u.liftedAt)
 		}
 	}
 }
@@ -518,21 +518,21 @@
 		if u.schedule != nil {
 			if rate, limited := u.schedule(f.Now()); limited {
 				s = LimitedTo(rate)
-				if u.named < 0 {
-					u.named = f.Now()
+				if u.announcedAt < 0 {
+					u.announcedAt = f.Now()
 				}
-				u.lifted = -1
-			} else if u.named >= 0 && u.lifted < 0 {
-				u.lifted = f.Now()
+				u.liftedAt = -1
+			} else if u.announcedAt >= 0 && u.liftedAt < 0 {
+				u.liftedAt = f.Now()
 			}
 		}
 		g.limiter.RecordStatement(id, "", s)
 	})
 }
 
-// maxNamedRate returns the highest rate that was stated between two times, and false if none was
+// maxAnnouncedRate returns the highest rate that was stated between two times, and false if none was
 // stated at some time between them.
-func (u *upstream) maxNamedRate(from, to time.Duration) (rate float64, limited bool) {
+func (u *upstream) maxAnnouncedRate(from, to time.Duration) (rate float64, limited bool) {
 	for at := from; at <= to; at += 50 * time.Millisecond {
 		r, l := u.schedule(at)
 		if !l {
@@ -546,19 +546,19 @@
 // evaluate checks all windows of an upstream's arrivals. A stated rate counts after contactTime has
 // passed.
 func (f *fleet) evaluate(u *upstream) {
-	if u.schedule == nil || u.named < 0 {
+	if u.schedule == nil || u.announcedAt < 0 {
 		return
 	}
 	end := f.Now()
 	first := 0
 	for i, at := range u.arrivals {
-		for at-u.arrivals[first] > window || u.arrivals[first] < u.named+contactTime && first < i {
+		for at-u.arrivals[first] > window || u.arrivals[first] < u.announcedAt+contactTime && first < i {
 			first++
 		}
-		if at < u.named+contactTime {
+		if at < u.announcedAt+contactTime {
 			continue
 		}
-		rate, limited := u.maxNamedRate(max(u.named, u.arrivals[first]-contactTime), at)
+		rate, limited := u.maxAnnouncedRate(max(u.announcedAt, u.arrivals[first]-contactTime), at)
 		if !limited {
 			continue
 		}
@@ -572,7 +572,7 @@
 			f.result.worstOfLimit = max(f.result.worstOfLimit, n/(rate*window.Seconds()))
 		}
 	}
-	for from := u.named + contactTime; from+usageWindow <= end; from += usageWindow {
+	for from := u.announcedAt + contactTime; from+usageWindow <= end; from += usageWindow {
 		least, limited := u.schedule(from)
 		for at := from; at < from+usageWindow; at += 100 * time.Millisecond {
 			r, l := u.schedule(at)
--- a/internal/upstreamlimit/limiter_test.go
+++ b/internal/upstreamlimit/limiter_test.go
@@ -223,12 +223,12 @@
 		all = append(all, ident.Instance(fmt.Sprint("u", i)))
 		f.RecordStatement(all[i], "r", LimitedTo(1))
 	}
-	f.now = f.now.Add(announceChangeFor)
+	f.now = f.now.Add(reportChangeFor)
 	f.applyList(all...)
 	told := make(map[uint32]bool)
-	for range limits/maxAnnouncedOthers + 1 {
+	for range limits/maxReportedOthers + 1 {
 		said := f.Announcements()
-		if len(said) > maxAnnouncedOthers {
+		if len(said) > maxReportedOthers {
 			t.Errorf("%d limits in a message", len(said))
 		}
 		for _, s := range said {
--- a/internal/upstreamlimit/saved.go
+++ b/internal/upstreamlimit/saved.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// maxSavedLimits bounds the limits that are saved for a restart of all gateways.
-	maxSavedLimits = 200
+	// maxStoredLimits bounds the limits that are saved for a restart of all gateways.
+	maxStoredLimits = 200
 	// restoredExtraAge is added to the age of a restored limit. The record's own age is unknown,
 	// and whatever a gateway has heard of the upstream meanwhile is newer.
 	restoredExtraAge = 5 * time.Second
 )
 
-// savedLimit is a limit in the lease's record, which older builds read too.
-type savedLimit struct {
+// storedLimit is a limit in the lease's record, which older builds read too.
+type storedLimit struct {
 	Upstream uint32  `json:"upstream"`
 	Rate     float64 `json:"per_second"`
 	// AgeMillis is the age when the record was written.
@@ -33,16 +33,16 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
-	var saved []savedLimit
+	var saved []storedLimit
 	for key, l := range k.limits {
 		if l.limited {
-			saved = append(saved, savedLimit{Upstream: key, Rate: l.rate, AgeMillis: max(0, now.Sub(l.statedAt).Milliseconds())})
+			saved = append(saved, storedLimit{Upstream: key, Rate: l.rate, AgeMillis: max(0, now.Sub(l.statedAt).Milliseconds())})
 		}
 	}
-	slices.SortFunc(saved, func(a, b savedLimit) int {
+	slices.SortFunc(saved, func(a, b storedLimit) int {
 		return cmp.Or(cmp.Compare(a.AgeMillis, b.AgeMillis), cmp.Compare(a.Upstream, b.Upstream))
 	})
-	data, err := json.Marshal(saved[:min(len(saved), maxSavedLimits)])
+	data, err := json.Marshal(saved[:min(len(saved), maxStoredLimits)])
 	if err != nil {
 		k.cfg.Log.Error("limits cannot be encoded", "error", err)
 		return nil
@@ -56,7 +56,7 @@
 	if len(data) == 0 {
 		return
 	}
-	var saved []savedLimit
+	var saved []storedLimit
 	if err := json.Unmarshal(data, &saved); err != nil {
 		k.cfg.Log.Error("saved limits not usable", "error", err)
 		return
@@ -64,7 +64,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
-	for _, entry := range saved[:min(len(saved), maxSavedLimits)] {
+	for _, entry := range saved[:min(len(saved), maxStoredLimits)] {
 		s := LimitedTo(entry.Rate)
 		if s.Kind != Limited || entry.AgeMillis < 0 || entry.AgeMillis > time.Hour.Milliseconds() {
 			k.cfg.Log.Error("saved limit not usable", "key", entry.Upstream, "per_second", entry.Rate, "age_ms", entry.AgeMillis)
