--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -209,17 +209,17 @@
 }
 
 // Rate returns how many prompt tokens an engine reads per second.
-func (f Estimate) Rate() float64 { return 1 / f.SecondsPerToken }
+func (e Estimate) Rate() float64 { return 1 / e.SecondsPerToken }
 
 // FirstEvent returns the predicted time to a first event; see Sample for the arguments.
-func (f *Estimate) FirstEvent(own, ahead, running float64) time.Duration {
-	return seconds(f.FirstEventSeconds(own, ahead, running))
+func (e *Estimate) FirstEvent(own, ahead, running float64) time.Duration {
+	return seconds(e.FirstEventSeconds(own, ahead, running))
 }
 
 // FirstEventSeconds returns the predicted time to a first event in seconds, for callers that
 // compare many.
-func (f *Estimate) FirstEventSeconds(own, ahead, running float64) float64 {
-	return f.Base.Seconds() + own*f.SecondsPerToken + ahead*f.SecondsPerTokenAhead + running*f.SecondsPerRunning
+func (e *Estimate) FirstEventSeconds(own, ahead, running float64) float64 {
+	return e.Base.Seconds() + own*e.SecondsPerToken + ahead*e.SecondsPerTokenAhead + running*e.SecondsPerRunning
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -62,7 +62,7 @@
 }
 
 // relativeError returns the relative error of the estimated rate.
-func relativeError(f Estimate, rate float64) float64 { return math.Abs(f.Rate()/rate - 1) }
+func relativeError(e Estimate, rate float64) float64 { return math.Abs(e.Rate()/rate - 1) }
 
 // Guards against work going to the wrong engines, and too few engines being kept, on machines
 // of an unknown kind, when a system has just started: a constant suits only some machines. An
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -313,26 +313,26 @@
 
 // readAnswer reads an answer whose header was received.
 func (s *session) readAnswer(choice Choice, answer *httpconn.Answer, silence *silenceTimer) Result {
-	reading := s.f.cfg.Dialect.ParseAnswer(answer.Status, answer.Header)
-	if !reading.FromOtherUpstream {
-		s.f.cfg.Limits.RecordStatement(choice.Upstream, s.call.ID, reading.Limit)
+	info := s.f.cfg.Dialect.ParseAnswer(answer.Status, answer.Header)
+	if !info.FromOtherUpstream {
+		s.f.cfg.Limits.RecordStatement(choice.Upstream, s.call.ID, info.Limit)
 	}
-	if reading.NotRun {
+	if info.NotRun {
 		s.reason = "status " + http.StatusText(answer.Status)
 		s.drainRejection(answer)
 		return Rejected
 	}
 	// Any other answer means that the request began to run, whether or not it is delivered.
 	s.countForUsage()
-	if answer.Status/100 == 2 && reading.Stream && s.call.Route.Kind == routetable.Streaming {
-		return s.readStream(choice, answer, reading, silence)
+	if answer.Status/100 == 2 && info.Stream && s.call.Route.Kind == routetable.Streaming {
+		return s.readStream(choice, answer, info, silence)
 	}
 	if s.answerBegan {
 		// The rest of a stream was requested, but the answer is no stream.
 		s.reason = "status " + http.StatusText(answer.Status) + " instead of the stream's rest"
 		return Cut
 	}
-	return s.readWhole(choice, answer, reading)
+	return s.readWhole(choice, answer, info)
 }
 
 // drainRejection reads the rest of a rejection, so that its connection can be reused.
@@ -344,7 +344,7 @@
 
 // readWhole reads a complete answer before any of it is delivered, so that after an
 // answer that breaks off the request can still be sent to another upstream.
-func (s *session) readWhole(choice Choice, answer *httpconn.Answer, reading AnswerInfo) Result {
+func (s *session) readWhole(choice Choice, answer *httpconn.Answer, info AnswerInfo) Result {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
 	if err != nil {
 		s.reason = err.Error()
@@ -354,12 +354,12 @@
 		s.reason = "the answer is too long to be held"
 		return Broken
 	}
-	if !reading.Signed && answer.Status/100 == 2 {
+	if !info.Signed && answer.Status/100 == 2 {
 		s.reason = "a success without the upstream's signature"
 		return Broken
 	}
 	whole := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
-	if answer.Status >= http.StatusInternalServerError || answer.Status/100 != 2 && !reading.Signed {
+	if answer.Status >= http.StatusInternalServerError || answer.Status/100 != 2 && !info.Signed {
 		s.buffered = whole
 		s.reason = "status " + http.StatusText(answer.Status)
 		return Failed
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -56,8 +56,8 @@
 }
 
 // readStream reads a stream and delivers its events as they arrive.
-func (s *session) readStream(choice Choice, answer *httpconn.Answer, reading AnswerInfo, silence *silenceTimer) Result {
-	if !reading.Signed && !s.answerBegan {
+func (s *session) readStream(choice Choice, answer *httpconn.Answer, info AnswerInfo, silence *silenceTimer) Result {
+	if !info.Signed && !s.answerBegan {
 		s.reason = "a stream without the upstream's signature"
 		return Broken
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -201,13 +201,13 @@
 // when it would be admitted. One request may overdraw the bucket by a share of the tolerance, so
 // that large requests are admitted about as often as small ones. If the whole cost had to be in the
 // bucket, the small requests of an account at its limit would leave nothing for the large ones.
-func (k *Limiter) Admit(limit *routetable.Account, cost float64, now time.Time) Decision {
+func (l *Limiter) Admit(limit *routetable.Account, cost float64, now time.Time) Decision {
 	if limit.Rate <= 0 {
 		return Decision{OK: true}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a := k.account(limit, now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(limit, now)
 	a.requestedTotal += cost
 	a.advance(now)
 	d := Decision{Level: a.level, Need: max(0, min(cost, a.burst)-a.overdraft), DemandRate: a.totalDemand, Heard: a.heard, Known: a.known}
@@ -225,19 +225,19 @@
 		d.OK = true
 		return d
 	}
-	d.RetryAfter = k.retryAfter(d, rate, now)
+	d.RetryAfter = l.retryAfter(d, rate, now)
 	return d
 }
 
 // retryAfter estimates when a refused request may be admitted, from the rate at which its bucket
 // refills.
-func (k *Limiter) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
+func (l *Limiter) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
 	if rate < minFillRate {
 		// This gateway's share is known after the next report.
 		return minRetryAfter
 	}
 	most := maxRetryAfter
-	if now.Sub(k.started) < startupPeriod && d.Heard < d.Known {
+	if now.Sub(l.started) < startupPeriod && d.Heard < d.Known {
 		most = startupMaxRetryAfter
 	}
 	// The bound is applied in seconds: at a small rate the time overflows a time.Duration.
@@ -263,8 +263,8 @@
 
 // effectiveLimits returns an account's rate, burst and overdraft with the tolerance that callers
 // get when the gateways' reports have the given mean age.
-func (k *Limiter) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, overdraft float64) {
-	t := k.tolerance
+func (l *Limiter) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, overdraft float64) {
+	t := l.tolerance
 	tolerated := t.Overage*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
 	tolerated *= max(0, 1-lag.Seconds()/lagWithoutTolerance.Seconds())
 	return limit.Rate + rateToleranceShare*tolerated/t.Window.Seconds(), limit.Burst + burstToleranceShare*tolerated, overdraftToleranceShare * tolerated
@@ -301,26 +301,26 @@
 // ApplyReports applies the other gateways' reports to the accounts with the given limits. Call it with
 // every round of reports: then other gateways' spending is deducted in small steps, and Admit
 // doesn't have to go through the reports.
-func (k *Limiter) ApplyReports(limits []routetable.Account, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (l *Limiter) ApplyReports(limits []routetable.Account, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for i := range limits {
 		if limit := &limits[i]; limit.Rate > 0 {
-			k.refreshAccount(k.account(limit, now), limit, k.otherGateways(limit.Name, now), now)
+			l.refreshAccount(l.account(limit, now), limit, l.otherGateways(limit.Name, now), now)
 		}
 	}
 }
 
 // account returns an account's state. If the account is new to this gateway, the other gateways'
 // reports on it are applied first.
-func (k *Limiter) account(limit *routetable.Account, now time.Time) *account {
-	a := k.accounts[limit.Name]
+func (l *Limiter) account(limit *routetable.Account, now time.Time) *account {
+	a := l.accounts[limit.Name]
 	if a == nil {
-		others := k.otherGateways(limit.Name, now)
-		_, burst, _ := k.effectiveLimits(limit, 0)
-		a = &account{level: initialFillShare * burst * others.heardShare(), filledAt: k.started, refreshedAt: k.started, groups: make(map[string]*groupUsage)}
-		k.accounts[limit.Name] = a
-		k.refreshAccount(a, limit, others, now)
+		others := l.otherGateways(limit.Name, now)
+		_, burst, _ := l.effectiveLimits(limit, 0)
+		a = &account{level: initialFillShare * burst * others.heardShare(), filledAt: l.started, refreshedAt: l.started, groups: make(map[string]*groupUsage)}
+		l.accounts[limit.Name] = a
+		l.refreshAccount(a, limit, others, now)
 	}
 	return a
 }
@@ -339,9 +339,9 @@
 
 // refreshAccount applies the other gateways' reports: it deducts what they spent beyond the
 // estimate and updates their rates.
-func (k *Limiter) refreshAccount(a *account, limit *routetable.Account, others OtherGateways, now time.Time) {
+func (l *Limiter) refreshAccount(a *account, limit *routetable.Account, others OtherGateways, now time.Time) {
 	heardShare, lag := others.heardShare(), others.meanAge()
-	rate, burst, overdraft := k.effectiveLimits(limit, lag)
+	rate, burst, overdraft := l.effectiveLimits(limit, lag)
 	a.rate, a.burst = rate*heardShare, burst*heardShare
 	heardBefore := a.heard
 	a.heard, a.known = others.counts()
@@ -450,11 +450,11 @@
 type Total struct{ Spent, Refused float64 }
 
 // Totals returns this gateway's totals by account, without accounts that requested nothing.
-func (k *Limiter) Totals() map[ident.ClientAccount]Total {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := make(map[ident.ClientAccount]Total, len(k.accounts))
-	for name, a := range k.accounts {
+func (l *Limiter) Totals() map[ident.ClientAccount]Total {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make(map[ident.ClientAccount]Total, len(l.accounts))
+	for name, a := range l.accounts {
 		if a.requestedTotal > 0 {
 			out[name] = Total{Spent: a.admittedTotal, Refused: a.requestedTotal - a.admittedTotal}
 		}
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -51,8 +51,8 @@
 // then at most (1+Ratio)*f + Floor*t + MostStored. A Budget is safe for concurrent use.
 type Budget struct {
 	perFirstAttempt int64
-	perSecond   int64
-	maxStored   int64
+	perSecond       int64
+	maxStored       int64
 
 	mu     sync.Mutex
 	stored int64
@@ -66,10 +66,10 @@
 	maxStored := int64(config.MaxStored * unitsPerAttempt)
 	return &Budget{
 		perFirstAttempt: int64(config.Ratio * unitsPerAttempt),
-		perSecond:   int64(config.Floor * unitsPerAttempt),
-		maxStored:   maxStored,
-		stored:      maxStored,
-		floorPaidAt: now,
+		perSecond:       int64(config.Floor * unitsPerAttempt),
+		maxStored:       maxStored,
+		stored:          maxStored,
+		floorPaidAt:     now,
 	}
 }
 
--- a/internal/retry/shared.go
+++ b/internal/retry/fleetbudget.go
@@ -53,20 +53,20 @@
 }
 
 // RecordFirstAttempt records a request's first attempt.
-func (s *FleetBudget) RecordFirstAttempt(service ident.Service, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	w := s.currentWindow(service, now)
+func (b *FleetBudget) RecordFirstAttempt(service ident.Service, now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w := b.currentWindow(service, now)
 	w.firsts[w.slice%sliceCount]++
 }
 
 // Spend takes one extra attempt from the service's budget, or returns false if none is left.
-func (s *FleetBudget) Spend(service ident.Service, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	w := s.currentWindow(service, now)
-	gateways := max(s.gateways(), minGateways)
-	allowed := usedBudgetShare * (s.cfg.Ratio*sum(w.firsts) + s.cfg.Slack/float64(gateways))
+func (b *FleetBudget) Spend(service ident.Service, now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w := b.currentWindow(service, now)
+	gateways := max(b.gateways(), minGateways)
+	allowed := usedBudgetShare * (b.cfg.Ratio*sum(w.firsts) + b.cfg.Slack/float64(gateways))
 	if sum(w.extras)+1 > allowed {
 		return false
 	}
@@ -83,12 +83,12 @@
 }
 
 // currentWindow returns a service's window, advanced to now.
-func (s *FleetBudget) currentWindow(service ident.Service, now time.Time) *window {
-	slice := now.UnixNano() / int64(s.cfg.Window/sliceCount)
-	w := s.services[service]
+func (b *FleetBudget) currentWindow(service ident.Service, now time.Time) *window {
+	slice := now.UnixNano() / int64(b.cfg.Window/sliceCount)
+	w := b.services[service]
 	if w == nil {
 		w = &window{slice: slice}
-		s.services[service] = w
+		b.services[service] = w
 	}
 	for w.slice < slice {
 		w.slice++
--- a/internal/routing/placement/engines.go
+++ b/internal/routing/placement/engines.go
@@ -28,13 +28,13 @@
 }
 
 // learnEngineSpeed adds a request's sample of its engine.
-func (c *Chooser) learnEngineSpeed(p *reservation, now time.Time) {
-	if p.unreadTokens == 0 {
+func (c *Chooser) learnEngineSpeed(r *reservation, now time.Time) {
+	if r.unreadTokens == 0 {
 		return // a plain service, or a prompt whose tokens were not counted
 	}
-	estimate := c.engineEstimate(p.service, now)
-	getOrCreate(c.engines, p.service).own.AddSample(enginemodel.Sample{
-		OwnTokens: float64(p.unreadTokens), TokensAhead: float64(p.loadAhead.UnreadTokens), Running: float64(p.loadAhead.Running), FirstEvent: p.firstEventLatency,
+	estimate := c.engineEstimate(r.service, now)
+	getOrCreate(c.engines, r.service).own.AddSample(enginemodel.Sample{
+		OwnTokens: float64(r.unreadTokens), TokensAhead: float64(r.loadAhead.UnreadTokens), Running: float64(r.loadAhead.Running), FirstEvent: r.firstEventLatency,
 	}, estimate)
 }
 
--- a/internal/routing/placement/learn.go
+++ b/internal/routing/placement/learn.go
@@ -13,18 +13,18 @@
 func (c *Chooser) FirstEventArrived(choice forward.Choice, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := choice.Reservation.(*reservation)
-	if p.gotFirstEvent {
+	r := choice.Reservation.(*reservation)
+	if r.gotFirstEvent {
 		return
 	}
-	p.gotFirstEvent = true
-	p.firstEventLatency = now.Sub(p.sentAt)
-	getOrCreate(c.own, choice.Upstream).load.UnreadTokens -= p.unreadTokens
-	if p.usesUnprovenVersion() {
+	r.gotFirstEvent = true
+	r.firstEventLatency = now.Sub(r.sentAt)
+	getOrCreate(c.own, choice.Upstream).load.UnreadTokens -= r.unreadTokens
+	if r.usesUnprovenVersion() {
 		return
 	}
-	getOrCreate(c.firstEventTimings, p.service).learn(p.firstEventLatency - p.expectedFirstEvent)
-	c.learnEngineSpeed(p, now)
+	getOrCreate(c.firstEventTimings, r.service).learn(r.firstEventLatency - r.expectedFirstEvent)
+	c.learnEngineSpeed(r, now)
 }
 
 // UpstreamEnded implements forward.Placement. The end was expected if the upstream had
@@ -41,32 +41,32 @@
 func (c *Chooser) Finished(choice forward.Choice, result forward.Result, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := choice.Reservation.(*reservation)
+	r := choice.Reservation.(*reservation)
 	o := getOrCreate(c.own, choice.Upstream)
 	o.load.Running--
-	p.reportToRollout(result, c.demands[p.service], now)
-	if result == forward.Done && p.gotFirstEvent && !p.usesUnprovenVersion() {
-		getOrCreate(c.demands, p.service).answerFinished(p.route, now.Sub(p.sentAt)-p.firstEventLatency)
+	r.reportToRollout(result, c.demands[r.service], now)
+	if result == forward.Done && r.gotFirstEvent && !r.usesUnprovenVersion() {
+		getOrCreate(c.demands, r.service).answerFinished(r.route, now.Sub(r.sentAt)-r.firstEventLatency)
 	}
-	if !p.gotFirstEvent {
-		o.load.UnreadTokens -= p.unreadTokens
+	if !r.gotFirstEvent {
+		o.load.UnreadTokens -= r.unreadTokens
 	}
 	c.updateAvoidance(o, result, now)
 	if result == forward.NoConnection || result == forward.Broken || result == forward.Cut {
-		c.lastUnreachable[p.domain] = now
+		c.lastUnreachable[r.domain] = now
 	}
-	if sample, counts := ejectionSample(p, result); counts {
-		c.ejectionSet(p.service).RecordAttemptEnd(now, choice.Upstream, sample)
-		c.logEjectionChange(p.service, choice.Upstream)
+	if sample, counts := ejectionSample(r, result); counts {
+		c.ejectionSet(r.service).RecordAttemptEnd(now, choice.Upstream, sample)
+		c.logEjectionChange(r.service, choice.Upstream)
 	}
 }
 
 // ejectionSample returns what a result says about its upstream. It returns false
 // for results that say nothing: those of requests that the caller cancelled, or
 // that expired after their first event.
-func ejectionSample(p *reservation, result forward.Result) (ejection.Sample, bool) {
-	sample := ejection.Sample{Started: p.sentAt}
-	if p.upstreamEnded {
+func ejectionSample(r *reservation, result forward.Result) (ejection.Sample, bool) {
+	sample := ejection.Sample{Started: r.sentAt}
+	if r.upstreamEnded {
 		// The request itself may have ended the upstream, which says nothing about
 		// how the upstream serves other requests.
 		return sample, false
@@ -75,12 +75,12 @@
 	case forward.CallerGone:
 		return sample, false
 	case forward.Expired:
-		if p.gotFirstEvent {
+		if r.gotFirstEvent {
 			return sample, false
 		}
 		sample.Failed = true
 	case forward.Done:
-		sample.Latency = p.firstEventLatency.Seconds() / (p.expectedFirstEvent.Seconds() + idleAnswerTime.Seconds())
+		sample.Latency = r.firstEventLatency.Seconds() / (r.expectedFirstEvent.Seconds() + idleAnswerTime.Seconds())
 	default:
 		sample.Failed = true
 	}
--- a/internal/routing/placement/room.go
+++ b/internal/routing/placement/retryafter.go
@@ -23,16 +23,16 @@
 	if call.Service.Engine == nil || estimate.Samples < minSamples {
 		return 0
 	}
-	room, found := time.Duration(0), false
+	shortest, found := time.Duration(0), false
 	for _, u := range c.refreshView().Of(call.Service.Name) {
 		if u.State != directory.Ready {
 			continue
 		}
 		load := c.totalLoad(u.ID, getOrCreate(c.own, u.ID))
 		first := estimate.FirstEvent(float64(prefillTokens(call)), float64(load.UnreadTokens), float64(load.Running))
-		if late := max(0, first-call.Route.Objective); !found || late < room {
-			room, found = late, true
+		if late := max(0, first-call.Route.Objective); !found || late < shortest {
+			shortest, found = late, true
 		}
 	}
-	return room
+	return shortest
 }
--- a/internal/routing/placement/sampledpair.go
+++ b/internal/routing/placement/sampledpair.go
@@ -21,20 +21,20 @@
 // samplePair samples two of the upstreams that are ready.
 func samplePair(call *forward.Call, all []directory.Upstream) sampledPair {
 	seed := xxhash.Sum64String(string(call.ID))
-	d, weights := sampledPair{-1, -1}, [2]uint64{}
+	p, weights := sampledPair{-1, -1}, [2]uint64{}
 	for i := range all {
 		if all[i].State != directory.Ready {
 			continue
 		}
 		switch w := rendezvous(seed, all[i].Name); {
-		case d[0] < 0 || w > weights[0]:
-			d[1], weights[1] = d[0], weights[0]
-			d[0], weights[0] = i, w
-		case d[1] < 0 || w > weights[1]:
-			d[1], weights[1] = i, w
+		case p[0] < 0 || w > weights[0]:
+			p[1], weights[1] = p[0], weights[0]
+			p[0], weights[0] = i, w
+		case p[1] < 0 || w > weights[1]:
+			p[1], weights[1] = i, w
 		}
 	}
-	return d
+	return p
 }
 
-func (d sampledPair) has(i int) bool { return i == d[0] || i == d[1] }
+func (p sampledPair) has(i int) bool { return i == p[0] || i == p[1] }
--- a/internal/upstreamlimit/exchange.go
+++ b/internal/upstreamlimit/exchange.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	// reportChangeFor is the time for which a change is announced to the other gateways in every
+	// reportChangeFor is the time for which a change is reported to the other gateways in every
 	// message, so that two lost messages do no harm.
 	reportChangeFor = 3 * time.Second
-	// maxReportedChanges bounds the changes in a message and maxAnnouncedOthers the limits that
-	// did not change lately. If there are more, each round announces others of them. All messages
-	// of a round announce the same ones, because each goes to another gateway.
+	// maxReportedChanges bounds the changes in a message and maxReportedOthers the limits that
+	// did not change lately. If there are more, each round reports others of them. All messages
+	// of a round report the same ones, because each goes to another gateway.
 	maxReportedChanges, maxReportedOthers = 16, 4
 	// minReportedUse is the count of demand or sent requests below which an upstream's use is not
-	// announced.
+	// reported.
 	minReportedUse = 1.0 / 32
 )
 
-// Announcement is an announcement between gateways: what an upstream's answers state about its limit.
+// Announcement is a gateway's report to another on one upstream's limit.
 type Announcement struct {
 	// Upstream is the Config.Key of the upstream's ID, which differs after each restart.
 	Upstream uint32
-	Limited  bool
+	// Limited is false if the limit was lifted.
+	Limited bool
 	// Rate is in requests per second.
 	Rate float64
-	// Age is the time since an answer stated this.
+	// Age is the time since an answer of the upstream last said so.
 	Age time.Duration
 }
 
 // Use counts, for one or more gateways, how often an upstream was the best choice for a request
-// (Asked) and how often it was sent one (Sent). Both counts decay over seconds.
+// (Demand) and how often it was sent one (Sent). Both counts decay over seconds.
 type Use struct{ Demand, Sent float64 }
 
 // Uses are the uses of several upstreams, by their keys.
@@ -55,29 +56,29 @@
 	}
 }
 
-// Announcements returns the announcements for the other gateways: the limits that changed lately, and some of
-// the others in turn.
-func (k *Limiter) Announcements() []Announcement {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.limits) == 0 {
+// Announcements returns the reports on limits for the other gateways: those that changed lately,
+// and some of the others in turn.
+func (lim *Limiter) Announcements() []Announcement {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	if len(lim.limits) == 0 {
 		return nil
 	}
-	now := k.cfg.Now()
+	now := lim.cfg.Now()
 	var changed, others []uint32
-	for key, l := range k.limits {
+	for key, l := range lim.limits {
 		if now.Sub(l.changedAt) < reportChangeFor {
 			changed = append(changed, key)
 		} else {
 			others = append(others, key)
 		}
 	}
-	turn := int(now.UnixNano() / int64(k.cfg.Round))
+	turn := int(now.UnixNano() / int64(lim.cfg.Round))
 	selected := append(selectInTurn(changed, maxReportedChanges, turn), selectInTurn(others, maxReportedOthers, turn)...)
 	out := make([]Announcement, len(selected))
 	for i, key := range selected {
-		l := k.limits[key]
-		out[i] = Announcement{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.statedAt)}
+		l := lim.limits[key]
+		out[i] = Announcement{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.announcedAt)}
 	}
 	return out
 }
@@ -96,46 +97,47 @@
 	return out
 }
 
-// MergeAnnouncements merges another gateway's announcements, whose ages are as of the given time.
-func (k *Limiter) MergeAnnouncements(announced []Announcement, asOf time.Time) {
-	if len(announced) == 0 {
+// MergeAnnouncements merges another gateway's reports on limits, whose ages are as of the given
+// time.
+func (lim *Limiter) MergeAnnouncements(reports []Announcement, asOf time.Time) {
+	if len(reports) == 0 {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, s := range announced {
-		k.merge(s, asOf.Add(-s.Age), k.cfg.Now())
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	for _, r := range reports {
+		lim.merge(r, asOf.Add(-r.Age), lim.cfg.Now())
 	}
 }
 
-// merge merges what an answer stated at the given time, unless a newer statement is known. A lifted
-// limit is remembered even if the limit was unknown, because an older announcement of the limit may
-// still arrive.
-func (k *Limiter) merge(s Announcement, at, now time.Time) {
-	l := k.limits[s.Upstream]
+// merge merges a report on what an answer announced at the given time, unless a newer answer is
+// known. A lifted limit is recorded even if the limit was unknown, because an older report of the
+// limit may still arrive.
+func (lim *Limiter) merge(r Announcement, at, now time.Time) {
+	l := lim.limits[r.Upstream]
 	switch {
-	case l == nil && len(k.limits) >= maxLimits:
+	case l == nil && len(lim.limits) >= maxLimits:
 		return
 	case l == nil:
-		l = k.add(s.Upstream)
-	case !at.After(l.statedAt):
+		l = lim.add(r.Upstream)
+	case !at.After(l.announcedAt):
 		return
 	}
-	if k.setLimit(l, s.Limited, s.Rate, at, now) && l.upstream != "" {
-		k.logChange(l, "", now)
+	if lim.setLimit(l, r.Limited, r.Rate, at, now) && l.upstream != "" {
+		lim.logChange(l, "", now)
 	}
 }
 
 // Uses returns this gateway's own uses of the limited upstreams.
-func (k *Limiter) Uses() Uses {
-	if !k.anyLimited.Load() {
+func (lim *Limiter) Uses() Uses {
+	if !lim.anyLimited.Load() {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.cfg.Now()
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	now := lim.cfg.Now()
 	out := make(Uses)
-	for key, l := range k.limits {
+	for key, l := range lim.limits {
 		if !l.limited {
 			continue
 		}
@@ -148,16 +150,16 @@
 }
 
 // Refresh sets what the other gateways use and how many gateways there are.
-func (k *Limiter) Refresh(others Uses, fleet Fleet) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.fleet = fleet
-	for key, l := range k.limits {
+func (lim *Limiter) Refresh(others Uses, fleet Fleet) {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	lim.fleet = fleet
+	for key, l := range lim.limits {
 		u := others[key]
 		l.othersDemand, l.othersSent = u.Demand, u.Sent
 		if l.limited {
 			l.seedSent(fleet)
-			l.decay(k.cfg.Now())
+			l.decay(lim.cfg.Now())
 			l.updateExpectedDemand(l.decayedAt)
 		}
 	}
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// A fleet simulates upstreams that state limits, in virtual time: gateways with the real limiter,
+// A fleet simulates upstreams that announce limits, in virtual time: gateways with the real limiter,
 // callers, upstreams, and the exchange between gateways with its delays. A small fleet exchanges
 // directly, a large one through collectors.
 
@@ -35,21 +35,21 @@
 	contactTime  = 3 * time.Second
 	window       = 4 * time.Second
 	usageWindow  = 10 * time.Second
-	playTime     = 40 * time.Second
+	runTime      = 40 * time.Second
 )
 
-// limitSchedule is the limit that one upstream states, over time.
+// limitSchedule is the limit that one upstream announces, over time.
 type limitSchedule func(at time.Duration) (rate float64, limited bool)
 
-// always states a rate from a time on; between states it until another time.
+// always announces a rate from a time on; between announces it until another time.
 func always(rate float64, from time.Duration) limitSchedule { return between(rate, from, time.Hour) }
 
 func between(rate float64, from, to time.Duration) limitSchedule {
 	return func(at time.Duration) (float64, bool) { return rate, at >= from && at < to }
 }
 
-// story is a fleet and what happens to it.
-type story struct {
+// scenario describes a fleet, the limits that its upstreams announce, and the faults that happen.
+type scenario struct {
 	name              string
 	gateways, domains int
 	upstreams         int
@@ -80,7 +80,7 @@
 	share shareFunc
 }
 
-func (s story) with(change func(*story)) story {
+func (s scenario) with(change func(*scenario)) scenario {
 	change(&s)
 	return s
 }
@@ -118,10 +118,10 @@
 type upstream struct {
 	i, domain, incarnation int
 	schedule               limitSchedule
-	// announcedAt is when a limit was first stated, and lifted when an answer first stated none after
-	// that. Negative means never.
+	// announcedAt is when a limit was first announced, and liftedAt when an answer first announced
+	// none after that. Negative means never.
 	announcedAt, liftedAt time.Duration
-	arrivals      []time.Duration
+	arrivals              []time.Duration
 }
 
 func (u *upstream) id() ident.Instance {
@@ -152,11 +152,11 @@
 
 type fleet struct {
 	testkit.Timeline
-	scenario  story
+	scenario  scenario
 	rng       *rand.Rand
 	gateways  []*gateway
 	upstreams []*upstream
-	saved     json.RawMessage
+	stored    json.RawMessage
 	cutOff    int
 	result    result
 }
@@ -167,7 +167,7 @@
 
 func key(id ident.Instance) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
-func play(s story, seed uint64) result {
+func runOnce(s scenario, seed uint64) result {
 	f := &fleet{scenario: s, rng: rand.New(rand.NewPCG(seed, 11)), cutOff: -1}
 	for i := range s.gateways + s.joins {
 		g := &gateway{i: i, domain: i % s.domains}
@@ -184,7 +184,7 @@
 		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, schedule: s.limits[i], announcedAt: -1, liftedAt: -1})
 	}
 	f.schedule()
-	f.RunUntil(playTime)
+	f.RunUntil(runTime)
 	for _, u := range f.upstreams {
 		f.evaluate(u)
 	}
@@ -210,7 +210,7 @@
 	}
 	if s.killEach {
 		for _, g := range f.gateways {
-			f.In(time.Duration(f.rng.Int64N(int64(playTime))), func() { f.kill(g) })
+			f.In(time.Duration(f.rng.Int64N(int64(runTime))), func() { f.kill(g) })
 		}
 	}
 	if s.cut {
@@ -239,7 +239,7 @@
 	}
 	g.nextListAt = 0
 	g.limiter.Refresh(nil, g.fleet)
-	g.limiter.Restore(f.saved)
+	g.limiter.Restore(f.stored)
 }
 
 func (f *fleet) kill(g *gateway) {
@@ -250,12 +250,12 @@
 	f.In(restartDelay+time.Duration(f.rng.Int64N(int64(restartDelay/2))), func() { f.start(g) })
 }
 
-// storeLimits writes the lease's record.
+// storeLimits stores the limits in the lease's record.
 func (f *fleet) storeLimits() {
 	f.In(renewal, f.storeLimits)
 	for _, g := range f.gateways {
 		if g.up && f.cutOff != g.domain {
-			f.saved = g.limiter.Snapshot()
+			f.stored = g.limiter.Snapshot()
 			return
 		}
 	}
@@ -298,16 +298,16 @@
 	}
 }
 
-// sendLimits delivers one gateway's announcements to another and then calls then.
-func (f *fleet) sendLimits(from, to *gateway, then func()) {
-	announced := from.limiter.Announcements()
-	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(announced))
+// sendLimits delivers one gateway's reports on limits to another and afterwards calls onDelivery.
+func (f *fleet) sendLimits(from, to *gateway, onDelivery func()) {
+	reports := from.limiter.Announcements()
+	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(reports))
 	at := f.Now()
 	limiter := to.limiter
 	f.In(messageDelay+time.Duration(f.rng.Int64N(int64(messageDelay))), func() {
 		if to.up && to.limiter == limiter {
-			to.limiter.MergeAnnouncements(announced, epoch.Add(at))
-			then()
+			to.limiter.MergeAnnouncements(reports, epoch.Add(at))
+			onDelivery()
 		}
 	})
 }
@@ -404,8 +404,8 @@
 	}
 }
 
-// recordKnown records how long it takes until all gateways know what an upstream states about its
-// limit.
+// recordKnown records how long it takes until all gateways know what an upstream announces about
+// its limit.
 func (f *fleet) recordKnown() {
 	f.In(checkInterval, f.recordKnown)
 	for _, u := range f.upstreams {
@@ -530,8 +530,8 @@
 	})
 }
 
-// maxAnnouncedRate returns the highest rate that was stated between two times, and false if none was
-// stated at some time between them.
+// maxAnnouncedRate returns the highest rate that was announced between two times, and false if none
+// was announced at some time between them.
 func (u *upstream) maxAnnouncedRate(from, to time.Duration) (rate float64, limited bool) {
 	for at := from; at <= to; at += 50 * time.Millisecond {
 		r, l := u.schedule(at)
@@ -543,8 +543,8 @@
 	return max(rate, minRate), true
 }
 
-// evaluate checks all windows of an upstream's arrivals. A stated rate counts after contactTime has
-// passed.
+// evaluate checks all windows of an upstream's arrivals. A rate that was announced counts after
+// contactTime has passed.
 func (f *fleet) evaluate(u *upstream) {
 	if u.schedule == nil || u.announcedAt < 0 {
 		return
--- a/internal/upstreamlimit/order.go
+++ b/internal/upstreamlimit/limitedset.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// LimitedSet is the set of limited upstreams. Gateways that know the same set exchange uses by position
+// LimitedSet is the set of limited upstreams. Gateways that know the same set send uses by position
 // instead of by key.
 type LimitedSet struct {
 	// Hash is a hash of the keys and rates. It is equal at two gateways that know the same limits,
@@ -30,10 +30,10 @@
 
 // Columns returns the uses of a set's upstreams. Unused ones are left out where more than half
 // are unused.
-func (u Uses) Columns(o LimitedSet) Columns {
-	c := Columns{Hash: o.Hash}
-	leaveOutUnused := 2*len(u) < len(o.Keys)
-	for i, key := range o.Keys {
+func (u Uses) Columns(set LimitedSet) Columns {
+	c := Columns{Hash: set.Hash}
+	leaveOutUnused := 2*len(u) < len(set.Keys)
+	for i, key := range set.Keys {
 		use, used := u[key]
 		if leaveOutUnused && !used {
 			continue
@@ -48,12 +48,12 @@
 }
 
 // Uses returns the uses by key. It returns false if they are not of this set or not consistent.
-func (c Columns) Uses(o LimitedSet) (Uses, bool) {
-	n := len(o.Keys)
+func (c Columns) Uses(set LimitedSet) (Uses, bool) {
+	n := len(set.Keys)
 	if len(c.Positions) > 0 {
 		n = len(c.Positions)
 	}
-	if c.Hash == 0 || c.Hash != o.Hash || len(c.Demand) != n && len(c.Demand) != 0 || len(c.Sent) != len(c.Demand) {
+	if c.Hash == 0 || c.Hash != set.Hash || len(c.Demand) != n && len(c.Demand) != 0 || len(c.Sent) != len(c.Demand) {
 		return nil, false
 	}
 	out := make(Uses, len(c.Demand))
@@ -62,43 +62,43 @@
 		if len(c.Positions) > 0 {
 			position = c.Positions[i]
 		}
-		if position >= uint32(len(o.Keys)) {
+		if position >= uint32(len(set.Keys)) {
 			return nil, false
 		}
-		out[o.Keys[position]] = Use{Demand: c.Demand[i], Sent: c.Sent[i]}
+		out[set.Keys[position]] = Use{Demand: c.Demand[i], Sent: c.Sent[i]}
 	}
 	return out, true
 }
 
 // LimitedSet returns the set of limited upstreams.
-func (k *Limiter) LimitedSet() LimitedSet {
-	if !k.anyLimited.Load() {
+func (lim *Limiter) LimitedSet() LimitedSet {
+	if !lim.anyLimited.Load() {
 		return LimitedSet{}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.limitedSet.Hash == 0 {
-		k.limitedSet = k.computeLimitedSet()
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	if lim.limitedSet.Hash == 0 {
+		lim.limitedSet = lim.computeLimitedSet()
 	}
-	return k.limitedSet
+	return lim.limitedSet
 }
 
 // computeLimitedSet collects the set of limited upstreams and its hash.
-func (k *Limiter) computeLimitedSet() LimitedSet {
-	var o LimitedSet
-	for key, l := range k.limits {
+func (lim *Limiter) computeLimitedSet() LimitedSet {
+	var set LimitedSet
+	for key, l := range lim.limits {
 		if l.limited {
-			o.Keys = append(o.Keys, key)
+			set.Keys = append(set.Keys, key)
 		}
 	}
-	slices.Sort(o.Keys)
+	slices.Sort(set.Keys)
 	var digest xxhash.Digest
 	digest.Reset()
-	for _, key := range o.Keys {
-		// Hash the rate with the precision with which rates are announced.
-		rate := math.Float32bits(float32(k.limits[key].rate))
+	for _, key := range set.Keys {
+		// Hash the rate with the precision with which gateways report rates.
+		rate := math.Float32bits(float32(lim.limits[key].rate))
 		_, _ = digest.Write(binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(nil, key), rate)) // never fails
 	}
-	o.Hash = max(uint32(digest.Sum64()), 1)
-	return o
+	set.Hash = max(uint32(digest.Sum64()), 1)
+	return set
 }
--- a/internal/upstreamlimit/limiter.go
+++ b/internal/upstreamlimit/limiter.go
@@ -14,15 +14,15 @@
 
 const (
 	// logInterval is the shortest time between two log lines on an upstream's changes, and between
-	// two on unreadable limits. An upstream may state another rate in each answer.
+	// two on unreadable limits. An upstream may announce another rate in each answer.
 	logInterval = time.Second
 	// maxLimits bounds the number of upstreams whose limits are known.
 	maxLimits = 5000
-	// unlistedRetention is how long the limit of an unlisted upstream is kept. Other gateways may
-	// announce the limit of an upstream that has just started before it is listed here.
+	// unlistedRetention is how long the limit of an unlisted upstream is retained. Other gateways
+	// may report the limit of an upstream that has just started before it is listed here.
 	unlistedRetention = 15 * time.Second
-	// liftedRetention is how long a lifted limit is remembered. It is longer than an older
-	// announcement of the limit can be in flight.
+	// liftedRetention is how long it is retained that a limit was lifted. It is longer than an
+	// older report of the limit can be in flight.
 	liftedRetention = 30 * time.Second
 )
 
@@ -38,8 +38,8 @@
 	Seed uint64
 }
 
-// Limiter holds the limits that upstreams stated, and decides which requests this gateway sends so
-// that all gateways together keep to them. It is safe for concurrent use.
+// Limiter holds the rate limits that upstreams announced, and decides which requests this gateway
+// sends so that all gateways together keep to them. It is safe for concurrent use.
 type Limiter struct {
 	cfg Config
 	// version increases when the set of limited upstreams changes. anyLimited is set if there are
@@ -53,7 +53,7 @@
 	// fleet is as of the last Refresh.
 	fleet Fleet
 	rng   *rand.Rand
-	// limitedSet is computed on demand. Its Set is 0 until then.
+	// limitedSet is computed on demand. Its Hash is 0 until then.
 	limitedSet LimitedSet
 	// shareOf divides a rate between the gateways.
 	shareOf  shareFunc
@@ -69,16 +69,16 @@
 	Heard, Known int
 }
 
-// limit is what is known about one upstream's limit, or that it has none any more.
+// limit is what is known about one upstream's limit. limited is not set if the limit was lifted.
 type limit struct {
 	// upstream is empty while only the key is known.
 	upstream ident.Instance
 	limited  bool
 	// rate, in requests per second, is 0 if limited is not set.
 	rate float64
-	// statedAt is when an answer to any gateway last stated this.
-	statedAt time.Time
-	// changedAt is when this gateway last heard of a change, and limitedSince when it heard that
+	// announcedAt is when an answer to any gateway last announced the rate, or last none.
+	announcedAt time.Time
+	// changedAt is when this gateway last learned of a change, and limitedSince when it learned that
 	// there is a limit.
 	changedAt, limitedSince time.Time
 	// listedAt is when the upstream was last listed.
@@ -110,43 +110,43 @@
 	}
 }
 
-// RecordStatement records what an upstream's answer to a request states.
-func (k *Limiter) RecordStatement(upstream ident.Instance, id ident.Request, s Statement) {
-	if s.Kind == Unlimited && !k.anyLimited.Load() {
+// RecordStatement records what an upstream's answer to a request says about its limit.
+func (lim *Limiter) RecordStatement(upstream ident.Instance, id ident.Request, s Statement) {
+	if s.Kind == Unlimited && !lim.anyLimited.Load() {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.cfg.Now()
-	key := k.cfg.Key(upstream)
-	l := k.limits[key]
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	now := lim.cfg.Now()
+	key := lim.cfg.Key(upstream)
+	l := lim.limits[key]
 	if s.Problem != "" {
-		k.logUnreadable(upstream, id, s, l, now)
+		lim.logUnreadable(upstream, id, s, l, now)
 	}
 	if s.Kind == Unreadable || s.Kind == Unlimited && l == nil {
 		return
 	}
 	if l == nil {
-		l = k.add(key)
+		l = lim.add(key)
 	}
 	l.upstream = upstream
 	l.answers++
-	if k.setLimit(l, s.Kind == Limited, s.Rate, now, now) {
-		k.counters.Changes++
-		k.logChange(l, id, now)
+	if lim.setLimit(l, s.Kind == Limited, s.Rate, now, now) {
+		lim.counters.Changes++
+		lim.logChange(l, id, now)
 	}
 }
 
 // add adds an upstream about which nothing is known.
-func (k *Limiter) add(key uint32) *limit {
-	l := &limit{listedAt: k.cfg.Now()}
-	k.limits[key] = l
+func (lim *Limiter) add(key uint32) *limit {
+	l := &limit{listedAt: lim.cfg.Now()}
+	lim.limits[key] = l
 	return l
 }
 
-// setLimit records what was stated at the given time and reports whether it is a change.
-func (k *Limiter) setLimit(l *limit, limited bool, rate float64, at, now time.Time) bool {
-	l.statedAt = at
+// setLimit records what the upstream announced at the given time and reports whether it is a change.
+func (lim *Limiter) setLimit(l *limit, limited bool, rate float64, at, now time.Time) bool {
+	l.announcedAt = at
 	if !limited {
 		rate = 0
 	}
@@ -156,123 +156,123 @@
 	switch {
 	case limited && !l.limited:
 		l.limitedSince = now
-		l.traffic = traffic{decayedAt: now, credit: k.rng.Float64()}
+		l.traffic = traffic{decayedAt: now, credit: lim.rng.Float64()}
 	case limited:
 		// Scale the sent count so that it means the same utilization of the new rate.
 		l.sent *= max(rate, minRate) / l.allowedRate()
 	}
 	limitedChanged := l.limited != limited
-	k.limitedSet = LimitedSet{}
+	lim.limitedSet = LimitedSet{}
 	l.limited, l.rate, l.changedAt = limited, rate, now
 	if limitedChanged {
-		k.updateLimited()
+		lim.updateLimited()
 	}
 	return true
 }
 
 // updateLimited updates what depends on the set of limited upstreams.
-func (k *Limiter) updateLimited() {
-	k.limitedSet = LimitedSet{}
-	k.version.Add(1)
+func (lim *Limiter) updateLimited() {
+	lim.limitedSet = LimitedSet{}
+	lim.version.Add(1)
 	anyLimited := false
-	for _, l := range k.limits {
+	for _, l := range lim.limits {
 		anyLimited = anyLimited || l.limited
 	}
-	k.anyLimited.Store(anyLimited)
+	lim.anyLimited.Store(anyLimited)
 }
 
 // inForce returns an upstream's limit, or nil if it has none.
-func (k *Limiter) inForce(upstream ident.Instance) *limit {
-	if l := k.limits[k.cfg.Key(upstream)]; l != nil && l.limited {
+func (lim *Limiter) inForce(upstream ident.Instance) *limit {
+	if l := lim.limits[lim.cfg.Key(upstream)]; l != nil && l.limited {
 		return l
 	}
 	return nil
 }
 
 // logChange logs a change of a limit, unless one was logged within logInterval.
-func (k *Limiter) logChange(l *limit, id ident.Request, now time.Time) {
+func (lim *Limiter) logChange(l *limit, id ident.Request, now time.Time) {
 	if !l.loggedAt.IsZero() && now.Sub(l.loggedAt) < logInterval {
 		l.unloggedChanges++
 		return
 	}
-	k.cfg.Log.Info("upstream's limit changed", "upstream", l.upstream, "id", id, "limited", l.limited, "per_second", l.rate,
-		"changes_unlogged", l.unloggedChanges, "heard", k.fleet.Heard, "known", k.fleet.Known)
+	lim.cfg.Log.Info("upstream's limit changed", "upstream", l.upstream, "id", id, "limited", l.limited, "per_second", l.rate,
+		"changes_unlogged", l.unloggedChanges, "heard", lim.fleet.Heard, "known", lim.fleet.Known)
 	l.loggedAt, l.unloggedChanges = now, 0
 }
 
 // logUnreadable counts an unreadable limit and logs it, unless one of any upstream was logged
 // within logInterval.
-func (k *Limiter) logUnreadable(upstream ident.Instance, id ident.Request, s Statement, l *limit, now time.Time) {
-	k.counters.Unreadable++
-	if k.counters.Unreadable > 1 && now.Sub(k.unreadableLoggedAt) < logInterval {
+func (lim *Limiter) logUnreadable(upstream ident.Instance, id ident.Request, s Statement, l *limit, now time.Time) {
+	lim.counters.Unreadable++
+	if lim.counters.Unreadable > 1 && now.Sub(lim.unreadableLoggedAt) < logInterval {
 		return
 	}
-	k.unreadableLoggedAt = now
-	k.cfg.Log.Warn("upstream's limit not readable", "upstream", upstream, "id", id, "problem", s.Problem,
-		"stays_limited", l != nil && l.limited, "unreadable_total", k.counters.Unreadable)
+	lim.unreadableLoggedAt = now
+	lim.cfg.Log.Warn("upstream's limit not readable", "upstream", upstream, "id", id, "problem", s.Problem,
+		"stays_limited", l != nil && l.limited, "unreadable_total", lim.counters.Unreadable)
 }
 
 // Counters returns the totals since the start.
-func (k *Limiter) Counters() Counters {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.counters
+func (lim *Limiter) Counters() Counters {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	return lim.counters
 }
 
 // AnyLimited reports whether any upstream has a limit.
-func (k *Limiter) AnyLimited() bool { return k.anyLimited.Load() }
+func (lim *Limiter) AnyLimited() bool { return lim.anyLimited.Load() }
 
 // Version returns a number that changes with the set of limited upstreams.
-func (k *Limiter) Version() uint64 { return k.version.Load() }
+func (lim *Limiter) Version() uint64 { return lim.version.Load() }
 
 // Limited reports whether an upstream has a limit.
-func (k *Limiter) Limited(upstream ident.Instance) bool {
-	_, limited := k.Rate(upstream)
+func (lim *Limiter) Limited(upstream ident.Instance) bool {
+	_, limited := lim.Rate(upstream)
 	return limited
 }
 
 // Rate returns the rate that all gateways together may send to an upstream, at least minRate. It
 // returns false if there is no limit.
-func (k *Limiter) Rate(upstream ident.Instance) (perSecond float64, limited bool) {
-	if !k.anyLimited.Load() {
+func (lim *Limiter) Rate(upstream ident.Instance) (perSecond float64, limited bool) {
+	if !lim.anyLimited.Load() {
 		return 0, false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	l := k.inForce(upstream)
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	l := lim.inForce(upstream)
 	if l == nil {
 		return 0, false
 	}
 	return l.allowedRate(), true
 }
 
-// UpdateListed updates which upstreams exist and drops the limits of those that are gone. each calls its
-// argument for every upstream.
-func (k *Limiter) UpdateListed(each func(func(ident.Instance))) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.limits) == 0 {
+// UpdateListed updates which upstreams exist and drops the limits of those that are gone. each must
+// call its argument for every upstream that exists.
+func (lim *Limiter) UpdateListed(each func(func(ident.Instance))) {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	if len(lim.limits) == 0 {
 		return
 	}
-	now := k.cfg.Now()
+	now := lim.cfg.Now()
 	each(func(upstream ident.Instance) {
-		if l := k.limits[k.cfg.Key(upstream)]; l != nil {
+		if l := lim.limits[lim.cfg.Key(upstream)]; l != nil {
 			l.upstream, l.listedAt = upstream, now
 			if l.limited && l.loggedAt.IsZero() {
-				// The limit was announced before the upstream was listed.
-				k.logChange(l, "", now)
+				// Another gateway reported the limit before the upstream was listed here.
+				lim.logChange(l, "", now)
 			}
 		}
 	})
 	changed := false
-	for key, l := range k.limits {
+	for key, l := range lim.limits {
 		gone := now.Sub(l.listedAt) > unlistedRetention
-		if gone || !l.limited && now.Sub(l.statedAt) > liftedRetention {
-			delete(k.limits, key)
+		if gone || !l.limited && now.Sub(l.announcedAt) > liftedRetention {
+			delete(lim.limits, key)
 			changed = changed || l.limited
 		}
 	}
 	if changed {
-		k.updateLimited()
+		lim.updateLimited()
 	}
 }
--- a/internal/upstreamlimit/limiter_test.go
+++ b/internal/upstreamlimit/limiter_test.go
@@ -44,35 +44,35 @@
 	})
 }
 
-// Guards against a limit that is lost, or stays, when several answers in a row state different
-// things.
+// Guards against a limit that is lost, or stays, when several answers in a row announce
+// different things.
 func TestTheNewestReadableStatementCounts(t *testing.T) {
 	bad := Statement{Kind: Unreadable, Problem: "x"}
 	none := Statement{}
 	for _, c := range []struct {
-		name    string
-		stated  []Statement
-		limited bool
-		rate    float64
+		name       string
+		statements []Statement
+		limited    bool
+		rate       float64
 	}{
-		{name: "none", stated: []Statement{none}},
-		{name: "a limit", stated: []Statement{LimitedTo(2)}, limited: true, rate: 2},
-		{name: "another", stated: []Statement{LimitedTo(2), LimitedTo(5)}, limited: true, rate: 5},
-		{name: "lifted", stated: []Statement{LimitedTo(2), none}},
-		{name: "named again", stated: []Statement{LimitedTo(2), none, LimitedTo(2)}, limited: true, rate: 2},
-		{name: "unreadable first", stated: []Statement{bad}},
-		{name: "unreadable after a limit", stated: []Statement{LimitedTo(2), bad}, limited: true, rate: 2},
-		{name: "unreadable after it was lifted", stated: []Statement{LimitedTo(2), none, bad}},
-		{name: "zero", stated: []Statement{LimitedTo(0)}, limited: true, rate: minRate},
-		{name: "tiny", stated: []Statement{LimitedTo(1e-300)}, limited: true, rate: minRate},
-		{name: "huge", stated: []Statement{LimitedTo(1e300)}, limited: true, rate: maxRate},
-		{name: "negative", stated: []Statement{LimitedTo(-1)}},
-		{name: "no number", stated: []Statement{LimitedTo(math.NaN())}},
-		{name: "a limit beside what cannot be read", stated: []Statement{{Kind: Limited, Rate: 3, Problem: "x"}}, limited: true, rate: 3},
+		{name: "none", statements: []Statement{none}},
+		{name: "a limit", statements: []Statement{LimitedTo(2)}, limited: true, rate: 2},
+		{name: "another", statements: []Statement{LimitedTo(2), LimitedTo(5)}, limited: true, rate: 5},
+		{name: "lifted", statements: []Statement{LimitedTo(2), none}},
+		{name: "named again", statements: []Statement{LimitedTo(2), none, LimitedTo(2)}, limited: true, rate: 2},
+		{name: "unreadable first", statements: []Statement{bad}},
+		{name: "unreadable after a limit", statements: []Statement{LimitedTo(2), bad}, limited: true, rate: 2},
+		{name: "unreadable after it was lifted", statements: []Statement{LimitedTo(2), none, bad}},
+		{name: "zero", statements: []Statement{LimitedTo(0)}, limited: true, rate: minRate},
+		{name: "tiny", statements: []Statement{LimitedTo(1e-300)}, limited: true, rate: minRate},
+		{name: "huge", statements: []Statement{LimitedTo(1e300)}, limited: true, rate: maxRate},
+		{name: "negative", statements: []Statement{LimitedTo(-1)}},
+		{name: "no number", statements: []Statement{LimitedTo(math.NaN())}},
+		{name: "a limit beside what cannot be read", statements: []Statement{{Kind: Limited, Rate: 3, Problem: "x"}}, limited: true, rate: 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
-			for _, s := range c.stated {
+			for _, s := range c.statements {
 				f.RecordStatement(u, "r", s)
 				f.now = f.now.Add(time.Millisecond)
 			}
@@ -87,8 +87,8 @@
 	}
 }
 
-// Guards against a log that an upstream floods by stating another rate in each answer, and against
-// an unreadable limit that isn't logged.
+// Guards against a log that an upstream floods by announcing another rate in each answer, and
+// against an unreadable limit that isn't logged.
 func TestLinesOfChangingLimitsAreBounded(t *testing.T) {
 	f := newFixture()
 	const answers = 5000
@@ -138,27 +138,27 @@
 	f.now = f.now.Add(2 * unlistedRetention)
 	f.applyList()
 	if f.AnyLimited() {
-		t.Error("limits of upstreams that are not listed any more are kept")
+		t.Error("limits of upstreams that are not listed any more are not dropped")
 	}
 }
 
-// Guards against an older announcement that undoes a newer one, in whatever order they arrive.
+// Guards against an older report that undoes a newer one, in whatever order they arrive.
 func TestAnnouncementsComeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		said := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Announcement {
+		reports := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Announcement {
 			return Announcement{
 				Upstream: key(u), Limited: rapid.Bool().Draw(t, "limited"), Rate: float64(rapid.IntRange(1, 3).Draw(t, "rate")),
 				Age: time.Duration(rapid.IntRange(0, 5000).Draw(t, "age")) * time.Millisecond,
 			}
 		}), 1, 12, func(s Announcement) time.Duration { return s.Age }).Draw(t, "said")
-		newest := said[0]
-		for _, s := range said {
+		newest := reports[0]
+		for _, s := range reports {
 			if s.Age < newest.Age {
 				newest = s
 			}
 		}
 		f := newFixture()
-		for _, s := range said {
+		for _, s := range reports {
 			f.MergeAnnouncements([]Announcement{s}, f.now)
 		}
 		rate, limited := f.Rate(u)
@@ -169,11 +169,11 @@
 }
 
 // Guards against a gateway that starts, or all of them after all were killed, and sends to an
-// overloaded upstream until the upstream's own answers state the limit.
+// overloaded upstream until the upstream's own answers announce the limit.
 func TestLimitsOutliveAllGateways(t *testing.T) {
 	f := newFixture()
 	if f.Snapshot() != nil {
-		t.Error("something is saved though there is no limit")
+		t.Error("something is stored though there is no limit")
 	}
 	f.RecordStatement(u, "r", LimitedTo(0.5))
 	f.RecordStatement("v", "r", LimitedTo(3))
@@ -183,10 +183,11 @@
 	if rate, limited := later.Rate(u); !limited || rate != 0.5 || later.Limited("v") {
 		t.Errorf("restored limit: %v a second, limited %v", rate, limited)
 	}
-	if said := later.Announcements(); len(said) != 1 || said[0].Age < restoredExtraAge {
-		t.Errorf("announced as %+v, newer than what the others may have heard since", said)
+	if reports := later.Announcements(); len(reports) != 1 || reports[0].Age < restoredExtraAge {
+		t.Errorf("reported as %+v, newer than what the others may have learned since", reports)
 	}
-	// What an answer states here takes precedence, also if it arrives before the record is read.
+	// An answer that this gateway received takes precedence, also if it arrived before the record
+	// was read.
 	first := newFixture()
 	first.RecordStatement(u, "r", LimitedTo(4))
 	first.Restore(f.Snapshot())
@@ -209,12 +210,12 @@
 		f.RecordStatement(ident.Instance(fmt.Sprint("u", i)), "r", LimitedTo(1.25))
 	}
 	if data := f.Snapshot(); len(data) > 16<<10 {
-		t.Errorf("%d bytes are saved", len(data))
+		t.Errorf("%d bytes are stored", len(data))
 	}
 }
 
 // Guards against messages that grow with the number of limits, and against a limit that is never
-// announced because there are many.
+// reported because there are many.
 func TestAllLimitsAreAnnouncedInTurns(t *testing.T) {
 	f := newFixture()
 	const limits = 50
@@ -225,27 +226,27 @@
 	}
 	f.now = f.now.Add(reportChangeFor)
 	f.applyList(all...)
-	told := make(map[uint32]bool)
+	reported := make(map[uint32]bool)
 	for range limits/maxReportedOthers + 1 {
-		said := f.Announcements()
-		if len(said) > maxReportedOthers {
-			t.Errorf("%d limits in a message", len(said))
+		reports := f.Announcements()
+		if len(reports) > maxReportedOthers {
+			t.Errorf("%d limits in a message", len(reports))
 		}
-		for _, s := range said {
-			told[s.Upstream] = true
+		for _, s := range reports {
+			reported[s.Upstream] = true
 		}
 		f.now = f.now.Add(round)
 	}
-	if len(told) != limits {
-		t.Errorf("%d of %d limits were announced", len(told), limits)
+	if len(reported) != limits {
+		t.Errorf("%d of %d limits were reported", len(reported), limits)
 	}
 	f.RecordStatement(all[3], "r", LimitedTo(2))
-	news := false
+	changeReported := false
 	for _, s := range f.Announcements() {
-		news = news || s.Upstream == key(all[3]) && s.Rate == 2
+		changeReported = changeReported || s.Upstream == key(all[3]) && s.Rate == 2
 	}
-	if !news {
-		t.Error("a change is not announced at once")
+	if !changeReported {
+		t.Error("a change is not reported at once")
 	}
 }
 
@@ -307,7 +308,7 @@
 	}
 }
 
-// Guards against an upstream that counts as lacking although it accepts all its demand.
+// Guards against an unserved share of an upstream that accepts all its demand.
 func TestWhatAnUpstreamLacks(t *testing.T) {
 	f := newFixture()
 	f.RecordStatement(u, "r", LimitedTo(2))
@@ -317,45 +318,45 @@
 		f.Admit(u)
 	}
 	if got := f.UnservedShare(u); got < 0.95 || got > 0.99 {
-		t.Errorf("%v of the requests lacking at 2 of 100 a second", got)
+		t.Errorf("unserved share %v at 2 of 100 a second", got)
 	}
 	if f.UnservedShare("idle") != 0 || f.UnservedShare("unknown") != 0 {
-		t.Error("an upstream without demand counts as lacking")
+		t.Error("an upstream without demand has an unserved share")
 	}
 	f.RecordStatement(u, "r", Statement{})
 	if f.UnservedShare(u) != 0 {
-		t.Error("a lifted limit counts as lacking")
+		t.Error("a lifted limit leaves an unserved share")
 	}
 }
 
 // Guards against uses that are attributed to the wrong upstreams when they are sent without keys.
 func TestUsesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := LimitedSet{Hash: 7}
+		set := LimitedSet{Hash: 7}
 		uses := Uses{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "limits") {
-			o.Keys = append(o.Keys, uint32(3*i))
+			set.Keys = append(set.Keys, uint32(3*i))
 			if rapid.IntRange(0, 3).Draw(t, "used") == 0 {
 				uses[uint32(3*i)] = Use{Demand: float64(i + 1), Sent: 1}
 			}
 		}
-		c := uses.Columns(o)
-		got, known := c.Uses(o)
+		c := uses.Columns(set)
+		got, known := c.Uses(set)
 		if !known {
-			t.Fatalf("the columns %+v are not accepted for their own order", c)
+			t.Fatalf("the columns %+v are not accepted for their own set", c)
 		}
-		for _, key := range o.Keys {
+		for _, key := range set.Keys {
 			if got[key] != uses[key] {
 				t.Fatalf("%d: %+v, want %+v", key, got[key], uses[key])
 			}
 		}
-		if _, known := c.Uses(LimitedSet{Hash: 8, Keys: o.Keys}); known {
+		if _, known := c.Uses(LimitedSet{Hash: 8, Keys: set.Keys}); known {
 			t.Fatal("uses for another set of limits are accepted")
 		}
 		if len(c.Positions) > 0 {
-			c.Positions[0] = uint32(len(o.Keys))
-			if _, known := c.Uses(o); known {
-				t.Fatal("a position beyond the order is accepted")
+			c.Positions[0] = uint32(len(set.Keys))
+			if _, known := c.Uses(set); known {
+				t.Fatal("a position beyond the set is accepted")
 			}
 		}
 	})
@@ -451,7 +452,7 @@
 }
 
 // Guards against an upstream that accepted nothing for a while and never gets a request again: only
-// in an answer can it state that it accepts more.
+// in an answer can it announce that it accepts more.
 func TestAnUpstreamThatTakesNothingIsAskedNowAndThen(t *testing.T) {
 	for _, rate := range []float64{0, 1e-300, 0.01} {
 		f := newFixture()
--- a/internal/upstreamlimit/list.go
+++ b/internal/upstreamlimit/list.go
@@ -13,21 +13,21 @@
 	Upstream ident.Instance
 	// Rate is in requests per second.
 	Rate float64
-	// Age is the time since an answer last stated the limit, to any gateway. Answers is the number
+	// Age is the time since an answer last announced the limit, to any gateway. Answers is the number
 	// of answers that this gateway received from the upstream since it has known the limit.
 	Age     time.Duration
 	Answers int
 }
 
 // List returns the limits in force, sorted by upstream.
-func (k *Limiter) List() []Entry {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.cfg.Now()
+func (lim *Limiter) List() []Entry {
+	lim.mu.Lock()
+	defer lim.mu.Unlock()
+	now := lim.cfg.Now()
 	var out []Entry
-	for _, l := range k.limits {
+	for _, l := range lim.limits {
 		if l.limited {
-			out = append(out, Entry{Upstream: l.upstream, Rate: l.rate, Age: now.Sub(l.statedAt), Answers: l.answers})
+			out = append(out, Entry{Upstream: l.upstream, Rate: l.rate, Age: now.Sub(l.announcedAt), Answers: l.answers})
 		}
 	}
 	slices.SortFunc(out, func(a, b Entry) int { return cmp.Compare(a.Upstream, b.Upstream) })
--- a/internal/upstreamlimit/share.go
+++ b/internal/upstreamlimit/share.go
@@ -7,7 +7,7 @@
 
 const (
 	// minRate, in requests per second, is sent to an upstream even if its limit is lower: only in
-	// an answer can it state that it accepts more again.
+	// an answer can it announce that it accepts more again.
 	minRate = 0.2
 	// demandDecayTime and sentDecayTime are the times over which the counts of demand and of sent
 	// requests decay by a factor of e.
@@ -72,16 +72,16 @@
 }
 
 // decay lets the counts decay up to now.
-func (u *traffic) decay(now time.Time) {
-	elapsed := now.Sub(u.decayedAt).Seconds()
+func (t *traffic) decay(now time.Time) {
+	elapsed := now.Sub(t.decayedAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	u.delayedDemand += (u.demand - u.delayedDemand) * (1 - math.Exp(-elapsed/reportLag.Seconds()))
-	u.demand *= math.Exp(-elapsed / demandDecayTime.Seconds())
-	u.recentDemand *= math.Exp(-elapsed / recentDecayTime.Seconds())
-	u.sent *= math.Exp(-elapsed / sentDecayTime.Seconds())
-	u.decayedAt = now
+	t.delayedDemand += (t.demand - t.delayedDemand) * (1 - math.Exp(-elapsed/reportLag.Seconds()))
+	t.demand *= math.Exp(-elapsed / demandDecayTime.Seconds())
+	t.recentDemand *= math.Exp(-elapsed / recentDecayTime.Seconds())
+	t.sent *= math.Exp(-elapsed / sentDecayTime.Seconds())
+	t.decayedAt = now
 }
 
 // allowedRate returns how many requests per second all gateways together may send.
--- a/internal/upstreamlimit/statement.go
+++ b/internal/upstreamlimit/statement.go
@@ -1,5 +1,5 @@
-// Package upstreamlimit keeps all gateways together within the request rates that overloaded
-// upstreams state in their answers.
+// Package upstreamlimit keeps all gateways together within the rate limits that overloaded upstreams
+// announce in their answers.
 package upstreamlimit
 
 // Kind tells what an answer says about its upstream's limit.
@@ -7,17 +7,17 @@
 
 // Kinds of statements.
 const (
-	// Unlimited: the answer states no limit.
+	// Unlimited: the answer announces no limit.
 	Unlimited Kind = iota
-	// Limited: the answer states a rate.
+	// Limited: the answer announces a rate.
 	Limited
-	// Unreadable: the answer states something that is not a rate. It changes nothing: there may be
-	// a limit or none.
+	// Unreadable: the answer announces something that is not a rate. Such an answer changes
+	// nothing: there may be a limit or none.
 	Unreadable
 )
 
-// maxRate, in requests per second, is more than any upstream serves. A higher stated rate counts as
-// this one.
+// maxRate, in requests per second, is more than any upstream serves. A higher rate that an
+// upstream announces counts as this one.
 const maxRate = 1e6
 
 // Statement is what one answer says about its upstream's limit.
@@ -27,7 +27,7 @@
 	// together.
 	Rate float64
 	// Problem describes what could not be read. It may be set even if another part of the answer
-	// states a rate.
+	// announces a rate.
 	Problem string
 }
 
