--- a/internal/cacheview/cacheview.go
+++ b/internal/cacheview/cacheview.go
@@ -77,8 +77,8 @@
 	return &View{params: p, createdAt: now, sets: sets, words: make([]atomic.Uint64, sets*ways)}
 }
 
-// LastSequence returns the sequence number of the newest event that was applied. Only
-// events with higher numbers are needed.
+// LastSequence returns the sequence number of the newest event that was applied. Apply
+// ignores events with this number or a lower one.
 func (v *View) LastSequence() uint64 { return v.lastSequence.Load() }
 
 // Apply applies events, which must be in order. A gap in their sequence numbers
@@ -102,8 +102,8 @@
 	}
 }
 
-// Placed records that this gateway sends a prompt with these blocks, which the
-// upstream will then hold.
+// Placed records that this gateway sends a prompt with these blocks to the upstream,
+// which will then hold them.
 func (v *View) Placed(blocks []uint64, now time.Time) {
 	for _, b := range blocks {
 		v.confirm(b, now)
@@ -163,7 +163,6 @@
 func fingerprint(block uint64) uint64 { return block>>stampBits | 1 }
 
 // findWord returns the word of a block, and whether the block is in the table.
-
 func (v *View) findWord(block uint64) (word uint64, ok bool) {
 	set := v.setOf(block)
 	for i := range set {
@@ -206,7 +205,6 @@
 }
 
 // remove removes a block, if it is in the table.
-
 func (v *View) remove(block uint64) {
 	set := v.setOf(block)
 	for i := range set {
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -78,8 +78,9 @@
 
 // Sample is the observation of one request at an engine.
 type Sample struct {
-	// How many prompt tokens the engine was believed to have to read: for the request itself,
-	// and for the requests that were there before and had no first event.
+	// OwnTokens is how many prompt tokens the engine was believed to have to read for the
+	// request itself, and TokensAhead the same for the requests that were there before and had
+	// no first event.
 	OwnTokens, TokensAhead float64
 	// Running is how many requests were in progress there before.
 	Running float64
@@ -193,13 +194,13 @@
 	}
 }
 
-// Estimate are the fitted coefficients of the model of a service's engines.
+// Estimate holds the fitted coefficients of the model of a service's engines.
 type Estimate struct {
 	// Base is the time to the first event at an idle engine without reading the prompt.
 	Base time.Duration
-	// The time to read one prompt token, in seconds, and how much later a first event arrives
-	// for each token of other requests that was to be read before, also in seconds. The latter
-	// is less than the former if the view of the other gateways' work is old.
+	// SecondsPerToken is the time to read one prompt token. SecondsPerTokenAhead is how much
+	// later a first event arrives for each token of other requests that is to be read before. It
+	// is less than SecondsPerToken if the view of the other gateways' work is old.
 	SecondsPerToken, SecondsPerTokenAhead float64
 	// SecondsPerRunning is how much later a first event arrives for each request in progress, in
 	// seconds.
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -13,7 +13,6 @@
 type engine struct{ rate, base, running float64 }
 
 // first returns the time to a first event, in seconds.
-
 func (e engine) first(own, ahead, running float64) float64 {
 	return e.base + (own+ahead)/e.rate + running*e.running
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -90,8 +90,8 @@
 
 	// answerBegan: a part of the answer was delivered.
 	answerBegan bool
-	// lastEvent is the ID of the last delivered event, or the ID from the call until one
-	// with an ID is delivered.
+	// lastEvent is the ID of the last delivered event that has one. Until such an event is
+	// delivered, it is the call's LastEventID.
 	lastEvent string
 	// lastPartAt is when events were delivered last.
 	lastPartAt time.Time
@@ -107,13 +107,13 @@
 	buffered *bufferedAnswer
 	// reason is why the last failed attempt failed, or why no further one is made.
 	reason string
-	// onlyLimits: the last choice found no upstream only because of the request rates
-	// that upstreams stated.
+	// onlyLimits: the last choice found no upstream only because of the rate limits that
+	// upstreams announced.
 	onlyLimits bool
 	// upstreamCrashed: an upstream crashed while it had the call. The timer of an attempt
 	// reads it too.
 	upstreamCrashed atomic.Bool
-	// barredFor is the retry-after time of a barred call; 0 if it is not barred.
+	// barredFor is the retry-after time of a barred call; 0 if the call is not barred.
 	barredFor time.Duration
 }
 
@@ -267,10 +267,11 @@
 }
 
 // countsAsStarted reports whether a failed exchange counts for usage as a request that
-// began to run: it was sent, and the upstream or its crash broke the connection off.
-// Without these, usage would lack the runs whose answers were lost. An upstream may also
-// have closed an idle connection at that very moment, but that is far rarer. An exchange
-// that stayed silent does not count: the request may just as well never have arrived.
+// began to run: it was sent, and the upstream or its crash broke the connection off. If
+// such exchanges did not count, usage would lack the runs whose answers were lost. An
+// upstream may also have closed an idle connection at the very moment of sending, but that
+// is far rarer. An exchange that stayed silent does not count: the request may just as well
+// never have arrived.
 func countsAsStarted(failure *httpconn.Failure) bool {
 	return failure.MaybeSent && !errors.Is(failure, errSilent) && !errors.Is(failure, errExpired)
 }
--- a/internal/forward/poison.go
+++ b/internal/forward/poison.go
@@ -12,7 +12,7 @@
 )
 
 // probeTimeout bounds the probe of an upstream that broke an answer off. A host whose
-// process has ended refuses connections at once; one that is cut off does not respond.
+// process has ended refuses connections at once; a host that is cut off does not respond.
 const probeTimeout = 100 * time.Millisecond
 
 // processEnded probes whether the upstream's process has ended, and not just one of its
@@ -41,8 +41,8 @@
 
 // waitForAdmission waits until the guard decides, and reports whether the call may be sent
 // and which upstreams it should avoid. A poison request arrives at every gateway under new
-// IDs, so that each arrival by itself looks like the first; the hash of its content links
-// them.
+// IDs, so that each arrival by itself looks like the first; the hash of the content shows
+// that they are the same request.
 func (s *session) waitForAdmission() (avoid []ident.Instance, ok bool) {
 	start := s.f.cfg.Now()
 	for s.call.KnownTo(s.f.cfg.Guard) {
@@ -61,8 +61,8 @@
 // BarredReason is the reason that callers are given for a barred request.
 const BarredReason = "upstreams end under this request"
 
-// chooseAvoiding reserves a slot at an upstream that is not in avoid. If none of these
-// accepts work, it falls back to chooseOrWait, which may return one in avoid.
+// chooseAvoiding reserves a slot at an upstream that is not in avoid. If no such upstream
+// accepts work, it falls back to chooseOrWait, which may choose an upstream in avoid.
 func (s *session) chooseAvoiding(avoid []ident.Instance) (Choice, bool) {
 	if len(avoid) > 0 {
 		exclude := append(slices.Clone(s.state.Tried), avoid...)
--- a/internal/forward/state.go
+++ b/internal/forward/state.go
@@ -88,7 +88,8 @@
 	route *routetable.Route
 	// possibleRuns counts the attempts in which the request may have run.
 	possibleRuns int
-	// unsent and rejected count the attempts in which it did not run.
+	// unsent counts the attempts that reached no upstream, and rejected those that an
+	// upstream rejected. The request did not run in either.
 	unsent, rejected int
 	// Tried lists the upstreams of all attempts in order.
 	Tried []ident.Instance
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -38,8 +38,9 @@
 	return t
 }
 
-// silentGapFactor times the route's objective for the pause between two events is the pause
-// after which a stream counts as silent. The users' callers go away after eight times it.
+// silentGapFactor is the multiple of the route's gap objective (the longest pause between two
+// events that is on time) after which a stream counts as silent. The users' callers go away
+// after eight times the objective.
 const silentGapFactor = 3
 
 // reset restarts the timer after an event was received.
@@ -88,8 +89,8 @@
 	}
 }
 
-// streamEnd completes a stream that the upstream completed. Bytes after the last whole
-// event are a part of the body, too, and are delivered.
+// streamEnd completes a stream that the upstream completed. It also delivers the bytes after
+// the last whole event, which are a part of the body.
 func (s *session) streamEnd(answer *httpconn.Answer, scanner *eventScanner) Result {
 	if len(scanner.pending) > 0 && !s.deliver(answer, scanner.pending) {
 		return CallerGone
--- a/internal/forward/stream_test.go
+++ b/internal/forward/stream_test.go
@@ -11,7 +11,7 @@
 func (acceptingCaller) Part([]byte) error { return nil }
 
 // Guards against a stream that pauses for a second without any trace in the log: its time
-// to the first event and its whole duration look normal.
+// to the first event and its whole duration look normal, so the longest pause is logged.
 func TestTheLongestPauseOfAStreamIsKnown(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := &session{f: &Forwarder{cfg: Config{Now: func() time.Time { return now }}}, caller: acceptingCaller{}, answerBegan: true, lastPartAt: now}
--- a/internal/forward/types.go
+++ b/internal/forward/types.go
@@ -38,7 +38,7 @@
 
 	// Parts lists the prompt's parts in order; the last belongs to this request alone.
 	Parts []PromptPart
-	// PromptTokens is the prompt's size, and MostTokens the largest size of the answer;
+	// PromptTokens is the prompt's size, and MaxTokens the largest size of the answer;
 	// both are 0 if the caller did not declare them.
 	PromptTokens, MaxTokens int
 	// LastEventID is the ID of the event after which the caller wants its stream to
@@ -74,13 +74,13 @@
 type AnswerInfo struct {
 	// NotRun: the upstream did not run the request and never will.
 	NotRun bool
-	// Genuine: the answer carries the upstream's signature.
+	// Signed: the answer carries the upstream's signature.
 	Signed bool
 	// Stream: the body is a stream of server-sent events.
 	Stream bool
-	// Other: the answer came from another upstream than the request was meant for.
+	// FromOtherUpstream: the answer came from another upstream than the request was meant for.
 	FromOtherUpstream bool
-	// Limit is what the answer states about the request rate that its upstream accepts.
+	// Limit is what the answer says about its upstream's rate limit.
 	Limit upstreamlimit.Statement
 }
 
@@ -101,15 +101,15 @@
 	// MaxConnections is how many connections this gateway may open to the upstream.
 	MaxConnections int
 	// SilenceTimeout is the time within which nearly all attempts receive an answer, or a
-	// stream's first event. An attempt that is silent for longer is taken for stuck; 0
-	// or less if unknown.
+	// stream's first event; 0 or less if unknown. An attempt that is silent for longer is
+	// taken for stuck.
 	SilenceTimeout time.Duration
 	// Why names the reason of the choice, for the log.
 	Why string
-	// AtLimit lists the upstreams that were preferable but have reached the request rate
-	// that they stated. It may be set where no upstream was found.
+	// AtLimit lists the upstreams that were preferable but have reached the rate limit that
+	// they announced. It may be set where no upstream was found.
 	AtLimit []ident.Instance
-	// OnlyLimits: no upstream was found, and only such limits prevented it.
+	// OnlyLimits: no upstream was found, and only rate limits prevented it.
 	OnlyLimits bool
 	// Reservation is the reserved slot, which Placement.Finished releases.
 	Reservation any
@@ -135,8 +135,8 @@
 // upstreams. It is safe for concurrent use.
 type Guard interface {
 	KnownPoison
-	// Admit decides whether a request that has waited for this long is sent, waits on or
-	// is barred.
+	// Admit decides whether a request that has waited for this long is sent, goes on
+	// waiting or is barred.
 	Admit(content ident.ContentHash, waited time.Duration) poison.Decision
 	// Started records that a request is sent to an upstream. The caller must call ended
 	// when the attempt is over.
@@ -149,9 +149,9 @@
 	Completed(content ident.ContentHash)
 }
 
-// Limits keeps the request rates that upstreams state in their answers.
+// Limits records the rate limits that upstreams announce in their answers.
 type Limits interface {
-	// RecordStatement records what an upstream's answer to a request states.
+	// RecordStatement records what an upstream's answer to a request says about its limit.
 	RecordStatement(upstream ident.Instance, id ident.Request, s upstreamlimit.Statement)
 }
 
@@ -212,7 +212,7 @@
 	Events int
 	// LongestPause is the longest time between two consecutive deliveries of events.
 	LongestPause time.Duration
-	// AtLimit lists the upstreams that were passed over in the last choice that passed
-	// over any, because they have reached the request rate that they stated.
+	// AtLimit lists the upstreams that were passed over because they had reached the rate
+	// limit that they announced, as of the last choice that passed over any.
 	AtLimit []ident.Instance
 }
--- a/internal/httpconn/exchange.go
+++ b/internal/httpconn/exchange.go
@@ -35,7 +35,7 @@
 	// readBufferBytes holds an answer's header and several events.
 	readBufferBytes = 4 << 10
 	// maxUnmatchedAnswers is how many answers to other requests are skipped on
-	// a connection before it is given up. At most one late answer can be
+	// a connection before the connection is closed. At most one late answer can be
 	// outstanding; a second one shows that requests and answers on the
 	// connection no longer match.
 	maxUnmatchedAnswers = 2
@@ -49,7 +49,7 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// IsAnswer reports whether an answer with this header is the one to this
+	// IsAnswer reports whether an answer with the given header belongs to this
 	// request. Nil accepts every answer.
 	IsAnswer func(http.Header) bool
 	// BeforeSend is called once a connection is available, right before the first
@@ -310,8 +310,8 @@
 const defaultIdleTimeout = 400 * time.Millisecond
 
 // keepAliveTime returns how long an idle connection may be reused. Upstreams
-// state their limit in whole seconds in the Keep-Alive header; if there is
-// none, the limit may be under a second and unstated is returned.
+// state their limit in whole seconds in the Keep-Alive header. Without the
+// header the limit may be under a second, and unstated is returned.
 func keepAliveTime(header http.Header, unstated time.Duration) time.Duration {
 	const (
 		parameter = "timeout="
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -94,9 +94,10 @@
 	}
 }
 
-// Failure: another request is sent in place of the rest of a long body. The
-// upstream answers before it has read the body and keeps the connection, which
-// is then reused although the request was not written whole.
+// Guards against another request being sent in place of the rest of a long body.
+// The upstream answers before it has read the body and keeps the connection
+// open; the connection must not be reused, because the request was not written
+// whole.
 func TestAnEarlyAnswerToALongBody(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,8 +136,8 @@
 	}
 }
 
-// Failure: an upstream goes on working on a request that was cancelled, because
-// its connection stays open.
+// Guards against an upstream that goes on working on a request that was
+// cancelled, because its connection stays open.
 func TestAnEndedContextClosesTheConnection(t *testing.T) {
 	w := worker.New(t, "u")
 	began, gone := make(chan struct{}), make(chan bool, 1)
--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -26,8 +26,8 @@
 const dialTimeout = 350 * time.Millisecond
 
 // Counters count the events of a pool since its start. Reuses are requests sent
-// over an idle connection, Discards are closed connections, and Strays are
-// those of them that had received answers to other requests.
+// over an idle connection, Discards are closed connections, and ClosedUnmatched
+// are closed connections that had received answers to other requests.
 type Counters struct {
 	Dials, DialFailures, Reuses, Discards, ClosedUnmatched int64
 }
@@ -137,9 +137,9 @@
 
 // Refuses reports whether the upstream's address refuses a new connection:
 // nothing listens there, as after the end of the upstream's process. It returns
-// false if the connection succeeds, which is then kept for reuse, and if the
-// attempt fails in another way or does not end before ctx, which proves
-// nothing.
+// false if a connection is made, which is then kept for reuse. It also returns
+// false if the attempt fails in another way or does not end before ctx, because
+// that does not show that the process has ended.
 func (p *Pool) Refuses(ctx context.Context, target Target) bool {
 	p.mu.Lock()
 	h := p.host(target.ID)
@@ -216,7 +216,7 @@
 // side has not acknowledged, for minutes. A request or an order that was
 // abandoned while a link was cut would then arrive once the link works again
 // (seen 5.6 s late), after its caller was answered or after the orders of a
-// later lease holder. The cost of a reset: the other side may lose data that it
+// later holder of the lease. The cost of a reset: the other side may lose data that it
 // has received and not read, which is of no use to anyone, and a reset that is
 // lost on the way is not repeated until the other side writes.
 func (c *conn) reset() {
--- a/internal/httpconn/reset_test.go
+++ b/internal/httpconn/reset_test.go
@@ -11,9 +11,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// Failure: an order is executed 5.6 s after its sender abandoned it, although a
-// newer order of another sender was executed meanwhile; or a request starts to
-// run long after its caller was answered. A link is cut; an exchange over it is
+// Guards against an order that is executed 5.6 s after its sender abandoned it,
+// although a newer order of another sender was executed meanwhile, and against a
+// request that starts to run long after its caller was answered. A link is cut; an exchange over it is
 // begun and abandoned; the link works again. After an orderly close, the kernel
 // keeps retransmitting the unsent data. If conn.reset only closed the
 // connection, the request would run here, which shows that the relay reproduces
--- a/internal/ingress/idle.go
+++ b/internal/ingress/idle.go
@@ -27,7 +27,8 @@
 	arriving bool
 	// serving: a handler is answering a request.
 	serving bool
-	// closed: the connection was closed while idle, and bytes read afterwards are dropped.
+	// closed: the connection was closed while idle. Bytes that are read afterwards are
+	// dropped.
 	closed bool
 	// idleSince is when the last request ended, or when the connection was accepted.
 	idleSince time.Time
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -29,16 +29,16 @@
 // Parsed holds what a request's headers state.
 type Parsed struct {
 	ID ident.Request
-	// Key is the key of the client account; empty if there is none.
+	// Key is the key of the client account; empty if the request has none.
 	Key string
 	// Deadline is how long the caller waits for the answer; 0 if it did not state that.
 	Deadline time.Duration
 	// LastEventID is the ID of the event after which the caller wants its stream to
 	// resume; empty for the whole stream.
 	LastEventID string
-	// Declared: the request declares its tokens.
+	// TokensDeclared: the request declares its tokens.
 	TokensDeclared bool
-	// PromptTokens is the prompt's size, and MostTokens the largest size of the answer;
+	// PromptTokens is the prompt's size, and MaxTokens the largest size of the answer;
 	// both are 0 if not declared.
 	PromptTokens, MaxTokens int
 	// Parts lists the prompt's parts in order.
@@ -55,8 +55,8 @@
 
 // Quota enforces the accounts' rate limits over all gateways.
 type Quota interface {
-	// Admit takes a cost out of an account's limit, or returns after how long it may be
-	// available.
+	// Admit takes a cost out of an account's limit, or refuses the request with a
+	// retry-after time.
 	Admit(account *routetable.Account, cost float64, now time.Time) quota.Decision
 }
 
@@ -100,8 +100,8 @@
 	// of them would cost processor time and explain nothing. Other outcomes are always
 	// logged.
 	loggedSuccessesPerSecond = 50
-	// retryAfterShortage is the retry-after time where the same gateway may serve the
-	// request soon: it lacks memory or has no configuration yet.
+	// retryAfterShortage is the retry-after time where this gateway lacks memory or has no
+	// configuration yet, so that it may serve the request soon.
 	retryAfterShortage = 500 * time.Millisecond
 	// retryAtOnce is the retry-after time where another gateway can serve the request at
 	// once.
@@ -154,8 +154,9 @@
 	s.leaving.Store(&leaveDeadlines{streamsUntil: streamsUntil, closing: closing})
 }
 
-// leaveDeadlines tells until when a leaving server accepts requests: streams until
-// streamsUntil, and others until then too, or as long as their timeout ends before closing.
+// leaveDeadlines tells until when a leaving server accepts requests. All are accepted until
+// streamsUntil; after that, those that are not streams are accepted as long as their timeout
+// ends before closing.
 type leaveDeadlines struct {
 	streamsUntil, closing time.Time
 }
@@ -182,8 +183,8 @@
 // Close closes the listener and all connections at once.
 func (s *Server) Close() error { return s.http.Close() }
 
-// SweepIdle closes connections that were idle for longer than the limit in force and than
-// those that were in force while they were idle. It must be called regularly.
+// SweepIdle closes the connections that were idle for longer than the idle limit in force
+// and than every limit that was in force while they were idle. It must be called regularly.
 func (s *Server) SweepIdle() {
 	limit := time.Duration(0)
 	if table := s.cfg.Table(); table != nil {
@@ -198,7 +199,7 @@
 	defer s.active.Add(-1)
 	caller := &caller{w: w, control: http.NewResponseController(w)}
 	if s.leaving.Load() != nil || len(r.TransferEncoding) > 0 {
-		// net/http drops a Content-Length that stands beside a chunked body. A proxy
+		// net/http drops the Content-Length of a request with a chunked body. A proxy
 		// before us that went by that length would take the rest of the body for a second
 		// request (request smuggling), so nothing more is read on this connection.
 		w.Header().Set("Connection", "close")
@@ -325,8 +326,8 @@
 	if s.bodyBytes.Load()+max(r.ContentLength, 0) > s.cfg.BodyBudget {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "too many bodies are in memory", retryAfter: retryAfterShortage}
 	}
-	// The error is ignored: all connections of net/http support deadlines, and without
-	// one only a caller that sends nothing would go unnoticed.
+	// The error is ignored: all connections of net/http support deadlines. Without a
+	// deadline, the only harm would be that a caller that sends nothing goes unnoticed.
 	_ = control.SetReadDeadline(time.Now().Add(call.Remaining(call.Received)))
 	body, err := readAll(r, limit)
 	_ = control.SetReadDeadline(time.Time{})
--- a/internal/upstreamlimit/limiter_test.go
+++ b/internal/upstreamlimit/limiter_test.go
@@ -138,7 +138,7 @@
 	f.now = f.now.Add(2 * unlistedRetention)
 	f.applyList()
 	if f.AnyLimited() {
-		t.Error("limits of upstreams that are not listed any more are not dropped")
+		t.Error("limits of upstreams that are not listed any more were not dropped")
 	}
 }
 
