--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -19,17 +19,18 @@
 
 const (
 	// rateAveragingTime is the time over which rates are averaged. It spans a few requests at each
-	// gateway and is short compared with a surge of an account.
+	// gateway and is short compared with a load spike of an account.
 	rateAveragingTime = 2 * time.Second
-	// minRetryAfter and maxRetryAfter bound the retry time that a refused caller is given.
+	// minRetryAfter and maxRetryAfter bound the retry-after time that a refused caller is given.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 	// minFillRate, per second, is the refill rate below which this gateway's share counts as
 	// unknown, because its callers have only begun to send requests.
 	minFillRate = 1e-6
 	// startupPeriod is the time after its start in which a gateway knows few of the others and
-	// admits only a small share of the limits. A caller that is refused then is told to return
-	// within startupMaxRetryAfter: after two rounds of reports the gateway knows all others.
+	// admits only a small share of the limits. A caller that is refused then is given a retry-after
+	// time of at most startupMaxRetryAfter: after two rounds of reports the gateway knows all
+	// others.
 	startupPeriod        = time.Second
 	startupMaxRetryAfter = 300 * time.Millisecond
 )
@@ -49,8 +50,8 @@
 // The rest covers what gateways admit before they hear of each other.
 //
 // overdraftToleranceShare is the share by which all gateways together may overdraw the bucket, one
-// request each. They seldom all do so at once, and then by half a request on average, so the shares
-// may add up to more than 1.
+// request each. The three shares may add up to more than 1, because the gateways seldom all overdraw
+// at once, and each of them then does so by half a request on average.
 const (
 	burstToleranceShare     = 0.25
 	rateToleranceShare      = 0.35
@@ -64,7 +65,7 @@
 	// A request that costs at most smallRequestBurstShare of the burst costs next to nothing. It is
 	// admitted even if the bucket is overdrawn, as long as the overdraft is below
 	// smallRequestMaxOverdraft of the burst. Without this rule a posting of 200 tokens is refused
-	// because a draft took 20,000: two in a hundred postings and status reads were. A sixth of a
+	// because a draft took 20,000: two in a hundred postings and status reads were refused so. A sixth of a
 	// busy account's requests are that small, and they cost a fiftieth of its tokens.
 	smallRequestBurstShare   = 0.003
 	smallRequestMaxOverdraft = 0.25
@@ -74,12 +75,11 @@
 // before the start is unknown, and all gateways may have started at once.
 const initialFillShare = 0.25
 
-// OtherGateways holds the other gateways' reports on one account. Their totals count from the start of
-// their sources.
+// OtherGateways holds the other gateways' reports on one account.
 type OtherGateways struct {
 	// Known counts the gateways that may admit requests, without this one.
 	Known int
-	// Reports are those of the gateways that are heard. Each has a different Name.
+	// Reports are the latest reports of the gateways that are heard. Each has a different Name.
 	Reports []Report
 }
 
@@ -116,9 +116,9 @@
 	level float64
 	// shareLevel is the content of this gateway's share of the bucket. It decides while demand
 	// exceeds the rate. If the whole bucket decided then, all gateways would spend the same refill,
-	// find the bucket overdrawn when they hear of each other, and refuse everything for half a
-	// second at a time, postings that cost next to nothing included (half of those were refused at
-	// four times the limit with nine gateways; with shares, one in twelve at most).
+	// find the bucket overdrawn when they receive each other's reports, and refuse everything for
+	// half a second at a time, postings that cost next to nothing included (half of those were
+	// refused at four times the limit with nine gateways; with shares, one in twelve at most).
 	shareLevel float64
 	// filledAt is the time up to which the bucket was refilled.
 	filledAt time.Time
@@ -185,7 +185,7 @@
 // Decision tells whether a request is admitted, and the values that decided it.
 type Decision struct {
 	OK bool
-	// RetryAfter is the time after which a refused request may be admitted.
+	// RetryAfter is the retry-after time of a refused request.
 	RetryAfter time.Duration
 	// Level is the content of the bucket, or of this gateway's share of it. Need is the content
 	// that the request needs.
@@ -233,15 +233,15 @@
 // refills.
 func (l *Limiter) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
 	if rate < minFillRate {
-		// This gateway's share is known after the next report.
+		// The share of this gateway will be known after the next report.
 		return minRetryAfter
 	}
-	most := maxRetryAfter
+	longest := maxRetryAfter
 	if now.Sub(l.started) < startupPeriod && d.Heard < d.Known {
-		most = startupMaxRetryAfter
+		longest = startupMaxRetryAfter
 	}
 	// The bound is applied in seconds: at a small rate the time overflows a time.Duration.
-	seconds := min((d.Need-d.Level)/rate, most.Seconds())
+	seconds := min((d.Need-d.Level)/rate, longest.Seconds())
 	return max(time.Duration(seconds*float64(time.Second)), minRetryAfter)
 }
 
@@ -256,8 +256,8 @@
 	othersSpendingRate float64
 	// totalDemand is the cost requested per second at all gateways that are heard.
 	totalDemand float64
-	// share is this gateway's fraction of the total demand while that exceeds the rate, otherwise
-	// 1.
+	// share is this gateway's fraction of the total demand while the total demand exceeds the
+	// rate, otherwise 1.
 	share float64
 }
 
@@ -298,8 +298,8 @@
 	return sum / time.Duration(max(1, gateways))
 }
 
-// ApplyReports applies the other gateways' reports to the accounts with the given limits. Call it with
-// every round of reports: then other gateways' spending is deducted in small steps, and Admit
+// ApplyReports applies the other gateways' reports to the accounts with the given limits. Call it
+// with every round of reports: then other gateways' spending is deducted in small steps, and Admit
 // doesn't have to go through the reports.
 func (l *Limiter) ApplyReports(limits []routetable.Account, now time.Time) {
 	l.mu.Lock()
@@ -368,18 +368,18 @@
 	a.updateShare()
 }
 
-// scaleOverdraft adapts the overdraft when the number of gateways that share the bucket changes,
-// because the gateways' overdrafts add up. Otherwise, after all gateways were killed, what they
-// overdrew before they heard each other would be forgotten when they do, and they would overdraw
-// again.
+// scaleOverdraft scales the overdraft when the number of gateways that share the bucket changes,
+// because the gateways' overdrafts add up. Otherwise, after all gateways were killed and restarted,
+// each would drop the others' overdrafts from the time before they heard each other, and all would
+// overdraw again.
 func (a *account) scaleOverdraft(heardBefore int) {
 	if heardBefore > 0 && a.level < 0 {
 		a.level *= float64(a.heard) / float64(heardBefore)
 	}
 }
 
-// updateShare sets this gateway's share to its fraction of the total demand while that exceeds the
-// rate, otherwise to 1.
+// updateShare sets this gateway's share to its fraction of the total demand while the total demand
+// exceeds the rate, otherwise to 1.
 func (a *account) updateShare() {
 	share := 1.0
 	if a.totalDemand > a.rate {
@@ -411,10 +411,10 @@
 	return excess
 }
 
-// demandRate returns the cost requested per second at the group's gateways. As long as it is
+// demandRate returns the cost requested per second at the group's gateways. As long as the demand is
 // unknown, each of them is assumed to have the same demand as this gateway, ownRate. If unknown
-// demand counted as zero, then after all gateways were killed, each would take the whole refill as
-// its share at the moment in which they hear each other again.
+// demand counted as zero, then after all gateways were killed and restarted, each would take the
+// whole refill as its share at the moment in which they hear each other again.
 func (g *groupUsage) demandRate(r *Report, ownRate float64) float64 {
 	if !g.demand.known {
 		return ownRate * float64(r.Gateways)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -276,9 +276,9 @@
 	f.checkLimit(t)
 }
 
-// Guards against an account that gets more than its limit because all gateways take the whole
-// refill when they hear each other again after all were killed: none of them knows yet what the
-// others are asked for.
+// Guards against an account that gets more than its limit because each gateway takes the whole
+// refill when the gateways hear each other again after all were killed: none of them knows the
+// others' demand yet.
 func TestAllGatewaysStartAgainInASurge(t *testing.T) {
 	for _, c := range []struct {
 		gateways    int
@@ -339,7 +339,7 @@
 		if least, most := min(served[960], served[16_000]), max(served[960], served[16_000]); least < 0.75*most {
 			t.Errorf("large and small requests are not served about equally often: %v", served)
 		}
-		// All gateways know of the surge two rounds of reports after it began.
+		// All gateways know of the load spike two rounds of reports after it began.
 		if longest > 600*time.Millisecond {
 			t.Errorf("nothing but the smallest is served for %v", longest)
 		}
@@ -387,10 +387,10 @@
 	return served, longest
 }
 
-// Guards against a caller that could be served within its objective but is told to return after 1.5
-// s, too late. All gateways restart, and one that has heard none of the others has a small share of
-// the limit. The test fails when the retry time is computed from that share, which lasts only for
-// two rounds of reports.
+// Guards against a caller that could be served within its objective but is given a retry-after time
+// of 1.5 s, which is too long. All gateways restart, and a gateway that has heard none of the others
+// has a small share of the limit. The test fails when the retry-after time is computed from that
+// share, which lasts only for two rounds of reports.
 func TestAfterAStartCallersReturnWhenTheOthersAreKnown(t *testing.T) {
 	f := newFleet(1, 57_000)
 	g := f.gateways[0]
@@ -410,7 +410,7 @@
 	}
 }
 
-// Guards against a meaningless retry time. An account requests many times its limit through other
+// Guards against a meaningless retry-after time. An account requests many times its limit through other
 // gateways, and its first request reaches this one, whose share is unknown yet or next to zero. The
 // test fails when the computed time overflows a time.Duration.
 func TestRetryTimeOfATinyShare(t *testing.T) {
@@ -465,8 +465,8 @@
 }
 
 // Guards against refusing one request in five far below the limit at 90 gateways that hear of each
-// other every few seconds. The test fails when the spending that others have probably had since
-// their reports is deducted from a bucket that was full only because it hadn't been deducted
+// other every few seconds. The test fails when the estimated spending of the others since their
+// reports is deducted from a bucket that was full only because that spending hadn't been deducted
 // before.
 func TestNobodyIsRefusedFarBelowTheLimitAtManyGateways(t *testing.T) {
 	f, even := newSparseFleet(160_000, 11)
@@ -487,10 +487,11 @@
 	checkSpikes(t, 61, 540_000, 8)
 }
 
-// Guards against a large account of 90 gateways that gets 1.1 % more than its limit allows in a
-// surge as above, at gateways that hear of each other every 2.8 seconds. The test fails when the
-// gateways hear of each other too seldom: each knows the surge only by its own callers until the
-// others' reports arrive, and admits as if the others' callers still requested as little as before.
+// Guards against a large account of 90 gateways that gets 1.1 % more than its limit allows in a load
+// spike as above, at gateways that hear of each other every 2.8 seconds. The test fails when the
+// gateways hear of each other too seldom: each knows the load spike only by its own callers until
+// the others' reports arrive, and admits as if the others' callers still requested as little as
+// before.
 func TestASurgeOfALargeAccountOfNinetyGateways(t *testing.T) {
 	checkSpikes(t, 90, 466_000, 6)
 }
@@ -499,7 +500,7 @@
 // requests several times as much at once. Each gateway hears one sum of all others, with the delay
 // that the collectors add. The test fails when reports get older with the number of gateways.
 //
-// Larger surges of larger accounts still exceed the limit (by 7 % at 195 gateways and seven times
+// Larger load spikes of larger accounts still exceed the limit (by 7 % at 195 gateways and seven times
 // 900,000 tokens a second): all gateways admit at once what each of them has saved up for one
 // request.
 func TestASurgeOfAnAccountOfHundredsOfGateways(t *testing.T) {
@@ -525,8 +526,8 @@
 	}
 }
 
-// checkSpikes runs surges of an account at gateways that each hear another one in one of so many
-// rounds on average.
+// checkSpikes runs load spikes of an account at gateways that each hear another one in one of so
+// many rounds on average.
 func checkSpikes(t *testing.T, gateways int, rate float64, rounds int) {
 	t.Helper()
 	for seed := range uint64(5) {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,7 +1,7 @@
 // Package retry decides when a request may be attempted again: only within a budget that rules out
 // retry storms, after a backoff, and only if a second attempt can do no harm. Hedges (a second
-// attempt while the first still runs) are paid from the same budget. Callers pass the time in;
-// nothing here waits.
+// attempt while the first still runs) are taken from the same retry budget. Callers pass the time
+// in; nothing here waits.
 package retry
 
 import (
@@ -27,7 +27,7 @@
 	// Floor is the number of extra attempts per second that are allowed even without first
 	// attempts, so that a service with few requests can retry at all.
 	Floor float64
-	// MaxStored bounds the extra attempts that are saved up while none are made.
+	// MaxStored bounds the extra attempts that add up in the budget while none are made.
 	MaxStored float64
 }
 
@@ -47,8 +47,8 @@
 // Budget limits the retries and hedges of one service at one gateway.
 //
 // From the budget's creation on, after f first attempts and t seconds, there are at most Ratio*f +
-// Floor*t + MostStored extra attempts, whatever fails in whatever order. All attempts together are
-// then at most (1+Ratio)*f + Floor*t + MostStored. A Budget is safe for concurrent use.
+// Floor*t + MaxStored extra attempts, whatever fails in whatever order. All attempts together are
+// then at most (1+Ratio)*f + Floor*t + MaxStored. A Budget is safe for concurrent use.
 type Budget struct {
 	perFirstAttempt int64
 	perSecond       int64
@@ -107,7 +107,7 @@
 	}
 	paid := int64(float64(b.perSecond) * elapsed.Seconds())
 	if paid == 0 {
-		// The time is too short for a whole unit, so it is left to add up.
+		// The time is too short for a whole unit. floorPaidAt stays, so that short times add up.
 		return
 	}
 	b.stored = min(b.stored+paid, b.maxStored)
--- a/internal/retry/fleetbudget.go
+++ b/internal/retry/fleetbudget.go
@@ -7,8 +7,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// FleetBudgetConfig limits the extra attempts that arrive at a service from all gateways together, in
-// any window.
+// FleetBudgetConfig limits the extra attempts that arrive at a service from all gateways together,
+// in any window.
 type FleetBudgetConfig struct {
 	// Ratio is the number of extra attempts that each request in the window allows. Slack is a
 	// number of extra attempts allowed on top of that.
@@ -17,17 +17,18 @@
 }
 
 const (
-	// usedBudgetShare is the fraction of the limit that is used. The rest is for gateways that are
-	// not known yet, and for attempts that a network partition delays into another window.
+	// usedBudgetShare is the fraction of the budget that the known gateways use. The rest is for
+	// gateways that are not known yet, and for attempts that a network partition delays into another
+	// window.
 	usedBudgetShare = 0.6
 	// minGateways is the number of gateways assumed while fewer are known, so that a gateway that
 	// has just started doesn't take the whole slack.
 	minGateways = 4
 )
 
-// FleetBudget is a retry budget for many services that all gateways keep together without communication:
-// each gateway uses the ratio of its own requests and an even share of the slack. It is safe for
-// concurrent use.
+// FleetBudget is a retry budget for many services that all gateways together stay within, without
+// communication: each gateway uses the ratio of its own requests and an even share of the slack. It
+// is safe for concurrent use.
 type FleetBudget struct {
 	cfg FleetBudgetConfig
 	// gateways returns how many gateways there may be, with this one.
--- a/internal/retry/fleetbudget_test.go
+++ b/internal/retry/fleetbudget_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a service that gets more extra attempts in some window than its budget. Gateways
 // make first attempts and ask for extra ones at any time and in any order. The test fails when each
-// gateway takes the whole budget, or when budget is saved up.
+// gateway uses the whole budget, or when an unused budget carries over to a later window.
 func TestGatewaysKeepTheBudgetTogether(t *testing.T) {
 	cfg := FleetBudgetConfig{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	type event struct {
--- a/internal/retry/hedge.go
+++ b/internal/retry/hedge.go
@@ -14,7 +14,7 @@
 	// hedgeMinSamples is the number of latencies below which a percentile means nothing.
 	hedgeMinSamples = 50
 	// hedgeWindow is the number of latencies after which the percentile is read again and a new
-	// window begins. Two windows are kept.
+	// window begins. The percentile is that of the last two windows.
 	hedgeWindow = 200
 	// minHedgeDelay is the shortest time before a hedge is sent.
 	minHedgeDelay = 10 * time.Millisecond
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -76,7 +76,7 @@
 	for b.Spend(now) {
 	}
 	if now = now.Add(5 * time.Second); !b.Spend(now) {
-		t.Error("no retry after five quiet seconds")
+		t.Error("no retry after five seconds without requests")
 	}
 }
 
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -30,7 +30,7 @@
 	// queued requests and queued prefill tokens that are served before the
 	// request.
 	requestShareAhead, tokenShareAhead float64
-	// margin is the factor by which a prediction is multiplied to get a time
+	// margin is the factor by which a prediction is multiplied to get the time
 	// within which four of five first tokens arrive.
 	margin float64
 	// maxHomeDistance is the largest distance of a home of the request's prefix.
--- a/internal/routing/inflight.go
+++ b/internal/routing/inflight.go
@@ -47,7 +47,6 @@
 }
 
 // addSent records an attempt that is sent in an epoch.
-
 func (s *localState) addSent(epoch int64, tokens int) {
 	s.outstanding.Add(1)
 	if epoch > s.lastSent.Load() {
--- a/internal/routing/limit.go
+++ b/internal/routing/limit.go
@@ -22,8 +22,9 @@
 
 // learnBatch estimates how many requests an engine can really run at once: its
 // memory may hold fewer than its batch, long prompts may use up its steps, and
-// models differ. The estimate shrinks while the engine has a queue or a backlog
-// of prefill, and otherwise grows back to BatchLimit.
+// models differ. A queue or a backlog of prefill shows that the engine would do as
+// well with fewer requests, so the estimate shrinks then, and otherwise grows back
+// to BatchLimit.
 func (r *Router) learnBatch(u *blackboard.Upstream, local *localState) {
 	if u.AsOf.IsZero() {
 		return
@@ -47,7 +48,7 @@
 
 // Slots returns how many requests this gateway may have in flight at all
 // upstreams of a view together: those that it has, and its share of the free
-// capacity. The result is smoothed over the calls and is at least 1.
+// capacity. The result is smoothed over the calls of Slots and is at least 1.
 //
 // Each gateway takes only its share, because all see the same free capacity:
 // otherwise six gateways would fill it six times over, and the queues at the
--- a/internal/routing/params.go
+++ b/internal/routing/params.go
@@ -49,8 +49,8 @@
 	// RecomputeWeight is added for each second of prefill.
 	RecomputeWeight float64
 	// PriceWeight is added for the most expensive upstream while all are idle.
-	// It falls linearly to 0 at a mean fill of PriceFadeFill, since from there
-	// on the expensive upstreams are needed too.
+	// It falls linearly to 0 at a mean fill of PriceFadeFill, because above that
+	// the expensive upstreams are needed too.
 	PriceWeight, PriceFadeFill float64
 	// LatenessWeight is added for a lateness of one target. Lateness counts
 	// from LatenessStart on, as a share of the target. DefaultTarget is the
--- a/internal/routing/placement/cutoff.go
+++ b/internal/routing/placement/cutoff.go
@@ -6,9 +6,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// unreachableTTL is how long a failed connection to an upstream keeps its failure
-// domain suspect. Within the same time gateways there that are not heard show
-// whether the cut is over.
+// unreachableTTL is how long after a failed connection to an upstream its failure
+// domain stays suspect. It is also the time within which the silent gateways of the
+// domain show whether the cut is over.
 const unreachableTTL = 3 * time.Second
 
 // cutOffDomains returns the failure domains that are probably cut off from this
--- a/internal/routing/placement/demand.go
+++ b/internal/routing/placement/demand.go
@@ -12,20 +12,20 @@
 	// demandWindow is the time constant of a service's average demand. Two or three
 	// seconds show a burst before its queues have grown.
 	demandWindow = 2500 * time.Millisecond
-	// maxMeanSamples is over how many answers a route's mean time is averaged: so many
-	// that a shortage of engines for some ten seconds hardly changes the mean.
+	// maxMeanSamples is the number of answers over which a route's mean time is averaged:
+	// so many that a shortage of engines for some ten seconds hardly changes the mean.
 	maxMeanSamples = 200
-	// maxSampleRatio bounds the time that one answer counts with, as a multiple of the
-	// mean.
+	// maxSampleRatio bounds the time of one answer that enters the mean, as a multiple of
+	// the mean.
 	maxSampleRatio = 2
 )
 
 // serviceDemand estimates the work that callers ask of a service through this
 // gateway: what its engines would have to do if there were enough of them.
 //
-// It does not count the requests in progress. While engines are short, all answers
-// take several times as long, and on-demand engines would be ordered for work that
-// nobody asks for.
+// It does not count the requests in progress. While there are too few engines, all
+// answers take several times as long, and on-demand engines would be ordered for work
+// that nobody asks for.
 type serviceDemand struct {
 	// promptRate is the number of prompt tokens to be read per second, as of updatedAt.
 	promptRate float64
@@ -38,7 +38,7 @@
 	// requestRate is the number of requests per second, as of updatedAt of the service.
 	requestRate float64
 	// meanSeconds is the mean time of an answer from its first event to its end, in
-	// seconds, and samples how many answers were measured.
+	// seconds, and samples the number of answers that were measured.
 	meanSeconds float64
 	samples     int
 }
@@ -102,8 +102,8 @@
 // answers end.
 const drainFactor = 3
 
-// DrainTime returns the time within which nearly all answers of a service end that have
-// begun.
+// DrainTime returns the time within which nearly all answers of a service that have begun
+// will end.
 func (c *Chooser) DrainTime(service ident.Service) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,14 +116,14 @@
 
 // prefillTokens returns how many prompt tokens a call asks to be read: those that
 // the home of its shared parts does not have. The number that is really read is no
-// measure of demand: while engines are short, requests are sent elsewhere than to
-// their homes and sent again, and three times as many tokens are read.
+// measure of demand: while there are too few engines, requests are sent elsewhere than
+// to their homes and sent again, and three times as many tokens are read.
 func prefillTokens(call *forward.Call) int {
 	return call.PromptTokens - sharedTokens(call)
 }
 
-// Demand is the work that callers ask of a service's engines: what these would have
-// to do if there were enough of them.
+// Demand is the work that callers ask of a service's engines: what the engines would
+// have to do if there were enough of them.
 type Demand struct {
 	// PromptTokensPerSecond is the number of prompt tokens to be read per second.
 	PromptTokensPerSecond float64
--- a/internal/routing/placement/homes.go
+++ b/internal/routing/placement/homes.go
@@ -14,7 +14,7 @@
 // are the same at all gateways. The upstream with the highest weight is the
 // part's home.
 type homeOrder struct {
-	// weights are by index in the list; 0 for upstreams that are not ready.
+	// weights are by index in the list of upstreams; 0 for those that are not ready.
 	weights []uint64
 	// home is the index of the home, -1 if no upstream is ready.
 	home int
--- a/internal/routing/placement/learn.go
+++ b/internal/routing/placement/learn.go
@@ -9,7 +9,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// FirstEventArrived implements forward.Placement.
+// FirstEventArrived implements forward.Placement. It learns from the time that the first
+// event took, unless the upstream has a version that is still in trial.
 func (c *Chooser) FirstEventArrived(choice forward.Choice, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,7 @@
 func ejectionSample(r *reservation, result forward.Result) (ejection.Sample, bool) {
 	sample := ejection.Sample{Started: r.sentAt}
 	if r.upstreamEnded {
-		// The request itself may have ended the upstream, which says nothing about
+		// The request itself may have crashed the upstream, which shows nothing about
 		// how the upstream serves other requests.
 		return sample, false
 	}
--- a/internal/routing/placement/limits.go
+++ b/internal/routing/placement/limits.go
@@ -8,10 +8,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// applyLimits returns the best candidate if some have limits. best is the best of
-// those without limits, if found is true. Of the candidates with limits that score
-// no worse than best, applyLimits returns the first in the order of their scores
-// whose limit admits the call; if there is none, it returns best.
+// applyLimits returns the best candidate, where some candidates have limits. best is
+// the best of those without limits, if found is true. Of the candidates with limits
+// that score no worse than best, applyLimits returns the first in the order of their
+// scores whose limit admits the call; if there is no such candidate, it returns best.
 //
 // A limit is checked, which counts the call, only when the upstream is next in
 // this order. So candidates with less work are still preferred to upstreams with
--- a/internal/routing/placement/limits_test.go
+++ b/internal/routing/placement/limits_test.go
@@ -63,7 +63,7 @@
 }
 
 // Guards against requests that wait, or are sent beyond the limits, while every upstream has
-// a limit: they must be refused at once, with the time after which to retry.
+// a limit: they must be refused at once, with a retry-after time.
 func TestWhereAllHaveLimitsCallsAreRefusedAtOnce(t *testing.T) {
 	f := newFixture()
 	for _, u := range f.view.Of("svc") {
@@ -88,7 +88,7 @@
 		t.Errorf("choice of a call that found no upstream: %+v, want 6 at their limits and nothing else in the way", choice)
 	}
 	if in := f.RetryAfter(f.call(plain, 0), f.now); in < time.Second || in > 30*time.Second {
-		t.Errorf("room in %v after 1000 calls per second for 12 per second that are admitted, want 1s to 30s", in)
+		t.Errorf("retry after %v after 1000 calls per second for 12 per second that are admitted, want 1s to 30s", in)
 	}
 	for _, u := range f.view.Of("svc") {
 		f.limits.RecordStatement(u.ID, "", upstreamlimit.Statement{})
@@ -99,7 +99,7 @@
 }
 
 // Guards against a call being refused because of limits alone while another upstream is only
-// full: the full upstream takes work again soon.
+// full: the full upstream accepts work again soon.
 func TestAFullUpstreamBesideOneWithALimitIsWaitedFor(t *testing.T) {
 	f := newFixture()
 	f.setUpstreams(directory.Ready, "a0", "a1")
--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -58,8 +58,8 @@
 type Load struct {
 	// Running counts requests in progress.
 	Running int
-	// UnreadTokens counts the prompt tokens still to be read: those of requests that
-	// have had no first event.
+	// UnreadTokens counts the prompt tokens that are still to be read, which are those of
+	// requests without a first event.
 	UnreadTokens int
 }
 
@@ -269,8 +269,8 @@
 	call     *forward.Call
 	estimate enginemodel.Estimate
 	now      time.Time
-	// limitedCandidates are the candidates with rate limits. The slice is reused
-	// by the next search.
+	// limitedCandidates are the candidates with rate limits. The next search reuses
+	// the slice.
 	limitedCandidates []candidate
 	// atLimit are the upstreams that scored better than the chosen one, but whose
 	// limits did not admit the call.
@@ -398,8 +398,8 @@
 	}
 }
 
-// refreshView returns the current view of the upstreams. If it is new, it also
-// updates what is kept by upstream.
+// refreshView returns the current view of the upstreams. If the view is new, it also
+// updates the state that the Chooser holds for each upstream.
 func (c *Chooser) refreshView() *directory.View {
 	view := c.cfg.View()
 	if view == c.view {
--- a/internal/routing/placement/placement_test.go
+++ b/internal/routing/placement/placement_test.go
@@ -214,7 +214,7 @@
 		f.Finished(choice, result, f.now)
 	}
 	if failed == 0 || failed > ejectionConfig.ConsecutiveFailures {
-		t.Errorf("%d requests failed before the ejection, want at least one and at most ejectionConfig.Failures", failed)
+		t.Errorf("%d requests failed before the ejection, want at least one and at most ejectionConfig.ConsecutiveFailures", failed)
 	}
 	f.now = f.now.Add(ejectionConfig.MaxEjectionTime)
 	back := false
@@ -238,8 +238,8 @@
 }
 
 // Guards against engines being ordered for twice the load, which arrive when it is over.
-// While engines are short, requests leave the homes of their prompt parts and are sent
-// again, and the tokens that are read for this must not count as demand.
+// While there are too few engines, requests leave the homes of their prompt parts and are
+// sent again, and the tokens that are read for this must not count as demand.
 func TestTheWorkIsWhatCallersAsk(t *testing.T) {
 	f := newFixture()
 	asked := func() float64 {
@@ -261,13 +261,13 @@
 }
 
 // Guards against an on-demand engine being ordered for each existing one, which arrives when
-// the shortage is over. While engines are short for ten seconds, all answers take five times
-// as long, and the requests in progress must not count as demand.
+// the shortage is over. There are too few engines for ten seconds, in which all answers take
+// five times as long, and the requests in progress must not count as demand.
 func TestSlowAnswersAreNoMoreWork(t *testing.T) {
 	f := newFixture()
-	// play sends ten requests per second for a time, each of which generates its answer for
-	// another time, and returns the demand.
-	play := func(d, generating time.Duration) float64 {
+	// run sends ten requests per second for the time d, each of which generates its answer
+	// for the time generating, and returns the demand.
+	run := func(d, generating time.Duration) float64 {
 		for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(100 * time.Millisecond) {
 			choice, found := f.Choose(f.call(engine, 7), nil, f.now)
 			if !found {
@@ -278,12 +278,12 @@
 		}
 		return f.Demand("svc", f.now).Generating
 	}
-	usual := play(20*time.Second, time.Second)
+	usual := run(20*time.Second, time.Second)
 	if usual < 8 || usual > 12 {
 		t.Errorf("demand of %.1f generating requests, want 10: ten per second of a second each", usual)
 	}
-	if short := play(10*time.Second, 5*time.Second); short > 1.7*usual {
-		t.Errorf("demand of %.1f generating requests while engines are short, want at most 1.7 times the %.1f before", short, usual)
+	if short := run(10*time.Second, 5*time.Second); short > 1.7*usual {
+		t.Errorf("demand of %.1f generating requests during a shortage of engines, want at most 1.7 times the %.1f before", short, usual)
 	}
 }
 
@@ -306,20 +306,20 @@
 	}
 }
 
-// Guards against refused callers being refused again: while engines are short, all of them
-// return after the same time, and that is too early if it does not depend on the queues. Here
+// Guards against refused callers being refused again: during overload all of them are given
+// the same retry-after time, which is too short if it does not depend on the queues. Here
 // 200,000 tokens take two seconds to read, and 20,000 tokens a fifth of a second.
 func TestTheReturnTimeFollowsTheShortestQueue(t *testing.T) {
 	f := newFixture()
 	if got := f.RetryAfter(f.call(engine, 7), f.now); got != 0 {
-		t.Errorf("room in %v at idle engines, want 0", got)
+		t.Errorf("retry after %v at idle engines, want 0", got)
 	}
 	f.setOtherLoads(Load{UnreadTokens: 200_000})
 	if got := f.RetryAfter(f.call(engine, 7), f.now); got < time.Second || got > 2500*time.Millisecond {
-		t.Errorf("room in %v with 200,000 unread tokens at every engine, want 1s to 2.5s", got)
+		t.Errorf("retry after %v with 200,000 unread tokens at every engine, want 1s to 2.5s", got)
 	}
 	f.others["b1"] = Load{UnreadTokens: 20_000}
 	if got := f.RetryAfter(f.call(engine, 7), f.now); got > 200*time.Millisecond {
-		t.Errorf("room in %v with 20,000 unread tokens at one engine, want at most 200ms", got)
+		t.Errorf("retry after %v with 20,000 unread tokens at one engine, want at most 200ms", got)
 	}
 }
--- a/internal/routing/placement/retryafter.go
+++ b/internal/routing/placement/retryafter.go
@@ -7,12 +7,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// RetryAfter returns how long it takes until the queue of some engine is so short that
-// the call's first event would arrive within its objective. It returns 0 if that
-// is so now, for a plain service, and while too little is known about the engines.
-// It is a lower bound, because it assumes that no more work arrives. If all ready
-// upstreams have limits, it returns when the limits will have admitted the requests
-// that came before the call.
+// RetryAfter returns the time until the queue of some engine is so short that the
+// call's first event would arrive within its objective. It returns 0 if a queue is that
+// short now, for a plain service, and while too little is known about the engines. The
+// time is a lower bound, because it assumes that no more work arrives. If all ready
+// upstreams have limits, RetryAfter returns the time until the limits will have
+// admitted the requests that came before the call.
 func (c *Chooser) RetryAfter(call *forward.Call, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/routing/placement/timing.go
+++ b/internal/routing/placement/timing.go
@@ -42,8 +42,8 @@
 //
 // expected includes the wait for the upstream's queue, because if all upstreams are
 // slow, waiting is better than moving. If only the time to read the request's own
-// prompt were expected, requests would be moved from queue to queue while engines
-// are short, away from the homes of their prompt parts, and three times as many
+// prompt were expected, requests would be moved from queue to queue while there are
+// too few engines, away from the homes of their prompt parts, and three times as many
 // tokens would be read.
 func (t *firstEventTiming) slowAfter(objective, expected time.Duration) time.Duration {
 	if t.samples < minSamples {
--- a/internal/routing/placement/timing_test.go
+++ b/internal/routing/placement/timing_test.go
@@ -8,11 +8,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// Guards against engines that are short reading three times as many tokens as callers ask:
-// a stream without a first event is abandoned after half of its objective and sent to
-// another engine, behind another queue, where its prompt's shared parts are read again. The
-// time after which an attempt is slow must include the queue, here two seconds at every
-// engine.
+// Guards against three times as many tokens being read as callers ask for while there are
+// too few engines: a stream without a first event is abandoned after half of its objective
+// and sent to another engine, behind another queue, where its prompt's shared parts are read
+// again. The time after which an attempt is slow must include the queue, here two seconds at
+// every engine.
 func TestPatienceCountsTheQueue(t *testing.T) {
 	f := newFixture()
 	slow := func() time.Duration {
--- a/internal/routing/placement/versions.go
+++ b/internal/routing/placement/versions.go
@@ -8,9 +8,9 @@
 )
 
 // usesUnprovenVersion reports whether the upstream has a version whose rollout is
-// still in trial. Such an upstream says nothing about the others, so what it does
-// must not change the predicted queues, the time after which attempts are slow, or
-// the number of engines that is ordered.
+// still in trial. The answers of such an upstream show nothing about the others, so
+// they must not change the predicted queues, the time after which attempts are slow,
+// or the number of engines that is ordered.
 func (r *reservation) usesUnprovenVersion() bool {
 	return r.split != nil && r.split.Unproven(r.upstream.Version)
 }
@@ -36,7 +36,7 @@
 func (r *reservation) rolloutAnswer(result forward.Result, demand *serviceDemand, now time.Time) (rollout.Answer, bool) {
 	elapsed := now.Sub(r.sentAt)
 	if r.upstreamEnded {
-		// Another request may have ended the upstream and so broken off this one.
+		// Another request may have crashed the upstream and so broken off this one.
 		return rollout.Answer{}, false
 	}
 	switch result {
--- a/internal/routing/placement/versions_test.go
+++ b/internal/routing/placement/versions_test.go
@@ -72,7 +72,7 @@
 }
 
 // Guards against a good version being stopped, and healthy upstreams being ejected, because
-// one request ended an upstream and broke off all others that ran there.
+// one request crashed an upstream and broke off all others that ran there.
 func TestWhatAnEndBrokeOffSpeaksAgainstNobody(t *testing.T) {
 	f, tracker := newRolloutFixture(8)
 	reached := 0
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -48,7 +48,7 @@
 // preparedUpstream belongs to the upstream with the same index in the view.
 type preparedUpstream struct {
 	local *localState
-	// price is relative to the dearest upstream of the view, 0 to 1.
+	// price is relative to the most expensive upstream of the view, 0 to 1.
 	price float64
 	// nameHash is the hash of the instance's ID.
 	nameHash uint64
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -58,8 +58,8 @@
 
 // lateness is how far the likely time to the first token is beyond
 // LatenessStart, as a share of the target. It is at most 1: when all upstreams
-// are late, sending to the least late one would only scatter the prefixes over
-// more caches.
+// are late, sending to the upstream with the least delay would only scatter the
+// prefixes over more caches.
 func (c *chooser) lateness(firstToken float64) float64 {
 	p := &c.router.params
 	target := orElse(c.req.Class.FirstToken.Seconds(), p.DefaultTarget.Seconds())
@@ -67,7 +67,7 @@
 }
 
 // estimatePlain scores an upstream of a plain service by the requests in flight
-// there. The network delay breaks ties in favour of the own failure domain.
+// there. The network delay breaks ties in favour of this gateway's failure domain.
 func (c *chooser) estimatePlain(i int, unreported sentWork) estimate {
 	u := &c.view[i]
 	running := u.Report.Running + unreported.requests
@@ -93,7 +93,7 @@
 }
 
 // networkDelay returns the round-trip time to an upstream, in seconds; within
-// the own failure domain it counts as 0.
+// this gateway's failure domain it counts as 0.
 func (c *chooser) networkDelay(u *blackboard.Upstream) float64 {
 	if u.Instance.FailureDomain == c.req.FailureDomain {
 		return 0
