--- a/internal/httpconn/pool.go
+++ b/internal/httpconn/pool.go
@@ -306,15 +306,15 @@
 	defer p.mu.Unlock()
 	now := p.now()
 	for _, h := range p.hosts {
-		kept := h.idle[:0]
+		reusable := h.idle[:0]
 		for _, c := range h.idle {
 			if now.Before(c.reuseUntil) {
-				kept = append(kept, c)
+				reusable = append(reusable, c)
 			} else {
 				p.close(c)
 			}
 		}
-		h.idle = kept
+		h.idle = reusable
 	}
 }
 
--- a/internal/httpconn/reset_test.go
+++ b/internal/httpconn/reset_test.go
@@ -21,15 +21,15 @@
 func TestAnExchangeThatIsGivenUpNeverArrivesLater(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// kept: the connection was already used before the link was cut.
-		kept bool
+		// reused: the connection was already used before the link was cut.
+		reused bool
 	}{{"over a new connection", false}, {"over a kept connection", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			w := worker.New(t, "u")
 			relay := testkit.NewRelay(t, "http://"+w.Address())
 			pool := NewPool(boottime.Now)
 			target := Target{ID: "u", Address: relay.Address(), DefaultIdleTime: time.Minute}
-			if c.kept {
+			if c.reused {
 				answer, failure := pool.Send(t.Context(), target, request("before", ""))
 				if failure != nil {
 					t.Fatal(failure)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -3,9 +3,9 @@
 //
 // Each gateway keeps a token bucket for the account's whole limit. It deducts what it admits at
 // once, deducts what the other gateways admit when their reports arrive, and assumes that each of
-// them keeps spending at its last known rate until its next report. A gateway that doesn't hear
-// from all others refills its bucket only with the share of the gateways that it hears, so that the
-// two sides of a network partition together never admit more than the limit.
+// them keeps spending at its last known rate until its next report. A gateway that doesn't hear all
+// others (receives no reports from some) refills its bucket only with the share of the gateways that
+// it hears, so that the two sides of a network partition together never admit more than the limit.
 package quota
 
 import (
@@ -47,7 +47,7 @@
 // burstToleranceShare and rateToleranceShare are the shares of the tolerance that are given to
 // callers, on top of the burst and, spread over the window, on top of the rate. Requests that stay
 // just below the limit come in bursts, and some would be refused at random without these shares.
-// The rest covers what gateways admit before they hear of each other.
+// The rest covers what gateways admit before they receive each other's reports.
 //
 // overdraftToleranceShare is the share by which all gateways together may overdraw the bucket, one
 // request each. The three shares may add up to more than 1, because the gateways seldom all overdraw
@@ -57,7 +57,7 @@
 	rateToleranceShare      = 0.35
 	overdraftToleranceShare = 1.0
 	// lagWithoutTolerance is the mean age of reports from which on callers get no tolerance: the
-	// gateways need all of it for what they admit before they hear of each other.
+	// gateways need all of it for what they admit before they receive each other's reports.
 	lagWithoutTolerance = time.Second
 )
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,8 +12,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/routetable"
 )
 
-// fleet simulates gateways that admit requests of one account and hear of each other by delayed
-// reports.
+// fleet simulates gateways that admit requests of one account and send each other reports, which
+// arrive with a delay.
 type fleet struct {
 	now       time.Time
 	limit     routetable.Account
--- a/internal/routing/placement/cutoff.go
+++ b/internal/routing/placement/cutoff.go
@@ -7,8 +7,8 @@
 )
 
 // unreachableTTL is how long after a failed connection to an upstream its failure
-// domain stays suspect. It is also the time within which the silent gateways of the
-// domain show whether the cut is over.
+// domain stays suspect. When a cut is over, gateways of the domain are heard again
+// within the same time.
 const unreachableTTL = 3 * time.Second
 
 // cutOffDomains returns the failure domains that are probably cut off from this
--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -105,7 +105,8 @@
 	// Limited reports whether an upstream has a limit.
 	Limited(ident.Instance) bool
 	// Admit reports whether the limit of an upstream admits one more request. If
-	// so, the request counts as sent.
+	// so, the request counts as sent. Call Admit only where the upstream is the
+	// best choice for the request, because each call counts as demand.
 	Admit(ident.Instance) bool
 	// RetryAfter returns the time until one of the upstreams, all of which have
 	// limits, admits one more request.
--- a/internal/routing/placement/placement_test.go
+++ b/internal/routing/placement/placement_test.go
@@ -178,7 +178,7 @@
 func TestWhoIsNotChosen(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		play    func(*testing.T, *fixture)
+		prepare func(*testing.T, *fixture)
 		exclude []ident.Instance
 		never   string
 	}{
@@ -189,7 +189,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
-			c.play(t, f)
+			c.prepare(t, f)
 			choice, found := f.Choose(f.call(plain, 0), c.exclude, f.now)
 			if !found || string(choice.Upstream[0]) == c.never {
 				t.Errorf("chose %q, found %v, want one of another domain", choice.Upstream, found)
@@ -242,21 +242,21 @@
 // sent again, and the tokens that are read for this must not count as demand.
 func TestTheWorkIsWhatCallersAsk(t *testing.T) {
 	f := newFixture()
-	asked := func() float64 {
+	demand := func() float64 {
 		return f.Demand("svc", f.now).PromptTokensPerSecond
 	}
 	home := f.choose(t, f.call(engine, 7), forward.Done).Upstream
-	atHome := asked()
+	atHome := demand()
 	f.others[home] = Load{Running: 5, UnreadTokens: 60_000}
 	if away := f.choose(t, f.call(engine, 7), forward.Done).Upstream; away == home {
 		t.Fatal("chose the home, with 60,000 unread tokens there")
 	}
-	if got := asked(); got > 2.05*atHome {
+	if got := demand(); got > 2.05*atHome {
 		t.Errorf("demand of %.0f tokens per second after one request at its home, and %.0f after another elsewhere; want at most 2.05 times as much", atHome, got)
 	}
-	before := asked()
-	if _, found := f.Choose(f.call(engine, 7), []ident.Instance{home}, f.now); !found || asked() > before {
-		t.Errorf("a second attempt counts as demand: %.0f tokens per second, %.0f before", asked(), before)
+	before := demand()
+	if _, found := f.Choose(f.call(engine, 7), []ident.Instance{home}, f.now); !found || demand() > before {
+		t.Errorf("a second attempt counts as demand: %.0f tokens per second, %.0f before", demand(), before)
 	}
 }
 
--- a/internal/upstreamlimit/admit.go
+++ b/internal/upstreamlimit/admit.go
@@ -54,7 +54,7 @@
 	return min(time.Duration(seconds*float64(time.Second)), maxRetryAfter)
 }
 
-// UnservedShare returns the fraction of an upstream's demand that its limit excludes. The demand are
+// UnservedShare returns the fraction of an upstream's demand that its limit excludes. The demand is
 // the requests for which the upstream is the best choice. It is 0 for an upstream without a limit.
 func (lim *Limiter) UnservedShare(upstream ident.Instance) float64 {
 	if !lim.anyLimited.Load() {
--- a/internal/upstreamlimit/exchange.go
+++ b/internal/upstreamlimit/exchange.go
@@ -83,16 +83,16 @@
 	return out
 }
 
-// selectInTurn returns at most the given number of keys. If there are more, each turn selects the
-// next ones.
-func selectInTurn(keys []uint32, most, turn int) []uint32 {
+// selectInTurn returns at most maxCount of the keys. If there are more, each turn
+// selects the next ones.
+func selectInTurn(keys []uint32, maxCount, turn int) []uint32 {
 	slices.Sort(keys)
-	if len(keys) <= most {
+	if len(keys) <= maxCount {
 		return keys
 	}
-	out := make([]uint32, most)
+	out := make([]uint32, maxCount)
 	for i := range out {
-		out[i] = keys[(turn*most+i)%len(keys)]
+		out[i] = keys[(turn*maxCount+i)%len(keys)]
 	}
 	return out
 }
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -462,10 +462,10 @@
 	}
 }
 
-// place sends a request to the first upstream in its order of preference that the limiter admits it
-// to.
+// place sends a request to the first upstream, in the request's order of preference, whose limit
+// admits it.
 func (f *fleet) place(g *gateway, times int) {
-	room := false
+	unlimitedUp := false
 	// A step that has no common divisor with the number of upstreams reaches all of them.
 	start, step := f.rng.IntN(len(f.upstreams)), 1+f.rng.IntN(len(f.upstreams))
 	for gcd(step, len(f.upstreams)) > 1 {
@@ -482,14 +482,14 @@
 		if f.apart(g.domain, u.domain) {
 			continue
 		}
-		room = room || !g.limiter.Limited(u.id())
+		unlimitedUp = unlimitedUp || !g.limiter.Limited(u.id())
 		if g.limiter.Admit(u.id()) {
 			f.sendRequest(g, u)
 			return
 		}
 	}
 	f.result.refusedAll++
-	if room {
+	if unlimitedUp {
 		f.result.refused++
 	}
 	if times < f.scenario.retries {
--- a/internal/upstreamlimit/limiter_test.go
+++ b/internal/upstreamlimit/limiter_test.go
@@ -391,7 +391,7 @@
 	}
 }
 
-// Guards against gateways that all send their whole demand when they hear of a limit or start,
+// Guards against gateways that all send their whole demand when they learn of a limit or start,
 // because none of them has counted yet.
 func TestTheFirstRequestsOfManyGatewaysAreFew(t *testing.T) {
 	sent := 0
--- a/internal/upstreamlimit/share.go
+++ b/internal/upstreamlimit/share.go
@@ -93,8 +93,8 @@
 
 // demandShare returns the rate divided by the demand at all gateways, so that all together send the
 // rate. It is corrected by what they sent lately: if more than the rate was sent, by chance or
-// before the gateways heard of each other, less is sent afterwards. A gateway that doesn't hear all
-// others uses the heard gateways' share of the rate.
+// before the gateways received each other's reports, less is sent afterwards. A gateway that doesn't
+// hear all others uses the heard gateways' share of the rate.
 func demandShare(l *limit, fleet Fleet, now time.Time) float64 {
 	rate := targetUtilization * l.allowedRate() * fleet.heardShare()
 	excess := l.countedSent(rate, now)/(rate*sentDecayTime.Seconds()) - 1
@@ -114,8 +114,8 @@
 // totalDemand returns how many requests per second choose the upstream at all gateways. It is the
 // highest of the recent demand of all, the demand that this gateway's latest requests suggest, and
 // the expected demand. With the recent demand alone, when an upstream that was hardly ever chosen
-// becomes the best choice for all requests, each gateway would send all of them until it hears of
-// the others.
+// becomes the best choice for all requests, each gateway would send all of its own until it receives
+// the others' reports.
 func (l *limit) totalDemand(fleet Fleet, now time.Time) float64 {
 	decaySeconds, known := demandDecayTime.Seconds(), float64(max(fleet.Known, 1))
 	// counted is how much of the full count has built up since the limit became known.
--- a/internal/upstreamlimit/stories_test.go
+++ b/internal/upstreamlimit/stories_test.go
@@ -118,8 +118,8 @@
 }
 
 // Guards against an upstream that gets more than its limit when, after a long time without demand,
-// it becomes the best choice for all requests of a service at once, before gateways hear of each
-// other.
+// it becomes the best choice for all requests of a service at once, before gateways receive each
+// other's reports.
 func TestAllGatewaysAskAtOnceAfterAPause(t *testing.T) {
 	for _, s := range []scenario{
 		small("8 gateways, 900 requests a second", each(4, always(5, 4*time.Second))).with(func(s *scenario) { s.rate, s.preferred = 900, late }),
