--- a/internal/httpconn/reset_test.go
+++ b/internal/httpconn/reset_test.go
@@ -13,11 +13,11 @@
 
 // Guards against an order that is executed 5.6 s after its sender abandoned it,
 // although a newer order of another sender was executed meanwhile, and against a
-// request that starts to run long after its caller was answered. A link is cut; an exchange over it is
-// begun and abandoned; the link works again. After an orderly close, the kernel
-// keeps retransmitting the unsent data. If conn.reset only closed the
-// connection, the request would run here, which shows that the relay reproduces
-// the fault.
+// request that starts to run long after its caller was answered. A link is cut;
+// an exchange over it is begun and abandoned; the link works again. After an
+// orderly close, the kernel keeps retransmitting the unsent data. With an orderly
+// close in conn.reset, the request runs and this test fails, which shows that the
+// relay reproduces the fault.
 func TestAnExchangeThatIsGivenUpNeverArrivesLater(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -107,7 +107,7 @@
 // collector adds up the totals of all gateways. The sums of one round are published in the next.
 type collector struct {
 	published, next collectedTotals
-	// Up to until, a gateway knows of this many others and hears none of them.
+	// Before the time until, each gateway knows of unheard other gateways and hears none of them.
 	unheard int
 	until   time.Time
 }
