--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -13,7 +13,6 @@
 type engine struct{ rate, base, running float64 }
 
 // first returns the time to a first event, in seconds.
-
 func (e engine) first(own, ahead, running float64) float64 {
 	return e.base + (own+ahead)/e.rate + running*e.running
 }
@@ -62,7 +61,7 @@
 }
 
 // relativeError returns the relative error of the estimated rate.
-func relativeError(f Estimate, rate float64) float64 { return math.Abs(f.Rate()/rate - 1) }
+func relativeError(e Estimate, rate float64) float64 { return math.Abs(e.Rate()/rate - 1) }
 
 // Guards against work going to the wrong engines, and too few engines being kept, on machines
 // of an unknown kind, when a system has just started: a constant suits only some machines. An
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -90,8 +90,8 @@
 
 	// answerBegan: a part of the answer was delivered.
 	answerBegan bool
-	// lastEvent is the ID of the last delivered event, or the ID from the call until one
-	// with an ID is delivered.
+	// lastEvent is the ID of the last delivered event that has one. Until such an event is
+	// delivered, it is the call's LastEventID.
 	lastEvent string
 	// lastPartAt is when events were delivered last.
 	lastPartAt time.Time
@@ -107,13 +107,13 @@
 	buffered *bufferedAnswer
 	// reason is why the last failed attempt failed, or why no further one is made.
 	reason string
-	// onlyLimits: the last choice found no upstream only because of the request rates
-	// that upstreams stated.
+	// onlyLimits: the last choice found no upstream only because of the rate limits that
+	// upstreams announced.
 	onlyLimits bool
 	// upstreamCrashed: an upstream crashed while it had the call. The timer of an attempt
 	// reads it too.
 	upstreamCrashed atomic.Bool
-	// barredFor is the retry-after time of a barred call; 0 if it is not barred.
+	// barredFor is the retry-after time of a barred call; 0 if the call is not barred.
 	barredFor time.Duration
 }
 
@@ -267,10 +267,11 @@
 }
 
 // countsAsStarted reports whether a failed exchange counts for usage as a request that
-// began to run: it was sent, and the upstream or its crash broke the connection off.
-// Without these, usage would lack the runs whose answers were lost. An upstream may also
-// have closed an idle connection at that very moment, but that is far rarer. An exchange
-// that stayed silent does not count: the request may just as well never have arrived.
+// began to run: it was sent, and the upstream or its crash broke the connection off. If
+// such exchanges did not count, usage would lack the runs whose answers were lost. An
+// upstream may also have closed an idle connection at the very moment of sending, but that
+// is far rarer. An exchange that stayed silent does not count: the request may just as well
+// never have arrived.
 func countsAsStarted(failure *httpconn.Failure) bool {
 	return failure.MaybeSent && !errors.Is(failure, errSilent) && !errors.Is(failure, errExpired)
 }
@@ -313,26 +314,26 @@
 
 // readAnswer reads an answer whose header was received.
 func (s *session) readAnswer(choice Choice, answer *httpconn.Answer, silence *silenceTimer) Result {
-	reading := s.f.cfg.Dialect.ParseAnswer(answer.Status, answer.Header)
-	if !reading.FromOtherUpstream {
-		s.f.cfg.Limits.RecordStatement(choice.Upstream, s.call.ID, reading.Limit)
+	info := s.f.cfg.Dialect.ParseAnswer(answer.Status, answer.Header)
+	if !info.FromOtherUpstream {
+		s.f.cfg.Limits.RecordStatement(choice.Upstream, s.call.ID, info.Limit)
 	}
-	if reading.NotRun {
+	if info.NotRun {
 		s.reason = "status " + http.StatusText(answer.Status)
 		s.drainRejection(answer)
 		return Rejected
 	}
 	// Any other answer means that the request began to run, whether or not it is delivered.
 	s.countForUsage()
-	if answer.Status/100 == 2 && reading.Stream && s.call.Route.Kind == routetable.Streaming {
-		return s.readStream(choice, answer, reading, silence)
+	if answer.Status/100 == 2 && info.Stream && s.call.Route.Kind == routetable.Streaming {
+		return s.readStream(choice, answer, info, silence)
 	}
 	if s.answerBegan {
 		// The rest of a stream was requested, but the answer is no stream.
 		s.reason = "status " + http.StatusText(answer.Status) + " instead of the stream's rest"
 		return Cut
 	}
-	return s.readWhole(choice, answer, reading)
+	return s.readWhole(choice, answer, info)
 }
 
 // drainRejection reads the rest of a rejection, so that its connection can be reused.
@@ -344,7 +345,7 @@
 
 // readWhole reads a complete answer before any of it is delivered, so that after an
 // answer that breaks off the request can still be sent to another upstream.
-func (s *session) readWhole(choice Choice, answer *httpconn.Answer, reading AnswerInfo) Result {
+func (s *session) readWhole(choice Choice, answer *httpconn.Answer, info AnswerInfo) Result {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes+1))
 	if err != nil {
 		s.reason = err.Error()
@@ -354,12 +355,12 @@
 		s.reason = "the answer is too long to be held"
 		return Broken
 	}
-	if !reading.Signed && answer.Status/100 == 2 {
+	if !info.Signed && answer.Status/100 == 2 {
 		s.reason = "a success without the upstream's signature"
 		return Broken
 	}
 	whole := &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
-	if answer.Status >= http.StatusInternalServerError || answer.Status/100 != 2 && !reading.Signed {
+	if answer.Status >= http.StatusInternalServerError || answer.Status/100 != 2 && !info.Signed {
 		s.buffered = whole
 		s.reason = "status " + http.StatusText(answer.Status)
 		return Failed
--- a/internal/httpconn/reset_test.go
+++ b/internal/httpconn/reset_test.go
@@ -11,25 +11,25 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// Failure: an order is executed 5.6 s after its sender abandoned it, although a
-// newer order of another sender was executed meanwhile; or a request starts to
-// run long after its caller was answered. A link is cut; an exchange over it is
-// begun and abandoned; the link works again. After an orderly close, the kernel
-// keeps retransmitting the unsent data. If conn.reset only closed the
-// connection, the request would run here, which shows that the relay reproduces
-// the fault.
+// Guards against an order that is executed 5.6 s after its sender abandoned it,
+// although a newer order of another sender was executed meanwhile, and against a
+// request that starts to run long after its caller was answered. A link is cut;
+// an exchange over it is begun and abandoned; the link works again. After an
+// orderly close, the kernel keeps retransmitting the unsent data. With an orderly
+// close in conn.reset, the request runs and this test fails, which shows that the
+// relay reproduces the fault.
 func TestAnExchangeThatIsGivenUpNeverArrivesLater(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// kept: the connection was already used before the link was cut.
-		kept bool
+		// reused: the connection was already used before the link was cut.
+		reused bool
 	}{{"over a new connection", false}, {"over a kept connection", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			w := worker.New(t, "u")
 			relay := testkit.NewRelay(t, "http://"+w.Address())
 			pool := NewPool(boottime.Now)
 			target := Target{ID: "u", Address: relay.Address(), DefaultIdleTime: time.Minute}
-			if c.kept {
+			if c.reused {
 				answer, failure := pool.Send(t.Context(), target, request("before", ""))
 				if failure != nil {
 					t.Fatal(failure)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -3,9 +3,9 @@
 //
 // Each gateway keeps a token bucket for the account's whole limit. It deducts what it admits at
 // once, deducts what the other gateways admit when their reports arrive, and assumes that each of
-// them keeps spending at its last known rate until its next report. A gateway that doesn't hear
-// from all others refills its bucket only with the share of the gateways that it hears, so that the
-// two sides of a network partition together never admit more than the limit.
+// them keeps spending at its last known rate until its next report. A gateway that doesn't hear all
+// others (receives no reports from some) refills its bucket only with the share of the gateways that
+// it hears, so that the two sides of a network partition together never admit more than the limit.
 package quota
 
 import (
@@ -19,17 +19,18 @@
 
 const (
 	// rateAveragingTime is the time over which rates are averaged. It spans a few requests at each
-	// gateway and is short compared with a surge of an account.
+	// gateway and is short compared with a load spike of an account.
 	rateAveragingTime = 2 * time.Second
-	// minRetryAfter and maxRetryAfter bound the retry time that a refused caller is given.
+	// minRetryAfter and maxRetryAfter bound the retry-after time that a refused caller is given.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 	// minFillRate, per second, is the refill rate below which this gateway's share counts as
 	// unknown, because its callers have only begun to send requests.
 	minFillRate = 1e-6
 	// startupPeriod is the time after its start in which a gateway knows few of the others and
-	// admits only a small share of the limits. A caller that is refused then is told to return
-	// within startupMaxRetryAfter: after two rounds of reports the gateway knows all others.
+	// admits only a small share of the limits. A caller that is refused then is given a retry-after
+	// time of at most startupMaxRetryAfter: after two rounds of reports the gateway knows all
+	// others.
 	startupPeriod        = time.Second
 	startupMaxRetryAfter = 300 * time.Millisecond
 )
@@ -46,17 +47,17 @@
 // burstToleranceShare and rateToleranceShare are the shares of the tolerance that are given to
 // callers, on top of the burst and, spread over the window, on top of the rate. Requests that stay
 // just below the limit come in bursts, and some would be refused at random without these shares.
-// The rest covers what gateways admit before they hear of each other.
+// The rest covers what gateways admit before they receive each other's reports.
 //
 // overdraftToleranceShare is the share by which all gateways together may overdraw the bucket, one
-// request each. They seldom all do so at once, and then by half a request on average, so the shares
-// may add up to more than 1.
+// request each. The three shares may add up to more than 1, because the gateways seldom all overdraw
+// at once, and each of them then does so by half a request on average.
 const (
 	burstToleranceShare     = 0.25
 	rateToleranceShare      = 0.35
 	overdraftToleranceShare = 1.0
 	// lagWithoutTolerance is the mean age of reports from which on callers get no tolerance: the
-	// gateways need all of it for what they admit before they hear of each other.
+	// gateways need all of it for what they admit before they receive each other's reports.
 	lagWithoutTolerance = time.Second
 )
 
@@ -64,7 +65,7 @@
 	// A request that costs at most smallRequestBurstShare of the burst costs next to nothing. It is
 	// admitted even if the bucket is overdrawn, as long as the overdraft is below
 	// smallRequestMaxOverdraft of the burst. Without this rule a posting of 200 tokens is refused
-	// because a draft took 20,000: two in a hundred postings and status reads were. A sixth of a
+	// because a draft took 20,000: two in a hundred postings and status reads were refused so. A sixth of a
 	// busy account's requests are that small, and they cost a fiftieth of its tokens.
 	smallRequestBurstShare   = 0.003
 	smallRequestMaxOverdraft = 0.25
@@ -74,12 +75,11 @@
 // before the start is unknown, and all gateways may have started at once.
 const initialFillShare = 0.25
 
-// OtherGateways holds the other gateways' reports on one account. Their totals count from the start of
-// their sources.
+// OtherGateways holds the other gateways' reports on one account.
 type OtherGateways struct {
 	// Known counts the gateways that may admit requests, without this one.
 	Known int
-	// Reports are those of the gateways that are heard. Each has a different Name.
+	// Reports are the latest reports of the gateways that are heard. Each has a different Name.
 	Reports []Report
 }
 
@@ -116,9 +116,9 @@
 	level float64
 	// shareLevel is the content of this gateway's share of the bucket. It decides while demand
 	// exceeds the rate. If the whole bucket decided then, all gateways would spend the same refill,
-	// find the bucket overdrawn when they hear of each other, and refuse everything for half a
-	// second at a time, postings that cost next to nothing included (half of those were refused at
-	// four times the limit with nine gateways; with shares, one in twelve at most).
+	// find the bucket overdrawn when they receive each other's reports, and refuse everything for
+	// half a second at a time, postings that cost next to nothing included (half of those were
+	// refused at four times the limit with nine gateways; with shares, one in twelve at most).
 	shareLevel float64
 	// filledAt is the time up to which the bucket was refilled.
 	filledAt time.Time
@@ -185,7 +185,7 @@
 // Decision tells whether a request is admitted, and the values that decided it.
 type Decision struct {
 	OK bool
-	// RetryAfter is the time after which a refused request may be admitted.
+	// RetryAfter is the retry-after time of a refused request.
 	RetryAfter time.Duration
 	// Level is the content of the bucket, or of this gateway's share of it. Need is the content
 	// that the request needs.
@@ -201,13 +201,13 @@
 // when it would be admitted. One request may overdraw the bucket by a share of the tolerance, so
 // that large requests are admitted about as often as small ones. If the whole cost had to be in the
 // bucket, the small requests of an account at its limit would leave nothing for the large ones.
-func (k *Limiter) Admit(limit *routetable.Account, cost float64, now time.Time) Decision {
+func (l *Limiter) Admit(limit *routetable.Account, cost float64, now time.Time) Decision {
 	if limit.Rate <= 0 {
 		return Decision{OK: true}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	a := k.account(limit, now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(limit, now)
 	a.requestedTotal += cost
 	a.advance(now)
 	d := Decision{Level: a.level, Need: max(0, min(cost, a.burst)-a.overdraft), DemandRate: a.totalDemand, Heard: a.heard, Known: a.known}
@@ -225,23 +225,23 @@
 		d.OK = true
 		return d
 	}
-	d.RetryAfter = k.retryAfter(d, rate, now)
+	d.RetryAfter = l.retryAfter(d, rate, now)
 	return d
 }
 
 // retryAfter estimates when a refused request may be admitted, from the rate at which its bucket
 // refills.
-func (k *Limiter) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
+func (l *Limiter) retryAfter(d Decision, rate float64, now time.Time) time.Duration {
 	if rate < minFillRate {
-		// This gateway's share is known after the next report.
+		// The share of this gateway will be known after the next report.
 		return minRetryAfter
 	}
-	most := maxRetryAfter
-	if now.Sub(k.started) < startupPeriod && d.Heard < d.Known {
-		most = startupMaxRetryAfter
+	longest := maxRetryAfter
+	if now.Sub(l.started) < startupPeriod && d.Heard < d.Known {
+		longest = startupMaxRetryAfter
 	}
 	// The bound is applied in seconds: at a small rate the time overflows a time.Duration.
-	seconds := min((d.Need-d.Level)/rate, most.Seconds())
+	seconds := min((d.Need-d.Level)/rate, longest.Seconds())
 	return max(time.Duration(seconds*float64(time.Second)), minRetryAfter)
 }
 
@@ -256,15 +256,15 @@
 	othersSpendingRate float64
 	// totalDemand is the cost requested per second at all gateways that are heard.
 	totalDemand float64
-	// share is this gateway's fraction of the total demand while that exceeds the rate, otherwise
-	// 1.
+	// share is this gateway's fraction of the total demand while the total demand exceeds the
+	// rate, otherwise 1.
 	share float64
 }
 
 // effectiveLimits returns an account's rate, burst and overdraft with the tolerance that callers
 // get when the gateways' reports have the given mean age.
-func (k *Limiter) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, overdraft float64) {
-	t := k.tolerance
+func (l *Limiter) effectiveLimits(limit *routetable.Account, lag time.Duration) (rate, burst, overdraft float64) {
+	t := l.tolerance
 	tolerated := t.Overage*(limit.Rate*t.Window.Seconds()+limit.Burst) + t.Slack
 	tolerated *= max(0, 1-lag.Seconds()/lagWithoutTolerance.Seconds())
 	return limit.Rate + rateToleranceShare*tolerated/t.Window.Seconds(), limit.Burst + burstToleranceShare*tolerated, overdraftToleranceShare * tolerated
@@ -298,29 +298,29 @@
 	return sum / time.Duration(max(1, gateways))
 }
 
-// ApplyReports applies the other gateways' reports to the accounts with the given limits. Call it with
-// every round of reports: then other gateways' spending is deducted in small steps, and Admit
+// ApplyReports applies the other gateways' reports to the accounts with the given limits. Call it
+// with every round of reports: then other gateways' spending is deducted in small steps, and Admit
 // doesn't have to go through the reports.
-func (k *Limiter) ApplyReports(limits []routetable.Account, now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (l *Limiter) ApplyReports(limits []routetable.Account, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for i := range limits {
 		if limit := &limits[i]; limit.Rate > 0 {
-			k.refreshAccount(k.account(limit, now), limit, k.otherGateways(limit.Name, now), now)
+			l.refreshAccount(l.account(limit, now), limit, l.otherGateways(limit.Name, now), now)
 		}
 	}
 }
 
 // account returns an account's state. If the account is new to this gateway, the other gateways'
 // reports on it are applied first.
-func (k *Limiter) account(limit *routetable.Account, now time.Time) *account {
-	a := k.accounts[limit.Name]
+func (l *Limiter) account(limit *routetable.Account, now time.Time) *account {
+	a := l.accounts[limit.Name]
 	if a == nil {
-		others := k.otherGateways(limit.Name, now)
-		_, burst, _ := k.effectiveLimits(limit, 0)
-		a = &account{level: initialFillShare * burst * others.heardShare(), filledAt: k.started, refreshedAt: k.started, groups: make(map[string]*groupUsage)}
-		k.accounts[limit.Name] = a
-		k.refreshAccount(a, limit, others, now)
+		others := l.otherGateways(limit.Name, now)
+		_, burst, _ := l.effectiveLimits(limit, 0)
+		a = &account{level: initialFillShare * burst * others.heardShare(), filledAt: l.started, refreshedAt: l.started, groups: make(map[string]*groupUsage)}
+		l.accounts[limit.Name] = a
+		l.refreshAccount(a, limit, others, now)
 	}
 	return a
 }
@@ -339,9 +339,9 @@
 
 // refreshAccount applies the other gateways' reports: it deducts what they spent beyond the
 // estimate and updates their rates.
-func (k *Limiter) refreshAccount(a *account, limit *routetable.Account, others OtherGateways, now time.Time) {
+func (l *Limiter) refreshAccount(a *account, limit *routetable.Account, others OtherGateways, now time.Time) {
 	heardShare, lag := others.heardShare(), others.meanAge()
-	rate, burst, overdraft := k.effectiveLimits(limit, lag)
+	rate, burst, overdraft := l.effectiveLimits(limit, lag)
 	a.rate, a.burst = rate*heardShare, burst*heardShare
 	heardBefore := a.heard
 	a.heard, a.known = others.counts()
@@ -368,18 +368,18 @@
 	a.updateShare()
 }
 
-// scaleOverdraft adapts the overdraft when the number of gateways that share the bucket changes,
-// because the gateways' overdrafts add up. Otherwise, after all gateways were killed, what they
-// overdrew before they heard each other would be forgotten when they do, and they would overdraw
-// again.
+// scaleOverdraft scales the overdraft when the number of gateways that share the bucket changes,
+// because the gateways' overdrafts add up. Otherwise, after all gateways were killed and restarted,
+// each would drop the others' overdrafts from the time before they heard each other, and all would
+// overdraw again.
 func (a *account) scaleOverdraft(heardBefore int) {
 	if heardBefore > 0 && a.level < 0 {
 		a.level *= float64(a.heard) / float64(heardBefore)
 	}
 }
 
-// updateShare sets this gateway's share to its fraction of the total demand while that exceeds the
-// rate, otherwise to 1.
+// updateShare sets this gateway's share to its fraction of the total demand while the total demand
+// exceeds the rate, otherwise to 1.
 func (a *account) updateShare() {
 	share := 1.0
 	if a.totalDemand > a.rate {
@@ -411,10 +411,10 @@
 	return excess
 }
 
-// demandRate returns the cost requested per second at the group's gateways. As long as it is
+// demandRate returns the cost requested per second at the group's gateways. As long as the demand is
 // unknown, each of them is assumed to have the same demand as this gateway, ownRate. If unknown
-// demand counted as zero, then after all gateways were killed, each would take the whole refill as
-// its share at the moment in which they hear each other again.
+// demand counted as zero, then after all gateways were killed and restarted, each would take the
+// whole refill as its share at the moment in which they hear each other again.
 func (g *groupUsage) demandRate(r *Report, ownRate float64) float64 {
 	if !g.demand.known {
 		return ownRate * float64(r.Gateways)
@@ -450,11 +450,11 @@
 type Total struct{ Spent, Refused float64 }
 
 // Totals returns this gateway's totals by account, without accounts that requested nothing.
-func (k *Limiter) Totals() map[ident.ClientAccount]Total {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	out := make(map[ident.ClientAccount]Total, len(k.accounts))
-	for name, a := range k.accounts {
+func (l *Limiter) Totals() map[ident.ClientAccount]Total {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make(map[ident.ClientAccount]Total, len(l.accounts))
+	for name, a := range l.accounts {
 		if a.requestedTotal > 0 {
 			out[name] = Total{Spent: a.admittedTotal, Refused: a.requestedTotal - a.admittedTotal}
 		}
--- a/internal/retry/shared.go
+++ b/internal/retry/fleetbudget.go
@@ -7,8 +7,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// FleetBudgetConfig limits the extra attempts that arrive at a service from all gateways together, in
-// any window.
+// FleetBudgetConfig limits the extra attempts that arrive at a service from all gateways together,
+// in any window.
 type FleetBudgetConfig struct {
 	// Ratio is the number of extra attempts that each request in the window allows. Slack is a
 	// number of extra attempts allowed on top of that.
@@ -17,17 +17,18 @@
 }
 
 const (
-	// usedBudgetShare is the fraction of the limit that is used. The rest is for gateways that are
-	// not known yet, and for attempts that a network partition delays into another window.
+	// usedBudgetShare is the fraction of the budget that the known gateways use. The rest is for
+	// gateways that are not known yet, and for attempts that a network partition delays into another
+	// window.
 	usedBudgetShare = 0.6
 	// minGateways is the number of gateways assumed while fewer are known, so that a gateway that
 	// has just started doesn't take the whole slack.
 	minGateways = 4
 )
 
-// FleetBudget is a retry budget for many services that all gateways keep together without communication:
-// each gateway uses the ratio of its own requests and an even share of the slack. It is safe for
-// concurrent use.
+// FleetBudget is a retry budget for many services that all gateways together stay within, without
+// communication: each gateway uses the ratio of its own requests and an even share of the slack. It
+// is safe for concurrent use.
 type FleetBudget struct {
 	cfg FleetBudgetConfig
 	// gateways returns how many gateways there may be, with this one.
@@ -53,20 +54,20 @@
 }
 
 // RecordFirstAttempt records a request's first attempt.
-func (s *FleetBudget) RecordFirstAttempt(service ident.Service, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	w := s.currentWindow(service, now)
+func (b *FleetBudget) RecordFirstAttempt(service ident.Service, now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w := b.currentWindow(service, now)
 	w.firsts[w.slice%sliceCount]++
 }
 
 // Spend takes one extra attempt from the service's budget, or returns false if none is left.
-func (s *FleetBudget) Spend(service ident.Service, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	w := s.currentWindow(service, now)
-	gateways := max(s.gateways(), minGateways)
-	allowed := usedBudgetShare * (s.cfg.Ratio*sum(w.firsts) + s.cfg.Slack/float64(gateways))
+func (b *FleetBudget) Spend(service ident.Service, now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w := b.currentWindow(service, now)
+	gateways := max(b.gateways(), minGateways)
+	allowed := usedBudgetShare * (b.cfg.Ratio*sum(w.firsts) + b.cfg.Slack/float64(gateways))
 	if sum(w.extras)+1 > allowed {
 		return false
 	}
@@ -83,12 +84,12 @@
 }
 
 // currentWindow returns a service's window, advanced to now.
-func (s *FleetBudget) currentWindow(service ident.Service, now time.Time) *window {
-	slice := now.UnixNano() / int64(s.cfg.Window/sliceCount)
-	w := s.services[service]
+func (b *FleetBudget) currentWindow(service ident.Service, now time.Time) *window {
+	slice := now.UnixNano() / int64(b.cfg.Window/sliceCount)
+	w := b.services[service]
 	if w == nil {
 		w = &window{slice: slice}
-		s.services[service] = w
+		b.services[service] = w
 	}
 	for w.slice < slice {
 		w.slice++
--- a/internal/routing/placement/cutoff.go
+++ b/internal/routing/placement/cutoff.go
@@ -6,9 +6,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// unreachableTTL is how long a failed connection to an upstream keeps its failure
-// domain suspect. Within the same time gateways there that are not heard show
-// whether the cut is over.
+// unreachableTTL is how long after a failed connection to an upstream its failure
+// domain stays suspect. When a cut is over, gateways of the domain are heard again
+// within the same time.
 const unreachableTTL = 3 * time.Second
 
 // cutOffDomains returns the failure domains that are probably cut off from this
--- a/internal/routing/placement/room.go
+++ b/internal/routing/placement/retryafter.go
@@ -7,12 +7,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/forward"
 )
 
-// RetryAfter returns how long it takes until the queue of some engine is so short that
-// the call's first event would arrive within its objective. It returns 0 if that
-// is so now, for a plain service, and while too little is known about the engines.
-// It is a lower bound, because it assumes that no more work arrives. If all ready
-// upstreams have limits, it returns when the limits will have admitted the requests
-// that came before the call.
+// RetryAfter returns the time until the queue of some engine is so short that the
+// call's first event would arrive within its objective. It returns 0 if a queue is that
+// short now, for a plain service, and while too little is known about the engines. The
+// time is a lower bound, because it assumes that no more work arrives. If all ready
+// upstreams have limits, RetryAfter returns the time until the limits will have
+// admitted the requests that came before the call.
 func (c *Chooser) RetryAfter(call *forward.Call, now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -23,16 +23,16 @@
 	if call.Service.Engine == nil || estimate.Samples < minSamples {
 		return 0
 	}
-	room, found := time.Duration(0), false
+	shortest, found := time.Duration(0), false
 	for _, u := range c.refreshView().Of(call.Service.Name) {
 		if u.State != directory.Ready {
 			continue
 		}
 		load := c.totalLoad(u.ID, getOrCreate(c.own, u.ID))
 		first := estimate.FirstEvent(float64(prefillTokens(call)), float64(load.UnreadTokens), float64(load.Running))
-		if late := max(0, first-call.Route.Objective); !found || late < room {
-			room, found = late, true
+		if late := max(0, first-call.Route.Objective); !found || late < shortest {
+			shortest, found = late, true
 		}
 	}
-	return room
+	return shortest
 }
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// A fleet simulates upstreams that state limits, in virtual time: gateways with the real limiter,
+// A fleet simulates upstreams that announce limits, in virtual time: gateways with the real limiter,
 // callers, upstreams, and the exchange between gateways with its delays. A small fleet exchanges
 // directly, a large one through collectors.
 
@@ -35,21 +35,21 @@
 	contactTime  = 3 * time.Second
 	window       = 4 * time.Second
 	usageWindow  = 10 * time.Second
-	playTime     = 40 * time.Second
+	runTime      = 40 * time.Second
 )
 
-// limitSchedule is the limit that one upstream states, over time.
+// limitSchedule is the limit that one upstream announces, over time.
 type limitSchedule func(at time.Duration) (rate float64, limited bool)
 
-// always states a rate from a time on; between states it until another time.
+// always announces a rate from a time on; between announces it until another time.
 func always(rate float64, from time.Duration) limitSchedule { return between(rate, from, time.Hour) }
 
 func between(rate float64, from, to time.Duration) limitSchedule {
 	return func(at time.Duration) (float64, bool) { return rate, at >= from && at < to }
 }
 
-// story is a fleet and what happens to it.
-type story struct {
+// scenario describes a fleet, the limits that its upstreams announce, and the faults that happen.
+type scenario struct {
 	name              string
 	gateways, domains int
 	upstreams         int
@@ -80,7 +80,7 @@
 	share shareFunc
 }
 
-func (s story) with(change func(*story)) story {
+func (s scenario) with(change func(*scenario)) scenario {
 	change(&s)
 	return s
 }
@@ -118,10 +118,10 @@
 type upstream struct {
 	i, domain, incarnation int
 	schedule               limitSchedule
-	// named is when a limit was first stated, and lifted when an answer first stated none after
-	// that. Negative means never.
-	named, lifted time.Duration
-	arrivals      []time.Duration
+	// announcedAt is when a limit was first announced, and liftedAt when an answer first announced
+	// none after that. Negative means never.
+	announcedAt, liftedAt time.Duration
+	arrivals              []time.Duration
 }
 
 func (u *upstream) id() ident.Instance {
@@ -152,11 +152,11 @@
 
 type fleet struct {
 	testkit.Timeline
-	scenario  story
+	scenario  scenario
 	rng       *rand.Rand
 	gateways  []*gateway
 	upstreams []*upstream
-	saved     json.RawMessage
+	stored    json.RawMessage
 	cutOff    int
 	result    result
 }
@@ -167,7 +167,7 @@
 
 func key(id ident.Instance) uint32 { return uint32(xxhash.Sum64String(string(id))) }
 
-func play(s story, seed uint64) result {
+func runOnce(s scenario, seed uint64) result {
 	f := &fleet{scenario: s, rng: rand.New(rand.NewPCG(seed, 11)), cutOff: -1}
 	for i := range s.gateways + s.joins {
 		g := &gateway{i: i, domain: i % s.domains}
@@ -181,10 +181,10 @@
 		f.In(time.Duration(f.rng.Int64N(int64(round/2))), func() { f.refresh(g) })
 	}
 	for i := range s.upstreams {
-		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, schedule: s.limits[i], named: -1, lifted: -1})
+		f.upstreams = append(f.upstreams, &upstream{i: i, domain: i % s.domains, schedule: s.limits[i], announcedAt: -1, liftedAt: -1})
 	}
 	f.schedule()
-	f.RunUntil(playTime)
+	f.RunUntil(runTime)
 	for _, u := range f.upstreams {
 		f.evaluate(u)
 	}
@@ -194,8 +194,8 @@
 func (f *fleet) schedule() {
 	s := f.scenario
 	f.In(0, f.arrive)
-	f.In(renewal, f.saveLimits)
-	f.In(checkInterval, f.noteKnown)
+	f.In(renewal, f.storeLimits)
+	f.In(checkInterval, f.recordKnown)
 	if f.usesCollectors() {
 		for d := range s.domains {
 			f.In(time.Duration(f.rng.Int64N(int64(round/2))), func() { f.exchangeSums(d) })
@@ -210,7 +210,7 @@
 	}
 	if s.killEach {
 		for _, g := range f.gateways {
-			f.In(time.Duration(f.rng.Int64N(int64(playTime))), func() { f.kill(g) })
+			f.In(time.Duration(f.rng.Int64N(int64(runTime))), func() { f.kill(g) })
 		}
 	}
 	if s.cut {
@@ -222,7 +222,7 @@
 			for _, u := range f.upstreams {
 				if u.schedule != nil {
 					f.evaluate(u)
-					u.incarnation, u.schedule, u.named, u.lifted, u.arrivals = u.incarnation+1, nil, -1, -1, nil
+					u.incarnation, u.schedule, u.announcedAt, u.liftedAt, u.arrivals = u.incarnation+1, nil, -1, -1, nil
 				}
 			}
 		})
@@ -239,7 +239,7 @@
 	}
 	g.nextListAt = 0
 	g.limiter.Refresh(nil, g.fleet)
-	g.limiter.Restore(f.saved)
+	g.limiter.Restore(f.stored)
 }
 
 func (f *fleet) kill(g *gateway) {
@@ -250,12 +250,12 @@
 	f.In(restartDelay+time.Duration(f.rng.Int64N(int64(restartDelay/2))), func() { f.start(g) })
 }
 
-// saveLimits writes the lease's record.
-func (f *fleet) saveLimits() {
-	f.In(renewal, f.saveLimits)
+// storeLimits stores the limits in the lease's record.
+func (f *fleet) storeLimits() {
+	f.In(renewal, f.storeLimits)
 	for _, g := range f.gateways {
 		if g.up && f.cutOff != g.domain {
-			f.saved = g.limiter.Snapshot()
+			f.stored = g.limiter.Snapshot()
 			return
 		}
 	}
@@ -286,28 +286,28 @@
 	f.result.maxUsesInMessage = max(f.result.maxUsesInMessage, len(own))
 	if f.usesCollectors() {
 		if c := f.collector(g.domain); c != nil {
-			f.announceLimits(g, c, func() { c.reports[g.i] = report{own, f.Now()} })
-			f.announceLimits(c, g, func() { f.sendCollected(c, g) })
+			f.sendLimits(g, c, func() { c.reports[g.i] = report{own, f.Now()} })
+			f.sendLimits(c, g, func() { f.sendCollected(c, g) })
 		}
 		return
 	}
 	for _, o := range f.gateways {
 		if o != g && o.up && !f.apart(g.domain, o.domain) {
-			f.announceLimits(g, o, func() { o.reports[g.i] = report{own, f.Now()} })
+			f.sendLimits(g, o, func() { o.reports[g.i] = report{own, f.Now()} })
 		}
 	}
 }
 
-// announceLimits delivers one gateway's announcements to another and then calls then.
-func (f *fleet) announceLimits(from, to *gateway, then func()) {
-	announced := from.limiter.Announcements()
-	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(announced))
+// sendLimits delivers one gateway's reports on limits to another and afterwards calls onDelivery.
+func (f *fleet) sendLimits(from, to *gateway, onDelivery func()) {
+	reports := from.limiter.Announcements()
+	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(reports))
 	at := f.Now()
 	limiter := to.limiter
 	f.In(messageDelay+time.Duration(f.rng.Int64N(int64(messageDelay))), func() {
 		if to.up && to.limiter == limiter {
-			to.limiter.MergeAnnouncements(announced, epoch.Add(at))
-			then()
+			to.limiter.MergeAnnouncements(reports, epoch.Add(at))
+			onDelivery()
 		}
 	})
 }
@@ -356,7 +356,7 @@
 	f.addMembers(c, &sum, -1)
 	for d := range f.scenario.domains {
 		if o := f.collector(d); d != domain && o != nil && !f.apart(domain, d) {
-			f.announceLimits(c, o, func() { o.sums[domain] = sum })
+			f.sendLimits(c, o, func() { o.sums[domain] = sum })
 		}
 	}
 }
@@ -404,12 +404,12 @@
 	}
 }
 
-// noteKnown records how long it takes until all gateways know what an upstream states about its
-// limit.
-func (f *fleet) noteKnown() {
-	f.In(checkInterval, f.noteKnown)
+// recordKnown records how long it takes until all gateways know what an upstream announces about
+// its limit.
+func (f *fleet) recordKnown() {
+	f.In(checkInterval, f.recordKnown)
 	for _, u := range f.upstreams {
-		if u.named < 0 {
+		if u.announcedAt < 0 {
 			continue
 		}
 		rate, limited := u.schedule(f.Now())
@@ -426,9 +426,9 @@
 		switch {
 		case all:
 		case limited:
-			f.result.knownAfter = max(f.result.knownAfter, f.Now()-u.named)
-		case u.lifted >= 0:
-			f.result.liftedAfter = max(f.result.liftedAfter, f.Now()-u.lifted)
+			f.result.knownAfter = max(f.result.knownAfter, f.Now()-u.announcedAt)
+		case u.liftedAt >= 0:
+			f.result.liftedAfter = max(f.result.liftedAfter, f.Now()-u.liftedAt)
 		}
 	}
 }
@@ -462,10 +462,10 @@
 	}
 }
 
-// place sends a request to the first upstream in its order of preference that the limiter admits it
-// to.
+// place sends a request to the first upstream, in the request's order of preference, whose limit
+// admits it.
 func (f *fleet) place(g *gateway, times int) {
-	room := false
+	unlimitedUp := false
 	// A step that has no common divisor with the number of upstreams reaches all of them.
 	start, step := f.rng.IntN(len(f.upstreams)), 1+f.rng.IntN(len(f.upstreams))
 	for gcd(step, len(f.upstreams)) > 1 {
@@ -482,14 +482,14 @@
 		if f.apart(g.domain, u.domain) {
 			continue
 		}
-		room = room || !g.limiter.Limited(u.id())
+		unlimitedUp = unlimitedUp || !g.limiter.Limited(u.id())
 		if g.limiter.Admit(u.id()) {
 			f.sendRequest(g, u)
 			return
 		}
 	}
 	f.result.refusedAll++
-	if room {
+	if unlimitedUp {
 		f.result.refused++
 	}
 	if times < f.scenario.retries {
@@ -518,21 +518,21 @@
 		if u.schedule != nil {
 			if rate, limited := u.schedule(f.Now()); limited {
 				s = LimitedTo(rate)
-				if u.named < 0 {
-					u.named = f.Now()
+				if u.announcedAt < 0 {
+					u.announcedAt = f.Now()
 				}
-				u.lifted = -1
-			} else if u.named >= 0 && u.lifted < 0 {
-				u.lifted = f.Now()
+				u.liftedAt = -1
+			} else if u.announcedAt >= 0 && u.liftedAt < 0 {
+				u.liftedAt = f.Now()
 			}
 		}
 		g.limiter.RecordStatement(id, "", s)
 	})
 }
 
-// maxNamedRate returns the highest rate that was stated between two times, and false if none was
-// stated at some time between them.
-func (u *upstream) maxNamedRate(from, to time.Duration) (rate float64, limited bool) {
+// maxAnnouncedRate returns the highest rate that was announced between two times, and false if none
+// was announced at some time between them.
+func (u *upstream) maxAnnouncedRate(from, to time.Duration) (rate float64, limited bool) {
 	for at := from; at <= to; at += 50 * time.Millisecond {
 		r, l := u.schedule(at)
 		if !l {
@@ -543,22 +543,22 @@
 	return max(rate, minRate), true
 }
 
-// evaluate checks all windows of an upstream's arrivals. A stated rate counts after contactTime has
-// passed.
+// evaluate checks all windows of an upstream's arrivals. A rate that was announced counts after
+// contactTime has passed.
 func (f *fleet) evaluate(u *upstream) {
-	if u.schedule == nil || u.named < 0 {
+	if u.schedule == nil || u.announcedAt < 0 {
 		return
 	}
 	end := f.Now()
 	first := 0
 	for i, at := range u.arrivals {
-		for at-u.arrivals[first] > window || u.arrivals[first] < u.named+contactTime && first < i {
+		for at-u.arrivals[first] > window || u.arrivals[first] < u.announcedAt+contactTime && first < i {
 			first++
 		}
-		if at < u.named+contactTime {
+		if at < u.announcedAt+contactTime {
 			continue
 		}
-		rate, limited := u.maxNamedRate(max(u.named, u.arrivals[first]-contactTime), at)
+		rate, limited := u.maxAnnouncedRate(max(u.announcedAt, u.arrivals[first]-contactTime), at)
 		if !limited {
 			continue
 		}
@@ -572,7 +572,7 @@
 			f.result.worstOfLimit = max(f.result.worstOfLimit, n/(rate*window.Seconds()))
 		}
 	}
-	for from := u.named + contactTime; from+usageWindow <= end; from += usageWindow {
+	for from := u.announcedAt + contactTime; from+usageWindow <= end; from += usageWindow {
 		least, limited := u.schedule(from)
 		for at := from; at < from+usageWindow; at += 100 * time.Millisecond {
 			r, l := u.schedule(at)
