--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -26,25 +26,25 @@
 type actions []action
 
 // Now returns the virtual time: that of the action that runs or ran last.
-func (a *Queue) Now() time.Duration { return a.now }
+func (q *Queue) Now() time.Duration { return q.now }
 
 // Clock returns the virtual time as a time.Time, for code that takes a clock.
-func (a *Queue) Clock() time.Time { return time.Unix(0, int64(a.now)) }
+func (q *Queue) Clock() time.Time { return time.Unix(0, int64(q.now)) }
 
 // At adds an action that runs at virtual time t.
-func (a *Queue) At(t time.Duration, run func()) {
-	a.seq++
-	heap.Push(&a.pending, action{at: t, seq: a.seq, run: run})
+func (q *Queue) At(t time.Duration, run func()) {
+	q.seq++
+	heap.Push(&q.pending, action{at: t, seq: q.seq, run: run})
 }
 
 // Step advances the virtual time to that of the next action and runs it. It returns
 // false if there is none.
-func (a *Queue) Step() bool {
-	if len(a.pending) == 0 {
+func (q *Queue) Step() bool {
+	if len(q.pending) == 0 {
 		return false
 	}
-	next := heap.Pop(&a.pending).(action)
-	a.now = next.at
+	next := heap.Pop(&q.pending).(action)
+	q.now = next.at
 	next.run()
 	return true
 }
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -72,8 +72,8 @@
 		r.dispatch(k)
 		return
 	}
-	d := k.gateway.policies[doc].Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.agenda.Clock())
-	decision := a.offer(k, d, r.agenda.Clock())
+	d := k.gateway.policies[doc].Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.events.Clock())
+	decision := a.offer(k, d, r.events.Clock())
 	if k.refusals > 0 {
 		k.retries++
 		if !decision.Refused {
@@ -87,7 +87,7 @@
 		r.refuse(k, decision.Refusal)
 	default:
 		entry := k.entry
-		r.agenda.At(time.Duration(entry.LatestStart().UnixNano()), func() { r.abandon(k, entry, outcome.ReasonOverloaded) })
+		r.events.At(time.Duration(entry.LatestStart().UnixNano()), func() { r.abandon(k, entry, outcome.ReasonOverloaded) })
 	}
 	if decision.Evicted != nil {
 		r.refuse(a.entries[decision.Evicted.Entry], decision.Evicted.Refusal)
@@ -97,7 +97,7 @@
 // abandon ends a request's wait because it took too long or because the caller gave up.
 func (r *run) abandon(k *call, entry *gate.Entry, cause outcome.Reason) {
 	a := r.admission(k)
-	if refusal, waited := a.gate.Abandon(r.agenda.Clock(), entry, cause); waited {
+	if refusal, waited := a.gate.Abandon(r.events.Clock(), entry, cause); waited {
 		r.refuse(k, refusal)
 	}
 }
@@ -112,7 +112,7 @@
 		r.finish(k)
 		return
 	}
-	r.agenda.At(r.agenda.Now()+o.RetryAfter, func() {
+	r.events.At(r.events.Now()+o.RetryAfter, func() {
 		if !k.done {
 			r.admit(k)
 		}
@@ -122,7 +122,7 @@
 // recordFirstToken reports a request's first token to the gate.
 func (r *run) recordFirstToken(k *call) {
 	if a := r.admission(k); a != nil && k.entry != nil {
-		a.gate.FirstToken(r.agenda.Clock(), k.entry)
+		a.gate.FirstToken(r.events.Clock(), k.entry)
 	}
 }
 
@@ -132,7 +132,7 @@
 	if a == nil || k.entry == nil {
 		return
 	}
-	a.gate.Done(r.agenda.Clock(), k.entry, 0)
+	a.gate.Done(r.events.Clock(), k.entry, 0)
 	delete(a.entries, k.entry)
 	k.entry = nil
 	r.grantWaiting(a)
@@ -141,7 +141,7 @@
 // grantWaiting grants free slots to waiting requests and refuses those that waited too long.
 func (r *run) grantWaiting(a *admission) {
 	for {
-		granted, expired := a.gate.Next(r.agenda.Clock())
+		granted, expired := a.gate.Next(r.events.Clock())
 		switch {
 		case granted != nil:
 			r.dispatch(a.entries[granted])
@@ -163,8 +163,8 @@
 	// distinguishes a slow upstream from one that only has many requests.
 	sample := ejection.Sample{Failed: failed, Started: time.Unix(0, int64(k.sentAt))}
 	if n := k.delivered - k.deliveredBefore; n > 1 {
-		gap := (r.agenda.Now() - k.sentAt - k.attemptFirstToken) / time.Duration(n-1)
+		gap := (r.events.Now() - k.sentAt - k.attemptFirstToken) / time.Duration(n-1)
 		sample.Latency = gap.Seconds() / k.decision.BetweenTokens.Seconds()
 	}
-	a.ejection.RecordAttemptEnd(r.agenda.Clock(), u.ID, sample)
+	a.ejection.RecordAttemptEnd(r.events.Clock(), u.ID, sample)
 }
--- a/internal/experiment/brownout.go
+++ b/internal/experiment/brownout.go
@@ -9,13 +9,13 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// unpaidRetryAfter is the retry-after time of a caller whose request the retry budget allowed
+// overBudgetRetryAfter is the retry-after time of a caller whose request the retry budget allowed
 // no further attempt.
-const unpaidRetryAfter = time.Second
+const overBudgetRetryAfter = time.Second
 
 // upstreamRefuses draws whether an upstream refuses an attempt in a brown-out.
 func (r *run) upstreamRefuses() bool {
-	return r.fault.RefusedShare > 0 && r.agenda.Now() >= faultAt && r.agenda.Now() < faultEnd && r.rng.Float64() < r.fault.RefusedShare
+	return r.fault.RefusedShare > 0 && r.events.Now() >= faultAt && r.events.Now() < faultEnd && r.rng.Float64() < r.fault.RefusedShare
 }
 
 // mayAttempt reports whether a request's next attempt is allowed. The first attempt is, and
@@ -29,14 +29,14 @@
 	if k.attempts == 0 {
 		a.budget.RecordFirstAttempt()
 	}
-	return !refused || a.budget.Spend(r.agenda.Clock())
+	return !refused || a.budget.Spend(r.events.Clock())
 }
 
 // recordUpstreamRefusal reports an attempt that an upstream refused to the outlier ejection.
 func (r *run) recordUpstreamRefusal(k *call, id ident.Instance) {
 	if a := r.admission(k); a != nil {
-		a.ejection.RecordAttemptStart(r.agenda.Clock(), id)
-		a.ejection.RecordAttemptEnd(r.agenda.Clock(), id, ejection.Sample{Failed: true, Started: r.agenda.Clock()})
+		a.ejection.RecordAttemptStart(r.events.Clock(), id)
+		a.ejection.RecordAttemptEnd(r.events.Clock(), id, ejection.Sample{Failed: true, Started: r.events.Clock()})
 	}
 }
 
@@ -48,9 +48,9 @@
 		r.finish(k)
 		return
 	}
-	k.unpaidRetries++
+	k.retriesOverBudget++
 	entry := k.entry
-	r.refuse(k, outcome.NewNotRun(outcome.ReasonUpstreamRefused, "", retryafter.Spread(unpaidRetryAfter, k.id())))
-	a.gate.Done(r.agenda.Clock(), entry, 0)
+	r.refuse(k, outcome.NewNotRun(outcome.ReasonUpstreamRefused, "", retryafter.Spread(overBudgetRetryAfter, k.id())))
+	a.gate.Done(r.events.Clock(), entry, 0)
 	r.grantWaiting(a)
 }
--- a/internal/experiment/calls.go
+++ b/internal/experiment/calls.go
@@ -18,7 +18,7 @@
 // arrive handles the arrival of a request.
 func (r *run) arrive(k *call) {
 	if k.kind.Patience > 0 {
-		r.agenda.At(r.agenda.Now()+k.kind.Patience, func() { r.giveUp(k) })
+		r.events.At(r.events.Now()+k.kind.Patience, func() { r.giveUp(k) })
 	}
 	r.admit(k)
 }
@@ -36,7 +36,7 @@
 		return
 	}
 	if k.runner != nil {
-		k.runner.model.Cancel(r.agenda.Clock(), k.id())
+		k.runner.model.Cancel(r.events.Clock(), k.id())
 	}
 	r.endAttempt(k, routing.ResultCancelled)
 	r.release(k)
@@ -74,17 +74,17 @@
 		k.attempts++
 		req := k.request(doc.Service)
 		if a := k.gateway.admissions[doc]; a != nil {
-			req.Exclude = slices.Concat(req.Exclude, a.ejection.Excluded(r.agenda.Clock()))
+			req.Exclude = slices.Concat(req.Exclude, a.ejection.Excluded(r.events.Clock()))
 		}
-		d := policy.Decide(doc, k.gateway.views[doc], req, r.agenda.Clock())
+		d := policy.Decide(doc, k.gateway.views[doc], req, r.events.Clock())
 		if !d.Found() {
 			break
 		}
-		k.ticket = policy.Started(d, req, r.agenda.Clock())
+		k.ticket = policy.Started(d, req, r.events.Clock())
 		if u := r.runnerByID(d.Upstream); r.submit(k, u, d) {
 			return
 		}
-		policy.Finished(&k.ticket, routing.ResultRefused, r.agenda.Clock())
+		policy.Finished(&k.ticket, routing.ResultRefused, r.events.Clock())
 		r.recordUpstreamRefusal(k, d.Upstream)
 		k.exclude = append(k.exclude, d.Upstream)
 	}
@@ -96,17 +96,17 @@
 	if u.ended || r.upstreamRefuses() {
 		return false
 	}
-	w := engine.Attempt{
+	attempt := engine.Attempt{
 		ID: k.id(), Tag: k.index<<attemptBits | k.attempts, Priority: int32(k.kind.Class.Priority),
 		Blocks: k.blocks, ContextTokens: k.promptTokens + k.delivered, OutputTokens: k.outputTokens - k.delivered,
 	}
-	if u.model.Submit(r.agenda.Clock(), w) != nil {
+	if u.model.Submit(r.events.Clock(), attempt) != nil {
 		return false
 	}
-	k.runner, k.decision, k.sentAt, k.attemptFirstToken = u, d, r.agenda.Now(), 0
+	k.runner, k.decision, k.sentAt, k.attemptFirstToken = u, d, r.events.Now(), 0
 	k.deliveredBefore = k.delivered
 	if a := r.admission(k); a != nil {
-		a.ejection.RecordAttemptStart(r.agenda.Clock(), u.ID)
+		a.ejection.RecordAttemptStart(r.events.Clock(), u.ID)
 	}
 	u.active[k.index] = k
 	r.startStep(u)
@@ -128,16 +128,16 @@
 		return
 	}
 	var d time.Duration
-	u.tokens, d = u.model.Step(r.agenda.Clock(), u.tokens[:0])
+	u.tokens, d = u.model.Step(r.events.Clock(), u.tokens[:0])
 	if d == 0 {
 		return
 	}
 	u.busy = true
-	if r.agenda.Now() >= warmUp {
+	if r.events.Now() >= warmUp {
 		u.busyTime += d
 	}
 	u.longestQueue = max(u.longestQueue, u.model.Waiting())
-	r.agenda.At(r.agenda.Now()+d, func() {
+	r.events.At(r.events.Now()+d, func() {
 		if u.ended {
 			return
 		}
@@ -161,7 +161,7 @@
 		r.firstToken(k, t)
 	}
 	k.delivered++
-	k.lastTokenAt = r.agenda.Now()
+	k.lastTokenAt = r.events.Now()
 	if !t.Done {
 		return
 	}
@@ -172,18 +172,18 @@
 // firstToken records an attempt's first token, and how many prefilled tokens some engine had
 // computed before.
 func (r *run) firstToken(k *call, t engine.Token) {
-	r.policy(k).FirstToken(&k.ticket, r.agenda.Clock())
+	r.policy(k).FirstToken(&k.ticket, r.events.Clock())
 	r.recordFirstToken(k)
-	k.attemptFirstToken = r.agenda.Now() - k.sentAt
+	k.attemptFirstToken = r.events.Now() - k.sentAt
 	if k.attempts == 1 {
-		k.predicted, k.actual = k.decision.FirstToken, r.agenda.Now()-k.sentAt
+		k.predicted, k.actual = k.decision.FirstToken, r.events.Now()-k.sentAt
 	}
 	if k.delivered > 0 {
 		k.resumed += t.Prefilled
 		k.recomputed += t.Prefilled
 		return
 	}
-	k.firstTokenAt = r.agenda.Now()
+	k.firstTokenAt = r.events.Now()
 	computedFrom := k.promptTokens - t.Prefilled
 	for i, b := range k.blocks {
 		if i*prompt.BlockTokens >= computedFrom && r.computedBlocks[b] {
@@ -206,7 +206,7 @@
 	if result != routing.ResultCancelled {
 		r.recordAttemptEnd(k, u, result == routing.ResultFailed)
 	}
-	r.policy(k).Finished(&k.ticket, result, r.agenda.Clock())
+	r.policy(k).Finished(&k.ticket, result, r.events.Clock())
 }
 
 // meanTokenGap returns the mean time between two tokens, interruptions included, or 0 for
--- a/internal/experiment/driver.go
+++ b/internal/experiment/driver.go
@@ -84,8 +84,8 @@
 	refusals, retries, retriesAdmitted int
 	// entry is the request's entry in its gateway's admission, or nil.
 	entry *gate.Entry
-	// unpaidRetries counts how often the retry budget allowed no further attempt.
-	unpaidRetries int
+	// retriesOverBudget counts how often the retry budget allowed no further attempt.
+	retriesOverBudget int
 	// attemptFirstToken is the time to the current attempt's first token.
 	attemptFirstToken time.Duration
 	// deliveredBefore is how many tokens were delivered before the current attempt.
@@ -99,7 +99,7 @@
 	workload *Workload
 	fault    Case
 	rng      *rand.Rand
-	agenda   eventqueue.Queue
+	events   eventqueue.Queue
 	runners  []*runner
 	gateways []*gateway
 	calls    []*call
@@ -122,11 +122,11 @@
 	for i, a := range w.arrivals(rand.New(rand.NewPCG(seed, 2)), c.phases(), c.accounts(w)) {
 		k := &call{arrival: a, index: i, gateway: r.gateways[mixBits(seed+uint64(i)<<8)%gatewayCount]}
 		r.calls = append(r.calls, k)
-		r.agenda.At(a.at, func() { r.arrive(k) })
+		r.events.At(a.at, func() { r.arrive(k) })
 	}
 	r.openRequests = len(r.calls)
-	r.agenda.At(faultAt, r.injectFault)
-	for r.openRequests > 0 && r.agenda.Now() < drainLimit && r.agenda.Step() {
+	r.events.At(faultAt, r.injectFault)
+	for r.openRequests > 0 && r.events.Now() < drainLimit && r.events.Step() {
 	}
 	return r.figures()
 }
@@ -136,69 +136,69 @@
 		p.ReportLag = r.fault.ReportLag
 	}
 	p.EventGapEvery = r.fault.EventGapEvery
-	u := &runner{Instance: i, model: engine.NewModel(p), active: make(map[int]*call), startedAt: r.agenda.Now(), stoppedAt: arrivalsEnd}
+	u := &runner{Instance: i, model: engine.NewModel(p), active: make(map[int]*call), startedAt: r.events.Now(), stoppedAt: arrivalsEnd}
 	r.runners = append(r.runners, u)
 }
 
 func (r *run) addGateways(contender Contender) {
 	for i := range gatewayCount {
-		d := &gateway{
+		g := &gateway{
 			caches:        make(map[ident.Instance]*cacheview.View),
 			views:         make(map[*document.Document][]blackboard.Upstream),
 			blindToCaches: contender.BlindToCaches,
 		}
-		d.policies = map[*document.Document]Policy{
-			r.workload.Model: contender.New(r.rng.Uint64, r.agenda.Clock()),
-			r.workload.Plain: contender.New(r.rng.Uint64, r.agenda.Clock()),
+		g.policies = map[*document.Document]Policy{
+			r.workload.Model: contender.New(r.rng.Uint64, r.events.Clock()),
+			r.workload.Plain: contender.New(r.rng.Uint64, r.events.Clock()),
 		}
 		if contender.Admission {
-			d.planned = make(map[ident.Instance]bool)
-			d.admissions = map[*document.Document]*admission{
-				r.workload.Model: newAdmission(r.agenda.Clock()),
-				r.workload.Plain: newAdmission(r.agenda.Clock()),
+			g.planned = make(map[ident.Instance]bool)
+			g.admissions = map[*document.Document]*admission{
+				r.workload.Model: newAdmission(r.events.Clock()),
+				r.workload.Plain: newAdmission(r.events.Clock()),
 			}
 		}
-		r.gateways = append(r.gateways, d)
-		r.poll(d)
-		r.agenda.At(pollEvery*time.Duration(i)/gatewayCount, func() { r.pollRepeatedly(d) })
+		r.gateways = append(r.gateways, g)
+		r.poll(g)
+		r.events.At(pollEvery*time.Duration(i)/gatewayCount, func() { r.pollRepeatedly(g) })
 	}
 }
 
-func (r *run) pollRepeatedly(d *gateway) {
-	r.poll(d)
-	r.agenda.At(r.agenda.Now()+pollEvery, func() { r.pollRepeatedly(d) })
+func (r *run) pollRepeatedly(g *gateway) {
+	r.poll(g)
+	r.events.At(r.events.Now()+pollEvery, func() { r.pollRepeatedly(g) })
 }
 
 // poll reads all upstreams' reports and cache events into the gateway's views, plans for
 // runners that are leaving, and grants slots that have become free.
-func (r *run) poll(d *gateway) {
-	d.views[r.workload.Model], d.views[r.workload.Plain] = nil, nil
+func (r *run) poll(g *gateway) {
+	g.views[r.workload.Model], g.views[r.workload.Plain] = nil, nil
 	for _, u := range r.runners {
 		if u.ended {
 			continue
 		}
-		report := u.model.Report(r.agenda.Clock())
+		report := u.model.Report(r.events.Clock())
 		seen := blackboard.Upstream{Instance: u.Instance, State: blackboard.Alive, Report: report}
-		seen.AsOf = r.agenda.Clock().Add(-report.Age)
-		if !d.blindToCaches {
-			seen.Cache = r.cacheOf(d, u)
+		seen.AsOf = r.events.Clock().Add(-report.Age)
+		if !g.blindToCaches {
+			seen.Cache = r.cacheOf(g, u)
 		}
 		if u.leaving {
 			seen.State = blackboard.Leaving
 		}
 		doc := r.document(u.Role == platform.RolePlain)
-		d.views[doc] = append(d.views[doc], seen)
+		g.views[doc] = append(g.views[doc], seen)
 	}
 	for _, u := range r.runners {
-		if d.planned != nil && u.leaving && !u.ended {
-			r.planReclaim(d, u)
+		if g.planned != nil && u.leaving && !u.ended {
+			r.planReclaim(g, u)
 		}
 	}
-	for doc, a := range d.admissions {
-		a.setUpstreams(d.views[doc], d.policies[doc], r.agenda.Clock())
+	for doc, a := range g.admissions {
+		a.setUpstreams(g.views[doc], g.policies[doc], r.events.Clock())
 	}
 	for _, doc := range []*document.Document{r.workload.Model, r.workload.Plain} {
-		if a := d.admissions[doc]; a != nil {
+		if a := g.admissions[doc]; a != nil {
 			r.grantWaiting(a)
 		}
 	}
@@ -206,13 +206,13 @@
 
 // cacheOf returns a gateway's view of a runner's cache after it has read the newest
 // events.
-func (r *run) cacheOf(d *gateway, u *runner) *cacheview.View {
-	cache := d.caches[u.ID]
+func (r *run) cacheOf(g *gateway, u *runner) *cacheview.View {
+	cache := g.caches[u.ID]
 	if cache == nil {
-		cache = cacheview.New(cacheview.DefaultParams(), r.agenda.Clock())
-		d.caches[u.ID] = cache
+		cache = cacheview.New(cacheview.DefaultParams(), r.events.Clock())
+		g.caches[u.ID] = cache
 	}
-	cache.Apply(u.model.CacheEvents(cache.LastSequence(), r.agenda.Clock()), r.agenda.Clock())
+	cache.Apply(u.model.CacheEvents(cache.LastSequence(), r.events.Clock()), r.events.Clock())
 	return cache
 }
 
@@ -237,9 +237,9 @@
 			continue
 		}
 		u.leaving = true
-		u.model.Leave(r.agenda.Clock())
-		u.endsAt = r.agenda.Now() + reclaimNotice
-		r.agenda.At(u.endsAt, func() { r.endRunner(u) })
+		u.model.Leave(r.events.Clock())
+		u.endsAt = r.events.Now() + reclaimNotice
+		r.events.At(u.endsAt, func() { r.endRunner(u) })
 		r.replace(u, 1)
 	}
 }
@@ -250,10 +250,10 @@
 	p := engine.DefaultParameters()
 	p.FailingStarts = r.fault.FailingStarts
 	delay, ok := p.StartResult(attempt)
-	if r.agenda.Now()+delay > arrivalsEnd {
+	if r.events.Now()+delay > arrivalsEnd {
 		return
 	}
-	r.agenda.At(r.agenda.Now()+delay, func() {
+	r.events.At(r.events.Now()+delay, func() {
 		if !ok {
 			r.replace(old, attempt+1)
 			return
@@ -269,7 +269,7 @@
 
 // endRunner ends a runner and sends its requests to other runners, oldest first.
 func (r *run) endRunner(u *runner) {
-	u.ended, u.stoppedAt = true, r.agenda.Now()
+	u.ended, u.stoppedAt = true, r.events.Now()
 	for _, k := range inArrivalOrder(u.active) {
 		r.endAttempt(k, routing.ResultFailed)
 		k.exclude = append(k.exclude, u.ID)
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -131,7 +131,7 @@
 		f.Recomputed += float64(k.recomputed) * 1000 / n
 		f.Resumed += float64(k.resumed) * 1000 / n
 		f.AttemptsPerRequest += float64(k.attempts)
-		accepted += 1 + k.unpaidRetries
+		accepted += 1 + k.retriesOverBudget
 		retries += k.retries
 		admitted += k.retriesAdmitted
 	}
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -62,7 +62,7 @@
 type baselinePolicy struct {
 	// Router counts the requests in flight; choose makes the choice.
 	*routing.Router
-	choose func(s *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream
+	choose func(p *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream
 	random func() uint64
 	// turn is the position of round robin.
 	turn int
@@ -85,7 +85,7 @@
 
 // Decide chooses an upstream and lets the Router decide on a view that contains only this
 // one, so that requests are counted and times predicted in the same way for all policies.
-func (s *baselinePolicy) Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision {
+func (p *baselinePolicy) Decide(doc *document.Document, view []blackboard.Upstream, req routing.Request, now time.Time) routing.Decision {
 	var usable []*blackboard.Upstream
 	for i := range view {
 		if view[i].State == blackboard.Alive && !slices.Contains(req.Exclude, view[i].Instance.ID) {
@@ -95,30 +95,30 @@
 	if len(usable) == 0 {
 		return routing.Decision{}
 	}
-	chosen := s.choose(s, usable, req, now)
-	return s.Router.Decide(doc, []blackboard.Upstream{*chosen}, req, now)
+	chosen := p.choose(p, usable, req, now)
+	return p.Router.Decide(doc, []blackboard.Upstream{*chosen}, req, now)
 }
 
-func roundRobin(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
-	s.turn++
-	return usable[s.turn%len(usable)]
+func roundRobin(p *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+	p.turn++
+	return usable[p.turn%len(usable)]
 }
 
-func fewestInFlight(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
-	start := int(s.random() % uint64(len(usable)))
+func fewestInFlight(p *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+	start := int(p.random() % uint64(len(usable)))
 	best := usable[start]
 	for i := range usable {
-		if u := usable[(start+i)%len(usable)]; s.Outstanding(u.Instance.ID) < s.Outstanding(best.Instance.ID) {
+		if u := usable[(start+i)%len(usable)]; p.Outstanding(u.Instance.ID) < p.Outstanding(best.Instance.ID) {
 			best = u
 		}
 	}
 	return best
 }
 
-func randomOfTwo(s *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
-	a := usable[s.random()%uint64(len(usable))]
-	b := usable[s.random()%uint64(len(usable))]
-	if s.Outstanding(b.Instance.ID) < s.Outstanding(a.Instance.ID) {
+func randomOfTwo(p *baselinePolicy, usable []*blackboard.Upstream, _ routing.Request, _ time.Time) *blackboard.Upstream {
+	a := usable[p.random()%uint64(len(usable))]
+	b := usable[p.random()%uint64(len(usable))]
+	if p.Outstanding(b.Instance.ID) < p.Outstanding(a.Instance.ID) {
 		return b
 	}
 	return a
@@ -126,7 +126,7 @@
 
 // prefixAffinity chooses the upstream that has most of the prompt cached, and among equals
 // the one with the fewest requests in flight.
-func prefixAffinity(s *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream {
+func prefixAffinity(p *baselinePolicy, usable []*blackboard.Upstream, req routing.Request, now time.Time) *blackboard.Upstream {
 	var longest []*blackboard.Upstream
 	most := -1
 	for _, u := range usable {
@@ -138,5 +138,5 @@
 			longest = append(longest, u)
 		}
 	}
-	return fewestInFlight(s, longest, req, now)
+	return fewestInFlight(p, longest, req, now)
 }
--- a/internal/experiment/reclaim.go
+++ b/internal/experiment/reclaim.go
@@ -8,34 +8,34 @@
 
 // planReclaim lets a gateway plan what to do with its streams at a runner that is leaving.
 // It does so once for each runner.
-func (r *run) planReclaim(d *gateway, u *runner) {
-	if d.planned[u.ID] || u.Role == platform.RolePlain {
+func (r *run) planReclaim(g *gateway, u *runner) {
+	if g.planned[u.ID] || u.Role == platform.RolePlain {
 		return
 	}
-	d.planned[u.ID] = true
+	g.planned[u.ID] = true
 	var calls []*call
 	var streams []routing.LeavingStream
 	for _, k := range inArrivalOrder(u.active) {
-		if k.gateway != d {
+		if k.gateway != g {
 			continue
 		}
 		doc := r.document(false)
 		k.exclude = append(k.exclude, u.ID)
-		next := r.policy(k).Decide(doc, d.views[doc], k.request(doc.Service), r.agenda.Clock())
+		next := r.policy(k).Decide(doc, g.views[doc], k.request(doc.Service), r.events.Clock())
 		calls = append(calls, k)
 		streams = append(streams, routing.LeavingStream{
 			Context: k.promptTokens + k.delivered, Cached: k.promptTokens + k.delivered - next.UncachedTokens,
 			Remaining: k.outputTokens - k.delivered, BetweenTokens: k.decision.BetweenTokens,
 		})
 	}
-	left := u.endsAt - r.agenda.Now()
+	left := u.endsAt - r.events.Now()
 	for _, step := range routing.PlanReclaim(streams, left, engine.DefaultParameters().TransferRate, gatewayCount) {
 		k := calls[step.Stream]
 		switch step.Action {
 		case routing.MoveCache:
-			r.agenda.At(r.agenda.Now()+step.After, func() { r.export(k, u) })
+			r.events.At(r.events.Now()+step.After, func() { r.export(k, u) })
 		case routing.Recompute:
-			r.agenda.At(r.agenda.Now()+step.After, func() { r.resume(k, u) })
+			r.events.At(r.events.Now()+step.After, func() { r.resume(k, u) })
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	if k.runner != u {
 		return
 	}
-	u.model.Cancel(r.agenda.Clock(), k.id())
+	u.model.Cancel(r.events.Clock(), k.id())
 	r.endAttempt(k, routing.ResultCancelled)
 	r.dispatch(k)
 }
@@ -58,7 +58,7 @@
 	if k.runner != u || !ok {
 		return
 	}
-	r.agenda.At(r.agenda.Now()+u.model.Transfer(r.agenda.Clock(), exported.Tokens), func() {
+	r.events.At(r.events.Now()+u.model.Transfer(r.events.Clock(), exported.Tokens), func() {
 		if k.runner == u {
 			r.importTo(k, u, exported)
 		}
@@ -68,20 +68,20 @@
 // importTo moves a stream with its exported KV cache to the runner that routing chooses.
 func (r *run) importTo(k *call, u *runner, exported engine.ExportedCache) {
 	doc := r.document(false)
-	d := r.policy(k).Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.agenda.Clock())
+	d := r.policy(k).Decide(doc, k.gateway.views[doc], k.request(doc.Service), r.events.Clock())
 	if !d.Found() {
 		return
 	}
 	target := r.runnerByID(d.Upstream)
-	u.model.Cancel(r.agenda.Clock(), k.id())
+	u.model.Cancel(r.events.Clock(), k.id())
 	r.endAttempt(k, routing.ResultCancelled)
 	target.model.Import(k.id(), exported)
 	// From now on the import counts as load of the target.
-	k.ticket = r.policy(k).Started(d, k.request(doc.Service), r.agenda.Clock())
-	r.agenda.At(r.agenda.Now()+target.model.Transfer(r.agenda.Clock(), exported.Tokens), func() {
+	k.ticket = r.policy(k).Started(d, k.request(doc.Service), r.events.Clock())
+	r.events.At(r.events.Now()+target.model.Transfer(r.events.Clock(), exported.Tokens), func() {
 		k.attempts++
 		if k.done || !r.submit(k, target, d) {
-			r.policy(k).Finished(&k.ticket, routing.ResultRefused, r.agenda.Clock())
+			r.policy(k).Finished(&k.ticket, routing.ResultRefused, r.events.Clock())
 			r.dispatch(k)
 		}
 	})
--- a/internal/fleetsim/figures.go
+++ b/internal/fleetsim/figures.go
@@ -51,11 +51,11 @@
 type worthSum struct{ earned, possible float64 }
 
 // share returns the earned fraction, which is 1 without requests.
-func (p worthSum) share() float64 {
-	if p.possible == 0 {
+func (s worthSum) share() float64 {
+	if s.possible == 0 {
 		return 1
 	}
-	return p.earned / p.possible
+	return s.earned / s.possible
 }
 
 func (w *world) figures() Figures {
@@ -80,9 +80,9 @@
 		default:
 			earned = lateWorth * k.Worth
 		}
-		for _, p := range []*worthSum{&all, &kinds[c.kind], &windows[(c.arrived-warmUp)/windowLength]} {
-			p.earned += earned
-			p.possible += k.Worth
+		for _, sum := range []*worthSum{&all, &kinds[c.kind], &windows[(c.arrived-warmUp)/windowLength]} {
+			sum.earned += earned
+			sum.possible += k.Worth
 		}
 	}
 	f := Figures{
@@ -95,10 +95,10 @@
 }
 
 // meanOfLowest returns the mean share of the count sums with the lowest shares.
-func meanOfLowest(parts []worthSum, count int) float64 {
+func meanOfLowest(sums []worthSum, count int) float64 {
 	var shares []float64
-	for _, p := range parts {
-		shares = append(shares, p.share())
+	for _, w := range sums {
+		shares = append(shares, w.share())
 	}
 	slices.Sort(shares)
 	sum := 0.0
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -46,10 +46,10 @@
 		c := Case{Engine: EngineKinds()[0], Fleet: size, Load: Loads()[0], BusyEngines: 12, Seed: 1}
 		aged := Run(c)
 		c.LoadsKnownAtOnce = true
-		told := Run(c)
-		t.Logf("%d gateways: aged %.3f, told %.3f", size.Gateways, aged.Value(), told.Value())
-		if aged.Value() < told.Value()-0.03 {
-			t.Errorf("%d gateways: %.3f, told at once %.3f", size.Gateways, aged.Value(), told.Value())
+		atOnce := Run(c)
+		t.Logf("%d gateways: aged %.3f, told %.3f", size.Gateways, aged.Value(), atOnce.Value())
+		if aged.Value() < atOnce.Value()-0.03 {
+			t.Errorf("%d gateways: %.3f, told at once %.3f", size.Gateways, aged.Value(), atOnce.Value())
 		}
 	}
 }
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -13,10 +13,10 @@
 // failure domain. Its figures are the slopes in docs/capacity-control.md.
 func BenchmarkPlan(b *testing.B) {
 	for _, upstreams := range []int{9, 100, 330, 690} {
-		at, wanted := restingFleet(upstreams, 10)
-		lost := at
+		actual, wanted := restingFleet(upstreams, 10)
+		lost := actual
 		lost.Instances = nil
-		for _, instance := range at.Instances {
+		for _, instance := range actual.Instances {
 			if instance.Offering.FailureDomain != "domain-0" {
 				lost.Instances = append(lost.Instances, instance)
 			}
@@ -25,7 +25,7 @@
 		b.Run(fmt.Sprintf("rest/%d", upstreams), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Plan(at, wanted, now)
+				Plan(actual, wanted, now)
 			}
 		})
 		b.Run(fmt.Sprintf("domain lost/%d", upstreams), func(b *testing.B) {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -106,7 +106,7 @@
 // tick lets one round pass, and lists the instances that were started before.
 func (w *world) tick() {
 	w.now = w.now.Add(round)
-	var kept []Instance
+	var listed []Instance
 	for _, instance := range w.actual.Instances {
 		switch instance.State {
 		case Leaving:
@@ -116,14 +116,14 @@
 		case Draining:
 			instance.Idle = true
 		}
-		kept = append(kept, instance)
+		listed = append(listed, instance)
 	}
 	for _, pending := range w.actual.Pending {
 		w.ids++
 		id := ident.Instance(fmt.Sprintf("i%04d", w.ids))
-		kept = append(kept, Instance{ID: id, Offering: pending.Offering, State: Starting})
+		listed = append(listed, Instance{ID: id, Offering: pending.Offering, State: Starting})
 	}
-	w.actual.Instances, w.actual.Pending = kept, nil
+	w.actual.Instances, w.actual.Pending = listed, nil
 }
 
 // settle runs rounds until the plan stays empty. It fails if that does not come about,
@@ -289,10 +289,10 @@
 		return math.Inf(1)
 	}
 	best := math.Inf(1)
-	s := choices[0]
-	for total := 0; total <= min(s.room, count); total++ {
+	d := choices[0]
+	for total := 0; total <= min(d.room, count); total++ {
 		for onDemandHere := 0; onDemandHere <= total; onDemandHere++ {
-			here := float64(total-onDemandHere)*s.costs[anyKind] + float64(onDemandHere)*s.costs[onDemandOnly]
+			here := float64(total-onDemandHere)*d.costs[anyKind] + float64(onDemandHere)*d.costs[onDemandOnly]
 			best = min(best, here+cheapestByExhaustion(m, choices[1:], count-total, onDemand-onDemandHere))
 		}
 	}
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -86,18 +86,18 @@
 }
 
 type upstream struct {
-	index, life int
-	domain      int
-	up          bool
-	leaving     bool
-	inFlight    map[*request]bool
+	index, incarnation int
+	domain             int
+	up                 bool
+	leaving            bool
+	inFlight           map[*request]bool
 }
 
 func (u *upstream) id(same bool) ident.Instance {
 	if same {
 		return ident.Instance("u" + strconv.Itoa(u.index))
 	}
-	return ident.Instance("u" + strconv.Itoa(u.index) + "/" + strconv.Itoa(u.life))
+	return ident.Instance("u" + strconv.Itoa(u.index) + "/" + strconv.Itoa(u.incarnation))
 }
 
 // sortedInFlight returns the requests in progress by ID, so that a seed always gives the same
@@ -117,9 +117,9 @@
 	// mostLateSends is the highest number of late sends of one killer.
 	mostLateSends, crashes, ordinary, refused, lost int
 	// knownAfter is the longest time from a killer's third crash until all gateways bar it.
-	knownAfter   time.Duration
-	knownToAll   bool
-	mostReported int // highest number of marks and verdicts in one report
+	knownAfter  time.Duration
+	knownToAll  bool
+	maxReported int // highest number of marks and verdicts in one report
 }
 
 type fleet struct {
@@ -400,7 +400,7 @@
 	if !f.s.withoutTracker && r.gateway.tracker.Knows(r.content.Outline()) {
 		r.onFinished = r.gateway.tracker.Started(u.id(f.s.keepsIDs), r.content)
 	}
-	life := u.life
+	life := u.incarnation
 	if r.killer == nil {
 		f.In(f.randomExp(f.s.meanDuration), func() { f.complete(r, u, life) })
 		return
@@ -409,7 +409,7 @@
 		f.lateSends[r.content]++
 	}
 	f.In(r.killer.crashDelay+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
-		if u.up && u.life == life && u.inFlight[r] {
+		if u.up && u.incarnation == life && u.inFlight[r] {
 			f.kill(r, u)
 		}
 	})
@@ -424,7 +424,7 @@
 }
 
 func (f *fleet) complete(r *request, u *upstream, life int) {
-	if !u.up || u.life != life || !u.inFlight[r] || r.upstream != u {
+	if !u.up || u.incarnation != life || !u.inFlight[r] || r.upstream != u {
 		return
 	}
 	delete(u.inFlight, r)
@@ -446,7 +446,7 @@
 	}
 	f.In(2*time.Second+time.Duration(f.rng.Int64N(int64(2*time.Second))), func() {
 		u.up, u.leaving = true, false
-		u.life++
+		u.incarnation++
 	})
 }
 
@@ -482,14 +482,14 @@
 // exchange sends one gateway's report.
 func (f *fleet) exchange(g *gateway) {
 	f.In(exchangePeriod, func() { f.exchange(g) })
-	w := g.tracker.Report()
-	reported := len(w.Verdicts)
-	for _, c := range w.Crashes {
+	report := g.tracker.Report()
+	reported := len(report.Verdicts)
+	for _, c := range report.Crashes {
 		reported += len(c.Marks)
 	}
-	f.result.mostReported = max(f.result.mostReported, reported)
+	f.result.maxReported = max(f.result.maxReported, reported)
 	at := f.Now()
-	f.In(exchangeDelay, func() { f.received[g.index] = receivedReport{w, at} })
+	f.In(exchangeDelay, func() { f.received[g.index] = receivedReport{report, at} })
 }
 
 // collect merges the reports of a domain's gateways.
@@ -508,21 +508,21 @@
 // refresh has a gateway merge the reports of the gateways that it can reach.
 func (f *fleet) refresh(g *gateway) {
 	f.In(exchangePeriod/2, func() { f.refresh(g) })
-	var words Report
+	var others Report
 	if f.s.gateways < minGatewaysForCollectors {
 		for _, o := range f.gateways {
 			if o != g && (f.cutOffDomain < 0 || (o.domain == f.cutOffDomain) == (g.domain == f.cutOffDomain)) {
-				words = words.Merge(f.aged(f.received[o.index]))
+				others = others.Merge(f.aged(f.received[o.index]))
 			}
 		}
 	} else {
 		for d := range f.s.domains {
 			if f.cutOffDomain < 0 || (d == f.cutOffDomain) == (g.domain == f.cutOffDomain) {
-				words = words.Merge(f.aged(f.domainSums[d]))
+				others = others.Merge(f.aged(f.domainSums[d]))
 			}
 		}
 	}
-	g.tracker.Refresh(words)
+	g.tracker.Refresh(others)
 	if f.Now() >= f.checkedAt+pollPeriod {
 		f.checkedAt = f.Now()
 		f.checkKnownToAll()
--- a/internal/poison/outgoing.go
+++ b/internal/poison/outgoing.go
@@ -27,14 +27,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Now()
-	w := Report{Verdicts: t.verdictsToReport(now)}
+	report := Report{Verdicts: t.verdictsToReport(now)}
 	for _, c := range t.crashes {
 		if len(c.ownMarks) > 0 && now.Sub(c.lastOwnAt) < reportCrashFor {
-			w.Crashes = append(w.Crashes, t.crashToReport(c, now))
+			report.Crashes = append(report.Crashes, t.crashToReport(c, now))
 		}
 	}
-	w.limit(maxReportedMarks, maxReportedVerdicts)
-	return w
+	report.limit(maxReportedMarks, maxReportedVerdicts)
+	return report
 }
 
 // crashToReport returns this gateway's part of a crash. Marks of contents with the most crashes
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -38,11 +38,11 @@
 }
 
 // Empty reports whether the report contains nothing.
-func (w Report) Empty() bool { return len(w.Crashes) == 0 && len(w.Verdicts) == 0 }
+func (r Report) Empty() bool { return len(r.Crashes) == 0 && len(r.Verdicts) == 0 }
 
 // Aged returns a copy of the report with all ages increased.
-func (w Report) Aged(by time.Duration) Report {
-	out := Report{Crashes: slices.Clone(w.Crashes), Verdicts: slices.Clone(w.Verdicts)}
+func (r Report) Aged(by time.Duration) Report {
+	out := Report{Crashes: slices.Clone(r.Crashes), Verdicts: slices.Clone(r.Verdicts)}
 	for i := range out.Crashes {
 		out.Crashes[i].Age += by
 	}
@@ -54,11 +54,11 @@
 }
 
 // Merge merges the reports of two groups of gateways, bounded to the size of a message.
-func (w Report) Merge(o Report) Report {
+func (r Report) Merge(o Report) Report {
 	if o.Empty() {
-		return w
+		return r
 	}
-	out := Report{Crashes: cloneCrashes(w.Crashes), Verdicts: slices.Clone(w.Verdicts)}
+	out := Report{Crashes: cloneCrashes(r.Crashes), Verdicts: slices.Clone(r.Verdicts)}
 	for i := range o.Crashes {
 		out.addCrash(&o.Crashes[i])
 	}
@@ -78,15 +78,15 @@
 }
 
 // addCrash merges a crash into the same upstream's crash at about the same time, if there is one.
-func (w *Report) addCrash(c *Crash) {
-	for i := range w.Crashes {
-		known := &w.Crashes[i]
+func (r *Report) addCrash(c *Crash) {
+	for i := range r.Crashes {
+		known := &r.Crashes[i]
 		if known.Upstream == c.Upstream && (known.Age-c.Age).Abs() < sameCrashWindow {
 			known.Marks = union(known.Marks, c.Marks)
 			return
 		}
 	}
-	w.Crashes = append(w.Crashes, Crash{Upstream: c.Upstream, Age: c.Age, Marks: slices.Clone(c.Marks)})
+	r.Crashes = append(r.Crashes, Crash{Upstream: c.Upstream, Age: c.Age, Marks: slices.Clone(c.Marks)})
 }
 
 // union appends to a the elements of b that it lacks.
@@ -100,9 +100,9 @@
 }
 
 // addVerdict keeps the prevailing one of two verdicts on a content, with the shorter idle time.
-func (w *Report) addVerdict(v Verdict) {
-	for i := range w.Verdicts {
-		known := &w.Verdicts[i]
+func (r *Report) addVerdict(v Verdict) {
+	for i := range r.Verdicts {
+		known := &r.Verdicts[i]
 		if known.Content != v.Content {
 			continue
 		}
@@ -114,25 +114,25 @@
 		known.Idle = idle
 		return
 	}
-	w.Verdicts = append(w.Verdicts, v)
+	r.Verdicts = append(r.Verdicts, v)
 }
 
 // limit cuts the report down to the size of one message: it drops marks, those of the oldest
 // crashes first, then crashes without marks, and the verdicts that were idle for longest.
-func (w *Report) limit(marks, verdicts int) {
-	slices.SortStableFunc(w.Crashes, func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) })
+func (r *Report) limit(marks, verdicts int) {
+	slices.SortStableFunc(r.Crashes, func(a, b Crash) int { return cmp.Compare(a.Age, b.Age) })
 	left := marks
-	for i := range w.Crashes {
-		c := &w.Crashes[i]
+	for i := range r.Crashes {
+		c := &r.Crashes[i]
 		c.Marks = c.Marks[:min(left, len(c.Marks))]
 		left -= len(c.Marks)
 	}
-	w.Crashes = slices.DeleteFunc(w.Crashes, func(c Crash) bool { return len(c.Marks) == 0 })
-	if len(w.Verdicts) > verdicts {
-		slices.SortStableFunc(w.Verdicts, func(a, b Verdict) int { return cmp.Compare(a.Idle, b.Idle) })
-		w.Verdicts = w.Verdicts[:verdicts]
+	r.Crashes = slices.DeleteFunc(r.Crashes, func(c Crash) bool { return len(c.Marks) == 0 })
+	if len(r.Verdicts) > verdicts {
+		slices.SortStableFunc(r.Verdicts, func(a, b Verdict) int { return cmp.Compare(a.Idle, b.Idle) })
+		r.Verdicts = r.Verdicts[:verdicts]
 	}
-	if len(w.Crashes) == 0 {
-		w.Crashes = nil
+	if len(r.Crashes) == 0 {
+		r.Crashes = nil
 	}
 }
--- a/internal/poison/stories_test.go
+++ b/internal/poison/stories_test.go
@@ -87,9 +87,9 @@
 
 // storyTotals sums up the plays of a story.
 type storyTotals struct {
-	plays, playsOverLimit, mostLateSends, crashes, ordinary, refused, lost, mostReported int
-	knownAfter                                                                           []time.Duration
-	neverKnown                                                                           int
+	plays, playsOverLimit, mostLateSends, crashes, ordinary, refused, lost, maxReported int
+	knownAfter                                                                          []time.Duration
+	neverKnown                                                                          int
 }
 
 func (s *storyTotals) add(r result, killers int) {
@@ -102,7 +102,7 @@
 	s.ordinary += r.ordinary
 	s.refused += r.refused
 	s.lost += r.lost
-	s.mostReported = max(s.mostReported, r.mostReported)
+	s.maxReported = max(s.maxReported, r.maxReported)
 	switch {
 	case r.knownToAll:
 		s.knownAfter = append(s.knownAfter, r.knownAfter)
@@ -118,7 +118,7 @@
 		known = fmt.Sprintf("%.2f %.2f", s.knownAfter[len(s.knownAfter)/2].Seconds(), s.knownAfter[len(s.knownAfter)-1].Seconds())
 	}
 	return fmt.Sprintf("%-40s %6d %6d %6d %8.1f %9d %8d %8.2f %6d  %s", name, s.plays, s.playsOverLimit, s.mostLateSends, float64(s.crashes)/float64(s.plays),
-		s.ordinary, s.refused, 100*float64(s.lost)/float64(max(1, s.ordinary)), s.mostReported, known)
+		s.ordinary, s.refused, 100*float64(s.lost)/float64(max(1, s.ordinary)), s.maxReported, known)
 }
 
 const tableHeading = "story                                     plays beyond  worst ends/play  ordinary  refused  lost/100   told  known: median, longest s"
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -37,8 +37,8 @@
 	sameCrashWindow = time.Second
 	// crashTTL is how long a crash counts against the contents that were running in it.
 	crashTTL = 10 * time.Minute
-	// ForgetAfter is how long a barred content must not arrive before it is let through again.
-	ForgetAfter = 10 * time.Minute
+	// VerdictTTL is how long a barred content must not arrive before it is let through again.
+	VerdictTTL = 10 * time.Minute
 	// maxCrashes and maxVerdicts bound the memory even if someone sends many different
 	// requests that crash upstreams.
 	maxCrashes  = 64
@@ -249,7 +249,7 @@
 // isConvicted reports whether a content is convicted and arrived within ForgetAfter.
 func (t *Tracker) isConvicted(content ident.ContentHash, now time.Time) bool {
 	v := t.verdicts[content]
-	return v != nil && !v.cleared && now.Sub(v.lastSeen) < ForgetAfter
+	return v != nil && !v.cleared && now.Sub(v.lastSeen) < VerdictTTL
 }
 
 // Barred reports whether a request with this content must not run, and after what time its
@@ -267,7 +267,7 @@
 	}
 	t.verdicts[content].lastSeen = now
 	t.counts.Barred++
-	return ForgetAfter, true
+	return VerdictTTL, true
 }
 
 // Clear clears a content on an operator's behalf; it reports whether the content was barred.
@@ -318,7 +318,7 @@
 
 // mergeVerdict applies another gateway's verdict if it supersedes the known one.
 func (t *Tracker) mergeVerdict(reported *Verdict, now time.Time) {
-	if reported.Idle >= ForgetAfter {
+	if reported.Idle >= VerdictTTL {
 		return
 	}
 	at, lastSeen := now.Add(-reported.Age), now.Add(-reported.Idle)
@@ -367,7 +367,7 @@
 	clear(t.crashes[len(kept):])
 	t.crashes = kept
 	for content, v := range t.verdicts {
-		if now.Sub(v.lastSeen) >= ForgetAfter || v.cleared && now.Sub(v.at) >= crashTTL {
+		if now.Sub(v.lastSeen) >= VerdictTTL || v.cleared && now.Sub(v.at) >= crashTTL {
 			delete(t.verdicts, content)
 			expired = true
 		}
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -132,7 +132,7 @@
 				tr.crashWith(u, cause)
 			}
 			tr.advance(settleTime)
-			tr.advance(ForgetAfter)
+			tr.advance(VerdictTTL)
 		}, nil, []ident.ContentHash{cause}},
 	} {
 		tr := newTestTracker()
@@ -212,19 +212,19 @@
 	if len(tr.crashes) > maxCrashes || len(tr.verdicts) > maxVerdicts {
 		t.Errorf("%d crashes and %d verdicts remembered", len(tr.crashes), len(tr.verdicts))
 	}
-	w := tr.Report()
+	report := tr.Report()
 	marks := 0
-	for _, c := range w.Crashes {
+	for _, c := range report.Crashes {
 		marks += len(c.Marks)
 	}
-	if marks > maxReportedMarks || len(w.Verdicts) > maxReportedVerdicts {
-		t.Errorf("%d marks and %d verdicts in one report", marks, len(w.Verdicts))
+	if marks > maxReportedMarks || len(report.Verdicts) > maxReportedVerdicts {
+		t.Errorf("%d marks and %d verdicts in one report", marks, len(report.Verdicts))
 	}
 	var stored []storedVerdict
 	if err := json.Unmarshal(tr.Snapshot(), &stored); err != nil || len(stored) != maxStoredVerdicts {
 		t.Errorf("%d verdicts stored, error %v", len(stored), err)
 	}
-	tr.advance(ForgetAfter)
+	tr.advance(VerdictTTL)
 	if !tr.KnowsNone() {
 		t.Error("crashes or verdicts remembered after ForgetAfter")
 	}
@@ -292,7 +292,7 @@
 	if !c.Knows(known) {
 		t.Error("outline of a stored verdict is not known")
 	}
-	a.advance(ForgetAfter)
+	a.advance(VerdictTTL)
 	if a.Knows(known) {
 		t.Error("outline is known after the verdict expired")
 	}
@@ -337,7 +337,7 @@
 		t.Errorf("after three crashes that others may not have reported yet: %+v", got)
 	}
 	tr.advance(settleTime)
-	if got := tr.Admit(c, 0); got.Step != Bar || got.RetryAfter != ForgetAfter {
+	if got := tr.Admit(c, 0); got.Step != Bar || got.RetryAfter != VerdictTTL {
 		t.Errorf("after three settled crashes: %+v", got)
 	}
 }
--- a/internal/rollout/share.go
+++ b/internal/rollout/budget.go
@@ -31,42 +31,42 @@
 // setSlack sets this gateway's part of the slack, once. If there are more gateways than
 // requests in the slack, some gateways get one request and most get none; draw, a number from
 // 0 to 1 that is specific to the gateway, decides.
-func (s *exposureBudget) setSlack(l Limits, gateways int, draw float64) {
-	if s.slackKnown {
+func (b *exposureBudget) setSlack(l Limits, gateways int, draw float64) {
+	if b.slackKnown {
 		return
 	}
-	s.slackKnown = true
-	s.slack = math.Floor(slackFraction*l.Slack/float64(max(1, gateways)) + draw)
+	b.slackKnown = true
+	b.slack = math.Floor(slackFraction*l.Slack/float64(max(1, gateways)) + draw)
 }
 
-func (s *exposureBudget) route(key RouteKey) *routeCounts {
-	if s.routes == nil {
-		s.routes = make(map[RouteKey]*routeCounts)
+func (b *exposureBudget) route(key RouteKey) *routeCounts {
+	if b.routes == nil {
+		b.routes = make(map[RouteKey]*routeCounts)
 	}
-	r := s.routes[key]
+	r := b.routes[key]
 	if r == nil {
 		r = new(routeCounts)
-		s.routes[key] = r
+		b.routes[key] = r
 	}
 	return r
 }
 
 // count counts a request to the service; exposed means that it went to the new version.
-func (s *exposureBudget) count(key RouteKey, exposed bool) {
-	r := s.route(key)
-	s.sent++
+func (b *exposureBudget) count(key RouteKey, exposed bool) {
+	r := b.route(key)
+	b.sent++
 	r.sent++
 	if exposed {
-		s.exposed++
+		b.exposed++
 		r.exposed++
 	}
 }
 
 // allowsExposure reports whether one more request of a route may go to the new version.
-func (s *exposureBudget) allowsExposure(key RouteKey, l Limits) bool {
-	r := s.route(key)
+func (b *exposureBudget) allowsExposure(key RouteKey, l Limits) bool {
+	r := b.route(key)
 	fraction := canaryFraction * l.Share
-	total := fraction*float64(s.sent) + s.slack
-	ofRoute := evenFraction*total/float64(len(s.routes)) + (1-evenFraction)*(fraction*float64(r.sent)+s.slack)
-	return float64(s.exposed+1) <= total && float64(r.exposed+1) <= ofRoute
+	total := fraction*float64(b.sent) + b.slack
+	ofRoute := evenFraction*total/float64(len(b.routes)) + (1-evenFraction)*(fraction*float64(r.sent)+b.slack)
+	return float64(b.exposed+1) <= total && float64(r.exposed+1) <= ofRoute
 }
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -69,24 +69,24 @@
 }
 
 // tally returns the tally of a route and a side, and adds it if there is none.
-func (s EvidenceByRoute) tally(route RouteKey, side Side) *Tally {
-	e := s[route]
+func (m EvidenceByRoute) tally(route RouteKey, side Side) *Tally {
+	e := m[route]
 	if e == nil {
 		e = new(Evidence)
-		s[route] = e
+		m[route] = e
 	}
 	return &e[side]
 }
 
 // CountSent counts a request that was sent.
-func (s EvidenceByRoute) CountSent(route RouteKey, side Side) { s.tally(route, side).Sent++ }
+func (m EvidenceByRoute) CountSent(route RouteKey, side Side) { m.tally(route, side).Sent++ }
 
 // UncountSent takes back a request whose end says nothing about the version.
-func (s EvidenceByRoute) UncountSent(route RouteKey, side Side) { s.tally(route, side).Sent-- }
+func (m EvidenceByRoute) UncountSent(route RouteKey, side Side) { m.tally(route, side).Sent-- }
 
 // CountAnswer counts the answer to a request that Send counted.
-func (s EvidenceByRoute) CountAnswer(route RouteKey, side Side, a Answer) {
-	t := s.tally(route, side)
+func (m EvidenceByRoute) CountAnswer(route RouteKey, side Side, a Answer) {
+	t := m.tally(route, side)
 	t.Answers++
 	if a.Failed {
 		t.Failures++
@@ -100,10 +100,10 @@
 }
 
 // Merge adds other evidence.
-func (s EvidenceByRoute) Merge(o EvidenceByRoute) {
+func (m EvidenceByRoute) Merge(o EvidenceByRoute) {
 	for route, evidence := range o {
 		for side := range evidence {
-			s.tally(route, Side(side)).merge(&evidence[side])
+			m.tally(route, Side(side)).merge(&evidence[side])
 		}
 	}
 }
@@ -121,16 +121,16 @@
 }
 
 // Clone returns a deep copy.
-func (s EvidenceByRoute) Clone() EvidenceByRoute {
-	out := make(EvidenceByRoute, len(s))
-	out.Merge(s)
+func (m EvidenceByRoute) Clone() EvidenceByRoute {
+	out := make(EvidenceByRoute, len(m))
+	out.Merge(m)
 	return out
 }
 
 // newVersionAnswers counts the answers of the new version on all routes.
-func (s EvidenceByRoute) newVersionAnswers() int {
+func (m EvidenceByRoute) newVersionAnswers() int {
 	n := 0
-	for _, e := range s {
+	for _, e := range m {
 		n += e[NewA].Answers + e[NewB].Answers
 	}
 	return n
--- a/internal/rollout/fisher_test.go
+++ b/internal/rollout/fisher_test.go
@@ -13,32 +13,32 @@
 
 // judgeByFisher is the alternative that Judge was compared with: Fisher's exact test, with the
 // error divided among maxJudgements and the comparisons.
-func judgeByFisher(seen EvidenceByRoute, both bool) Verdict {
-	v := Verdict{Answers: seen.newVersionAnswers()}
+func judgeByFisher(evidence EvidenceByRoute, bothHalves bool) Verdict {
+	v := Verdict{Answers: evidence.newVersionAnswers()}
 	least, comparisons := 1.0, 1
 	var all Evidence
-	for _, e := range seen {
+	for _, e := range evidence {
 		for side := range e {
 			all[side].merge(&e[side])
 		}
 		comparisons += 1 + len(slowThresholds)
-		least = min(least, fisherOfSides(trialsBySide(e, failures), both))
+		least = min(least, fisherOfSides(trialsBySide(e, failures), bothHalves))
 		if median, known := medianOf(e[Old].Times); known {
 			for _, step := range slowThresholds {
-				least = min(least, fisherOfSides(trialsBySide(e, func(t *Tally) trials { return slowTrials(t, median+step) }), both))
+				least = min(least, fisherOfSides(trialsBySide(e, func(t *Tally) trials { return slowTrials(t, median+step) }), bothHalves))
 			}
 		}
 	}
-	least = min(least, fisherOfSides(trialsBySide(&all, failures), both))
+	least = min(least, fisherOfSides(trialsBySide(&all, failures), bothHalves))
 	v.Against = 1 / (least * maxJudgements * float64(comparisons))
 	return v
 }
 
 // fisherOfSides returns the probability of the new version's bad answers if both versions are
 // equally good. It is 1 if one of two halves gives too little evidence on its own.
-func fisherOfSides(c [numSides]trials, both bool) float64 {
+func fisherOfSides(c [numSides]trials, bothHalves bool) float64 {
 	joint := trials{c[NewA].n + c[NewB].n, c[NewA].bad + c[NewB].bad}
-	if both && max(fisherExact(c[Old], c[NewA]), fisherExact(c[Old], c[NewB])) > 1.0/minEvidencePerHalf {
+	if bothHalves && max(fisherExact(c[Old], c[NewA]), fisherExact(c[Old], c[NewB])) > 1.0/minEvidencePerHalf {
 		return 1
 	}
 	return fisherExact(c[Old], joint)
--- a/internal/rollout/orderstate.go
+++ b/internal/rollout/orderstate.go
@@ -19,64 +19,64 @@
 }
 
 // Aged returns a copy of the state with all ages increased.
-func (w OrderState) Aged(by time.Duration) OrderState {
-	w.Age += by
-	w.ConfirmedAge += by
-	return w
+func (s OrderState) Aged(by time.Duration) OrderState {
+	s.Age += by
+	s.ConfirmedAge += by
+	return s
 }
 
 // Merge merges the states of one service's order from two groups of gateways. Of two different
 // orders the later one prevails.
-func (w OrderState) Merge(o OrderState) OrderState {
+func (s OrderState) Merge(o OrderState) OrderState {
 	switch {
-	case o.Order.Offset > w.Order.Offset:
+	case o.Order.Offset > s.Order.Offset:
 		o.Evidence = o.Evidence.Clone()
 		return o
-	case o.Order.Offset < w.Order.Offset:
-		return w
+	case o.Order.Offset < s.Order.Offset:
+		return s
 	}
 	switch {
-	case o.Phase > w.Phase:
-		w.Phase, w.ConfirmedAge = o.Phase, o.ConfirmedAge
-	case o.Phase == w.Phase:
-		w.ConfirmedAge = min(w.ConfirmedAge, o.ConfirmedAge)
+	case o.Phase > s.Phase:
+		s.Phase, s.ConfirmedAge = o.Phase, o.ConfirmedAge
+	case o.Phase == s.Phase:
+		s.ConfirmedAge = min(s.ConfirmedAge, o.ConfirmedAge)
 	}
-	w.Age = max(w.Age, o.Age)
-	w.Stopped = w.Stopped || o.Stopped
-	w.Settled += o.Settled
-	seen := w.Evidence.Clone()
-	seen.Merge(o.Evidence)
-	w.Evidence = seen
-	return w
+	s.Age = max(s.Age, o.Age)
+	s.Stopped = s.Stopped || o.Stopped
+	s.Settled += o.Settled
+	evidence := s.Evidence.Clone()
+	evidence.Merge(o.Evidence)
+	s.Evidence = evidence
+	return s
 }
 
 // OrderStates holds at most one state for each service.
 type OrderStates []OrderState
 
 // Merge merges the states from two groups of gateways.
-func (w OrderStates) Merge(o OrderStates) OrderStates {
-	out := append(OrderStates(nil), w...)
+func (s OrderStates) Merge(o OrderStates) OrderStates {
+	out := append(OrderStates(nil), s...)
 	for _, next := range o {
 		out = out.mergeState(next)
 	}
 	return out
 }
 
-func (w OrderStates) mergeState(next OrderState) OrderStates {
-	for i := range w {
-		if w[i].Order.Service == next.Order.Service {
-			w[i] = w[i].Merge(next)
-			return w
+func (s OrderStates) mergeState(next OrderState) OrderStates {
+	for i := range s {
+		if s[i].Order.Service == next.Order.Service {
+			s[i] = s[i].Merge(next)
+			return s
 		}
 	}
-	return append(w, next)
+	return append(s, next)
 }
 
 // Aged returns a copy of the states with all ages increased.
-func (w OrderStates) Aged(by time.Duration) OrderStates {
-	out := make(OrderStates, len(w))
-	for i := range w {
-		out[i] = w[i].Aged(by)
+func (s OrderStates) Aged(by time.Duration) OrderStates {
+	out := make(OrderStates, len(s))
+	for i := range s {
+		out[i] = s[i].Aged(by)
 	}
 	return out
 }
--- a/internal/rollout/outgoing.go
+++ b/internal/rollout/outgoing.go
@@ -66,11 +66,11 @@
 		if r.phase.Ended() && !t.mixed[service] && now.Sub(r.phaseSince) > reportEndedFor {
 			continue
 		}
-		w := OrderState{Order: r.order, Age: now.Sub(r.orderedAt), Phase: r.phase, ConfirmedAge: now.Sub(r.confirmedAt), Stopped: r.stopped}
+		state := OrderState{Order: r.order, Age: now.Sub(r.orderedAt), Phase: r.phase, ConfirmedAge: now.Sub(r.confirmedAt), Stopped: r.stopped}
 		if !r.phase.Ended() {
-			w.Evidence = r.ownEvidence.Clone()
+			state.Evidence = r.ownEvidence.Clone()
 		}
-		out = append(out, w)
+		out = append(out, state)
 		if r.maySendToOld(now) {
 			r = nil
 		}
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -57,31 +57,31 @@
 // twice, because merging depends on the order or the grouping in which reports arrive.
 func TestWordsJoinInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var words []OrderStates
+		var states []OrderStates
 		for range rapid.IntRange(1, 6).Draw(t, "gateways") {
-			seen := make(EvidenceByRoute)
+			evidence := make(EvidenceByRoute)
 			for range rapid.IntRange(0, 5).Draw(t, "answers") {
 				side := Side(rapid.IntRange(0, int(numSides)-1).Draw(t, "side"))
-				seen.CountSent(KeyOf("r"), side)
-				seen.CountAnswer(KeyOf("r"), side, Answer{Failed: rapid.Bool().Draw(t, "failed"), Timed: true, Time: rapid.Float64Range(0.001, 100).Draw(t, "time")})
+				evidence.CountSent(KeyOf("r"), side)
+				evidence.CountAnswer(KeyOf("r"), side, Answer{Failed: rapid.Bool().Draw(t, "failed"), Timed: true, Time: rapid.Float64Range(0.001, 100).Draw(t, "time")})
 			}
-			words = append(words, OrderStates{{
+			states = append(states, OrderStates{{
 				Order: Order{Service: "svc", To: "v2", Offset: 3}, Phase: Phase(rapid.IntRange(0, int(Completed)).Draw(t, "phase")),
 				Age: time.Duration(rapid.IntRange(0, 9).Draw(t, "age")), Stopped: rapid.Bool().Draw(t, "stopped"),
-				Settled: rapid.IntRange(0, 1).Draw(t, "settled"), Evidence: seen,
+				Settled: rapid.IntRange(0, 1).Draw(t, "settled"), Evidence: evidence,
 			}})
 		}
-		join := func(list []OrderStates) OrderStates {
+		merge := func(list []OrderStates) OrderStates {
 			var all OrderStates
-			for _, w := range list {
-				all = all.Merge(w)
+			for _, state := range list {
+				all = all.Merge(state)
 			}
 			return all
 		}
-		want := join(words)
-		mixed := rapid.Permutation(words).Draw(t, "order")
+		want := merge(states)
+		mixed := rapid.Permutation(states).Draw(t, "order")
 		cut := rapid.IntRange(0, len(mixed)).Draw(t, "cut")
-		if diff := cmp.Diff(want, join(mixed[:cut]).Merge(join(mixed[cut:]))); diff != "" {
+		if diff := cmp.Diff(want, merge(mixed[:cut]).Merge(merge(mixed[cut:]))); diff != "" {
 			t.Fatal(diff)
 		}
 	})
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -175,8 +175,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
-	for _, w := range states {
-		changed = t.mergeOrderState(w) || changed
+	for _, state := range states {
+		changed = t.mergeOrderState(state) || changed
 	}
 	if changed {
 		t.rebuildSplits()
@@ -185,21 +185,21 @@
 
 // mergeOrderState merges another gateway's state of an order, except its evidence, and reports whether
 // anything changed that the splits depend on.
-func (t *Tracker) mergeOrderState(w OrderState) bool {
-	changed := t.applyOrder(w.Order, w.Age, "gateway")
-	r := t.rollouts[w.Order.Service]
-	if r == nil || r.order.Offset != w.Order.Offset {
+func (t *Tracker) mergeOrderState(state OrderState) bool {
+	changed := t.applyOrder(state.Order, state.Age, "gateway")
+	r := t.rollouts[state.Order.Service]
+	if r == nil || r.order.Offset != state.Order.Offset {
 		return changed
 	}
-	confirmed := t.cfg.Now().Add(-w.ConfirmedAge)
-	if w.Phase > r.phase {
-		t.enterPhase(r, w.Phase, "another gateway's word")
+	confirmed := t.cfg.Now().Add(-state.ConfirmedAge)
+	if state.Phase > r.phase {
+		t.enterPhase(r, state.Phase, "another gateway's word")
 		r.confirmedAt = confirmed
 		changed = true
-	} else if w.Phase == r.phase && confirmed.After(r.confirmedAt) {
+	} else if state.Phase == r.phase && confirmed.After(r.confirmedAt) {
 		r.confirmedAt = confirmed
 	}
-	if w.Stopped && !r.stopped {
+	if state.Stopped && !r.stopped {
 		r.stopped, r.stoppedAt = true, t.cfg.Now()
 		changed = true
 		t.cfg.Log.Warn("rollout stopped", "service", r.order.Service, "to", r.order.To, "order", r.order.Offset, "why", "another gateway's word")
@@ -224,11 +224,11 @@
 		r.settledOthers = 0
 		r.othersEvidence = nil
 	}
-	for _, w := range others {
-		t.mergeOrderState(w)
-		if r := t.rollouts[w.Order.Service]; r != nil && r.order.Offset == w.Order.Offset {
-			r.settledOthers = w.Settled
-			r.othersEvidence = w.Evidence
+	for _, state := range others {
+		t.mergeOrderState(state)
+		if r := t.rollouts[state.Order.Service]; r != nil && r.order.Offset == state.Order.Offset {
+			r.settledOthers = state.Settled
+			r.othersEvidence = state.Evidence
 		}
 	}
 	for service, r := range t.rollouts {
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -158,12 +158,12 @@
 		{"rolled back by an earlier holder after it was completed", func(g *testGateway) {
 			g.observe("v1", "v2")
 			g.order(5, "v2")
-			word := OrderState{Order: Order{Service: service, To: "v2", TimeLimit: time.Second, Offset: 5}, Phase: RolledBack, Stopped: true}
-			g.tracker.Merge(OrderStates{word})
-			word.Phase = Completed
-			g.tracker.Merge(OrderStates{word})
-			word.Phase = RolledBack
-			g.tracker.Merge(OrderStates{word})
+			state := OrderState{Order: Order{Service: service, To: "v2", TimeLimit: time.Second, Offset: 5}, Phase: RolledBack, Stopped: true}
+			g.tracker.Merge(OrderStates{state})
+			state.Phase = Completed
+			g.tracker.Merge(OrderStates{state})
+			state.Phase = RolledBack
+			g.tracker.Merge(OrderStates{state})
 			g.wantSentTo("v2", 200, 200)
 		}},
 		{"rolled back", func(g *testGateway) {
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -44,14 +44,14 @@
 // failures are under a worse failure rate than under the highest rate that the old version's
 // answers allow. Such a ratio ever exceeds x with probability 1/x at most, however often it is
 // computed, and so does a weighted mean of several.
-func Judge(seen EvidenceByRoute, bothHalves bool) Verdict {
-	v := Verdict{Answers: seen.newVersionAnswers()}
-	if len(seen) == 0 {
+func Judge(evidence EvidenceByRoute, bothHalves bool) Verdict {
+	v := Verdict{Answers: evidence.newVersionAnswers()}
+	if len(evidence) == 0 {
 		return v
 	}
 	var all Evidence
 	perRoute := 0.0
-	for _, e := range seen {
+	for _, e := range evidence {
 		for side := range e {
 			all[side].merge(&e[side])
 		}
@@ -59,7 +59,7 @@
 	}
 	// Durations of different routes are not comparable, so the total compares only failures.
 	overall := evidenceAgainst(trialsBySide(&all, failures), bothHalves)
-	v.Against = (overall + perRoute/float64(len(seen))) / 2
+	v.Against = (overall + perRoute/float64(len(evidence))) / 2
 	return v
 }
 
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -69,8 +69,8 @@
 // preferred wherever they are offered, and spread evenly over the domains so that a
 // reclaim takes as few as possible at once. On-demand upstreams only make up for what
 // is missing for the need itself, without the reserve, and only while it is missing.
-func Plan(s PlanInput) map[Slot]int {
-	domains := slices.Sorted(maps.Keys(s.Scale.Prices))
+func Plan(in PlanInput) map[Slot]int {
+	domains := slices.Sorted(maps.Keys(in.Scale.Prices))
 	if len(domains) == 0 {
 		return nil
 	}
@@ -78,36 +78,36 @@
 	for _, d := range domains {
 		wanted[Slot{d, true}], wanted[Slot{d, false}] = 0, 0
 	}
-	if s.Scale.ReclaimablePrice <= 0 {
-		s.fill(wanted, domains, s.atLeastOne(s.Need+s.MissingCapacity), s.Scale.MaxPerDomain, false)
-		s.ensureMinimum(wanted, domains, false)
+	if in.Scale.ReclaimablePrice <= 0 {
+		in.fill(wanted, domains, in.atLeastOne(in.Need+in.MissingCapacity), in.Scale.MaxPerDomain, false)
+		in.ensureMinimum(wanted, domains, false)
 		return wanted
 	}
-	total := max(s.atLeastOne(reserveFactor(len(domains))*s.Need+s.MissingCapacity), min(minReclaimablePerDomain, s.Scale.MaxPerDomain)*len(domains))
-	s.fill(wanted, domains, total, (total+len(domains)-1)/len(domains)+maxAboveEvenShare, true)
-	s.ensureMinimum(wanted, domains, true)
-	s.fill(wanted, domains, s.onDemandNeeded(), s.Scale.MaxPerDomain, false)
+	total := max(in.atLeastOne(reserveFactor(len(domains))*in.Need+in.MissingCapacity), min(minReclaimablePerDomain, in.Scale.MaxPerDomain)*len(domains))
+	in.fill(wanted, domains, total, (total+len(domains)-1)/len(domains)+maxAboveEvenShare, true)
+	in.ensureMinimum(wanted, domains, true)
+	in.fill(wanted, domains, in.onDemandNeeded(), in.Scale.MaxPerDomain, false)
 	return wanted
 }
 
 // atLeastOne rounds a need up to whole upstreams.
-func (s PlanInput) atLeastOne(need float64) int { return max(1, int(math.Ceil(need))) }
+func (in PlanInput) atLeastOne(need float64) int { return max(1, int(math.Ceil(need))) }
 
 // onDemandNeeded returns how many on-demand upstreams are needed beside the reclaimable
 // ones that serve or are pending, less those of the domains at risk. No shortage is
 // tolerated: on-demand upstreams take seconds to start, and of three domains the second
 // is reclaimed meanwhile.
-func (s PlanInput) onDemandNeeded() int {
-	reclaimable := s.PendingReclaimable
+func (in PlanInput) onDemandNeeded() int {
+	reclaimable := in.PendingReclaimable
 	var perDomain []int
-	for slot, n := range s.Serving {
+	for slot, n := range in.Serving {
 		if slot.Reclaimable {
 			reclaimable += n
 			perDomain = append(perDomain, n)
 		}
 	}
-	reclaimable -= int(sumOfLargest(perDomain, s.DomainsAtRisk))
-	return max(0, int(math.Ceil(s.Need+s.MissingCapacity))-max(0, reclaimable))
+	reclaimable -= int(sumOfLargest(perDomain, in.DomainsAtRisk))
+	return max(0, int(math.Ceil(in.Need+in.MissingCapacity))-max(0, reclaimable))
 }
 
 // sumOfLargest adds up the count largest numbers. If count is not whole, the last one
@@ -126,11 +126,11 @@
 // fill adds up to count upstreams of a kind to wanted, each in the open domain that has
 // the fewest of the kind (the cheapest of these first), and no more than most of the kind
 // in a domain.
-func (s PlanInput) fill(wanted map[Slot]int, domains []ident.FailureDomain, count, most int, reclaimable bool) {
+func (in PlanInput) fill(wanted map[Slot]int, domains []ident.FailureDomain, count, most int, reclaimable bool) {
 	for range count {
 		open := slices.DeleteFunc(slices.Clone(domains), func(d ident.FailureDomain) bool {
 			slot := Slot{d, reclaimable}
-			return countInDomain(wanted, d) >= s.Scale.MaxPerDomain || wanted[slot] >= most || s.ClosedSlots[slot] && wanted[slot] >= s.Serving[slot]
+			return countInDomain(wanted, d) >= in.Scale.MaxPerDomain || wanted[slot] >= most || in.ClosedSlots[slot] && wanted[slot] >= in.Serving[slot]
 		})
 		if len(open) == 0 {
 			return
@@ -138,7 +138,7 @@
 		best := slices.MinFunc(open, func(a, b ident.FailureDomain) int {
 			return cmp.Or(
 				cmp.Compare(wanted[Slot{a, reclaimable}], wanted[Slot{b, reclaimable}]),
-				cmp.Compare(s.Scale.Prices[a], s.Scale.Prices[b]),
+				cmp.Compare(in.Scale.Prices[a], in.Scale.Prices[b]),
 				cmp.Compare(a, b),
 			)
 		})
@@ -152,9 +152,9 @@
 
 // ensureMinimum brings each domain up to the operators' minimum, unless its slot is
 // closed.
-func (s PlanInput) ensureMinimum(wanted map[Slot]int, domains []ident.FailureDomain, reclaimable bool) {
+func (in PlanInput) ensureMinimum(wanted map[Slot]int, domains []ident.FailureDomain, reclaimable bool) {
 	for _, d := range domains {
-		if missing := s.Scale.MinPerDomain - countInDomain(wanted, d); missing > 0 && !s.ClosedSlots[Slot{d, reclaimable}] {
+		if missing := in.Scale.MinPerDomain - countInDomain(wanted, d); missing > 0 && !in.ClosedSlots[Slot{d, reclaimable}] {
 			wanted[Slot{d, reclaimable}] += missing
 		}
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -109,8 +109,8 @@
 	err        error
 	view       *directory.View
 	orders     []platform.ScaleOrder
-	// lacking is the share of its work that an upstream does not accept.
-	lacking map[ident.Instance]float64
+	// unservedShares is the share of its work that an upstream does not accept.
+	unservedShares map[ident.Instance]float64
 }
 
 func (c *cloud) Grant() (duty.Grant, bool) {
@@ -135,7 +135,7 @@
 		Leases: c, Duties: c, Log: hclog.NewNullLogger(),
 		Serves:         func(u *directory.Upstream) bool { return c.newVersion == "" || u.Version != c.newVersion },
 		RolloutRunning: func(ident.Service) bool { return c.newVersion != "" },
-		UnservedShare:  func(id ident.Instance) float64 { return c.lacking[id] },
+		UnservedShare:  func(id ident.Instance) float64 { return c.unservedShares[id] },
 	}
 }
 
@@ -168,7 +168,7 @@
 	c.view = directory.NewView([]directory.Upstream{
 		{ID: "u1", Service: "svc", State: directory.Ready}, {ID: "u2", Service: "svc", State: directory.Ready}, {ID: "u3", Service: "svc", State: directory.Leaving},
 	})
-	c.lacking = map[ident.Instance]float64{"u1": 0.75, "u3": 1}
+	c.unservedShares = map[ident.Instance]float64{"u1": 0.75, "u3": 1}
 	if got := controller.missingCapacity("svc"); got != 0.75 {
 		t.Errorf("missing capacity %v, want 0.75", got)
 	}
