--- a/internal/fleetsim/cloud.go
+++ b/internal/fleetsim/cloud.go
@@ -87,7 +87,7 @@
 	}
 	id := ident.Instance(fmt.Sprintf("e%04d", c.started))
 	c.started++
-	s := &server{Upstream: directory.Upstream{
+	s := &simEngine{Upstream: directory.Upstream{
 		ID: id, Name: id, Service: service, FailureDomain: slot.FailureDomain, Slots: w.c.Engine.Slots, State: directory.Ready, Reclaimable: slot.Reclaimable,
 	}, model: engine.NewModel(w.c.Engine.parameters(slowdown))}
 	w.engines = append(w.engines, s)
@@ -132,7 +132,7 @@
 }
 
 // announceEnd announces that an engine is leaving and ends it after the given time.
-func (c *cloud) announceEnd(s *server, after time.Duration) {
+func (c *cloud) announceEnd(s *simEngine, after time.Duration) {
 	c.w.At(c.w.Now()+noticeDelay, func() {
 		s.State = directory.Leaving
 		c.w.publish()
--- a/internal/fleetsim/figures.go
+++ b/internal/fleetsim/figures.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		n++
-		if c.server == nil {
+		if c.engine == nil {
 			refused++
 		}
 		k := w.kinds[c.kind]
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -62,8 +62,8 @@
 	svc      *routetable.Service
 	kinds    []RequestKind
 	routes   []*routetable.Route
-	engines  []*server
-	byID     map[ident.Instance]*server
+	engines  []*simEngine
+	byID     map[ident.Instance]*simEngine
 	view     *directory.View
 	gateways []*gateway
 	// pastTotals are the sums of all gateways' loads by engine at recorded times, the
@@ -82,8 +82,8 @@
 	paidSeconds float64
 }
 
-// server is one engine.
-type server struct {
+// simEngine is one engine.
+type simEngine struct {
 	directory.Upstream
 	model *engine.Model
 	busy  bool
@@ -109,7 +109,7 @@
 	outputTokens int
 	arrived      time.Duration
 	choice       forward.Choice
-	server       *server
+	engine       *simEngine
 	// firstEventAt is the time of the first event; 0 if there was none yet.
 	firstEventAt time.Duration
 	done         bool
@@ -128,7 +128,7 @@
 }
 
 func newWorld(c Case) *world {
-	w := &world{c: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), byID: make(map[ident.Instance]*server), readPrompts: make(map[uint64]bool), currentLoads: make(map[ident.Instance]placement.Load), view: directory.NewView(nil)}
+	w := &world{c: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), byID: make(map[ident.Instance]*simEngine), readPrompts: make(map[uint64]bool), currentLoads: make(map[ident.Instance]placement.Load), view: directory.NewView(nil)}
 	scale := &routetable.Scale{MinPerDomain: 1, MaxPerDomain: 400, Startup: 4 * time.Second, ReclaimablePrice: reclaimablePrice, Prices: make(map[ident.FailureDomain]float64)}
 	for i := range c.Fleet.Domains {
 		scale.Prices[w.domain(i)] = 1
@@ -290,7 +290,7 @@
 
 func (w *world) send(c *call, choice forward.Choice) {
 	s := w.byID[choice.Upstream]
-	c.choice, c.server = choice, s
+	c.choice, c.engine = choice, s
 	w.addLoad(c, 1, c.PromptTokens)
 	err := s.model.Submit(w.Clock(), engine.Attempt{ID: c.ID, Tag: c.index, Priority: -int32(c.Priority), Blocks: c.blocks, ContextTokens: c.PromptTokens, OutputTokens: c.outputTokens})
 	if s.ended || err != nil {
@@ -304,7 +304,7 @@
 // tokens, since those who place requests do not know how much the engine has cached.
 func (w *world) addLoad(c *call, running, unread int) {
 	for _, loads := range []map[ident.Instance]placement.Load{w.currentLoads, c.gateway.currentLoads} {
-		loads[c.server.ID] = loads[c.server.ID].Plus(placement.Load{Running: running, UnreadTokens: unread})
+		loads[c.engine.ID] = loads[c.engine.ID].Plus(placement.Load{Running: running, UnreadTokens: unread})
 	}
 }
 
@@ -323,7 +323,7 @@
 
 // startStep starts an engine's next step, and after it the next one, as long as the engine has
 // work.
-func (w *world) startStep(s *server) {
+func (w *world) startStep(s *simEngine) {
 	if s.busy || s.ended {
 		return
 	}
@@ -365,7 +365,7 @@
 }
 
 func (w *world) firstEvent(c *call) {
-	if c.server.ended || c.done {
+	if c.engine.ended || c.done {
 		return
 	}
 	c.firstEventAt = w.Now()
@@ -374,16 +374,16 @@
 }
 
 // endEngine ends an engine and breaks off its requests.
-func (w *world) endEngine(s *server) {
+func (w *world) endEngine(s *simEngine) {
 	s.ended = true
 	delete(w.byID, s.ID)
 	for _, c := range w.calls {
-		if c.server == s && !c.done {
+		if c.engine == s && !c.done {
 			w.finish(c, forward.Broken)
 			c.firstEventAt = 0
 		}
 	}
-	w.engines = slices.DeleteFunc(w.engines, func(other *server) bool { return other == s })
+	w.engines = slices.DeleteFunc(w.engines, func(other *simEngine) bool { return other == s })
 	w.publish()
 }
 
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -30,8 +30,8 @@
 	restoreDelay             = 50 * time.Millisecond
 )
 
-// killer is a content that crashes every upstream that runs it.
-type killer struct {
+// poisonContent is a content that crashes every upstream that runs it.
+type poisonContent struct {
 	// meanInterval is the mean time between its arrivals, and burst how many requests arrive at
 	// a time; 0 means one.
 	meanInterval time.Duration
@@ -54,7 +54,7 @@
 	knownWithin       time.Duration // after a killer's third crash, sends by a connected gateway are late
 	rate              float64
 	meanDuration      time.Duration
-	killers           []killer
+	poisonContents    []poisonContent
 	hotShare          float64 // share of ordinary requests that have one common content
 	crashRate         float64 // crashes per second of random upstreams without a cause
 	flappingUpstreams int     // number of upstreams that crash repeatedly without a cause
@@ -74,7 +74,7 @@
 type request struct {
 	id      int
 	content ident.ContentHash
-	killer  *killer
+	poison  *poisonContent
 	gateway *gateway
 	// retries counts the client's retries; sends counts how often this arrival was sent.
 	retries, sends, maxSends int
@@ -133,11 +133,11 @@
 	lastID     int
 	result     result
 	// thirdCrashAt, kills and lateSends are by the killer's content.
-	thirdCrashAt map[ident.ContentHash]time.Duration
-	kills        map[ident.ContentHash]int
-	lateSends    map[ident.ContentHash]int
-	cutOffDomain int
-	checkedAt    time.Duration
+	thirdCrashAt  map[ident.ContentHash]time.Duration
+	crashesCaused map[ident.ContentHash]int
+	lateSends     map[ident.ContentHash]int
+	cutOffDomain  int
+	checkedAt     time.Duration
 	// storedRecord is the content of the lease's record, which outlives all gateways.
 	storedRecord json.RawMessage
 }
@@ -161,7 +161,7 @@
 func playStory(s story, seed uint64) result {
 	f := &fleet{
 		s: s, rng: rand.New(rand.NewPCG(seed, 7)), thirdCrashAt: make(map[ident.ContentHash]time.Duration),
-		kills: make(map[ident.ContentHash]int), lateSends: make(map[ident.ContentHash]int), cutOffDomain: -1,
+		crashesCaused: make(map[ident.ContentHash]int), lateSends: make(map[ident.ContentHash]int), cutOffDomain: -1,
 	}
 	for i := range s.gateways {
 		f.gateways = append(f.gateways, &gateway{index: i, domain: i % s.domains, tracker: newTracker(f.clock), connectedSince: -time.Hour})
@@ -187,10 +187,10 @@
 func (f *fleet) schedule() {
 	s := f.s
 	f.In(0, f.ordinaryArrives)
-	for i := range s.killers {
-		k := &s.killers[i]
+	for i := range s.poisonContents {
+		k := &s.poisonContents[i]
 		content := ident.ContentHashOf(ident.OutlineHash(1+i), 0)
-		f.In(k.startsAt, func() { f.killerArrives(k, content) })
+		f.In(k.startsAt, func() { f.poisonArrives(k, content) })
 	}
 	for _, g := range f.gateways {
 		f.In(time.Duration(f.rng.Int64N(int64(exchangePeriod))), func() { f.exchange(g) })
@@ -320,12 +320,12 @@
 	f.receive(r)
 }
 
-func (f *fleet) killerArrives(k *killer, content ident.ContentHash) {
+func (f *fleet) poisonArrives(k *poisonContent, content ident.ContentHash) {
 	for range max(1, k.burst) {
 		f.lastID++
-		f.receive(&request{id: f.lastID, content: content, killer: k, maxSends: k.maxSends, group: k.group})
+		f.receive(&request{id: f.lastID, content: content, poison: k, maxSends: k.maxSends, group: k.group})
 	}
-	f.In(f.randomExp(k.meanInterval), func() { f.killerArrives(k, content) })
+	f.In(f.randomExp(k.meanInterval), func() { f.poisonArrives(k, content) })
 }
 
 // receive has a random gateway receive a request.
@@ -342,7 +342,7 @@
 }
 
 func (f *fleet) refuse(r *request) {
-	if r.killer == nil {
+	if r.poison == nil {
 		f.result.refused++
 	}
 }
@@ -378,14 +378,14 @@
 		return
 	}
 	if len(open) == 0 {
-		if r.killer == nil {
+		if r.poison == nil {
 			f.retryByClient(r)
 		}
 		return
 	}
 	u := open[f.rng.IntN(len(open))]
-	if home := f.upstreams[r.group%len(f.upstreams)]; slices.Contains(open, home) && f.rng.IntN(2) == 0 {
-		u = home
+	if preferred := f.upstreams[r.group%len(f.upstreams)]; slices.Contains(open, preferred) && f.rng.IntN(2) == 0 {
+		u = preferred
 	} else if other := open[f.rng.IntN(len(open))]; len(other.inFlight) < len(u.inFlight) {
 		u = other
 	}
@@ -401,23 +401,23 @@
 		r.onFinished = r.gateway.tracker.Started(u.id(f.s.keepsIDs), r.content)
 	}
 	life := u.incarnation
-	if r.killer == nil {
+	if r.poison == nil {
 		f.In(f.randomExp(f.s.meanDuration), func() { f.complete(r, u, life) })
 		return
 	}
 	if third, known := f.thirdCrashAt[r.content]; known && f.Now() > third+f.s.knownWithin && f.Now()-r.gateway.connectedSince > f.s.knownWithin {
 		f.lateSends[r.content]++
 	}
-	f.In(r.killer.crashDelay+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
+	f.In(r.poison.crashDelay+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
 		if u.up && u.incarnation == life && u.inFlight[r] {
-			f.kill(r, u)
+			f.crashByPoison(r, u)
 		}
 	})
 }
 
-func (f *fleet) kill(r *request, u *upstream) {
-	f.kills[r.content]++
-	if f.kills[r.content] == 3 {
+func (f *fleet) crashByPoison(r *request, u *upstream) {
+	f.crashesCaused[r.content]++
+	if f.crashesCaused[r.content] == 3 {
 		f.thirdCrashAt[r.content] = f.Now()
 	}
 	f.crash(u)
@@ -465,7 +465,7 @@
 		f.In(time.Millisecond, func() { f.admit(r) })
 		return
 	}
-	if r.killer == nil {
+	if r.poison == nil {
 		f.retryByClient(r)
 	}
 }
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -217,9 +217,9 @@
 	return string(service), []byte(string(to) + " " + phase.String()), nil
 }
 
-func (g *simGateway) idle(_ ident.Service, is func(*directory.Upstream) bool) bool {
+func (g *simGateway) idle(_ ident.Service, matches func(*directory.Upstream) bool) bool {
 	for _, u := range g.f.upstreams {
-		if g.inFlight[u.ID] > 0 && is(&u.Upstream) {
+		if g.inFlight[u.ID] > 0 && matches(&u.Upstream) {
 			return false
 		}
 	}
@@ -345,13 +345,13 @@
 	}
 	id := ident.Request(fmt.Sprint(f.rng.Uint64()))
 	split := g.tracker.SplitOf(service)
-	lists := Candidates{Preferred: f.view.Of(service)}
+	candidates := Candidates{Preferred: f.view.Of(service)}
 	if split != nil {
-		lists = split.Candidates(id, routeName(route), false, f.now)
+		candidates = split.Candidates(id, routeName(route), false, f.now)
 	}
-	u := f.choose(lists.Preferred)
+	u := f.choose(candidates.Preferred)
 	if u == nil {
-		u = f.choose(lists.Fallback)
+		u = f.choose(candidates.Fallback)
 	}
 	if u == nil {
 		f.result.refused++
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -139,7 +139,7 @@
 		}
 	case r.stopped || now.Sub(r.confirmedAt) > t.confirmationTTL():
 	case r.phase == Canary:
-		return s.canaryLists(r, KeyOf(route), again, now)
+		return s.canaryCandidates(r, KeyOf(route), again, now)
 	case r.phase == Shifting:
 		if !again && hashFraction(r.order.Offset, string(id)) < now.Sub(r.phaseSince).Seconds()/rampTime.Seconds() {
 			return Candidates{Preferred: s.newUpstreams, Fallback: s.oldUpstreams}
@@ -149,9 +149,9 @@
 	return Candidates{Preferred: s.oldUpstreams}
 }
 
-// canaryLists returns the lists in the canary phase: the new version first if the budget allows
+// canaryCandidates returns the lists in the canary phase: the new version first if the budget allows
 // it.
-func (s *Split) canaryLists(r *trackedOrder, key RouteKey, again bool, now time.Time) Candidates {
+func (s *Split) canaryCandidates(r *trackedOrder, key RouteKey, again bool, now time.Time) Candidates {
 	if again {
 		return Candidates{Preferred: s.oldUpstreams}
 	}
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -56,12 +56,12 @@
 		if split == nil {
 			return -1
 		}
-		lists := split.Candidates(ident.Request(fmt.Sprint(i)), "r", false, g.now)
-		if len(lists.Preferred) == 0 {
+		candidates := split.Candidates(ident.Request(fmt.Sprint(i)), "r", false, g.now)
+		if len(candidates.Preferred) == 0 {
 			continue
 		}
-		split.Sent(&lists.Preferred[0], "r")
-		if lists.Preferred[0].Version == version {
+		split.Sent(&candidates.Preferred[0], "r")
+		if candidates.Preferred[0].Version == version {
 			n++
 		}
 	}
@@ -254,8 +254,8 @@
 	if first := split.Candidates("q", "r", false, g.now).Preferred; first[0].Version != "v2" {
 		t.Fatalf("the first attempt does not prefer the new version: %v", first)
 	}
-	lists := split.Candidates("q", "r", true, g.now)
-	for _, u := range append(lists.Preferred, lists.Fallback...) {
+	candidates := split.Candidates("q", "r", true, g.now)
+	for _, u := range append(candidates.Preferred, candidates.Fallback...) {
 		if u.Version != "v1" {
 			t.Errorf("second attempt may go to %s", u.ID)
 		}
