--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -50,7 +50,7 @@
 	// the first token to the last.
 	PredictedFirstToken, UnloadedFirstToken, PredictedAfterFirstToken time.Duration
 	// PredictedFirstTokenP80 is the 80th percentile of the predicted time to the first
-	// token; 0 means Request.PredictedFirstToken.
+	// token; 0 means PredictedFirstToken.
 	PredictedFirstTokenP80 time.Duration
 	// Deadline is the caller's deadline; zero means none. The context's
 	// deadline counts too, whichever is earlier.
@@ -123,15 +123,15 @@
 	return c.service(name).excluded(time.Now())
 }
 
-// RecordAttemptStart reports that a granted request is about to be sent to an upstream. If
-// the upstream's ejection is over, the request counts as its probe.
+// RecordAttemptStart records that a granted request is about to be sent to an
+// upstream. If the upstream's ejection is over, the request counts as its probe.
 func (c *Controller) RecordAttemptStart(name ident.Service, id ident.Instance) {
 	c.service(name).recordAttemptStart(time.Now(), id)
 }
 
-// RecordAttemptEnd records the result of one attempt, for requests that may take several
-// attempts. Unloaded is the time to the first token on an idle upstream; 0
-// means unknown. The Result passed to the ticket's Done then names no
+// RecordAttemptEnd records the result of one attempt, for requests that may take
+// several attempts. unloaded is the time to the first token on an idle upstream;
+// 0 means unknown. The Result passed to the ticket's Done must then name no
 // upstream, so that the attempt isn't recorded twice.
 func (c *Controller) RecordAttemptEnd(name ident.Service, r Result, unloaded time.Duration) {
 	c.service(name).recordAttemptEnd(r, unloaded)
@@ -185,7 +185,7 @@
 	refusal *outcome.Outcome
 }
 
-// FirstToken reports that the first token arrived. Once it was called for a
+// FirstToken reports that the first token arrived. Once it has been called for a
 // request of a service, each priority is limited to the number of requests that
 // upstreams answer in time; see gate.Gate.FirstToken. Further calls for the
 // same ticket have no effect.
--- a/internal/admission/ejection/ejection.go
+++ b/internal/admission/ejection/ejection.go
@@ -50,7 +50,7 @@
 	SlowFactor  float64
 	SlowSamples int
 	// BaseEjectionTime is the length of the first ejection. Each further one is twice as
-	// long, up to Config.MaxEjectionTime.
+	// long, up to MaxEjectionTime.
 	BaseEjectionTime, MaxEjectionTime time.Duration
 	// Probes is how many consecutive probes must succeed before an upstream is
 	// healthy again.
@@ -236,8 +236,8 @@
 	return next
 }
 
-// RecordAttemptStart reports that a request is sent to an upstream. If the upstream's
-// ejection is over and no probe is under way, the request is a probe.
+// RecordAttemptStart records that a request is sent to an upstream. If the
+// upstream's ejection is over and no probe is under way, the request is a probe.
 func (s *Set) RecordAttemptStart(now time.Time, id ident.Instance) {
 	u := s.upstreams[id]
 	if u == nil || u.state == Healthy || !s.allows(u, now) {
@@ -247,8 +247,8 @@
 	u.probeStarted = now
 }
 
-// RecordAttemptEnd records the result of a request. It may eject the upstream or, after a
-// probe, make it healthy again.
+// RecordAttemptEnd records the result of a request. It may eject the upstream
+// or, after a probe, make it healthy again.
 func (s *Set) RecordAttemptEnd(now time.Time, id ident.Instance, sample Sample) {
 	u := s.upstreams[id]
 	if u == nil {
@@ -317,8 +317,8 @@
 }
 
 // startEjection ejects an upstream for twice as long as the last time, at most
-// Config.MaxEjectionTime, or for Config.BaseEjectionTime if it has been healthy for Config.MaxEjectionTime
-// since.
+// Config.MaxEjectionTime, or for Config.BaseEjectionTime if it has been healthy
+// for Config.MaxEjectionTime since.
 func (s *Set) startEjection(now time.Time, u *upstream) {
 	if u.state == Healthy && now.Sub(u.until) >= s.config.MaxEjectionTime {
 		u.ejections = 0
--- a/internal/admission/fairshare/account.go
+++ b/internal/admission/fairshare/account.go
@@ -136,8 +136,9 @@
 
 // servedBefore reports whether account a, with its most urgent item, is served
 // before account b, with its most urgent item other. A retry goes first within
-// its priority, whichever account it is of: the retries of all accounts together
-// arrive evenly, but those of a single account are too few to even out.
+// its priority, whichever account it is of: retries come at the turns that were
+// booked for them, and are spread evenly over all accounts together, while those
+// of a single account are too few to even out.
 func servedBefore(a *account, item *Item, b *account, other *Item) bool {
 	if item.Priority != other.Priority {
 		return item.Priority > other.Priority
--- a/internal/admission/gate/band.go
+++ b/internal/admission/gate/band.go
@@ -20,8 +20,8 @@
 	reservedSlots float64
 	// retries measures the cost per second of retries.
 	retries rateMeter
-	// bookedUntil is the latest time at which a refused caller was told to
-	// come back.
+	// bookedUntil is the latest time at which a refused caller is due to retry,
+	// by its retry-after time.
 	bookedUntil time.Time
 	lateness
 }
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -67,12 +67,12 @@
 	Limit document.AccountLimit
 	// Class is the zero value for plain services.
 	Class document.Class
-	// PredictedFirstToken is the predicted time from the grant to the first token at
-	// the present load. Request.UnloadedFirstToken is the same on an idle upstream.
+	// PredictedFirstToken is the predicted time from the grant to the first token
+	// at the present load. UnloadedFirstToken is the same on an idle upstream.
 	PredictedFirstToken, UnloadedFirstToken time.Duration
-	// PredictedFirstTokenP80 is the 80th percentile of the predicted time to the first
-	// token; 0 means Request.PredictedFirstToken. It may replace Request.PredictedFirstToken for
-	// all priorities but the most urgent: engines serve that one first, so its
+	// PredictedFirstTokenP80 is the 80th percentile of the predicted time to the
+	// first token; 0 means PredictedFirstToken. It may replace PredictedFirstToken
+	// for all priorities but the most urgent: engines serve that one first, so its
 	// times vary little, and a wrong refusal costs most there.
 	PredictedFirstTokenP80 time.Duration
 	// PredictedAfterFirstToken is the predicted time from the first token to the last.
--- a/internal/admission/gate/overload_test.go
+++ b/internal/admission/gate/overload_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestOverload checks that beyond capacity nearly all slots stay in use, most
-// callers that come back when told are admitted, and few queued requests are
+// callers that retry at their retry-after time are admitted, and few queued requests are
 // refused later.
 //
 // It guards against refused callers that come back together and are refused
--- a/internal/admission/gate/plan.go
+++ b/internal/admission/gate/plan.go
@@ -22,8 +22,8 @@
 	// bookedDrainShare is the part of the drain rate that is booked for
 	// retries. A retry has mostly missed its target already, while a first
 	// attempt served in its place can still meet it. So under overload most
-	// turns go to first attempts, and refused callers are told a time at
-	// which a slot will be free.
+	// turns go to first attempts, and refused callers are given a
+	// retry-after time at which a slot will be free.
 	//
 	// While slots are scarce, accounts that ask for no more than their fair
 	// share are booked at their full rate. While there are enough slots, a
@@ -86,9 +86,9 @@
 
 // predictedFirstToken returns the time from the grant to the first token to
 // plan with. For all priorities but the most urgent, it is the late bound,
-// Request.PredictedFirstTokenP80, if answers of the priority have come late recently, if
-// none was reported yet, or if the account is beyond its fair share. Otherwise
-// it is Request.PredictedFirstToken.
+// Request.PredictedFirstTokenP80, if answers of the priority have come late
+// recently, if none was reported yet, or if the account is beyond its fair share.
+// Otherwise it is Request.PredictedFirstToken.
 func (g *Gate) predictedFirstToken(r *Request) time.Duration {
 	own := g.bands.forPriority(r.Class.Priority)
 	if own == g.bands.byPriority[0] || own.mostlyInTime() && !g.exceedsTimelyShare(g.clients[r.Account]) {
@@ -148,7 +148,8 @@
 	wait := g.predictWait(now, u, e)
 	if wait > 0 && !r.isRetry() && now.Before(g.bands.forPriority(e.Item.Priority).bookedUntil) {
 		// Without this reserve, first attempts would take each slot as it
-		// becomes free, and callers that come back when told would find none.
+		// becomes free, and callers that retry at their retry-after time would
+		// find none.
 		budget -= time.Duration(retryReserveShare * float64(firstTokenTarget(r)))
 	}
 	if wait == 0 && g.exceedsTimelyShare(c) {
--- a/internal/admission/gate/sim_test.go
+++ b/internal/admission/gate/sim_test.go
@@ -75,8 +75,8 @@
 }
 
 // sim drives gates in virtual time. Requests arrive at random times at a random
-// gate and hold a slot for a random time; refused callers come back when told, at
-// a random gate.
+// gate and hold a slot for a random time; refused callers retry at their
+// retry-after time, at a random gate.
 type sim struct {
 	gates    []*Gate
 	random   *rand.Rand
@@ -184,8 +184,8 @@
 	s.recordRefused(e, refusal)
 }
 
-// recordRefused counts a refusal and schedules the caller's retry at the time
-// that it was told.
+// recordRefused counts a refusal and schedules the caller's retry at its
+// retry-after time.
 func (s *sim) recordRefused(e *Entry, refusal outcome.Outcome) {
 	i, r := s.loadOf[e], e.Request
 	s.tallies[i].refused++
--- a/internal/admission/retryafter/retryafter_test.go
+++ b/internal/admission/retryafter/retryafter_test.go
@@ -11,8 +11,9 @@
 // TestBookSpreads checks that callers that are refused together don't come back
 // together.
 //
-// It guards against load in waves, each refused like the one before, which
-// arises if all requests of a burst are told the same retry-after time.
+// It guards against callers that come back together and are refused together
+// again and again. That happens if all requests of a burst are given the same
+// retry-after time.
 func TestBookSpreads(t *testing.T) {
 	const callers, gap = 1000, 10 * time.Millisecond
 	now := time.Unix(1000, 0)
--- a/internal/experiment/brownout.go
+++ b/internal/experiment/brownout.go
@@ -9,8 +9,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// overBudgetRetryAfter is the retry-after time of a caller whose request the retry budget allowed
-// no further attempt.
+// overBudgetRetryAfter is the base of the retry-after time of a caller whose request was allowed
+// no further attempt by the retry budget.
 const overBudgetRetryAfter = time.Second
 
 // upstreamRefuses draws whether an upstream refuses an attempt in a brown-out.
--- a/internal/experiment/driver.go
+++ b/internal/experiment/driver.go
@@ -35,7 +35,7 @@
 	busy  bool
 	// tokens are delivered when the current step ends.
 	tokens []engine.Token
-	// leaving: the runner was reclaimed and ends at endsAt.
+	// leaving means that the runner was reclaimed and ends at endsAt.
 	leaving bool
 	endsAt  time.Duration
 	ended   bool
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -14,14 +14,14 @@
 // Figures are the results of one run for the requests that arrived after the warm-up. Times
 // are in milliseconds, costs in cents, shares from 0 to 1.
 type Figures struct {
-	// Short are percentiles of the time to the first token in the first kind of
-	// request, which is the most urgent; Long are those in the kind with the
-	// longest answers.
+	// ShortP50, ShortP95 and ShortP99 are percentiles of the time to the first token
+	// in the first kind of request, which is the most urgent. LongP95 is the 95th
+	// percentile in the kind with the longest answers.
 	ShortP50, ShortP95, ShortP99, LongP95 float64
 	// BetweenP95 is the 95th percentile of the mean time between tokens.
 	BetweenP95 float64
 	// Met is the share of requests that met their class's targets; ShortMet and
-	// LongMet are those of the kinds of Short and Long.
+	// LongMet are the shares in the first kind and in that with the longest answers.
 	Met, ShortMet, LongMet float64
 	// ModelMet is Met without the plain services' calls.
 	ModelMet float64
--- a/internal/experiment/policies.go
+++ b/internal/experiment/policies.go
@@ -25,14 +25,15 @@
 // each gateway.
 type Contender struct {
 	Name string
-	// Admission: requests go through admission, which may let them wait or refuse them.
+	// Admission means that requests go through admission, which may let them wait or
+	// refuse them.
 	Admission bool
-	// BlindToCaches: the policy does not get the upstreams' cache events.
+	// BlindToCaches means that the policy does not get the upstreams' cache events.
 	BlindToCaches bool
 	New           func(random func() uint64, now time.Time) Policy
 }
 
-// ourParams returns the parameters of our policy; a trial may replace it.
+// ourParams returns the parameters of our policy; a trial may replace the function.
 var ourParams = routing.DefaultParams
 
 // Ours is the name of the policy that gateways use.
--- a/internal/experiment/workloads.go
+++ b/internal/experiment/workloads.go
@@ -101,8 +101,8 @@
 	Load float64
 	// SpikeLoad is the load from faultAt to faultEnd; 0 means no load spike.
 	SpikeLoad float64
-	// Reclaim: the instances of the first failure domain are reclaimed, after a
-	// notice.
+	// Reclaim means that the instances of the first failure domain are reclaimed,
+	// after a notice.
 	Reclaim bool
 	// FailingStarts is how many starts of each replacement fail before one succeeds.
 	FailingStarts int
@@ -111,7 +111,8 @@
 	Slowdown float64
 	// ReportLag replaces the engines' report lag; 0 keeps it.
 	ReportLag time.Duration
-	// EventGapEvery: one in so many series of cache events is lost; 0 means none.
+	// EventGapEvery is a number of series of cache events, one of which is lost; 0
+	// means that none is.
 	EventGapEvery uint64
 	// GreedyFactor multiplies the requests of the last client account; 0 leaves them.
 	GreedyFactor float64
--- a/internal/fleetsim/cloud.go
+++ b/internal/fleetsim/cloud.go
@@ -26,8 +26,8 @@
 	noticeDelay   = 600 * time.Millisecond
 )
 
-// cloud starts and ends engines as the gateway that holds the duties orders, and reclaims
-// reclaimable engines.
+// cloud starts and ends engines as the holder of the lease orders, and reclaims reclaimable
+// engines.
 type cloud struct {
 	w                *world
 	controller       *scaling.Controller
--- a/internal/fleetsim/figures.go
+++ b/internal/fleetsim/figures.go
@@ -18,7 +18,7 @@
 	// Paid is the engines' cost, in on-demand engines per engine that the traffic keeps
 	// busy.
 	Paid float64
-	// Orders is the number of scaling orders, and OrdersRefused of those that the cloud
+	// Orders is the number of scaling orders, and OrdersRefused how many of them the cloud
 	// refused.
 	Orders, OrdersRefused int
 	// RateRatio is the reading rate that a gateway estimated, relative to the true one.
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -47,9 +47,9 @@
 		aged := Run(c)
 		c.LoadsKnownAtOnce = true
 		atOnce := Run(c)
-		t.Logf("%d gateways: aged %.3f, told %.3f", size.Gateways, aged.Value(), atOnce.Value())
+		t.Logf("%d gateways: aged %.3f, known at once %.3f", size.Gateways, aged.Value(), atOnce.Value())
 		if aged.Value() < atOnce.Value()-0.03 {
-			t.Errorf("%d gateways: %.3f, told at once %.3f", size.Gateways, aged.Value(), atOnce.Value())
+			t.Errorf("%d gateways: %.3f, with loads known at once %.3f", size.Gateways, aged.Value(), atOnce.Value())
 		}
 	}
 }
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -33,21 +33,22 @@
 	// BusyEngines is the traffic's rate, as the number of engines that it keeps busy.
 	BusyEngines float64
 	Seed        uint64
-	// Told: every gateway knows the others' load at once. Engine estimates are learned in
-	// the same way as otherwise.
+	// LoadsKnownAtOnce means that every gateway knows the others' load at once. Engine
+	// estimates are learned in the same way as otherwise.
 	LoadsKnownAtOnce bool
-	// FixedEngines is a number of on-demand engines that run all the time, to find the smallest
-	// sufficient number; 0 leaves the number to the policy.
+	// FixedEngines is a number of on-demand engines that run all the time, to find the
+	// smallest sufficient number; 0 leaves the number to the policy.
 	FixedEngines int
 }
 
-// The periods of the entry process's own loops: recording loads, the duties of the lease
-// holder, and placing a waiting request again.
+// The periods of the entry process's own loops: recording loads, the steps of the holder of the
+// lease, and placing a waiting request again.
 const (
 	recordEvery = 50 * time.Millisecond
 	dutyEvery   = 250 * time.Millisecond
 	placeEvery  = 10 * time.Millisecond
-	// waitDivisor: a request waits for an engine for this part of its objective.
+	// waitDivisor divides a request's objective to give the longest time that it waits for an
+	// engine.
 	waitDivisor = 8
 )
 
@@ -69,7 +70,8 @@
 	// pastTotals are the sums of all gateways' loads by engine at recorded times, the
 	// newest last.
 	pastTotals []map[ident.Instance]placement.Load
-	// currentLoads are these sums now; with Case.LoadsKnownAtOnce gateways place requests by them.
+	// currentLoads are these sums now; with Case.LoadsKnownAtOnce gateways place requests by
+	// them.
 	currentLoads map[ident.Instance]placement.Load
 	sums         enginemodel.Sums
 	cloud        *cloud
--- a/internal/planner/market.go
+++ b/internal/planner/market.go
@@ -12,7 +12,7 @@
 // ReclaimCosts says how often instances are reclaimed and how much work that costs.
 type ReclaimCosts struct {
 	// PerHour is how often a reclaimable instance is reclaimed in an hour. Offerings
-	// that are not listed have the rate Default.
+	// that are not listed have the rate DefaultPerHour.
 	PerHour        map[Offering]float64
 	DefaultPerHour float64
 	// LostWork is how long an upstream would have worked for what a reclaim costs: for the
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,6 +1,6 @@
 // Package planner decides which upstreams of a service to start, to drain and to stop.
 // Its plan is a pure function of the actual fleet, the document and the time, so that a
-// new lease holder can plan from what it observes, without knowing what an earlier
+// new holder of the lease can plan from what it observes, without knowing what an earlier
 // holder did.
 package planner
 
@@ -47,8 +47,8 @@
 	Idle bool
 }
 
-// Pending is an instance that this holder asked the cloud to start and that is not
-// listed yet.
+// Pending is an instance that this holder of the lease asked the cloud to start and that
+// is not listed yet.
 type Pending struct {
 	StartID  string
 	Offering Offering
@@ -75,8 +75,8 @@
 	// Demand is the work, as the number of upstreams that it keeps busy: 2.5 is the work
 	// of two and a half.
 	Demand float64
-	// Fence and Starts make start IDs unique: the holder's fencing number, and how many
-	// starts it has requested.
+	// Fence and StartsRequested make start IDs unique: the fencing number of the holder of
+	// the lease, and how many starts it has requested.
 	Fence           ident.Fence
 	StartsRequested int
 }
@@ -93,8 +93,8 @@
 
 // The kinds.
 const (
-	// Start asks the cloud to start an instance. Repeated with the same start ID, it
-	// starts no second one.
+	// Start asks the cloud to start an instance. A repeated Start with the same start ID
+	// starts no second instance.
 	Start Kind = "start"
 	// Drain tells all gateways to send no new work to an instance.
 	Drain Kind = "drain"
--- a/internal/planner/size.go
+++ b/internal/planner/size.go
@@ -23,7 +23,8 @@
 type size struct {
 	// least and most are the document's bounds.
 	least, most int
-	// Below growBelow upstreams more are started, above shrinkAbove some are drained.
+	// With fewer than growBelow upstreams, more are started; with more than shrinkAbove,
+	// some are drained.
 	growBelow, shrinkAbove int
 	onDemandShare          float64
 }
--- a/internal/poison/admit.go
+++ b/internal/poison/admit.go
@@ -24,7 +24,7 @@
 type Decision struct {
 	Step Step
 	// Avoid lists the upstreams where a request with another suspected content is in progress.
-	// Kept apart, a crash shows which of the two contents caused it.
+	// If the two contents never run at the same upstream, a crash shows which of them caused it.
 	Avoid []ident.Instance
 	// RetryAfter is how long the caller of a barred request should wait before a retry.
 	RetryAfter time.Duration
@@ -34,8 +34,8 @@
 //
 // A content with minCrashes crashes waits until all gateways have reported what they had
 // running in them. A content with one crash fewer is sent, but not while another request with
-// the same content is in progress at this gateway, because its end may decide. No request
-// waits longer than settleTime.
+// the same content is in progress at this gateway, because the end of that request may decide
+// whether the content is the cause. No request waits longer than settleTime.
 func (t *Tracker) Admit(content ident.ContentHash, waited time.Duration) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,8 +78,8 @@
 	return len(s.unexplained), newest
 }
 
-// upstreamsOfOtherSuspects returns the upstreams where a request with another suspected content is in
-// progress.
+// upstreamsOfOtherSuspects returns the upstreams where a request with another suspected content
+// is in progress.
 func (t *Tracker) upstreamsOfOtherSuspects(content ident.ContentHash) []ident.Instance {
 	var out []ident.Instance
 	for other, upstreams := range t.inFlight {
--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // BenchmarkAsk measures the cost of the checks of one request while the Tracker is empty, and
-// while it remembers as many crashes as it can; and the cost of Refresh.
+// while it holds as many crashes as it can; and the cost of Refresh.
 func BenchmarkAsk(b *testing.B) {
 	b.Run("quiet", func(b *testing.B) {
 		tr := newTestTracker()
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// A fleet simulates requests that crash upstreams among ordinary ones, in virtual time: gateways
+// A fleet simulates poison requests among ordinary ones, in virtual time: gateways
 // with the real Tracker, the exchange of reports with its delays, upstreams that crash and
 // restart.
 
@@ -51,14 +51,14 @@
 	name              string
 	gateways, domains int
 	upstreams, slots  int
-	knownWithin       time.Duration // after a killer's third crash, sends by a connected gateway are late
+	knownWithin       time.Duration // after a poison content's third crash, sends by a connected gateway are late
 	rate              float64
 	meanDuration      time.Duration
 	poisonContents    []poisonContent
 	hotShare          float64 // share of ordinary requests that have one common content
 	crashRate         float64 // crashes per second of random upstreams without a cause
 	flappingUpstreams int     // number of upstreams that crash repeatedly without a cause
-	domainReclaimed   bool    // one domain's upstreams leave after an announcement
+	domainReclaimed   bool    // one domain's upstreams announce that they leave, and leave
 	domainLost        bool    // one domain's upstreams crash at the same time
 	domainCutOff      bool    // one domain's connections are reset and refused for 5 s
 	keepsIDs          bool    // upstreams restart under the same ID
@@ -114,9 +114,9 @@
 }
 
 type result struct {
-	// mostLateSends is the highest number of late sends of one killer.
+	// mostLateSends is the highest number of late sends of one poison content.
 	mostLateSends, crashes, ordinary, refused, lost int
-	// knownAfter is the longest time from a killer's third crash until all gateways bar it.
+	// knownAfter is the longest time from a poison content's third crash until all gateways bar it.
 	knownAfter  time.Duration
 	knownToAll  bool
 	maxReported int // highest number of marks and verdicts in one report
@@ -132,7 +132,7 @@
 	domainSums []receivedReport
 	lastID     int
 	result     result
-	// thirdCrashAt, kills and lateSends are by the killer's content.
+	// thirdCrashAt, crashesCaused and lateSends are by poison content.
 	thirdCrashAt  map[ident.ContentHash]time.Duration
 	crashesCaused map[ident.ContentHash]int
 	lateSends     map[ident.ContentHash]int
@@ -450,8 +450,8 @@
 	})
 }
 
-// interrupt resends or fails a request whose upstream crashed or became unreachable. The Tracker
-// is told if asCrash is set.
+// interrupt resends or fails a request whose upstream crashed or became unreachable. If asCrash
+// is set, it is recorded in the Tracker as a crash.
 func (f *fleet) interrupt(r *request, u *upstream, asCrash bool) {
 	delete(u.inFlight, r)
 	r.onFinished()
@@ -529,7 +529,7 @@
 	}
 }
 
-// checkKnownToAll records, once, how long it took until all gateways bar every killer that has
+// checkKnownToAll records, once, how long it took until all gateways bar every poison content that has
 // crashed three upstreams.
 func (f *fleet) checkKnownToAll() {
 	if f.result.knownToAll {
--- a/internal/poison/list.go
+++ b/internal/poison/list.go
@@ -14,7 +14,7 @@
 	// Age is the time since its conviction, Idle the time since a request with it last arrived
 	// at any gateway.
 	Age, Idle time.Duration
-	// Crashes counts the remembered crashes in which it was running.
+	// Crashes counts the unexpired crashes in which it was running.
 	Crashes int
 }
 
@@ -38,8 +38,8 @@
 	return out
 }
 
-// Suspected returns the number of contents that crashes count against but that are not
-// convicted.
+// Suspected returns the number of contents that are not convicted although crashes count
+// against them.
 func (t *Tracker) Suspected() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/poison/report.go
+++ b/internal/poison/report.go
@@ -99,7 +99,8 @@
 	return a
 }
 
-// addVerdict keeps the prevailing one of two verdicts on a content, with the shorter idle time.
+// addVerdict adds a verdict. Of two verdicts on a content, the one that supersedes the other stays,
+// with the shorter idle time of the two.
 func (r *Report) addVerdict(v Verdict) {
 	for i := range r.Verdicts {
 		known := &r.Verdicts[i]
--- a/internal/poison/stored.go
+++ b/internal/poison/stored.go
@@ -9,10 +9,10 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// maxStoredVerdicts bounds the verdicts in the stored record.
+// maxStoredVerdicts bounds the verdicts in the lease's record.
 const maxStoredVerdicts = 32
 
-// storedVerdict is a convicted content in a record of the platform's store.
+// storedVerdict is a convicted content in the lease's record.
 type storedVerdict struct {
 	Content ident.ContentHash `json:"content"`
 	// AgeMillis and IdleMillis are measured at the time the record was written.
@@ -20,9 +20,9 @@
 	IdleMillis int64 `json:"idle_ms"`
 }
 
-// Snapshot returns the convicted contents for storage, the most recently seen first, or nil if
-// there are none. Without the record, after all gateways were killed, each such content
-// crashes three more upstreams before it is convicted again.
+// Snapshot returns the convicted contents, to be stored in the lease's record, the most recently
+// seen first, or nil if there are none. Without the record, after all gateways were killed, each
+// such content would crash three more upstreams before it is convicted again.
 func (t *Tracker) Snapshot() json.RawMessage {
 	if t.empty.Load() {
 		return nil
@@ -50,8 +50,8 @@
 	return data
 }
 
-// Restore merges the record that an earlier holder of the lease stored with Keep. Entries that
-// cannot be used are logged and skipped.
+// Restore merges the convicted contents that an earlier holder of the lease stored in its record;
+// see Snapshot. Entries that cannot be used are logged and skipped.
 func (t *Tracker) Restore(data json.RawMessage) {
 	if len(data) == 0 {
 		return
--- a/internal/poison/stories_test.go
+++ b/internal/poison/stories_test.go
@@ -123,8 +123,8 @@
 
 const tableHeading = "story                                     plays beyond  worst ends/play  ordinary  refused  lost/100   told  known: median, longest s"
 
-// Guards against gateways that go on sending a request that crashes upstreams, and that bar
-// ordinary requests instead.
+// Guards against gateways that go on sending a poison request, and that bar ordinary requests
+// instead.
 func TestStories(t *testing.T) {
 	var lines []string
 	for _, s := range stories() {
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -1,7 +1,7 @@
-// Package poison detects requests that crash the processes of the upstreams that run them, and
-// bars them from further upstreams.
+// Package poison detects poison requests, which crash the processes of the upstreams that run
+// them, and bars them from further upstreams.
 //
-// Such a request arrives again and again, at any gateway, under new IDs; what it asks for, its
+// A poison request arrives again and again, at any gateway, under new IDs; what it asks for, its
 // content (ident.ContentHash), stays the same. A crash interrupts all requests in progress at the
 // upstream, as many as it has slots, and each of them may be the cause. Gateways report to each
 // other which contents they had there. A content is convicted as the cause if it explains at
@@ -37,10 +37,11 @@
 	sameCrashWindow = time.Second
 	// crashTTL is how long a crash counts against the contents that were running in it.
 	crashTTL = 10 * time.Minute
-	// VerdictTTL is how long a barred content must not arrive before it is let through again.
+	// VerdictTTL is the time after a content's last arrival at which the verdict on it expires:
+	// a barred content that did not arrive for so long is let through again.
 	VerdictTTL = 10 * time.Minute
-	// maxCrashes and maxVerdicts bound the memory even if someone sends many different
-	// requests that crash upstreams.
+	// maxCrashes and maxVerdicts bound the memory even if someone sends many different poison
+	// requests.
 	maxCrashes  = 64
 	maxVerdicts = 256
 )
@@ -53,12 +54,11 @@
 	Key func(ident.Instance) uint32
 }
 
-// Tracker holds what one gateway knows about requests that crash upstreams. It is safe for
-// concurrent use.
+// Tracker holds what one gateway knows about poison requests. It is safe for concurrent use.
 type Tracker struct {
 	cfg Config
 	// empty is true while there are no crashes and no verdicts, so that callers can skip all
-	// other questions about a request.
+	// other checks of a request.
 	empty atomic.Bool
 
 	mu      sync.Mutex
@@ -80,8 +80,8 @@
 
 // Counters counts what a Tracker saw and did since its start.
 type Counters struct {
-	// Crashes counts crashes of upstreams that had requests in progress, Found convicted
-	// contents, Refused barred requests.
+	// Crashes counts crashes of upstreams that had requests in progress, Convicted the
+	// convicted contents, and Barred the refused requests.
 	Crashes, Convicted, Barred int64
 }
 
@@ -106,8 +106,8 @@
 	// cleared means that no crash up to at counts against the content. Otherwise the content is
 	// convicted.
 	cleared bool
-	// shared means that the other gateways are told. A clearance that only concerns this
-	// gateway is not: most contents arrive at one gateway alone.
+	// shared means that the verdict is reported to the other gateways. A clearance that only
+	// concerns this gateway is not: most contents arrive at one gateway alone.
 	shared bool
 }
 
@@ -118,8 +118,8 @@
 	return t
 }
 
-// KnowsNone reports whether there are no crashes and no verdicts, so that every request may be sent
-// without further questions.
+// KnowsNone reports whether there are no crashes and no verdicts, so that every request may be
+// sent without further checks.
 func (t *Tracker) KnowsNone() bool { return t.empty.Load() }
 
 // Knows reports whether any content with this outline is suspected or has a verdict.
@@ -229,8 +229,8 @@
 	})
 }
 
-// clearContent discounts all crashes up to now for a content, and tells the other gateways if
-// share is set.
+// clearContent discounts all crashes up to now for a content. If share is set, the clearance is
+// reported to the other gateways.
 func (t *Tracker) clearContent(content ident.ContentHash, share bool, now time.Time) {
 	t.verdicts[content] = &verdict{at: now, lastSeen: now, cleared: true, shared: share}
 	t.limitVerdicts()
@@ -246,7 +246,7 @@
 	return time.Time{}
 }
 
-// isConvicted reports whether a content is convicted and arrived within ForgetAfter.
+// isConvicted reports whether a content is convicted and arrived within VerdictTTL.
 func (t *Tracker) isConvicted(content ident.ContentHash, now time.Time) bool {
 	v := t.verdicts[content]
 	return v != nil && !v.cleared && now.Sub(v.lastSeen) < VerdictTTL
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// Guards against memory, messages and records that grow with the number of different requests
-// that crash upstreams.
+// Guards against memory, messages and records that grow with the number of different poison
+// requests.
 func TestManyDifferentOnesAreBounded(t *testing.T) {
 	tr := newTestTracker()
 	for i := range 2000 {
@@ -210,7 +210,7 @@
 		tr.advance(settleTime)
 	}
 	if len(tr.crashes) > maxCrashes || len(tr.verdicts) > maxVerdicts {
-		t.Errorf("%d crashes and %d verdicts remembered", len(tr.crashes), len(tr.verdicts))
+		t.Errorf("%d crashes and %d verdicts held, want at most %d and %d", len(tr.crashes), len(tr.verdicts), maxCrashes, maxVerdicts)
 	}
 	report := tr.Report()
 	marks := 0
@@ -226,7 +226,7 @@
 	}
 	tr.advance(VerdictTTL)
 	if !tr.KnowsNone() {
-		t.Error("crashes or verdicts remembered after ForgetAfter")
+		t.Error("crashes or verdicts not expired after VerdictTTL")
 	}
 }
 
@@ -298,8 +298,8 @@
 	}
 }
 
-// Guards against a request that is sent before it is decided whether it crashes upstreams, and
-// against one that waits forever.
+// Guards against a request that is sent before it is decided whether it is a poison request, and
+// against a request that waits forever.
 func TestAdmission(t *testing.T) {
 	tr := newTestTracker()
 	c := content(1)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -11,7 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Leases is what a controller needs of the lease.
+// Leases says whether this gateway may decide on orders: Grant returns false if it does not hold
+// the lease.
 type Leases interface {
 	Grant() (duty.Grant, bool)
 }
@@ -36,7 +37,7 @@
 	Log      hclog.Logger
 }
 
-// Controller decides on orders while this gateway holds the lease of the duties.
+// Controller decides on rollout orders while this gateway holds the lease.
 type Controller struct {
 	cfg    ControllerConfig
 	ledger ledger
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -84,7 +84,7 @@
 // UncountSent takes back a request whose end says nothing about the version.
 func (m EvidenceByRoute) UncountSent(route RouteKey, side Side) { m.tally(route, side).Sent-- }
 
-// CountAnswer counts the answer to a request that Send counted.
+// CountAnswer counts the answer to a request that CountSent counted.
 func (m EvidenceByRoute) CountAnswer(route RouteKey, side Side, a Answer) {
 	t := m.tally(route, side)
 	t.Answers++
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -17,7 +17,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// A fleet simulates one order in virtual time: gateways with the real Tracker, the real
+// A fleet simulates one rollout order in virtual time: gateways with the real Tracker, the real
 // Controller at the holder of the lease, the exchange between gateways with its delays, a store,
 // and upstreams that behave as the story says.
 
@@ -81,8 +81,8 @@
 	// undecidable says why the evidence within the share, or the time, is not always enough to
 	// decide rightly; empty if it must be.
 	undecidable string
-	// newUpstreamsLeave is when all but one of the new version's upstreams leave, as a fraction of the
-	// time limit; 0 means never.
+	// newUpstreamsLeave is when all but one of the new version's upstreams leave, as a fraction
+	// of the time limit; 0 means never.
 	newUpstreamsLeave float64
 }
 
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -1,12 +1,12 @@
-// Package rollout moves a service's requests from one version of its upstreams to
-// another, as operators order it.
+// Package rollout moves a service's requests from one version of its upstreams to another, as
+// operators' rollout orders demand.
 //
 // A new version may fail some of its requests, or answer several times slower: at once,
 // after a while, under load or on one route only. So it first gets a bounded share of the
 // requests, the canary. Every gateway spends its own part of that share and reports the answers
 // to the others. Every gateway judges the sum of that evidence by the same rule, so that all
 // stop within one round of the exchange, even if the store is unavailable or the holder of the
-// duties (the gateway with the lease) is dead. Only the holder promotes a version: it moves all
+// lease is dead. Only the holder of the lease promotes a version: it moves all
 // requests, waits until no gateway has a request at the old version, and reports the outcome.
 //
 // Tracker does the work of every gateway, Controller that of the holder. Judge and Next are pure
@@ -19,11 +19,12 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Order asks that a service's requests be moved to the upstreams of a version.
+// Order is a rollout order: it demands that a service's requests be moved to the upstreams of a
+// version.
 type Order struct {
 	Service ident.Service
 	To      ident.Version
-	// TimeLimit is the time limit: the order must have ended this long after it was given.
+	// TimeLimit is the time after the order was given within which it must have ended.
 	TimeLimit time.Duration
 	// Offset is the position of the order's record in its topic. It identifies the order; an
 	// order with a higher offset replaces it.
@@ -46,8 +47,8 @@
 	// RolledBack means that the new version gets no more requests.
 	RolledBack
 	// Completed means that the old version's upstreams are stopped. It is the last phase and
-	// prevails over RolledBack, because it is recorded before any gateway is told, while a
-	// holder whose lease has just expired may still announce a rollback.
+	// prevails over RolledBack, because it is recorded before it is reported to any gateway,
+	// while a holder whose lease has just expired may still report a rollback.
 	Completed
 )
 
--- a/internal/rollout/orderstate.go
+++ b/internal/rollout/orderstate.go
@@ -9,7 +9,7 @@
 	// Age is the time since any gateway first heard of the order.
 	Age   time.Duration
 	Phase Phase
-	// ConfirmedAge is the time since the holder of the duties last confirmed the phase.
+	// ConfirmedAge is the time since the holder of the lease last confirmed the phase.
 	ConfirmedAge time.Duration
 	// Stopped means that some gateway found the new version bad.
 	Stopped bool
--- a/internal/rollout/outgoing.go
+++ b/internal/rollout/outgoing.go
@@ -10,8 +10,8 @@
 )
 
 // Idle reports whether this gateway has no requests in progress at those of a service's
-// upstreams for which is returns true.
-type Idle func(service ident.Service, is func(*directory.Upstream) bool) bool
+// upstreams for which matches returns true.
+type Idle func(service ident.Service, matches func(*directory.Upstream) bool) bool
 
 // Settled reports whether this gateway has no requests at the old version of a service and
 // sends none there.
@@ -35,13 +35,14 @@
 }
 
 // idleAtOld reports whether this gateway has no requests in progress at the old version. The
-// Tracker's lock must not be held: the callee may hold a lock of its own while it chooses an
-// upstream by this Tracker.
+// Tracker's lock must not be held: idle may wait for a lock whose holder is choosing an upstream
+// and waits for the Tracker's lock.
 func (r *trackedOrder) idleAtOld(idle Idle) bool {
 	return idle(r.order.Service, func(u *directory.Upstream) bool { return u.Version != r.order.To })
 }
 
-// OrderStates returns this gateway's report to the others. It contains no evidence about ended orders.
+// OrderStates returns this gateway's report to the others. It contains no evidence about ended
+// orders.
 func (t *Tracker) OrderStates(idle Idle) OrderStates {
 	states, draining := t.draftReport()
 	for i, r := range draining {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Situation is what the holder of the duties knows about an order that it decides on.
+// Situation is what the holder of the lease knows about an order that it decides on.
 type Situation struct {
 	Phase Phase
 	// Age is the time since the order was given, PhaseAge since its phase began at this gateway.
 	Age, PhaseAge time.Duration
-	// TimeLimit is when the order must have ended, as an age.
+	// TimeLimit is the age at which the order must have ended.
 	TimeLimit time.Duration
 	// NewReady counts the ready upstreams of the new version, OldLeft those of other versions
 	// that still run.
@@ -36,8 +36,8 @@
 	maxDrainFraction = 0.4
 )
 
-// promoteAt returns the age at which a good version is promoted: as late as leaves time for the
-// phases that follow, because a version may turn bad late.
+// promoteAt returns the age at which a good version is promoted: as late as the time for the
+// following phases allows, because a version may turn bad late.
 func (s *Situation) promoteAt() time.Duration {
 	drain := min(s.DrainTime, time.Duration(maxDrainFraction*float64(s.TimeLimit)))
 	return max(s.TimeLimit-drain-rampTime-completionTime, s.TimeLimit/3)
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -25,8 +25,8 @@
 	halves       [2][]directory.Upstream
 }
 
-// Candidates holds the upstreams that may take a request: those of First and, if none of them can,
-// those of Then.
+// Candidates holds the upstreams that may take a request: those of Preferred and, if none of them
+// can, those of Fallback.
 type Candidates struct{ Preferred, Fallback []directory.Upstream }
 
 // rebuildSplits recomputes all splits. t.mu must be held.
@@ -122,8 +122,8 @@
 	return (version == s.newVersion) == !r.maySendToOld(s.tracker.cfg.Now())
 }
 
-// Candidates returns the upstreams that a request may go to. A request that is sent again prefers the
-// old version, so that no caller suffers twice from a bad new one.
+// Candidates returns the upstreams that a request may go to. A request that is sent again prefers
+// the old version, so that no caller suffers twice from a bad new one.
 func (s *Split) Candidates(id ident.Request, route string, again bool, now time.Time) Candidates {
 	t := s.tracker
 	t.mu.Lock()
@@ -149,8 +149,8 @@
 	return Candidates{Preferred: s.oldUpstreams}
 }
 
-// canaryCandidates returns the lists in the canary phase: the new version first if the budget allows
-// it.
+// canaryCandidates returns the candidates in the canary phase: the new version is preferred if the
+// budget allows it.
 func (s *Split) canaryCandidates(r *trackedOrder, key RouteKey, again bool, now time.Time) Candidates {
 	if again {
 		return Candidates{Preferred: s.oldUpstreams}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -9,7 +9,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// Status is the state of an order at one gateway, for the holder of the duties and for operators.
+// Status is the state of an order at one gateway, for the holder of the lease and for operators.
 type Status struct {
 	Order Order
 	Phase Phase
@@ -57,7 +57,7 @@
 }
 
 // Advance moves an order to a later phase, as decided by this gateway as the holder of the
-// duties. It has no effect if the phase is not later or the order is not the current one.
+// lease. It has no effect if the phase is not later or the order is not the current one.
 func (t *Tracker) Advance(service ident.Service, order ident.Offset, next Phase, why string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -70,7 +70,7 @@
 	t.rebuildSplits()
 }
 
-// Confirm records that this gateway, as the holder of the duties, confirms the order's phase.
+// Confirm records that this gateway, as the holder of the lease, confirms the order's phase.
 func (t *Tracker) Confirm(service ident.Service, order ident.Offset) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/rollout/stories_test.go
+++ b/internal/rollout/stories_test.go
@@ -235,8 +235,8 @@
 
 // Guards against a bad version that gets more than its share of the requests, or any later than
 // StopDue after its faults showed; a good version that is rolled back; and requests that are
-// interrupted when the old version is stopped. Each story runs an order with upstreams of both
-// versions and one kind of trouble.
+// interrupted when the old version is stopped. Each story runs a rollout order with upstreams of
+// both versions and one kind of trouble.
 func TestStories(t *testing.T) {
 	rows := playAll(slices.DeleteFunc(stories(), func(s story) bool { return !strings.Contains(s.name, *only) }), *seeds)
 	var b strings.Builder
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -18,8 +18,8 @@
 	Limits Limits
 	Now    boottime.Clock
 	Log    hclog.Logger
-	// Life identifies this gateway and its current life. Whether the gateway gets a part of the
-	// slack is drawn from it.
+	// Life identifies this gateway and its current incarnation. Whether the gateway gets a part
+	// of the slack is drawn from it.
 	Life string
 	// Gateways returns the number of gateways that may exist, including this one.
 	Gateways func() int
@@ -57,7 +57,7 @@
 	orderedAt  time.Time
 	phase      Phase
 	phaseSince time.Time
-	// confirmedAt is when the holder of the duties last confirmed this phase.
+	// confirmedAt is when the holder of the lease last confirmed this phase.
 	confirmedAt time.Time
 	stopped     bool
 	stoppedAt   time.Time
@@ -85,8 +85,8 @@
 // SplitOf returns the split of a service's upstreams, or nil if all may take any request.
 func (t *Tracker) SplitOf(service ident.Service) *Split { return (*t.splits.Load())[service] }
 
-// ApplyOrder applies an operator's order that was given at least age ago. from names its source in
-// logs.
+// ApplyOrder applies an operator's rollout order that was given at least age ago. from names its
+// source in logs.
 func (t *Tracker) ApplyOrder(o Order, age time.Duration, from string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// ApplyUnreadableOrder applies an order for a service that cannot be decoded: the present versions go on
-// serving, and versions that appear later get no requests until a readable order follows.
+// ApplyUnreadableOrder applies an order for a service that cannot be decoded: the present versions
+// go on serving, and versions that appear later get no requests until a readable order follows.
 func (t *Tracker) ApplyUnreadableOrder(service ident.Service) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,8 +106,9 @@
 	t.rebuildSplits()
 }
 
-// applyOrder makes an order the service's current one unless that is as recent, and reports
-// whether it did. For the current order it only corrects the time at which it was given.
+// applyOrder makes an order the service's current one, unless the current one is as recent or more
+// recent, and reports whether it did. For the current order itself it only corrects the time at
+// which that was given.
 func (t *Tracker) applyOrder(o Order, age time.Duration, from string) bool {
 	now := t.cfg.Now()
 	last := t.rollouts[o.Service]
@@ -183,8 +184,8 @@
 	}
 }
 
-// mergeOrderState merges another gateway's state of an order, except its evidence, and reports whether
-// anything changed that the splits depend on.
+// mergeOrderState merges another gateway's state of an order, except its evidence, and reports
+// whether anything changed that the splits depend on.
 func (t *Tracker) mergeOrderState(state OrderState) bool {
 	changed := t.applyOrder(state.Order, state.Age, "gateway")
 	r := t.rollouts[state.Order.Service]
@@ -254,10 +255,10 @@
 }
 
 // returnDelay is how long a gateway that has reported to be settled still sends nothing to the
-// old version after the new one was found bad. Without it, the holder, which has counted the
-// gateway as settled and does not know about the bad evidence yet, could have the old version
-// stopped with requests in progress. Within this time the gateway's report reaches the holder,
-// and the holder's decision the gateway.
+// old version after the new one was found bad. Without it, the holder of the lease, which has
+// counted the gateway as settled and does not know about the bad evidence yet, could have the old
+// version stopped with requests in progress. Within this time the gateway's report reaches the
+// holder, and the holder's decision the gateway.
 const returnDelay = time.Second
 
 // maySendToOld reports whether this gateway may send requests to the old version.
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -116,7 +116,8 @@
 			g.wantSentTo("v2", 1, int(limits.Share*200+slackFraction*limits.Slack))
 		}},
 		// Guards against a version that gets requests 5 s after its failures showed, from a
-		// gateway that is disconnected from the others, but not from the upstreams.
+		// gateway that is disconnected from the others, but not from the upstreams, and goes on
+		// in the phase that was last reported to it.
 		{"no word of the holder any more", func(g *testGateway) {
 			g.observe("v1", "v2")
 			g.order(5, "v2")
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -5,8 +5,8 @@
 // Verdict summarizes the evidence about a new version.
 type Verdict struct {
 	// Against is the strength of the evidence against the new version: how many times likelier
-	// the answers are if it is worse than the old one. However often it is computed, at most
-	// one good version in x ever reaches x.
+	// the answers are if it is worse than the old one. At most one good version in x ever
+	// reaches the value x, however often Against is computed.
 	Against float64
 	// Answers is the number of answers of the new version.
 	Answers int
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -20,15 +20,15 @@
 
 const (
 	// reclaimableShrinkDelay is how long fewer reclaimable upstreams must be wanted before
-	// some are removed: as long as a wave of the users' traffic takes from its mean to its
-	// peak, so that what was removed is not needed again at once.
+	// some are removed: as long as the swings of the users' traffic take from the mean to
+	// the peak, so that the removed ones are not needed again at once.
 	reclaimableShrinkDelay = 8 * time.Second
 	// slotClosedFor is how long a slot counts as closed after an order was rejected for lack
 	// of capacity or its upstreams were reclaimed.
 	slotClosedFor = 4 * time.Second
 	// orderPause is how long no other reclaimable upstreams are ordered after an order was
-	// rejected for lack of capacity: usually there is no capacity anywhere then, and what is
-	// missing in one domain must not be piled up in another.
+	// rejected for lack of capacity: usually there is no capacity anywhere then, and the
+	// upstreams that are missing in one domain must not be piled up in another.
 	orderPause = time.Second
 	// onDemandShrinkDelay is how long fewer on-demand upstreams must be wanted before some
 	// are removed: a need that changes to and fro by one costs a start of 4 s each time.
@@ -44,11 +44,11 @@
 	// minObserveFor is the part of observeFor after which the averages show more than two
 	// thirds of the work.
 	minObserveFor = 3 * time.Second
-	// surplusFactor times what is wanted is more upstreams than the users' traffic needs
-	// again within a wave or a burst. What is beyond that is removed after
-	// surplusShrinkDelay already. Otherwise a fleet that starts with thirty times what its
-	// first callers need pays for all of it for as long as a small system waits for the next
-	// wave.
+	// The users' traffic does not rise to more than surplusFactor times the wanted upstreams
+	// within a swing or a burst. Upstreams beyond that number are removed after
+	// surplusShrinkDelay already. Otherwise a fleet that starts with thirty times the
+	// upstreams that its first callers need pays for all of them for as long as a small
+	// system waits for the next swing.
 	surplusFactor      = 3
 	surplusShrinkDelay = 2 * time.Second
 	// noShrinkAfterReclaim is how long after a reclaim no reclaimable upstreams are removed:
@@ -74,9 +74,9 @@
 	settleDelay = 3 * time.Second
 )
 
-// Leases gives the right to order upstreams. Grant returns it, or false if the lease is
-// not held, and Refused gives the lease up after an order under that fencing number was
-// rejected.
+// Leases says whether this gateway may order upstreams. Grant returns false if it does not
+// hold the lease. FenceRejected gives the lease up after an order with that fencing number
+// was rejected.
 type Leases interface {
 	Grant() (duty.Grant, bool)
 	FenceRejected(ident.Fence)
@@ -94,17 +94,18 @@
 	Leases Leases
 	Duties platform.Duties
 	Log    hclog.Logger
-	// Serves reports whether an upstream counts as its service's lasting capacity, which
-	// those of a version that is being tried or drained do not. Changing reports whether a
-	// service's upstreams are being replaced by those of another version.
-	Serves         func(*directory.Upstream) bool
+	// Serves reports whether an upstream counts as its service's lasting capacity. Upstreams
+	// of a version that is being tried or drained do not.
+	Serves func(*directory.Upstream) bool
+	// RolloutRunning reports whether a service's upstreams are being replaced by those of
+	// another version.
 	RolloutRunning func(ident.Service) bool
 	// UnservedShare returns the share of its work, from 0 to 1, that an upstream does not accept
 	// because of a rate limit that it announced.
 	UnservedShare func(ident.Instance) float64
 
 	// fence is the fencing number of the newest lease, and holderSince when this gateway
-	// was first seen to hold it. services is what was recorded under it.
+	// was first seen to hold it. services is the state recorded since then.
 	fence       ident.Fence
 	holderSince time.Time
 	services    map[ident.Service]*serviceState
@@ -279,9 +280,9 @@
 }
 
 // missingCapacity returns how many upstreams are missing because ready ones accept less
-// work than they could do. Without it, an upstream that limits its rate would count as a
-// whole one, the others would do its work, and the reserve for the next reclaim would be
-// used up.
+// work than they could do. Without it, an upstream that announced a rate limit would count
+// as a whole one, the others would do its work, and the reserve for the next reclaim would
+// be used up.
 func (c *Controller) missingCapacity(name ident.Service) float64 {
 	sum := 0.0
 	for _, u := range c.View().Of(name) {
@@ -295,8 +296,8 @@
 // countServing counts the ready upstreams by slot, and closes the slots whose upstreams are
 // being reclaimed. The entries of upstreams do not say why they leave: it is taken for a
 // reclaim if most reclaimable upstreams of a domain begin to leave at once and no order
-// removed them. Not all need to leave, since an upstream that has crashed never reports that
-// it leaves. If a reclaim went unnoticed, the reserve in the other domains would be removed
+// removed them. Not all need to leave, since an upstream that has crashed never announces
+// that it leaves. If a reclaim went unnoticed, the reserve in the other domains would be removed
 // within two seconds, the next domain would be reclaimed, and a fifth of the engines would
 // be left until on-demand ones have started.
 func (c *Controller) countServing(name ident.Service, state *serviceState, now time.Time) map[Slot]int {
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -109,7 +109,7 @@
 	err        error
 	view       *directory.View
 	orders     []platform.ScaleOrder
-	// unservedShares is the share of its work that an upstream does not accept.
+	// unservedShares is the share of its work that each upstream does not accept.
 	unservedShares map[ident.Instance]float64
 }
 
@@ -176,7 +176,7 @@
 
 // Guards against a third of the needed upstreams for ten seconds, when one domain after the
 // other is reclaimed, no capacity is available, and upstreams crash. An upstream crashes
-// without a report; its domain is reclaimed, then a second one, then the rest. Two causes:
+// without an announcement; its domain is reclaimed, then a second one, then the rest. Two causes:
 // the first reclaim is not noticed, because the crashed upstream still seems to serve; and
 // after the second one the remaining domains are still relied on, although on-demand
 // upstreams take longer to start than the next domain lasts.
@@ -317,8 +317,9 @@
 	}
 }
 
-// A fleet starts with thirty times what its callers need. Guards against paying for all of it
-// for as long as a wave of traffic lasts, and against removing what a wave needs.
+// A fleet starts with thirty times the upstreams that its callers need. Guards against paying
+// for all of them for as long as a swing of the traffic lasts, and against removing upstreams
+// that a swing needs.
 func TestAManifoldSurplusIsGivenUpSoon(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -388,7 +389,7 @@
 }
 
 // Guards against too few upstreams for a dozen seconds after a reclaim: the upstreams of a
-// domain are told to leave, but count as serving until they are gone.
+// domain announce that they leave, but count as serving until they are gone.
 func TestAReclaimIsMadeUpForAtItsNotice(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 4
@@ -410,7 +411,7 @@
 }
 
 // Guards against a reclaim that is not noticed, since the upstreams' entries do not say that
-// it is one. The load falls; a domain's reclaimable upstreams are told to leave; the other
+// it is one. The load falls; a domain's reclaimable upstreams announce that they leave; the other
 // domains' reserve is removed within two seconds; the next domain is reclaimed, and no
 // capacity is available. A fifth of the engines is left for four seconds, and half of the
 // requests are late.
