--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -58,7 +58,7 @@
 	// Cost is the estimated cost of the request; see gate.Request.
 	Cost float64
 	// Attempt counts the caller's attempts from 1. 2 or more marks a retry:
-	// the request was refused before and its caller comes back.
+	// the request was refused before and its caller sends it again.
 	Attempt uint32
 }
 
--- a/internal/admission/fairshare/queue.go
+++ b/internal/admission/fairshare/queue.go
@@ -68,8 +68,8 @@
 	// LatestStart orders the items of one account and priority, the earliest
 	// first.
 	LatestStart time.Time
-	// Retry marks a request that was refused before and whose caller comes
-	// back. It goes ahead of first attempts of the same account and priority.
+	// Retry marks a request that was refused before and that its caller sends
+	// again. It goes ahead of first attempts of the same account and priority.
 	Retry bool
 
 	// sequence is the order of arrival.
@@ -97,7 +97,7 @@
 	// queuedCost is the cost of all items, retryCost that of retries alone.
 	queuedCost, retryCost float64
 	// credit is the cost served from the account's other lanes while this one
-	// waited, less what earned grants have used.
+	// waited, less the price of the items that it was granted for.
 	credit float64
 }
 
--- a/internal/admission/gate/gate.go
+++ b/internal/admission/gate/gate.go
@@ -3,7 +3,7 @@
 // retry-after time.
 //
 // A slot is the permission to run one request. A retry is a request that was
-// refused before and whose caller comes back; other requests are first
+// refused before and that its caller sends again; other requests are first
 // attempts. A priority band comprises the requests of one priority.
 //
 // A Gate is a pure state machine. Its caller passes the time in, makes one call
--- a/internal/admission/gate/overload_test.go
+++ b/internal/admission/gate/overload_test.go
@@ -41,7 +41,7 @@
 
 // TestSmallAccountKeepsShare checks that an account that asks for about its share
 // gets it within 5%, whatever the others send and whether or not refused callers
-// come back.
+// retry.
 //
 // It guards against a small account whose requests are refused while those of a
 // large one run. That happens if slots go to whoever asks most often, while one
@@ -77,10 +77,10 @@
 }
 
 // TestOverload checks that beyond capacity nearly all slots stay in use, most
-// callers that retry at their retry-after time are admitted, and few queued requests are
-// refused later.
+// callers that retry at their retry-after time are admitted, and few queued
+// requests are refused later.
 //
-// It guards against refused callers that come back together and are refused
+// It guards against refused callers that retry together and are refused
 // again, because retry-after times don't follow the drain rate; and against long
 // reviews that wait and are then refused, because their wait was predicted
 // without regard to the requests that go first.
--- a/internal/admission/gate/sim_test.go
+++ b/internal/admission/gate/sim_test.go
@@ -85,7 +85,7 @@
 	events   events
 	sequence int
 	requests int
-	// maxRetries is how many times a caller comes back.
+	// maxRetries is how many times a caller retries a refused request.
 	maxRetries int
 	loads      []load
 	tallies    []tally
--- a/internal/admission/retryafter/retryafter.go
+++ b/internal/admission/retryafter/retryafter.go
@@ -1,7 +1,7 @@
 // Package retryafter computes retry-after times: how long a caller whose request
 // was refused should wait before it sends the request again.
 //
-// If all refused callers were given the same time, they would come back together
+// If all refused callers were given the same time, they would retry together
 // and be refused again. A Schedule gives each refused request a turn of its own,
 // and spaces the turns as the service can take them; Spread adds jitter where no
 // drain rate is known. Both are pure and derive the jitter from the request ID
--- a/internal/admission/retryafter/retryafter_test.go
+++ b/internal/admission/retryafter/retryafter_test.go
@@ -8,11 +8,11 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// TestBookSpreads checks that callers that are refused together don't come back
+// TestBookSpreads checks that callers that are refused together don't retry
 // together.
 //
-// It guards against callers that come back together and are refused together
-// again and again. That happens if all requests of a burst are given the same
+// It guards against callers that retry together and are refused together again
+// and again. That happens if all requests of a burst are given the same
 // retry-after time.
 func TestBookSpreads(t *testing.T) {
 	const callers, gap = 1000, 10 * time.Millisecond
@@ -22,20 +22,20 @@
 	for i := range callers {
 		after := s.Book(now, time.Second, gap, ident.Request(fmt.Sprint(i)))
 		if after < time.Second {
-			t.Fatalf("caller %d comes back after %v, before the backlog has drained", i, after)
+			t.Fatalf("caller %d retries after %v, before the backlog has drained", i, after)
 		}
 		perGap[after/gap]++
 	}
 	for gapIndex, n := range perGap {
 		if n > 2 {
-			t.Errorf("%d callers come back within one gap, at %v, want at most 2", n, gapIndex*gap)
+			t.Errorf("%d callers retry within one gap, at %v, want at most 2", n, gapIndex*gap)
 		}
 	}
 	if after := s.Book(now, 0, 0, "next"); after != time.Second+callers*gap {
-		t.Errorf("the next caller comes back after %v, want %v", after, time.Second+callers*gap)
+		t.Errorf("the next caller retries after %v, want %v", after, time.Second+callers*gap)
 	}
 	if after := s.Book(now.Add(time.Hour), 0, 0, "late"); after != Min {
-		t.Errorf("a caller refused an hour later comes back after %v, want %v", after, Min)
+		t.Errorf("a caller refused an hour later retries after %v, want %v", after, Min)
 	}
 }
 
--- a/internal/experiment/driver.go
+++ b/internal/experiment/driver.go
@@ -47,7 +47,7 @@
 	longestQueue         int
 }
 
-// gateway makes the decisions of one gateway. It does not know what the others decide.
+// gateway makes the decisions of one gateway. It does not know the others' decisions.
 type gateway struct {
 	policies      map[*document.Document]Policy
 	views         map[*document.Document][]blackboard.Upstream
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -208,8 +208,8 @@
 
 // fairness compares what each client account got with its fair share. The shares are a
 // max-min fair division of the engine time of all answers that met their targets: no account
-// gets more than it asked for, and what one account does not need is divided equally among the
-// others.
+// gets more than it asked for, and the part that one account does not need is divided equally
+// among the others.
 func (f *Figures) fairness(calls []*call, usual []float64) {
 	asked, got := make([]float64, len(usual)), make([]float64, len(usual))
 	total := 0.0
--- a/internal/experiment/reclaim.go
+++ b/internal/experiment/reclaim.go
@@ -6,8 +6,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/standin/engine"
 )
 
-// planReclaim lets a gateway plan what to do with its streams at a runner that is leaving.
-// It does so once for each runner.
+// planReclaim lets a gateway plan, once for each leaving runner, which of its streams there are
+// moved and how.
 func (r *run) planReclaim(g *gateway, u *runner) {
 	if g.planned[u.ID] || u.Role == platform.RolePlain {
 		return
--- a/internal/experiment/workload.go
+++ b/internal/experiment/workload.go
@@ -25,7 +25,7 @@
 	// Model is the model service, Plain the plain service beside it.
 	Model, Plain *document.Document
 	// Prices are the runners' prices, by which costs are computed. The model's
-	// document contains prices only if routing shall take them into account.
+	// document contains prices only if routing should take them into account.
 	Prices       []document.Price
 	Runners      []platform.Instance
 	PlainRunners []platform.Instance
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Bounds the cost of the age of what gateways know of each other's load: it compares gateways
-// that know it at once with gateways that know it with the delay of the exchange.
+// Guards against policies that lose much because gateways know each other's load only with the
+// delay of the exchange: it compares them with gateways that know it at once.
 func TestAgedViewsCostLittle(t *testing.T) {
 	for _, size := range FleetSizes()[1:3] {
 		c := Case{Engine: EngineKinds()[0], Fleet: size, Load: Loads()[0], BusyEngines: 12, Seed: 1}
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -84,7 +84,7 @@
 	paidSeconds float64
 }
 
-// simEngine is one engine.
+// simEngine is a simulated engine.
 type simEngine struct {
 	directory.Upstream
 	model *engine.Model
@@ -174,7 +174,7 @@
 	w.gateways = append(w.gateways, g)
 }
 
-// loadOfOthers returns what a gateway knows of the other gateways' load at an engine.
+// loadOfOthers returns the other gateways' load at an engine, as far as a gateway knows it.
 func (w *world) loadOfOthers(g *gateway, id ident.Instance) placement.Load {
 	if w.c.LoadsKnownAtOnce {
 		return w.currentLoads[id].Minus(g.currentLoads[id])
--- a/internal/planner/market.go
+++ b/internal/planner/market.go
@@ -15,8 +15,8 @@
 	// that are not listed have the rate DefaultPerHour.
 	PerHour        map[Offering]float64
 	DefaultPerHour float64
-	// LostWork is how long an upstream would have worked for what a reclaim costs: for the
-	// tokens that others compute again, and until a replacement serves.
+	// LostWork is the working time of one upstream that a reclaim costs: for the tokens that
+	// others compute again, and until a replacement serves.
 	LostWork time.Duration
 }
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -81,8 +81,8 @@
 	StartsRequested int
 }
 
-// Wanted is what the document demands, and the reclaim costs that decide between
-// offerings.
+// Wanted holds the placement that the document demands, and the reclaim costs that decide
+// between offerings.
 type Wanted struct {
 	Placement document.Placement
 	Reclaims  ReclaimCosts
@@ -96,7 +96,7 @@
 	// Start asks the cloud to start an instance. A repeated Start with the same start ID
 	// starts no second instance.
 	Start Kind = "start"
-	// Drain tells all gateways to send no new work to an instance.
+	// Drain makes all gateways send no new work to an instance.
 	Drain Kind = "drain"
 	// Stop ends an instance that has drained.
 	Stop Kind = "stop"
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -529,8 +529,8 @@
 	}
 }
 
-// checkKnownToAll records, once, how long it took until all gateways bar every poison content that has
-// crashed three upstreams.
+// checkKnownToAll records, once, how long it took until all gateways bar every poison content that
+// has crashed three upstreams.
 func (f *fleet) checkKnownToAll() {
 	if f.result.knownToAll {
 		return
--- a/internal/poison/suspects.go
+++ b/internal/poison/suspects.go
@@ -9,7 +9,7 @@
 )
 
 // minCrashesIfTied is how many crashes in a row convict a content even if another content was
-// running in the same crashes, so that nothing tells the two apart.
+// running in the same crashes, so that the two cannot be told apart.
 const minCrashesIfTied = minCrashes + 2
 
 // tally counts the crashes in which a content was running since it was last answered, and
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -29,8 +29,9 @@
 	// minCrashes is how many crashes in a row convict a content.
 	minCrashes = 3
 	// settleTime is how old a crash must be before it can convict: by then all gateways have
-	// reported what they had there. Counted sooner, a gateway would know every crash that one
-	// of its own requests met by being resent, but not yet what else was running in each.
+	// reported the requests that they had there. If crashes counted sooner, a gateway would
+	// know all the crashes that one of its own requests went through by being resent, but not
+	// yet the other requests that were running in each.
 	settleTime = 750 * time.Millisecond
 	// sameCrashWindow separates crashes of one upstream: reports closer together than this
 	// are about the same crash. An upstream's process takes longer to restart.
--- a/internal/rollout/orderstate.go
+++ b/internal/rollout/orderstate.go
@@ -6,7 +6,7 @@
 // states may arrive in any order and more than once.
 type OrderState struct {
 	Order Order
-	// Age is the time since any gateway first heard of the order.
+	// Age is the time since a gateway first received the order.
 	Age   time.Duration
 	Phase Phase
 	// ConfirmedAge is the time since the holder of the lease last confirmed the phase.
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -31,8 +31,8 @@
 	// completionTime is the time to reach all gateways and to make the two writes that complete
 	// an order.
 	completionTime = 1200 * time.Millisecond
-	// maxDrainFraction is the largest fraction of the time limit that is kept for requests to
-	// finish. The rest is needed to find out whether the version is good.
+	// maxDrainFraction is the largest fraction of the time limit that is reserved for requests
+	// to finish. The rest is needed to find out whether the version is good.
 	maxDrainFraction = 0.4
 )
 
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -32,7 +32,7 @@
 	Encode func(service ident.Service, to ident.Version, phase Phase) (key string, value []byte, err error)
 }
 
-// ledger reads and writes the two topics and caches what they contain.
+// ledger reads and writes the two topics and caches their records.
 type ledger struct {
 	store  platform.KeyedLog
 	status StatusTopic
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -76,7 +76,7 @@
 
 // isWithheld reports whether a version appeared so recently that this gateway may not know its
 // order yet, while another version has been there for longer. Without this check, upstreams of
-// a bad version that are listed before this gateway hears of the order would get their full part
+// a bad version that are listed before this gateway receives the order would get their full part
 // of all requests.
 func (t *Tracker) isWithheld(service ident.Service, version ident.Version, list []directory.Upstream) bool {
 	first := t.firstSeen[service][version]
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -53,7 +53,7 @@
 // trackedOrder is what this gateway knows about an order.
 type trackedOrder struct {
 	order Order
-	// orderedAt is when the order was first heard of at any gateway.
+	// orderedAt is when a gateway first received the order.
 	orderedAt  time.Time
 	phase      Phase
 	phaseSince time.Time
@@ -273,8 +273,8 @@
 }
 
 // confirmationTTL returns how long after the holder's last confirmation requests may go to an
-// unproven version. A gateway that is disconnected from the others would not learn that the
-// version is bad.
+// unproven version. Without this limit, a gateway that is disconnected from the others would go on
+// sending requests to a version that they have found bad.
 func (t *Tracker) confirmationTTL() time.Duration { return t.cfg.Limits.StopDue / 3 }
 
 // hashFraction hashes a string, seeded by the order, to a number from 0 to 1.
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -87,7 +87,7 @@
 			g.wantSentTo("v1", notSplit, notSplit)
 		}},
 		// Guards against a bad version that gets half of all requests for a second, because
-		// its ready upstreams are listed before this gateway hears of the order.
+		// its ready upstreams are listed before this gateway receives the order.
 		{"upstreams come before the order", func(g *testGateway) {
 			g.observe("v1")
 			g.advance(time.Second)
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -88,8 +88,8 @@
 	Now   boottime.Clock
 	Table func() *routetable.Table
 	View  func() *directory.View
-	// Need returns how many upstreams a service's present work keeps as busy as they
-	// should be.
+	// Need returns the number of upstreams that are as busy with a service's present work
+	// as they should be.
 	Need   func(*routetable.Service) float64
 	Leases Leases
 	Duties platform.Duties
@@ -248,7 +248,8 @@
 func (c *Controller) observedNeed(state *serviceState, need float64, domains int, serving map[Slot]int, now time.Time) (wanted, minServing float64) {
 	found := 0
 	for slot, n := range serving {
-		// What this holder ordered to replace the upstreams that it found must not count.
+		// The upstreams that this holder ordered to replace the ones that it found must
+		// not count.
 		if state.orders[slot] == nil {
 			found += n
 		}
--- a/internal/scaling/need.go
+++ b/internal/scaling/need.go
@@ -10,9 +10,9 @@
 // The load of engines that are as busy as they should be. An engine reads prompts and
 // generates in turn, so that the engines needed for each are added up.
 const (
-	// maxReadingShare is the share of an engine's time that may go into reading prompts at
-	// its reading rate, which is the rate beside everything else that it does. Above this
-	// share, long prompts that arrive together form queues.
+	// maxReadingShare is the share of an engine's time that may go into reading prompts.
+	// The reading rate is the rate at which an engine reads beside its other work. Above
+	// this share, long prompts that arrive together form queues.
 	maxReadingShare = 0.6
 	// freeSlotFactor, times the square root of the number of generating requests, is how
 	// many slots are kept free for new requests. Callers arrive in clusters of about three,
@@ -23,8 +23,8 @@
 	freeSlotFactor = 4
 )
 
-// Need returns how many engines, each with the given number of slots, a demand keeps as
-// busy as they should be.
+// Need returns the number of engines, each with the given number of slots, that are as busy
+// with a demand as they should be.
 func Need(d placement.Demand, figures enginemodel.Estimate, slots int) float64 {
 	byReading := d.PromptTokensPerSecond / (figures.Rate() * maxReadingShare)
 	bySlots := (d.Generating + freeSlotFactor*math.Sqrt(d.Generating)) / float64(max(1, slots))
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -21,8 +21,8 @@
 // PlanInput is the input of Plan for one service.
 type PlanInput struct {
 	Scale *routetable.Scale
-	// Need is how many upstreams, with fractions, the present work keeps as busy as
-	// they should be.
+	// Need is the number of upstreams, with fractions, that are as busy with the present
+	// work as they should be.
 	Need float64
 	// Serving counts the ready upstreams, and PendingReclaimable the reclaimable ones
 	// that were ordered and may still start.
