--- a/internal/experiment/workloads.go
+++ b/internal/experiment/workloads.go
@@ -111,7 +111,7 @@
 	Slowdown float64
 	// ReportLag replaces the engines' report lag; 0 keeps it.
 	ReportLag time.Duration
-	// EventGapEvery is a number of series of cache events, one of which is lost; 0
+	// EventGapEvery is the number of series of cache events of which one is lost; 0
 	// means that none is.
 	EventGapEvery uint64
 	// GreedyFactor multiplies the requests of the last client account; 0 leaves them.
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -210,7 +210,7 @@
 		tr.advance(settleTime)
 	}
 	if len(tr.crashes) > maxCrashes || len(tr.verdicts) > maxVerdicts {
-		t.Errorf("%d crashes and %d verdicts held, want at most %d and %d", len(tr.crashes), len(tr.verdicts), maxCrashes, maxVerdicts)
+		t.Errorf("too much is held: %d crashes and %d verdicts", len(tr.crashes), len(tr.verdicts))
 	}
 	report := tr.Report()
 	marks := 0
