--- a/internal/admission/gate/gate_test.go
+++ b/internal/admission/gate/gate_test.go
@@ -130,8 +130,8 @@
 	long := document.Class{Name: "long", FirstToken: time.Second, Priority: 1}
 	g := New(Config{Slots: 100})
 	now := time.Unix(1000, 0)
-	offer := func(class document.Class, predictedBy time.Duration) *Entry {
-		e := &Entry{Request: Request{Account: "a", Class: class, PredictedFirstTokenP80: predictedBy}}
+	offer := func(class document.Class, predictedP80 time.Duration) *Entry {
+		e := &Entry{Request: Request{Account: "a", Class: class, PredictedFirstTokenP80: predictedP80}}
 		g.Offer(now, e)
 		return e
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -142,7 +142,7 @@
 // Guards against a plan that counts upstreams as whole ones although they accept only a part
 // of the work that they could do.
 func TestUpstreamsWithLimitsAreMadeUpFor(t *testing.T) {
-	there := map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}
+	serving := map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}
 	sum := func(s PlanInput) (reclaimable, onDemand int) {
 		for slot, n := range Plan(s) {
 			if slot.Reclaimable {
@@ -156,12 +156,12 @@
 	scale := standardScale()
 	scale.MaxPerDomain = 10
 	for _, c := range []struct {
-		lacking               float64
+		missingCapacity       float64
 		reclaimable, onDemand int
 	}{{0, 12, 0}, {0.4, 13, 0}, {2, 14, 0}, {7.5, 20, 2}} {
-		reclaimable, onDemand := sum(PlanInput{Scale: scale, Need: 6, Serving: there, MissingCapacity: c.lacking})
+		reclaimable, onDemand := sum(PlanInput{Scale: scale, Need: 6, Serving: serving, MissingCapacity: c.missingCapacity})
 		if reclaimable != c.reclaimable || onDemand != c.onDemand {
-			t.Errorf("missing capacity %v: %d reclaimable and %d on-demand upstreams, want %d and %d", c.lacking, reclaimable, onDemand, c.reclaimable, c.onDemand)
+			t.Errorf("missing capacity %v: %d reclaimable and %d on-demand upstreams, want %d and %d", c.missingCapacity, reclaimable, onDemand, c.reclaimable, c.onDemand)
 		}
 	}
 	c, controller := newCloud()
@@ -332,17 +332,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, controller := newCloud()
 			controller.Table().Services()[0].Scale.MaxPerDomain = 100
-			there := make(map[Slot]int)
+			upstreams := make(map[Slot]int)
 			for _, d := range domains {
-				there[Slot{d, true}] = test.serving / len(domains)
+				upstreams[Slot{d, true}] = test.serving / len(domains)
 			}
-			c.setUpstreams(there, directory.Ready)
+			c.setUpstreams(upstreams, directory.Ready)
 			c.runSteps(t, controller, 5*time.Second)
 			c.orders = nil
 			c.need = float64(test.need)
 			c.runSteps(t, controller, time.Duration(test.within)*time.Second)
 			left := make(map[ident.FailureDomain]int)
-			for slot, n := range there {
+			for slot, n := range upstreams {
 				left[slot.FailureDomain] = n
 			}
 			for _, o := range c.orders {
