--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -400,16 +400,16 @@
 	if !f.s.withoutTracker && r.gateway.tracker.Knows(r.content.Outline()) {
 		r.onFinished = r.gateway.tracker.Started(u.id(f.s.keepsIDs), r.content)
 	}
-	life := u.incarnation
+	incarnation := u.incarnation
 	if r.poison == nil {
-		f.In(f.randomExp(f.s.meanDuration), func() { f.complete(r, u, life) })
+		f.In(f.randomExp(f.s.meanDuration), func() { f.complete(r, u, incarnation) })
 		return
 	}
 	if third, known := f.thirdCrashAt[r.content]; known && f.Now() > third+f.s.knownWithin && f.Now()-r.gateway.connectedSince > f.s.knownWithin {
 		f.lateSends[r.content]++
 	}
 	f.In(r.poison.crashDelay+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
-		if u.up && u.incarnation == life && u.inFlight[r] {
+		if u.up && u.incarnation == incarnation && u.inFlight[r] {
 			f.crashByPoison(r, u)
 		}
 	})
@@ -423,8 +423,8 @@
 	f.crash(u)
 }
 
-func (f *fleet) complete(r *request, u *upstream, life int) {
-	if !u.up || u.incarnation != life || !u.inFlight[r] || r.upstream != u {
+func (f *fleet) complete(r *request, u *upstream, incarnation int) {
+	if !u.up || u.incarnation != incarnation || !u.inFlight[r] || r.upstream != u {
 		return
 	}
 	delete(u.inFlight, r)
--- a/internal/poison/stored.go
+++ b/internal/poison/stored.go
@@ -50,8 +50,8 @@
 	return data
 }
 
-// Restore merges the convicted contents that an earlier holder of the lease stored in its record;
-// see Snapshot. Entries that cannot be used are logged and skipped.
+// Restore merges the convicted contents that an earlier holder stored in the lease's record; see
+// Snapshot. Entries that cannot be used are logged and skipped.
 func (t *Tracker) Restore(data json.RawMessage) {
 	if len(data) == 0 {
 		return
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -6,8 +6,8 @@
 // requests, the canary. Every gateway spends its own part of that share and reports the answers
 // to the others. Every gateway judges the sum of that evidence by the same rule, so that all
 // stop within one round of the exchange, even if the store is unavailable or the holder of the
-// lease is dead. Only the holder of the lease promotes a version: it moves all
-// requests, waits until no gateway has a request at the old version, and reports the outcome.
+// lease is dead. Only the holder promotes a version: it moves all requests, waits until no
+// gateway has a request at the old version, and reports the outcome.
 //
 // Tracker does the work of every gateway, Controller that of the holder. Judge and Next are pure
 // functions.
--- a/internal/scaling/controller.go
+++ b/internal/scaling/controller.go
@@ -44,8 +44,8 @@
 	// minObserveFor is the part of observeFor after which the averages show more than two
 	// thirds of the work.
 	minObserveFor = 3 * time.Second
-	// The users' traffic does not rise to more than surplusFactor times the wanted upstreams
-	// within a swing or a burst. Upstreams beyond that number are removed after
+	// surplusFactor times the wanted upstreams is the most that the users' traffic needs
+	// again within a swing or a burst. Upstreams beyond that number are removed after
 	// surplusShrinkDelay already. Otherwise a fleet that starts with thirty times the
 	// upstreams that its first callers need pays for all of them for as long as a small
 	// system waits for the next swing.
