--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -14,14 +14,14 @@
 // Figures are the results of one run for the requests that arrived after the warm-up. Times
 // are in milliseconds, costs in cents, shares from 0 to 1.
 type Figures struct {
-	// Short are percentiles of the time to the first token in the first kind of
-	// request, which is the most urgent; Long are those in the kind with the
-	// longest answers.
+	// ShortP50, ShortP95 and ShortP99 are percentiles of the time to the first token
+	// in the first kind of request, which is the most urgent. LongP95 is the 95th
+	// percentile in the kind with the longest answers.
 	ShortP50, ShortP95, ShortP99, LongP95 float64
 	// BetweenP95 is the 95th percentile of the mean time between tokens.
 	BetweenP95 float64
 	// Met is the share of requests that met their class's targets; ShortMet and
-	// LongMet are those of the kinds of Short and Long.
+	// LongMet are the shares in the first kind and in that with the longest answers.
 	Met, ShortMet, LongMet float64
 	// ModelMet is Met without the plain services' calls.
 	ModelMet float64
@@ -131,7 +131,7 @@
 		f.Recomputed += float64(k.recomputed) * 1000 / n
 		f.Resumed += float64(k.resumed) * 1000 / n
 		f.AttemptsPerRequest += float64(k.attempts)
-		accepted += 1 + k.unpaidRetries
+		accepted += 1 + k.retriesOverBudget
 		retries += k.retries
 		admitted += k.retriesAdmitted
 	}
@@ -208,8 +208,8 @@
 
 // fairness compares what each client account got with its fair share. The shares are a
 // max-min fair division of the engine time of all answers that met their targets: no account
-// gets more than it asked for, and what one account does not need is divided equally among the
-// others.
+// gets more than it asked for, and the part that one account does not need is divided equally
+// among the others.
 func (f *Figures) fairness(calls []*call, usual []float64) {
 	asked, got := make([]float64, len(usual)), make([]float64, len(usual))
 	total := 0.0
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -33,21 +33,22 @@
 	// BusyEngines is the traffic's rate, as the number of engines that it keeps busy.
 	BusyEngines float64
 	Seed        uint64
-	// Told: every gateway knows the others' load at once. Engine estimates are learned in
-	// the same way as otherwise.
+	// LoadsKnownAtOnce means that every gateway knows the others' load at once. Engine
+	// estimates are learned in the same way as otherwise.
 	LoadsKnownAtOnce bool
-	// FixedEngines is a number of on-demand engines that run all the time, to find the smallest
-	// sufficient number; 0 leaves the number to the policy.
+	// FixedEngines is a number of on-demand engines that run all the time, to find the
+	// smallest sufficient number; 0 leaves the number to the policy.
 	FixedEngines int
 }
 
-// The periods of the entry process's own loops: recording loads, the duties of the lease
-// holder, and placing a waiting request again.
+// The periods of the entry process's own loops: recording loads, the steps of the holder of the
+// lease, and placing a waiting request again.
 const (
 	recordEvery = 50 * time.Millisecond
 	dutyEvery   = 250 * time.Millisecond
 	placeEvery  = 10 * time.Millisecond
-	// waitDivisor: a request waits for an engine for this part of its objective.
+	// waitDivisor divides a request's objective to give the longest time that it waits for an
+	// engine.
 	waitDivisor = 8
 )
 
@@ -62,14 +63,15 @@
 	svc      *routetable.Service
 	kinds    []RequestKind
 	routes   []*routetable.Route
-	engines  []*server
-	byID     map[ident.Instance]*server
+	engines  []*simEngine
+	byID     map[ident.Instance]*simEngine
 	view     *directory.View
 	gateways []*gateway
 	// pastTotals are the sums of all gateways' loads by engine at recorded times, the
 	// newest last.
 	pastTotals []map[ident.Instance]placement.Load
-	// currentLoads are these sums now; with Case.LoadsKnownAtOnce gateways place requests by them.
+	// currentLoads are these sums now; with Case.LoadsKnownAtOnce gateways place requests by
+	// them.
 	currentLoads map[ident.Instance]placement.Load
 	sums         enginemodel.Sums
 	cloud        *cloud
@@ -82,8 +84,8 @@
 	paidSeconds float64
 }
 
-// server is one engine.
-type server struct {
+// simEngine is a simulated engine.
+type simEngine struct {
 	directory.Upstream
 	model *engine.Model
 	busy  bool
@@ -109,7 +111,7 @@
 	outputTokens int
 	arrived      time.Duration
 	choice       forward.Choice
-	server       *server
+	engine       *simEngine
 	// firstEventAt is the time of the first event; 0 if there was none yet.
 	firstEventAt time.Duration
 	done         bool
@@ -128,7 +130,7 @@
 }
 
 func newWorld(c Case) *world {
-	w := &world{c: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), byID: make(map[ident.Instance]*server), readPrompts: make(map[uint64]bool), currentLoads: make(map[ident.Instance]placement.Load), view: directory.NewView(nil)}
+	w := &world{c: c, rng: rand.New(rand.NewPCG(c.Seed, 11)), byID: make(map[ident.Instance]*simEngine), readPrompts: make(map[uint64]bool), currentLoads: make(map[ident.Instance]placement.Load), view: directory.NewView(nil)}
 	scale := &routetable.Scale{MinPerDomain: 1, MaxPerDomain: 400, Startup: 4 * time.Second, ReclaimablePrice: reclaimablePrice, Prices: make(map[ident.FailureDomain]float64)}
 	for i := range c.Fleet.Domains {
 		scale.Prices[w.domain(i)] = 1
@@ -172,7 +174,7 @@
 	w.gateways = append(w.gateways, g)
 }
 
-// loadOfOthers returns what a gateway knows of the other gateways' load at an engine.
+// loadOfOthers returns the other gateways' load at an engine, as far as a gateway knows it.
 func (w *world) loadOfOthers(g *gateway, id ident.Instance) placement.Load {
 	if w.c.LoadsKnownAtOnce {
 		return w.currentLoads[id].Minus(g.currentLoads[id])
@@ -290,7 +292,7 @@
 
 func (w *world) send(c *call, choice forward.Choice) {
 	s := w.byID[choice.Upstream]
-	c.choice, c.server = choice, s
+	c.choice, c.engine = choice, s
 	w.addLoad(c, 1, c.PromptTokens)
 	err := s.model.Submit(w.Clock(), engine.Attempt{ID: c.ID, Tag: c.index, Priority: -int32(c.Priority), Blocks: c.blocks, ContextTokens: c.PromptTokens, OutputTokens: c.outputTokens})
 	if s.ended || err != nil {
@@ -304,7 +306,7 @@
 // tokens, since those who place requests do not know how much the engine has cached.
 func (w *world) addLoad(c *call, running, unread int) {
 	for _, loads := range []map[ident.Instance]placement.Load{w.currentLoads, c.gateway.currentLoads} {
-		loads[c.server.ID] = loads[c.server.ID].Plus(placement.Load{Running: running, UnreadTokens: unread})
+		loads[c.engine.ID] = loads[c.engine.ID].Plus(placement.Load{Running: running, UnreadTokens: unread})
 	}
 }
 
@@ -323,7 +325,7 @@
 
 // startStep starts an engine's next step, and after it the next one, as long as the engine has
 // work.
-func (w *world) startStep(s *server) {
+func (w *world) startStep(s *simEngine) {
 	if s.busy || s.ended {
 		return
 	}
@@ -365,7 +367,7 @@
 }
 
 func (w *world) firstEvent(c *call) {
-	if c.server.ended || c.done {
+	if c.engine.ended || c.done {
 		return
 	}
 	c.firstEventAt = w.Now()
@@ -374,16 +376,16 @@
 }
 
 // endEngine ends an engine and breaks off its requests.
-func (w *world) endEngine(s *server) {
+func (w *world) endEngine(s *simEngine) {
 	s.ended = true
 	delete(w.byID, s.ID)
 	for _, c := range w.calls {
-		if c.server == s && !c.done {
+		if c.engine == s && !c.done {
 			w.finish(c, forward.Broken)
 			c.firstEventAt = 0
 		}
 	}
-	w.engines = slices.DeleteFunc(w.engines, func(other *server) bool { return other == s })
+	w.engines = slices.DeleteFunc(w.engines, func(other *simEngine) bool { return other == s })
 	w.publish()
 }
 
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/testkit"
 )
 
-// A fleet simulates requests that crash upstreams among ordinary ones, in virtual time: gateways
+// A fleet simulates poison requests among ordinary ones, in virtual time: gateways
 // with the real Tracker, the exchange of reports with its delays, upstreams that crash and
 // restart.
 
@@ -30,8 +30,8 @@
 	restoreDelay             = 50 * time.Millisecond
 )
 
-// killer is a content that crashes every upstream that runs it.
-type killer struct {
+// poisonContent is a content that crashes every upstream that runs it.
+type poisonContent struct {
 	// meanInterval is the mean time between its arrivals, and burst how many requests arrive at
 	// a time; 0 means one.
 	meanInterval time.Duration
@@ -51,14 +51,14 @@
 	name              string
 	gateways, domains int
 	upstreams, slots  int
-	knownWithin       time.Duration // after a killer's third crash, sends by a connected gateway are late
+	knownWithin       time.Duration // after a poison content's third crash, sends by a connected gateway are late
 	rate              float64
 	meanDuration      time.Duration
-	killers           []killer
+	poisonContents    []poisonContent
 	hotShare          float64 // share of ordinary requests that have one common content
 	crashRate         float64 // crashes per second of random upstreams without a cause
 	flappingUpstreams int     // number of upstreams that crash repeatedly without a cause
-	domainReclaimed   bool    // one domain's upstreams leave after an announcement
+	domainReclaimed   bool    // one domain's upstreams announce that they leave, and leave
 	domainLost        bool    // one domain's upstreams crash at the same time
 	domainCutOff      bool    // one domain's connections are reset and refused for 5 s
 	keepsIDs          bool    // upstreams restart under the same ID
@@ -74,7 +74,7 @@
 type request struct {
 	id      int
 	content ident.ContentHash
-	killer  *killer
+	poison  *poisonContent
 	gateway *gateway
 	// retries counts the client's retries; sends counts how often this arrival was sent.
 	retries, sends, maxSends int
@@ -86,18 +86,18 @@
 }
 
 type upstream struct {
-	index, life int
-	domain      int
-	up          bool
-	leaving     bool
-	inFlight    map[*request]bool
+	index, incarnation int
+	domain             int
+	up                 bool
+	leaving            bool
+	inFlight           map[*request]bool
 }
 
 func (u *upstream) id(same bool) ident.Instance {
 	if same {
 		return ident.Instance("u" + strconv.Itoa(u.index))
 	}
-	return ident.Instance("u" + strconv.Itoa(u.index) + "/" + strconv.Itoa(u.life))
+	return ident.Instance("u" + strconv.Itoa(u.index) + "/" + strconv.Itoa(u.incarnation))
 }
 
 // sortedInFlight returns the requests in progress by ID, so that a seed always gives the same
@@ -114,12 +114,12 @@
 }
 
 type result struct {
-	// mostLateSends is the highest number of late sends of one killer.
+	// mostLateSends is the highest number of late sends of one poison content.
 	mostLateSends, crashes, ordinary, refused, lost int
-	// knownAfter is the longest time from a killer's third crash until all gateways bar it.
-	knownAfter   time.Duration
-	knownToAll   bool
-	mostReported int // highest number of marks and verdicts in one report
+	// knownAfter is the longest time from a poison content's third crash until all gateways bar it.
+	knownAfter  time.Duration
+	knownToAll  bool
+	maxReported int // highest number of marks and verdicts in one report
 }
 
 type fleet struct {
@@ -132,12 +132,12 @@
 	domainSums []receivedReport
 	lastID     int
 	result     result
-	// thirdCrashAt, kills and lateSends are by the killer's content.
-	thirdCrashAt map[ident.ContentHash]time.Duration
-	kills        map[ident.ContentHash]int
-	lateSends    map[ident.ContentHash]int
-	cutOffDomain int
-	checkedAt    time.Duration
+	// thirdCrashAt, crashesCaused and lateSends are by poison content.
+	thirdCrashAt  map[ident.ContentHash]time.Duration
+	crashesCaused map[ident.ContentHash]int
+	lateSends     map[ident.ContentHash]int
+	cutOffDomain  int
+	checkedAt     time.Duration
 	// storedRecord is the content of the lease's record, which outlives all gateways.
 	storedRecord json.RawMessage
 }
@@ -161,7 +161,7 @@
 func playStory(s story, seed uint64) result {
 	f := &fleet{
 		s: s, rng: rand.New(rand.NewPCG(seed, 7)), thirdCrashAt: make(map[ident.ContentHash]time.Duration),
-		kills: make(map[ident.ContentHash]int), lateSends: make(map[ident.ContentHash]int), cutOffDomain: -1,
+		crashesCaused: make(map[ident.ContentHash]int), lateSends: make(map[ident.ContentHash]int), cutOffDomain: -1,
 	}
 	for i := range s.gateways {
 		f.gateways = append(f.gateways, &gateway{index: i, domain: i % s.domains, tracker: newTracker(f.clock), connectedSince: -time.Hour})
@@ -187,10 +187,10 @@
 func (f *fleet) schedule() {
 	s := f.s
 	f.In(0, f.ordinaryArrives)
-	for i := range s.killers {
-		k := &s.killers[i]
+	for i := range s.poisonContents {
+		k := &s.poisonContents[i]
 		content := ident.ContentHashOf(ident.OutlineHash(1+i), 0)
-		f.In(k.startsAt, func() { f.killerArrives(k, content) })
+		f.In(k.startsAt, func() { f.poisonArrives(k, content) })
 	}
 	for _, g := range f.gateways {
 		f.In(time.Duration(f.rng.Int64N(int64(exchangePeriod))), func() { f.exchange(g) })
@@ -320,12 +320,12 @@
 	f.receive(r)
 }
 
-func (f *fleet) killerArrives(k *killer, content ident.ContentHash) {
+func (f *fleet) poisonArrives(k *poisonContent, content ident.ContentHash) {
 	for range max(1, k.burst) {
 		f.lastID++
-		f.receive(&request{id: f.lastID, content: content, killer: k, maxSends: k.maxSends, group: k.group})
+		f.receive(&request{id: f.lastID, content: content, poison: k, maxSends: k.maxSends, group: k.group})
 	}
-	f.In(f.randomExp(k.meanInterval), func() { f.killerArrives(k, content) })
+	f.In(f.randomExp(k.meanInterval), func() { f.poisonArrives(k, content) })
 }
 
 // receive has a random gateway receive a request.
@@ -342,7 +342,7 @@
 }
 
 func (f *fleet) refuse(r *request) {
-	if r.killer == nil {
+	if r.poison == nil {
 		f.result.refused++
 	}
 }
@@ -378,14 +378,14 @@
 		return
 	}
 	if len(open) == 0 {
-		if r.killer == nil {
+		if r.poison == nil {
 			f.retryByClient(r)
 		}
 		return
 	}
 	u := open[f.rng.IntN(len(open))]
-	if home := f.upstreams[r.group%len(f.upstreams)]; slices.Contains(open, home) && f.rng.IntN(2) == 0 {
-		u = home
+	if preferred := f.upstreams[r.group%len(f.upstreams)]; slices.Contains(open, preferred) && f.rng.IntN(2) == 0 {
+		u = preferred
 	} else if other := open[f.rng.IntN(len(open))]; len(other.inFlight) < len(u.inFlight) {
 		u = other
 	}
@@ -400,31 +400,31 @@
 	if !f.s.withoutTracker && r.gateway.tracker.Knows(r.content.Outline()) {
 		r.onFinished = r.gateway.tracker.Started(u.id(f.s.keepsIDs), r.content)
 	}
-	life := u.life
-	if r.killer == nil {
-		f.In(f.randomExp(f.s.meanDuration), func() { f.complete(r, u, life) })
+	incarnation := u.incarnation
+	if r.poison == nil {
+		f.In(f.randomExp(f.s.meanDuration), func() { f.complete(r, u, incarnation) })
 		return
 	}
 	if third, known := f.thirdCrashAt[r.content]; known && f.Now() > third+f.s.knownWithin && f.Now()-r.gateway.connectedSince > f.s.knownWithin {
 		f.lateSends[r.content]++
 	}
-	f.In(r.killer.crashDelay+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
-		if u.up && u.life == life && u.inFlight[r] {
-			f.kill(r, u)
+	f.In(r.poison.crashDelay+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
+		if u.up && u.incarnation == incarnation && u.inFlight[r] {
+			f.crashByPoison(r, u)
 		}
 	})
 }
 
-func (f *fleet) kill(r *request, u *upstream) {
-	f.kills[r.content]++
-	if f.kills[r.content] == 3 {
+func (f *fleet) crashByPoison(r *request, u *upstream) {
+	f.crashesCaused[r.content]++
+	if f.crashesCaused[r.content] == 3 {
 		f.thirdCrashAt[r.content] = f.Now()
 	}
 	f.crash(u)
 }
 
-func (f *fleet) complete(r *request, u *upstream, life int) {
-	if !u.up || u.life != life || !u.inFlight[r] || r.upstream != u {
+func (f *fleet) complete(r *request, u *upstream, incarnation int) {
+	if !u.up || u.incarnation != incarnation || !u.inFlight[r] || r.upstream != u {
 		return
 	}
 	delete(u.inFlight, r)
@@ -446,12 +446,12 @@
 	}
 	f.In(2*time.Second+time.Duration(f.rng.Int64N(int64(2*time.Second))), func() {
 		u.up, u.leaving = true, false
-		u.life++
+		u.incarnation++
 	})
 }
 
-// interrupt resends or fails a request whose upstream crashed or became unreachable. The Tracker
-// is told if asCrash is set.
+// interrupt resends or fails a request whose upstream crashed or became unreachable. If asCrash
+// is set, it is recorded in the Tracker as a crash.
 func (f *fleet) interrupt(r *request, u *upstream, asCrash bool) {
 	delete(u.inFlight, r)
 	r.onFinished()
@@ -465,7 +465,7 @@
 		f.In(time.Millisecond, func() { f.admit(r) })
 		return
 	}
-	if r.killer == nil {
+	if r.poison == nil {
 		f.retryByClient(r)
 	}
 }
@@ -482,14 +482,14 @@
 // exchange sends one gateway's report.
 func (f *fleet) exchange(g *gateway) {
 	f.In(exchangePeriod, func() { f.exchange(g) })
-	w := g.tracker.Report()
-	reported := len(w.Verdicts)
-	for _, c := range w.Crashes {
+	report := g.tracker.Report()
+	reported := len(report.Verdicts)
+	for _, c := range report.Crashes {
 		reported += len(c.Marks)
 	}
-	f.result.mostReported = max(f.result.mostReported, reported)
+	f.result.maxReported = max(f.result.maxReported, reported)
 	at := f.Now()
-	f.In(exchangeDelay, func() { f.received[g.index] = receivedReport{w, at} })
+	f.In(exchangeDelay, func() { f.received[g.index] = receivedReport{report, at} })
 }
 
 // collect merges the reports of a domain's gateways.
@@ -508,29 +508,29 @@
 // refresh has a gateway merge the reports of the gateways that it can reach.
 func (f *fleet) refresh(g *gateway) {
 	f.In(exchangePeriod/2, func() { f.refresh(g) })
-	var words Report
+	var others Report
 	if f.s.gateways < minGatewaysForCollectors {
 		for _, o := range f.gateways {
 			if o != g && (f.cutOffDomain < 0 || (o.domain == f.cutOffDomain) == (g.domain == f.cutOffDomain)) {
-				words = words.Merge(f.aged(f.received[o.index]))
+				others = others.Merge(f.aged(f.received[o.index]))
 			}
 		}
 	} else {
 		for d := range f.s.domains {
 			if f.cutOffDomain < 0 || (d == f.cutOffDomain) == (g.domain == f.cutOffDomain) {
-				words = words.Merge(f.aged(f.domainSums[d]))
+				others = others.Merge(f.aged(f.domainSums[d]))
 			}
 		}
 	}
-	g.tracker.Refresh(words)
+	g.tracker.Refresh(others)
 	if f.Now() >= f.checkedAt+pollPeriod {
 		f.checkedAt = f.Now()
 		f.checkKnownToAll()
 	}
 }
 
-// checkKnownToAll records, once, how long it took until all gateways bar every killer that has
-// crashed three upstreams.
+// checkKnownToAll records, once, how long it took until all gateways bar every poison content that
+// has crashed three upstreams.
 func (f *fleet) checkKnownToAll() {
 	if f.result.knownToAll {
 		return
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -132,7 +132,7 @@
 				tr.crashWith(u, cause)
 			}
 			tr.advance(settleTime)
-			tr.advance(ForgetAfter)
+			tr.advance(VerdictTTL)
 		}, nil, []ident.ContentHash{cause}},
 	} {
 		tr := newTestTracker()
@@ -199,8 +199,8 @@
 	}
 }
 
-// Guards against memory, messages and records that grow with the number of different requests
-// that crash upstreams.
+// Guards against memory, messages and records that grow with the number of different poison
+// requests.
 func TestManyDifferentOnesAreBounded(t *testing.T) {
 	tr := newTestTracker()
 	for i := range 2000 {
@@ -210,23 +210,23 @@
 		tr.advance(settleTime)
 	}
 	if len(tr.crashes) > maxCrashes || len(tr.verdicts) > maxVerdicts {
-		t.Errorf("%d crashes and %d verdicts remembered", len(tr.crashes), len(tr.verdicts))
+		t.Errorf("too much is held: %d crashes and %d verdicts", len(tr.crashes), len(tr.verdicts))
 	}
-	w := tr.Report()
+	report := tr.Report()
 	marks := 0
-	for _, c := range w.Crashes {
+	for _, c := range report.Crashes {
 		marks += len(c.Marks)
 	}
-	if marks > maxReportedMarks || len(w.Verdicts) > maxReportedVerdicts {
-		t.Errorf("%d marks and %d verdicts in one report", marks, len(w.Verdicts))
+	if marks > maxReportedMarks || len(report.Verdicts) > maxReportedVerdicts {
+		t.Errorf("%d marks and %d verdicts in one report", marks, len(report.Verdicts))
 	}
 	var stored []storedVerdict
 	if err := json.Unmarshal(tr.Snapshot(), &stored); err != nil || len(stored) != maxStoredVerdicts {
 		t.Errorf("%d verdicts stored, error %v", len(stored), err)
 	}
-	tr.advance(ForgetAfter)
+	tr.advance(VerdictTTL)
 	if !tr.KnowsNone() {
-		t.Error("crashes or verdicts remembered after ForgetAfter")
+		t.Error("crashes or verdicts not expired after VerdictTTL")
 	}
 }
 
@@ -292,14 +292,14 @@
 	if !c.Knows(known) {
 		t.Error("outline of a stored verdict is not known")
 	}
-	a.advance(ForgetAfter)
+	a.advance(VerdictTTL)
 	if a.Knows(known) {
 		t.Error("outline is known after the verdict expired")
 	}
 }
 
-// Guards against a request that is sent before it is decided whether it crashes upstreams, and
-// against one that waits forever.
+// Guards against a request that is sent before it is decided whether it is a poison request, and
+// against a request that waits forever.
 func TestAdmission(t *testing.T) {
 	tr := newTestTracker()
 	c := content(1)
@@ -337,7 +337,7 @@
 		t.Errorf("after three crashes that others may not have reported yet: %+v", got)
 	}
 	tr.advance(settleTime)
-	if got := tr.Admit(c, 0); got.Step != Bar || got.RetryAfter != ForgetAfter {
+	if got := tr.Admit(c, 0); got.Step != Bar || got.RetryAfter != VerdictTTL {
 		t.Errorf("after three settled crashes: %+v", got)
 	}
 }
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -17,7 +17,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// A fleet simulates one order in virtual time: gateways with the real Tracker, the real
+// A fleet simulates one rollout order in virtual time: gateways with the real Tracker, the real
 // Controller at the holder of the lease, the exchange between gateways with its delays, a store,
 // and upstreams that behave as the story says.
 
@@ -81,8 +81,8 @@
 	// undecidable says why the evidence within the share, or the time, is not always enough to
 	// decide rightly; empty if it must be.
 	undecidable string
-	// newUpstreamsLeave is when all but one of the new version's upstreams leave, as a fraction of the
-	// time limit; 0 means never.
+	// newUpstreamsLeave is when all but one of the new version's upstreams leave, as a fraction
+	// of the time limit; 0 means never.
 	newUpstreamsLeave float64
 }
 
@@ -217,9 +217,9 @@
 	return string(service), []byte(string(to) + " " + phase.String()), nil
 }
 
-func (g *simGateway) idle(_ ident.Service, is func(*directory.Upstream) bool) bool {
+func (g *simGateway) idle(_ ident.Service, matches func(*directory.Upstream) bool) bool {
 	for _, u := range g.f.upstreams {
-		if g.inFlight[u.ID] > 0 && is(&u.Upstream) {
+		if g.inFlight[u.ID] > 0 && matches(&u.Upstream) {
 			return false
 		}
 	}
@@ -345,13 +345,13 @@
 	}
 	id := ident.Request(fmt.Sprint(f.rng.Uint64()))
 	split := g.tracker.SplitOf(service)
-	lists := Candidates{Preferred: f.view.Of(service)}
+	candidates := Candidates{Preferred: f.view.Of(service)}
 	if split != nil {
-		lists = split.Candidates(id, routeName(route), false, f.now)
+		candidates = split.Candidates(id, routeName(route), false, f.now)
 	}
-	u := f.choose(lists.Preferred)
+	u := f.choose(candidates.Preferred)
 	if u == nil {
-		u = f.choose(lists.Fallback)
+		u = f.choose(candidates.Fallback)
 	}
 	if u == nil {
 		f.result.refused++
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Situation is what the holder of the duties knows about an order that it decides on.
+// Situation is what the holder of the lease knows about an order that it decides on.
 type Situation struct {
 	Phase Phase
 	// Age is the time since the order was given, PhaseAge since its phase began at this gateway.
 	Age, PhaseAge time.Duration
-	// TimeLimit is when the order must have ended, as an age.
+	// TimeLimit is the age at which the order must have ended.
 	TimeLimit time.Duration
 	// NewReady counts the ready upstreams of the new version, OldLeft those of other versions
 	// that still run.
@@ -31,13 +31,13 @@
 	// completionTime is the time to reach all gateways and to make the two writes that complete
 	// an order.
 	completionTime = 1200 * time.Millisecond
-	// maxDrainFraction is the largest fraction of the time limit that is kept for requests to
-	// finish. The rest is needed to find out whether the version is good.
+	// maxDrainFraction is the largest fraction of the time limit that is reserved for requests
+	// to finish. The rest is needed to find out whether the version is good.
 	maxDrainFraction = 0.4
 )
 
-// promoteAt returns the age at which a good version is promoted: as late as leaves time for the
-// phases that follow, because a version may turn bad late.
+// promoteAt returns the age at which a good version is promoted: as late as the time for the
+// following phases allows, because a version may turn bad late.
 func (s *Situation) promoteAt() time.Duration {
 	drain := min(s.DrainTime, time.Duration(maxDrainFraction*float64(s.TimeLimit)))
 	return max(s.TimeLimit-drain-rampTime-completionTime, s.TimeLimit/3)
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -25,8 +25,8 @@
 	halves       [2][]directory.Upstream
 }
 
-// Candidates holds the upstreams that may take a request: those of First and, if none of them can,
-// those of Then.
+// Candidates holds the upstreams that may take a request: those of Preferred and, if none of them
+// can, those of Fallback.
 type Candidates struct{ Preferred, Fallback []directory.Upstream }
 
 // rebuildSplits recomputes all splits. t.mu must be held.
@@ -76,7 +76,7 @@
 
 // isWithheld reports whether a version appeared so recently that this gateway may not know its
 // order yet, while another version has been there for longer. Without this check, upstreams of
-// a bad version that are listed before this gateway hears of the order would get their full part
+// a bad version that are listed before this gateway receives the order would get their full part
 // of all requests.
 func (t *Tracker) isWithheld(service ident.Service, version ident.Version, list []directory.Upstream) bool {
 	first := t.firstSeen[service][version]
@@ -122,8 +122,8 @@
 	return (version == s.newVersion) == !r.maySendToOld(s.tracker.cfg.Now())
 }
 
-// Candidates returns the upstreams that a request may go to. A request that is sent again prefers the
-// old version, so that no caller suffers twice from a bad new one.
+// Candidates returns the upstreams that a request may go to. A request that is sent again prefers
+// the old version, so that no caller suffers twice from a bad new one.
 func (s *Split) Candidates(id ident.Request, route string, again bool, now time.Time) Candidates {
 	t := s.tracker
 	t.mu.Lock()
@@ -139,7 +139,7 @@
 		}
 	case r.stopped || now.Sub(r.confirmedAt) > t.confirmationTTL():
 	case r.phase == Canary:
-		return s.canaryLists(r, KeyOf(route), again, now)
+		return s.canaryCandidates(r, KeyOf(route), again, now)
 	case r.phase == Shifting:
 		if !again && hashFraction(r.order.Offset, string(id)) < now.Sub(r.phaseSince).Seconds()/rampTime.Seconds() {
 			return Candidates{Preferred: s.newUpstreams, Fallback: s.oldUpstreams}
@@ -149,9 +149,9 @@
 	return Candidates{Preferred: s.oldUpstreams}
 }
 
-// canaryLists returns the lists in the canary phase: the new version first if the budget allows
-// it.
-func (s *Split) canaryLists(r *trackedOrder, key RouteKey, again bool, now time.Time) Candidates {
+// canaryCandidates returns the candidates in the canary phase: the new version is preferred if the
+// budget allows it.
+func (s *Split) canaryCandidates(r *trackedOrder, key RouteKey, again bool, now time.Time) Candidates {
 	if again {
 		return Candidates{Preferred: s.oldUpstreams}
 	}
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -56,12 +56,12 @@
 		if split == nil {
 			return -1
 		}
-		lists := split.Candidates(ident.Request(fmt.Sprint(i)), "r", false, g.now)
-		if len(lists.Preferred) == 0 {
+		candidates := split.Candidates(ident.Request(fmt.Sprint(i)), "r", false, g.now)
+		if len(candidates.Preferred) == 0 {
 			continue
 		}
-		split.Sent(&lists.Preferred[0], "r")
-		if lists.Preferred[0].Version == version {
+		split.Sent(&candidates.Preferred[0], "r")
+		if candidates.Preferred[0].Version == version {
 			n++
 		}
 	}
@@ -87,7 +87,7 @@
 			g.wantSentTo("v1", notSplit, notSplit)
 		}},
 		// Guards against a bad version that gets half of all requests for a second, because
-		// its ready upstreams are listed before this gateway hears of the order.
+		// its ready upstreams are listed before this gateway receives the order.
 		{"upstreams come before the order", func(g *testGateway) {
 			g.observe("v1")
 			g.advance(time.Second)
@@ -116,7 +116,8 @@
 			g.wantSentTo("v2", 1, int(limits.Share*200+slackFraction*limits.Slack))
 		}},
 		// Guards against a version that gets requests 5 s after its failures showed, from a
-		// gateway that is disconnected from the others, but not from the upstreams.
+		// gateway that is disconnected from the others, but not from the upstreams, and goes on
+		// in the phase that was last reported to it.
 		{"no word of the holder any more", func(g *testGateway) {
 			g.observe("v1", "v2")
 			g.order(5, "v2")
@@ -158,12 +159,12 @@
 		{"rolled back by an earlier holder after it was completed", func(g *testGateway) {
 			g.observe("v1", "v2")
 			g.order(5, "v2")
-			word := OrderState{Order: Order{Service: service, To: "v2", TimeLimit: time.Second, Offset: 5}, Phase: RolledBack, Stopped: true}
-			g.tracker.Merge(OrderStates{word})
-			word.Phase = Completed
-			g.tracker.Merge(OrderStates{word})
-			word.Phase = RolledBack
-			g.tracker.Merge(OrderStates{word})
+			state := OrderState{Order: Order{Service: service, To: "v2", TimeLimit: time.Second, Offset: 5}, Phase: RolledBack, Stopped: true}
+			g.tracker.Merge(OrderStates{state})
+			state.Phase = Completed
+			g.tracker.Merge(OrderStates{state})
+			state.Phase = RolledBack
+			g.tracker.Merge(OrderStates{state})
 			g.wantSentTo("v2", 200, 200)
 		}},
 		{"rolled back", func(g *testGateway) {
@@ -254,8 +255,8 @@
 	if first := split.Candidates("q", "r", false, g.now).Preferred; first[0].Version != "v2" {
 		t.Fatalf("the first attempt does not prefer the new version: %v", first)
 	}
-	lists := split.Candidates("q", "r", true, g.now)
-	for _, u := range append(lists.Preferred, lists.Fallback...) {
+	candidates := split.Candidates("q", "r", true, g.now)
+	for _, u := range append(candidates.Preferred, candidates.Fallback...) {
 		if u.Version != "v1" {
 			t.Errorf("second attempt may go to %s", u.ID)
 		}
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -5,8 +5,8 @@
 // Verdict summarizes the evidence about a new version.
 type Verdict struct {
 	// Against is the strength of the evidence against the new version: how many times likelier
-	// the answers are if it is worse than the old one. However often it is computed, at most
-	// one good version in x ever reaches x.
+	// the answers are if it is worse than the old one. At most one good version in x ever
+	// reaches the value x, however often Against is computed.
 	Against float64
 	// Answers is the number of answers of the new version.
 	Answers int
@@ -44,14 +44,14 @@
 // failures are under a worse failure rate than under the highest rate that the old version's
 // answers allow. Such a ratio ever exceeds x with probability 1/x at most, however often it is
 // computed, and so does a weighted mean of several.
-func Judge(seen EvidenceByRoute, bothHalves bool) Verdict {
-	v := Verdict{Answers: seen.newVersionAnswers()}
-	if len(seen) == 0 {
+func Judge(evidence EvidenceByRoute, bothHalves bool) Verdict {
+	v := Verdict{Answers: evidence.newVersionAnswers()}
+	if len(evidence) == 0 {
 		return v
 	}
 	var all Evidence
 	perRoute := 0.0
-	for _, e := range seen {
+	for _, e := range evidence {
 		for side := range e {
 			all[side].merge(&e[side])
 		}
@@ -59,7 +59,7 @@
 	}
 	// Durations of different routes are not comparable, so the total compares only failures.
 	overall := evidenceAgainst(trialsBySide(&all, failures), bothHalves)
-	v.Against = (overall + perRoute/float64(len(seen))) / 2
+	v.Against = (overall + perRoute/float64(len(evidence))) / 2
 	return v
 }
 
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -109,8 +109,8 @@
 	err        error
 	view       *directory.View
 	orders     []platform.ScaleOrder
-	// lacking is the share of its work that an upstream does not accept.
-	lacking map[ident.Instance]float64
+	// unservedShares is the share of its work that each upstream does not accept.
+	unservedShares map[ident.Instance]float64
 }
 
 func (c *cloud) Grant() (duty.Grant, bool) {
@@ -135,14 +135,14 @@
 		Leases: c, Duties: c, Log: hclog.NewNullLogger(),
 		Serves:         func(u *directory.Upstream) bool { return c.newVersion == "" || u.Version != c.newVersion },
 		RolloutRunning: func(ident.Service) bool { return c.newVersion != "" },
-		UnservedShare:  func(id ident.Instance) float64 { return c.lacking[id] },
+		UnservedShare:  func(id ident.Instance) float64 { return c.unservedShares[id] },
 	}
 }
 
 // Guards against a plan that counts upstreams as whole ones although they accept only a part
 // of the work that they could do.
 func TestUpstreamsWithLimitsAreMadeUpFor(t *testing.T) {
-	there := map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}
+	serving := map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}
 	sum := func(s PlanInput) (reclaimable, onDemand int) {
 		for slot, n := range Plan(s) {
 			if slot.Reclaimable {
@@ -156,19 +156,19 @@
 	scale := standardScale()
 	scale.MaxPerDomain = 10
 	for _, c := range []struct {
-		lacking               float64
+		missingCapacity       float64
 		reclaimable, onDemand int
 	}{{0, 12, 0}, {0.4, 13, 0}, {2, 14, 0}, {7.5, 20, 2}} {
-		reclaimable, onDemand := sum(PlanInput{Scale: scale, Need: 6, Serving: there, MissingCapacity: c.lacking})
+		reclaimable, onDemand := sum(PlanInput{Scale: scale, Need: 6, Serving: serving, MissingCapacity: c.missingCapacity})
 		if reclaimable != c.reclaimable || onDemand != c.onDemand {
-			t.Errorf("missing capacity %v: %d reclaimable and %d on-demand upstreams, want %d and %d", c.lacking, reclaimable, onDemand, c.reclaimable, c.onDemand)
+			t.Errorf("missing capacity %v: %d reclaimable and %d on-demand upstreams, want %d and %d", c.missingCapacity, reclaimable, onDemand, c.reclaimable, c.onDemand)
 		}
 	}
 	c, controller := newCloud()
 	c.view = directory.NewView([]directory.Upstream{
 		{ID: "u1", Service: "svc", State: directory.Ready}, {ID: "u2", Service: "svc", State: directory.Ready}, {ID: "u3", Service: "svc", State: directory.Leaving},
 	})
-	c.lacking = map[ident.Instance]float64{"u1": 0.75, "u3": 1}
+	c.unservedShares = map[ident.Instance]float64{"u1": 0.75, "u3": 1}
 	if got := controller.missingCapacity("svc"); got != 0.75 {
 		t.Errorf("missing capacity %v, want 0.75", got)
 	}
@@ -176,7 +176,7 @@
 
 // Guards against a third of the needed upstreams for ten seconds, when one domain after the
 // other is reclaimed, no capacity is available, and upstreams crash. An upstream crashes
-// without a report; its domain is reclaimed, then a second one, then the rest. Two causes:
+// without an announcement; its domain is reclaimed, then a second one, then the rest. Two causes:
 // the first reclaim is not noticed, because the crashed upstream still seems to serve; and
 // after the second one the remaining domains are still relied on, although on-demand
 // upstreams take longer to start than the next domain lasts.
@@ -317,8 +317,9 @@
 	}
 }
 
-// A fleet starts with thirty times what its callers need. Guards against paying for all of it
-// for as long as a wave of traffic lasts, and against removing what a wave needs.
+// A fleet starts with thirty times the upstreams that its callers need. Guards against paying
+// for all of them for as long as a swing of the traffic lasts, and against removing upstreams
+// that a swing needs.
 func TestAManifoldSurplusIsGivenUpSoon(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -331,17 +332,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, controller := newCloud()
 			controller.Table().Services()[0].Scale.MaxPerDomain = 100
-			there := make(map[Slot]int)
+			upstreams := make(map[Slot]int)
 			for _, d := range domains {
-				there[Slot{d, true}] = test.serving / len(domains)
+				upstreams[Slot{d, true}] = test.serving / len(domains)
 			}
-			c.setUpstreams(there, directory.Ready)
+			c.setUpstreams(upstreams, directory.Ready)
 			c.runSteps(t, controller, 5*time.Second)
 			c.orders = nil
 			c.need = float64(test.need)
 			c.runSteps(t, controller, time.Duration(test.within)*time.Second)
 			left := make(map[ident.FailureDomain]int)
-			for slot, n := range there {
+			for slot, n := range upstreams {
 				left[slot.FailureDomain] = n
 			}
 			for _, o := range c.orders {
@@ -388,7 +389,7 @@
 }
 
 // Guards against too few upstreams for a dozen seconds after a reclaim: the upstreams of a
-// domain are told to leave, but count as serving until they are gone.
+// domain announce that they leave, but count as serving until they are gone.
 func TestAReclaimIsMadeUpForAtItsNotice(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 4
@@ -410,7 +411,7 @@
 }
 
 // Guards against a reclaim that is not noticed, since the upstreams' entries do not say that
-// it is one. The load falls; a domain's reclaimable upstreams are told to leave; the other
+// it is one. The load falls; a domain's reclaimable upstreams announce that they leave; the other
 // domains' reserve is removed within two seconds; the next domain is reclaimed, and no
 // capacity is available. A fifth of the engines is left for four seconds, and half of the
 // requests are late.
