--- a/internal/blackboard/board.go
+++ b/internal/blackboard/board.go
@@ -24,7 +24,8 @@
 	// Upstreams holds the upstreams and load reports that routing uses. Writer:
 	// controllers/probing.
 	Upstreams *Section[*Upstreams]
-	// Journal reports whether calls with a key can be served. Writer: calls.
+	// Journal reports whether calls with an idempotency key can be served.
+	// Writer: calls.
 	Journal *Section[JournalHealth]
 	// Stopping becomes true when this process begins to leave, and stays so.
 	// Writer: the process's main loop.
@@ -55,14 +56,14 @@
 	Problem string
 }
 
-// JournalHealth reports whether calls with a key can be served.
+// JournalHealth reports whether calls with an idempotency key can be served.
 type JournalHealth struct {
 	// Ready reports that the journal was read up to the log's head.
 	Ready bool
 	// LogReachable reports that the last read of each partition succeeded.
 	LogReachable bool
-	// WindowStart is the time before which issued keys may have records that
-	// this process has not read; calls with such keys are refused.
+	// WindowStart is the time such that keys issued before it may have records
+	// that this process has not read; calls with such keys are refused.
 	WindowStart time.Time
 }
 
--- a/internal/blackboard/section.go
+++ b/internal/blackboard/section.go
@@ -40,7 +40,8 @@
 // Value returns the current value.
 func (s *Section[T]) Value() T { return s.current.Load().Value }
 
-// Publish replaces the value and wakes everyone who waits for a newer snapshot.
+// Publish replaces the value and wakes all goroutines that wait for a newer
+// snapshot.
 // Only the section's one writer may call it.
 func (s *Section[T]) Publish(value T) {
 	old := s.current.Load()
--- a/internal/calls/calls.go
+++ b/internal/calls/calls.go
@@ -1,5 +1,5 @@
-// Package calls runs calls that must not be repeated. It runs each of them at
-// most once, whichever gateways its caller tries and whatever fails meanwhile.
+// Package calls runs calls with an idempotency key. It runs each of them at most
+// once, whichever gateways its caller tries and whatever fails meanwhile.
 //
 // The right to dispatch a call belongs to the first claim of its key in the
 // platform's log (packages journal and fold). A gateway appends a claim, reads
@@ -25,7 +25,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Call is one attempt of a caller to run a call that must not be repeated.
+// Call is one attempt of a caller to run a call with an idempotency key.
 type Call struct {
 	Key     ident.CallKey
 	Method  ident.Method
@@ -53,13 +53,15 @@
 	// must not send the call there: a new incarnation no longer knows which
 	// fencing numbers are too old.
 	Invoke(ctx context.Context, call Call, target journal.Target, fence ident.Fence) (upstream.Answer, error)
-	// Find asks the target for the state of a key's call. It fails unless
-	// the incarnation that the target names has answered. A fence above 0
-	// tells the target to reject calls of the key with a lower one.
+	// Find asks the target for the state of a key's call. It returns an error
+	// unless the incarnation that the target names has answered. A fence above
+	// 0 tells the target to reject calls of the key with a lower fencing
+	// number.
 	Find(ctx context.Context, key ident.CallKey, target journal.Target, fence ident.Fence) (upstream.FindResult, error)
 }
 
-// KeyedOutcome is a final outcome together with the request it belongs to.
+// KeyedOutcome is a final outcome together with the claim and the request that it
+// belongs to.
 type KeyedOutcome struct {
 	journal.Head
 	// Kind is Completed or Failed.
@@ -71,7 +73,8 @@
 // gateway will never dispatch it.
 type HandedCall struct {
 	Call
-	// Claim is the claim that the leaving gateway has given up.
+	// Claim is the leaving gateway's claim, which no longer owns the key once
+	// its release is in the journal.
 	Claim  journal.ClaimID
 	Digest journal.Digest
 	// Remaining is how long the peer may take to claim and dispatch the call.
@@ -101,10 +104,9 @@
 	PutOutcomes(ctx context.Context, outcomes []KeyedOutcome) error
 	// FindOutcome asks the peer what it knows about a key.
 	FindOutcome(ctx context.Context, key ident.CallKey) (PeerAnswer, error)
-	// HandOver returns the given-up claims whose calls the peer accepted.
-	// An error that matches ErrNotHanded means that the peer accepted
-	// nothing and never will; after any other error it may have accepted
-	// everything.
+	// HandOver returns the claims of the calls that the peer accepted. An error
+	// that matches ErrNotHanded means that the peer accepted nothing of h and
+	// never will; after any other error it may have accepted everything.
 	HandOver(ctx context.Context, h HandOver) ([]journal.ClaimID, error)
 }
 
@@ -145,8 +147,8 @@
 	// next one only when the previous one ran nothing.
 	MaxTargets int
 	// SettleAfter is how old a claim must be before another gateway asks the
-	// upstream about it. It only saves requests; correctness does not depend
-	// on it.
+	// upstream about the call. It only saves requests; correctness does not
+	// depend on it.
 	SettleAfter time.Duration
 	// MarkEvery is how long a partition may be without new records before a
 	// mark is appended.
--- a/internal/calls/cases_test.go
+++ b/internal/calls/cases_test.go
@@ -83,8 +83,9 @@
 	})
 }
 
-// TestSecondCopyOfAnEndedClaim guards against a key that never ran and stays
-// unknown. The answer to an append is lost and its record gets into the log late.
+// TestSecondCopyOfAnEndedClaim guards against a key whose call never ran and whose
+// outcome stays unknown forever. The answer to an append is lost and its record
+// gets into the log late.
 // The claim is appended again and wins, and the upstreams refuse the call. Then
 // the first copy of the record gets into the log. A second copy of a claim that
 // has ended must not own the key again.
@@ -103,7 +104,8 @@
 // TestOutageAfterALostAppend guards against a caller that is told not_run while its
 // key stays blocked. The answer to an append is lost and its record gets into the
 // log late. The log refuses the second append, and the gateway takes the claim for
-// not appended. But a refused append says nothing about an earlier one.
+// not appended. But a refused append proves nothing about an earlier append of the
+// same record.
 func TestOutageAfterALostAppend(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.w.log.SetLateness(2 * time.Second)
--- a/internal/calls/claim.go
+++ b/internal/calls/claim.go
@@ -12,9 +12,9 @@
 // by an atomic operation: its call is either dispatched, abandoned or handed
 // over to a peer.
 //
-// Without that, a claim could be won just when its caller's deadline passes or
-// the gateway begins to leave: the caller would be told not_run, and the call
-// would be dispatched all the same.
+// Without the atomic operation, a claim could win just when its caller's deadline
+// passes or the gateway begins to leave: the caller would be told not_run, and the
+// call would be dispatched all the same.
 type phase = int32
 
 const (
@@ -30,8 +30,8 @@
 	record journal.Claim
 	phase  atomic.Int32
 	// sent reports that the record was in an append that may have taken
-	// effect; answerLost reports that the answer of such an append was lost.
-	// The committer's mutex guards both.
+	// effect. answerLost reports that the answer of such an append was lost.
+	// The committer's mutex guards both fields.
 	sent, answerLost bool
 	// resolved receives one resolution.
 	resolved chan resolution
@@ -50,7 +50,7 @@
 	// notAppended reports that the record is not in the log and never will be.
 	notAppended bool
 	// unreadable reports that the record may have expired before this gateway
-	// read it, so that the verdict cannot be known here.
+	// read it, so that this gateway cannot know the verdict.
 	unreadable bool
 }
 
@@ -85,9 +85,9 @@
 // and changes nothing when the claim was not waiting.
 func (cl *claim) leaveWaiting(to phase) bool { return cl.phase.CompareAndSwap(waiting, to) }
 
-// isTakeover reports whether the claim takes over another one only to find out
-// its outcome. Such a claim has no call to dispatch. Ending it before the
-// upstream has answered would open a key whose call may still run.
+// isTakeover reports whether the claim takes another one over, only to find out
+// the outcome of its call. Such a claim has no call to dispatch. Ending it before
+// the upstream has answered would open a key whose call may still run.
 func (cl *claim) isTakeover() bool { return cl.record.Supersedes != journal.ClaimID{} }
 
 // resolve delivers a resolution. Those after the first are dropped.
--- a/internal/calls/committer.go
+++ b/internal/calls/committer.go
@@ -110,10 +110,9 @@
 	return cl.sent
 }
 
-// logDown reports whether appends currently fail or hang, and how long callers
-// should wait before a retry. All partitions are in one log, so a fault at one
-// of them counts for all: otherwise each call would wait for an append to learn
-// of the fault.
+// logDown reports whether appends currently fail or hang, and the retry-after time
+// for callers. All partitions are in one log, so a fault at one of them counts for
+// all: otherwise each call would have to wait for an append to notice the fault.
 func (c *Coordinator) logDown(now time.Time) (wait time.Duration, down bool) {
 	for _, p := range c.partitions {
 		w, d := p.writer.down(now)
--- a/internal/calls/dispatch.go
+++ b/internal/calls/dispatch.go
@@ -114,7 +114,7 @@
 	return c.cfg.Dispatcher.Find(ctx, head.Key, target, fence)
 }
 
-// awaitResult waits until the dispatched call or ctx ends. tryAnother reports
+// awaitResult waits until the dispatched call or ctx has ended. tryAnother reports
 // that the upstream ran nothing, so that another one may be tried.
 func (c *Coordinator) awaitResult(ctx context.Context, cl *claim) (outcome.Outcome, bool) {
 	select {
--- a/internal/calls/do.go
+++ b/internal/calls/do.go
@@ -58,8 +58,8 @@
 	return outcome.NewUnknown(reason, message+"; an earlier attempt may have run", retryAfter)
 }
 
-// knownOutcome returns the final outcome of a key if this gateway knows it. A
-// digest that is not nil must be that of the request with this outcome.
+// knownOutcome returns the final outcome of a key if this gateway knows it. If
+// digest is not nil, only the outcome of the request with this digest counts.
 func (p *partition) knownOutcome(key ident.CallKey, digest *journal.Digest) (outcome.Outcome, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,9 +85,9 @@
 }
 
 // keyReusedOutcome returns the answer for a key that belongs to another request.
-// It reveals nothing of that request. NotRun is correct because it is returned
-// only for keys whose records are all known here: then no earlier attempt of
-// this request can have owned the key.
+// It reveals nothing of that request. NotRun is correct because the function is
+// called only for keys whose records are all known here: then no earlier attempt
+// of this request can have owned the key.
 func keyReusedOutcome() outcome.Outcome {
 	return outcome.NewNotRun(outcome.ReasonKeyReused, "the key was used for a different request", 0)
 }
@@ -95,7 +95,7 @@
 // finalOutcome returns the outcome of a key whose state is Final.
 func finalOutcome(v fold.View) outcome.Outcome {
 	if v.PayloadOmitted {
-		// Completed without the answer would pass off a part as the whole.
+		// Completed without the payload would look like a complete, empty answer.
 		return outcome.NewUnknown(reasonAnswerTooLarge, "the call ran, but its answer was too large to be kept", 0)
 	}
 	return outcome.Outcome{Kind: v.Kind, Reason: v.Reason, Payload: v.Payload}
@@ -155,7 +155,7 @@
 }
 
 // claimAndDispatch claims the key and dispatches the call. It tries up to
-// MaxTargets upstreams, the next one only when the last one ran nothing.
+// MaxTargets upstreams, the next one only when the previous one ran nothing.
 // release, if not nil, is journaled before the first claim.
 func (c *Coordinator) claimAndDispatch(ctx context.Context, p *partition, call Call, digest journal.Digest, release *journal.Release) outcome.Outcome {
 	var exclude []ident.Instance
@@ -181,7 +181,7 @@
 		o, tryAnother := c.runClaim(ctx, p, cl, picked)
 		last = o
 		if cl.phase.Load() != dispatched {
-			p.forget(cl)
+			p.dropClaim(cl)
 		}
 		if !tryAnother || try >= c.limits.MaxTargets || ctx.Err() != nil {
 			return o
@@ -208,7 +208,7 @@
 		return <-cl.handedOverOutcome, false
 	}
 	if !c.spawn(func() { c.dispatch(ctx, p, cl, r.Fence) }) {
-		p.forget(cl)
+		p.dropClaim(cl)
 		p.writer.enqueue(notRunEvent(cl, outcome.ReasonLeaving))
 		return outcome.NewNotRun(outcome.ReasonLeaving, "this gateway has stopped", retrySoon), false
 	}
--- a/internal/calls/fold/fold.go
+++ b/internal/calls/fold/fold.go
@@ -1,7 +1,7 @@
 // Package fold computes, from the records of one journal partition in their
-// order, which claim owns each key, and thus who may dispatch its call, and how
-// the call ended. It depends on nothing else: every reader of the same records
-// reaches the same decisions.
+// order, which claim owns each key, and so which gateway may dispatch its call, and
+// how the call ended. It depends on nothing but the records, so that every reader
+// of the same records reaches the same decisions.
 //
 // States of a key:
 //
@@ -27,7 +27,7 @@
 
 // The states.
 const (
-	// Open: no claim was seen, only the end of one whose record may follow.
+	// Open: no claim was seen, only the end of a claim whose record may follow.
 	Open State = iota
 	// Claimed: the holder may have dispatched the call.
 	Claimed
@@ -112,14 +112,14 @@
 	firstTime time.Time
 }
 
-// entry is the state of one request under a key. ended lists its claims that can
-// never own the key again, so that a record of one of them that comes late, or
-// twice, is ignored.
+// entry is the state of one request under a key.
 type entry struct {
 	View
+	// ended lists the request's claims that can never own the key again, so that
+	// a late or second record of such a claim is ignored.
 	ended []journal.ClaimID
 	// next is the next request under the same key, in the order of the log.
-	// It cannot own the key before this one has expired.
+	// It cannot own the key before this request has expired.
 	next *entry
 }
 
@@ -145,10 +145,10 @@
 //
 // A record is void when its key was issued more than MaxSkew after the record's
 // own time in the log, or more than Window before it. So records that expired
-// before they were read are about keys issued before first + MaxSkew. Such a key
-// can also keep another request from owning it for one Window more, and the
-// reader cannot see that. Requests issued yet another MaxSkew later have no
-// record from before that time.
+// before they were read are about keys issued before firstTime + MaxSkew. Such a
+// record can also prevent, for one Window more, another request from owning the
+// same key, and the reader cannot see that. Requests issued yet another MaxSkew
+// later have no record from before that time.
 func (f *Fold) CompleteSince() (since time.Time, ok bool) {
 	if !f.partial {
 		return time.Time{}, true
@@ -158,7 +158,7 @@
 
 // CompleteFor reports whether the fold holds everything that the records read so
 // far say about a key issued at issuedAt: no such record expired before it was
-// read, and nothing was forgotten.
+// read, and none was dropped because the key has expired.
 func (f *Fold) CompleteFor(issuedAt time.Time) bool {
 	since, ok := f.CompleteSince()
 	return ok && issuedAt.After(since) && !journal.Expired(issuedAt, f.logTime)
@@ -199,7 +199,7 @@
 }
 
 // advanceLogTime sets the log's time, which never goes back here even if the log's
-// clock is set back, and forgets keys that can no longer be claimed.
+// clock is set back, and drops keys that can no longer be claimed.
 func (f *Fold) advanceLogTime(appendedAt time.Time) {
 	if !f.hasFirst {
 		f.firstTime, f.hasFirst = appendedAt, true
@@ -208,14 +208,14 @@
 		f.logTime = appendedAt
 	}
 	for len(f.expiryQueue) > 0 && journal.Expired(f.expiryQueue[0].issuedAt, f.logTime) {
-		f.forgetExpired(f.expiryQueue[0].key)
+		f.dropExpired(f.expiryQueue[0].key)
 		f.expiryQueue[0] = expiryItem{}
 		f.expiryQueue = f.expiryQueue[1:]
 	}
 }
 
-// forgetExpired drops the expired requests at the head of a key's list.
-func (f *Fold) forgetExpired(key ident.CallKey) {
+// dropExpired drops the expired requests at the head of a key's list.
+func (f *Fold) dropExpired(key ident.CallKey) {
 	e := f.current(key)
 	if e == nil {
 		delete(f.entries, key)
--- a/internal/calls/handover.go
+++ b/internal/calls/handover.go
@@ -10,8 +10,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// ErrNotHanded reports that a hand-over reached nobody: the peer accepted nothing
-// and never will.
+// ErrNotHanded reports that a hand-over had no effect: the peer accepted nothing
+// of it and never will.
 var ErrNotHanded = errors.New("nothing was handed over")
 
 // Stop prepares the end of this gateway. It refuses new calls, hands calls that
@@ -31,12 +31,13 @@
 	return finished
 }
 
-// handOverCalls gives up all waiting claims and offers their calls to peers.
+// handOverCalls moves all waiting claims to handedOver and offers their calls to
+// peers.
 func (c *Coordinator) handOverCalls(ctx context.Context) {
-	untaken := map[journal.ClaimID]*claim{}
+	unaccepted := map[journal.ClaimID]*claim{}
 	var h HandOver
 	for _, cl := range c.markWaitingHandedOver() {
-		untaken[cl.record.ID] = cl
+		unaccepted[cl.record.ID] = cl
 		h.Calls = append(h.Calls, HandedCall{
 			Call:      cl.call,
 			Claim:     cl.record.ID,
@@ -45,39 +46,40 @@
 		})
 	}
 	for _, batch := range h.batches() {
-		c.offerCalls(ctx, batch.Calls, untaken)
+		c.offerCalls(ctx, batch.Calls, unaccepted)
 	}
 }
 
 // offerCalls offers calls to one peer after the other until all are accepted, and
-// ends their claims. untaken holds the claims of the calls that no peer has
-// accepted; offerCalls deletes those that one accepts.
-func (c *Coordinator) offerCalls(ctx context.Context, calls []HandedCall, untaken map[journal.ClaimID]*claim) {
-	maybeTaken := false
+// ends their claims. unaccepted holds the claims of the calls that no peer has
+// accepted; offerCalls deletes a claim when a peer accepts its call.
+func (c *Coordinator) offerCalls(ctx context.Context, calls []HandedCall, unaccepted map[journal.ClaimID]*claim) {
+	maybeAccepted := false
 	for _, peer := range c.cfg.Peers.Candidates() {
 		if len(calls) == 0 {
 			return
 		}
 		accepted, err := c.sendHandOver(ctx, peer, HandOver{Calls: calls})
-		maybeTaken = maybeTaken || err != nil && !errors.Is(err, ErrNotHanded)
+		maybeAccepted = maybeAccepted || err != nil && !errors.Is(err, ErrNotHanded)
 		for _, id := range accepted {
-			if cl, ok := untaken[id]; ok {
+			if cl, ok := unaccepted[id]; ok {
 				c.endHandedOverClaim(cl)
-				delete(untaken, id)
+				delete(unaccepted, id)
 			}
 		}
-		calls = untakenCalls(calls, untaken)
+		calls = unacceptedCalls(calls, unaccepted)
 	}
 	for _, call := range calls {
-		c.endUntakenClaim(untaken[call.Claim], maybeTaken)
+		c.endUnacceptedClaim(unaccepted[call.Claim], maybeAccepted)
 	}
 }
 
 const (
-	// maxHandOverBytes is the largest hand-over message, well below what a
-	// peer accepts. A message that is rejected for its size looks like one
-	// whose answer was lost: callers would be told that its calls are in
-	// progress, and no gateway would run them.
+	// maxHandOverBytes is the largest hand-over message, well below the size
+	// that a peer accepts. The sender cannot distinguish a message that was
+	// rejected for its size from one whose answer was lost: callers would be
+	// told that the message's calls are in progress, and no gateway would run
+	// them.
 	maxHandOverBytes = 4 << 20
 	// overheadBytes is the size of a call or an outcome without its payload
 	// and key, rounded up.
@@ -129,8 +131,8 @@
 	return marked
 }
 
-// sendHandOver sends h to a peer and returns the given-up claims whose calls the
-// peer accepted. Its errors are those of Peer.HandOver.
+// sendHandOver sends h to a peer and returns the claims of the calls that the peer
+// accepted. Its errors are those of Peer.HandOver.
 func (c *Coordinator) sendHandOver(ctx context.Context, peer Peer, h HandOver) ([]journal.ClaimID, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.limits.PeerTimeout)
 	defer cancel()
@@ -141,11 +143,11 @@
 	return accepted, err
 }
 
-// untakenCalls returns the calls whose claims are in untaken.
-func untakenCalls(calls []HandedCall, untaken map[journal.ClaimID]*claim) []HandedCall {
+// unacceptedCalls returns the calls whose claims are in unaccepted.
+func unacceptedCalls(calls []HandedCall, unaccepted map[journal.ClaimID]*claim) []HandedCall {
 	var left []HandedCall
 	for _, call := range calls {
-		if _, ok := untaken[call.Claim]; ok {
+		if _, ok := unaccepted[call.Claim]; ok {
 			left = append(left, call)
 		}
 	}
@@ -160,12 +162,12 @@
 	cl.handedOverOutcome <- inProgressOutcome("this gateway is leaving; another one runs the call, ask again by key")
 }
 
-// endUntakenClaim ends the claim of a call that no peer is known to have accepted,
-// and answers its caller. maybeTaken reports that a peer may have accepted the
+// endUnacceptedClaim ends the claim of a call that no peer is known to have accepted,
+// and answers its caller. maybeAccepted reports that a peer may have accepted the
 // call, because its answer was lost; the claim is then released instead of
 // recorded as not run.
-func (c *Coordinator) endUntakenClaim(cl *claim, maybeTaken bool) {
-	if maybeTaken {
+func (c *Coordinator) endUnacceptedClaim(cl *claim, maybeAccepted bool) {
+	if maybeAccepted {
 		c.endHandedOverClaim(cl)
 		return
 	}
@@ -173,7 +175,7 @@
 	cl.handedOverOutcome <- refusal(cl.call, outcome.ReasonLeaving, "this gateway is leaving", retrySoon)
 }
 
-// awaitDispatched waits until all dispatched calls have ended, or ctx has.
+// awaitDispatched waits until all dispatched calls or ctx have ended.
 func (c *Coordinator) awaitDispatched(ctx context.Context) error {
 	for _, cl := range c.dispatchedClaims() {
 		select {
@@ -226,7 +228,7 @@
 
 // AcceptHandOver accepts a hand-over of a leaving peer. It stores the outcomes, starts
 // to run the calls that can be claimed here, and returns the peer's claims of
-// those calls. It does not wait for the calls.
+// those calls. It does not wait for the calls to end.
 func (c *Coordinator) AcceptHandOver(h HandOver) []journal.ClaimID {
 	c.PutOutcomes(h.Outcomes)
 	var accepted []journal.ClaimID
@@ -241,7 +243,7 @@
 // acceptCall starts to run a call that a leaving peer handed over, and reports
 // whether it does. The hand-over proves that the peer never dispatches the call,
 // so this gateway journals the release of the peer's claim before its own claim:
-// the peer may die before it can.
+// the peer may die before it has journaled the release itself.
 func (c *Coordinator) acceptCall(handed HandedCall) bool {
 	call := handed.Call
 	digest := journal.NewDigest(call.Key, call.Method, call.IssuedAt, call.Payload)
--- a/internal/calls/journal/journal.go
+++ b/internal/calls/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal defines the records by which gateways agree on who may
-// dispatch a call that must not be repeated, and their encoding in the platform's
+// Package journal defines the records by which gateways agree on which of them may
+// dispatch a call with an idempotency key, and their encoding in the platform's
 // log.
 //
 // Records are spread over partitions by key. All gateways must use the same
@@ -20,7 +20,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/outcome"
 )
 
-// The limits that all gateways share.
+// The limits that must be the same at all gateways.
 const (
 	// Partitions is the number of partitions, each a stream of the log.
 	Partitions = 2
--- a/internal/calls/partition.go
+++ b/internal/calls/partition.go
@@ -35,7 +35,8 @@
 	fold *fold.Fold
 	// next is the offset of the next record to read.
 	next ident.Offset
-	// ready reports that the reader reached the log's head since fold was new.
+	// ready reports that the reader has reached the log's head since fold was
+	// created.
 	ready bool
 	// readable reports that the last read succeeded.
 	readable bool
@@ -48,7 +49,8 @@
 	// unresolved holds the claims of this gateway whose records have not been
 	// read yet.
 	unresolved map[journal.ClaimID]*claim
-	// active holds the claims of this gateway that wait or are dispatched.
+	// active holds the claims of this gateway that wait for their resolution or
+	// whose calls are dispatched.
 	active map[*claim]struct{}
 	// running counts the dispatched calls of each key.
 	running map[ident.CallKey]int
@@ -190,8 +192,8 @@
 	return p.fold.CompleteFor(issuedAt)
 }
 
-// untilComplete returns how long callers must wait until all records of keys that
-// they then issue will have been read.
+// untilComplete returns how long callers must wait before they issue a key, so
+// that this gateway will have read all records of that key.
 func (p *partition) untilComplete(now time.Time) time.Duration {
 	_, _, since := p.health()
 	return max(0, since.Sub(now))
@@ -209,7 +211,7 @@
 }
 
 // submit queues a claim for the journal, behind the events in before. It returns
-// "", or the reason for which it queued nothing. It refuses a call that was
+// "", or the reason why it queued nothing. It refuses a call that was
 // admitted just before the gateway began to leave: the hand-over would miss the
 // call, and the end of the process would cut it off.
 func (p *partition) submit(cl *claim, before ...journal.Event) outcome.Reason {
@@ -224,12 +226,12 @@
 	if p.writer.enqueueClaim(cl, before...) {
 		return ""
 	}
-	p.forget(cl)
+	p.dropClaim(cl)
 	return outcome.ReasonOverloaded
 }
 
-// forget removes a claim that no longer waits and whose call does not run.
-func (p *partition) forget(cl *claim) {
+// dropClaim removes a claim that no longer waits and whose call does not run.
+func (p *partition) dropClaim(cl *claim) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.unresolved, cl.record.ID)
@@ -246,7 +248,7 @@
 // dispatchEnded removes a claim whose dispatched call has ended, and no longer
 // counts the call as running.
 func (p *partition) dispatchEnded(cl *claim) {
-	p.forget(cl)
+	p.dropClaim(cl)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running[cl.call.Key]--
@@ -273,8 +275,8 @@
 }
 
 // appendMarkIfDue appends a mark when the stream had no new record for MarkEvery,
-// or when all its records have expired, so that no time is known from which on
-// the fold is complete.
+// or when all its records have expired, because then no time is known from which
+// on the fold is complete.
 func (p *partition) appendMarkIfDue() {
 	p.mu.Lock()
 	_, known := p.fold.CompleteSince()
--- a/internal/calls/settle.go
+++ b/internal/calls/settle.go
@@ -11,7 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/upstream"
 )
 
-// Find returns the outcome of the call with a key. It never returns NotRun, because
+// Find returns the outcome of the call with an idempotency key. It never returns
+// NotRun, because
 // the caller may have sent an attempt that no gateway has journaled yet. It is
 // always safe to send the call again with the same key and a higher attempt.
 func (c *Coordinator) Find(ctx context.Context, key ident.CallKey) outcome.Outcome {
@@ -38,7 +39,8 @@
 
 // settleOwner tries to find out the outcome of the claim that owns the key. ok is
 // true when no claim owns the key, so that the caller may claim it; otherwise o
-// is the answer. A digest that is not nil is that of the caller's request.
+// is the answer. digest is that of the caller's request, or nil if the caller has
+// only the key.
 func (c *Coordinator) settleOwner(ctx context.Context, p *partition, key ident.CallKey, digest *journal.Digest) (o outcome.Outcome, ok bool) {
 	view, exists := p.lookup(key)
 	if !exists || view.State != fold.Claimed && view.State != fold.Unknown {
@@ -65,8 +67,8 @@
 	return inProgressOutcome("an attempt without an upstream is being ended")
 }
 
-// settleAtUpstream asks the one upstream to which the owner may have sent the call.
-// Its results are those of settleOwner.
+// settleAtUpstream asks the one upstream to which the owner may have sent the call
+// for the call's state. Its results are those of settleOwner.
 func (c *Coordinator) settleAtUpstream(ctx context.Context, p *partition, key ident.CallKey, view fold.View) (outcome.Outcome, bool) {
 	unknown := outcome.NewUnknown(outcome.ReasonClaimedElsewhere, "an attempt with this key may have run; ask again by key", retryLater)
 	// The method is not part of the key, and its timeout is not needed here.
@@ -103,7 +105,7 @@
 	if p.submit(cl) != "" {
 		return unknown, false
 	}
-	defer p.forget(cl)
+	defer p.dropClaim(cl)
 	r, _, ok := c.awaitResolution(ctx, p, cl)
 	if !ok || !r.won() {
 		return unknown, false
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,32 +21,32 @@
 // The exit statuses of every daemon.
 const (
 	ExitOK = 0
-	// ExitFailed means that the program ran and failed.
+	// ExitFailed means that the daemon ran and failed.
 	ExitFailed = 1
 	// ExitUsage means that the command line or the settings are invalid.
 	ExitUsage = 2
 )
 
-// killGrace is how long a program may run on after the second signal, to log which
-// work it aborts.
+// killGrace is how long a daemon may run on after the second signal, to log which work
+// it aborts.
 const killGrace = 500 * time.Millisecond
 
-// Signals holds the contexts that end when a running program is told to stop. At the
-// first SIGTERM or SIGINT, Stop ends: the program stops gracefully. At the second one,
-// Kill ends: the program returns at once.
+// Signals holds the contexts that end when a running daemon is told to stop. At the
+// first SIGTERM or SIGINT, Stop ends: the daemon stops gracefully. At the second one,
+// Kill ends: the daemon returns at once.
 type Signals struct {
 	Stop context.Context
 	Kill context.Context
 }
 
-// Program is a program that runs until it is told to stop.
+// Program is a daemon: a program that runs until it is told to stop.
 type Program[S any] struct {
 	Name        string
 	Description string
 	// DefaultSettings is the settings file that is used if the command line names
 	// none. If it is empty, the command line must name one.
 	DefaultSettings string
-	// Load reads the settings file. Any finding keeps the daemon from running.
+	// Load reads the settings file. The daemon does not run if there is a finding.
 	Load func(path string) (*S, finding.List)
 	// Run runs until signals.Stop ends, then stops gracefully.
 	Run func(signals Signals, settings *S) error
@@ -76,18 +76,18 @@
 	return info.Main.Version + " " + info.GoVersion
 }
 
-// Main runs the daemon with the process's command line and returns its exit
+// Main runs the program with the process's command line and returns its exit
 // status.
-func (d Program[S]) Main() int { return d.main(os.Args[1:], os.Stdout, os.Stderr) }
+func (p Program[S]) Main() int { return p.main(os.Args[1:], os.Stdout, os.Stderr) }
 
-func (d Program[S]) main(args []string, stdout, stderr io.Writer) int {
-	parsed := arguments{name: d.Name, description: d.Description}
-	parsed.Settings = d.DefaultSettings
-	status, done := parse(&parsed, d.Name, args, stdout, stderr)
+func (p Program[S]) main(args []string, stdout, stderr io.Writer) int {
+	parsed := arguments{name: p.Name, description: p.Description}
+	parsed.Settings = p.DefaultSettings
+	status, done := parse(&parsed, p.Name, args, stdout, stderr)
 	if done {
 		return status
 	}
-	settings, findings := d.Load(parsed.Settings)
+	settings, findings := p.Load(parsed.Settings)
 	if err := findings.Err(); err != nil {
 		fmt.Fprintln(stderr, err)
 		return ExitUsage
@@ -96,8 +96,8 @@
 		fmt.Fprintln(stdout, parsed.Settings+": good")
 		return ExitOK
 	}
-	if err := d.run(settings); err != nil {
-		fmt.Fprintf(stderr, "%s: %v\n", d.Name, err)
+	if err := p.run(settings); err != nil {
+		fmt.Fprintf(stderr, "%s: %v\n", p.Name, err)
 		return ExitFailed
 	}
 	return ExitOK
@@ -129,10 +129,10 @@
 	return ExitUsage, true
 }
 
-func (d Program[S]) run(settings *S) error {
+func (p Program[S]) run(settings *S) error {
 	signals, release := watchSignals()
 	defer release()
-	return d.Run(signals, settings)
+	return p.Run(signals, settings)
 }
 
 // watchSignals returns Signals whose Stop ends at the first signal and Kill at the
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -47,13 +47,13 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			ran := false
-			d := Program[testSettings]{Name: "daemon", Description: "daemon serves tests.", Load: load,
+			p := Program[testSettings]{Name: "daemon", Description: "daemon serves tests.", Load: load,
 				Run: func(_ Signals, s *testSettings) error {
 					ran = s.path == "good.toml"
 					return c.fails
 				}}
 			var stdout, stderr bytes.Buffer
-			if got := d.main(c.args, &stdout, &stderr); got != c.status {
+			if got := p.main(c.args, &stdout, &stderr); got != c.status {
 				t.Errorf("exit status %d, want %d", got, c.status)
 			}
 			if ran != c.runs {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -21,11 +21,11 @@
 // Attempt is one upstream that was tried, with the decision behind it.
 type Attempt struct {
 	Upstream ident.Instance `json:"upstream"`
-	// Cause is "first", or why the attempt before did not answer the request.
+	// Cause is "first", or why the previous attempt did not answer the request.
 	Cause   string           `json:"cause"`
 	Reasons []routing.Reason `json:"reasons,omitempty"`
-	// PredictedFirstToken and FirstToken are times to the first token, or to the answer of a
-	// plain service. FirstToken is 0 if none came.
+	// PredictedFirstToken and FirstToken are times to the first token, or to the answer
+	// of a plain service. FirstToken is 0 if there was no token or answer.
 	PredictedFirstToken time.Duration `json:"predicted_first_token_ns"`
 	FirstToken          time.Duration `json:"first_token_ns,omitempty"`
 	Error               string        `json:"error,omitempty"`
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -64,8 +64,8 @@
 	return server.ServeTLS(listener, "", "")
 }
 
-// recoverPanic logs the panic of a handler and returns an error that does not tell the
-// caller whether the request ran. A panic's value may contain what a caller sent, so
+// recoverPanic logs the panic of a handler and returns an error that does not say
+// whether the request ran. A panic's value may contain what a caller sent, so
 // only the text of a runtime error is logged, and otherwise the type.
 func (h *handler) recoverPanic(ctx context.Context, spec connect.Spec, _ http.Header, value any) error {
 	description := fmt.Sprintf("%T", value)
@@ -82,8 +82,8 @@
 	h.log.Info("request refused", "procedure", r.URL.Path, "code", connect.CodeUnauthenticated.String())
 }
 
-// logUnhandledRefusals logs the requests that Connect refuses before the handler runs
-// because their body is too large or cannot be decoded.
+// logUnhandledRefusals logs the requests that Connect refuses before the handler runs,
+// because their bodies are too large or cannot be decoded.
 func (h *handler) logUnhandledRefusals(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		note := &refusalNote{}
--- a/internal/gateway/check.go
+++ b/internal/gateway/check.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// maxServiceNameBytes bounds what a request can bring into logs and traces as the name
-// of a service that no document describes.
+// maxServiceNameBytes bounds the name of a service in logs and traces: a request can
+// name a service that no document describes.
 const maxServiceNameBytes = 256
 
 // checkResume checks the fields of a request to resume a token stream. It does not look
--- a/internal/gateway/documents.go
+++ b/internal/gateway/documents.go
@@ -16,9 +16,9 @@
 	return configuration.Peer{ID: id, Address: address, Revision: revision}, ok
 }
 
-// ownRevision gives the membership controller the revision of this process. The
-// membership and the configuration controller need each other, so controller is set
-// after both were created.
+// ownRevision gives the membership controller the configuration revision of this
+// process. The membership and the configuration controller need each other, so the
+// field controller is set after both were created.
 type ownRevision struct{ controller *configuration.Controller }
 
 // Revision implements membership.Configuration.
--- a/internal/gateway/engines.go
+++ b/internal/gateway/engines.go
@@ -17,7 +17,7 @@
 )
 
 // noUpstreamRetryAfter is the retry-after time of a request that no upstream could
-// take: the membership learns of a new upstream within seconds.
+// serve. The membership learns of a new upstream within seconds.
 const noUpstreamRetryAfter = 2 * time.Second
 
 // leavingNotes records that an upstream refused a request because it is leaving.
@@ -72,13 +72,13 @@
 func (e *enginePicker) Pick(ctx context.Context, req streaming.PickRequest) (streaming.Target, error) {
 	_, span, end := startSpan(ctx, e.tracer, "routing")
 	defer end()
-	ask := req.Request.Params
-	doc, ok := e.documents.Value().Find(ask.Service)
+	params := req.Request.Params
+	doc, ok := e.documents.Value().Find(params.Service)
 	if !ok {
 		return streaming.Target{}, noUpstreamRefusal("the service is no longer offered")
 	}
-	class, _ := doc.FindClass(ask.Class)
-	route := streamRoutingRequest(doc, class, req.Request.Key.Account, ask.Prompt, ask.MaxTokens, req.Answer)
+	class, _ := doc.FindClass(params.Class)
+	route := streamRoutingRequest(doc, class, req.Request.Key.Account, params.Prompt, params.MaxTokens, req.Answer)
 	route.Exclude = req.Exclude
 	e.recordServedPrompt(doc.Service, req.LastInstance, route.Blocks)
 	decision := e.router.decide(doc, route)
@@ -161,10 +161,10 @@
 // targetLatencyRatio returns an attempt's latency divided by the target of its class,
 // either for the first token or between tokens, whichever ratio is higher.
 //
-// The ratio is to the target and not to an idle engine, because the first token comes
-// several times later in a full batch than on an idle engine and is still in time. A
-// concurrency limit that compared with the idle engine would keep engines half empty
-// and refuse callers that could have been served.
+// The latency is divided by the target and not by the latency of an idle engine,
+// because in a full batch the first token comes several times later than on an idle
+// engine and is still in time. A concurrency limit based on the idle engine's latency
+// would keep engines half empty and refuse callers that could have been served.
 func targetLatencyRatio(class document.Class, active *activeAttempt, r streaming.Result, now time.Time) float64 {
 	ratio := 0.0
 	if class.FirstToken > 0 && r.FirstToken > 0 {
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -124,7 +124,7 @@
 
 // refusedCall returns the outcome of a call that admission refused. An earlier attempt
 // with the same key may have run, so the outcome says that the call did not run only
-// for a first attempt or a call without a key.
+// for a first attempt or a call without an idempotency key.
 func refusedCall(refusal outcome.Outcome, keyed bool, attempt uint32) outcome.Outcome {
 	if !keyed || attempt == 1 {
 		return refusal
@@ -244,8 +244,8 @@
 // admitStream admits a token stream of which the caller has no tokens yet.
 func (h *handler) admitStream(ctx context.Context, stream checkedStream) (*admission.Ticket, *outcome.Outcome) {
 	key := stream.request.Key
-	ask := stream.request.Params
-	route := streamRoutingRequest(stream.doc, stream.class, key.Account, ask.Prompt, ask.MaxTokens, nil)
+	params := stream.request.Params
+	route := streamRoutingRequest(stream.doc, stream.class, key.Account, params.Prompt, params.MaxTokens, nil)
 	predicted := h.router.decide(stream.doc, route)
 	u, _ := h.router.find(stream.doc.Service, predicted.Upstream)
 	return h.admit(ctx, admission.Request{
--- a/internal/gateway/handler_test.go
+++ b/internal/gateway/handler_test.go
@@ -262,8 +262,8 @@
 			if got := env.mustCall(t, env.client, bidRequest("done", 1, "x")); got.kind != completed {
 				t.Fatalf("the first request got %+v, want completed", got)
 			}
-			// A burst reserves one place for a caller that was given a retry-after
-			// time.
+			// One request of a burst is reserved for a caller that was given a
+			// retry-after time.
 			if got := env.mustCall(t, env.client, bidRequest("returned", 2, "x")); got.kind != completed {
 				t.Fatalf("the returning request got %+v, want completed", got)
 			}
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -205,10 +205,10 @@
 	}
 }
 
-// The deadlines for slow callers must not end other requests: one whose answer begins
-// after a minute, and later ones on the same connection after a pause, of which one
-// waits for the server's "100 Continue" and one has no body. They would be cut off by a
-// deadline that stays set after the read or write that it was for.
+// The deadlines for slow callers must not end other requests: a request whose answer
+// begins after a minute, and later requests on the same connection after a pause, one of
+// which waits for the server's "100 Continue" and one has no body. A deadline that stays
+// set after the read or write that it was for would cut these requests off.
 func TestLongRequestsAreNotTakenForSlowCallers(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -14,8 +14,8 @@
 	incarnation ident.Incarnation
 }
 
-// noticeBoard tells streams that their upstream is to be reclaimed. Notices are rare
-// and an attempt has a single watch, so one lock is enough.
+// noticeBoard passes reclaim notices on to the streams that use the instance. Notices
+// are rare and each attempt has only one watch, so one lock for all is enough.
 type noticeBoard struct {
 	mu       sync.Mutex
 	endTimes map[instanceIncarnation]time.Time
@@ -45,8 +45,8 @@
 	}
 }
 
-// sendNotice puts a notice into a channel unless it holds one already: its stream reads
-// only one.
+// sendNotice sends a notice to a watch, unless the watch already holds one: a stream
+// reads only one notice.
 func sendNotice(watch chan streaming.Notice, end time.Time) {
 	select {
 	case watch <- streaming.Notice{Deadline: end}:
--- a/internal/gateway/peering/peers.go
+++ b/internal/gateway/peering/peers.go
@@ -118,9 +118,9 @@
 	return answer, nil
 }
 
-// HandOver implements calls.Peer. A peer that refuses has accepted nothing, and the
-// error then matches calls.ErrNotHanded. After any other error the peer may have
-// accepted the calls.
+// HandOver implements calls.Peer. If the peer refuses, the error matches
+// calls.ErrNotHanded and the peer has accepted nothing. After any other error the peer
+// may have accepted the calls.
 func (r *remote) HandOver(ctx context.Context, h calls.HandOver) ([]journal.ClaimID, error) {
 	req := &peerv1.HandOverRequest{From: string(r.peers.Self)}
 	known := map[string]journal.ClaimID{}
@@ -181,7 +181,7 @@
 	Streams interface {
 		Accept(streams []streaming.HandedStream) []streaming.Key
 	}
-	// Stopping is whether this gateway is leaving; it then accepts no hand-over.
+	// Stopping is true when this gateway is leaving; it then accepts no hand-over.
 	Stopping *blackboard.Section[bool]
 }
 
--- a/internal/gateway/plains.go
+++ b/internal/gateway/plains.go
@@ -28,9 +28,9 @@
 	Plain(address string) upstream.Plain
 }
 
-// plainDispatcher sends calls to plain services. For calls with a key it implements
-// calls.Dispatcher, and package calls decides when to send. It retries idempotent calls
-// itself, within a retry budget.
+// plainDispatcher sends calls to plain services. For calls with an idempotency key it
+// implements calls.Dispatcher, and package calls decides when to send. It retries
+// idempotent calls itself, within a retry budget.
 type plainDispatcher struct {
 	documents *blackboard.Section[*document.Set]
 	router    *upstreamRouter
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -40,8 +40,8 @@
 // operators who ask about a request.
 const maxExplainEvents = 4096
 
-// listeningEvent is the JSON line on stdout that tells whoever started the process
-// which ports the kernel chose.
+// listeningEvent is the JSON line on stdout by which the program that started this
+// process learns which ports the kernel chose.
 type listeningEvent struct {
 	Event     string         `json:"event"`
 	Instance  ident.Instance `json:"instance"`
@@ -72,7 +72,8 @@
 	peers     *peering.Peers
 	handler   *handler
 	ready     *readiness
-	// reclaimed receives the time left until this instance is reclaimed.
+	// reclaimed receives the time within which the process has to leave, because its
+	// instance is to be reclaimed or is reported as leaving.
 	reclaimed chan time.Duration
 	// certificate is presented to callers; nil serves plaintext.
 	certificate *certificate.Reloader
@@ -306,7 +307,7 @@
 	return c
 }
 
-// requestLeave tells the process to leave within the given time. All requests after the
+// requestLeave tells the process to leave within the given time. All calls after the
 // first are ignored.
 func (p *Process) requestLeave(left time.Duration) {
 	select {
--- a/internal/gateway/results.go
+++ b/internal/gateway/results.go
@@ -26,11 +26,11 @@
 	return added.(*retry.Budget)
 }
 
-// Take implements streaming.Budget. It charges nothing for a first attempt, nor for one
-// that continues a stream after a reclaim notice, after a cut connection or at another
-// gateway: that stream was accepted and must finish, and a reclaim ends each attempt at
-// most once. Only repeats at engines that fail could grow into a retry storm, so only
-// these are charged.
+// Take implements streaming.Budget. It charges nothing for a first attempt, nor for an
+// attempt that continues a stream after a reclaim notice, after its caller's connection
+// broke or at another gateway: that stream was accepted and must finish, and a reclaim
+// ends each attempt at most once. Only retries after failures of engines could grow into
+// a retry storm, so only these are charged.
 func (b *retryBudgets) Take(req streaming.Request, cause streaming.Cause) bool {
 	switch cause {
 	case streaming.CauseFirst, streaming.CauseNotice, streaming.CauseMoved, streaming.CauseResumed:
@@ -66,8 +66,8 @@
 	r.admission.RecordAttemptEnd(service, observed, unloaded)
 }
 
-// targetUnloadedLatency is the unloaded latency reported for an attempt whose latency
-// is known as a ratio to its target. The target is taken as one second; with this value
-// an attempt exactly at its target neither raises nor lowers the upstream's concurrency
-// limit.
+// targetUnloadedLatency is the unloaded latency that is reported for an attempt whose
+// latency is known as a ratio to its target. The target is reported as one second. With
+// this value, an attempt exactly at its target neither raises nor lowers the upstream's
+// concurrency limit.
 const targetUnloadedLatency = time.Second / concurrency.DefaultTolerance
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -19,8 +19,8 @@
 	// shutdownReserve is the part of the stop time that is kept for answering callers,
 	// closing listeners and flushing traces.
 	shutdownReserve = 500 * time.Millisecond
-	// reclaimMargin is the time by which the process leaves before an announced
-	// reclaim.
+	// reclaimMargin is how long before an announced reclaim the process has to have
+	// stopped.
 	reclaimMargin = time.Second
 )
 
@@ -55,10 +55,10 @@
 
 // servers are the servers behind the three listeners.
 type servers struct {
-	callers    *http.Server
-	operations *operatorserver.Server
-	peers      *peer.Server
-	stopPeers  context.CancelFunc
+	callers   *http.Server
+	operators *operatorserver.Server
+	peers     *peer.Server
+	stopPeers context.CancelFunc
 }
 
 func (p *Process) servers() (*servers, error) {
@@ -73,7 +73,7 @@
 	return &servers{
 		callers: newCallersServer(p.handler, p.settings.Limits),
 		peers:   peers,
-		operations: operatorserver.New(operatorserver.Config{
+		operators: operatorserver.New(operatorserver.Config{
 			Listener: p.listeners.operators,
 			Ready:    func() (bool, string) { return p.ready.check(time.Now()) },
 			Pprof:    p.settings.Listen.PProf,
@@ -108,7 +108,7 @@
 	peersCtx, s.stopPeers = context.WithCancel(ctx)
 	run("callers", func() error { return p.serveCallers(s.callers) })
 	run("peers", func() error { return s.peers.Serve(peersCtx, p.listeners.peers, shutdownReserve) })
-	run("operators", s.operations.Serve)
+	run("operators", s.operators.Serve)
 	return &running
 }
 
@@ -178,5 +178,5 @@
 	_ = s.callers.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownReserve)
 	defer cancel()
-	_ = s.operations.Shutdown(ctx)
+	_ = s.operators.Shutdown(ctx)
 }
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -57,7 +57,7 @@
 // sendOutcome sends the outcome, which is the last event.
 func (s *sink) sendOutcome(o outcome.Outcome) error { return s.outcome(toWire(o)) }
 
-// firstTokenSink calls onFirstToken before it passes the first tokens on.
+// firstTokenSink is a sink that calls onFirstToken before it passes the first tokens on.
 type firstTokenSink struct {
 	streaming.Sink
 	onFirstToken func()
--- a/internal/gateway/slow.go
+++ b/internal/gateway/timeouts.go
@@ -10,7 +10,7 @@
 	//
 	// Without it, writes to a connection that went silent for good would fill the
 	// kernel's buffer and then block while the kernel retransmits, for a quarter of an
-	// hour. All that time the request would hold its memory and its slot.
+	// hour. All that time, the request would hold its memory and its slot.
 	callerWriteTimeout = 10 * time.Second
 	// callerReadTimeout is how long a caller may take to send a request's body.
 	//
@@ -30,8 +30,8 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		control := http.NewResponseController(w)
 		// A request without a body gets no read deadline. The server goes on reading
-		// its connection in order to notice when it closes, and the deadline would end
-		// the request.
+		// the request's connection to notice when the caller closes it, and the
+		// deadline would end the request.
 		if r.Body != http.NoBody {
 			_ = control.SetReadDeadline(time.Now().Add(timeouts.read))
 		}
--- a/internal/gateway/wire.go
+++ b/internal/gateway/wire.go
@@ -26,8 +26,8 @@
 	return w
 }
 
-// wireError returns an error as callers get it. It keeps back the text of an error
-// without a code, which may name addresses.
+// wireError returns an error as callers get it. An error without a code becomes an
+// internal error without its text, which may name addresses.
 func wireError(err error) error {
 	code := errcode.Of(err)
 	if code == errcode.Unknown {
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -44,7 +44,7 @@
 	Service       ident.Service       `json:"service,omitempty"`
 	FailureDomain ident.FailureDomain `json:"failure_domain"`
 	State         string              `json:"state"`
-	// Since is when the gateway learnt of the state.
+	// Since is when the gateway learned of the state.
 	Since time.Time `json:"since"`
 }
 
--- a/internal/operatorserver/operatorserver.go
+++ b/internal/operatorserver/operatorserver.go
@@ -24,7 +24,7 @@
 )
 
 // The timeouts of an operator's connection. Without them a client that never finishes
-// its header, or sends no further request, would keep a connection open for ever.
+// its header, or sends no further request, would keep a connection open forever.
 // Writing has no timeout, because a client chooses how long a profile takes.
 const (
 	headerTimeout = 5 * time.Second
@@ -121,7 +121,7 @@
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	// Writing fails if the client is gone; then nobody can be told of it.
+	// The error is ignored: it means that the client's connection is gone.
 	_, _ = io.WriteString(w, text+"\n")
 }
 
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// Kind tells how a request ended, or that it is still in progress.
+// Kind says how a request ended, or that it is still in progress.
 type Kind int
 
 // The kinds. Their numbers are those of OutcomeKind in the callers' API.
--- a/internal/streaming/assembler.go
+++ b/internal/streaming/assembler.go
@@ -64,7 +64,7 @@
 	return a.attempt
 }
 
-// Answer returns the tokens so far. Later frames never change the returned
+// Answer returns the tokens so far. Later frames do not change the returned
 // slice.
 func (a *Assembler) Answer() []string { return slices.Clip(a.answer) }
 
--- a/internal/streaming/attempt.go
+++ b/internal/streaming/attempt.go
@@ -100,8 +100,8 @@
 	limit := a.run.runner.config.SilenceLimit
 	silence := time.NewTimer(limit)
 	defer silence.Stop()
-	// lost is how the stream ended if it did while its KV cache is still being
-	// moved.
+	// lost is how the stream ended, if it ended while its KV cache was still
+	// being moved.
 	var lost attemptEnd
 	for {
 		select {
@@ -116,7 +116,7 @@
 			if !notices.moving || end.nextCause != CauseLost {
 				return end
 			}
-			// The upstream ended while its cache was being moved.
+			// The stream was lost while its cache was being moved.
 			// Wait for the end of the move: the cache may have been
 			// exported in time.
 			lost, frames = end, nil
--- a/internal/streaming/entry.go
+++ b/internal/streaming/entry.go
@@ -17,8 +17,8 @@
 	answer *answer
 	cancel context.CancelCauseFunc
 	// done is closed when the run has ended. The fields resumable, final and
-	// finalWithheld are written before that and never after, so that they may
-	// be read without the lock once done is closed.
+	// finalWithheld are written only before that, so that they may be read
+	// without the lock once done is closed.
 	done chan struct{}
 	// resumable is the request with everything that the run achieved, ready to
 	// be resumed.
@@ -56,9 +56,9 @@
 	return len(delivered) <= len(tokens) && slices.Equal(delivered, tokens[:len(delivered)])
 }
 
-// serve runs the entry's request to its end. If the entry replaced another one,
-// it first waits for that one's run to end: two runs of one request at the same
-// time would cost engines twice and share attempt numbers.
+// serve runs the entry's request to its end. If replaced is not nil, it first
+// waits for the run of the replaced entry to end: two runs of one request at the
+// same time would cost engines twice and share attempt numbers.
 func (e *entry) serve(ctx context.Context, runner *Runner, replaced *entry) {
 	req := e.req
 	if replaced != nil {
--- a/internal/streaming/handover.go
+++ b/internal/streaming/handover.go
@@ -26,8 +26,8 @@
 
 // Peer is another gateway, in another failure domain.
 type Peer interface {
-	// HandOver offers streams to the peer and returns the keys of those that it
-	// has taken over. The others stay at the sender.
+	// HandOver offers streams to the peer and returns the keys of those that the
+	// peer has accepted. The others stay at the sender.
 	HandOver(ctx context.Context, streams []HandedStream) ([]Key, error)
 }
 
@@ -35,12 +35,12 @@
 type LeaveReport struct {
 	// HandedOver streams continue at a peer.
 	HandedOver int
-	// NotHandedOver streams were taken over by no peer. Their callers resume with the
-	// tokens that they have.
+	// NotHandedOver streams were accepted by no peer. Their callers resume with
+	// the tokens that they have.
 	NotHandedOver int
 }
 
-// The bounds of one hand-over message; bytes as Handed.size estimates them.
+// The bounds of one hand-over message; bytes as HandedStream.size estimates them.
 const (
 	maxBatchStreams = 64
 	maxBatchBytes   = 1 << 20
@@ -48,7 +48,7 @@
 
 // Leave shuts the registry down: it refuses new streams, lets those in progress
 // end within grace, which may be 0, and hands the rest over to the first peers
-// that take them. Callers are then told that they may resume elsewhere at once.
+// that accept them. Callers are then told that they may resume elsewhere at once.
 // Leave returns when no caller follows a stream any more, or when ctx ends.
 func (g *Registry) Leave(ctx context.Context, grace time.Duration, peers []Peer) LeaveReport {
 	g.startLeaving()
@@ -61,9 +61,9 @@
 	return report
 }
 
-// Accept takes streams over from a leaving peer and returns their keys. They go
-// on without a caller for Config.Linger, like a stream whose caller has
-// disconnected.
+// Accept accepts streams from a leaving peer and returns the keys of those that
+// go on here. Without a caller they run for Config.Linger, like a stream whose
+// caller has disconnected.
 func (g *Registry) Accept(streams []HandedStream) []Key {
 	var accepted []Key
 	for _, s := range streams {
@@ -74,7 +74,7 @@
 	return accepted
 }
 
-// accept takes one stream over. It reports whether the stream goes on here.
+// accept accepts one stream. It reports whether the stream goes on here.
 func (g *Registry) accept(s HandedStream) bool {
 	req := s.request()
 	if req.validate(g.config.MaxTokens) != nil {
@@ -86,7 +86,8 @@
 	if g.refusalOf(e, req.Params) != nil {
 		return false
 	}
-	// The caller resumed here before the hand-over arrived. Its stream goes on.
+	// The caller resumed here before the hand-over arrived. The resumed stream
+	// goes on.
 	if e != nil && e.mayComplete() {
 		return true
 	}
@@ -234,8 +235,8 @@
 }
 
 // offer offers the waiting streams to one of several peers and removes those
-// that it takes over. Each peer gets an equal part of HandOverTimeout, so that
-// one that does not answer leaves time for the others.
+// that the peer accepts. Each peer gets an equal part of HandOverTimeout, so that
+// a peer that does not answer leaves time for the others.
 func (g *Registry) offer(ctx context.Context, peer Peer, peers int, waiting map[Key]HandedStream) {
 	ctx, cancel := context.WithTimeout(ctx, g.config.HandOverTimeout/time.Duration(peers))
 	defer cancel()
--- a/internal/streaming/leave.go
+++ b/internal/streaming/leave.go
@@ -9,8 +9,8 @@
 // reclaim.
 type leavePlan int
 
-// The plans. With each of them, the stream leaves the upstream when its time is
-// up.
+// The plans. With each of them, the stream leaves the upstream at the latest
+// Config.LeaveMargin before the deadline of the notice.
 const (
 	// planFinish: the answer will be complete in time.
 	planFinish leavePlan = iota
--- a/internal/streaming/machine_test.go
+++ b/internal/streaming/machine_test.go
@@ -226,11 +226,11 @@
 	cl.gateways[i] = NewRegistry(cl.config, cl.runner)
 }
 
-// fakePeer takes streams over for a gateway, or fails to.
+// fakePeer hands streams over to a gateway, or fails to.
 type fakePeer struct {
 	to *Registry
-	// loseAnswer: the streams are taken over, but the sender does not receive
-	// the answer.
+	// loseAnswer: the gateway accepts the streams, but the sender does not
+	// receive the answer.
 	loseAnswer bool
 	// frozen: the peer does not answer.
 	frozen bool
--- a/internal/streaming/move.go
+++ b/internal/streaming/move.go
@@ -15,11 +15,11 @@
 	imported int
 }
 
-// release returns a target that no attempt will use to the picker. It does
-// nothing if m is nil.
-func (m *preparedTarget) release() {
-	if m != nil {
-		m.target.release(Result{Unused: true})
+// release tells the picker that no attempt will use the target. It does nothing
+// if p is nil.
+func (p *preparedTarget) release() {
+	if p != nil {
+		p.target.release(Result{Unused: true})
 	}
 }
 
@@ -30,9 +30,10 @@
 	err error
 }
 
-// attemptEnd returns how the attempt ends after the move: for the new target,
-// or as given by lost if there is none. lost is how the stream ended during the
-// move. A result without a next cause means that the attempt goes on.
+// attemptEnd returns how the attempt ends after the move: with the new target
+// for the next attempt, or as lost says if no target could be picked. lost is how
+// the stream ended during the move. An attemptEnd without a next cause means that
+// the attempt goes on.
 func (m moveResult) attemptEnd(lost attemptEnd) attemptEnd {
 	if m.err != nil {
 		return lost
@@ -69,8 +70,8 @@
 	}
 }
 
-// run moves the cache and sends the result on done. If ctx ends first, nobody
-// receives it any more and the new target is released.
+// run moves the cache and sends the result on done. If ctx ends first, the
+// attempt no longer receives the result and run releases the new target.
 func (m move) run(ctx context.Context, done chan<- moveResult) {
 	result := m.pickAndTransfer(ctx)
 	select {
--- a/internal/streaming/observer.go
+++ b/internal/streaming/observer.go
@@ -38,9 +38,9 @@
 	AttemptEnded(AttemptReport)
 }
 
-// The metrics of all token streams of this process. The maps are keyed by
-// Cause, that of faults by Fault. streamsVar is the number of streams that are
-// kept now.
+// The metrics of all token streams of this process. faultsVar is keyed by Fault,
+// the other maps by Cause. streamsVar is the number of streams that the process
+// keeps now; leftVar counts the streams that no peer accepted.
 var (
 	attemptsVar   = expvar.NewMap("goldcrestspool.streaming.attempts")
 	recomputedVar = expvar.NewMap("goldcrestspool.streaming.tokens_recomputed")
--- a/internal/streaming/pick.go
+++ b/internal/streaming/pick.go
@@ -15,8 +15,9 @@
 	failed []ident.Instance
 	// leaving instances refused because they are leaving, or gave notice.
 	leaving []ident.Instance
-	// silent instances stopped sending on a connection once. Only the second
-	// time is taken as a fault of the instance itself.
+	// silent instances stopped sending on a connection once. An instance that
+	// does so a second time is taken to be faulty itself and becomes a failed
+	// one.
 	silent []ident.Instance
 }
 
--- a/internal/streaming/receive.go
+++ b/internal/streaming/receive.go
@@ -15,7 +15,7 @@
 // receive opens a stream and returns a channel of its frames; the last value is
 // an error. The channel belongs to this attempt alone, so that no frame of an
 // abandoned attempt reaches a later one. The goroutine ends when ctx does; if
-// the connection ignores ctx, the goroutine stays, but nothing waits for it.
+// the connection ignores ctx, the goroutine goes on, but nothing waits for it.
 func receive(ctx context.Context, engine upstream.Engine, req upstream.GenerateRequest) <-chan frameOrError {
 	frames := make(chan frameOrError)
 	go func() {
--- a/internal/streaming/registry.go
+++ b/internal/streaming/registry.go
@@ -42,13 +42,13 @@
 	// Original is the request as it was first sent, without Delivered; nil if
 	// the caller left it out.
 	Original *Request
-	// Delivered are the first Next tokens, which the caller has; nil if the
+	// Delivered are the first NextIndex tokens, which the caller has; nil if the
 	// caller left them out.
 	Delivered []string
 }
 
 // Generate serves a request from its first token on. A second Generate with the
-// same key and the same Ask follows the same answer.
+// same key and the same Params follows the same answer.
 //
 // It returns an InvalidArgument error for an invalid request; every other
 // failure is an outcome.
@@ -210,10 +210,10 @@
 // refusalOf returns the outcome of a request that cannot be served here, or
 // nil. e is the entry with the request's key, or nil. It may evict an idle
 // stream to make room for a new one.
-func (g *Registry) refusalOf(e *entry, ask Params) *outcome.Outcome {
+func (g *Registry) refusalOf(e *entry, params Params) *outcome.Outcome {
 	var refused outcome.Outcome
 	switch {
-	case e != nil && e.req.Params != ask:
+	case e != nil && e.req.Params != params:
 		refused = outcome.NewNotRun(outcome.ReasonKeyReused, "the request ID belongs to a different request", 0)
 	case g.leaving && e != nil:
 		refused = leavingOutcome()
--- a/internal/streaming/registry_test.go
+++ b/internal/streaming/registry_test.go
@@ -38,8 +38,8 @@
 // countedBudget allows no attempt and counts how often it was asked.
 type countedBudget struct{ asked int }
 
-func (gw *countedBudget) Take(Request, Cause) bool {
-	gw.asked++
+func (b *countedBudget) Take(Request, Cause) bool {
+	b.asked++
 	return false
 }
 
--- a/internal/streaming/request.go
+++ b/internal/streaming/request.go
@@ -26,8 +26,8 @@
 // the same engine would otherwise share one exported KV cache.
 func (k Key) engineID() ident.Request { return ident.Request(k.String()) }
 
-// Params holds the parameters of a request that determine its answer. Two requests
-// with the same Key and a different Ask are different requests.
+// Params holds the parameters of a request that determine its answer. Two
+// requests with the same Key and different Params are different requests.
 type Params struct {
 	Service ident.Service
 	Class   ident.Class
@@ -50,8 +50,8 @@
 	// LastAttempt is the number of the last attempt that was opened, here or at
 	// another gateway; 0 if there was none.
 	LastAttempt uint32
-	// LastInstance is the instance of that attempt, which may have the prefix in its
-	// cache; empty if unknown.
+	// LastInstance is the instance of that attempt, which may have the prefix in
+	// its cache; empty if unknown.
 	LastInstance ident.Instance
 }
 
--- a/internal/streaming/target.go
+++ b/internal/streaming/target.go
@@ -38,11 +38,11 @@
 	Request Request
 	// Cause of the attempt that is to be opened.
 	Cause Cause
-	// Answer holds the tokens so far. The next attempt's prompt is Ask.Prompt
-	// followed by them.
+	// Answer holds the tokens so far. The next attempt's prompt is Params.Prompt
+	// of the request followed by them.
 	Answer []string
-	// LastInstance is the instance of the last attempt, which may have the prefix in
-	// its cache; empty if there was none.
+	// LastInstance is the instance of the last attempt, which may have the
+	// prefix in its cache; empty if there was none.
 	LastInstance ident.Instance
 	// Exclude lists the instances that must not be chosen.
 	Exclude []ident.Instance
@@ -52,8 +52,8 @@
 // target. It may wait for capacity until ctx ends.
 type Picker interface {
 	// Pick returns the target of an attempt. It returns a *Refusal if the
-	// request is refused; the caller is told that no upstream is available for
-	// any other error.
+	// request is refused. For any other error, the caller is told that no
+	// upstream is available.
 	Pick(ctx context.Context, req PickRequest) (Target, error)
 }
 
--- a/internal/telemetry/asyncwriter.go
+++ b/internal/telemetry/asyncwriter.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// maxPendingBytes bounds the buffered log lines. During overload, the lines about refused
-// requests are some 200 KiB a second.
+// maxPendingBytes bounds the buffered log lines. During overload, the lines about
+// refused requests amount to some 200 KiB a second.
 const maxPendingBytes = 512 << 10
 
 // AsyncWriter is an io.Writer for log lines that never blocks. It buffers up to
--- a/internal/transport/attempt.go
+++ b/internal/transport/attempt.go
@@ -87,8 +87,8 @@
 func (a *Attempt) NotSent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, t := range a.conns {
-		if t.conn == nil || !t.conn.seal(t.writesBefore) {
+	for _, used := range a.conns {
+		if used.conn == nil || !used.conn.seal(used.writesBefore) {
 			return false
 		}
 	}
@@ -111,6 +111,6 @@
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
-	counted, _ := c.(*trackedConn)
-	return counted
+	tracked, _ := c.(*trackedConn)
+	return tracked
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -32,9 +32,9 @@
 // Options configures how a client connects.
 type Options struct {
 	// FreshConnections dials a new connection for each request. An open connection
-	// can go silent for ever while new ones work; of a request that is lost in it,
-	// nobody knows whether it ran. If a new connection cannot be dialled, the request
-	// is certain not to have been sent, which matters if it must not be repeated.
+	// can go silent forever while new ones work, and whether a request that was lost
+	// on it ran is unknown. If a new connection cannot be dialed, the request is
+	// certain not to have been sent, which matters if it must not be repeated.
 	FreshConnections bool
 	// HTTP2 uses HTTP/2 without TLS. Attempt.NotSent then hardly ever returns true.
 	HTTP2 bool
@@ -56,8 +56,8 @@
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dialer.DialContext(ctx, network, address)
 		if err != nil || options.HTTP2 {
-			// Requests share an HTTP/2 connection, so that its writes tell
-			// nothing about a single request.
+			// Requests share an HTTP/2 connection, so its writes prove nothing
+			// about a single request.
 			return c, err
 		}
 		return &trackedConn{Conn: c}, nil
@@ -79,8 +79,9 @@
 	}
 }
 
-// maxCachedSessions is for how many servers a client keeps the TLS session. A connection
-// that resumes a session need not verify the signatures of the server's certificate again.
+// maxCachedSessions is the number of servers whose TLS sessions a client caches. A
+// connection that resumes a session need not verify the signatures of the server's
+// certificate again.
 const maxCachedSessions = 256
 
 // clientTLS returns a copy of config that requires TLS 1.3 and resumes sessions.
@@ -112,19 +113,19 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *noRetryTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t *noRetryTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	once := req.Clone(req.Context())
 	once.GetBody = nil
 	if once.Body == nil || once.Body == http.NoBody {
 		once.Body = emptyBody{}
 	}
 	propagation.TraceContext{}.Inject(once.Context(), propagation.HeaderCarrier(once.Header))
-	return s.next.RoundTrip(once)
+	return t.next.RoundTrip(once)
 }
 
 // CloseIdleConnections is called by http.Client.CloseIdleConnections.
-func (s *noRetryTransport) CloseIdleConnections() {
-	if closer, ok := s.next.(interface{ CloseIdleConnections() }); ok {
+func (t *noRetryTransport) CloseIdleConnections() {
+	if closer, ok := t.next.(interface{ CloseIdleConnections() }); ok {
 		closer.CloseIdleConnections()
 	}
 }
