--- a/internal/calls/cases_test.go
+++ b/internal/calls/cases_test.go
@@ -85,10 +85,9 @@
 
 // TestSecondCopyOfAnEndedClaim guards against a key whose call never ran and whose
 // outcome stays unknown forever. The answer to an append is lost and its record
-// gets into the log late.
-// The claim is appended again and wins, and the upstreams refuse the call. Then
-// the first copy of the record gets into the log. A second copy of a claim that
-// has ended must not own the key again.
+// gets into the log late. The claim is appended again and wins, and the upstreams
+// refuse the call. Then the first copy of the record gets into the log. A second
+// copy of a claim that has ended must not own the key again.
 func TestSecondCopyOfAnEndedClaim(t *testing.T) {
 	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.setLeaving(true)
--- a/internal/calls/world_test.go
+++ b/internal/calls/world_test.go
@@ -48,10 +48,10 @@
 	// call arrives after its sender was told that the connection was lost.
 	arrivalDelays []time.Duration
 	// possiblyRun counts, by key, the calls that an upstream may have run as far
-	// as their senders can tell.
+	// as their senders know.
 	possiblyRun map[ident.CallKey]int
-	// upstreamReplaced reports that a new incarnation of an upstream has started
-	// and knows nothing of the former one's calls.
+	// upstreamReplaced reports that a new incarnation of an upstream has started,
+	// which does not know the calls of the former one.
 	upstreamReplaced bool
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// Checks that the first signal ends only Stop, and the second one Kill.
+// TestSignals checks that the first signal ends only Stop, and the second one Kill.
 func TestSignals(t *testing.T) {
 	for _, kind := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		signals, release := watchSignals()
--- a/internal/gateway/overhead_test.go
+++ b/internal/gateway/overhead_test.go
@@ -34,7 +34,7 @@
 	// tokenInterval and streamTokens describe the streams of the benchmark.
 	tokenInterval = 40 * time.Millisecond
 	streamTokens  = 50
-	// minCallsPerRound is how many calls are made in a round at least.
+	// minCallsPerRound is the least number of calls in a round.
 	minCallsPerRound = 4000
 )
 
--- a/internal/gateway/span_test.go
+++ b/internal/gateway/span_test.go
@@ -33,12 +33,12 @@
 }
 
 // record returns a handler that records the trace context of each request.
-func (h *traceRecorder) record(next http.Handler) http.Handler {
+func (t *traceRecorder) record(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := propagation.TraceContext{}.Extract(context.Background(), propagation.HeaderCarrier(r.Header))
-		h.mu.Lock()
-		h.parents[r.URL.Path] = trace.SpanContextFromContext(ctx)
-		h.mu.Unlock()
+		t.mu.Lock()
+		t.parents[r.URL.Path] = trace.SpanContextFromContext(ctx)
+		t.mu.Unlock()
 		next.ServeHTTP(w, r)
 	})
 }
--- a/internal/streaming/machine_test.go
+++ b/internal/streaming/machine_test.go
@@ -375,12 +375,13 @@
 	}
 }
 
-// Failure: a caller receives a gap, a repetition, a mix of two answers, another
-// caller's tokens or a wrong not_run. The steps below happen in any order, with
-// several connections of one caller at once, to the same gateway or to
-// different ones. This comes about if tokens are delivered from two attempts,
-// runs or gateways that do not continue each other, or if the outcome of a
-// given-up request depends on its last attempt alone.
+// TestStreamsUnderAnyFaults guards against callers that receive a gap, a
+// repetition, a mix of two answers, another caller's tokens or a wrong not_run.
+// The steps below happen in any order, with several connections of one caller at
+// once, to the same gateway or to different ones. The failure comes about if
+// tokens are delivered from two attempts, runs or gateways that do not continue
+// each other, or if the outcome of a request that is given up depends on its last
+// attempt alone.
 func TestStreamsUnderAnyFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(bubbleTB{t}, func(rt *rapid.T) {
--- a/internal/streaming/recompute_test.go
+++ b/internal/streaming/recompute_test.go
@@ -89,12 +89,12 @@
 	faultAfter = 4 * time.Second
 )
 
-// Failure: after a reclaim, an engine computes a long prompt and half of its
-// answer again, or a caller receives a wrong answer. A stand-in engine produces
-// half of an answer; then the named fault happens, and another engine or a new
-// connection serves the rest. This comes about if the KV cache stays on the
-// leaving engine, or if the stream is cancelled there before the cache is
-// exported.
+// TestRecomputedTokensByCase guards against an engine that, after a reclaim,
+// computes a long prompt and half of its answer again, and against a caller that
+// receives a wrong answer. A stand-in engine produces half of an answer. Then the
+// fault of the case happens, and another engine or a new connection serves the
+// rest. The failure comes about if the KV cache stays on the leaving engine, or if
+// the stream is cancelled there before the cache is exported.
 func TestRecomputedTokensByCase(t *testing.T) {
 	cases := []struct {
 		story string
--- a/internal/streaming/registry_test.go
+++ b/internal/streaming/registry_test.go
@@ -114,7 +114,7 @@
 			leaveAfter(t, newCaller("weber", "r-1", 10*length), gw.registry, time.Second)
 			time.Sleep(gw.registry.config.Linger + gw.registry.config.KeepEnded + time.Second)
 			if stats, open := gw.registry.Stats(), gw.engines[0].open(); stats != (Stats{}) || open != 0 {
-				t.Errorf("left over: %+v, %d streams at the engine", stats, open)
+				t.Errorf("left over: %+v, %d streams at the engine; want none", stats, open)
 			}
 		}},
 		{"the peer that took a stream over knows its request ID", func(t *testing.T, gw *testGateway) {
@@ -148,7 +148,7 @@
 				t.Errorf("outcome %v; want not_run, leaving", got)
 			}
 			if _, err := caller.resumeByID(t.Context(), peer); errcode.Of(err) != errcode.NotFound {
-				t.Errorf("the peer has it: %v", err)
+				t.Errorf("the peer holds the stream: error %v; want not found", err)
 			}
 		}},
 		{"a caller that went on elsewhere keeps its own tokens", func(t *testing.T, gw *testGateway) {
@@ -218,7 +218,7 @@
 			time.AfterFunc(time.Second, gw.engines[0].lose)
 			serve(t, caller, gw.registry, caller.generate)
 			if budget.asked != 0 {
-				t.Errorf("the budget was asked %d times", budget.asked)
+				t.Errorf("the budget was asked %d times; want 0", budget.asked)
 			}
 		}},
 		{"an attempt without progress needs the budget", func(t *testing.T, gw *testGateway) {
--- a/internal/streaming/runner_test.go
+++ b/internal/streaming/runner_test.go
@@ -26,11 +26,11 @@
 	return gw
 }
 
-// Failure: a caller receives part of an answer, the same part twice, or a mix
-// of two answers. The first engine's stream becomes faulty in the middle of the
-// answer, in the way that the case names. This comes about if frames are
-// forwarded as they arrive instead of being checked against what the caller
-// has.
+// TestAnswerIsWholeWhateverTheUpstreamDoes guards against a caller that receives
+// only part of an answer, the same part twice, or a mix of two answers. The first
+// engine's stream becomes faulty in the middle of the answer, in the way that the
+// case names. The failure comes about if frames are forwarded as they arrive
+// instead of being checked against the tokens that the caller has.
 func TestAnswerIsWholeWhateverTheUpstreamDoes(t *testing.T) {
 	cases := []struct {
 		story string
@@ -105,10 +105,11 @@
 	}
 }
 
-// Failure: a caller is told not_run although an engine ran the request, or is
-// told nothing until its deadline. The request cannot be served, as the case
-// names. This comes about if the outcome depends on the last attempt alone, or
-// if a request that cannot succeed is not given up.
+// TestGivenUpRequestGetsTheRightOutcomeAtOnce guards against a caller that is told
+// not_run although an engine ran the request, or that gets no outcome until its
+// deadline. The request cannot be served, for the reason that the case names. The
+// failure comes about if the outcome depends on the last attempt alone, or if a
+// request that cannot succeed is not given up.
 func TestGivenUpRequestGetsTheRightOutcomeAtOnce(t *testing.T) {
 	refusal := &Refusal{Reason: outcome.ReasonOverloaded, Message: "full", RetryAfter: 3 * time.Second}
 	cases := []struct {
--- a/internal/streaming/sockets_test.go
+++ b/internal/streaming/sockets_test.go
@@ -128,11 +128,12 @@
 
 func (c *callbackSink) Heartbeat() error { return nil }
 
-// Failure: a stream stops for good, or its engine is excluded although it
-// works. In the middle of an answer, a device between gateway and engine loses
-// the state of all open connections, idle ones in the pool included. This comes
-// about if nothing limits the silence of a stream, or if the next attempt takes
-// another dead connection from the pool instead of dialing.
+// TestStreamGoesOnWhenConnectionsGoSilent guards against a stream that stops for
+// good, and against the exclusion of its engine although the engine works. In the
+// middle of an answer, a device between gateway and engine loses the state of all
+// open connections, idle ones in the pool included. The failure comes about if
+// nothing limits the silence of a stream, or if the next attempt takes another dead
+// connection from the pool instead of dialing.
 func TestStreamGoesOnWhenConnectionsGoSilent(t *testing.T) {
 	const tokens = 200
 	parameters := engine.DefaultParameters()
--- a/internal/telemetry/asyncwriter_test.go
+++ b/internal/telemetry/asyncwriter_test.go
@@ -21,8 +21,9 @@
 	return len(p), nil
 }
 
-// Guards against requests that hang because nobody reads standard output and the log
-// blocks. Lines beyond the buffer are dropped and counted instead.
+// TestAStuckOutputBlocksNobodyAndLosesCountedLines guards against requests that hang
+// because standard output is not read and the log blocks. Lines beyond the buffer are
+// dropped and counted instead.
 func TestAStuckOutputBlocksNobodyAndLosesCountedLines(t *testing.T) {
 	out := &stuckWriter{free: make(chan struct{})}
 	w := NewAsyncWriter(out)
--- a/internal/transport/attempt_test.go
+++ b/internal/transport/attempt_test.go
@@ -12,10 +12,10 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Guards against a call that is reported as not sent and yet runs at the upstream. A
-// request gets its connection and is given up before its first byte; the transport's
-// writer, which is already running, writes it after that. So NotSent must stop later
-// writes, besides looking at the earlier ones.
+// TestNotSentStopsLateWrites guards against a call that is reported as not sent and yet
+// runs at the upstream. A request gets its connection and is given up before its first
+// byte is written. The transport's writer, which is already running, writes the request
+// after that. So NotSent must prevent later writes, besides counting the earlier ones.
 func TestNotSentStopsLateWrites(t *testing.T) {
 	ours, theirs := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, theirs) }()
