--- a/internal/calls/handover.go
+++ b/internal/calls/handover.go
@@ -15,8 +15,8 @@
 var ErrNotHanded = errors.New("nothing was handed over")
 
 // Stop prepares the end of this gateway. It refuses new calls, hands calls that
-// are not dispatched over to peers, waits for those that are, and waits until the
-// journal has all records. It returns the error of ctx if that ends first. Run
+// are not yet dispatched over to peers, waits for the dispatched calls to end, and
+// waits until the journal has all records. It returns the error of ctx if that ends first. Run
 // must keep running until Stop has returned.
 func (c *Coordinator) Stop(ctx context.Context) error {
 	c.stopping.Store(true)
--- a/internal/calls/outcomes.go
+++ b/internal/calls/outcomes.go
@@ -44,9 +44,10 @@
 	return answer
 }
 
-// storeCopy keeps a final outcome until the journal has it. queued reports that
-// this gateway has queued it for the journal. The first copy for a key is kept,
-// and one that belongs to another request than the key's is dropped.
+// storeCopy stores a final outcome until the journal has it. queued reports that
+// this gateway has queued it for the journal. Only the first copy for a key is
+// stored, and an outcome is dropped if the key is known to belong to another
+// request.
 func (p *partition) storeCopy(o KeyedOutcome, queued bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/calls/settle.go
+++ b/internal/calls/settle.go
@@ -94,7 +94,7 @@
 
 // takeOverClaim claims the key with a higher fencing number, not to run the call
 // but to find out its outcome. Once the upstream has seen the higher number, it
-// rejects whatever the former owner may still send. No other upstream can get the
+// rejects a call that the former owner may still send. No other upstream can get the
 // call, since a claim names its one upstream before the call is dispatched. If
 // the upstream has not seen the call by then, it never ran and the key is open.
 // The results are those of settleOwner.
--- a/internal/gateway/env_test.go
+++ b/internal/gateway/env_test.go
@@ -129,7 +129,7 @@
 
 // envOptions configure a test environment.
 type envOptions struct {
-	// limit is that of every client account.
+	// limit is the limit of every client account.
 	limit document.AccountLimit
 	// admission configures admission, such as the slots of each upstream.
 	admission admission.Config
@@ -141,7 +141,7 @@
 	// peers returns the other gateways; nil is none.
 	peers  func(*testEnv) calls.Peers
 	limits settings.Limits
-	// level is that of the log; zero logs everything.
+	// level is the level of the log; zero logs everything.
 	level hclog.Level
 }
 
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -91,7 +91,7 @@
 		Attempt:  req.GetAttempt(),
 		Request:  subject.Request,
 	}
-	// A repeat of a call whose outcome is known needs no upstream, so it is answered
+	// An attempt of a call whose outcome is known needs no upstream, so it is answered
 	// without admission.
 	if keyed && h.calls.FindLocal(call.Key).Outcome != nil {
 		return h.calls.Do(ctx, call)
@@ -142,7 +142,7 @@
 	return ticket, refusal
 }
 
-// recordOutcome logs, traces and counts the outcome that a caller gets, and keeps it
+// recordOutcome logs, traces and counts the outcome that a caller gets, and records it
 // for operators who ask about the request.
 func (h *handler) recordOutcome(span trace.Span, s explain.Subject, o outcome.Outcome) {
 	span.SetAttributes(requestKey.String(string(s.Request)), accountKey.String(string(s.Account)),
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -25,7 +25,7 @@
 	// NotReady is the reason why Ready is false, and empty otherwise.
 	NotReady string `json:"not_ready,omitempty"`
 	Stopping bool   `json:"stopping"`
-	// Revision is that of the configuration in force.
+	// Revision is the revision of the configuration in force.
 	Revision ident.Revision `json:"revision"`
 	// Services has the revision of each service's document.
 	Services map[ident.Service]ident.Revision `json:"services"`
--- a/internal/streaming/handover.go
+++ b/internal/streaming/handover.go
@@ -112,9 +112,9 @@
 }
 
 // handedStream returns the stream of an entry whose run has ended. It returns
-// false if a peer must not continue it, because its deadline has passed or
-// nothing of it has run. In the latter case the caller is told not_run, which
-// would become wrong if a peer ran it afterwards.
+// false if a peer must not continue the stream, because its deadline has passed
+// or because no attempt of it has run. A caller whose request has not run is told
+// not_run, which would become wrong if a peer ran the request afterwards.
 func (e *entry) handedStream() (HandedStream, bool) {
 	if e.final.Kind == outcome.NotRun {
 		return HandedStream{}, false
@@ -230,7 +230,7 @@
 	}
 	report := LeaveReport{HandedOver: offered - len(waiting), NotHandedOver: len(waiting)}
 	handedOverVar.Add(int64(report.HandedOver))
-	leftVar.Add(int64(report.NotHandedOver))
+	notHandedOverVar.Add(int64(report.NotHandedOver))
 	return report
 }
 
--- a/internal/streaming/leave.go
+++ b/internal/streaming/leave.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// leavePlan says what a stream does when its upstream gives notice of its
-// reclaim.
+// leavePlan says what a stream does after a reclaim notice for its upstream.
 type leavePlan int
 
 // The plans. With each of them, the stream leaves the upstream at the latest
@@ -42,8 +41,8 @@
 	attempt *attempt
 	// noticed: a notice was received.
 	noticed bool
-	// leaveDue fires when the stream must leave the upstream; nil without a
-	// notice.
+	// leaveDue fires when the stream must leave the upstream; nil until a notice
+	// is received.
 	leaveDue <-chan time.Time
 	timer    *time.Timer
 	// moving: a move is in progress; its result is sent on moveDone.
--- a/internal/streaming/machine_test.go
+++ b/internal/streaming/machine_test.go
@@ -56,8 +56,8 @@
 	lastGateway *Registry
 	// multipleGateways: more than one gateway has served the request.
 	multipleGateways bool
-	// calls counts all calls, and notRun those that ended with not_run or an
-	// error.
+	// calls counts all calls, and notRun the calls that ended with not_run or
+	// an error.
 	calls, notRun int
 	completed     bool
 }
--- a/internal/streaming/observer.go
+++ b/internal/streaming/observer.go
@@ -42,15 +42,15 @@
 // the other maps by Cause. streamsVar is the number of streams that the process
 // keeps now; leftVar counts the streams that no peer accepted.
 var (
-	attemptsVar   = expvar.NewMap("goldcrestspool.streaming.attempts")
-	recomputedVar = expvar.NewMap("goldcrestspool.streaming.tokens_recomputed")
-	importedVar   = expvar.NewInt("goldcrestspool.streaming.tokens_imported")
-	assembledVar  = expvar.NewInt("goldcrestspool.streaming.tokens_assembled")
-	silentVar     = expvar.NewInt("goldcrestspool.streaming.connections_silent")
-	faultsVar     = expvar.NewMap("goldcrestspool.streaming.faults")
-	streamsVar    = expvar.NewInt("goldcrestspool.streaming.streams")
-	handedOverVar = expvar.NewInt("goldcrestspool.streaming.streams_handed_over")
-	leftVar       = expvar.NewInt("goldcrestspool.streaming.streams_left")
+	attemptsVar      = expvar.NewMap("goldcrestspool.streaming.attempts")
+	recomputedVar    = expvar.NewMap("goldcrestspool.streaming.tokens_recomputed")
+	importedVar      = expvar.NewInt("goldcrestspool.streaming.tokens_imported")
+	assembledVar     = expvar.NewInt("goldcrestspool.streaming.tokens_assembled")
+	silentVar        = expvar.NewInt("goldcrestspool.streaming.connections_silent")
+	faultsVar        = expvar.NewMap("goldcrestspool.streaming.faults")
+	streamsVar       = expvar.NewInt("goldcrestspool.streaming.streams")
+	handedOverVar    = expvar.NewInt("goldcrestspool.streaming.streams_handed_over")
+	notHandedOverVar = expvar.NewInt("goldcrestspool.streaming.streams_left")
 )
 
 // recordMetrics adds an attempt to the process's metrics.
--- a/internal/streaming/registry.go
+++ b/internal/streaming/registry.go
@@ -85,8 +85,9 @@
 	return g.follow(ctx, e, resume.NextIndex, sink), nil
 }
 
-// Holds reports whether the gateway keeps the stream. Resuming one that it does
-// not keep starts a run like a new request, and should be admitted like one.
+// Holds reports whether the gateway keeps the stream. Resuming a stream that the
+// gateway does not keep starts a run like a new request, and should be admitted
+// like a new request.
 func (g *Registry) Holds(key Key) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -134,8 +135,8 @@
 	return final
 }
 
-// findOrStart returns the entry of a new request, which it starts if needed,
-// and adds the caller to it. It returns an outcome instead if the request is
+// findOrStart returns the entry of a new request, whose run it starts if needed,
+// and adds the caller to the entry. It returns an outcome instead if the request is
 // refused.
 func (g *Registry) findOrStart(ctx context.Context, req Request) (*entry, *outcome.Outcome) {
 	g.mu.Lock()
@@ -156,8 +157,8 @@
 	return e, nil
 }
 
-// findOrResume returns the entry of a resumed request, which it starts if
-// needed, and adds the caller to it. It returns an outcome instead if the
+// findOrResume returns the entry of a resumed request, whose run it starts if
+// needed, and adds the caller to the entry. It returns an outcome instead if the
 // request is refused.
 func (g *Registry) findOrResume(ctx context.Context, resume ResumeRequest) (*entry, *outcome.Outcome, error) {
 	g.mu.Lock()
@@ -190,8 +191,9 @@
 		return g.start(ctx, req, nil), nil
 	}
 	// A caller that went on at another gateway may have received other tokens
-	// than those kept here. Continuing from the ones here would give it a mix
-	// of two answers, so the run restarts from the caller's tokens.
+	// than the entry holds. Continuing from the entry's tokens would give the
+	// caller a mix of two answers, so a new run continues from the caller's
+	// tokens.
 	if allDelivered && !e.hasPrefix(resume.Delivered) {
 		req.Delivered = resume.Delivered
 		if err := req.validate(g.config.MaxTokens); err != nil {
--- a/internal/streaming/span.go
+++ b/internal/streaming/span.go
@@ -11,8 +11,8 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
-// tracer makes a span of each attempt, which is one call from gateway to
-// engine. It uses the process's tracer provider.
+// tracer records a span of each attempt, which is one call from gateway to engine.
+// It uses the process's tracer provider.
 var tracer = otel.Tracer("github.com/goldcrestspool/goldcrestspool/internal/streaming")
 
 // The attributes of an attempt's span.
@@ -55,7 +55,7 @@
 }
 
 // endedUnplanned reports whether the attempt ended by a failure, and not by a
-// completed answer or a notice of reclaim.
+// completed answer, a stop of the run or a reclaim notice.
 func (r AttemptReport) endedUnplanned() bool {
 	return r.NextCause != "" && r.NextCause != CauseMoved && r.NextCause != CauseNotice
 }
