--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -91,7 +91,7 @@
 		Attempt:  req.GetAttempt(),
 		Request:  subject.Request,
 	}
-	// A repeat of a call whose outcome is known needs no upstream, so it is answered
+	// An attempt of a call whose outcome is known needs no upstream, so it is answered
 	// without admission.
 	if keyed && h.calls.FindLocal(call.Key).Outcome != nil {
 		return h.calls.Do(ctx, call)
@@ -124,7 +124,7 @@
 
 // refusedCall returns the outcome of a call that admission refused. An earlier attempt
 // with the same key may have run, so the outcome says that the call did not run only
-// for a first attempt or a call without a key.
+// for a first attempt or a call without an idempotency key.
 func refusedCall(refusal outcome.Outcome, keyed bool, attempt uint32) outcome.Outcome {
 	if !keyed || attempt == 1 {
 		return refusal
@@ -142,7 +142,7 @@
 	return ticket, refusal
 }
 
-// recordOutcome logs, traces and counts the outcome that a caller gets, and keeps it
+// recordOutcome logs, traces and counts the outcome that a caller gets, and records it
 // for operators who ask about the request.
 func (h *handler) recordOutcome(span trace.Span, s explain.Subject, o outcome.Outcome) {
 	span.SetAttributes(requestKey.String(string(s.Request)), accountKey.String(string(s.Account)),
@@ -244,8 +244,8 @@
 // admitStream admits a token stream of which the caller has no tokens yet.
 func (h *handler) admitStream(ctx context.Context, stream checkedStream) (*admission.Ticket, *outcome.Outcome) {
 	key := stream.request.Key
-	ask := stream.request.Params
-	route := streamRoutingRequest(stream.doc, stream.class, key.Account, ask.Prompt, ask.MaxTokens, nil)
+	params := stream.request.Params
+	route := streamRoutingRequest(stream.doc, stream.class, key.Account, params.Prompt, params.MaxTokens, nil)
 	predicted := h.router.decide(stream.doc, route)
 	u, _ := h.router.find(stream.doc.Service, predicted.Upstream)
 	return h.admit(ctx, admission.Request{
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -25,7 +25,7 @@
 	// NotReady is the reason why Ready is false, and empty otherwise.
 	NotReady string `json:"not_ready,omitempty"`
 	Stopping bool   `json:"stopping"`
-	// Revision is that of the configuration in force.
+	// Revision is the revision of the configuration in force.
 	Revision ident.Revision `json:"revision"`
 	// Services has the revision of each service's document.
 	Services map[ident.Service]ident.Revision `json:"services"`
@@ -44,7 +44,7 @@
 	Service       ident.Service       `json:"service,omitempty"`
 	FailureDomain ident.FailureDomain `json:"failure_domain"`
 	State         string              `json:"state"`
-	// Since is when the gateway learnt of the state.
+	// Since is when the gateway learned of the state.
 	Since time.Time `json:"since"`
 }
 
--- a/internal/streaming/machine_test.go
+++ b/internal/streaming/machine_test.go
@@ -56,8 +56,8 @@
 	lastGateway *Registry
 	// multipleGateways: more than one gateway has served the request.
 	multipleGateways bool
-	// calls counts all calls, and notRun those that ended with not_run or an
-	// error.
+	// calls counts all calls, and notRun the calls that ended with not_run or
+	// an error.
 	calls, notRun int
 	completed     bool
 }
@@ -226,11 +226,11 @@
 	cl.gateways[i] = NewRegistry(cl.config, cl.runner)
 }
 
-// fakePeer takes streams over for a gateway, or fails to.
+// fakePeer hands streams over to a gateway, or fails to.
 type fakePeer struct {
 	to *Registry
-	// loseAnswer: the streams are taken over, but the sender does not receive
-	// the answer.
+	// loseAnswer: the gateway accepts the streams, but the sender does not
+	// receive the answer.
 	loseAnswer bool
 	// frozen: the peer does not answer.
 	frozen bool
@@ -375,12 +375,13 @@
 	}
 }
 
-// Failure: a caller receives a gap, a repetition, a mix of two answers, another
-// caller's tokens or a wrong not_run. The steps below happen in any order, with
-// several connections of one caller at once, to the same gateway or to
-// different ones. This comes about if tokens are delivered from two attempts,
-// runs or gateways that do not continue each other, or if the outcome of a
-// given-up request depends on its last attempt alone.
+// TestStreamsUnderAnyFaults guards against callers that receive a gap, a
+// repetition, a mix of two answers, another caller's tokens or a wrong not_run.
+// The steps below happen in any order, with several connections of one caller at
+// once, to the same gateway or to different ones. The failure comes about if
+// tokens are delivered from two attempts, runs or gateways that do not continue
+// each other, or if the outcome of a request that is given up depends on its last
+// attempt alone.
 func TestStreamsUnderAnyFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(bubbleTB{t}, func(rt *rapid.T) {
