--- a/internal/capacity/journal.go
+++ b/internal/capacity/journal.go
@@ -33,8 +33,8 @@
 	recordsPerKey = 2
 	// journalRunTime is how long the appends of coordinators are counted.
 	journalRunTime = 4 * time.Second
-	// callRate is how many keyed calls per second a gateway receives meanwhile:
-	// a fifth of the requests of one gateway of 330.
+	// callRate is how many calls with an idempotency key a gateway receives per
+	// second meanwhile: a fifth of the requests of one gateway of 330.
 	callRate = 2.5
 	// busyRate is the same in a load spike, and busyGateways the number of gateways
 	// then, which is today's.
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -108,8 +108,8 @@
 	stopCtx, stop := context.WithCancel(context.Background())
 	kill, endKill := context.WithCancel(context.Background())
 	reader, writer := io.Pipe()
-	r := &testProcess{stop: stop, ended: make(chan error, 1)}
-	go func() { r.ended <- process.Run(daemon.Signals{Stop: stopCtx, Kill: kill}, writer) }()
+	p := &testProcess{stop: stop, ended: make(chan error, 1)}
+	go func() { p.ended <- process.Run(daemon.Signals{Stop: stopCtx, Kill: kill}, writer) }()
 	line, err := bufio.NewReader(reader).ReadBytes('\n')
 	if err != nil {
 		t.Fatal(err)
@@ -118,24 +118,24 @@
 	if err := json.Unmarshal(line, &listening); err != nil || listening.Event != "listening" {
 		t.Fatalf("got %q, %v", line, err)
 	}
-	r.operators = listening.Operators
+	p.operators = listening.Operators
 	t.Cleanup(endKill)
-	return r
+	return p
 }
 
 // await waits until the controller answers a path with 200 and a body that ok
 // accepts.
-func (r *testProcess) await(t *testing.T, path string, ok func(body []byte) bool) {
+func (p *testProcess) await(t *testing.T, path string, ok func(body []byte) bool) {
 	t.Helper()
-	r.awaitStatus(t, path, http.StatusOK, ok)
+	p.awaitStatus(t, path, http.StatusOK, ok)
 }
 
 // awaitStatus is await with another HTTP status.
-func (r *testProcess) awaitStatus(t *testing.T, path string, status int, ok func(body []byte) bool) {
+func (p *testProcess) awaitStatus(t *testing.T, path string, status int, ok func(body []byte) bool) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
-		resp, err := client.Get("http://" + r.operators + path)
+		resp, err := client.Get("http://" + p.operators + path)
 		if err != nil {
 			continue
 		}
@@ -242,11 +242,11 @@
 	process.stopAndExpectNil(t)
 }
 
-func (r *testProcess) stopAndExpectNil(t *testing.T) {
+func (p *testProcess) stopAndExpectNil(t *testing.T) {
 	t.Helper()
-	r.stop()
+	p.stop()
 	select {
-	case err := <-r.ended:
+	case err := <-p.ended:
 		if err != nil {
 			t.Errorf("a graceful stop ended with %v", err)
 		}
--- a/internal/controllers/fleet/estimate.go
+++ b/internal/controllers/fleet/estimate.go
@@ -8,7 +8,7 @@
 )
 
 // peakHold is an estimate of the demand that rises at once and decays slowly,
-// so that no upstream is stopped in a short pause of high load. Demand is in
+// so that no upstream is stopped in a short pause of a load spike. Demand is in
 // upstreams that are fully busy.
 type peakHold struct {
 	value     float64
--- a/internal/controllers/fleet/execute.go
+++ b/internal/controllers/fleet/execute.go
@@ -16,7 +16,7 @@
 func (c *Controller) execute(ctx context.Context, grant lease.Grant, doc *document.Document, h *holderState, o observation, action planner.Action) {
 	// Without this check, a process that was paused would go on with a plan
 	// that another holder has replaced. If the lease ends between this line
-	// and the request, the cloud rejects the request by its fence, or the new
+	// and the request, the cloud refuses the request because of its fence, or the new
 	// holder corrects its effect, since it plans from the current state.
 	if !grant.Valid() {
 		actionsWithheldLeaseLost.Add(1)
--- a/internal/controllers/membership/config.go
+++ b/internal/controllers/membership/config.go
@@ -38,7 +38,7 @@
 	LocalMeshLimit int
 	// RemotePerDomain is how many peers of each other failure domain get each
 	// heartbeat, as long as these are not more than RemoteTargetLimit in total.
-	// If they were more, two peers of all the other domains get it.
+	// Otherwise only two peers get it, of all other domains together.
 	RemotePerDomain   int
 	RemoteTargetLimit int
 	// IntroductionFanout is how many peers without any contact so far get the
--- a/internal/controllers/orders/controller.go
+++ b/internal/controllers/orders/controller.go
@@ -192,7 +192,7 @@
 	// Without this check, a process that was paused, or waited for the store,
 	// until another process held the lease would still send its order. Check
 	// and send directly follow each other: only an order from a process that
-	// is paused between them has to be rejected by its fence or be corrected
+	// is paused between them has to be refused because of its fence or be corrected
 	// by the new holder.
 	if !grant.Valid() {
 		ordersWithheldLeaseLost.Add(1)
@@ -212,8 +212,8 @@
 		ordersApplied.Add(1)
 		log.Info("engine accepted order", "from", engine.Version)
 	case errors.Is(err, upstream.ErrOldFence):
-		ordersRejected.Add(1)
-		log.Warn("engine rejected order, it has applied one of a newer lease holder")
+		ordersRefused.Add(1)
+		log.Warn("engine refused order, it has applied one of a newer lease holder")
 	default:
 		// The order may have been applied or may still be; the engine's next
 		// report shows it.
--- a/internal/controllers/orders/decide.go
+++ b/internal/controllers/orders/decide.go
@@ -3,7 +3,7 @@
 // lease. Every order states the whole wanted state and carries the lease's
 // fencing number.
 //
-// Engines that check the number reject late orders of an earlier holder. For
+// Engines that check the number refuse late orders of an earlier holder. For
 // engines that ignore it, the holder keeps comparing their reports with the
 // wanted state and repeats its order until both agree.
 package orders
--- a/internal/controllers/probing/probing_test.go
+++ b/internal/controllers/probing/probing_test.go
@@ -269,7 +269,7 @@
 type fixedMembership []membership.Entry
 
 func (fixedMembership) Observe(controller.Observation) {}
-func (k fixedMembership) Entries() []membership.Entry  { return k }
+func (m fixedMembership) Entries() []membership.Entry  { return m }
 
 // BenchmarkPublish measures the publication of a new snapshot of all upstreams,
 // as after each round of probes or digests.
--- a/internal/document/fold.go
+++ b/internal/document/fold.go
@@ -89,13 +89,13 @@
 // the new state and one decision for each record. Records below the state's next
 // offset are skipped, because they are already part of it.
 func Fold(s State, records []platform.Record) (State, []Decision) {
-	f := stateBuilder{state: s}
+	b := stateBuilder{state: s}
 	for _, r := range records {
-		if r.Offset >= f.state.nextOffset {
-			f.apply(r)
+		if r.Offset >= b.state.nextOffset {
+			b.apply(r)
 		}
 	}
-	return f.state, f.decisions
+	return b.state, b.decisions
 }
 
 // stateBuilder applies records to a state. It copies the state's map before the
@@ -106,62 +106,62 @@
 	decisions []Decision
 }
 
-func (f *stateBuilder) apply(r platform.Record) {
-	f.state.nextOffset = r.Offset + 1
+func (b *stateBuilder) apply(r platform.Record) {
+	b.state.nextOffset = r.Offset + 1
 	d, err := decode(r.Data)
 	switch {
 	case err != nil:
-		f.addDecision(Decision{Offset: r.Offset, Kind: UnreadableRecord, Problem: err.Error()})
+		b.addDecision(Decision{Offset: r.Offset, Kind: UnreadableRecord, Problem: err.Error()})
 	case d.snapshot != nil:
-		f.compareSnapshot(r.Offset, d.snapshot)
+		b.compareSnapshot(r.Offset, d.snapshot)
 	default:
-		f.applyPublication(r, *d.publication)
+		b.applyPublication(r, *d.publication)
 	}
 }
 
-func (f *stateBuilder) addDecision(d Decision) { f.decisions = append(f.decisions, d) }
+func (b *stateBuilder) addDecision(d Decision) { b.decisions = append(b.decisions, d) }
 
-func (f *stateBuilder) applyPublication(r platform.Record, p Publication) {
-	current, _ := f.state.Current(p.Service)
+func (b *stateBuilder) applyPublication(r platform.Record, p Publication) {
+	current, _ := b.state.Current(p.Service)
 	if p.BaseRevision != current.Revision {
-		f.addDecision(Decision{Offset: r.Offset, Kind: RefusedRecord, Publication: p, CurrentRevision: current.Revision})
+		b.addDecision(Decision{Offset: r.Offset, Kind: RefusedRecord, Publication: p, CurrentRevision: current.Revision})
 		return
 	}
 	revision := ident.Revision(r.Offset + 1)
-	f.accept(AcceptedPublication{Revision: revision, Publication: p, record: r.Data})
-	f.addDecision(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, CurrentRevision: revision})
+	b.accept(AcceptedPublication{Revision: revision, Publication: p, record: r.Data})
+	b.addDecision(Decision{Offset: r.Offset, Kind: AcceptedRecord, Publication: p, CurrentRevision: revision})
 }
 
 // accept puts a publication in force. Earlier ones of the service are kept only if
 // their schema is lower, for programs that do not understand the new schema.
-func (f *stateBuilder) accept(a AcceptedPublication) {
-	if !f.copied {
-		f.state.services = maps.Clone(f.state.services)
-		f.copied = true
+func (b *stateBuilder) accept(a AcceptedPublication) {
+	if !b.copied {
+		b.state.services = maps.Clone(b.state.services)
+		b.copied = true
 	}
-	if f.state.services == nil {
-		f.state.services = map[ident.Service][]AcceptedPublication{}
+	if b.state.services == nil {
+		b.state.services = map[ident.Service][]AcceptedPublication{}
 	}
 	var kept []AcceptedPublication
-	for _, earlier := range f.state.services[a.Service] {
+	for _, earlier := range b.state.services[a.Service] {
 		if earlier.Schema < a.Schema {
 			kept = append(kept, earlier)
 		}
 	}
-	f.state.services[a.Service] = append(kept, a)
-	f.state.revision = a.Revision
+	b.state.services[a.Service] = append(kept, a)
+	b.state.revision = a.Revision
 }
 
 // compareSnapshot compares a snapshot with the state that this reader computed
 // itself. They can only differ if two programs apply records by different rules.
 // Without the comparison, that would only show in instances that serve by
 // different documents.
-func (f *stateBuilder) compareSnapshot(offset ident.Offset, s *snapshot) {
+func (b *stateBuilder) compareSnapshot(offset ident.Offset, s *snapshot) {
 	d := Decision{Offset: offset, Kind: SnapshotRecord, Covers: s.covers}
-	if f.state.revision <= ident.Revision(s.covers) && !equalRecords(s.records, f.state.recordsAbove(0)) {
+	if b.state.revision <= ident.Revision(s.covers) && !equalRecords(s.records, b.state.recordsAbove(0)) {
 		d.Problem = "snapshot differs from the records that it covers"
 	}
-	f.addDecision(d)
+	b.addDecision(d)
 }
 
 // reverts reports whether some service has a lower revision in s than in earlier.
--- a/internal/document/reader_test.go
+++ b/internal/document/reader_test.go
@@ -177,10 +177,10 @@
 	}
 }
 
-// Symptom: two instances at the same offset serve by different documents.
-// Sequence: one of them missed records and took a snapshot or a peer's documents
-// instead; then an older answer of the log arrived.
-// Cause: a record is skipped, or applied twice.
+// Guards against two instances at the same offset that serve by different documents,
+// because one of them has skipped a record or applied it twice. That instance missed
+// records and took a snapshot or a peer's documents instead; then an older answer of the
+// log arrived.
 func TestAllWaysToAnOffsetGiveOneState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &readerMachine{}
@@ -199,10 +199,10 @@
 	})
 }
 
-// Symptom: accepted documents disappear from an instance that was cut off.
-// Sequence: its records expire; an operator starts the stream over with an empty
-// snapshot, believing that no process knows the documents any more.
-// Cause: the instance takes a snapshot that reverts a service.
+// Guards against accepted documents that disappear from an instance that was cut off,
+// because it takes a snapshot that reverts a service. Its records expire; an operator
+// starts the stream over with an empty snapshot, believing that no process knows the
+// documents any more.
 func TestSnapshotThatLacksADocumentIsNotTaken(t *testing.T) {
 	publication, err := EncodePublication(Publication{Service: "spool-llm", PublishID: "a", Schema: 1})
 	if err != nil {
--- a/internal/document/snapshot.go
+++ b/internal/document/snapshot.go
@@ -51,12 +51,12 @@
 
 // state returns the state that the snapshot holds.
 func (s *snapshot) state() State {
-	var f stateBuilder
+	var b stateBuilder
 	for _, a := range s.records {
-		f.accept(a)
+		b.accept(a)
 	}
-	f.state.nextOffset = s.covers
-	return f.state
+	b.state.nextOffset = s.covers
+	return b.state
 }
 
 // Delta is what one process sends another about the configuration above a
@@ -86,7 +86,7 @@
 }
 
 // Merge returns the state with the delta of another process added to it. The delta
-// must have been requested for s.Through() or a lower revision. A delta that
+// must have been requested for s.CompleteThrough() or a lower revision. A delta that
 // reaches no further than the state is rejected, because it could only revert it.
 // Errors: errcode.FailedPrecondition for such a delta, errcode.InvalidArgument for
 // an invalid one.
@@ -95,7 +95,7 @@
 		return s, errcode.Errorf(errcode.FailedPrecondition,
 			"delta through revision %d is not newer than %d", d.CompleteThrough, s.CompleteThrough())
 	}
-	f := stateBuilder{state: s}
+	b := stateBuilder{state: s}
 	last := s.CompleteThrough()
 	for _, r := range d.Records {
 		if r.Revision <= s.CompleteThrough() {
@@ -109,8 +109,8 @@
 			return s, errcode.New(errcode.InvalidArgument, "delta with revisions out of order")
 		}
 		last = a.Revision
-		f.accept(a)
+		b.accept(a)
 	}
-	f.state.nextOffset = ident.Offset(d.CompleteThrough)
-	return f.state, nil
+	b.state.nextOffset = ident.Offset(d.CompleteThrough)
+	return b.state, nil
 }
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -285,11 +285,10 @@
 	return m
 }
 
-// Symptom: two controllers send orders to the same engine, and the older order
-// prevails.
-// Sequence: any mix of freezes, kills, restarts, log outages, appends whose answer
-// is lost or that take effect late, and expired records.
-// Cause: a holder acts under its lease for longer than the next holder waits.
+// Guards against two controllers that send orders to the same engine, of which the
+// older order prevails, because a holder acts under its lease for longer than the next
+// holder waits. Processes are frozen, killed and restarted, the log has outages, appends
+// lose their answers or take effect late, and records expire, in any order.
 func TestAtMostOneHolderUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(t *rapid.T) {
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -83,7 +83,7 @@
 }
 
 // Grant is the right to act under a lease until its deadline. Call Valid right
-// before each action, because a process can be suspended at any point between two
+// before each action, because a process can be paused at any point between two
 // statements.
 type Grant struct {
 	Name     Name
--- a/internal/lease/outage_test.go
+++ b/internal/lease/outage_test.go
@@ -8,9 +8,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/lease"
 )
 
-// Symptom: nobody holds a lease any more, although its last holder lives.
-// Sequence: the log is down for longer than Horizon; there is only one candidate.
-// Cause: the candidate keeps renewing a record that no longer counts.
+// Guards against a lease that nobody holds any more although its last holder is alive.
+// It comes about when the log is down for longer than Horizon and the only candidate
+// goes on renewing a record that no longer counts.
 func TestOnlyCandidateHoldsAgainAfterALongOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMachine(lease.DefaultMargin)
@@ -32,10 +32,9 @@
 	})
 }
 
-// Symptom: the number of appends grows with the number of instances or services.
-// Sequence: none.
-// Cause: processes that are no candidates append, or a holder renews each lease by
-// a separate append.
+// Guards against a number of appends that grows with the number of instances or
+// services, because processes that are no candidates append, or because a holder
+// renews each lease by a separate append.
 func TestAppendsDependOnHoldersOnly(t *testing.T) {
 	const minutes = 10
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/lease/scenario_test.go
+++ b/internal/lease/scenario_test.go
@@ -8,9 +8,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/lease"
 )
 
-// Symptom: an order of an earlier holder changes an engine after an order of the
-// next holder did.
-// Sequence and cause: see each case. The machine checks the orders.
+// Guards against an order of an earlier holder that changes an engine after an order
+// of the next holder did. Each case says how that comes about. The machine checks the
+// orders.
 func TestOrdersNeverLandAfterTheSuccessors(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -134,7 +134,8 @@
 // still holds an instance as alive that all others have seen end and have
 // forgotten, would make it alive again everywhere. The check applies to each
 // incarnation, not only to unknown instances: a process may remember an earlier
-// incarnation and have forgotten a later one.
+// incarnation and have forgotten a later one. An instance that is gone gives no
+// more proofs of life, so the last one gets too old.
 func (t *Table) MergePeer(from ident.Instance, e Entry, now time.Time) Change {
 	if e.State == blackboard.Suspect {
 		e.State = blackboard.Alive
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -239,11 +239,10 @@
 	m.check(t)
 }
 
-// Symptom: an upstream that has left gets requests again.
-// Sequence: lists lag or are older than the one before, processes are cut off
-// from each other for longer than they remember gone instances and then exchange
-// their entries; instances restart under the same ID.
-// Cause: a stale "alive" is taken for a new one.
+// Guards against an upstream that has left and gets requests again, because a stale
+// "alive" is taken for a new one. Lists lag or are older than the one before;
+// processes are cut off from each other for longer than they remember gone instances
+// and then exchange their entries; instances restart under the same ID.
 func TestTableNeverRevives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTableMachine()
@@ -252,9 +251,9 @@
 	})
 }
 
-// Symptom: a running upstream counts as gone and never gets requests again.
-// Sequence: the platform's list lacks it for minutes, while it answers probes.
-// Cause: absence from an incomplete list is taken for the instance's end.
+// Guards against a running upstream that counts as gone and never gets requests
+// again, because its absence from an incomplete list is taken for its end. The
+// platform's list lacks it for minutes, while it answers probes.
 func TestAbsentButAnsweringStays(t *testing.T) {
 	table := NewTable("g", "one", DefaultLimits())
 	up := platform.Instance{ID: "u", Incarnation: 1, State: platform.Live}
@@ -270,10 +269,9 @@
 	}
 }
 
-// Symptom: the table grows with every instance that ever ended.
-// Sequence: one process forgets a gone instance, another that still remembers
-// it sends a full digest, and so on in turn.
-// Cause: a peer's entry of a gone instance counts as a new end.
+// Guards against a table that grows with every instance that ever ended, because a
+// peer's entry of a gone instance counts as a new end: one process forgets a gone
+// instance, another that still remembers it sends a full digest, and so on in turn.
 func TestForgottenIsNotLearntAgain(t *testing.T) {
 	tables := []*Table{NewTable("g0", "one", DefaultLimits()), NewTable("g1", "one", DefaultLimits())}
 	now := epoch
@@ -292,10 +290,9 @@
 	}
 }
 
-// Symptom: an upstream that has ended gets requests again.
-// Sequence: its end is known and forgotten; then a list from before the end
-// arrives, or a peer that was cut off sends its last proof of life.
-// Cause: the end is forgotten while such messages can still arrive.
+// Guards against an upstream that has ended and gets requests again, because its end
+// is forgotten while older messages can still arrive: a list from before the end, or
+// the last proof of life from a peer that was cut off.
 func TestStaleAliveAfterTheEnd(t *testing.T) {
 	limits := DefaultLimits()
 	up := platform.Instance{ID: "u", Incarnation: 1, State: platform.Live}
@@ -315,13 +312,12 @@
 	}
 }
 
-// Symptom: an upstream that has ended gets requests again, or an earlier
-// incarnation of it still does.
-// Sequence: a process remembers an earlier incarnation, as alive or as leaving,
-// but not the later one, which ended long ago; a peer that was cut off reports the
-// later one as alive, without a recent proof of life.
-// Cause: any later incarnation of a known ID is accepted; or it is rejected, and
-// the fact that the earlier one is over is dropped with it.
+// Guards against an upstream that has ended and gets requests again, or whose earlier
+// incarnation still does. A process remembers an earlier incarnation, as alive or as
+// leaving, but not the later one, which ended long ago; a peer that was cut off reports
+// the later one as alive, without a recent proof of life. The fault comes about when any
+// later incarnation of a known ID is accepted, or when it is rejected and the fact that
+// the earlier one is over is dropped with it.
 func TestUnprovedLaterIncarnationOnlyEndsTheEarlier(t *testing.T) {
 	for _, state := range []blackboard.MemberState{blackboard.Alive, blackboard.Leaving} {
 		table := NewTable("g", "one", DefaultLimits())
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -144,10 +144,10 @@
 	}
 }
 
-// Symptom: a process that is no peer reads or changes membership, outcomes or calls.
-// Sequence: mutual TLS is set; a client connects without a certificate, or with one
-// of another authority.
-// Cause: the server does not require a certificate of the peers' authority.
+// Guards against a process that is no peer and reads or changes membership, outcomes or
+// calls, because the server does not require a certificate of the peers' authority:
+// mutual TLS is set, and a client connects without a certificate or with one of another
+// authority.
 func TestOnlyPeersAreServed(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	server := ours.issue("server")
@@ -177,9 +177,9 @@
 	}
 }
 
-// Symptom: calls between peers fail once a certificate has expired.
-// Sequence: the files of both sides are replaced while the processes run.
-// Cause: the files are read only at the start.
+// Guards against calls between peers that fail once a certificate has expired, because
+// the files are read only at the start. Here the files of both sides are replaced while
+// the processes run.
 func TestRenewedCertificatesAreUsed(t *testing.T) {
 	old := newAuthority(t)
 	files := old.issue("peer")
@@ -232,10 +232,9 @@
 	return conn, err
 }
 
-// Symptom: a peer stays unreachable, although it and the network work.
-// Sequence: a device between the two peers loses the state of the connection; all
-// calls on it run into their deadlines, while a new connection would work.
-// Cause: the connection is not replaced.
+// Guards against a peer that stays unreachable although it and the network work, because
+// a connection is not replaced: a device between the two peers loses the connection's
+// state, and all calls on it run into their deadlines, while a new one would work.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	l := &stallingListener{Listener: listen(t)}
 	e := serve(t, l, TLSFiles{})
--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -20,11 +20,11 @@
 	// ServiceOf, if set, returns the service of an instance that this cloud did
 	// not start.
 	ServiceOf func(ident.Instance) ident.Service
-	// Started, if set, is called when a new instance is started.
+	// OnStarted, if set, is called when a new instance is started.
 	OnStarted func(ident.Instance, platform.StartRequest)
-	// Stopped, if set, is called when an instance is ordered to stop.
+	// OnStopped, if set, is called when an instance is ordered to stop.
 	OnStopped func(ident.Instance)
-	// Announced, if set, is called when a reclaim notice is announced.
+	// OnAnnounced, if set, is called when a reclaim notice is announced.
 	OnAnnounced func(platform.Notice)
 }
 
@@ -198,7 +198,7 @@
 }
 
 // checkFence refuses a fencing number below the highest that was seen for the
-// service, else remembers it. The caller holds c.mu.
+// service, else records it. The caller holds c.mu.
 func (c *Cloud) checkFence(service ident.Service, fence ident.Fence) error {
 	if !c.options.ChecksFencing {
 		return nil
--- a/internal/standin/process/upstream.go
+++ b/internal/standin/process/upstream.go
@@ -174,17 +174,17 @@
 	defer cancel()
 	u.upstream.Leave()
 	if err := u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_LEAVING); err != nil {
-		u.logger.Warn("cannot tell the platform of leaving", "error", err)
+		u.logger.Warn("cannot report to the platform that the upstream is leaving", "error", err)
 	}
 	if err := u.upstream.Wait(ctx); err != nil {
-		u.logger.Error("work cut off at the drain limit", "limit", u.options.DrainLimit)
+		u.logger.Error("requests cut off at the drain limit", "limit", u.options.DrainLimit)
 		return errors.WithStack(err)
 	}
 	if err := u.server.shutdown(); err != nil {
 		return errors.WithStack(err)
 	}
 	if err := u.setState(ctx, platformv1.InstanceState_INSTANCE_STATE_ENDED); err != nil {
-		u.logger.Warn("cannot tell the platform of the end", "error", err)
+		u.logger.Warn("cannot report to the platform that the upstream has ended", "error", err)
 	}
 	return u.newEvent("stopped").print(u.out)
 }
--- a/internal/standin/worker/limits.go
+++ b/internal/standin/worker/limits.go
@@ -4,7 +4,8 @@
 
 // How many requests an upstream that announces a rate limit may receive, by the users' rule.
 const (
-	// LimitPropagationTime is the time within which all gateways that reach each other know the limit.
+	// LimitPropagationTime is the time within which all gateways that reach each other know
+	// the limit.
 	LimitPropagationTime = 3 * time.Second
 	// LimitWindow is the length of the window in which requests are counted. limitOverage
 	// times what the limit allows in a window, plus limitSlack requests, may arrive in it.
@@ -33,10 +34,10 @@
 }
 
 // Arrivals returns when an answer first announced a limit, and the requests received since.
-func (w *Worker) Arrivals() (namedAt time.Time, arrivals []Arrival) {
+func (w *Worker) Arrivals() (announcedAt time.Time, arrivals []Arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.limitNamedAt, append([]Arrival(nil), w.arrivals...)
+	return w.limitAnnouncedAt, append([]Arrival(nil), w.arrivals...)
 }
 
 // limitHeader returns the header line that announces the limit, or "" if there is none.
@@ -46,21 +47,21 @@
 	if w.limit == "" {
 		return ""
 	}
-	if w.limitNamedAt.IsZero() {
-		w.limitNamedAt = time.Now()
+	if w.limitAnnouncedAt.IsZero() {
+		w.limitAnnouncedAt = time.Now()
 	}
 	return "Server-Limit: " + w.limit + "\r\n"
 }
 
 // MaxInWindow returns the largest number of requests received in any LimitWindow that
-// begins at least LimitContact after the first announcement of a limit.
+// begins at least LimitPropagationTime after the first announcement of a limit.
 func (w *Worker) MaxInWindow() int {
-	namedAt, arrivals := w.Arrivals()
+	announcedAt, arrivals := w.Arrivals()
 	most := 0
 	for i, last := range arrivals {
 		n := 0
 		for _, a := range arrivals[:i+1] {
-			if a.At.Sub(namedAt) >= LimitPropagationTime && last.At.Sub(a.At) <= LimitWindow {
+			if a.At.Sub(announcedAt) >= LimitPropagationTime && last.At.Sub(a.At) <= LimitWindow {
 				n++
 			}
 		}
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -39,10 +39,10 @@
 	bodies []string
 	// limit is the rate limit that all answers announce; empty for none.
 	limit string
-	// limitNamedAt is when an answer first announced a limit, and arrivals are the
+	// limitAnnouncedAt is when an answer first announced a limit, and arrivals are the
 	// requests received since.
-	limitNamedAt time.Time
-	arrivals     []Arrival
+	limitAnnouncedAt time.Time
+	arrivals         []Arrival
 }
 
 // New starts a worker that is stopped at the end of the test.
@@ -164,7 +164,7 @@
 	defer w.mu.Unlock()
 	w.requests = append(w.requests, r)
 	w.bodies = append(w.bodies, body)
-	if !w.limitNamedAt.IsZero() {
+	if !w.limitAnnouncedAt.IsZero() {
 		w.arrivals = append(w.arrivals, Arrival{ID: r.Header.Get(RequestID), At: time.Now()})
 	}
 	if len(w.queuedActs) == 0 {
--- a/internal/standin/zerodelay/zerodelay.go
+++ b/internal/standin/zerodelay/zerodelay.go
@@ -58,8 +58,8 @@
 
 // Sink counts tokens. It implements streaming.Sink.
 type Sink struct {
-	// TokensLeft is the number of tokens that are still expected. Done is called when
-	// it becomes 0.
+	// TokensLeft is the number of tokens that are still expected. OnDone is called
+	// when it becomes 0.
 	TokensLeft int
 	OnDone     func()
 }
--- a/internal/upstream/connectupstream/silence_test.go
+++ b/internal/upstream/connectupstream/silence_test.go
@@ -206,13 +206,13 @@
 // silentStream is a stream that delivers nothing until it is closed.
 type silentStream struct{ closed chan struct{} }
 
-func (m silentStream) Next() (upstream.Frame, error) {
-	<-m.closed
+func (s silentStream) Next() (upstream.Frame, error) {
+	<-s.closed
 	return upstream.Frame{}, io.ErrClosedPipe
 }
 
-func (m silentStream) Close() error {
-	close(m.closed)
+func (s silentStream) Close() error {
+	close(s.closed)
 	return nil
 }
 
