--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -8,7 +8,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/errcode"
 )
 
-// The comments in a page between which a generated part stands.
+// The comments that surround a generated part of a page.
 const (
 	beginMark = "<!-- begin generated: %s -->\n"
 	endMark   = "<!-- end generated: %s -->\n"
--- a/internal/controllers/configuration/controller.go
+++ b/internal/controllers/configuration/controller.go
@@ -126,8 +126,8 @@
 // could not see which process has them. It may be called by any goroutine.
 func (c *Controller) Revision() ident.Revision { return c.State().CompleteThrough() }
 
-// Delta returns what a process lacks that knows all records up to the revision
-// above. It may be called by any goroutine.
+// Delta returns the configuration that a process lacks if it knows all records up
+// to the revision above. It may be called by any goroutine.
 func (c *Controller) Delta(above ident.Revision) document.Delta { return c.State().Delta(above) }
 
 // readResult is the result of one read of the log.
--- a/internal/controllers/fleet/controller.go
+++ b/internal/controllers/fleet/controller.go
@@ -133,7 +133,8 @@
 }
 
 // stateOf returns the state of the holder with this grant's fence, which is a new
-// one after a change of holder. It reads the leaving instances from a gateway when that is due.
+// one after a change of holder. It reads the leaving instances from a gateway when
+// that is due.
 func (c *Controller) stateOf(ctx context.Context, service ident.Service, grant lease.Grant) *holderState {
 	h := c.states[service]
 	now := time.Now()
--- a/internal/controllers/fleet/fleet_test.go
+++ b/internal/controllers/fleet/fleet_test.go
@@ -130,11 +130,11 @@
 	}
 }
 
-// A holder that acts on what it remembers instead of the current state causes
-// more upstreams than the document allows, fewer than it requires, or requests
-// aborted by a planned stop. Meanwhile controllers restart, starts and stops
-// lose their answers or take effect late, starts are refused, whole failure
-// domains are reclaimed, and gateways and log are unreachable.
+// Guards against a holder that acts on outdated knowledge instead of the current
+// state: there would be more upstreams than the document allows or fewer than it
+// requires, or a planned stop would abort requests. Meanwhile controllers restart,
+// starts and stops lose their answers or take effect late, starts are refused, whole
+// failure domains are reclaimed, and gateways and log are unreachable.
 func TestFleetKeepsItsBoundsUnderFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(virtualTime{t}, func(t *rapid.T) {
--- a/internal/controllers/orders/controller.go
+++ b/internal/controllers/orders/controller.go
@@ -192,8 +192,8 @@
 	// Without this check, a process that was paused, or waited for the store,
 	// until another process held the lease would still send its order. Check
 	// and send directly follow each other: only an order from a process that
-	// is paused between them has to be refused because of its fence or be corrected
-	// by the new holder.
+	// is paused between them has to be refused because of its fence, or be
+	// corrected by the new holder.
 	if !grant.Valid() {
 		ordersWithheldLeaseLost.Add(1)
 		return
--- a/internal/controllers/rounds/rounds.go
+++ b/internal/controllers/rounds/rounds.go
@@ -7,8 +7,8 @@
 )
 
 // Run calls round at once and then every interval until ctx ends, and returns
-// the error of ctx. A round is never cut short nor run beside another one: one
-// that takes longer than interval delays the next.
+// the error of ctx. It never cancels a round and never runs two at the same time: a
+// round that takes longer than interval delays the next one.
 func Run(ctx context.Context, interval time.Duration, round func()) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/document/fold.go
+++ b/internal/document/fold.go
@@ -19,7 +19,7 @@
 	nextOffset ident.Offset
 	revision   ident.Revision
 	// services holds, for each service, the accepted publications that a program
-	// of some version may serve by: those after which none with the same or a
+	// of some version may use: those after which none with the same or a
 	// lower schema was accepted. They are in ascending order of revision, and
 	// therefore of schema.
 	services map[ident.Service][]AcceptedPublication
@@ -44,7 +44,7 @@
 }
 
 // Versions returns the publications of a service that a program of some version may
-// serve by, ascending by revision; the last one is in force.
+// use, ascending by revision; the last one is in force.
 func (s State) Versions(service ident.Service) []AcceptedPublication {
 	return slices.Clone(s.services[service])
 }
@@ -154,8 +154,8 @@
 
 // compareSnapshot compares a snapshot with the state that this reader computed
 // itself. They can only differ if two programs apply records by different rules.
-// Without the comparison, that would only show in instances that serve by
-// different documents.
+// Without the comparison, that would only show in instances that use different
+// documents.
 func (b *stateBuilder) compareSnapshot(offset ident.Offset, s *snapshot) {
 	d := Decision{Offset: offset, Kind: SnapshotRecord, Covers: s.covers}
 	if b.state.revision <= ident.Revision(s.covers) && !equalRecords(s.records, b.state.recordsAbove(0)) {
--- a/internal/document/parse.go
+++ b/internal/document/parse.go
@@ -11,7 +11,7 @@
 // CurrentSchema is the newest schema of documents that this program understands.
 // Every change of what a document may contain, or of what counts as valid, needs
 // a new schema number. Otherwise programs of different versions would disagree
-// whether a document is valid and serve by different ones.
+// whether a document is valid and use different ones.
 const CurrentSchema = 1
 
 // Parse parses a document from TOML. file is the file name that findings give. The
--- a/internal/document/reader.go
+++ b/internal/document/reader.go
@@ -97,7 +97,7 @@
 // startsAfterGap reports whether records between the state and a batch are missing.
 // A search for a snapshot reads beyond the state. If a peer's documents end the
 // search while such a read is in flight, its batch starts after a gap. Applying it
-// would skip records, and this instance would never serve by some publication.
+// would skip records, and this instance would never use some publication.
 func (r *Reader) startsAfterGap(records []platform.Record) bool {
 	return len(records) > 0 && records[0].Offset > r.state.nextOffset
 }
--- a/internal/document/reader_test.go
+++ b/internal/document/reader_test.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// Guards against two instances at the same offset that serve by different documents,
-// because one of them has skipped a record or applied it twice. That instance missed
+// Guards against two instances at the same offset that use different documents, because
+// one of them has skipped a record or applied it twice. That instance missed
 // records and took a snapshot or a peer's documents instead; then an older answer of the
 // log arrived.
 func TestAllWaysToAnOffsetGiveOneState(t *testing.T) {
--- a/internal/platform/keyed.go
+++ b/internal/platform/keyed.go
@@ -69,7 +69,7 @@
 	Counts map[ident.ClientAccount]int64
 }
 
-// Authority is the right to make a duty's call. The platform may not check fencing
+// Authority is the right to make calls of Duties. The platform may not check fencing
 // numbers, so the caller has to ensure that none of its calls arrives after a call of a
 // later holder.
 type Authority struct {
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -100,8 +100,9 @@
 	DepartureDue time.Duration `toml:"departure_due"`
 }
 
-// Retries bounds the attempts that reach a service beyond the first attempt of
-// each request: within Window, Ratio times the requests, and Slack more.
+// Retries configures the retry budget, which limits the attempts that reach a
+// service beyond the first attempt of each request: within Window, Ratio times the
+// requests, and Slack more.
 type Retries struct {
 	Ratio  float64       `toml:"ratio"`
 	Window time.Duration `toml:"window"`
@@ -117,11 +118,10 @@
 	Slack float64 `toml:"slack"`
 }
 
-// EntryLease configures the leases of duties, of which each has one holder at a
-// time.
+// EntryLease configures the lease under which one entry process at a time does the
+// duties.
 type EntryLease struct {
-	// Length is how long a holder keeps a duty without renewing its lease.
-	// Default 3s.
+	// Length is how long a holder holds the lease without renewing it. Default 3s.
 	Length time.Duration `toml:"length"`
 }
 
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -11,7 +11,7 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/sleep"
 )
 
-// Loss is what is lost of a request that has an effect.
+// Loss is the injected loss of a request that has an effect, or of its answer.
 type Loss int
 
 // The losses.
--- a/internal/upstream/connectupstream/dialer.go
+++ b/internal/upstream/connectupstream/dialer.go
@@ -16,7 +16,7 @@
 	plains  sync.Map // address to upstream.Plain
 }
 
-// NewDialer returns a dialer that speaks TLS when config is not nil.
+// NewDialer returns a dialer that uses TLS if config is not nil.
 func NewDialer(config *tls.Config) *Dialer {
 	scheme := "http://"
 	if config != nil {
