--- a/internal/controllers/membership/config.go
+++ b/internal/controllers/membership/config.go
@@ -1,5 +1,6 @@
 // Package membership maintains this process's table of instances and exchanges
-// it with other gateways in heartbeats. It is the only writer of board.Members.
+// it with other gateways in heartbeats. It is the only writer of
+// blackboard.Board.Members.
 //
 // A heartbeat carries facts (state and incarnation of an instance, or that it
 // has departed) and figures (when an instance was last seen alive, and its
--- a/internal/controllers/membership/controller.go
+++ b/internal/controllers/membership/controller.go
@@ -244,7 +244,7 @@
 	}
 }
 
-// publish removes outdated entries from the table and replaces board.Members if
+// publish removes outdated entries from the table and replaces Board.Members if
 // a state, incarnation or description differs from the published one. The
 // caller holds mu, so there is one writer.
 func (c *Controller) publish(now time.Time) {
--- a/internal/controllers/probing/config.go
+++ b/internal/controllers/probing/config.go
@@ -1,6 +1,6 @@
 // Package probing reads the health and load of upstreams and the engines' cache
 // events, and publishes the upstreams' states for routing. It is the only
-// writer of board.Upstreams.
+// writer of blackboard.Board.Upstreams.
 package probing
 
 import (
--- a/internal/controllers/probing/publish.go
+++ b/internal/controllers/probing/publish.go
@@ -74,7 +74,7 @@
 	return out
 }
 
-// publish replaces board.Upstreams. Leaving upstreams are included.
+// publish replaces Board.Upstreams. Leaving upstreams are included.
 func (c *Controller) publish(members *blackboard.Members) {
 	c.loadChanged = false
 	loads := c.latestLoads()
--- a/internal/document/reader.go
+++ b/internal/document/reader.go
@@ -8,9 +8,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/platform"
 )
 
-// Reader keeps a process's State while it reads the configuration stream. It does
-// no I/O: its owner reads the log from the offset Reader.NextOffset and passes the results
-// to Reader.ApplyBatch or Reader.HandleExpired.
+// Reader holds a process's State while the process reads the configuration stream. It
+// does no I/O: its owner reads the log from NextOffset on and passes the results to
+// ApplyBatch or HandleExpired.
 //
 // If the next records have expired from the log, the reader looks for a snapshot
 // that covers all expired records and continues from the offset that the snapshot
@@ -72,9 +72,9 @@
 	return ""
 }
 
-// ApplyBatch applies a batch that was read from the offset Reader.NextOffset, possibly before
-// the last call of Reader.Merge. It returns a decision for each applied record, and
-// none while the reader looks for a snapshot.
+// ApplyBatch applies a batch that was read from NextOffset on, possibly before the last
+// call of Merge. It returns a decision for each applied record, and none while the
+// reader looks for a snapshot.
 func (r *Reader) ApplyBatch(batch platform.Batch) []Decision {
 	r.head = batch.Head
 	if r.searching {
--- a/internal/document/snapshot.go
+++ b/internal/document/snapshot.go
@@ -76,7 +76,8 @@
 	Record []byte
 }
 
-// Delta returns what a process needs whose state is complete up to revision above.
+// Delta returns the configuration that a process lacks if its state is complete up to
+// the revision above.
 func (s State) Delta(above ident.Revision) Delta {
 	d := Delta{CompleteThrough: s.CompleteThrough()}
 	for _, a := range s.recordsAbove(above) {
