--- a/internal/lease/outage_test.go
+++ b/internal/lease/outage_test.go
@@ -33,8 +33,8 @@
 }
 
 // Guards against a number of appends that grows with the number of instances or
-// services, because processes that are no candidates append, or because a holder
-// renews each lease by a separate append.
+// services, because processes that are no candidates read and append, or because a
+// holder renews each lease by a separate append.
 func TestAppendsDependOnHoldersOnly(t *testing.T) {
 	const minutes = 10
 	synctest.Test(t, func(t *testing.T) {
