--- a/internal/controllers/membership/config.go
+++ b/internal/controllers/membership/config.go
@@ -1,5 +1,6 @@
 // Package membership maintains this process's table of instances and exchanges
-// it with other gateways in heartbeats. It is the only writer of board.Members.
+// it with other gateways in heartbeats. It is the only writer of
+// blackboard.Board.Members.
 //
 // A heartbeat carries facts (state and incarnation of an instance, or that it
 // has departed) and figures (when an instance was last seen alive, and its
@@ -38,7 +39,7 @@
 	LocalMeshLimit int
 	// RemotePerDomain is how many peers of each other failure domain get each
 	// heartbeat, as long as these are not more than RemoteTargetLimit in total.
-	// If they were more, two peers of all the other domains get it.
+	// Otherwise only two peers get it, of all other domains together.
 	RemotePerDomain   int
 	RemoteTargetLimit int
 	// IntroductionFanout is how many peers without any contact so far get the
