--- a/internal/admission/bench_test.go
+++ b/internal/admission/bench_test.go
@@ -59,8 +59,8 @@
 	return list
 }
 
-// BenchmarkObserve measures the recording of an ended attempt.
-func BenchmarkObserve(b *testing.B) {
+// BenchmarkRecordAttemptEnd measures the recording of an ended attempt.
+func BenchmarkRecordAttemptEnd(b *testing.B) {
 	for _, upstreams := range []int{9, 690} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
 			ctl := New(Config{})
--- a/internal/cacheview/cacheview_test.go
+++ b/internal/cacheview/cacheview_test.go
@@ -52,7 +52,7 @@
 // Guards against requests being sent where their prefix was evicted long ago. The
 // event of the eviction is lost, and only a gap in the numbers of later events
 // shows that. So the confidence in entries must fall with their age and after gaps.
-func TestGapAndAgeLowerTheBelief(t *testing.T) {
+func TestGapAndAgeLowerTheConfidence(t *testing.T) {
 	blocks := hashes(4)
 	v := New(Params{Blocks: 64, Lifetime: 100 * time.Second, DistrustFactor: 0.5}, start)
 	v.Placed(blocks, start)
--- a/internal/controller/listing_test.go
+++ b/internal/controller/listing_test.go
@@ -13,7 +13,7 @@
 // A controller that reads the platform's list, which lags, before its own
 // instance is in it must not pause as long as a process that is no candidate.
 // Otherwise a system would have no controller for 10 s after its start.
-func TestListingPause(t *testing.T) {
+func TestListInterval(t *testing.T) {
 	self := platform.Instance{ID: "entry-1"}
 	other := platform.Instance{ID: "entry-2"}
 	for _, c := range []struct {
--- a/internal/duty/lease_test.go
+++ b/internal/duty/lease_test.go
@@ -330,7 +330,7 @@
 
 // Guards against a holder of the lease that writes its record before it has restored the
 // state that the previous holder stored, and so erases it.
-func TestWhatIsKeptOutlivesItsHolder(t *testing.T) {
+func TestStoredStateOutlivesItsHolder(t *testing.T) {
 	w := newWorld(0)
 	withState := func(m *Manager, initial string) *string {
 		state := initial
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -95,7 +95,7 @@
 // Guards against all engines counting as slow, and more being ordered, because some engines
 // are slow, are frozen or lack cached tokens that they were believed to hold. A plain mean
 // would follow such samples.
-func TestWhatDoesNotMislead(t *testing.T) {
+func TestOddSamplesDoNotMislead(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		spoil func(random *rand.Rand, s Sample, first float64) float64
@@ -154,7 +154,7 @@
 }
 
 // Whatever the samples are, the fit must not panic or give meaningless coefficients.
-func FuzzFigures(f *testing.F) {
+func FuzzFit(f *testing.F) {
 	f.Add(int64(1), 100.0, 0.0, 3.0)
 	f.Add(int64(-1), 0.0, -1.0, 1e9)
 	f.Fuzz(func(t *testing.T, first int64, own, ahead, running float64) {
@@ -172,7 +172,7 @@
 	})
 }
 
-func BenchmarkLearnAndFit(b *testing.B) {
+func BenchmarkAddSampleAndFit(b *testing.B) {
 	f := newFleet(30_900)
 	var s Sums
 	sample := f.sample()
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -45,9 +45,9 @@
 // applyLimits merges the rate limits of upstreams that another gateway reported as of the
 // given time. A zero time means that it is unknown, and counts as now: the report was in
 // transit for less time than gateways need to learn of each other.
-func (p *Process) applyLimits(limits []upstreamlimit.Announcement, asOf time.Time) {
+func (p *Process) applyLimits(limits []upstreamlimit.LimitReport, asOf time.Time) {
 	if asOf.IsZero() {
 		asOf = p.now()
 	}
-	p.limits.MergeAnnouncements(limits, asOf)
+	p.limits.MergeLimitReports(limits, asOf)
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -157,7 +157,7 @@
 	_, r.HoldsLease = p.lease.Grant()
 	r.Rollouts = p.rollouts.OrderStates(p.hasNoRequests)
 	r.Poison = p.poison.Report()
-	r.Limits = p.limits.Announcements()
+	r.Limits = p.limits.LimitReports()
 	r.LimitSet = p.limits.LimitedSet().Hash
 	return r
 }
--- a/internal/entry/process.go
+++ b/internal/entry/process.go
@@ -122,7 +122,7 @@
 	p.peers = gossip.NewTable(p.contact(), s.Peers.Seeds)
 	p.rollouts = rollout.New(rollout.Config{
 		Limits: rollout.Limits{Share: s.Rollout.Share, Slack: s.Rollout.Slack, StopDue: s.Rollout.StopDue}, Now: p.now, Log: p.log.Named("rollout"),
-		Life: p.incarnationID, Gateways: p.gatewayCount, OrdersKnown: func() time.Time { return p.configuration.confirmedAt() },
+		IncarnationID: p.incarnationID, Gateways: p.gatewayCount, OrdersKnown: func() time.Time { return p.configuration.confirmedAt() },
 	})
 	key := func(id ident.Instance) uint32 { return uint32(gossip.UpstreamKeyOf(id)) }
 	p.poison = poison.New(poison.Config{Now: p.now, Log: p.log.Named("poison"), Key: key})
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -38,7 +38,7 @@
 // Guards against streams that count as interrupted although nothing failed. This happened
 // when the end of a request, which lets the next one start at the same runner, also started
 // the runner's next step while the last step's tokens were still being delivered.
-func TestRushInterruptsNoStream(t *testing.T) {
+func TestLoadSpikeInterruptsNoStream(t *testing.T) {
 	f := Run(Harfang(), Case{Name: "rush", Load: lowLoad, SpikeLoad: 1.5}, ours(), 1)
 	if f.Resumed > 0 || f.Refused == 0 && f.Met > 0.99 {
 		t.Errorf("recomputed %.0f tokens of streams that were not interrupted; met %.3f", f.Resumed, f.Met)
--- a/internal/gossip/codec_limits.go
+++ b/internal/gossip/codec_limits.go
@@ -21,7 +21,7 @@
 	noLimit = -1
 )
 
-func limitsToProto(limits []upstreamlimit.Announcement) *exchangev1.Limits {
+func limitsToProto(limits []upstreamlimit.LimitReport) *exchangev1.Limits {
 	if len(limits) == 0 {
 		return nil
 	}
@@ -38,7 +38,7 @@
 	return out
 }
 
-func (c *checker) limits(in *exchangev1.Limits) []upstreamlimit.Announcement {
+func (c *checker) limits(in *exchangev1.Limits) []upstreamlimit.LimitReport {
 	if in == nil {
 		return nil
 	}
@@ -48,9 +48,9 @@
 		c.fail("limits of %d upstreams have %d rates and %d ages", n, len(in.PerSecond), len(in.AgeMs))
 		return nil
 	}
-	out := make([]upstreamlimit.Announcement, n)
+	out := make([]upstreamlimit.LimitReport, n)
 	for i, upstream := range in.Upstreams {
-		a := upstreamlimit.Announcement{Upstream: upstream, Age: c.age(uint64(in.AgeMs[i]))}
+		a := upstreamlimit.LimitReport{Upstream: upstream, Age: c.age(uint64(in.AgeMs[i]))}
 		if in.PerSecond[i] != noLimit {
 			a.Limited, a.Rate = true, c.rate(in.PerSecond[i])
 		}
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -39,7 +39,7 @@
 		Engines:         map[ident.Service]enginemodel.Sums{"llm": exact},
 		Rollouts:        fullRollouts(),
 		Poison:          fullPoison(),
-		Limits: []upstreamlimit.Announcement{
+		Limits: []upstreamlimit.LimitReport{
 			{Upstream: 7, Limited: true, Rate: 0.5, Age: 40 * time.Millisecond}, {Upstream: 8, Limited: true}, {Upstream: 1 << 31, Age: time.Second},
 		},
 		LimitUses: upstreamlimit.Uses{7: {Demand: 12.5, Sent: 2}, 1 << 31: {Demand: 0.125}},
--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -195,7 +195,7 @@
 	n.seq++
 	r := Report{Contact: n.contact, Incarnation: n.incarnation, Seq: n.seq, WallMillis: now.UnixMilli(), Leaving: n.gossip.leaving.Load(), Revision: 1, RevisionAge: now.Sub(n.confirmedAt), LimitSet: limited.Hash}
 	for _, key := range limited.Keys[:min(4, len(limited.Keys))] {
-		r.Limits = append(r.Limits, upstreamlimit.Announcement{Upstream: key, Limited: true, Rate: 1.5, Age: time.Second})
+		r.Limits = append(r.Limits, upstreamlimit.LimitReport{Upstream: key, Limited: true, Rate: 1.5, Age: time.Second})
 	}
 	return r
 }
@@ -625,7 +625,7 @@
 
 // Guards against announcing each start and stop of a small gateway to the whole fleet with its
 // domain's roster: starts and rosters both grow with the fleet.
-func TestStartsOfSmallGatewaysAreNotToldToAll(t *testing.T) {
+func TestStartsOfSmallGatewaysAreNotAnnouncedToAll(t *testing.T) {
 	runVirtualTime(t, func(t *testing.T) {
 		f := newFleet(t, 195, 6)
 		time.Sleep(settleTime)
@@ -667,7 +667,7 @@
 
 // Guards against sending all contacts to each gateway of a thousand that start together, by
 // every gateway that it meets.
-func TestANewGatewayIsToldOfAFew(t *testing.T) {
+func TestANewGatewayIsSentFewContacts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(Contact{Node: "self", Address: "self:1", Domain: "hall-a"}, nil)
 	for i := range 984 {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -192,7 +192,7 @@
 // One of thirty gateways learns of a change of the configuration, and another one of an
 // upstream entry; no other gateway reads the store. Guards against updates that travel only
 // through the store: a gateway that the store rejects would never get it.
-func TestNewsReachesAllGatewaysInFewRounds(t *testing.T) {
+func TestUpdatesReachAllGatewaysInFewRounds(t *testing.T) {
 	gateways, fakes := startMesh(t, 30)
 	round := 0
 	rounds := func(n int) {
--- a/internal/gossip/types.go
+++ b/internal/gossip/types.go
@@ -82,7 +82,7 @@
 	Poison poison.Report
 	// Limits are the rate limits that upstreams announced. LimitUses tells how much the gateway
 	// uses the upstreams that have a rate limit.
-	Limits    []upstreamlimit.Announcement
+	Limits    []upstreamlimit.LimitReport
 	LimitUses upstreamlimit.Uses
 	// LimitSet is a digest of the limits that the gateway knows; 0 means none. LimitColumns is
 	// the short form of LimitUses, sent instead of it to a receiver that knows the same limits.
--- a/internal/httpconn/reset_test.go
+++ b/internal/httpconn/reset_test.go
@@ -18,7 +18,7 @@
 // orderly close, the kernel keeps retransmitting the unsent data. With an orderly
 // close in conn.reset, the request runs and this test fails, which shows that the
 // relay reproduces the fault.
-func TestAnExchangeThatIsGivenUpNeverArrivesLater(t *testing.T) {
+func TestAnAbandonedExchangeNeverArrivesLater(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		// reused: the connection was already used before the link was cut.
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -149,7 +149,7 @@
 
 // Guards against two reports of one window with different counts, because a report is sent though
 // its decision can't be committed, or though it is unknown whether it was.
-func TestNothingIsSentBeforeItsDecisionStands(t *testing.T) {
+func TestNothingIsSentBeforeItsDecisionIsCommitted(t *testing.T) {
 	for _, err := range []error{platform.ErrAnswerLost, platform.ErrUnavailable, duty.ErrNotHeld} {
 		f := newFixture()
 		f.addStarted("a/1", 1000, 3)
@@ -203,7 +203,7 @@
 }
 
 // Guards against twice as many writes to the platform, because counts are stored at each step.
-func TestPendingCountsAreRecordedNowAndThen(t *testing.T) {
+func TestPendingCountsAreStoredNowAndThen(t *testing.T) {
 	f := newFixture()
 	f.addStarted("a/1", 1000, 1)
 	writes := 0
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestAReportIsRepeatedUntilItIsTaken(t *testing.T) {
+func TestAReportIsRepeatedUntilItIsAccepted(t *testing.T) {
 	f := newFixture()
 	f.addStarted("a/1", 1000, 3)
 	f.holder.report = platform.ErrAnswerLost
--- a/internal/metering/pending_test.go
+++ b/internal/metering/pending_test.go
@@ -12,7 +12,7 @@
 // Guards against a fleet whose pending counts don't fit into the lease's record: none would be
 // stored, and a new holder of the lease would report windows without them. The counts are those of
 // up to a thousand gateways with a request a second each, and of twice as many.
-func TestPendingCountsOfALargeFleetAreRecorded(t *testing.T) {
+func TestPendingCountsOfALargeFleetAreStored(t *testing.T) {
 	for _, gateways := range []int{100, 984, 1968} {
 		random := rand.New(rand.NewPCG(1, uint64(gateways)))
 		f := newFixture()
@@ -49,7 +49,7 @@
 
 // Guards against a record that leaves out all pending counts though some would fit, and against a
 // record of an older build, or a damaged one, that stops the reporting.
-func TestPendingCountsAreTakenOverAsFarAsTheyCanBe(t *testing.T) {
+func TestPendingCountsAreRestoredAsFarAsTheyFit(t *testing.T) {
 	f := newFixture()
 	random := rand.New(rand.NewPCG(1, 2))
 	for window := int64(998); window <= 1000; window++ {
--- a/internal/poison/bench_test.go
+++ b/internal/poison/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/goldcrestspool/goldcrestspool/internal/ident"
 )
 
-// BenchmarkAsk measures the cost of the checks of one request while the Tracker is empty, and
+// BenchmarkRequestChecks measures the cost of the checks of one request while the Tracker is empty, and
 // while it holds as many crashes as it can; and the cost of Refresh.
-func BenchmarkAsk(b *testing.B) {
+func BenchmarkRequestChecks(b *testing.B) {
 	b.Run("quiet", func(b *testing.B) {
 		tr := newTestTracker()
 		for b.Loop() {
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -46,8 +46,8 @@
 	group int
 }
 
-// story describes a fleet and what happens to it.
-type story struct {
+// scenario describes a fleet and what happens to it.
+type scenario struct {
 	name              string
 	gateways, domains int
 	upstreams, slots  int
@@ -124,7 +124,7 @@
 
 type fleet struct {
 	testkit.Timeline
-	s          story
+	s          scenario
 	rng        *rand.Rand
 	gateways   []*gateway
 	upstreams  []*upstream
@@ -158,7 +158,7 @@
 	return New(Config{Now: now, Log: hclog.NewNullLogger(), Key: testUpstreamKey})
 }
 
-func playStory(s story, seed uint64) result {
+func playStory(s scenario, seed uint64) result {
 	f := &fleet{
 		s: s, rng: rand.New(rand.NewPCG(seed, 7)), thirdCrashAt: make(map[ident.ContentHash]time.Duration),
 		crashesCaused: make(map[ident.ContentHash]int), lateSends: make(map[ident.ContentHash]int), cutOffDomain: -1,
--- a/internal/poison/stories_test.go
+++ b/internal/poison/stories_test.go
@@ -19,13 +19,13 @@
 )
 
 // smallFleet is a fleet of the size that most customers have.
-func smallFleet(name string, poisonContents ...poisonContent) story {
-	return story{
+func smallFleet(name string, poisonContents ...poisonContent) scenario {
+	return scenario{
 		name: name, gateways: 8, domains: 4, upstreams: 9, slots: 64, knownWithin: 3 * time.Second, rate: 60, meanDuration: 1500 * time.Millisecond, poisonContents: poisonContents,
 	}
 }
 
-func (s story) with(change func(*story)) story {
+func (s scenario) with(change func(*scenario)) scenario {
 	change(&s)
 	return s
 }
@@ -35,18 +35,18 @@
 	rarePoison     = poisonContent{meanInterval: 1500 * time.Millisecond, crashDelay: 80 * time.Millisecond, maxSends: 1}
 )
 
-func stories() []story {
+func stories() []scenario {
 	laterOften, laterSeldom := frequentPoison, rarePoison
 	laterOften.startsAt, laterSeldom.startsAt = 3*time.Second, 4*time.Second
 	second := rarePoison
 	second.startsAt, second.group = time.Second, 3
 	third := frequentPoison
 	third.startsAt, third.group = 3*time.Second, 5
-	return []story{
-		smallFleet("none, upstreams end by themselves").with(func(s *story) { s.crashRate = 0.5 }),
-		smallFleet("none, upstreams go down and up").with(func(s *story) { s.flappingUpstreams = 3 }),
-		smallFleet("none, a domain cut off by resets").with(func(s *story) { s.domainCutOff = true }),
-		smallFleet("none, hot content, ends by themselves").with(func(s *story) { s.hotShare, s.crashRate = 0.3, 0.5 }),
+	return []scenario{
+		smallFleet("none, upstreams end by themselves").with(func(s *scenario) { s.crashRate = 0.5 }),
+		smallFleet("none, upstreams go down and up").with(func(s *scenario) { s.flappingUpstreams = 3 }),
+		smallFleet("none, a domain cut off by resets").with(func(s *scenario) { s.domainCutOff = true }),
+		smallFleet("none, hot content, ends by themselves").with(func(s *scenario) { s.hotShare, s.crashRate = 0.3, 0.5 }),
 		smallFleet("often", frequentPoison),
 		smallFleet("seldom", rarePoison),
 		smallFleet("at the start of the run", poisonContent{meanInterval: 500 * time.Millisecond, maxSends: 1}),
@@ -55,31 +55,31 @@
 		smallFleet("resumed, late", poisonContent{meanInterval: time.Second, crashDelay: 1500 * time.Millisecond, maxSends: 3}),
 		smallFleet("ten at once", poisonContent{meanInterval: 3 * time.Second, burst: 10, crashDelay: 80 * time.Millisecond, maxSends: 1}),
 		smallFleet("three contents", frequentPoison, second, third),
-		smallFleet("hot content beside it", frequentPoison).with(func(s *story) { s.hotShare = 0.3 }),
-		smallFleet("upstreams end by themselves", rarePoison).with(func(s *story) { s.crashRate = 0.5 }),
-		smallFleet("upstreams go down and up", rarePoison).with(func(s *story) { s.flappingUpstreams = 3 }),
-		smallFleet("a domain reclaimed", frequentPoison).with(func(s *story) { s.domainReclaimed = true }),
-		smallFleet("a domain lost at once", frequentPoison).with(func(s *story) { s.domainLost = true }),
-		smallFleet("a domain cut off by resets", rarePoison).with(func(s *story) { s.domainCutOff = true }),
-		smallFleet("upstreams come back under their name", rarePoison).with(func(s *story) { s.keepsIDs = true }),
-		smallFleet("gateways started anew", rarePoison).with(func(s *story) { s.rollingRestart = true }),
-		smallFleet("burst", frequentPoison).with(func(s *story) { s.burst = true }),
-		smallFleet("the only upstream", rarePoison).with(func(s *story) { s.upstreams, s.rate = 1, 20 }),
-		smallFleet("callers come back five times", frequentPoison, second, third).with(func(s *story) { s.maxRetries, s.crashRate = 5, 0.5 }),
-		smallFleet("callers come back, none", frequentPoison).with(func(s *story) { s.maxRetries, s.flappingUpstreams, s.poisonContents = 5, 4, nil }),
-		smallFleet("half of all is one hot content", laterOften, laterSeldom).with(func(s *story) { s.maxRetries, s.hotShare, s.flappingUpstreams = 5, 0.5, 2 }),
-		smallFleet("half of all is one hot content, from the start", frequentPoison, rarePoison).with(func(s *story) { s.maxRetries, s.hotShare, s.flappingUpstreams = 5, 0.5, 2 }),
-		smallFleet("all gateways killed twice", rarePoison).with(func(s *story) { s.massRestarts = []time.Duration{8 * time.Second, 16 * time.Second} }),
-		smallFleet("all gateways killed, rare", poisonContent{meanInterval: 3 * time.Second, crashDelay: 80 * time.Millisecond, maxSends: 1}).with(func(s *story) {
+		smallFleet("hot content beside it", frequentPoison).with(func(s *scenario) { s.hotShare = 0.3 }),
+		smallFleet("upstreams end by themselves", rarePoison).with(func(s *scenario) { s.crashRate = 0.5 }),
+		smallFleet("upstreams go down and up", rarePoison).with(func(s *scenario) { s.flappingUpstreams = 3 }),
+		smallFleet("a domain reclaimed", frequentPoison).with(func(s *scenario) { s.domainReclaimed = true }),
+		smallFleet("a domain lost at once", frequentPoison).with(func(s *scenario) { s.domainLost = true }),
+		smallFleet("a domain cut off by resets", rarePoison).with(func(s *scenario) { s.domainCutOff = true }),
+		smallFleet("upstreams come back under their name", rarePoison).with(func(s *scenario) { s.keepsIDs = true }),
+		smallFleet("gateways started anew", rarePoison).with(func(s *scenario) { s.rollingRestart = true }),
+		smallFleet("burst", frequentPoison).with(func(s *scenario) { s.burst = true }),
+		smallFleet("the only upstream", rarePoison).with(func(s *scenario) { s.upstreams, s.rate = 1, 20 }),
+		smallFleet("callers come back five times", frequentPoison, second, third).with(func(s *scenario) { s.maxRetries, s.crashRate = 5, 0.5 }),
+		smallFleet("callers come back, none", frequentPoison).with(func(s *scenario) { s.maxRetries, s.flappingUpstreams, s.poisonContents = 5, 4, nil }),
+		smallFleet("half of all is one hot content", laterOften, laterSeldom).with(func(s *scenario) { s.maxRetries, s.hotShare, s.flappingUpstreams = 5, 0.5, 2 }),
+		smallFleet("half of all is one hot content, from the start", frequentPoison, rarePoison).with(func(s *scenario) { s.maxRetries, s.hotShare, s.flappingUpstreams = 5, 0.5, 2 }),
+		smallFleet("all gateways killed twice", rarePoison).with(func(s *scenario) { s.massRestarts = []time.Duration{8 * time.Second, 16 * time.Second} }),
+		smallFleet("all gateways killed, rare", poisonContent{meanInterval: 3 * time.Second, crashDelay: 80 * time.Millisecond, maxSends: 1}).with(func(s *scenario) {
 			s.massRestarts = []time.Duration{11 * time.Second}
 		}),
-		smallFleet("82 gateways", frequentPoison, second).with(func(s *story) {
+		smallFleet("82 gateways", frequentPoison, second).with(func(s *scenario) {
 			s.gateways, s.upstreams, s.rate, s.knownWithin = 82, 60, 500, 4*time.Second
 		}),
-		smallFleet("195 gateways, 12 slots", frequentPoison, second).with(func(s *story) {
+		smallFleet("195 gateways, 12 slots", frequentPoison, second).with(func(s *scenario) {
 			s.gateways, s.domains, s.upstreams, s.slots, s.rate, s.knownWithin = 195, 6, 117, 12, 800, 5*time.Second
 		}),
-		smallFleet("330 gateways", frequentPoison, second).with(func(s *story) {
+		smallFleet("330 gateways", frequentPoison, second).with(func(s *scenario) {
 			s.gateways, s.domains, s.upstreams, s.slots, s.rate, s.knownWithin = 330, 10, 690, 12, 1500, 5*time.Second
 		}),
 	}
--- a/internal/poison/tracker_test.go
+++ b/internal/poison/tracker_test.go
@@ -48,7 +48,7 @@
 }
 
 // Guards against a content that is barred too early, too late or instead of the real cause.
-func TestWhatIsFound(t *testing.T) {
+func TestConvictions(t *testing.T) {
 	cause, beside, other := content(1), content(2), content(3)
 	for _, c := range []struct {
 		name   string
@@ -152,7 +152,7 @@
 
 // Guards against a gateway that has just started, or was disconnected, and still sends what the
 // others bar.
-func TestWhatOthersFoundIsBarred(t *testing.T) {
+func TestReportedConvictionsAreBarred(t *testing.T) {
 	a, b := newTestTracker(), newTestTracker()
 	for _, u := range []string{"a", "b", "c"} {
 		a.crashWith(u, content(1))
@@ -181,7 +181,7 @@
 }
 
 // Guards against counting a crash once per gateway that reports it.
-func TestOneEndIsCountedOnce(t *testing.T) {
+func TestOneCrashIsCountedOnce(t *testing.T) {
 	a, b := newTestTracker(), newTestTracker()
 	a.crashWith("u", content(1))
 	b.lastID = 10
@@ -201,7 +201,7 @@
 
 // Guards against memory, messages and records that grow with the number of different poison
 // requests.
-func TestManyDifferentOnesAreBounded(t *testing.T) {
+func TestManyPoisonRequestsAreBounded(t *testing.T) {
 	tr := newTestTracker()
 	for i := range 2000 {
 		for k := range 3 {
@@ -231,7 +231,7 @@
 }
 
 // Guards against verdicts whose turn to be reported never comes.
-func TestAllVerdictsAreToldInTurn(t *testing.T) {
+func TestAllVerdictsAreReportedInTurn(t *testing.T) {
 	tr, other := newTestTracker(), newTestTracker()
 	for i := range 10 {
 		for k := range 3 {
@@ -252,7 +252,7 @@
 
 // Guards against convictions that are lost when all gateways restart, and against invalid
 // stored records that bar something.
-func TestKeptVerdicts(t *testing.T) {
+func TestStoredVerdicts(t *testing.T) {
 	a, b := newTestTracker(), newTestTracker()
 	for _, u := range []string{"a", "b", "c"} {
 		a.crashWith(u, content(1))
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -279,7 +279,7 @@
 // Guards against an account that gets more than its limit because each gateway takes the whole
 // refill when the gateways hear each other again after all were killed: none of them knows the
 // others' demand yet.
-func TestAllGatewaysStartAgainInASurge(t *testing.T) {
+func TestAllGatewaysRestartInALoadSpike(t *testing.T) {
 	for _, c := range []struct {
 		gateways    int
 		rate, surge float64
@@ -300,7 +300,7 @@
 
 // Guards against an account whose small requests alone exceed its limit. Each gateway admits them
 // until it hears that all together have overdrawn the bucket.
-func TestSmallRequestsOfASurgeStayWithinTheLimit(t *testing.T) {
+func TestSmallRequestsOfALoadSpikeStayWithinTheLimit(t *testing.T) {
 	f := newFleet(82, 900_000)
 	f.collector = &collector{}
 	even := slices.Repeat([]float64{1}, 82)
@@ -391,7 +391,7 @@
 // of 1.5 s, which is too long. All gateways restart, and a gateway that has heard none of the others
 // has a small share of the limit. The test fails when the retry-after time is computed from that
 // share, which lasts only for two rounds of reports.
-func TestAfterAStartCallersReturnWhenTheOthersAreKnown(t *testing.T) {
+func TestRetryAfterAtTheStartEndsWhenTheOthersAreKnown(t *testing.T) {
 	f := newFleet(1, 57_000)
 	g := f.gateways[0]
 	for i := range 9 {
@@ -483,7 +483,7 @@
 // half of its rate it goes to several times the rate at once, at gateways that hear of each other
 // every two seconds. The test fails when callers get shares of the tolerance that the gateways need
 // for what they admit before they hear of each other.
-func TestASurgeOfALargeAccountOfManyGateways(t *testing.T) {
+func TestALoadSpikeOfALargeAccountOfManyGateways(t *testing.T) {
 	checkSpikes(t, 61, 540_000, 8)
 }
 
@@ -492,7 +492,7 @@
 // gateways hear of each other too seldom: each knows the load spike only by its own callers until
 // the others' reports arrive, and admits as if the others' callers still requested as little as
 // before.
-func TestASurgeOfALargeAccountOfNinetyGateways(t *testing.T) {
+func TestALoadSpikeOfALargeAccountOfNinetyGateways(t *testing.T) {
 	checkSpikes(t, 90, 466_000, 6)
 }
 
@@ -503,7 +503,7 @@
 // Larger load spikes of larger accounts still exceed the limit (by 7 % at 195 gateways and seven times
 // 900,000 tokens a second): all gateways admit at once what each of them has saved up for one
 // request.
-func TestASurgeOfAnAccountOfHundredsOfGateways(t *testing.T) {
+func TestALoadSpikeOfAnAccountOfHundredsOfGateways(t *testing.T) {
 	for _, c := range []struct {
 		gateways    int
 		rate, surge float64
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -43,8 +43,8 @@
 	route int
 }
 
-// story describes one order and what happens during it.
-type story struct {
+// scenario describes one order and what happens during it.
+type scenario struct {
 	name                       string
 	gateways                   int
 	rate                       float64
@@ -103,7 +103,7 @@
 }
 
 type fleet struct {
-	s          story
+	s          scenario
 	rng        *rand.Rand
 	now        time.Time
 	start      time.Time
@@ -167,7 +167,7 @@
 	return duty.Grant{Authority: platform.Authority{Fence: g.f.fence}}, g.i == g.f.holder
 }
 
-func newFleet(s story, seed uint64) *fleet {
+func newFleet(s scenario, seed uint64) *fleet {
 	f := &fleet{s: s, rng: rand.New(rand.NewPCG(seed, 7)), start: time.Unix(1_000_000, 0), store: newMemoryStore(), fence: 1}
 	f.now = f.start
 	for _, took := range s.meanTimes {
@@ -188,7 +188,7 @@
 func (f *fleet) newGateway(i int) *simGateway {
 	g := &simGateway{f: f, i: i, inFlight: make(map[ident.Instance]int)}
 	g.tracker = New(Config{
-		Limits: limits, Now: f.clock, Log: hclog.NewNullLogger(), Life: fmt.Sprint("gw", i), Gateways: func() int { return f.s.gateways },
+		Limits: limits, Now: f.clock, Log: hclog.NewNullLogger(), IncarnationID: fmt.Sprint("gw", i), Gateways: func() int { return f.s.gateways },
 		OrdersKnown: f.clock,
 	})
 	if f.s.judge != nil {
--- a/internal/rollout/plan_test.go
+++ b/internal/rollout/plan_test.go
@@ -55,7 +55,7 @@
 
 // Guards against gateways that disagree forever about the phase of an order, or count evidence
 // twice, because merging depends on the order or the grouping in which reports arrive.
-func TestWordsJoinInAnyOrder(t *testing.T) {
+func TestOrderStatesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var states []OrderStates
 		for range rapid.IntRange(1, 6).Draw(t, "gateways") {
@@ -90,7 +90,7 @@
 // Guards against two holders that decide differently on one order: the first one reads the
 // records, decides to complete the order and is paused; its successor rolls the order back; then
 // the first one writes, although the topic changed after its read.
-func TestAHolderThatStoodStillDecidesNothing(t *testing.T) {
+func TestAPausedHolderDecidesNothing(t *testing.T) {
 	store := newMemoryStore()
 	first, second := ledger{store: store, status: StatusTopic{Topic: "reports", Encode: encodeForTest}}, ledger{store: store, status: StatusTopic{Topic: "reports", Encode: encodeForTest}}
 	for _, l := range []*ledger{&first, &second} {
--- a/internal/rollout/split.go
+++ b/internal/rollout/split.go
@@ -155,7 +155,7 @@
 	if again {
 		return Candidates{Preferred: s.oldUpstreams}
 	}
-	r.budget.setSlack(s.tracker.cfg.Limits, s.tracker.cfg.Gateways(), hashFraction(r.order.Offset, s.tracker.cfg.Life))
+	r.budget.setSlack(s.tracker.cfg.Limits, s.tracker.cfg.Gateways(), hashFraction(r.order.Offset, s.tracker.cfg.IncarnationID))
 	if !r.budget.allowsExposure(key, s.tracker.cfg.Limits) {
 		return Candidates{Preferred: s.oldUpstreams}
 	}
--- a/internal/rollout/stories_test.go
+++ b/internal/rollout/stories_test.go
@@ -20,67 +20,67 @@
 )
 
 // engineStory returns a story about a service of 20 engines whose answers take 0.3 to 1.5 s.
-func engineStory(name string) story {
-	return story{
+func engineStory(name string) scenario {
+	return scenario{
 		name: name, gateways: 8, rate: 360, timeLimit: 15 * time.Second, oldUpstreams: 20, newUpstreams: 20, slots: 64,
 		meanTimes: []time.Duration{1500 * time.Millisecond, 800 * time.Millisecond, 300 * time.Millisecond}, routeFractions: []float64{0.2, 0.45, 0.35},
 	}
 }
 
 // appStory returns a story about an application with 4 upstreams whose answers take milliseconds.
-func appStory(name string) story {
-	return story{
+func appStory(name string) scenario {
+	return scenario{
 		name: name, gateways: 8, rate: 156, timeLimit: 15 * time.Second, oldUpstreams: 4, newUpstreams: 4, slots: 6,
 		meanTimes:      []time.Duration{15 * time.Millisecond, 20 * time.Millisecond, 12 * time.Millisecond, 18 * time.Millisecond, 30 * time.Millisecond},
 		routeFractions: []float64{0.5, 0.2, 0.15, 0.1, 0.05},
 	}
 }
 
-func modified(s story, change func(*story)) story {
+func modified(s scenario, change func(*scenario)) scenario {
 	change(&s)
 	return s
 }
 
-func withFault(b fault) func(*story) {
-	return func(s *story) { s.fault = &b }
+func withFault(b fault) func(*scenario) {
+	return func(s *scenario) { s.fault = &b }
 }
 
-func stories() []story {
-	var out []story
-	for _, base := range []func(string) story{engineStory, appStory} {
+func stories() []scenario {
+	var out []scenario
+	for _, base := range []func(string) scenario{engineStory, appStory} {
 		kind := "engines: "
 		if base("").slots == 6 {
 			kind = "application: "
 		}
-		add := func(name string, change func(*story)) {
+		add := func(name string, change func(*scenario)) {
 			out = append(out, modified(base(kind+name), change))
 		}
-		add("good", func(*story) {})
-		add("good, answers fail by themselves, 14 in 100", func(s *story) { s.failFraction = 0.14 })
-		add("good, burst of 2.5", func(s *story) {
+		add("good", func(*scenario) {})
+		add("good, answers fail by themselves, 14 in 100", func(s *scenario) { s.failFraction = 0.14 })
+		add("good, burst of 2.5", func(s *scenario) {
 			s.burst = 2.5
 			if s.slots > 6 {
 				s.undecidable = "streams that began during the burst end after the deadline, and are not interrupted"
 			}
 		})
-		add("good, slow after the start", func(s *story) { s.coldFor = 3 * time.Second })
-		add("good, one upstream fails half", func(s *story) { s.greyFailFraction = 0.5 })
-		add("good, comes 3 s late", func(s *story) { s.newUpstreamsAt = 3 * time.Second })
-		add("good, holder dies early", func(s *story) { s.holderDies, s.timeLimit = 0.1, 30*time.Second })
+		add("good, slow after the start", func(s *scenario) { s.coldFor = 3 * time.Second })
+		add("good, one upstream fails half", func(s *scenario) { s.greyFailFraction = 0.5 })
+		add("good, comes 3 s late", func(s *scenario) { s.newUpstreamsAt = 3 * time.Second })
+		add("good, holder dies early", func(s *scenario) { s.holderDies, s.timeLimit = 0.1, 30*time.Second })
 		for _, part := range []float64{0.7, 0.8} {
-			add(fmt.Sprintf("good, holder dies at %.1f of 30 s", part), func(s *story) {
+			add(fmt.Sprintf("good, holder dies at %.1f of 30 s", part), func(s *scenario) {
 				s.holderDies, s.timeLimit = part, 30*time.Second
 				if s.slots > 6 {
 					s.undecidable = "streams need all the time that is left once a successor has the lease"
 				}
 			})
 		}
-		add("fails 30 in 100, all but one of its upstreams leave", func(s *story) {
+		add("fails 30 in 100, all but one of its upstreams leave", func(s *scenario) {
 			s.fault, s.newUpstreamsLeave = &fault{failFraction: 0.3, route: -1}, 0.05
 		})
-		add("good, 60 s", func(s *story) { s.timeLimit = time.Minute })
+		add("good, 60 s", func(s *scenario) { s.timeLimit = time.Minute })
 		for _, fail := range []float64{0.05, 0.1, 0.2, 0.5, 1} {
-			add(fmt.Sprintf("fails %.0f in 100", 100*fail), func(s *story) {
+			add(fmt.Sprintf("fails %.0f in 100", 100*fail), func(s *scenario) {
 				s.fault = &fault{failFraction: fail, route: -1}
 				if fail < 0.1 {
 					s.undecidable = "only seven failures are expected within the share"
@@ -89,7 +89,7 @@
 		}
 		for _, slow := range []float64{0.3, 1} {
 			for _, times := range []float64{3, 10} {
-				add(fmt.Sprintf("%.0f in 100 take %.0f times as long", 100*slow, times), func(s *story) {
+				add(fmt.Sprintf("%.0f in 100 take %.0f times as long", 100*slow, times), func(s *scenario) {
 					s.fault = &fault{slowFraction: slow, slowFactor: times, route: -1}
 					if slow < 1 && times < 10 {
 						s.undecidable = "only a third of the answers are slow, and some of them no slower than the old version's slowest"
@@ -98,39 +98,39 @@
 			}
 		}
 		for _, from := range []float64{0.25, 0.5, 0.75} {
-			add(fmt.Sprintf("fails 30 in 100 from %.2f on", from), func(s *story) {
+			add(fmt.Sprintf("fails 30 in 100 from %.2f on", from), func(s *scenario) {
 				s.fault = &fault{failFraction: 0.3, from: from, route: -1}
 				if from > 0.7 && s.slots > 6 {
 					s.undecidable = "streams need time to finish, so that all requests have to be moved before the version turns bad"
 				}
 			})
 		}
-		add("fails 50 in 100 above half load", func(s *story) {
+		add("fails 50 in 100 above half load", func(s *scenario) {
 			s.fault = &fault{failFraction: 0.5, aboveLoad: s.slots / 4, route: -1}
 		})
 		last := len(base("").routeFractions) - 1
-		add("fails 30 in 100 on the last route", func(s *story) {
+		add("fails 30 in 100 on the last route", func(s *scenario) {
 			s.fault = &fault{failFraction: 0.3, route: last}
 			if s.slots == 6 {
 				s.undecidable = "the route gets 8 requests per second, and its part of the share is 2"
 			}
 		})
 		add("fails 100 in 100 on the last route", withFault(fault{failFraction: 1, route: last}))
-		add("fails 30 in 100, holder dies early", func(s *story) {
+		add("fails 30 in 100, holder dies early", func(s *scenario) {
 			s.fault, s.holderDies = &fault{failFraction: 0.3, route: -1}, 0.05
 		})
-		add("fails 30 in 100, store away", func(s *story) {
+		add("fails 30 in 100, store away", func(s *scenario) {
 			s.fault, s.storeUnavailable = &fault{failFraction: 0.3, route: -1}, 0.05
 		})
-		add("fails 50 in 100, a quarter cut off", func(s *story) {
+		add("fails 50 in 100, a quarter cut off", func(s *scenario) {
 			s.fault, s.cutOff = &fault{failFraction: 0.5, route: -1}, 0.05
 		})
-		add("fails 30 in 100, beside 14 in 100 of both", func(s *story) {
+		add("fails 30 in 100, beside 14 in 100 of both", func(s *scenario) {
 			s.fault, s.failFraction = &fault{failFraction: 0.3, route: -1}, 0.14
 		})
 	}
-	small := modified(appStory("10 a second: fails 50 in 100"), func(s *story) { s.rate, s.fault = 10, &fault{failFraction: 0.5, route: -1} })
-	out = append(out, small, modified(appStory("10 a second: good"), func(s *story) { s.rate = 10 }))
+	small := modified(appStory("10 a second: fails 50 in 100"), func(s *scenario) { s.rate, s.fault = 10, &fault{failFraction: 0.5, route: -1} })
+	out = append(out, small, modified(appStory("10 a second: good"), func(s *scenario) { s.rate = 10 }))
 	for _, gateways := range []int{82, 195, 330} {
 		if gateways > 82 && !*large {
 			continue
@@ -140,7 +140,7 @@
 			if b != nil {
 				name = fmt.Sprintf("%d gateways, 2,000 a second: fails 30 in 100", gateways)
 			}
-			out = append(out, modified(engineStory(name), func(s *story) {
+			out = append(out, modified(engineStory(name), func(s *scenario) {
 				s.gateways, s.rate, s.oldUpstreams, s.newUpstreams, s.fault = gateways, 2000, 60, 60, b
 			}))
 		}
@@ -150,7 +150,7 @@
 
 // storySummary sums up the results of all plays of a story.
 type storySummary struct {
-	story                           story
+	story                           scenario
 	plays                           int
 	right, overBound, withLateSends int
 	lost, refused                   int
@@ -160,7 +160,7 @@
 	wrong []string
 }
 
-func (r *storySummary) add(s story, seed int, x result) {
+func (r *storySummary) add(s scenario, seed int, x result) {
 	r.plays++
 	want := Completed
 	if s.fault != nil {
@@ -215,7 +215,7 @@
 
 const tableHeading = "story                                                           plays  right  exposed   most   late   lost  mean s  last s"
 
-func playAll(list []story, n int) []*storySummary {
+func playAll(list []scenario, n int) []*storySummary {
 	rows := make([]*storySummary, len(list))
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, 4)
@@ -238,7 +238,7 @@
 // interrupted when the old version is stopped. Each story runs a rollout order with upstreams of
 // both versions and one kind of trouble.
 func TestStories(t *testing.T) {
-	rows := playAll(slices.DeleteFunc(stories(), func(s story) bool { return !strings.Contains(s.name, *only) }), *seeds)
+	rows := playAll(slices.DeleteFunc(stories(), func(s scenario) bool { return !strings.Contains(s.name, *only) }), *seeds)
 	var b strings.Builder
 	fmt.Fprintln(&b, tableHeading)
 	for _, r := range rows {
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -18,9 +18,9 @@
 	Limits Limits
 	Now    boottime.Clock
 	Log    hclog.Logger
-	// Life identifies this gateway and its current incarnation. Whether the gateway gets a part
+	// IncarnationID identifies this gateway and its current incarnation. Whether the gateway gets a part
 	// of the slack is drawn from it.
-	Life string
+	IncarnationID string
 	// Gateways returns the number of gateways that may exist, including this one.
 	Gateways func() int
 	// OrdersKnown returns the time up to which this gateway knows all orders.
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -23,7 +23,7 @@
 	g := &testGateway{t: t, now: time.Unix(1000, 0)}
 	g.ordersKnownAt = g.now
 	g.tracker = New(Config{
-		Limits: limits, Now: func() time.Time { return g.now }, Log: hclog.NewNullLogger(), Life: "gw", Gateways: func() int { return 1 },
+		Limits: limits, Now: func() time.Time { return g.now }, Log: hclog.NewNullLogger(), IncarnationID: "gw", Gateways: func() int { return 1 },
 		OrdersKnown: func() time.Time { return g.ordersKnownAt },
 	})
 	return g
--- a/internal/routing/mechanisms_test.go
+++ b/internal/routing/mechanisms_test.go
@@ -137,7 +137,7 @@
 
 // Guards against six gateways filling the same free capacity six times over. All
 // see the same report, and none knows what the others send.
-func TestGatewaysShareTheRoom(t *testing.T) {
+func TestGatewaysShareTheFreeCapacity(t *testing.T) {
 	view := fleet(3)
 	total := 0
 	for range 6 {
--- a/internal/routing/placement/placement_test.go
+++ b/internal/routing/placement/placement_test.go
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestPlacesAreGivenBack(t *testing.T) {
+func TestReservationsAreReleased(t *testing.T) {
 	f := newFixture()
 	for i, result := range []forward.Result{forward.Done, forward.NoConnection, forward.Broken, forward.Rejected, forward.Expired, forward.CallerGone} {
 		f.now = f.now.Add(time.Minute)
@@ -240,7 +240,7 @@
 // Guards against engines being ordered for twice the load, which arrive when it is over.
 // While there are too few engines, requests leave the homes of their prompt parts and are
 // sent again, and the tokens that are read for this must not count as demand.
-func TestTheWorkIsWhatCallersAsk(t *testing.T) {
+func TestDemandIsWhatCallersAsk(t *testing.T) {
 	f := newFixture()
 	demand := func() float64 {
 		return f.Demand("svc", f.now).PromptTokensPerSecond
@@ -263,7 +263,7 @@
 // Guards against an on-demand engine being ordered for each existing one, which arrives when
 // the shortage is over. There are too few engines for ten seconds, in which all answers take
 // five times as long, and the requests in progress must not count as demand.
-func TestSlowAnswersAreNoMoreWork(t *testing.T) {
+func TestSlowAnswersDoNotRaiseDemand(t *testing.T) {
 	f := newFixture()
 	// run sends ten requests per second for the time d, each of which generates its answer
 	// for the time generating, and returns the demand.
@@ -309,7 +309,7 @@
 // Guards against refused callers being refused again: during overload all of them are given
 // the same retry-after time, which is too short if it does not depend on the queues. Here
 // 200,000 tokens take two seconds to read, and 20,000 tokens a fifth of a second.
-func TestTheReturnTimeFollowsTheShortestQueue(t *testing.T) {
+func TestRetryAfterFollowsTheShortestQueue(t *testing.T) {
 	f := newFixture()
 	if got := f.RetryAfter(f.call(engine, 7), f.now); got != 0 {
 		t.Errorf("retry after %v at idle engines, want 0", got)
--- a/internal/routing/placement/timing_test.go
+++ b/internal/routing/placement/timing_test.go
@@ -13,7 +13,7 @@
 // and sent to another engine, behind another queue, where its prompt's shared parts are read
 // again. The time after which an attempt is slow must include the queue, here two seconds at
 // every engine.
-func TestPatienceCountsTheQueue(t *testing.T) {
+func TestSilenceTimeoutCountsTheQueue(t *testing.T) {
 	f := newFixture()
 	slow := func() time.Duration {
 		choice, found := f.Choose(f.call(engine, 7), nil, f.now)
--- a/internal/routing/placement/versions_test.go
+++ b/internal/routing/placement/versions_test.go
@@ -32,7 +32,7 @@
 	f.view = directory.NewView(list)
 	t := rollout.New(rollout.Config{
 		Limits: rollout.Limits{Share: 0.1, Slack: 50, StopDue: 5 * time.Second}, Now: func() time.Time { return f.now },
-		Log: hclog.NewNullLogger(), Life: "gw", Gateways: func() int { return 1 }, OrdersKnown: func() time.Time { return f.now },
+		Log: hclog.NewNullLogger(), IncarnationID: "gw", Gateways: func() int { return 1 }, OrdersKnown: func() time.Time { return f.now },
 	})
 	t.Observe(f.view)
 	t.ApplyOrder(rollout.Order{Service: "svc", To: "v2", TimeLimit: 20 * time.Second, Offset: 5}, 0, "test")
@@ -43,7 +43,7 @@
 
 // Guards against a canary version getting requests in proportion to its upstreams instead of
 // its small share, and against a request that failed there being sent to it again.
-func TestATriedVersionGetsItsShareAndNoRepeats(t *testing.T) {
+func TestACanaryVersionGetsItsShareAndNoRepeats(t *testing.T) {
 	f, _ := newRolloutFixture(8)
 	tried := 0
 	for i := range 1000 {
@@ -73,7 +73,7 @@
 
 // Guards against a good version being stopped, and healthy upstreams being ejected, because
 // one request crashed an upstream and broke off all others that ran there.
-func TestWhatAnEndBrokeOffSpeaksAgainstNobody(t *testing.T) {
+func TestWhatACrashBrokeOffCountsAgainstNobody(t *testing.T) {
 	f, tracker := newRolloutFixture(8)
 	reached := 0
 	for i := range 3000 {
@@ -121,9 +121,9 @@
 	f.Finished(choice, forward.Cut, f.now)
 }
 
-// BenchmarkChooseWhileAVersionIsTried measures a choice during a rollout, for comparison with
+// BenchmarkChooseDuringARollout measures a choice during a rollout, for comparison with
 // BenchmarkChoose: n upstreams have the old version and n others the new one.
-func BenchmarkChooseWhileAVersionIsTried(b *testing.B) {
+func BenchmarkChooseDuringARollout(b *testing.B) {
 	for _, n := range []int{9, 64, 690} {
 		f, _ := newRolloutFixture(2 * n)
 		call := f.call(engine, 7)
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -226,7 +226,7 @@
 
 // Guards against on-demand upstreams that are ordered after the load has fallen: when a
 // controller removes most of a domain's upstreams, that looks like a reclaim.
-func TestWhatIsGivenUpIsNoReclaim(t *testing.T) {
+func TestRemovedUpstreamsAreNoReclaim(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 12
 	c.setUpstreams(map[Slot]int{{"a", true}: 6, {"b", true}: 6, {"c", true}: 6, {"d", true}: 6}, directory.Ready)
@@ -259,7 +259,7 @@
 // Guards against an order that removes the serving upstreams during a rollout. As many
 // upstreams of the new version start, and the load falls. Both versions are counted, and an
 // order for fewer does not say which of them to remove.
-func TestNothingIsGivenUpWhileTheVersionChanges(t *testing.T) {
+func TestNothingIsRemovedWhileTheVersionChanges(t *testing.T) {
 	c, controller := newCloud()
 	c.need = 6
 	c.setUpstreams(map[Slot]int{{"a", true}: 3, {"b", true}: 3, {"c", true}: 3, {"d", true}: 3}, directory.Ready)
@@ -320,7 +320,7 @@
 // A fleet starts with thirty times the upstreams that its callers need. Guards against paying
 // for all of them for as long as a swing of the traffic lasts, and against removing upstreams
 // that a swing needs.
-func TestAManifoldSurplusIsGivenUpSoon(t *testing.T) {
+func TestALargeSurplusIsRemovedSoon(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		serving, need    int
--- a/internal/upstreamlimit/exchange.go
+++ b/internal/upstreamlimit/exchange.go
@@ -18,8 +18,8 @@
 	minReportedUse = 1.0 / 32
 )
 
-// Announcement is a gateway's report to another on one upstream's limit.
-type Announcement struct {
+// LimitReport is a gateway's report to another on one upstream's limit.
+type LimitReport struct {
 	// Upstream is the Config.Key of the upstream's ID, which differs after each restart.
 	Upstream uint32
 	// Limited is false if the limit was lifted.
@@ -56,9 +56,9 @@
 	}
 }
 
-// Announcements returns the reports on limits for the other gateways: those that changed lately,
+// LimitReports returns the reports on limits for the other gateways: those that changed lately,
 // and some of the others in turn.
-func (lim *Limiter) Announcements() []Announcement {
+func (lim *Limiter) LimitReports() []LimitReport {
 	lim.mu.Lock()
 	defer lim.mu.Unlock()
 	if len(lim.limits) == 0 {
@@ -75,10 +75,10 @@
 	}
 	turn := int(now.UnixNano() / int64(lim.cfg.Round))
 	selected := append(selectInTurn(changed, maxReportedChanges, turn), selectInTurn(others, maxReportedOthers, turn)...)
-	out := make([]Announcement, len(selected))
+	out := make([]LimitReport, len(selected))
 	for i, key := range selected {
 		l := lim.limits[key]
-		out[i] = Announcement{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.announcedAt)}
+		out[i] = LimitReport{Upstream: key, Limited: l.limited, Rate: l.rate, Age: now.Sub(l.announcedAt)}
 	}
 	return out
 }
@@ -97,9 +97,9 @@
 	return out
 }
 
-// MergeAnnouncements merges another gateway's reports on limits, whose ages are as of the given
+// MergeLimitReports merges another gateway's reports on limits, whose ages are as of the given
 // time.
-func (lim *Limiter) MergeAnnouncements(reports []Announcement, asOf time.Time) {
+func (lim *Limiter) MergeLimitReports(reports []LimitReport, asOf time.Time) {
 	if len(reports) == 0 {
 		return
 	}
@@ -113,7 +113,7 @@
 // merge merges a report on what an answer announced at the given time, unless a newer answer is
 // known. A lifted limit is recorded even if the limit was unknown, because an older report of the
 // limit may still arrive.
-func (lim *Limiter) merge(r Announcement, at, now time.Time) {
+func (lim *Limiter) merge(r LimitReport, at, now time.Time) {
 	l := lim.limits[r.Upstream]
 	switch {
 	case l == nil && len(lim.limits) >= maxLimits:
--- a/internal/upstreamlimit/fleet_test.go
+++ b/internal/upstreamlimit/fleet_test.go
@@ -300,13 +300,13 @@
 
 // sendLimits delivers one gateway's reports on limits to another and afterwards calls onDelivery.
 func (f *fleet) sendLimits(from, to *gateway, onDelivery func()) {
-	reports := from.limiter.Announcements()
+	reports := from.limiter.LimitReports()
 	f.result.maxLimitsInMessage = max(f.result.maxLimitsInMessage, len(reports))
 	at := f.Now()
 	limiter := to.limiter
 	f.In(messageDelay+time.Duration(f.rng.Int64N(int64(messageDelay))), func() {
 		if to.up && to.limiter == limiter {
-			to.limiter.MergeAnnouncements(reports, epoch.Add(at))
+			to.limiter.MergeLimitReports(reports, epoch.Add(at))
 			onDelivery()
 		}
 	})
--- a/internal/upstreamlimit/limiter_test.go
+++ b/internal/upstreamlimit/limiter_test.go
@@ -106,7 +106,7 @@
 	if c := f.Counters(); c.Changes != answers || c.Unreadable != answers {
 		t.Errorf("wrong counters: %+v", c)
 	}
-	if len(f.Announcements()) != 1 || len(f.List()) != 1 {
+	if len(f.LimitReports()) != 1 || len(f.List()) != 1 {
 		t.Error("an upstream has more than one limit")
 	}
 }
@@ -130,7 +130,7 @@
 		t.Error("a limit was dropped but the version did not change")
 	}
 	for i := range 3 * maxLimits {
-		f.MergeAnnouncements([]Announcement{{Upstream: uint32(i), Limited: true, Rate: 1}}, f.now)
+		f.MergeLimitReports([]LimitReport{{Upstream: uint32(i), Limited: true, Rate: 1}}, f.now)
 	}
 	if len(f.limits) > maxLimits {
 		t.Errorf("%d limits are known", len(f.limits))
@@ -143,14 +143,14 @@
 }
 
 // Guards against an older report that undoes a newer one, in whatever order they arrive.
-func TestAnnouncementsComeInAnyOrder(t *testing.T) {
+func TestLimitReportsComeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reports := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Announcement {
-			return Announcement{
+		reports := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) LimitReport {
+			return LimitReport{
 				Upstream: key(u), Limited: rapid.Bool().Draw(t, "limited"), Rate: float64(rapid.IntRange(1, 3).Draw(t, "rate")),
 				Age: time.Duration(rapid.IntRange(0, 5000).Draw(t, "age")) * time.Millisecond,
 			}
-		}), 1, 12, func(s Announcement) time.Duration { return s.Age }).Draw(t, "said")
+		}), 1, 12, func(s LimitReport) time.Duration { return s.Age }).Draw(t, "said")
 		newest := reports[0]
 		for _, s := range reports {
 			if s.Age < newest.Age {
@@ -159,7 +159,7 @@
 		}
 		f := newFixture()
 		for _, s := range reports {
-			f.MergeAnnouncements([]Announcement{s}, f.now)
+			f.MergeLimitReports([]LimitReport{s}, f.now)
 		}
 		rate, limited := f.Rate(u)
 		if limited != newest.Limited || limited && rate != newest.Rate {
@@ -183,7 +183,7 @@
 	if rate, limited := later.Rate(u); !limited || rate != 0.5 || later.Limited("v") {
 		t.Errorf("restored limit: %v a second, limited %v", rate, limited)
 	}
-	if reports := later.Announcements(); len(reports) != 1 || reports[0].Age < restoredExtraAge {
+	if reports := later.LimitReports(); len(reports) != 1 || reports[0].Age < restoredExtraAge {
 		t.Errorf("reported as %+v, newer than what the others may have learned since", reports)
 	}
 	// An answer that this gateway received takes precedence, also if it arrived before the record
@@ -204,7 +204,7 @@
 }
 
 // Guards against a lease's record that grows with the number of upstreams.
-func TestSavedLimitsAreBounded(t *testing.T) {
+func TestStoredLimitsAreBounded(t *testing.T) {
 	f := newFixture()
 	for i := range 2000 {
 		f.RecordStatement(ident.Instance(fmt.Sprint("u", i)), "r", LimitedTo(1.25))
@@ -216,7 +216,7 @@
 
 // Guards against messages that grow with the number of limits, and against a limit that is never
 // reported because there are many.
-func TestAllLimitsAreAnnouncedInTurns(t *testing.T) {
+func TestAllLimitsAreReportedInTurns(t *testing.T) {
 	f := newFixture()
 	const limits = 50
 	var all []ident.Instance
@@ -228,7 +228,7 @@
 	f.applyList(all...)
 	reported := make(map[uint32]bool)
 	for range limits/maxReportedOthers + 1 {
-		reports := f.Announcements()
+		reports := f.LimitReports()
 		if len(reports) > maxReportedOthers {
 			t.Errorf("%d limits in a message", len(reports))
 		}
@@ -242,7 +242,7 @@
 	}
 	f.RecordStatement(all[3], "r", LimitedTo(2))
 	changeReported := false
-	for _, s := range f.Announcements() {
+	for _, s := range f.LimitReports() {
 		changeReported = changeReported || s.Upstream == key(all[3]) && s.Rate == 2
 	}
 	if !changeReported {
@@ -251,7 +251,7 @@
 }
 
 // Guards against one side of a network partition that uses the whole limit.
-func TestASideOfACutUsesItsPart(t *testing.T) {
+func TestASideOfACutUsesItsShare(t *testing.T) {
 	sent := func(fleet Fleet) int {
 		f := newFixture()
 		f.RecordStatement(u, "r", LimitedTo(10))
@@ -297,7 +297,7 @@
 	}
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	f := newFixture()
 	for i := range 50 {
 		f.RecordStatement(ident.Instance(fmt.Sprint("u", i)), "r", LimitedTo(1))
@@ -309,7 +309,7 @@
 }
 
 // Guards against an unserved share of an upstream that accepts all its demand.
-func TestWhatAnUpstreamLacks(t *testing.T) {
+func TestUnservedShare(t *testing.T) {
 	f := newFixture()
 	f.RecordStatement(u, "r", LimitedTo(2))
 	f.RecordStatement("idle", "r", LimitedTo(2))
@@ -330,7 +330,7 @@
 }
 
 // Guards against uses that are attributed to the wrong upstreams when they are sent without keys.
-func TestUsesInOrder(t *testing.T) {
+func TestUsesByPosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := LimitedSet{Hash: 7}
 		uses := Uses{}
@@ -435,7 +435,7 @@
 
 // Guards against a gateway that starts with a sent count of zero and sends too much to reach the
 // rate.
-func TestAGatewayBeginsWithItsPartSent(t *testing.T) {
+func TestAGatewayBeginsWithItsShareCountedAsSent(t *testing.T) {
 	f := newFixture()
 	f.RecordStatement(u, "r", LimitedTo(20))
 	sent := 0
--- a/internal/upstreamlimit/snapshot.go
+++ b/internal/upstreamlimit/snapshot.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		at := now.Add(-time.Duration(entry.AgeMillis)*time.Millisecond - restoredExtraAge)
-		lim.merge(Announcement{Upstream: entry.Upstream, Limited: true, Rate: s.Rate}, at, now)
+		lim.merge(LimitReport{Upstream: entry.Upstream, Limited: true, Rate: s.Rate}, at, now)
 		if l := lim.limits[entry.Upstream]; l != nil && l.announcedAt.Equal(at) {
 			l.changedAt = at // not reported as a recent change
 		}
