--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -35,8 +35,8 @@
 	viewJitter = 150 * time.Millisecond
 	// storeAwayShare is how old the view must be for the store to count as unreachable for
 	// all gateways, as a share of the time within which a departure must be followed. It is
-	// longer than a gateway that the store refuses waits for the others' view, and shorter
-	// than an entry lives without renewal (3.6 s).
+	// longer than the time for which a gateway that the store refuses waits for the others'
+	// view, and shorter than an entry lives without renewal (3.6 s).
 	storeAwayShare = 0.9
 )
 
