--- a/internal/ingress/metrics.go
+++ b/internal/ingress/metrics.go
@@ -66,7 +66,8 @@
 		h = hdrhistogram.New(1, maxMicroseconds, histogramDigits)
 		m.firstPartTimes[kind] = h
 	}
-	// The error is ignored: the value is within the histogram's bounds.
+	// A value beyond the histogram's bounds is recorded as the bound, so that there is
+	// no error.
 	_ = h.RecordValue(min(max(outcome.FirstPart.Microseconds(), 1), maxMicroseconds))
 }
 
