--- a/internal/routing/placement/placement.go
+++ b/internal/routing/placement/placement.go
@@ -122,8 +122,9 @@
 	// mu guards all fields below.
 	mu   sync.Mutex
 	view *directory.View
-	// lastUnreachable is when a connection to an upstream last failed, by the
-	// upstream's failure domain.
+	// lastUnreachable is when an upstream last did not answer, because a connection
+	// failed or an answer did not arrive or broke off, by the upstream's failure
+	// domain.
 	lastUnreachable   map[ident.FailureDomain]time.Time
 	own               map[ident.Instance]*ownWork
 	ejectionSets      map[ident.Service]*ejection.Set
--- a/internal/routing/predict.go
+++ b/internal/routing/predict.go
@@ -58,7 +58,8 @@
 	waiting [priorityLevels]waitingWork
 	// margins are the logarithms of the margins, by priority; see learnMargin.
 	margins [priorityLevels]average
-	// output is the mean MaxTokens of the requests.
+	// output is the mean MaxTokens of the requests. It stands for the mean length of
+	// the answers.
 	output average
 }
 
