--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -39,8 +39,8 @@
 }
 
 const (
-	// maxReserveFactor limits the reclaimable upstreams for each that is needed, where two
-	// domains are most of those there are. Up to this factor the reserve costs less than
+	// maxReserveFactor bounds reserveFactor, which would be higher, or infinite, where two
+	// domains are most or all of them. Up to this factor the reserve costs less than
 	// on-demand upstreams until reclaimed ones are replaced, and these cost less than the
 	// work that would be lost without them.
 	maxReserveFactor = 2
