--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -22,7 +22,8 @@
 
 // watchForSilence starts the silence timer of an attempt. A call that no further upstream may
 // run gets no timer, because then only the silent upstream can still answer. When the timer
-// fires, it cancels the attempt only if the retry budget allows another one.
+// fires, it cancels the attempt only if the call has time left for another one and the retry
+// budget allows it.
 func (s *session) watchForSilence(choice Choice, cancel context.CancelCauseFunc) *silenceTimer {
 	route := s.call.Route
 	if !route.Repeatable() && !route.Resumable || choice.SilenceTimeout <= 0 || s.state.possibleRuns+1 >= route.Attempts {
