--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -205,7 +205,7 @@
 }
 
 // applyOne applies a record and reports whether it changed something. The returned record
-// has no ID if the applied one could not be used. u.mu must be held.
+// has no name if the applied one could not be used. u.mu must be held.
 func (u *upstreamsFollower) applyOne(record platform.KeyedRecord) (directory.Record, bool) {
 	name := ident.Instance(record.Key)
 	if record.Unreadable == nil && record.Value == nil {
