--- a/internal/gossip/fleet_test.go
+++ b/internal/gossip/fleet_test.go
@@ -354,7 +354,7 @@
 // maxMeanAge bounds the mean age of all others' reports at any instant: a report waits up to a
 // round for the collector, and the sum up to half a round for the exchange, half of these on
 // average. Right before the next answer a gateway's view is a round older. maxSampledMeanAge
-// bounds the mean of many samples.
+// bounds the mean of the samples that are taken over one second.
 const (
 	maxMeanAge        = 450 * time.Millisecond
 	maxSampledMeanAge = 350 * time.Millisecond
