--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -40,8 +40,8 @@
 	// to follow a few slow engines.
 	tolerance    = 0.4
 	minTolerance = 0.005
-	// kilo is the unit in which the fit counts tokens, so that the four coefficients have
-	// similar magnitudes.
+	// kilo is the unit in which the fit counts tokens, a thousand, so that the four
+	// coefficients have similar magnitudes.
 	kilo = 1000
 )
 
