--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -71,7 +71,7 @@
 	// gateways together may send to the version, and Slack a number of further requests.
 	Share float64
 	Slack float64
-	// StopDue is the longest time from a version's first bad answers until no gateway sends it
-	// requests.
+	// StopDue is the longest time for which gateways may still send requests to
+	// a version after its answers showed that it is bad.
 	StopDue time.Duration
 }
