--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -140,9 +140,9 @@
 type Membership struct {
 	// Heartbeat is the interval between two heartbeats. Default 500ms.
 	Heartbeat time.Duration `toml:"heartbeat"`
-	// PeersPerDomain is how many peers of the own failure domain get each
-	// heartbeat at the most; if there are more, they take turns. 0 sends to all.
-	// Default 8.
+	// PeersPerDomain is the largest number of peers of the own failure domain
+	// that all get each heartbeat. If there are more, only some of them get it,
+	// in turn. 0 sends to all. Default 8.
 	PeersPerDomain int `toml:"peers_per_domain"`
 	// OtherDomains is how many peers of each other failure domain get each
 	// heartbeat. Default 2.
