--- a/internal/calls/committer.go
+++ b/internal/calls/committer.go
@@ -121,7 +121,8 @@
 	return wait, down
 }
 
-// down is logDown for this partition alone.
+// down reports whether appends of this partition currently fail or hang, and the
+// retry-after time for callers.
 func (w *committer) down(now time.Time) (time.Duration, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/streaming/observer.go
+++ b/internal/streaming/observer.go
@@ -40,7 +40,7 @@
 
 // The metrics of all token streams of this process. faultsVar is keyed by Fault,
 // the other maps by Cause. streamsVar is the number of streams that the process
-// keeps now; leftVar counts the streams that no peer accepted.
+// keeps now; notHandedOverVar counts the streams that no peer accepted.
 var (
 	attemptsVar      = expvar.NewMap("goldcrestspool.streaming.attempts")
 	recomputedVar    = expvar.NewMap("goldcrestspool.streaming.tokens_recomputed")
