--- a/internal/admission/gate/demand.go
+++ b/internal/admission/gate/demand.go
@@ -114,7 +114,7 @@
 // share while upstreams can't answer all requests in time.
 //
 // Slots may be free at such times. Then nothing waits and the queue's order has
-// no effect: without this check, slots would go to whoever asks most often.
+// no effect: without this check, slots would go to the accounts that ask most often.
 func (g *Gate) exceedsTimelyShare(c *client) bool { return c.demand > g.timelySlotsPerWeight*c.weight }
 
 // meanDemandPerWeight returns the mean demand of the accounts per unit of
--- a/internal/admission/gate/overload_test.go
+++ b/internal/admission/gate/overload_test.go
@@ -44,8 +44,8 @@
 // retry.
 //
 // It guards against a small account whose requests are refused while those of a
-// large one run. That happens if slots go to whoever asks most often, while one
-// account sends ten times its share and three others send twice theirs.
+// large one run. That happens if slots go to the accounts that ask most often, while
+// one account sends ten times its share and three others send twice theirs.
 func TestSmallAccountKeepsShare(t *testing.T) {
 	cases := []struct {
 		class      document.Class
--- a/internal/calls/capacity_test.go
+++ b/internal/calls/capacity_test.go
@@ -25,13 +25,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			m := newMachine(trustNothing)
 			defer m.close()
-			m.w.log.SetDelay(5 * time.Millisecond)
+			m.cluster.log.SetDelay(5 * time.Millisecond)
 			var mu sync.Mutex
 			var waits []time.Duration
-			before, start := m.w.log.Appends(), time.Now()
+			before, start := m.cluster.log.Appends(), time.Now()
 			for i := range rate * seconds {
 				r := m.newRequest(false)
-				g := m.w.gateways[i%3]
+				g := m.cluster.gateways[i%3]
 				m.pending.Go(func() {
 					began := time.Now()
 					call := Call{Key: r.key, Method: confirm, Payload: []byte(r.payload), IssuedAt: r.issuedAt, Attempt: 1}
@@ -45,7 +45,7 @@
 				time.Sleep(time.Second / time.Duration(rate))
 			}
 			m.pending.Wait()
-			appends, took := m.w.log.Appends()-before, time.Since(start)
+			appends, took := m.cluster.log.Appends()-before, time.Since(start)
 			perSecond := float64(appends) / took.Seconds()
 			bound := 3 * journal.Partitions * (int(took/Limits{}.withDefaults().AppendInterval) + 1)
 			slices.Sort(waits)
@@ -118,9 +118,9 @@
 func BenchmarkCall(b *testing.B) {
 	for _, parallel := range []int{8, 64, 512, 4096} {
 		b.Run(fmt.Sprintf("parallel=%d", parallel), func(b *testing.B) {
-			w := newWorld(trustNothing)
+			c := newCluster(trustNothing)
 			for _, domain := range []ident.FailureDomain{"hall-a", "hall-a", "hall-b"} {
-				w.newGatewayUnsynced(domain)
+				c.newGatewayUnsynced(domain)
 			}
 			time.Sleep(100 * time.Millisecond)
 			before := testkit.ProcessorTime(b)
@@ -130,14 +130,14 @@
 				for i := range parallel {
 					key := ident.CallKey{Service: service, Account: account, Key: ident.Key(fmt.Sprint(calls))}
 					call := Call{Key: key, Method: confirm, Payload: make([]byte, 256), IssuedAt: time.Now(), Attempt: 1}
-					g := w.gateways[i%3]
+					g := c.gateways[i%3]
 					calls++
 					all.Go(func() { g.calls.Do(b.Context(), call) })
 				}
 				all.Wait()
 			}
 			b.ReportMetric(float64((testkit.ProcessorTime(b)-before).Microseconds())/float64(calls), "cpu-µs/call")
-			for _, g := range w.gateways {
+			for _, g := range c.gateways {
 				g.kill()
 				<-g.done
 			}
--- a/internal/calls/cases_test.go
+++ b/internal/calls/cases_test.go
@@ -26,15 +26,15 @@
 // longPatience is the timeout of callers in tests where it must not matter.
 const longPatience = 30 * time.Second
 
-// inWorld runs a test case in virtual time and then checks what callers were told.
+// runCase runs a test case in virtual time and then checks what callers were told.
 // Gateways 0 and 1 are in hall-a, 2 is in hall-b; upstreams 0 and 1 are in hall-a
 // and hall-b.
-func inWorld(t *testing.T, trust document.UpstreamSpec, run func(t *testing.T, m *machine, g []*gateway)) {
+func runCase(t *testing.T, trust document.UpstreamSpec, run func(t *testing.T, m *machine, g []*gateway)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		m := newMachine(trust)
 		defer m.close()
-		run(t, m, m.w.gateways)
+		run(t, m, m.cluster.gateways)
 		m.check(t)
 	})
 }
@@ -55,7 +55,7 @@
 
 // setLeaving makes all upstreams refuse calls, or accept them again.
 func (m *machine) setLeaving(leaving bool) {
-	for _, s := range m.w.upstreams {
+	for _, s := range m.cluster.upstreams {
 		s.current().SetLeaving(leaving)
 	}
 }
@@ -67,7 +67,7 @@
 // dispatches the call. So claims of earlier attempts must be void once a later
 // attempt has owned the key.
 func TestEarlierAttemptWakesAfterNotRun(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.setLeaving(true)
 		g[0].freeze()
 		r := m.newRequest(false)
@@ -89,10 +89,10 @@
 // refuse the call. Then the first copy of the record gets into the log. A second
 // copy of a claim that has ended must not own the key again.
 func TestSecondCopyOfAnEndedClaim(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		m.setLeaving(true)
-		m.w.log.SetLateness(10 * time.Second)
-		m.w.log.LoseNext(fault.Late)
+		m.cluster.log.SetLateness(10 * time.Second)
+		m.cluster.log.LoseNext(fault.Late)
 		r := m.newRequest(false)
 		wantKind(t, "attempt 1", m.do(g[0], r), outcome.NotRun)
 		m.setLeaving(false)
@@ -106,14 +106,14 @@
 // not appended. But a refused append proves nothing about an earlier append of the
 // same record.
 func TestOutageAfterALostAppend(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
-		m.w.log.SetLateness(2 * time.Second)
-		m.w.log.LoseNext(fault.Late)
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		m.cluster.log.SetLateness(2 * time.Second)
+		m.cluster.log.LoseNext(fault.Late)
 		r := m.newRequest(false)
 		m.send(g[0], r, longPatience)
-		m.w.log.SetOutage(true)
+		m.cluster.log.SetOutage(true)
 		time.Sleep(3 * time.Second)
-		m.w.log.SetOutage(false)
+		m.cluster.log.SetOutage(false)
 		time.Sleep(longPatience)
 		wantKind(t, "attempt 1", r.lastOutcome(), outcome.Completed)
 	})
@@ -126,19 +126,19 @@
 // higher fencing number, finds it running. Only an upstream that has not seen the
 // call but has seen the higher number proves that the call never runs.
 func TestCallArrivesDuringTheTakeOver(t *testing.T) {
-	inWorld(t, trustFindAndFence, func(t *testing.T, m *machine, g []*gateway) {
-		m.w.arrivalDelays = []time.Duration{4500 * time.Millisecond}
-		for _, s := range m.w.upstreams {
+	runCase(t, trustFindAndFence, func(t *testing.T, m *machine, g []*gateway) {
+		m.cluster.arrivalDelays = []time.Duration{4500 * time.Millisecond}
+		for _, s := range m.cluster.upstreams {
 			s.current().SetDelays(plain.Delays{BeforeEffect: 5 * time.Second})
 		}
 		r := m.newRequest(false)
 		m.send(g[0], r, longPatience)
 		time.Sleep(4 * time.Second)
-		m.w.log.SetDelay(time.Second)
+		m.cluster.log.SetDelay(time.Second)
 		m.send(g[2], r, longPatience)
 		time.Sleep(2 * time.Second)
 		wantKind(t, "attempt 2", r.lastOutcome(), outcome.InProgress)
-		m.w.log.SetDelay(0)
+		m.cluster.log.SetDelay(0)
 		time.Sleep(longPatience)
 		wantKind(t, "attempt 3", m.do(g[1], r), outcome.Completed)
 	})
@@ -167,8 +167,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, c.trust, func(t *testing.T, m *machine, g []*gateway) {
-				m.w.upstreams[0].current().SetLeaving(c.alone)
+			runCase(t, c.trust, func(t *testing.T, m *machine, g []*gateway) {
+				m.cluster.upstreams[0].current().SetLeaving(c.alone)
 				g[0].freezeAtDispatch.Store(true)
 				r := m.newRequest(false)
 				m.send(g[0], r, longPatience)
@@ -188,20 +188,20 @@
 // third time and its call runs elsewhere. Then the first gateway wakes up and
 // sends its call. Ending a takeover must not end the claim that it took over.
 func TestTakeOverIsGivenUp(t *testing.T) {
-	inWorld(t, trustFindAndFence, func(t *testing.T, m *machine, g []*gateway) {
+	runCase(t, trustFindAndFence, func(t *testing.T, m *machine, g []*gateway) {
 		g[0].freezeAtDispatch.Store(true)
 		r := m.newRequest(false)
 		m.send(g[0], r, longPatience)
 		time.Sleep(10 * time.Second)
-		m.w.log.SetDelay(time.Second)
+		m.cluster.log.SetDelay(time.Second)
 		m.send(g[2], r, 900*time.Millisecond)
 		time.Sleep(10 * time.Second)
-		m.w.log.SetDelay(0)
+		m.cluster.log.SetDelay(0)
 		// This is the upstream of attempt 1; attempt 3 must go to the other one.
-		m.w.upstreams[1].current().SetLeaving(true)
+		m.cluster.upstreams[1].current().SetLeaving(true)
 		m.send(g[1], r, longPatience)
 		time.Sleep(longPatience)
-		m.w.upstreams[1].current().SetLeaving(false)
+		m.cluster.upstreams[1].current().SetLeaving(false)
 		g[0].unfreeze()
 		time.Sleep(longPatience)
 		wantKind(t, "attempt 4", m.do(g[1], r), outcome.Completed)
@@ -214,20 +214,20 @@
 // serves the later attempt. A gateway must only serve keys issued after the first
 // record that it has read, with a margin for the callers' clocks.
 func TestRepeatAfterItsRecordsExpired(t *testing.T) {
-	expireAll := func(w *world, r *request) {
+	expireAll := func(c *cluster, r *request) {
 		stream := journal.Stream(journal.Partition(r.key))
-		batch, _ := w.log.Read(context.Background(), stream, 0, 1, 0)
-		w.log.Expire(stream, batch.Head)
+		batch, _ := c.log.Read(context.Background(), stream, 0, 1, 0)
+		c.log.Expire(stream, batch.Head)
 	}
 	t.Run("a fresh gateway", func(t *testing.T) {
-		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 			r := m.newRequest(false)
 			wantKind(t, "attempt 1", m.do(g[0], r), outcome.Completed)
-			expireAll(m.w, r)
+			expireAll(m.cluster, r)
 			for _, old := range g {
 				old.kill()
 			}
-			fresh := m.w.newGateway("hall-a")
+			fresh := m.cluster.newGateway("hall-a")
 			time.Sleep(10 * time.Minute)
 			wantKind(t, "attempt 2", m.do(fresh, r), outcome.Unknown)
 			time.Sleep(journal.Window)
@@ -235,24 +235,24 @@
 		})
 	})
 	t.Run("a gateway that was cut off", func(t *testing.T) {
-		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 			g[2].cutOff.Store(true)
-			m.w.split = true
+			m.cluster.split = true
 			time.Sleep(time.Minute)
 			r := m.newRequest(false)
 			wantKind(t, "attempt 1", m.do(g[0], r), outcome.Completed)
-			expireAll(m.w, r)
+			expireAll(m.cluster, r)
 			g[0].kill()
 			g[1].kill()
-			m.w.newGateway("hall-a")
+			m.cluster.newGateway("hall-a")
 			g[2].cutOff.Store(false)
-			m.w.split = false
+			m.cluster.split = false
 			time.Sleep(10 * time.Minute)
 			wantKind(t, "attempt 2", m.do(g[2], r), outcome.Unknown)
 		})
 	})
 	t.Run("after the window", func(t *testing.T) {
-		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 			r := m.newRequest(false)
 			wantKind(t, "attempt 1", m.do(g[0], r), outcome.Completed)
 			time.Sleep(journal.Window + time.Hour)
@@ -272,7 +272,7 @@
 // account and gets the other request's answer, or runs. A key belongs to the
 // digest of the request that claimed it first.
 func TestKeyOfAnotherRequest(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		first := m.newRequest(false)
 		wantKind(t, "first request", m.do(g[0], first), outcome.Completed)
 		second := m.newRequest(true)
@@ -289,18 +289,18 @@
 func TestRefusedAtOnceWithoutTheLog(t *testing.T) {
 	cases := []struct {
 		name string
-		fail func(*world)
+		fail func(*cluster)
 		// since is the time from the fault to the checked attempts.
 		since time.Duration
 	}{
-		{"the log is down", func(w *world) { w.log.SetOutage(true) }, 5 * time.Second},
-		{"the log hangs", func(w *world) { w.log.SetDelay(time.Hour) }, 5 * time.Second},
-		{"an append hangs", func(w *world) { w.log.SetDelay(time.Hour) }, 1500 * time.Millisecond},
+		{"the log is down", func(c *cluster) { c.log.SetOutage(true) }, 5 * time.Second},
+		{"the log hangs", func(c *cluster) { c.log.SetDelay(time.Hour) }, 5 * time.Second},
+		{"an append hangs", func(c *cluster) { c.log.SetDelay(time.Hour) }, 1500 * time.Millisecond},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
-				c.fail(m.w)
+			runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+				c.fail(m.cluster)
 				m.send(g[0], m.newRequest(false), longPatience)
 				time.Sleep(c.since)
 				r := m.newRequest(false)
--- a/internal/calls/world_test.go
+++ b/internal/calls/cluster_test.go
@@ -27,8 +27,8 @@
 
 var errKilled = errors.New("process was killed")
 
-// world holds several gateways over one log and a few upstreams, all in memory.
-type world struct {
+// cluster holds several gateways over one log and a few upstreams, all in memory.
+type cluster struct {
 	trust document.UpstreamSpec
 	docs  *blackboard.Section[*document.Set]
 	log   *logstore.Log
@@ -66,13 +66,13 @@
 
 // gateway is an entry instance with its Coordinator.
 type gateway struct {
-	w      *world
-	id     ident.Instance
-	domain ident.FailureDomain
-	calls  *Coordinator
-	health *blackboard.Section[blackboard.JournalHealth]
-	cancel context.CancelFunc
-	done   chan struct{}
+	cluster *cluster
+	id      ident.Instance
+	domain  ident.FailureDomain
+	calls   *Coordinator
+	health  *blackboard.Section[blackboard.JournalHealth]
+	cancel  context.CancelFunc
+	done    chan struct{}
 	// cutOff reports that the gateway cannot reach the platform.
 	cutOff  atomic.Bool
 	leaving atomic.Bool
@@ -84,7 +84,7 @@
 	killed bool
 }
 
-func newWorld(trust document.UpstreamSpec) *world {
+func newCluster(trust document.UpstreamSpec) *cluster {
 	d := &document.Document{
 		Service:  service,
 		Kind:     document.Plain,
@@ -92,7 +92,7 @@
 		Methods:  []document.Method{{Name: confirm, Timeout: 3 * time.Second}},
 	}
 	set := &document.Set{Services: map[ident.Service]document.Entry{service: {Document: d}}}
-	w := &world{
+	c := &cluster{
 		trust:       trust,
 		docs:        blackboard.NewSection(set),
 		log:         logstore.New(logstore.Options{}),
@@ -101,9 +101,9 @@
 	for _, domain := range []ident.FailureDomain{"hall-a", "hall-b"} {
 		s := &server{id: ident.Instance("app-" + domain), domain: domain, checksFencing: trust.ChecksFencing}
 		s.start()
-		w.upstreams = append(w.upstreams, s)
+		c.upstreams = append(c.upstreams, s)
 	}
-	return w
+	return c
 }
 
 func (s *server) start() {
@@ -123,37 +123,37 @@
 
 // newGateway starts a gateway and waits until it has read the journal. It must run
 // in virtual time.
-func (w *world) newGateway(domain ident.FailureDomain) *gateway {
-	g := w.newGatewayUnsynced(domain)
+func (c *cluster) newGateway(domain ident.FailureDomain) *gateway {
+	g := c.newGatewayUnsynced(domain)
 	synctest.Wait()
 	return g
 }
 
 // newGatewayUnsynced starts a gateway and does not wait. It also works outside
 // virtual time.
-func (w *world) newGatewayUnsynced(domain ident.FailureDomain) *gateway {
-	w.mu.Lock()
-	w.started++
+func (c *cluster) newGatewayUnsynced(domain ident.FailureDomain) *gateway {
+	c.mu.Lock()
+	c.started++
 	g := &gateway{
-		w:      w,
-		id:     ident.Instance(fmt.Sprintf("entry-%s-%d", domain, w.started)),
-		domain: domain,
-		health: blackboard.NewSection(blackboard.JournalHealth{}),
-		done:   make(chan struct{}),
+		cluster: c,
+		id:      ident.Instance(fmt.Sprintf("entry-%s-%d", domain, c.started)),
+		domain:  domain,
+		health:  blackboard.NewSection(blackboard.JournalHealth{}),
+		done:    make(chan struct{}),
 	}
-	w.mu.Unlock()
+	c.mu.Unlock()
 	g.calls = New(Config{
 		Instance:    g.id,
 		Incarnation: 1,
 		Log:         gatewayLog{g},
 		Dispatcher:  dispatcher{g},
 		Peers:       peers{g},
-		Documents:   w.docs,
+		Documents:   c.docs,
 		Health:      g.health,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
-	w.locked(func() { w.gateways = append(w.gateways, g) })
+	c.locked(func() { c.gateways = append(c.gateways, g) })
 	go func() {
 		defer close(g.done)
 		_ = g.calls.Run(ctx)
@@ -219,23 +219,23 @@
 	}
 }
 
-func (w *world) losesHandOverAnswers() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.loseHandOverAnswers
+func (c *cluster) losesHandOverAnswers() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.loseHandOverAnswers
 }
 
 // locked calls change with w.mu held.
-func (w *world) locked(change func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *cluster) locked(change func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	change()
 }
 
 // effects returns how many calls upstreams ran for a key, and their answers, as the
 // upstreams themselves report them.
-func (w *world) effects(key ident.CallKey) (count int, replies []string) {
-	for _, s := range w.upstreams {
+func (c *cluster) effects(key ident.CallKey) (count int, replies []string) {
+	for _, s := range c.upstreams {
 		for _, incarnation := range s.incarnations {
 			n := incarnation.Effects(key.String())
 			count += n
@@ -249,8 +249,8 @@
 }
 
 // history formats the journal's records of a key for the message of a failed check.
-func (w *world) history(key ident.CallKey) string {
-	batch, _ := w.log.Read(context.Background(), journal.Stream(journal.Partition(key)), 0, 1<<20, 0)
+func (c *cluster) history(key ident.CallKey) string {
+	batch, _ := c.log.Read(context.Background(), journal.Stream(journal.Partition(key)), 0, 1<<20, 0)
 	var b strings.Builder
 	for _, r := range batch.Records {
 		event, _ := journal.Decode(r.Data)
@@ -274,9 +274,9 @@
 }
 
 // live returns the gateways that were neither killed nor told to leave.
-func (w *world) live() []*gateway {
+func (c *cluster) live() []*gateway {
 	var live []*gateway
-	for _, g := range w.gateways {
+	for _, g := range c.gateways {
 		if g.alive() && !g.leaving.Load() {
 			live = append(live, g)
 		}
@@ -285,34 +285,34 @@
 }
 
 // heal ends all faults but the ends of gateways and upstreams.
-func (w *world) heal() {
-	w.mu.Lock()
-	w.split, w.loseHandOverAnswers, w.arrivalDelays = false, false, nil
-	w.mu.Unlock()
-	w.log.SetOutage(false)
-	w.log.SetDelay(0)
+func (c *cluster) heal() {
+	c.mu.Lock()
+	c.split, c.loseHandOverAnswers, c.arrivalDelays = false, false, nil
+	c.mu.Unlock()
+	c.log.SetOutage(false)
+	c.log.SetDelay(0)
 	for range 200 {
 		// Uses up losses that were set and have not yet met an append.
-		_, _ = w.log.Append(context.Background(), "unused", nil)
+		_, _ = c.log.Append(context.Background(), "unused", nil)
 	}
-	for _, g := range w.gateways {
+	for _, g := range c.gateways {
 		g.cutOff.Store(false)
 		g.freezeAtDispatch.Store(false)
 		g.unfreeze()
 	}
-	for _, s := range w.upstreams {
+	for _, s := range c.upstreams {
 		s.current().SetLeaving(false)
 		s.current().SetDelays(plain.Delays{})
 	}
 }
 
 // close ends all gateways and waits for them.
-func (w *world) close() {
-	w.heal()
-	for _, g := range w.gateways {
+func (c *cluster) close() {
+	c.heal()
+	for _, g := range c.gateways {
 		g.kill()
 	}
-	for _, g := range w.gateways {
+	for _, g := range c.gateways {
 		<-g.done
 	}
 	time.Sleep(time.Minute)
--- a/internal/calls/leaving_test.go
+++ b/internal/calls/leaving_test.go
@@ -18,18 +18,18 @@
 // the release. Only the record of the release opens the key, so the peer must
 // write it too; the hand-over proves that it may.
 func TestHolderDiesInTheMiddleOfTheHandOver(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
-		m.w.log.SetLateness(50 * time.Millisecond)
-		m.w.log.LoseNext(fault.Late)
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		m.cluster.log.SetLateness(50 * time.Millisecond)
+		m.cluster.log.LoseNext(fault.Late)
 		r := m.newRequest(false)
 		m.send(g[0], r, longPatience)
 		g[0].cutOff.Store(true)
-		m.w.log.SetDelay(200 * time.Millisecond)
+		m.cluster.log.SetDelay(200 * time.Millisecond)
 		m.reclaim(g[0], longPatience)
 		g[0].kill()
 		time.Sleep(longPatience)
-		if count, _ := m.w.effects(r.key); count != 1 {
-			t.Fatalf("the call ran %d times, want once, by the peer%s", count, m.w.history(r.key))
+		if count, _ := m.cluster.effects(r.key); count != 1 {
+			t.Fatalf("the call ran %d times, want once, by the peer%s", count, m.cluster.history(r.key))
 		}
 		wantKind(t, "attempt 2", m.do(g[2], r), outcome.Completed)
 	})
@@ -40,21 +40,21 @@
 // dies before it can journal the outcome. The outcome must be sent to peers at
 // once, and they must journal it when the gateway no longer can.
 func TestOutcomeOutlivesItsGateway(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
-		m.w.upstreams[0].current().SetDelays(plain.Delays{AfterEffect: time.Second})
-		m.w.upstreams[1].current().SetDelays(plain.Delays{AfterEffect: time.Second})
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		m.cluster.upstreams[0].current().SetDelays(plain.Delays{AfterEffect: time.Second})
+		m.cluster.upstreams[1].current().SetDelays(plain.Delays{AfterEffect: time.Second})
 		r := m.newRequest(false)
 		m.send(g[0], r, longPatience)
-		m.w.log.SetOutage(true)
+		m.cluster.log.SetOutage(true)
 		time.Sleep(2 * time.Second)
 		wantKind(t, "attempt 1", r.lastOutcome(), outcome.Completed)
 		g[0].kill()
 		wantKind(t, "a question in the other failure domain", g[2].calls.Find(context.Background(), r.key), outcome.Completed)
-		m.w.log.SetOutage(false)
+		m.cluster.log.SetOutage(false)
 		time.Sleep(longPatience)
 		g[1].kill()
 		g[2].kill()
-		fresh := m.w.newGateway("hall-b")
+		fresh := m.cluster.newGateway("hall-b")
 		time.Sleep(10 * time.Second)
 		wantKind(t, "a question at a fresh gateway", fresh.calls.Find(context.Background(), r.key), outcome.Completed)
 	})
@@ -71,25 +71,25 @@
 		m.pending.Wait()
 	}
 	t.Run("a call that runs, at the last gateway", func(t *testing.T) {
-		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
-			m.w.upstreams[0].current().SetDelays(slow)
-			m.w.upstreams[1].current().SetDelays(slow)
+		runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+			m.cluster.upstreams[0].current().SetDelays(slow)
+			m.cluster.upstreams[1].current().SetDelays(slow)
 			g[1].kill()
 			g[2].kill()
 			r := m.newRequest(false)
 			m.send(g[0], r, time.Second)
 			time.Sleep(1500 * time.Millisecond)
-			m.w.log.SetDelay(time.Second)
+			m.cluster.log.SetDelay(time.Second)
 			stop(m, g[0])
-			m.w.log.SetDelay(0)
-			fresh := m.w.newGateway("hall-b")
+			m.cluster.log.SetDelay(0)
+			fresh := m.cluster.newGateway("hall-b")
 			time.Sleep(10 * time.Second)
 			wantKind(t, "a question by key", fresh.calls.Find(context.Background(), r.key), outcome.Completed)
 		})
 	})
 	t.Run("a call that waits, with peers", func(t *testing.T) {
-		inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
-			m.w.log.SetDelay(700 * time.Millisecond)
+		runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+			m.cluster.log.SetDelay(700 * time.Millisecond)
 			r := m.newRequest(false)
 			m.send(g[0], r, longPatience)
 			stop(m, g[0])
@@ -105,8 +105,8 @@
 // with large requests wait for the log. All of them in one message would exceed
 // the size that a peer accepts.
 func TestHandOverOfLargeRequests(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
-		m.w.log.SetDelay(700 * time.Millisecond)
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		m.cluster.log.SetDelay(700 * time.Millisecond)
 		payload := strings.Repeat("x", 1<<20)
 		for range 12 {
 			r := m.newRequest(false)
@@ -126,7 +126,7 @@
 // after all waiting claims were handed over. Once they are handed over, the
 // gateway must not accept a new claim.
 func TestCallAdmittedJustBeforeTheStop(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
 		r := m.newRequest(false)
 		g[0].calls.markWaitingHandedOver()
 		wantKind(t, "attempt 1", m.do(g[0], r), outcome.NotRun)
@@ -139,8 +139,8 @@
 // claim is already older than SettleAfter. That gateway must ask the holder
 // whether it waits for the upstream.
 func TestRepeatWhileTheCallRuns(t *testing.T) {
-	inWorld(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
-		for _, s := range m.w.upstreams {
+	runCase(t, trustNothing, func(t *testing.T, m *machine, g []*gateway) {
+		for _, s := range m.cluster.upstreams {
 			s.current().SetDelays(plain.Delays{BeforeEffect: 2800 * time.Millisecond})
 		}
 		r := m.newRequest(false)
--- a/internal/calls/machine_test.go
+++ b/internal/calls/machine_test.go
@@ -43,7 +43,7 @@
 // machine sends requests to gateways while things fail, and checks what callers were
 // told against what upstreams ran.
 type machine struct {
-	w        *world
+	cluster  *cluster
 	requests []*request
 	pending  sync.WaitGroup
 	// stateLost reports that a gateway ended before it had written everything
@@ -52,10 +52,10 @@
 }
 
 func newMachine(trust document.UpstreamSpec) *machine {
-	m := &machine{w: newWorld(trust)}
-	m.w.newGateway("hall-a")
-	m.w.newGateway("hall-a")
-	m.w.newGateway("hall-b")
+	m := &machine{cluster: newCluster(trust)}
+	m.cluster.newGateway("hall-a")
+	m.cluster.newGateway("hall-a")
+	m.cluster.newGateway("hall-b")
 	return m
 }
 
@@ -130,9 +130,9 @@
 // what upstreams ran.
 func (m *machine) check(t rapidOrTest) {
 	for _, r := range m.requests {
-		count, replies := m.w.effects(r.key)
+		count, replies := m.cluster.effects(r.key)
 		if count > 1 {
-			t.Fatalf("%s ran %d times%s", r.key, count, m.w.history(r.key))
+			t.Fatalf("%s ran %d times%s", r.key, count, m.cluster.history(r.key))
 		}
 		var ran uint32
 		if count == 1 {
@@ -168,12 +168,12 @@
 // healAndCheck ends all faults, starts new gateways and sends each request again.
 // Then the last outcome must be final wherever that is guaranteed.
 func (m *machine) healAndCheck(t rapidOrTest) {
-	m.w.heal()
+	m.cluster.heal()
 	time.Sleep(30 * time.Second)
 	synctest.Wait()
 	m.check(t)
 	for _, domain := range []ident.FailureDomain{"hall-a", "hall-b"} {
-		m.w.newGateway(domain)
+		m.cluster.newGateway(domain)
 	}
 	time.Sleep(10 * time.Second)
 	for _, r := range m.requests {
@@ -189,7 +189,7 @@
 // stay unknown if the upstreams cannot settle it and either one of them may have
 // run the call or a gateway lost its state.
 func (m *machine) checkEndsFinal(t rapidOrTest, r *request) {
-	live := m.w.live()
+	live := m.cluster.live()
 	last := live[len(live)-1]
 	for range 4 {
 		m.send(last, r, 10*time.Second)
@@ -204,12 +204,12 @@
 		m.checkAgreed(t, r, live)
 		return
 	}
-	w := m.w
-	settles := w.trust.FindsOutcomes && w.trust.ChecksFencing && !w.upstreamReplaced
-	neverRun := !m.stateLost.Load() && w.possiblyRun[r.key] == 0
+	c := m.cluster
+	settles := c.trust.FindsOutcomes && c.trust.ChecksFencing && !c.upstreamReplaced
+	neverRun := !m.stateLost.Load() && c.possiblyRun[r.key] == 0
 	if got.Reason != outcome.ReasonKeyReused && (settles || neverRun) {
 		t.Fatalf("%s: ends as %s (%s: %s); settles: %t, never run by an upstream and no gateway lost its state: %t%s",
-			r.key, got.Kind, got.Reason, got.Message, settles, neverRun, w.history(r.key))
+			r.key, got.Kind, got.Reason, got.Message, settles, neverRun, c.history(r.key))
 	}
 }
 
@@ -240,9 +240,9 @@
 }
 
 func (m *machine) close() {
-	m.w.heal()
+	m.cluster.heal()
 	m.pending.Wait()
-	m.w.close()
+	m.cluster.close()
 }
 
 // inBubble hides the test's deadline from rapid, because it must not be read in
@@ -318,12 +318,12 @@
 }
 
 func (m *machine) anyGateway(t *rapid.T) *gateway {
-	live := m.w.live()
+	live := m.cluster.live()
 	return live[rapid.IntRange(0, len(live)-1).Draw(t, "live gateway")]
 }
 
 func (m *machine) anyUpstream(t *rapid.T) *server {
-	return m.w.upstreams[rapid.IntRange(0, 1).Draw(t, "upstream")]
+	return m.cluster.upstreams[rapid.IntRange(0, 1).Draw(t, "upstream")]
 }
 
 // faults returns the ways in which things fail and recover, by name.
@@ -336,15 +336,15 @@
 	notices := rapid.SampledFrom([]time.Duration{time.Millisecond, time.Second, 20 * time.Second})
 	return map[string]func(*rapid.T){
 		"lose appends": func(t *rapid.T) {
-			m.w.log.SetLateness(lates.Draw(t, "late"))
-			m.w.log.LoseNext(rapid.SliceOfN(losses, 1, 4).Draw(t, "losses")...)
+			m.cluster.log.SetLateness(lates.Draw(t, "late"))
+			m.cluster.log.LoseNext(rapid.SliceOfN(losses, 1, 4).Draw(t, "losses")...)
 		},
-		"log down":          func(t *rapid.T) { m.w.log.SetOutage(on.Draw(t, "on") == 1) },
-		"log slow":          func(t *rapid.T) { m.w.log.SetDelay(delays.Draw(t, "delay")) },
+		"log down":          func(t *rapid.T) { m.cluster.log.SetOutage(on.Draw(t, "on") == 1) },
+		"log slow":          func(t *rapid.T) { m.cluster.log.SetDelay(delays.Draw(t, "delay")) },
 		"cut from platform": func(t *rapid.T) { m.anyGateway(t).cutOff.Store(on.Draw(t, "on") == 1) },
 		"split domains": func(t *rapid.T) {
 			split := on.Draw(t, "on") == 1
-			m.w.locked(func() { m.w.split = split })
+			m.cluster.locked(func() { m.cluster.split = split })
 		},
 		"freeze":             func(t *rapid.T) { m.anyGateway(t).freeze() },
 		"freeze at dispatch": func(t *rapid.T) { m.anyGateway(t).freezeAtDispatch.Store(true) },
@@ -353,23 +353,23 @@
 			g := m.anyGateway(t)
 			m.stateLost.Store(true)
 			g.kill()
-			m.w.newGateway(g.domain)
+			m.cluster.newGateway(g.domain)
 		},
 		"reclaim": func(t *rapid.T) {
 			g := m.anyGateway(t)
 			lose := on.Draw(t, "lose answer") == 1
-			m.w.locked(func() { m.w.loseHandOverAnswers = lose })
+			m.cluster.locked(func() { m.cluster.loseHandOverAnswers = lose })
 			m.reclaim(g, notices.Draw(t, "notice"))
-			m.w.newGateway(g.domain)
+			m.cluster.newGateway(g.domain)
 		},
 		"reclaim while calls wait for the log": func(t *rapid.T) {
 			g := m.anyGateway(t)
 			lose := on.Draw(t, "lose answer") == 1
-			m.w.locked(func() { m.w.loseHandOverAnswers = lose })
-			m.w.log.SetDelay(delays.Draw(t, "delay"))
+			m.cluster.locked(func() { m.cluster.loseHandOverAnswers = lose })
+			m.cluster.log.SetDelay(delays.Draw(t, "delay"))
 			m.send(g, m.newRequest(false), 5*time.Second)
 			m.reclaim(g, notices.Draw(t, "notice"))
-			m.w.newGateway(g.domain)
+			m.cluster.newGateway(g.domain)
 		},
 		"upstream fails": func(t *rapid.T) { m.anyUpstream(t).current().FailNext(failures.Draw(t, "failure")) },
 		"upstream slow": func(t *rapid.T) {
@@ -379,14 +379,14 @@
 		"upstream leaves": func(t *rapid.T) { m.anyUpstream(t).current().SetLeaving(on.Draw(t, "leaving") == 1) },
 		"upstream is replaced": func(t *rapid.T) {
 			s := m.anyUpstream(t)
-			m.w.locked(func() {
-				m.w.upstreamReplaced = true
+			m.cluster.locked(func() {
+				m.cluster.upstreamReplaced = true
 				s.start()
 			})
 		},
 		"call arrives late": func(t *rapid.T) {
 			late := lates.Draw(t, "late")
-			m.w.locked(func() { m.w.arrivalDelays = append(m.w.arrivalDelays, late) })
+			m.cluster.locked(func() { m.cluster.arrivalDelays = append(m.cluster.arrivalDelays, late) })
 		},
 	}
 }
--- a/internal/calls/network_test.go
+++ b/internal/calls/network_test.go
@@ -24,7 +24,7 @@
 	if l.g.cutOff.Load() {
 		return 0, platform.ErrUnavailable
 	}
-	offset, err := l.g.w.log.Append(ctx, stream, records)
+	offset, err := l.g.cluster.log.Append(ctx, stream, records)
 	if killed := l.g.checkpoint(); killed != nil {
 		return 0, killed
 	}
@@ -38,7 +38,7 @@
 	if l.g.cutOff.Load() {
 		return platform.Batch{}, platform.ErrUnavailable
 	}
-	batch, err := l.g.w.log.Read(ctx, stream, from, limit, wait)
+	batch, err := l.g.cluster.log.Read(ctx, stream, from, limit, wait)
 	if killed := l.g.checkpoint(); killed != nil {
 		return platform.Batch{}, killed
 	}
@@ -49,14 +49,14 @@
 type dispatcher struct{ g *gateway }
 
 func (d dispatcher) Pick(_ context.Context, _ Call, exclude []ident.Instance) (journal.Target, bool) {
-	w := d.g.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.picks++
-	for i := range w.upstreams {
-		s := w.upstreams[(w.picks+i)%len(w.upstreams)]
+	c := d.g.cluster
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.picks++
+	for i := range c.upstreams {
+		s := c.upstreams[(c.picks+i)%len(c.upstreams)]
 		excluded := len(exclude) > 0 && exclude[0] == s.id
-		if excluded || w.split && s.domain != d.g.domain {
+		if excluded || c.split && s.domain != d.g.domain {
 			continue
 		}
 		return journal.Target{Instance: s.id, Incarnation: s.incarnation()}, true
@@ -65,11 +65,11 @@
 }
 
 // serviceAt returns the incarnation that now serves a target's address.
-func (w *world) serviceAt(target journal.Target) *plain.Service {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	i := slices.IndexFunc(w.upstreams, func(s *server) bool { return s.id == target.Instance })
-	return w.upstreams[i].current()
+func (c *cluster) serviceAt(target journal.Target) *plain.Service {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	i := slices.IndexFunc(c.upstreams, func(s *server) bool { return s.id == target.Instance })
+	return c.upstreams[i].current()
 }
 
 // upstreamPayload adds the attempt to a payload, so that checks see which attempt
@@ -79,14 +79,14 @@
 }
 
 // nextArrivalDelay removes and returns the next delay, or 0 if there is none.
-func (w *world) nextArrivalDelay() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.arrivalDelays) == 0 {
+func (c *cluster) nextArrivalDelay() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.arrivalDelays) == 0 {
 		return 0
 	}
-	late := w.arrivalDelays[0]
-	w.arrivalDelays = w.arrivalDelays[1:]
+	late := c.arrivalDelays[0]
+	c.arrivalDelays = c.arrivalDelays[1:]
 	return late
 }
 
@@ -99,33 +99,33 @@
 	if err := d.g.checkpoint(); err != nil {
 		return upstream.Answer{}, err
 	}
-	w := d.g.w
-	late := w.nextArrivalDelay()
+	c := d.g.cluster
+	late := c.nextArrivalDelay()
 	req := upstream.InvokeRequest{
 		Method:  call.Method,
 		Key:     call.Key.String(),
 		Fence:   fence,
 		Payload: upstreamPayload(call.Payload, call.Attempt),
 	}
-	if w.trust.ChecksFencing {
+	if c.trust.ChecksFencing {
 		// Upstreams that check no fencing numbers do not check the incarnation
 		// either.
 		req.Incarnation = target.Incarnation
 	}
 	send := func(ctx context.Context) (upstream.Answer, error) {
-		answer, err := w.serviceAt(target).Invoke(ctx, req)
+		answer, err := c.serviceAt(target).Invoke(ctx, req)
 		if upstream.MayHaveRun(err) {
-			w.locked(func() { w.possiblyRun[call.Key]++ })
+			c.locked(func() { c.possiblyRun[call.Key]++ })
 		}
 		return answer, err
 	}
 	if late > 0 {
-		w.locked(func() { w.possiblyRun[call.Key]++ })
+		c.locked(func() { c.possiblyRun[call.Key]++ })
 		time.AfterFunc(late, func() { _, _ = send(context.Background()) })
 		return upstream.Answer{}, plain.ErrConnectionLost
 	}
 	if ctx.Err() != nil {
-		w.locked(func() { w.possiblyRun[call.Key]++ })
+		c.locked(func() { c.possiblyRun[call.Key]++ })
 		_, _ = send(context.Background())
 		return upstream.Answer{}, ctx.Err()
 	}
@@ -140,8 +140,8 @@
 	if err := d.g.checkpoint(); err != nil {
 		return upstream.FindResult{}, err
 	}
-	found, err := d.g.w.serviceAt(target).Find(ctx, key.String(), fence)
-	if found.Incarnation != target.Incarnation || !d.g.w.trust.FindsOutcomes {
+	found, err := d.g.cluster.serviceAt(target).Find(ctx, key.String(), fence)
+	if found.Incarnation != target.Incarnation || !d.g.cluster.trust.FindsOutcomes {
 		return upstream.FindResult{}, upstream.ErrRefused
 	}
 	return found, err
@@ -151,11 +151,11 @@
 type peers struct{ g *gateway }
 
 func (p peers) Candidates() []Peer {
-	w := p.g.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	c := p.g.cluster
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var near, far []Peer
-	for _, other := range w.gateways {
+	for _, other := range c.gateways {
 		switch {
 		case other == p.g || !other.alive():
 		case other.domain == p.g.domain:
@@ -177,9 +177,9 @@
 	if err := p.from.checkpoint(); err != nil {
 		return err
 	}
-	p.from.w.mu.Lock()
-	split := p.from.w.split && p.from.domain != p.to.domain
-	p.from.w.mu.Unlock()
+	p.from.cluster.mu.Lock()
+	split := p.from.cluster.split && p.from.domain != p.to.domain
+	p.from.cluster.mu.Unlock()
 	if split || !p.to.alive() {
 		return ErrNotHanded
 	}
@@ -222,7 +222,7 @@
 	}()
 	select {
 	case accepted := <-answer:
-		if p.from.w.losesHandOverAnswers() {
+		if p.from.cluster.losesHandOverAnswers() {
 			return nil, errors.New("answer of hand-over lost")
 		}
 		return accepted, p.from.checkpoint()
--- a/internal/calls/shares_test.go
+++ b/internal/calls/shares_test.go
@@ -23,14 +23,14 @@
 	return []shareCase{
 		{"none", func(*machine, []*gateway) {}},
 		{"answers of appends lost", func(m *machine, _ []*gateway) {
-			m.w.log.SetLateness(500 * time.Millisecond)
+			m.cluster.log.SetLateness(500 * time.Millisecond)
 			for range 20 {
-				m.w.log.LoseNext(fault.AfterEffect, fault.None, fault.Late, fault.BeforeEffect)
+				m.cluster.log.LoseNext(fault.AfterEffect, fault.None, fault.Late, fault.BeforeEffect)
 			}
 		}},
 		{"log down for 20 s", func(m *machine, _ []*gateway) {
-			m.w.log.SetOutage(true)
-			time.AfterFunc(20*time.Second, func() { m.w.log.SetOutage(false) })
+			m.cluster.log.SetOutage(true)
+			time.AfterFunc(20*time.Second, func() { m.cluster.log.SetOutage(false) })
 		}},
 		{"gateway killed", func(_ *machine, g []*gateway) { kill(g[0]) }},
 		{"gateway frozen for 20 s", func(_ *machine, g []*gateway) {
@@ -39,27 +39,27 @@
 		}},
 		{"gateway reclaimed", func(m *machine, g []*gateway) { m.reclaim(g[0], 10*time.Second) }},
 		{"gateway reclaimed, answer of hand-over lost", func(m *machine, g []*gateway) {
-			m.w.locked(func() { m.w.loseHandOverAnswers = true })
+			m.cluster.locked(func() { m.cluster.loseHandOverAnswers = true })
 			m.reclaim(g[0], 10*time.Second)
 		}},
 		{"gateway reclaimed, peer killed at once", func(m *machine, g []*gateway) {
 			m.reclaim(g[0], 10*time.Second)
 			kill(g[2])
-			m.w.newGateway("hall-b")
+			m.cluster.newGateway("hall-b")
 		}},
 		{"failure domain reclaimed, its upstream too", func(m *machine, g []*gateway) {
 			m.reclaim(g[0], 10*time.Second)
 			m.reclaim(g[1], 10*time.Second)
-			m.w.upstreams[0].current().SetLeaving(true)
+			m.cluster.upstreams[0].current().SetLeaving(true)
 		}},
 		{"failure domain lost without notice", func(m *machine, g []*gateway) {
 			kill(g[0])
 			kill(g[1])
-			m.w.locked(func() { m.w.upstreams[0].start() })
+			m.cluster.locked(func() { m.cluster.upstreams[0].start() })
 		}},
 		{"domains cut from each other for 20 s", func(m *machine, _ []*gateway) {
-			m.w.locked(func() { m.w.split = true })
-			time.AfterFunc(20*time.Second, func() { m.w.locked(func() { m.w.split = false }) })
+			m.cluster.locked(func() { m.cluster.split = true })
+			time.AfterFunc(20*time.Second, func() { m.cluster.locked(func() { m.cluster.split = false }) })
 		}},
 		{"failure domain cut from the platform for 20 s", func(_ *machine, g []*gateway) {
 			for _, cutGateway := range g[:2] {
@@ -68,7 +68,7 @@
 			}
 		}},
 		{"every third answer of an upstream lost", func(m *machine, _ []*gateway) {
-			for _, s := range m.w.upstreams {
+			for _, s := range m.cluster.upstreams {
 				for range 20 {
 					s.current().FailNext(plain.LostAfterEffect, plain.NoFailure, plain.NoFailure)
 				}
@@ -101,7 +101,7 @@
 	var table strings.Builder
 	for _, c := range shareCases() {
 		for _, k := range kinds {
-			inWorld(t, k.trust, func(t *testing.T, m *machine, g []*gateway) {
+			runCase(t, k.trust, func(t *testing.T, m *machine, g []*gateway) {
 				first, last := m.measure(c, g)
 				fmt.Fprintf(&table, "| %s | %s | %s | %s |\n", c.name, k.name, first, last)
 				if c.name == "none" && last[outcome.Completed] != measuredCalls {
@@ -117,15 +117,15 @@
 
 // measure sends calls and returns what callers were told first and last.
 func (m *machine) measure(c shareCase, g []*gateway) (first, last shares) {
-	m.w.log.SetDelay(100 * time.Millisecond)
-	for _, s := range m.w.upstreams {
+	m.cluster.log.SetDelay(100 * time.Millisecond)
+	for _, s := range m.cluster.upstreams {
 		s.current().SetDelays(plain.Delays{BeforeEffect: 100 * time.Millisecond, AfterEffect: 100 * time.Millisecond})
 	}
 	for i := range measuredCalls {
 		if i == measuredCalls/3 {
 			c.fault(m, g)
 		}
-		live := m.w.live()
+		live := m.cluster.live()
 		m.send(live[i%len(live)], m.newRequest(false), 5*time.Second)
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -134,7 +134,7 @@
 	for retry := range 10 {
 		for i, r := range m.requests {
 			if !r.lastOutcome().Kind.Final() {
-				live := m.w.live()
+				live := m.cluster.live()
 				m.send(live[(i+retry)%len(live)], r, 5*time.Second)
 			}
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -178,8 +178,8 @@
 	return signals.Kill.Err()
 }
 
-// listening is the line on stdout that tells whoever started the process its
-// address, including a port that the kernel chose.
+// listening is the line on stdout from which the program that started the process
+// learns its address, including a port that the kernel chose.
 type listening struct {
 	Event     string         `json:"event"`
 	Instance  ident.Instance `json:"instance"`
--- a/internal/controllers/configuration/capacity_test.go
+++ b/internal/controllers/configuration/capacity_test.go
@@ -41,13 +41,13 @@
 }
 
 func quietHour(t *testing.T) time.Duration {
-	w := newWorld()
-	defer w.stopAll()
-	w.publishNext(t, "a", 1, documentText(service, "a"))
+	c := newCluster()
+	defer c.stopAll()
+	c.publishNext(t, "a", 1, documentText(service, "a"))
 	time.Sleep(time.Minute)
 	start := testkit.ProcessorTime(t)
 	time.Sleep(time.Hour)
-	return (testkit.ProcessorTime(t) - start) / time.Duration(len(w.processes))
+	return (testkit.ProcessorTime(t) - start) / time.Duration(len(c.processes))
 }
 
 // countingConn counts the bytes of a connection in both directions.
--- a/internal/controllers/configuration/world_test.go
+++ b/internal/controllers/configuration/cluster_test.go
@@ -145,15 +145,15 @@
 	link       *link
 	board      *blackboard.Board
 	controller *Controller
-	world      *world
+	cluster    *cluster
 	stop       func()
 	// served is the newest revision used so far for each service.
 	served map[ident.Service]ident.Revision
 }
 
-// world is a few processes in two failure domains, with the log and the
+// cluster is a few processes in two failure domains, with the log and the
 // connections between them.
-type world struct {
+type cluster struct {
 	log       *memoryLog
 	mu        sync.Mutex
 	processes []*process
@@ -171,33 +171,33 @@
 	processesPerDomain = 2
 )
 
-func newWorld() *world {
-	w := &world{log: newMemoryLog()}
+func newCluster() *cluster {
+	c := &cluster{log: newMemoryLog()}
 	for i := range domains * processesPerDomain {
-		w.processes = append(w.processes, w.start(i))
+		c.processes = append(c.processes, c.start(i))
 	}
-	return w
+	return c
 }
 
 // start starts a new incarnation at a place, which is the index in processes.
-func (w *world) start(place int) *process {
-	l := &link{log: w.log}
-	p := w.startWithLog(place, l)
+func (c *cluster) start(place int) *process {
+	l := &link{log: c.log}
+	p := c.startWithLog(place, l)
 	p.link = l
 	return p
 }
 
 // startWithLog is start with another connection to the log. Odd places run an
 // older program.
-func (w *world) startWithLog(place int, log platform.Log) *process {
-	w.incarnations++
+func (c *cluster) startWithLog(place int, log platform.Log) *process {
+	c.incarnations++
 	p := &process{
-		name:   fmt.Sprintf("entry-%d-life-%d", place, w.incarnations),
-		domain: place / processesPerDomain,
-		schema: newSchema - place%2,
-		board:  blackboard.NewBoard(),
-		world:  w,
-		served: map[ident.Service]ident.Revision{},
+		name:    fmt.Sprintf("entry-%d-life-%d", place, c.incarnations),
+		domain:  place / processesPerDomain,
+		schema:  newSchema - place%2,
+		board:   blackboard.NewBoard(),
+		cluster: c,
+		served:  map[ident.Service]ident.Revision{},
 	}
 	p.controller = New(Options{
 		Instance:  ident.Instance(p.name),
@@ -217,45 +217,45 @@
 	return p
 }
 
-func (w *world) replace(place int) {
-	old := w.processes[place]
+func (c *cluster) replace(place int) {
+	old := c.processes[place]
 	old.stop()
-	next := w.start(place)
+	next := c.start(place)
 	cut, hang := old.link.state()
 	next.link.set(cut, hang)
-	w.mu.Lock()
-	w.processes[place] = next
-	w.mu.Unlock()
+	c.mu.Lock()
+	c.processes[place] = next
+	c.mu.Unlock()
 }
 
-func (w *world) stopAll() {
-	for _, p := range w.processes {
+func (c *cluster) stopAll() {
+	for _, p := range c.processes {
 		p.stop()
 	}
 }
 
-func (w *world) recordFault(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+func (c *cluster) recordFault(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.faults = append(c.faults, fmt.Sprintf(format, args...))
 }
 
-func (w *world) setPartitioned(apart bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.partitioned = apart
+func (c *cluster) setPartitioned(partitioned bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.partitioned = partitioned
 }
 
-func (w *world) setDocumentsBlocked(deaf bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.documentsBlocked = deaf
+func (c *cluster) setDocumentsBlocked(blocked bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.documentsBlocked = blocked
 }
 
-func (w *world) areDocumentsBlocked() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.documentsBlocked
+func (c *cluster) areDocumentsBlocked() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.documentsBlocked
 }
 
 // watch checks every set that the process publishes.
@@ -267,17 +267,17 @@
 			return
 		}
 		version = snap.Version
-		p.world.checkPublished(p, snap.Value)
+		p.cluster.checkPublished(p, snap.Value)
 	}
 }
 
 // reachable returns the other processes that p can talk to.
 func (p *process) reachable() []*process {
-	p.world.mu.Lock()
-	defer p.world.mu.Unlock()
+	p.cluster.mu.Lock()
+	defer p.cluster.mu.Unlock()
 	var out []*process
-	for _, other := range p.world.processes {
-		near := other.domain == p.domain || !p.world.partitioned
+	for _, other := range p.cluster.processes {
+		near := other.domain == p.domain || !p.cluster.partitioned
 		if other != p && near {
 			out = append(out, other)
 		}
@@ -301,7 +301,7 @@
 // GetDocuments implements PeerClient.
 func (p *process) GetDocuments(ctx context.Context, address string, req *peerv1.GetDocumentsRequest) (*peerv1.GetDocumentsResponse, error) {
 	for _, other := range p.reachable() {
-		if other.name == address && !p.world.areDocumentsBlocked() {
+		if other.name == address && !p.cluster.areDocumentsBlocked() {
 			return other.controller.GetDocuments(ctx, req)
 		}
 	}
--- a/internal/controllers/configuration/promise_test.go
+++ b/internal/controllers/configuration/promise_test.go
@@ -107,19 +107,19 @@
 
 // checkPublished checks that a set published by a process equals the oracle's
 // at that revision and that no service goes back to an older revision.
-func (w *world) checkPublished(p *process, set *document.Set) {
-	want := newOracle(w.log.records()).servedAt(set.Revision, p.schema)
+func (c *cluster) checkPublished(p *process, set *document.Set) {
+	want := newOracle(c.log.records()).servedAt(set.Revision, p.schema)
 	if len(want) != len(set.Services) {
-		w.recordFault("%s at revision %d has %d services, want %d", p.name, set.Revision, len(set.Services), len(want))
+		c.recordFault("%s at revision %d has %d services, want %d", p.name, set.Revision, len(set.Services), len(want))
 	}
 	for service, entry := range set.Services {
 		e := want[service]
 		if e.revision != entry.Revision || e.id != entry.Document.Model.Version {
-			w.recordFault("%s at revision %d uses %s at revision %d (%s), want %d (%s)", p.name, set.Revision, service,
+			c.recordFault("%s at revision %d uses %s at revision %d (%s), want %d (%s)", p.name, set.Revision, service,
 				entry.Revision, entry.Document.Model.Version, e.revision, e.id)
 		}
 		if entry.Revision < p.served[service] {
-			w.recordFault("%s went back from %d to %d", p.name, p.served[service], entry.Revision)
+			c.recordFault("%s went back from %d to %d", p.name, p.served[service], entry.Revision)
 		}
 		p.served[service] = entry.Revision
 	}
@@ -127,7 +127,7 @@
 
 // machine is the rapid state machine; its methods are the events.
 type machine struct {
-	*world
+	*cluster
 	published int
 	// delayed holds records whose append is still on its way to the log.
 	delayed [][]byte
@@ -336,7 +336,7 @@
 }
 
 func runMachine(t *rapid.T) {
-	m := &machine{world: newWorld()}
+	m := &machine{cluster: newCluster()}
 	defer m.stopAll()
 	t.Repeat(map[string]func(*rapid.T){
 		"publish":       m.publish,
--- a/internal/controllers/configuration/ready_test.go
+++ b/internal/controllers/configuration/ready_test.go
@@ -15,25 +15,25 @@
 const service ident.Service = "spool-llm"
 
 // publishNext publishes the next version of the service's document.
-func (w *world) publishNext(t *testing.T, id string, schema int, text []byte) {
+func (c *cluster) publishNext(t *testing.T, id string, schema int, text []byte) {
 	t.Helper()
 	data, err := document.EncodePublication(document.Publication{
-		Service: service, BaseRevision: newOracle(w.log.records()).currentRevision(service),
+		Service: service, BaseRevision: newOracle(c.log.records()).currentRevision(service),
 		PublishID: id, Schema: schema, Document: text,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.log.append(data)
+	c.log.append(data)
 }
 
-// newServingWorld returns processes that all use publication "a".
-func newServingWorld(t *testing.T) *world {
+// newServingCluster returns processes that all use publication "a".
+func newServingCluster(t *testing.T) *cluster {
 	t.Helper()
-	w := newWorld()
-	w.publishNext(t, "a", 1, documentText(service, "a"))
+	c := newCluster()
+	c.publishNext(t, "a", 1, documentText(service, "a"))
 	time.Sleep(changeDeadline)
-	return w
+	return c
 }
 
 // slowLog returns one record a second.
@@ -50,11 +50,11 @@
 // document than before.
 func TestNothingIsPublishedBeforeTheHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{log: newMemoryLog()}
+		c := &cluster{log: newMemoryLog()}
 		for _, id := range []string{"a", "b", "c"} {
-			w.publishNext(t, id, 1, documentText(service, id))
+			c.publishNext(t, id, 1, documentText(service, id))
 		}
-		p := w.startWithLog(0, slowLog{&link{log: w.log}})
+		p := c.startWithLog(0, slowLog{&link{log: c.log}})
 		defer p.stop()
 		snap, err := p.board.Documents.Wait(t.Context(), 0)
 		if err != nil || snap.Value.Revision != 3 {
@@ -68,22 +68,22 @@
 // with the highest revision is known but does not answer at first.
 func TestNotReadyBelowTheHighestPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		defer func() { w.stopAll() }()
+		c := newCluster()
+		defer func() { c.stopAll() }()
 		for _, id := range []string{"a", "b", "c"} {
-			w.publishNext(t, id, 1, documentText(service, id))
+			c.publishNext(t, id, 1, documentText(service, id))
 		}
 		time.Sleep(changeDeadline)
-		w.setDocumentsBlocked(true)
-		p := w.startWithLog(0, slowLog{&link{log: w.log}})
+		c.setDocumentsBlocked(true)
+		p := c.startWithLog(0, slowLog{&link{log: c.log}})
 		defer p.stop()
 		time.Sleep(1500 * time.Millisecond)
-		w.log.setDown(true)
+		c.log.setDown(true)
 		time.Sleep(time.Minute)
 		if health := p.board.Configuration.Value(); health.Ready || p.controller.Revision() != 1 {
 			t.Errorf("at revision %d, peers at 3; health %+v", p.controller.Revision(), health)
 		}
-		w.setDocumentsBlocked(false)
+		c.setDocumentsBlocked(false)
 		time.Sleep(changeDeadline)
 		if !p.board.Configuration.Value().Ready || p.board.Documents.Value().Revision != 3 {
 			t.Errorf("not ready although a peer answers: %+v", p.board.Configuration.Value())
@@ -98,21 +98,21 @@
 // age alone, the documents would be lost when all processes restart meanwhile.
 func TestGapIsClosedByPeersAndThenByASnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newServingWorld(t)
-		defer w.stopAll()
-		w.processes[0].link.set(true, false)
+		c := newServingCluster(t)
+		defer c.stopAll()
+		c.processes[0].link.set(true, false)
 		time.Sleep(changeDeadline)
-		w.log.append([]byte("?"))
+		c.log.append([]byte("?"))
 		time.Sleep(changeDeadline)
-		w.log.expire(2)
-		w.processes[0].link.set(false, false)
-		w.log.append([]byte("?"))
+		c.log.expire(2)
+		c.processes[0].link.set(false, false)
+		c.log.append([]byte("?"))
 		time.Sleep(minSnapshotDelay)
-		if health := w.processes[0].board.Configuration.Value(); health.Problem != "" || !health.LogReachable {
+		if health := c.processes[0].board.Configuration.Value(); health.Problem != "" || !health.LogReachable {
 			t.Errorf("gap stays open: %+v", health)
 		}
 		time.Sleep(DefaultSnapshotPolicy.Spread + 2*minSnapshotDelay)
-		if covers := w.log.snapshotCovers(); covers < 2 {
+		if covers := c.log.snapshotCovers(); covers < 2 {
 			t.Errorf("snapshot covers %d, records below 2 are gone", covers)
 		}
 	})
@@ -125,20 +125,20 @@
 // back.
 func TestFailureDomainReplacedWhileTheLogIsDownForHours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newServingWorld(t)
-		defer w.stopAll()
-		w.log.setDown(true)
+		c := newServingCluster(t)
+		defer c.stopAll()
+		c.log.setDown(true)
 		time.Sleep(2 * time.Hour)
-		w.replace(0)
-		w.replace(1)
+		c.replace(0)
+		c.replace(1)
 		time.Sleep(changeDeadline)
-		w.expectEverywhere(t, "a")
+		c.expectEverywhere(t, "a")
 		time.Sleep(2 * time.Hour)
-		w.log.expire(ident.Offset(len(w.log.records())))
-		w.log.setDown(false)
-		w.publishNext(t, "b", 1, documentText(service, "b"))
+		c.log.expire(ident.Offset(len(c.log.records())))
+		c.log.setDown(false)
+		c.publishNext(t, "b", 1, documentText(service, "b"))
 		time.Sleep(changeDeadline)
-		w.expectEverywhere(t, "b")
+		c.expectEverywhere(t, "b")
 	})
 }
 
@@ -147,25 +147,25 @@
 // undone.
 func TestShorterLogRevertsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		defer w.stopAll()
-		w.publishNext(t, "a", 1, documentText(service, "a"))
-		w.publishNext(t, "b", 1, documentText(service, "b"))
+		c := newCluster()
+		defer c.stopAll()
+		c.publishNext(t, "a", 1, documentText(service, "a"))
+		c.publishNext(t, "b", 1, documentText(service, "b"))
 		time.Sleep(changeDeadline)
-		w.log.truncate(1)
+		c.log.truncate(1)
 		time.Sleep(changeDeadline)
-		w.expectEverywhere(t, "b")
-		if p := w.processes[0].board.Configuration.Value().Problem; !strings.Contains(p, "not reverting") {
+		c.expectEverywhere(t, "b")
+		if p := c.processes[0].board.Configuration.Value().Problem; !strings.Contains(p, "not reverting") {
 			t.Errorf("problem %q", p)
 		}
 	})
 }
 
 // expectEverywhere checks that all processes use the publication with this ID.
-func (w *world) expectEverywhere(t *testing.T, id string) {
+func (c *cluster) expectEverywhere(t *testing.T, id string) {
 	t.Helper()
 	synctest.Wait()
-	for _, p := range w.processes {
+	for _, p := range c.processes {
 		served, ok := p.board.Documents.Value().Find(service)
 		health := p.board.Configuration.Value()
 		if !ok || served.Model.Version != id || !health.Ready {
@@ -189,17 +189,17 @@
 		{"no document", 1, []byte("?"), "is not valid"},
 		{"another service's document", 1, documentText("auktion-app", "b"), "describes service"},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newServingWorld(t)
-				defer w.stopAll()
-				w.publishNext(t, "b", c.schema, c.text)
+				c := newServingCluster(t)
+				defer c.stopAll()
+				c.publishNext(t, "b", tc.schema, tc.text)
 				time.Sleep(changeDeadline)
-				for _, p := range w.processes {
+				for _, p := range c.processes {
 					served, ok := p.board.Documents.Value().Find(service)
 					health := p.board.Configuration.Value()
-					if !ok || served.Model.Version != "a" || !health.Ready || !strings.Contains(health.Problem, c.problem) {
+					if !ok || served.Model.Version != "a" || !health.Ready || !strings.Contains(health.Problem, tc.problem) {
 						t.Errorf("%s uses %+v; health %+v", p.name, served, health)
 					}
 				}
--- a/internal/controllers/fleet/fleet_test.go
+++ b/internal/controllers/fleet/fleet_test.go
@@ -31,9 +31,9 @@
 	steadySize = 5
 )
 
-// machine runs two controllers in a world.
+// machine runs two controllers on one simulation.
 type machine struct {
-	*world
+	*simulation
 	processes    [2]*process
 	incarnations int
 	// busy makes gateways send a request to each upstream each second.
@@ -41,7 +41,7 @@
 }
 
 func newMachine() *machine {
-	m := &machine{world: newWorld()}
+	m := &machine{simulation: newSimulation()}
 	for i := range m.processes {
 		m.start(i)
 	}
--- a/internal/controllers/fleet/world_test.go
+++ b/internal/controllers/fleet/simulation_test.go
@@ -61,8 +61,9 @@
 // leaving nor stopping.
 func (a *app) counts() bool { return !a.stopping && a.leavingAt.IsZero() }
 
-// world simulates the platform, the upstreams and the gateways.
-type world struct {
+// simulation holds a simulated platform and its upstreams, and stands in for the
+// gateways.
+type simulation struct {
 	list  *instances.List
 	cloud *cloud.Cloud
 	log   *logstore.Log
@@ -81,57 +82,57 @@
 }
 
 // Start implements platform.Cloud and counts the requests.
-func (w *world) Start(ctx context.Context, req platform.StartRequest) (ident.Instance, error) {
-	w.mu.Lock()
-	w.startsRequested++
-	w.mu.Unlock()
-	return w.cloud.Start(ctx, req)
+func (s *simulation) Start(ctx context.Context, req platform.StartRequest) (ident.Instance, error) {
+	s.mu.Lock()
+	s.startsRequested++
+	s.mu.Unlock()
+	return s.cloud.Start(ctx, req)
 }
 
 // Stop implements platform.Cloud.
-func (w *world) Stop(ctx context.Context, id ident.Instance, fence ident.Fence) error {
-	return w.cloud.Stop(ctx, id, fence)
+func (s *simulation) Stop(ctx context.Context, id ident.Instance, fence ident.Fence) error {
+	return s.cloud.Stop(ctx, id, fence)
 }
 
 // Notices implements platform.Cloud.
-func (w *world) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
-	return w.cloud.Notices(ctx, after)
+func (s *simulation) Notices(ctx context.Context, after uint64) ([]platform.Notice, error) {
+	return s.cloud.Notices(ctx, after)
 }
 
-func newWorld() *world {
-	w := &world{list: instances.New(listLag), log: logstore.New(logstore.Options{}), apps: make(map[ident.Instance]*app)}
-	w.cloud = cloud.New(cloud.Options{ChecksFencing: true, OnStarted: w.started, OnStopped: w.stopped})
-	return w
+func newSimulation() *simulation {
+	s := &simulation{list: instances.New(listLag), log: logstore.New(logstore.Options{}), apps: make(map[ident.Instance]*app)}
+	s.cloud = cloud.New(cloud.Options{ChecksFencing: true, OnStarted: s.started, OnStopped: s.stopped})
+	return s
 }
 
 // recordProblem records a broken rule. The caller holds mu.
-func (w *world) recordProblem(format string, args ...any) {
-	w.problems = append(w.problems, fmt.Sprintf(format, args...))
+func (s *simulation) recordProblem(format string, args ...any) {
+	s.problems = append(s.problems, fmt.Sprintf(format, args...))
 }
 
 // started is called by the cloud for each new instance.
-func (w *world) started(id ident.Instance, req platform.StartRequest) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.unlistedStarts > 0 {
-		w.unlistedStarts--
+func (s *simulation) started(id ident.Instance, req platform.StartRequest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.unlistedStarts > 0 {
+		s.unlistedStarts--
 		return
 	}
-	w.apps[id] = &app{id: id, domain: req.FailureDomain}
-	if count := w.countUpstreams(); count > maxUpstreams {
-		w.recordProblem("%d upstreams, at most %d allowed", count, maxUpstreams)
+	s.apps[id] = &app{id: id, domain: req.FailureDomain}
+	if count := s.countUpstreams(); count > maxUpstreams {
+		s.recordProblem("%d upstreams, at most %d allowed", count, maxUpstreams)
 	}
 	time.AfterFunc(startTime, func() {
-		w.list.Register(platform.Instance{
+		s.list.Register(platform.Instance{
 			ID: id, Role: platform.RolePlain, Service: req.Service, FailureDomain: req.FailureDomain,
 			Class: req.Class, Reclaimable: req.Reclaimable, Address: string(id),
 		})
 	})
 }
 
-func (w *world) countUpstreams() int {
+func (s *simulation) countUpstreams() int {
 	count := 0
-	for _, a := range w.apps {
+	for _, a := range s.apps {
 		if a.counts() {
 			count++
 		}
@@ -140,101 +141,101 @@
 }
 
 // stopped is called by the cloud when it stops an instance.
-func (w *world) stopped(id ident.Instance) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	a, known := w.apps[id]
+func (s *simulation) stopped(id ident.Instance) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	a, known := s.apps[id]
 	if !known {
 		return
 	}
 	if a.running > 0 {
-		w.recordProblem("%s was stopped with %d requests running", id, a.running)
+		s.recordProblem("%s was stopped with %d requests running", id, a.running)
 	}
 	if a.leavingAt.IsZero() || time.Since(a.leavingAt) < spreadTime {
-		w.recordProblem("%s was stopped while gateways still send it work", id)
+		s.recordProblem("%s was stopped while gateways still send it work", id)
 	}
-	w.stops++
-	w.endUpstream(a)
+	s.stops++
+	s.endUpstream(a)
 }
 
 // endUpstream removes an upstream. The caller holds mu.
-func (w *world) endUpstream(a *app) {
+func (s *simulation) endUpstream(a *app) {
 	a.stopping = true
-	delete(w.apps, a.id)
-	w.list.SetState(a.id, 0, platform.Ended)
+	delete(s.apps, a.id)
+	s.list.SetState(a.id, 0, platform.Ended)
 }
 
 // reclaim announces the reclaim of all instances of a failure domain and ends
 // them reclaimTime later.
-func (w *world) reclaim(domain ident.FailureDomain) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, a := range w.apps {
+func (s *simulation) reclaim(domain ident.FailureDomain) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, a := range s.apps {
 		if a.domain != domain || a.stopping {
 			continue
 		}
-		instance, listed := w.list.Find(a.id)
+		instance, listed := s.list.Find(a.id)
 		if !listed {
 			continue
 		}
 		a.stopping = true
-		w.cloud.Announce(a.id, instance.Incarnation, reclaimTime)
-		w.list.SetState(a.id, 0, platform.Leaving)
+		s.cloud.Announce(a.id, instance.Incarnation, reclaimTime)
+		s.list.SetState(a.id, 0, platform.Leaving)
 		time.AfterFunc(reclaimTime, func() {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.endUpstream(a)
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.endUpstream(a)
 		})
 	}
 }
 
 // send sends one more request to each upstream to which gateways send work.
-func (w *world) send() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, a := range w.apps {
-		if _, listed := w.list.Find(a.id); !listed || !a.receivesWork(time.Now()) {
+func (s *simulation) send() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, a := range s.apps {
+		if _, listed := s.list.Find(a.id); !listed || !a.receivesWork(time.Now()) {
 			continue
 		}
 		a.running++
 		time.AfterFunc(requestTime, func() {
-			w.mu.Lock()
-			defer w.mu.Unlock()
+			s.mu.Lock()
+			defer s.mu.Unlock()
 			a.running--
 		})
 	}
 }
 
 // AnnounceLeaving implements fleet.Gateways.
-func (w *world) AnnounceLeaving(_ context.Context, upstreams []platform.Instance) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.gatewaysCut {
+func (s *simulation) AnnounceLeaving(_ context.Context, upstreams []platform.Instance) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.gatewaysCut {
 		return platform.ErrUnavailable
 	}
 	for _, u := range upstreams {
-		a, known := w.apps[u.ID]
+		a, known := s.apps[u.ID]
 		if !known || !a.leavingAt.IsZero() {
 			continue
 		}
 		a.leavingAt = time.Now()
-		if serving := w.countUpstreams(); serving < minUpstreams && !a.stopping {
-			w.recordProblem("draining %s leaves %d upstreams, want at least %d", u.ID, serving, minUpstreams)
+		if serving := s.countUpstreams(); serving < minUpstreams && !a.stopping {
+			s.recordProblem("draining %s leaves %d upstreams, want at least %d", u.ID, serving, minUpstreams)
 		}
 	}
 	return nil
 }
 
 // Leaving implements fleet.Gateways.
-func (w *world) Leaving(context.Context) (map[ident.Instance]ident.Incarnation, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.gatewaysCut {
+func (s *simulation) Leaving(context.Context) (map[ident.Instance]ident.Incarnation, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.gatewaysCut {
 		return nil, platform.ErrUnavailable
 	}
 	leaving := make(map[ident.Instance]ident.Incarnation)
-	for _, a := range w.apps {
-		if instance, listed := w.list.Find(a.id); listed && !a.leavingAt.IsZero() {
+	for _, a := range s.apps {
+		if instance, listed := s.list.Find(a.id); listed && !a.leavingAt.IsZero() {
 			leaving[a.id] = instance.Incarnation
 		}
 	}
@@ -242,24 +243,24 @@
 }
 
 // Plain implements fleet.Dialer.
-func (w *world) Plain(address string) upstream.Plain {
-	return plain{world: w, id: ident.Instance(address)}
+func (s *simulation) Plain(address string) upstream.Plain {
+	return plain{simulation: s, id: ident.Instance(address)}
 }
 
 // Engine implements fleet.Dialer. The fleet has no engines.
-func (w *world) Engine(string) upstream.Engine { return nil }
+func (s *simulation) Engine(string) upstream.Engine { return nil }
 
 // plain implements the client of one upstream.
 type plain struct {
 	upstream.Plain
-	world *world
-	id    ident.Instance
+	simulation *simulation
+	id         ident.Instance
 }
 
 func (p plain) Health(context.Context) (upstream.Health, error) {
-	p.world.mu.Lock()
-	defer p.world.mu.Unlock()
-	a, known := p.world.apps[p.id]
+	p.simulation.mu.Lock()
+	defer p.simulation.mu.Unlock()
+	a, known := p.simulation.apps[p.id]
 	if !known {
 		return upstream.Health{}, upstream.ErrNotSent
 	}
@@ -274,25 +275,25 @@
 }
 
 // startProcess starts a controller that reads the platform's list each second.
-func (w *world) startProcess(id ident.Instance, rank int) *process {
+func (s *simulation) startProcess(id ident.Instance, rank int) *process {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &process{stop: stop}
 	doc := &document.Document{Service: service, Kind: document.Plain, Placement: placement()}
 	documents := blackboard.NewSection(&document.Set{Services: map[ident.Service]document.Entry{service: {Document: doc}}})
 	listed := blackboard.NewSection(blackboard.Listing{})
-	p.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: requestTimeout}, w.log)
+	p.leases = lease.New(lease.Config{Holder: lease.NewHolder(id, 1), Margin: requestTimeout}, s.log)
 	p.leases.SetWanted([]lease.Wanted{{Name: lease.Name{Service: service}, Rank: rank}})
 	controller := fleet.New(
 		fleet.Config{Interval: time.Second, LoadInterval: fleet.DefaultLoadInterval, RequestTimeout: requestTimeout, MaxParallel: 4, SlotsPerEngine: slots, SlotsPerPlain: slots},
 		fleet.Deps{
-			Documents: documents, Listing: listed, Leases: p.leases, Cloud: w,
-			Dialer: w, Gateways: w, Log: hclog.NewNullLogger(),
+			Documents: documents, Listing: listed, Leases: p.leases, Cloud: s,
+			Dialer: s, Gateways: s, Log: hclog.NewNullLogger(),
 		})
 	p.done.Go(func() { p.leases.Run(ctx) })
 	p.done.Go(func() { _ = controller.Run(ctx) })
 	p.done.Go(func() {
 		for ctx.Err() == nil {
-			if list, err := w.list.List(ctx); err == nil {
+			if list, err := s.list.List(ctx); err == nil {
 				listed.Publish(blackboard.Listing{Instances: list, ReadAt: time.Now()})
 			}
 			time.Sleep(time.Second)
--- a/internal/controllers/membership/departure_test.go
+++ b/internal/controllers/membership/departure_test.go
@@ -14,7 +14,8 @@
 )
 
 // Within these times after the first sign of a departure at any process, all
-// processes have to know of it (promise 5).
+// processes have to know of it: an upstream that leaves must receive no new work
+// after a few seconds.
 const (
 	maxDelayWithinDomain   = 2 * time.Second
 	maxDelayBetweenDomains = 4 * time.Second
--- a/internal/poison/fleet_test.go
+++ b/internal/poison/fleet_test.go
@@ -158,7 +158,7 @@
 	return New(Config{Now: now, Log: hclog.NewNullLogger(), Key: testUpstreamKey})
 }
 
-func playStory(s scenario, seed uint64) result {
+func playScenario(s scenario, seed uint64) result {
 	f := &fleet{
 		s: s, rng: rand.New(rand.NewPCG(seed, 7)), thirdCrashAt: make(map[ident.ContentHash]time.Duration),
 		crashesCaused: make(map[ident.ContentHash]int), lateSends: make(map[ident.ContentHash]int), cutOffDomain: -1,
--- a/internal/poison/stories_test.go
+++ b/internal/poison/stories_test.go
@@ -13,9 +13,9 @@
 )
 
 var (
-	seeds = flag.Int("poison.seeds", 2, "plays per story")
+	seeds = flag.Int("poison.seeds", 2, "plays per scenario")
 	large = flag.Bool("poison.large", false, "also play fleets of over 100 gateways")
-	table = flag.String("poison.table", "", "file to write the table of all stories to")
+	table = flag.String("poison.table", "", "file to write the table of all scenarios to")
 )
 
 // smallFleet is a fleet of the size that most customers have.
@@ -35,7 +35,7 @@
 	rarePoison     = poisonContent{meanInterval: 1500 * time.Millisecond, crashDelay: 80 * time.Millisecond, maxSends: 1}
 )
 
-func stories() []scenario {
+func scenarios() []scenario {
 	laterOften, laterSeldom := frequentPoison, rarePoison
 	laterOften.startsAt, laterSeldom.startsAt = 3*time.Second, 4*time.Second
 	second := rarePoison
@@ -85,14 +85,14 @@
 	}
 }
 
-// storyTotals sums up the plays of a story.
-type storyTotals struct {
+// scenarioTotals sums up the plays of a scenario.
+type scenarioTotals struct {
 	plays, playsOverLimit, mostLateSends, crashes, ordinary, refused, lost, maxReported int
 	knownAfter                                                                          []time.Duration
 	neverKnown                                                                          int
 }
 
-func (s *storyTotals) add(r result, poisonContents int) {
+func (s *scenarioTotals) add(r result, poisonContents int) {
 	s.plays++
 	s.mostLateSends = max(s.mostLateSends, r.mostLateSends)
 	if r.mostLateSends > 3 {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (s *storyTotals) tableLine(name string) string {
+func (s *scenarioTotals) tableLine(name string) string {
 	known := "-"
 	if len(s.knownAfter) > 0 {
 		slices.Sort(s.knownAfter)
@@ -127,7 +127,7 @@
 // instead.
 func TestStories(t *testing.T) {
 	var lines []string
-	for _, s := range stories() {
+	for _, s := range scenarios() {
 		n := *seeds
 		if s.gateways >= minGatewaysForCollectors {
 			n = max(1, n/10)
@@ -147,8 +147,8 @@
 				plays = min(n, 20)
 			}
 			t.Run(fmt.Sprintf("%s/%v", s.name, withoutTracker), func(t *testing.T) {
-				var all storyTotals
-				for i, r := range testkit.RunSeeds(plays, func(seed uint64) result { return playStory(s, seed) }) {
+				var all scenarioTotals
+				for i, r := range testkit.RunSeeds(plays, func(seed uint64) result { return playScenario(s, seed) }) {
 					all.add(r, len(s.poisonContents))
 					if r.mostLateSends > 3 && !withoutTracker {
 						t.Errorf("seed %d: sent %d times after all gateways had to bar it, want at most 3", i+1, r.mostLateSends)
--- a/internal/retry/classify.go
+++ b/internal/retry/classify.go
@@ -19,8 +19,8 @@
 	case err == nil, errors.Is(err, context.Canceled):
 		return false
 	case errors.Is(err, upstream.ErrOldFence):
-		// A later holder of the lease has a newer fencing token, so every upstream refuses this
-		// one.
+		// A later holder of the lease has a higher fencing number, so every upstream refuses
+		// this one.
 		return false
 	case certainlyNotRun(err, sent):
 		return true
--- a/internal/rollout/fisher_test.go
+++ b/internal/rollout/fisher_test.go
@@ -62,12 +62,12 @@
 	return min(sum, 1)
 }
 
-// TestFisher logs the table of all stories judged by judgeByFisher, if -compare is set.
+// TestFisher logs the table of all scenarios judged by judgeByFisher, if -compare is set.
 func TestFisher(t *testing.T) {
 	if !*compare {
 		return
 	}
-	list := stories()
+	list := scenarios()
 	for i := range list {
 		list[i].judge = judgeByFisher
 	}
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -19,7 +19,7 @@
 
 // A fleet simulates one rollout order in virtual time: gateways with the real Tracker, the real
 // Controller at the holder of the lease, the exchange between gateways with its delays, a store,
-// and upstreams that behave as the story says.
+// and upstreams that behave as the scenario says.
 
 const (
 	service        ident.Service = "svc"
@@ -86,7 +86,7 @@
 	newUpstreamsLeave float64
 }
 
-// result is the outcome of one play of a story.
+// result is the outcome of one play of a scenario.
 type result struct {
 	phase           Phase
 	endedAt         time.Duration
--- a/internal/rollout/stories_test.go
+++ b/internal/rollout/stories_test.go
@@ -12,23 +12,23 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 1, "plays per story")
-	tableFile = flag.String("table", "", "file to write the table of all stories to")
-	compare   = flag.Bool("compare", false, "also play all stories judged by Fisher's exact test")
-	only      = flag.String("only", "", "play only stories whose names contain this")
+	seeds     = flag.Int("seeds", 1, "plays per scenario")
+	tableFile = flag.String("table", "", "file to write the table of all scenarios to")
+	compare   = flag.Bool("compare", false, "also play all scenarios judged by Fisher's exact test")
+	only      = flag.String("only", "", "play only scenarios whose names contain this")
 	large     = flag.Bool("large", false, "also play fleets of 195 and 330 gateways")
 )
 
-// engineStory returns a story about a service of 20 engines whose answers take 0.3 to 1.5 s.
-func engineStory(name string) scenario {
+// engineScenario returns a scenario of a service with 20 engines whose answers take 0.3 to 1.5 s.
+func engineScenario(name string) scenario {
 	return scenario{
 		name: name, gateways: 8, rate: 360, timeLimit: 15 * time.Second, oldUpstreams: 20, newUpstreams: 20, slots: 64,
 		meanTimes: []time.Duration{1500 * time.Millisecond, 800 * time.Millisecond, 300 * time.Millisecond}, routeFractions: []float64{0.2, 0.45, 0.35},
 	}
 }
 
-// appStory returns a story about an application with 4 upstreams whose answers take milliseconds.
-func appStory(name string) scenario {
+// appScenario returns a scenario of an application with 4 upstreams whose answers take milliseconds.
+func appScenario(name string) scenario {
 	return scenario{
 		name: name, gateways: 8, rate: 156, timeLimit: 15 * time.Second, oldUpstreams: 4, newUpstreams: 4, slots: 6,
 		meanTimes:      []time.Duration{15 * time.Millisecond, 20 * time.Millisecond, 12 * time.Millisecond, 18 * time.Millisecond, 30 * time.Millisecond},
@@ -45,9 +45,9 @@
 	return func(s *scenario) { s.fault = &b }
 }
 
-func stories() []scenario {
+func scenarios() []scenario {
 	var out []scenario
-	for _, base := range []func(string) scenario{engineStory, appStory} {
+	for _, base := range []func(string) scenario{engineScenario, appScenario} {
 		kind := "engines: "
 		if base("").slots == 6 {
 			kind = "application: "
@@ -129,8 +129,8 @@
 			s.fault, s.failFraction = &fault{failFraction: 0.3, route: -1}, 0.14
 		})
 	}
-	small := modified(appStory("10 a second: fails 50 in 100"), func(s *scenario) { s.rate, s.fault = 10, &fault{failFraction: 0.5, route: -1} })
-	out = append(out, small, modified(appStory("10 a second: good"), func(s *scenario) { s.rate = 10 }))
+	small := modified(appScenario("10 a second: fails 50 in 100"), func(s *scenario) { s.rate, s.fault = 10, &fault{failFraction: 0.5, route: -1} })
+	out = append(out, small, modified(appScenario("10 a second: good"), func(s *scenario) { s.rate = 10 }))
 	for _, gateways := range []int{82, 195, 330} {
 		if gateways > 82 && !*large {
 			continue
@@ -140,7 +140,7 @@
 			if b != nil {
 				name = fmt.Sprintf("%d gateways, 2,000 a second: fails 30 in 100", gateways)
 			}
-			out = append(out, modified(engineStory(name), func(s *scenario) {
+			out = append(out, modified(engineScenario(name), func(s *scenario) {
 				s.gateways, s.rate, s.oldUpstreams, s.newUpstreams, s.fault = gateways, 2000, 60, 60, b
 			}))
 		}
@@ -148,9 +148,9 @@
 	return out
 }
 
-// storySummary sums up the results of all plays of a story.
-type storySummary struct {
-	story                           scenario
+// scenarioSummary sums up the results of all plays of a scenario.
+type scenarioSummary struct {
+	scenario                        scenario
 	plays                           int
 	right, overBound, withLateSends int
 	lost, refused                   int
@@ -160,7 +160,7 @@
 	wrong []string
 }
 
-func (r *storySummary) add(s scenario, seed int, x result) {
+func (r *scenarioSummary) add(s scenario, seed int, x result) {
 	r.plays++
 	want := Completed
 	if s.fault != nil {
@@ -188,39 +188,39 @@
 	r.lastEndedAt = max(r.lastEndedAt, x.endedAt)
 }
 
-func (r *storySummary) String() string {
-	return fmt.Sprintf("%-62s %6d %6d %8d %6.2f %6d %6d %7.1f %7.1f", r.story.name, r.plays, r.right, r.overBound, r.maxExposure, r.withLateSends, r.lost,
+func (r *scenarioSummary) String() string {
+	return fmt.Sprintf("%-62s %6d %6d %8d %6.2f %6d %6d %7.1f %7.1f", r.scenario.name, r.plays, r.right, r.overBound, r.maxExposure, r.withLateSends, r.lost,
 		r.endedAtSum.Seconds()/float64(r.plays), r.lastEndedAt.Seconds())
 }
 
-// maxListedWrong bounds the wrong plays that are logged per story.
+// maxListedWrong bounds the wrong plays that are logged per scenario.
 const maxListedWrong = 8
 
-// check checks that no requests were lost and, unless the story is undecidable, that the bounds
+// check checks that no requests were lost and, unless the scenario is undecidable, that the bounds
 // held and that at most 1 play in 100 ended wrongly or late.
-func (r *storySummary) check(t *testing.T) {
+func (r *scenarioSummary) check(t *testing.T) {
 	if r.lost > 0 {
-		t.Errorf("%s: %d requests were in progress at the old version when it was stopped", r.story.name, r.lost)
+		t.Errorf("%s: %d requests were in progress at the old version when it was stopped", r.scenario.name, r.lost)
 	}
-	if r.story.undecidable != "" {
+	if r.scenario.undecidable != "" {
 		return
 	}
 	if r.overBound > 0 || r.withLateSends > 0 {
-		t.Errorf("%s: a bad version got too many requests in %d plays, and requests after StopDue in %d, of %d plays", r.story.name, r.overBound, r.withLateSends, r.plays)
+		t.Errorf("%s: a bad version got too many requests in %d plays, and requests after StopDue in %d, of %d plays", r.scenario.name, r.overBound, r.withLateSends, r.plays)
 	}
 	if wrong := r.plays - r.right; wrong > r.plays/100 {
-		t.Errorf("%s: ended in the wrong phase or after the time limit in %d plays of %d", r.story.name, wrong, r.plays)
+		t.Errorf("%s: ended in the wrong phase or after the time limit in %d plays of %d", r.scenario.name, wrong, r.plays)
 	}
 }
 
 const tableHeading = "story                                                           plays  right  exposed   most   late   lost  mean s  last s"
 
-func playAll(list []scenario, n int) []*storySummary {
-	rows := make([]*storySummary, len(list))
+func playAll(list []scenario, n int) []*scenarioSummary {
+	rows := make([]*scenarioSummary, len(list))
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, 4)
 	for i, s := range list {
-		rows[i] = &storySummary{story: s}
+		rows[i] = &scenarioSummary{scenario: s}
 		wait.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
@@ -235,16 +235,16 @@
 
 // Guards against a bad version that gets more than its share of the requests, or any later than
 // StopDue after its faults showed; a good version that is rolled back; and requests that are
-// interrupted when the old version is stopped. Each story runs a rollout order with upstreams of
+// interrupted when the old version is stopped. Each scenario runs a rollout order with upstreams of
 // both versions and one kind of trouble.
 func TestStories(t *testing.T) {
-	rows := playAll(slices.DeleteFunc(stories(), func(s scenario) bool { return !strings.Contains(s.name, *only) }), *seeds)
+	rows := playAll(slices.DeleteFunc(scenarios(), func(s scenario) bool { return !strings.Contains(s.name, *only) }), *seeds)
 	var b strings.Builder
 	fmt.Fprintln(&b, tableHeading)
 	for _, r := range rows {
 		fmt.Fprintln(&b, r)
 		for _, w := range r.wrong[:min(len(r.wrong), maxListedWrong)] {
-			t.Log(r.story.name, w)
+			t.Log(r.scenario.name, w)
 		}
 	}
 	t.Log("\n" + b.String())
