--- a/internal/calls/machine_test.go
+++ b/internal/calls/machine_test.go
@@ -250,7 +250,9 @@
 type inBubble struct{ rapid.TB }
 
 // TestAtMostOnceMachine sends calls, and further attempts of them, to several gateways
-// while the log, the network, the gateways and the upstreams fail.
+// while the log, the network, the gateways and the upstreams fail. It guards against a
+// call that runs twice, a caller that is told something else than what the upstreams
+// ran, and an outcome that does not become final after the faults have ended.
 func TestAtMostOnceMachine(t *testing.T) {
 	kinds := map[string]document.UpstreamSpec{
 		"upstreams that know nothing":             {},
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -96,8 +96,8 @@
 var bothProtocols = []string{"HTTP/1.1", "HTTP/2"}
 
 // A caller that sends a request and reads nothing of the answer must not hold the
-// handler and its memory: without a deadline, writes to it block as long as the
-// connection exists.
+// handler, its memory and the request's slot: without a deadline, writes to the caller
+// block as long as the connection exists.
 func TestCallerThatStopsReadingIsCutOff(t *testing.T) {
 	for _, protocol := range bothProtocols {
 		t.Run(protocol, func(t *testing.T) {
@@ -231,8 +231,8 @@
 					if body == "" {
 						req.Body = nil
 					}
-					// Wait longer than the timeouts, but less than an idle connection
-					// is kept.
+					// Wait longer than the timeouts, but not so long that the server
+					// closes the idle connection.
 					time.Sleep(2 * testTimeouts.write)
 					req.Header.Del("Expect")
 					if strings.Contains(body, "Expect") {
--- a/internal/gateway/overhead_test.go
+++ b/internal/gateway/overhead_test.go
@@ -34,7 +34,7 @@
 	// tokenInterval and streamTokens describe the streams of the benchmark.
 	tokenInterval = 40 * time.Millisecond
 	streamTokens  = 50
-	// minCallsPerRound is the least number of calls in a round.
+	// minCallsPerRound is the minimum number of calls in a round.
 	minCallsPerRound = 4000
 )
 
@@ -204,7 +204,7 @@
 type pathCost struct{ processor, wall time.Duration }
 
 // addRound runs work on the given number of goroutines and adds the cost.
-func (s *pathCost) addRound(b *testing.B, concurrent int, work func() error) {
+func (c *pathCost) addRound(b *testing.B, concurrent int, work func() error) {
 	b.Helper()
 	processor, began := processorTime(), time.Now()
 	var all sync.WaitGroup
@@ -216,8 +216,8 @@
 		})
 	}
 	all.Wait()
-	s.processor += processorTime() - processor
-	s.wall += time.Since(began)
+	c.processor += processorTime() - processor
+	c.wall += time.Since(began)
 }
 
 // reportCost reports the cost of one operation over both paths and their ratio.
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,5 +1,6 @@
 // Package answer computes the answers of the stand-in upstreams. An answer depends
-// on nothing but its request, so that a test can check it in full.
+// on nothing but its request, so that any checker can compute the complete answer in
+// advance.
 package answer
 
 import (
