--- a/internal/calls/committer.go
+++ b/internal/calls/committer.go
@@ -207,7 +207,7 @@
 	_, err := w.c.cfg.Log.Append(ctx, w.stream, data)
 	if err != nil {
 		appendErrors.Add(1)
-		w.c.log.Warn("journal append failed", "stream", w.stream, "records", len(data), "error", err)
+		w.c.log.Warn("cannot append records to the journal", "stream", w.stream, "records", len(data), "error", err)
 	}
 	return err
 }
--- a/internal/calls/handover.go
+++ b/internal/calls/handover.go
@@ -138,7 +138,7 @@
 	defer cancel()
 	accepted, err := peer.HandOver(ctx, h)
 	if err != nil {
-		c.log.Warn("hand-over to peer failed", "peer", peer.ID(), "calls", len(h.Calls), "error", err)
+		c.log.Warn("cannot hand over calls to peer", "peer", peer.ID(), "calls", len(h.Calls), "error", err)
 	}
 	return accepted, err
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -169,7 +169,7 @@
 	defer cancel()
 	_ = server.Shutdown(ctx)
 	if err := p.telemetry.Shutdown(ctx); err != nil {
-		p.log.Warn("spans were lost", "error", err)
+		p.log.Warn("cannot flush trace spans", "error", err)
 	}
 	p.dialer.Close()
 	p.pool.Close()
--- a/internal/controllers/configuration/follow.go
+++ b/internal/controllers/configuration/follow.go
@@ -80,7 +80,7 @@
 			metrics.unreadable.Add(1)
 		}
 		if d.Problem != "" {
-			c.logger.Error("problem with a configuration record", "offset", d.Offset, "problem", d.Problem)
+			c.logger.Error("configuration record has a problem", "offset", d.Offset, "problem", d.Problem)
 		}
 	}
 	c.lastSnapshot.records += len(decisions)
--- a/internal/controllers/fleet/execute.go
+++ b/internal/controllers/fleet/execute.go
@@ -28,15 +28,15 @@
 	switch action.Kind {
 	case planner.Start:
 		err := c.start(ctx, grant, doc, h, action)
-		log.Info("start instance", "start_id", action.StartID, "failure_domain", action.Offering.FailureDomain,
+		log.Info("requested instance start", "start_id", action.StartID, "failure_domain", action.Offering.FailureDomain,
 			"class", action.Offering.Class, "reclaimable", action.Offering.Reclaimable, "error", err)
 	case planner.Drain:
 		err := c.drain(ctx, h, o, action.Instance)
-		log.Info("drain upstream", "upstream", action.Instance, "error", err)
+		log.Info("requested upstream drain", "upstream", action.Instance, "error", err)
 	case planner.Stop:
 		err := c.deps.Cloud.Stop(ctx, action.Instance, grant.Fence)
 		stops.Add(1)
-		log.Info("stop upstream", "upstream", action.Instance, "error", err)
+		log.Info("requested upstream stop", "upstream", action.Instance, "error", err)
 	}
 }
 
--- a/internal/controllers/membership/heartbeat.go
+++ b/internal/controllers/membership/heartbeat.go
@@ -18,7 +18,7 @@
 		for _, peer := range c.nextTargets() {
 			exchanges.Go(func() {
 				if _, err := c.exchange(ctx, peer); err != nil && ctx.Err() == nil {
-					c.deps.Log.Debug("heartbeat failed", "peer", peer.id, "address", peer.address, "error", err)
+					c.deps.Log.Debug("cannot exchange heartbeats with peer", "peer", peer.id, "address", peer.address, "error", err)
 				}
 			})
 		}
--- a/internal/entry/lifecycle.go
+++ b/internal/entry/lifecycle.go
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), stopMargin/2)
 	defer cancel()
 	if err := p.tracing.Shutdown(ctx); err != nil {
-		p.log.Warn("cannot send the buffered spans", "error", err)
+		p.log.Warn("cannot flush trace spans", "error", err)
 	}
 }
 
--- a/internal/poison/stored.go
+++ b/internal/poison/stored.go
@@ -44,7 +44,7 @@
 	})
 	data, err := json.Marshal(stored[:min(len(stored), maxStoredVerdicts)])
 	if err != nil {
-		t.cfg.Log.Error("convicted contents could not be encoded for storage", "error", err)
+		t.cfg.Log.Error("cannot encode poison verdicts for storage", "error", err)
 		return nil
 	}
 	return data
@@ -58,7 +58,7 @@
 	}
 	var stored []storedVerdict
 	if err := json.Unmarshal(data, &stored); err != nil {
-		t.cfg.Log.Error("stored record of convicted contents cannot be read", "error", err)
+		t.cfg.Log.Error("cannot decode stored poison verdicts", "error", err)
 		return
 	}
 	t.mu.Lock()
@@ -66,7 +66,7 @@
 	now := t.cfg.Now()
 	for _, v := range stored[:min(len(stored), maxStoredVerdicts)] {
 		if v.Content == 0 || v.AgeMillis < 0 || v.IdleMillis < 0 {
-			t.cfg.Log.Error("stored verdict is not valid", "content", v.Content, "age_ms", v.AgeMillis, "idle_ms", v.IdleMillis)
+			t.cfg.Log.Error("stored poison verdict is not valid", "content", v.Content, "age_ms", v.AgeMillis, "idle_ms", v.IdleMillis)
 			continue
 		}
 		t.mergeVerdict(&Verdict{
--- a/internal/poison/suspects.go
+++ b/internal/poison/suspects.go
@@ -125,7 +125,7 @@
 		t.counts.Convicted++
 		t.limitVerdicts()
 		t.dirty = true
-		t.cfg.Log.Warn("request content convicted of crashing upstreams", "content", best.content, "ends", best.tally.crashes, "arrivals", best.tally.arrivals,
+		t.cfg.Log.Warn("poison request detected", "content", best.content, "ends", best.tally.crashes, "arrivals", best.tally.arrivals,
 			"ends_age_ms", ages, "suspects", len(candidates))
 	}
 }
--- a/internal/poison/tracker.go
+++ b/internal/poison/tracker.go
@@ -4,10 +4,10 @@
 // A poison request arrives again and again, at any gateway, under new IDs; what it asks for, its
 // content (ident.ContentHash), stays the same. A crash interrupts all requests in progress at the
 // upstream, as many as it has slots, and each of them may be the cause. Gateways report to each
-// other which contents they had there. A content is convicted as the cause if it explains at
-// least three crashes in a row, without a complete answer in between, better than any other
-// content does. Crashes that a convicted content explains do not count against the requests
-// that ran beside it.
+// other which contents they had there. A content is convicted, which means that its requests are
+// barred as poison requests, when it explains at least three crashes in a row, without a complete
+// answer in between, better than any other content does. Crashes that a convicted content explains
+// do not count against the requests that ran beside it.
 //
 // The package does no I/O. The reports of other gateways may arrive late, twice and in any
 // order.
@@ -216,7 +216,7 @@
 	}
 	t.clearContent(content, barred || t.reportedElsewhere(content), now)
 	if barred {
-		t.cfg.Log.Warn("request content convicted of crashing upstreams was answered completely and is cleared", "content", content)
+		t.cfg.Log.Warn("poison request cleared: it was answered completely", "content", content)
 	}
 }
 
@@ -280,7 +280,7 @@
 		return false
 	}
 	t.clearContent(content, true, now)
-	t.cfg.Log.Warn("request content cleared by an operator", "content", content)
+	t.cfg.Log.Warn("poison request cleared by an operator", "content", content)
 	return true
 }
 
@@ -335,7 +335,7 @@
 	t.limitVerdicts()
 	t.dirty = true
 	if !reported.Cleared || known != nil && !known.cleared {
-		t.cfg.Log.Info("received a verdict on a request content", "content", reported.Content, "cleared", reported.Cleared,
+		t.cfg.Log.Info("received a poison verdict", "content", reported.Content, "cleared", reported.Cleared,
 			"age_ms", reported.Age.Milliseconds(), "idle_ms", reported.Idle.Milliseconds())
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -62,7 +62,7 @@
 	}
 	err := c.ledger.load(ctx)
 	if err != nil {
-		c.cfg.Log.Info("rollout records could not be read", "error", err)
+		c.cfg.Log.Info("cannot read rollout records", "error", err)
 	}
 	for i := range orders {
 		c.step(ctx, &orders[i], err == nil)
@@ -129,7 +129,7 @@
 		r.OrderedMillis = last.OrderedMillis
 	}
 	if err := c.ledger.writeRecord(ctx, s.Order.Service, r); err != nil {
-		c.cfg.Log.Warn("rollout outcome could not be recorded", "service", s.Order.Service, "order", r.Order, "outcome", outcome.String(), "fence", c.fence, "error", err)
+		c.cfg.Log.Warn("cannot record rollout outcome", "service", s.Order.Service, "order", r.Order, "outcome", outcome.String(), "fence", c.fence, "error", err)
 		return false
 	}
 	c.reportStatus(ctx, s)
@@ -139,7 +139,7 @@
 // reportStatus writes the recorded outcome to the operators' status topic.
 func (c *Controller) reportStatus(ctx context.Context, s *Status) {
 	if err := c.ledger.writeStatus(ctx, s.Order.Service); err != nil {
-		c.cfg.Log.Warn("rollout status could not be reported to the operators", "service", s.Order.Service, "order", s.Order.Offset, "fence", c.fence, "error", err)
+		c.cfg.Log.Warn("cannot report rollout status to the operators", "service", s.Order.Service, "order", s.Order.Offset, "fence", c.fence, "error", err)
 	}
 }
 
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -210,7 +210,7 @@
 
 // enterPhase logs and sets an order's new phase.
 func (t *Tracker) enterPhase(r *trackedOrder, next Phase, why string) {
-	t.cfg.Log.Info("rollout", "service", r.order.Service, "to", r.order.To, "order", r.order.Offset, "phase", next.String(), "before", r.phase.String(),
+	t.cfg.Log.Info("rollout phase changed", "service", r.order.Service, "to", r.order.To, "order", r.order.Offset, "phase", next.String(), "before", r.phase.String(),
 		"why", why, "age_ms", t.cfg.Now().Sub(r.orderedAt).Milliseconds(), "answers", r.verdict.Answers, "against", r.verdict.Against,
 		"sent", r.budget.sent, "sent_new", r.budget.exposed)
 	r.phase, r.phaseSince = next, t.cfg.Now()
--- a/internal/upstreamlimit/limiter.go
+++ b/internal/upstreamlimit/limiter.go
@@ -208,7 +208,7 @@
 		return
 	}
 	lim.unreadableLoggedAt = now
-	lim.cfg.Log.Warn("upstream's limit not readable", "upstream", upstream, "id", id, "problem", s.Problem,
+	lim.cfg.Log.Warn("cannot read upstream's limit", "upstream", upstream, "id", id, "problem", s.Problem,
 		"stays_limited", l != nil && l.limited, "unreadable_total", lim.counters.Unreadable)
 }
 
--- a/internal/upstreamlimit/snapshot.go
+++ b/internal/upstreamlimit/snapshot.go
@@ -44,7 +44,7 @@
 	})
 	data, err := json.Marshal(stored[:min(len(stored), maxStoredLimits)])
 	if err != nil {
-		lim.cfg.Log.Error("limits cannot be encoded", "error", err)
+		lim.cfg.Log.Error("cannot encode limits", "error", err)
 		return nil
 	}
 	return data
